--- /dev/null
+++ b/internal/accord/disk.go
@@ -0,0 +1,64 @@
+// The duty that writes the disk, and what it reports back.
+package accord
+
+import (
+	"os"
+	"time"
+	"tinpin/internal/events"
+)
+
+type syncedNote struct {
+	orders int
+	index  Index
+	term   Term
+}
+
+// scribe is the duty that writes the disk.
+func (n *Node) scribe() {
+	defer n.stopped.Done()
+	for {
+		var writes []Write
+		select {
+		case <-n.stop:
+			return
+		case writes = <-n.disk:
+		}
+		for more := true; more && len(writes) < 512; {
+			select {
+			case next := <-n.disk:
+				writes = append(writes, next...)
+			default:
+				more = false
+			}
+		}
+		for pause := 20 * time.Millisecond; ; pause *= 2 {
+			err := n.store.Write(writes)
+			if err == nil {
+				break
+			}
+			n.log.Say(events.DiskFailed, "problem", err.Error())
+			select {
+			case n.tells <- func() { n.carry(n.raft.Resign()) }:
+			default:
+			}
+			if pause > time.Second {
+				os.Exit(1)
+			}
+			time.Sleep(pause)
+		}
+		note := syncedNote{orders: len(writes)}
+		for _, write := range writes {
+			for _, message := range write.After {
+				n.post(message)
+			}
+			if len(write.Entries) > 0 || write.Snapshot != nil && write.LastTerm != 0 {
+				note.index, note.term = write.Last, write.LastTerm
+			}
+		}
+		select {
+		case n.synced <- note:
+		case <-n.stop:
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/accord/election.go
@@ -0,0 +1,96 @@
+// Elections: pre-vote, vote and the hand-over of leadership to the member
+// that has the whole log.
+package accord
+
+func (r *Raft) campaign(pre, force bool) {
+	r.resetTimer()
+	r.role, r.leader, r.pre = Candidate, "", pre
+	r.votes = map[ID]bool{r.id: true}
+	term := r.hard.Term + 1
+	kind := AskPreVote
+	if !pre {
+		kind = AskVote
+		r.hard = Hard{Term: term, Vote: r.id}
+	}
+	var asks []Message
+	for _, member := range r.members {
+		if member.Voter && member.ID != r.id {
+			asks = append(asks, Message{Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()), Force: force})
+		}
+	}
+	if pre {
+		for _, ask := range asks {
+			r.send(ask)
+		}
+	} else {
+		hard := r.hard
+		r.write(Write{Hard: &hard, After: asks})
+	}
+	r.countVotes()
+}
+
+func (r *Raft) countVotes() {
+	yes := 0
+	for id, granted := range r.votes {
+		if granted && r.voter(id) {
+			yes++
+		}
+	}
+	if yes <= r.voters()/2 {
+		return
+	}
+	if r.pre {
+		r.campaign(false, false)
+		return
+	}
+	r.lead()
+}
+
+func (r *Raft) lead() {
+	r.role, r.leader, r.transfer = Leader, r.id, ""
+	r.elapsed, r.quorumAt, r.lag = 0, 0, 0
+	r.peers = map[ID]*progress{}
+	r.refreshMembers()
+	r.push(Entry{})
+}
+
+// HandOver asks the best caught-up voter to take the leadership.
+func (r *Raft) HandOver() {
+	if r.role != Leader {
+		return
+	}
+	var best ID
+	var bestMatch Index
+	for _, member := range r.members {
+		p := r.peers[member.ID]
+		if p != nil && member.Voter && p.heard < r.pace.Election && p.match >= r.commit && (best == "" || p.match > bestMatch) {
+			best, bestMatch = member.ID, p.match
+		}
+	}
+	if best != "" {
+		r.transfer, r.transferAt = best, 0
+		r.relieve()
+	}
+}
+
+// relieve tells the successor to stand once it has the whole log.
+func (r *Raft) relieve() {
+	if p := r.peers[r.transfer]; p != nil && p.match == r.lastIndex() {
+		r.send(Message{Kind: TimeoutNow, To: r.transfer})
+	}
+}
+
+// Open tells whether the leader takes proposals now, or hands over.
+func (r *Raft) Open() bool { return r.role == Leader && r.transfer == "" }
+
+// Resign hands the leadership over and returns what to send.
+func (r *Raft) Resign() (out Output) {
+	r.HandOver()
+	return r.flush()
+}
+
+func (r *Raft) upToDate(m Message) bool {
+	last := r.lastIndex()
+	lastTerm := r.termAt(last)
+	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
+}
--- /dev/null
+++ b/internal/accord/members.go
@@ -0,0 +1,82 @@
+// The members as the log tells them: a change binds from the moment it is in
+// the log, and one is under way at a time.
+package accord
+
+func (r *Raft) refreshMembers() {
+	r.members = r.base.Members
+	for i := range r.log {
+		if r.log[i].Members != nil {
+			r.members = r.log[i].Members
+		}
+	}
+	if r.role != Leader {
+		return
+	}
+	for _, member := range r.members {
+		if _, known := r.peers[member.ID]; !known && member.ID != r.id {
+			r.peers[member.ID] = &progress{next: r.lastIndex() + 1}
+		}
+	}
+	for id := range r.peers {
+		if _, known := find(r.members, id); !known {
+			delete(r.peers, id)
+		}
+	}
+}
+
+func find(members []Member, id ID) (member Member, known bool) {
+	for _, member = range members {
+		if member.ID == id {
+			return member, true
+		}
+	}
+	return Member{}, false
+}
+
+func (r *Raft) voter(id ID) bool {
+	member, known := find(r.members, id)
+	return known && member.Voter
+}
+
+func (r *Raft) voters() (count int) {
+	for _, member := range r.members {
+		if member.Voter {
+			count++
+		}
+	}
+	return count
+}
+
+// Change puts a new set of members into the log, one change at a time, and
+// only once the leader has committed in its own term.
+func (r *Raft) Change(members []Member) (accepted bool, out Output) {
+	if !r.Settled() || r.changing() {
+		return false, Output{}
+	}
+	r.push(Entry{Members: members})
+	return true, r.flush()
+}
+
+func (r *Raft) changing() bool {
+	for i := len(r.log) - 1; i >= 0 && r.log[i].Index > r.commit; i-- {
+		if r.log[i].Members != nil {
+			return true
+		}
+	}
+	return false
+}
+
+// CaughtUp tells whether a member's disk has all that is committed.
+func (r *Raft) CaughtUp(id ID) bool {
+	p, known := r.peers[id]
+	return known && p.match >= r.commit && p.heard < 2*r.pace.Election
+}
+
+// Heard gives the ticks since a member was last heard, for the leader.
+func (r *Raft) Heard(id ID) (ticks int, known bool) {
+	p, known := r.peers[id]
+	if !known {
+		return 0, false
+	}
+	return p.heard, true
+}
--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -5,9 +5,7 @@
 package accord
 
 import (
-	"encoding/hex"
 	"math/rand"
-	"net"
 	"os"
 	"sync"
 	"time"
@@ -18,7 +16,6 @@
 
 	"tinpin/internal/chronicle"
 	"tinpin/internal/events"
-	"tinpin/internal/parley"
 	"tinpin/internal/props"
 )
 
@@ -35,32 +32,6 @@
 	departTicks  = 320
 )
 
-// Answer is what became of a wish.
-type Answer struct {
-	Result Result
-	// Clear is false where nobody can tell whether the wish was carried out.
-	Clear bool
-	// Refused tells that it was not and will not be carried out.
-	Refused bool
-}
-
-type wish struct {
-	command Command
-	done    chan Answer
-	born    time.Time
-}
-
-type pendingEntry struct {
-	term   Term
-	wishes []wish
-}
-
-type syncedNote struct {
-	orders int
-	index  Index
-	term   Term
-}
-
 // Node is one core.
 type Node struct {
 	props   props.Props
@@ -103,11 +74,6 @@
 	OnRole   func(leads bool, term Term)
 }
 
-type joiner struct {
-	member Member
-	at     int
-}
-
 // OpenNode opens the disk and makes the core ready to run.
 func OpenNode(p props.Props, log *events.Log) (node *Node, err error) {
 	if p.Data == "" {
@@ -151,29 +117,6 @@
 	return node, nil
 }
 
-// Identity decides who a core with an empty disk is: a founder where the
-// whole system starts for the first time and it is among the seeds, else a
-// newcomer that has to be taken in.
-func Identity(p props.Props) (id ID, base Snapshot) {
-	var founders []Member
-	founder := false
-	for _, seed := range p.Seeds {
-		host, _, err := net.SplitHostPort(seed)
-		if err != nil {
-			continue
-		}
-		member := Member{ID: ID("founder-" + host), Inner: p.Accord(seed), Control: seed, Voter: true}
-		founders = append(founders, member)
-		founder = founder || host == p.Address
-	}
-	if p.FirstStart && founder {
-		return ID("founder-" + p.Address), Snapshot{Index: 1, Term: 1, Members: founders}
-	}
-	var luck [8]byte
-	_, _ = crand.Read(luck[:])
-	return ID(p.Address + "-" + hex.EncodeToString(luck[:])), Snapshot{}
-}
-
 // Now is this core's steady clock.
 func (n *Node) Now() time.Duration { return time.Since(n.birth) }
 
@@ -235,58 +178,6 @@
 // Self is this core as a member.
 func (n *Node) Self() Member { return n.self }
 
-// Wish puts a command before the cores and waits for its outcome.
-func (n *Node) Wish(command Command, limit time.Duration) (answer Answer) {
-	return n.Wishes([]Command{command}, limit)[0]
-}
-
-// Wishes puts several commands at once.
-func (n *Node) Wishes(commands []Command, limit time.Duration) (answers []Answer) {
-	answers = make([]Answer, len(commands))
-	done := make([]chan Answer, len(commands))
-	now := time.Now()
-	timer := time.NewTimer(limit)
-	defer timer.Stop()
-	for i, command := range commands {
-		done[i] = make(chan Answer, 1)
-		select {
-		case n.wishes <- wish{command, done[i], now}:
-		default:
-			done[i] <- Answer{Refused: true}
-		}
-	}
-	for i := range done {
-		select {
-		case answers[i] = <-done[i]:
-		case <-timer.C:
-			for ; i < len(done); i++ {
-				select {
-				case answers[i] = <-done[i]:
-				default:
-				}
-			}
-			return answers
-		}
-	}
-	return answers
-}
-
-// Batch is what one core sends another.
-type Batch struct {
-	From     ID
-	Inner    string
-	Messages []Message
-}
-
-// JoinAsk asks to be taken in.
-type JoinAsk struct{ Member Member }
-
-// JoinReply names the leader where it is another.
-type JoinReply struct {
-	Leader bool
-	Inners []string
-}
-
 // Empty is an answer that says nothing.
 type Empty struct{}
 
@@ -296,35 +187,6 @@
 // Desk gives the receiver for inner calls.
 func (n *Node) Desk() (desk *Desk) { return &Desk{n} }
 
-// Step takes messages of the agreement.
-func (d *Desk) Step(batch Batch, _ *Empty) (err error) {
-	d.node.mu.Lock()
-	d.node.book[batch.From] = batch.Inner
-	d.node.mu.Unlock()
-	select {
-	case d.node.inbox <- batch.Messages:
-	default:
-	}
-	return nil
-}
-
-// Join notes a core that wants to be taken in.
-func (d *Desk) Join(ask JoinAsk, reply *JoinReply) (err error) {
-	leads, _, _, _, members := d.node.Standing()
-	reply.Leader = leads
-	for _, member := range members {
-		reply.Inners = append(reply.Inners, member.Inner)
-	}
-	if !leads {
-		return nil
-	}
-	select {
-	case d.node.tells <- func() { d.node.joiners[ask.Member.ID] = joiner{ask.Member, d.node.ticks} }:
-	default:
-	}
-	return nil
-}
-
 // council is the duty that steps the agreement.
 func (n *Node) council() {
 	defer n.stopped.Done()
@@ -358,47 +220,6 @@
 	}
 }
 
-func (n *Node) propose(first wish) {
-	var batch []wish
-	size := 0
-	now := time.Now()
-	for next, more := first, true; more && len(batch) < 256 && size < 1<<20; {
-		// A wish whose caller must have given up is refused, not carried out:
-		// a backlog would otherwise be worked off for nobody.
-		if now.Sub(next.born) > staleWish {
-			next.done <- Answer{Refused: true}
-		} else {
-			batch = append(batch, next)
-			size += len(next.command.Body)
-		}
-		select {
-		case next = <-n.wishes:
-		default:
-			more = false
-		}
-		if more && (len(batch) == 256 || size >= 1<<20) {
-			batch = append(batch, next)
-		}
-	}
-	if len(batch) == 0 {
-		return
-	}
-	commands := make([]Command, len(batch))
-	for i := range batch {
-		commands[i] = batch[i].command
-	}
-	data := Inscribe(commands)
-	index, term, accepted, out := n.raft.Propose(data)
-	if !accepted {
-		for i := range batch {
-			batch[i].done <- Answer{Refused: true}
-		}
-		return
-	}
-	n.pending[index] = pendingEntry{term, batch}
-	n.carry(out)
-}
-
 // carry does what a step asked for.
 func (n *Node) carry(out Output) {
 	for _, message := range out.Send {
@@ -553,236 +374,3 @@
 		}
 	}
 }
-
-// keepHouse takes newcomers in, lets the departed go, expires old keys and,
-// where this core is no member, asks to become one.
-func (n *Node) keepHouse() {
-	if n.raft.Role() != Leader {
-		_, member := find(n.raft.Members(), n.self.ID)
-		if (!member || n.ticks-n.heardAt > 2*electTicks) && n.ticks%10 == 0 {
-			go n.askToJoin()
-		}
-		return
-	}
-	if !n.raft.Settled() {
-		return
-	}
-	for id, joiner := range n.joiners {
-		if n.ticks-joiner.at > 100 {
-			delete(n.joiners, id)
-		}
-	}
-	var waiting []Member
-	for _, joiner := range n.joiners {
-		waiting = append(waiting, joiner.member)
-	}
-	next, change := NextMembers(n.raft.Members(), n.self, waiting, Voters(n.props.MachineLosses), n.raft.CaughtUp, func(id ID) bool {
-		ticks, known := n.raft.Heard(id)
-		return known && ticks > departTicks
-	})
-	if change {
-		accepted, out := n.raft.Change(next)
-		if accepted {
-			n.log.Say(events.MemberChanged, "members", len(next))
-			n.carry(out)
-		}
-	}
-	if n.ticks%25 == 0 {
-		n.mu.RLock()
-		upto := n.state.Expirable(n.Now(), n.props.Bounds.KeyWindow+15*time.Second)
-		n.mu.RUnlock()
-		if upto > 0 {
-			select {
-			case n.wishes <- wish{Command{Kind: CommandExpire, Upto: upto}, make(chan Answer, 1), time.Now()}:
-			default:
-			}
-		}
-	}
-}
-
-// Voters is how many cores should vote, so that what was acknowledged outlasts
-// the loss of so many: of twice as many and one, a majority is left.
-func Voters(losses int) (wanted int) { return max(3, 2*losses+1) }
-
-// NextMembers is the next single change of membership, if one is due: a
-// newcomer becomes a learner; a wiped or departed voter goes when a caught-up
-// learner stands ready; a caught-up learner becomes a voter while there are
-// fewer than wanted.
-func NextMembers(members []Member, self Member, waiting []Member, wanted int, caughtUp func(ID) bool, departed func(ID) bool) (next []Member, change bool) {
-	next = append([]Member(nil), members...)
-	for _, newcomer := range waiting {
-		if _, known := find(members, newcomer.ID); !known {
-			newcomer.Voter = false
-			return append(next, newcomer), true
-		}
-	}
-	voters, ready := 0, -1
-	for i, member := range members {
-		if member.Voter {
-			voters++
-		} else if caughtUp(member.ID) {
-			ready = i
-		}
-	}
-	// A later member at the same address is the newer life of the same core.
-	replaced := func(at int) bool {
-		for _, newer := range members[at+1:] {
-			if newer.Inner == members[at].Inner && (departed(members[at].ID) || caughtUp(newer.ID)) {
-				return true
-			}
-		}
-		return false
-	}
-	for i, member := range members {
-		if member.ID == self.ID {
-			continue
-		}
-		wiped := replaced(i)
-		if member.Voter && wiped && ready >= 0 || member.Voter && departed(member.ID) && ready >= 0 || !member.Voter && (wiped && !caughtUp(member.ID) || departed(member.ID)) {
-			return append(next[:i], next[i+1:]...), true
-		}
-	}
-	if ready >= 0 && voters < wanted {
-		next[ready].Voter = true
-		return next, true
-	}
-	return nil, false
-}
-
-func (n *Node) askToJoin() {
-	n.mu.RLock()
-	targets := map[string]bool{}
-	for _, seed := range n.seeds {
-		targets[n.props.Accord(seed)] = true
-	}
-	for _, inner := range n.book {
-		targets[inner] = true
-	}
-	n.mu.RUnlock()
-	delete(targets, n.self.Inner)
-	for target := range targets {
-		caller := parley.NewCaller(target)
-		var reply JoinReply
-		if err := caller.Call("Accord.Join", JoinAsk{n.self}, &reply, 300*time.Millisecond); err == nil {
-			n.mu.Lock()
-			for _, inner := range reply.Inners {
-				n.book[ID("heard-"+inner)] = inner
-			}
-			n.mu.Unlock()
-		}
-		caller.Close()
-	}
-}
-
-// scribe is the duty that writes the disk.
-func (n *Node) scribe() {
-	defer n.stopped.Done()
-	for {
-		var writes []Write
-		select {
-		case <-n.stop:
-			return
-		case writes = <-n.disk:
-		}
-		for more := true; more && len(writes) < 512; {
-			select {
-			case next := <-n.disk:
-				writes = append(writes, next...)
-			default:
-				more = false
-			}
-		}
-		for pause := 20 * time.Millisecond; ; pause *= 2 {
-			err := n.store.Write(writes)
-			if err == nil {
-				break
-			}
-			n.log.Say(events.DiskFailed, "problem", err.Error())
-			select {
-			case n.tells <- func() { n.carry(n.raft.Resign()) }:
-			default:
-			}
-			if pause > time.Second {
-				os.Exit(1)
-			}
-			time.Sleep(pause)
-		}
-		note := syncedNote{orders: len(writes)}
-		for _, write := range writes {
-			for _, message := range write.After {
-				n.post(message)
-			}
-			if len(write.Entries) > 0 || write.Snapshot != nil && write.LastTerm != 0 {
-				note.index, note.term = write.Last, write.LastTerm
-			}
-		}
-		select {
-		case n.synced <- note:
-		case <-n.stop:
-			return
-		}
-	}
-}
-
-// sender carries messages to one core.
-type sender struct {
-	ring   chan Message
-	caller *parley.Caller
-}
-
-func (n *Node) post(message Message) {
-	n.mu.Lock()
-	inner := n.book[message.To]
-	s := n.senders[message.To]
-	if inner != "" && (s == nil || s.caller.Address != inner) {
-		if s != nil {
-			close(s.ring)
-		}
-		s = &sender{ring: make(chan Message, 512), caller: parley.NewCaller(inner)}
-		n.senders[message.To] = s
-		s.caller.DialWait = courierDial
-		go n.courier(s)
-	}
-	if s != nil {
-		select {
-		case s.ring <- message:
-		default:
-		}
-	}
-	n.mu.Unlock()
-}
-
-func (n *Node) courier(s *sender) {
-	defer s.caller.Close()
-	for {
-		var message Message
-		var open bool
-		select {
-		case <-n.stop:
-			return
-		case message, open = <-s.ring:
-			if !open {
-				return
-			}
-		}
-		batch := Batch{From: n.self.ID, Inner: n.self.Inner, Messages: []Message{message}}
-		for more := true; more && len(batch.Messages) < 64; {
-			select {
-			case message, open = <-s.ring:
-				if !open {
-					return
-				}
-				batch.Messages = append(batch.Messages, message)
-			default:
-				more = false
-			}
-		}
-		if err := s.caller.Call("Accord.Step", batch, &Empty{}, 500*time.Millisecond); err != nil {
-			select {
-			case <-time.After(20 * time.Millisecond):
-			case <-n.stop:
-				return
-			}
-		}
-	}
-}
