--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -173,6 +173,13 @@
 		r.send(Message{Kind: TellAppend, To: m.From, Index: r.commit, Round: m.Round})
 		return
 	}
+	// The log holds its last entry, and so all that it stands for: what lies
+	// behind may have been counted by the leader and stays.
+	if r.termAt(snapshot.Index) == snapshot.Term {
+		r.commit = snapshot.Index
+		r.send(Message{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round})
+		return
+	}
 	r.base = *snapshot
 	r.log = nil
 	r.commit, r.applied, r.synced = snapshot.Index, snapshot.Index, 0
