--- a/internal/accord/disk.go
+++ b/internal/accord/disk.go
@@ -7,12 +7,6 @@
 	"tinpin/internal/events"
 )
 
-type syncedNote struct {
-	orders int
-	index  Index
-	term   Term
-}
-
 // scribe is the duty that writes the disk.
 func (n *Node) scribe() {
 	defer n.stopped.Done()
@@ -46,17 +40,13 @@
 			}
 			time.Sleep(pause)
 		}
-		note := syncedNote{orders: len(writes)}
 		for _, write := range writes {
 			for _, message := range write.After {
 				n.post(message)
 			}
-			if len(write.Entries) > 0 || write.Snapshot != nil && write.LastTerm != 0 {
-				note.index, note.term = write.Last, write.LastTerm
-			}
 		}
 		select {
-		case n.synced <- note:
+		case n.synced <- len(writes):
 		case <-n.stop:
 			return
 		}
--- a/internal/accord/message.go
+++ b/internal/accord/message.go
@@ -73,14 +73,14 @@
 	Force    bool
 }
 
-// Write is one order for the disk; After goes out once it is synced.
+// Write is one order for the disk: the log is cut from Cut on where that is
+// set, then the entries are put behind. After goes out once it is synced.
 type Write struct {
 	Hard     *Hard
+	Cut      Index
 	Entries  []Entry
 	Snapshot *Snapshot
 	After    []Message
-	Last     Index
-	LastTerm Term
 }
 
 // Output is what one step asks for.
--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -42,7 +42,7 @@
 	birth   time.Time
 	inbox   chan []Message
 	wishes  chan wish
-	synced  chan syncedNote
+	synced  chan int
 	disk    chan []Write
 	tells   chan func()
 	stop    chan struct{}
@@ -92,7 +92,7 @@
 	}
 	node = &Node{
 		props: p, log: log, store: store, birth: time.Now(),
-		inbox: make(chan []Message, 256), wishes: make(chan wish, maxWishes), synced: make(chan syncedNote, 256),
+		inbox: make(chan []Message, 256), wishes: make(chan wish, maxWishes), synced: make(chan int, 256),
 		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
 		book: map[ID]string{}, senders: map[ID]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
 		seeds: p.Seeds, Chronicle: chronicle.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
@@ -206,8 +206,8 @@
 			}
 		case first := <-wishes:
 			n.propose(first)
-		case note := <-n.synced:
-			n.carry(n.raft.Synced(note.orders, note.index, note.term))
+		case orders := <-n.synced:
+			n.carry(n.raft.Synced(orders))
 		case tell := <-n.tells:
 			tell()
 		case <-ticker.C:
@@ -326,16 +326,13 @@
 		n.log.Say(events.DiskFailed, "problem", err.Error())
 		return
 	}
-	snapshot, done := n.raft.Compact(n.raft.Commit(), data)
+	done, out := n.raft.Compact(n.raft.Commit(), data)
 	if !done {
 		return
 	}
 	n.logSize = 0
-	select {
-	case n.disk <- []Write{{Snapshot: &snapshot, Last: snapshot.Index + 1, LastTerm: 0}}:
-	case <-n.stop:
-	}
-	n.log.Say(events.SnapshotTaken, "index", uint64(snapshot.Index), "bytes", len(data))
+	n.carry(out)
+	n.log.Say(events.SnapshotTaken, "index", uint64(n.raft.Base()), "bytes", len(data))
 }
 
 // publish makes the standing of the agreement known to other duties.
--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -41,6 +41,7 @@
 	commit     Index
 	applied    Index
 	synced     Index
+	marks      []mark
 	elapsed    int
 	timeout    int
 	votes      map[ID]bool
@@ -111,8 +112,9 @@
 		}
 	}
 	r.issued++
-	w.Last = r.lastIndex()
-	w.LastTerm = r.termAt(w.Last)
+	if len(w.Entries) > 0 || w.Snapshot != nil {
+		r.marks = append(r.marks, mark{r.issued, r.lastIndex()})
+	}
 	r.out.Writes = append(r.out.Writes, w)
 }
 
--- a/internal/accord/raftlog.go
+++ b/internal/accord/raftlog.go
@@ -34,10 +34,35 @@
 	return rest[:len(rest):len(rest)]
 }
 
+// mark tells up to where the disk holds the log once an order is carried out.
+type mark struct {
+	order uint64
+	last  Index
+}
+
+// undo notes that the log behind a place is given up: no order that is done or
+// under way counts for more.
+func (r *Raft) undo(behind Index) {
+	r.synced = min(r.synced, behind)
+	for i := range r.marks {
+		r.marks[i].last = min(r.marks[i].last, behind)
+	}
+}
+
+// Synced reports that the disk has carried out so many more orders.
+func (r *Raft) Synced(orders int) (out Output) {
+	r.done += uint64(orders)
+	for len(r.marks) > 0 && r.marks[0].order <= r.done {
+		r.synced = max(r.synced, r.marks[0].last)
+		r.marks = r.marks[1:]
+	}
+	return r.flush()
+}
+
 // Compact cuts the log behind an applied place.
-func (r *Raft) Compact(index Index, data []byte) (snapshot Snapshot, done bool) {
+func (r *Raft) Compact(index Index, data []byte) (done bool, out Output) {
 	if index <= r.base.Index || index > r.applied {
-		return snapshot, false
+		return false, out
 	}
 	members := r.base.Members
 	for i := range r.log {
@@ -45,19 +70,9 @@
 			members = r.log[i].Members
 		}
 	}
-	snapshot = Snapshot{Index: index, Term: r.termAt(index), Members: members, Data: data}
+	snapshot := Snapshot{Index: index, Term: r.termAt(index), Members: members, Data: data}
 	r.log = append([]Entry(nil), r.log[index-r.base.Index:]...)
 	r.base = snapshot
-	r.issued++
-	return snapshot, true
-}
-
-// Synced reports that the disk has carried out so many orders and holds the
-// log up to index of that term.
-func (r *Raft) Synced(orders int, index Index, term Term) (out Output) {
-	r.done += uint64(orders)
-	if index > r.synced && r.termAt(index) == term {
-		r.synced = index
-	}
-	return r.flush()
+	r.write(Write{Snapshot: &snapshot})
+	return true, r.flush()
 }
--- a/internal/accord/raftlog_test.go
+++ b/internal/accord/raftlog_test.go
@@ -59,11 +59,7 @@
 	b.queued = b.queued[1:]
 	b.disk.carry(write, planted{})
 	b.told = append(b.told, write.After...)
-	if len(write.Entries) > 0 || write.Snapshot != nil && write.LastTerm != 0 {
-		b.take(b.raft.Synced(1, write.Last, write.LastTerm))
-	} else {
-		b.take(b.raft.Synced(1, 0, 0))
-	}
+	b.take(b.raft.Synced(1))
 }
 
 func (b *bench) syncAll() {
@@ -153,3 +149,97 @@
 		t.Fatalf("told %d, commit %d, %d on disk", told, b.raft.Commit(), len(b.held()))
 	}
 }
+
+// While a snapshot is on its way to the disk, nothing tells it as held.
+func TestNothingOfASnapshotIsToldBeforeItsWrite(t *testing.T) {
+	again := map[string]Message{
+		"repeated install": {Kind: Install, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}},
+		"older install":    {Kind: Install, Snapshot: &Snapshot{Index: 9, Term: 2, Members: trio}},
+		"append below":     {Kind: Append, Index: 4, LogTerm: 2, Entries: run(5, 9, 2)},
+		"heartbeat below":  {Kind: Append, Index: 4, LogTerm: 2},
+		"heartbeat at it":  {Kind: Append, Index: 18, LogTerm: 2, Commit: 18},
+	}
+	for name, m := range again {
+		b := newBench(t, "b", Hard{Term: 2}, run(2, 5, 1)...)
+		b.step(Message{Kind: Install, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}})
+		m.Round = 7
+		b.step(m)
+		if told := b.match(); told != 0 {
+			t.Errorf("%s: told %d before the write", name, told)
+		}
+		b.syncAll()
+		if told := b.match(); told != 18 {
+			t.Errorf("%s: told %d after the write", name, told)
+		}
+		b.step(m)
+		if told := b.match(); told != 18 {
+			t.Errorf("%s: told %d once it is held", name, told)
+		}
+	}
+}
+
+// A commit may be ahead of the disk; what is told may not.
+func TestACommitAheadOfTheDiskIsNotTold(t *testing.T) {
+	for name, m := range map[string]Message{
+		"install of it":     {Kind: Install, Snapshot: &Snapshot{Index: 8, Term: 2, Members: trio}},
+		"install within":    {Kind: Install, Snapshot: &Snapshot{Index: 10, Term: 2, Members: trio}},
+		"heartbeat":         {Kind: Append, Index: 10, LogTerm: 2, Commit: 10},
+		"repeated append":   {Kind: Append, Index: 1, LogTerm: 1, Commit: 8, Entries: run(2, 10, 2)},
+		"append cut in two": {Kind: Append, Index: 3, LogTerm: 2, Commit: 8, Entries: run(4, 9, 2)},
+	} {
+		b := newBench(t, "b", Hard{Term: 2})
+		b.step(Message{Kind: Append, Index: 1, LogTerm: 1, Commit: 2, Entries: run(2, 5, 2)})
+		b.sync()
+		b.step(Message{Kind: Append, Index: 5, LogTerm: 2, Commit: 8, Entries: run(6, 10, 2)})
+		b.match()
+		b.step(m)
+		if told := b.match(); told > 5 {
+			t.Errorf("%s: told %d, the disk holds 5", name, told)
+		}
+		b.syncAll()
+		if told := b.match(); told != 10 {
+			t.Errorf("%s: told %d after the write", name, told)
+		}
+	}
+}
+
+// A report of an order that a later one undoes says nothing of what the log
+// holds now, also where the same entries came back.
+func TestAReportOfAnUndoneOrderCountsForNothing(t *testing.T) {
+	b := newBench(t, "b", Hard{Term: 2})
+	b.step(Message{Kind: Append, Index: 1, LogTerm: 1, Entries: run(2, 10, 2)})
+	b.step(Message{Kind: Append, Term: 4, Index: 7, LogTerm: 2, Entries: run(8, 8, 3)})
+	b.step(Message{Kind: Append, Term: 5, From: "c", Index: 7, LogTerm: 2, Entries: run(8, 10, 2)})
+	b.match()
+	b.sync()
+	b.match()
+	b.step(Message{Kind: Append, Term: 5, From: "c", Index: 10, LogTerm: 2})
+	if told := b.match(); told != 7 {
+		t.Fatalf("told %d, and the disk is yet to cut at 8", told)
+	}
+	b.syncAll()
+	if told := b.match(); told != 10 {
+		t.Fatalf("told %d at the end", told)
+	}
+}
+
+// The leader's own log counts only once it is on its disk.
+func TestTheLeaderCountsWhatItsDiskHolds(t *testing.T) {
+	b := newBench(t, "b", Hard{Term: 2}, run(2, 4, 2)...)
+	b.step(Message{Kind: Append, Index: 4, LogTerm: 2, Entries: run(5, 6, 2)})
+	b.step(Message{Kind: TimeoutNow})
+	b.sync()
+	b.sync()
+	b.step(Message{Kind: TellVote, Term: 3, From: "c"})
+	if b.raft.Role() != Leader {
+		t.Fatal("not elected")
+	}
+	b.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: 7})
+	if b.raft.Commit() >= 7 {
+		t.Fatal("its own entry counted before the write")
+	}
+	b.syncAll()
+	if b.raft.Commit() != 7 {
+		t.Fatalf("commit %d", b.raft.Commit())
+	}
+}
--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -110,7 +110,7 @@
 func (r *Raft) takeAppend(m Message) {
 	r.heed(m)
 	if m.Index < r.base.Index {
-		r.send(Message{Kind: TellAppend, To: m.From, Index: r.base.Index, Round: m.Round})
+		r.tell(m, r.base.Index)
 		return
 	}
 	if m.Index > r.lastIndex() || r.termAt(m.Index) != m.LogTerm {
@@ -133,29 +133,27 @@
 		break
 	}
 	matched := m.Index + Index(len(m.Entries))
-	tell := Message{Kind: TellAppend, To: m.From, Index: matched, Round: m.Round}
 	if len(fresh) > 0 {
 		first := fresh[0].Index
 		if first <= r.commit {
 			return
 		}
-		cut := first <= r.lastIndex()
-		r.log = append(r.log[:first-r.base.Index-1:first-r.base.Index-1], fresh...)
-		if r.synced >= first {
-			r.synced = first - 1
+		var cut Index
+		if first <= r.lastIndex() {
+			cut = first
+			r.undo(first - 1)
 		}
-		changed := cut
+		r.log = append(r.log[:first-r.base.Index-1:first-r.base.Index-1], fresh...)
+		changed := cut > 0
 		for i := range fresh {
 			changed = changed || fresh[i].Members != nil
 		}
 		if changed {
 			r.refreshMembers()
 		}
-		r.write(Write{Entries: fresh, After: []Message{tell}})
-	} else if matched > r.synced {
-		r.write(Write{After: []Message{tell}})
+		r.write(Write{Cut: cut, Entries: fresh, After: []Message{{Kind: TellAppend, To: m.From, Index: matched, Round: m.Round}}})
 	} else {
-		r.send(tell)
+		r.tell(m, matched)
 	}
 	commit := m.Commit
 	if commit > matched {
@@ -166,26 +164,33 @@
 	}
 }
 
+// tell answers at once, with no more than the disk holds: that the core lives is
+// told also while its disk is busy, and what it holds behind the write.
+func (r *Raft) tell(m Message, index Index) {
+	r.send(Message{Kind: TellAppend, To: m.From, Index: min(index, r.synced), Round: m.Round})
+}
+
 func (r *Raft) takeInstall(m Message) {
 	r.heed(m)
 	snapshot := m.Snapshot
 	if snapshot == nil || snapshot.Index <= r.commit {
-		r.send(Message{Kind: TellAppend, To: m.From, Index: r.commit, Round: m.Round})
+		r.tell(m, r.commit)
 		return
 	}
 	// The log holds its last entry, and so all that it stands for: what lies
 	// behind may have been counted by the leader and stays.
 	if r.termAt(snapshot.Index) == snapshot.Term {
 		r.commit = snapshot.Index
-		r.send(Message{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round})
+		r.tell(m, snapshot.Index)
 		return
 	}
 	r.base = *snapshot
 	r.log = nil
-	r.commit, r.applied, r.synced = snapshot.Index, snapshot.Index, 0
+	r.undo(0)
+	r.commit, r.applied = snapshot.Index, snapshot.Index
 	r.refreshMembers()
 	r.out.Restore = snapshot
-	r.write(Write{Snapshot: snapshot, After: []Message{{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round}}})
+	r.write(Write{Cut: 1, Snapshot: snapshot, After: []Message{{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round}}})
 }
 
 func (r *Raft) takeTell(m Message) {
--- a/internal/accord/sim_test.go
+++ b/internal/accord/sim_test.go
@@ -174,7 +174,14 @@
 	if write.Snapshot != nil {
 		d.base = *write.Snapshot
 		for index := range d.log {
-			if index <= write.Snapshot.Index || write.Last <= write.Snapshot.Index {
+			if index <= write.Snapshot.Index {
+				delete(d.log, index)
+			}
+		}
+	}
+	if write.Cut > 0 {
+		for index := range d.log {
+			if index >= write.Cut {
 				delete(d.log, index)
 			}
 		}
@@ -216,8 +223,8 @@
 	}
 	if core.raft.Commit()-core.raft.Base() > 60 {
 		if data, err := core.state.Freeze(); err == nil {
-			if snapshot, done := core.raft.Compact(core.raft.Commit(), data); done {
-				core.disk.queue = append(core.disk.queue, simWrite{Write{Snapshot: &snapshot, Last: snapshot.Index + 1}, s.now})
+			if done, compacted := core.raft.Compact(core.raft.Commit(), data); done {
+				s.carry(host, compacted)
 			}
 		}
 	}
@@ -276,11 +283,7 @@
 	for _, message := range write.After {
 		s.post(host, message)
 	}
-	if len(write.Entries) > 0 || write.Snapshot != nil && write.LastTerm != 0 {
-		s.carry(host, core.raft.Synced(1, write.Last, write.LastTerm))
-	} else {
-		s.carry(host, core.raft.Synced(1, 0, 0))
-	}
+	s.carry(host, core.raft.Synced(1))
 }
 
 func (s *sim) step() {
@@ -390,10 +393,10 @@
 }
 
 // caughtUp tells that every core is up and a member and that there are enough
-// voters, so that one more disk may be lost.
+// voters by a change that is committed, so that one more disk may be lost.
 func (s *sim) caughtUp() bool {
 	leader := s.settledLeader()
-	if leader == nil || leader.raft.voters() < 3 {
+	if leader == nil || leader.raft.voters() < 3 || leader.raft.changing() {
 		return false
 	}
 	for _, host := range s.order {
--- a/internal/accord/store.go
+++ b/internal/accord/store.go
@@ -158,7 +158,7 @@
 		if write.Snapshot != nil {
 			_ = batch.Set(keySnapshot, encode(*write.Snapshot), nil)
 			upper := keyEntry(write.Snapshot.Index + 1)
-			if write.Last <= write.Snapshot.Index {
+			if write.Cut > 0 {
 				upper = []byte("m")
 			}
 			_ = batch.DeleteRange(keyEntry(0), upper, nil)
--- a/internal/accord/store_test.go
+++ b/internal/accord/store_test.go
@@ -90,12 +90,12 @@
 	defer func() { _ = store.Close() }()
 	_ = store.Found("a", Snapshot{Index: 1, Term: 1})
 	_ = store.Write([]Write{{Entries: []Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
-	_ = store.Write([]Write{{Snapshot: &Snapshot{Index: 3, Term: 2, Data: []byte("cut")}, Last: 4}})
+	_ = store.Write([]Write{{Snapshot: &Snapshot{Index: 3, Term: 2, Data: []byte("cut")}}})
 	if _, _, base, log, loadErr := store.Load(); loadErr != nil || base.Index != 3 || len(log) != 1 || log[0].Index != 4 {
 		t.Fatal(base, log, loadErr)
 	}
 	// One that is taken from a leader ends the whole log, also what lies above.
-	_ = store.Write([]Write{{Snapshot: &Snapshot{Index: 3, Term: 9}, Last: 3, LastTerm: 9}})
+	_ = store.Write([]Write{{Cut: 1, Snapshot: &Snapshot{Index: 3, Term: 9}}})
 	if _, _, base, log, loadErr := store.Load(); loadErr != nil || base.Term != 9 || len(log) != 0 {
 		t.Fatal(base, log, loadErr)
 	}
