--- a/internal/accord/store.go
+++ b/internal/accord/store.go
@@ -1,8 +1,9 @@
 // Store keeps a core's part of the log on disk with pebble: the hard state,
 // the log's entries, the newest snapshot and the core's own id. Orders that
-// wait together share one sync. Entries left behind by a log that was cut are
-// known by a term lower than the one before them and dropped when read; any
-// other break in the log is an error with a number, never a guess.
+// wait together share one sync. What a newer leader cuts off goes with the write
+// that replaces it. A disk of an older version may still hold such entries; they
+// are known by a term lower than the one before them and dropped when read. Any
+// other break in the log is an error, never a guess.
 package accord
 
 import (
@@ -22,6 +23,7 @@
 	keyID       = []byte("i")
 	keyHard     = []byte("h")
 	keySnapshot = []byte("s")
+	keyLogEnd   = []byte("m")
 )
 
 func keyEntry(index Index) (key []byte) {
@@ -114,7 +116,7 @@
 	if _, err = s.get(keySnapshot, &base); err != nil {
 		return
 	}
-	iter, err := s.db.NewIter(&pebble.IterOptions{LowerBound: keyEntry(base.Index + 1), UpperBound: []byte("m")})
+	iter, err := s.db.NewIter(&pebble.IterOptions{LowerBound: keyEntry(base.Index + 1), UpperBound: keyLogEnd})
 	if err != nil {
 		err = Class.Wrap(err)
 		return
@@ -155,13 +157,12 @@
 		if write.Hard != nil {
 			_ = batch.Set(keyHard, encode(*write.Hard), nil)
 		}
+		if write.Cut > 0 {
+			_ = batch.DeleteRange(keyEntry(write.Cut), keyLogEnd, nil)
+		}
 		if write.Snapshot != nil {
 			_ = batch.Set(keySnapshot, encode(*write.Snapshot), nil)
-			upper := keyEntry(write.Snapshot.Index + 1)
-			if write.Cut > 0 {
-				upper = []byte("m")
-			}
-			_ = batch.DeleteRange(keyEntry(0), upper, nil)
+			_ = batch.DeleteRange(keyEntry(0), keyEntry(write.Snapshot.Index+1), nil)
 		}
 		for _, entry := range write.Entries {
 			_ = batch.Set(keyEntry(entry.Index), writeEntry(entry), nil)
--- a/internal/accord/store_test.go
+++ b/internal/accord/store_test.go
@@ -100,3 +100,58 @@
 		t.Fatal(base, log, loadErr)
 	}
 }
+
+// What a newer leader's entry cuts off is gone from the disk with the same
+// sync, also where its term is higher than that of the entry before it.
+func TestACutTailDoesNotComeBack(t *testing.T) {
+	disk := vfs.NewStrictMem()
+	if err := disk.MkdirAll("data", 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if root, err := disk.OpenDir("/"); err != nil || root.Sync() != nil {
+		t.Fatal("the folder itself must last", err)
+	}
+	store, err := OpenStore("data", disk)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := newBench(t, "b", Hard{Term: 6}, run(2, 8, 1)...)
+	_ = store.Found("b", b.raft.base)
+	_ = store.Write([]Write{{Entries: run(2, 8, 1)}})
+	write := func() {
+		if err = store.Write(b.queued); err != nil {
+			t.Fatal(err)
+		}
+		b.syncAll()
+	}
+	reload := func() (log []Entry) {
+		t.Helper()
+		_ = store.Close()
+		disk.ResetToSyncedState()
+		if store, err = OpenStore("data", disk); err != nil {
+			t.Fatal(err)
+		}
+		if _, _, _, log, err = store.Load(); err != nil {
+			t.Fatal(err)
+		}
+		return log
+	}
+	b.step(Message{Kind: Append, Term: 6, Index: 8, LogTerm: 1, Entries: run(9, 10, 6)})
+	write()
+	if diff := cmp.Diff(append(run(2, 8, 1), run(9, 10, 6)...), reload()); diff != "" {
+		t.Fatal(diff)
+	}
+	b.step(Message{Kind: Append, Term: 7, From: "c", Index: 8, LogTerm: 1, Entries: run(9, 9, 5)})
+	write()
+	if diff := cmp.Diff(append(run(2, 8, 1), run(9, 9, 5)...), reload()); diff != "" {
+		t.Fatal(diff)
+	}
+	// Orders that share one sync keep their order: cut, put, cut again.
+	b.step(Message{Kind: Append, Term: 8, Index: 8, LogTerm: 1, Entries: run(9, 12, 6)})
+	b.step(Message{Kind: Append, Term: 9, From: "c", Index: 9, LogTerm: 6, Entries: run(10, 10, 7)})
+	write()
+	if diff := cmp.Diff(append(run(2, 8, 1), entry(9, 6), entry(10, 7)), reload()); diff != "" {
+		t.Fatal(diff)
+	}
+	_ = store.Close()
+}
