--- a/internal/accord/raftlog.go
+++ b/internal/accord/raftlog.go
@@ -19,6 +19,29 @@
 	return r.log[index-r.base.Index-1].Term
 }
 
+// firstOf is the first place of the run of one term that reaches up to index.
+func (r *Raft) firstOf(term Term, index Index) (first Index) {
+	for first = index; first > r.base.Index+1 && r.termAt(first-1) == term; first-- {
+	}
+	return first
+}
+
+// lastOf is the last place of a term that lies above low and below high, or
+// none.
+func (r *Raft) lastOf(term Term, low, high Index) (last Index) {
+	if term == 0 {
+		return 0
+	}
+	for last = min(high-1, r.lastIndex()); last > low && last > r.base.Index; last-- {
+		if found := r.termAt(last); found == term {
+			return last
+		} else if found < term {
+			break
+		}
+	}
+	return 0
+}
+
 func (r *Raft) entriesFrom(index Index, most int) (entries []Entry) {
 	if index <= r.base.Index || index > r.lastIndex() {
 		return nil
--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -114,14 +114,14 @@
 		return
 	}
 	if m.Index > r.lastIndex() || r.termAt(m.Index) != m.LogTerm {
-		hint := r.lastIndex()
+		// The conflicting term and the place before its first entry let the
+		// leader step back a term a message.
+		hint, conflict := r.lastIndex(), Term(0)
 		if m.Index <= hint {
-			hint = m.Index - 1
+			conflict = r.termAt(m.Index)
+			hint = r.firstOf(conflict, m.Index) - 1
 		}
-		if hint < r.commit {
-			hint = r.commit
-		}
-		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: hint, Round: m.Round})
+		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commit), LogTerm: conflict, Round: m.Round})
 		return
 	}
 	var fresh []Entry
@@ -207,10 +207,7 @@
 	}
 	if m.Reject {
 		if m.Index >= p.match {
-			next := m.Hint + 1
-			if next <= p.match {
-				next = p.match + 1
-			}
+			next := max(r.lastOf(m.LogTerm, m.Hint, m.Index), m.Hint, p.match) + 1
 			if next < p.next {
 				p.next = next
 			}
