--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -37,6 +37,8 @@
 	leader     ID
 	members    []Member
 	base       Snapshot
+	start      place
+	tail       Tail
 	log        []Entry
 	commit     Index
 	applied    Index
@@ -61,6 +63,8 @@
 // NewRaft starts from what the disk holds.
 func NewRaft(id ID, pace Pace, luck *rand.Rand, hard Hard, base Snapshot, log []Entry) (raft *Raft) {
 	raft = &Raft{id: id, pace: pace, luck: luck, hard: hard, base: base, log: log}
+	raft.start = place{base.Index, base.Term}
+	raft.tail = Tail{Entries: 4000, Bytes: 4 << 20}
 	raft.commit, raft.applied = base.Index, base.Index
 	raft.synced = raft.lastIndex()
 	raft.refreshMembers()
--- a/internal/accord/raftlog.go
+++ b/internal/accord/raftlog.go
@@ -1,27 +1,39 @@
 // The log in memory: its ends, the terms in it, what the disk has reported,
-// and its cut behind a snapshot.
+// and its cut behind a snapshot. A tail of what the snapshot stands for is kept
+// in memory, so that a member a little behind is brought up by entries.
 package accord
 
+// Tail bounds what is kept of the log behind the snapshot.
+type Tail struct{ Entries, Bytes int }
+
+// entryCost is what an entry weighs beside its data.
+const entryCost = 64
+
+// place is where the log begins: the entry before its first.
+type place struct {
+	index Index
+	term  Term
+}
+
 func (r *Raft) lastIndex() Index {
-	if len(r.log) == 0 {
-		return r.base.Index
-	}
-	return r.log[len(r.log)-1].Index
+	return r.start.index + Index(len(r.log))
 }
 
+func (r *Raft) at(index Index) (entry *Entry) { return &r.log[index-r.start.index-1] }
+
 func (r *Raft) termAt(index Index) Term {
-	if index == r.base.Index {
-		return r.base.Term
+	if index == r.start.index {
+		return r.start.term
 	}
-	if index < r.base.Index || index > r.lastIndex() {
+	if index < r.start.index || index > r.lastIndex() {
 		return 0
 	}
-	return r.log[index-r.base.Index-1].Term
+	return r.at(index).Term
 }
 
 // firstOf is the first place of the run of one term that reaches up to index.
 func (r *Raft) firstOf(term Term, index Index) (first Index) {
-	for first = index; first > r.base.Index+1 && r.termAt(first-1) == term; first-- {
+	for first = index; first > r.start.index+1 && r.termAt(first-1) == term; first-- {
 	}
 	return first
 }
@@ -32,7 +44,7 @@
 	if term == 0 {
 		return 0
 	}
-	for last = min(high-1, r.lastIndex()); last > low && last > r.base.Index; last-- {
+	for last = min(high-1, r.lastIndex()); last > low && last > r.start.index; last-- {
 		if found := r.termAt(last); found == term {
 			return last
 		} else if found < term {
@@ -43,13 +55,13 @@
 }
 
 func (r *Raft) entriesFrom(index Index, most int) (entries []Entry) {
-	if index <= r.base.Index || index > r.lastIndex() {
+	if index <= r.start.index || index > r.lastIndex() {
 		return nil
 	}
-	rest := r.log[index-r.base.Index-1:]
+	rest := r.log[index-r.start.index-1:]
 	size := 0
 	for i := range rest {
-		size += len(rest[i].Data) + 64
+		size += len(rest[i].Data) + entryCost
 		if i > 0 && size > most {
 			return rest[:i:i]
 		}
@@ -94,8 +106,23 @@
 		}
 	}
 	snapshot := Snapshot{Index: index, Term: r.termAt(index), Members: members, Data: data}
-	r.log = append([]Entry(nil), r.log[index-r.base.Index:]...)
 	r.base = snapshot
+	r.trim()
 	r.write(Write{Snapshot: &snapshot})
 	return true, r.flush()
 }
+
+// trim gives up what lies behind the snapshot beyond the tail.
+func (r *Raft) trim() {
+	begin, bytes := r.base.Index, 0
+	for begin > r.start.index {
+		bytes += len(r.at(begin).Data) + entryCost
+		if int(r.base.Index-begin) >= r.tail.Entries || bytes > r.tail.Bytes {
+			break
+		}
+		begin--
+	}
+	start := place{begin, r.termAt(begin)}
+	r.log = append([]Entry(nil), r.log[begin-r.start.index:]...)
+	r.start = start
+}
--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -39,7 +39,7 @@
 }
 
 func (r *Raft) replicate(id ID, p *progress, beat bool) {
-	if p.next <= r.base.Index {
+	if p.next <= r.start.index {
 		if p.sentSnap == r.base.Index && !(beat && p.heard > 0 && r.round%8 == 0) {
 			if beat {
 				r.send(Message{Kind: Append, To: id, Index: r.base.Index, LogTerm: r.base.Term, Commit: 0, Round: r.round})
@@ -56,7 +56,7 @@
 	}
 	if beat && p.match+1 < p.next && p.heard > r.pace.Beat*2 {
 		p.next = p.match + 1
-		if p.next <= r.base.Index {
+		if p.next <= r.start.index {
 			r.replicate(id, p, beat)
 			return
 		}
@@ -95,7 +95,7 @@
 	}
 	for r.applied < r.commit && r.applied < r.lastIndex() {
 		r.applied++
-		r.out.Apply = append(r.out.Apply, r.log[r.applied-r.base.Index-1])
+		r.out.Apply = append(r.out.Apply, *r.at(r.applied))
 	}
 }
 
@@ -143,7 +143,7 @@
 			cut = first
 			r.undo(first - 1)
 		}
-		r.log = append(r.log[:first-r.base.Index-1:first-r.base.Index-1], fresh...)
+		r.log = append(r.log[:first-r.start.index-1:first-r.start.index-1], fresh...)
 		changed := cut > 0
 		for i := range fresh {
 			changed = changed || fresh[i].Members != nil
@@ -185,7 +185,7 @@
 		return
 	}
 	r.base = *snapshot
-	r.log = nil
+	r.start, r.log = place{snapshot.Index, snapshot.Term}, nil
 	r.undo(0)
 	r.commit, r.applied = snapshot.Index, snapshot.Index
 	r.refreshMembers()
--- a/internal/accord/replicate_test.go
+++ b/internal/accord/replicate_test.go
@@ -65,3 +65,42 @@
 		}
 	}
 }
+
+// A member a little behind a compacted log is brought up by entries; only one
+// behind the kept tail needs the snapshot.
+func TestATailIsKeptBehindTheSnapshot(t *testing.T) {
+	for _, c := range []struct {
+		has, installs int
+		tail          Tail
+	}{
+		{60, 0, Tail{Entries: 50, Bytes: 1 << 20}},
+		{50, 0, Tail{Entries: 50, Bytes: 1 << 20}},
+		{49, 1, Tail{Entries: 50, Bytes: 1 << 20}},
+		{95, 0, Tail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
+		{94, 1, Tail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
+		{60, 1, Tail{}},
+	} {
+		leader := newBench(t, "a", Hard{Term: 2}, run(2, 105, 2)...)
+		leader.raft.tail = c.tail
+		leader.elect()
+		leader.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: 106})
+		done, out := leader.raft.Compact(100, []byte("state"))
+		leader.take(out)
+		leader.syncAll()
+		follower := newBench(t, "b", Hard{Term: 2}, run(2, Index(c.has), 2)...)
+		installs := talk(leader, follower, Install)
+		if !done || installs != c.installs || follower.raft.Last() != 106 || follower.raft.synced != 106 {
+			t.Errorf("%v: %d installs, want %d; ends at %d", c, installs, c.installs, follower.raft.Last())
+		}
+		if held := leader.held(); len(held) != 6 || leader.disk.base.Index != 100 || leader.raft.Base() != 100 {
+			t.Errorf("%v: the leader's disk holds %d entries behind %d", c, len(held), leader.disk.base.Index)
+		}
+		// A second cut moves the tail on.
+		if done, _ = leader.raft.Compact(106, nil); !done || leader.raft.Last() != 106 || leader.raft.termAt(106) != 3 {
+			t.Errorf("%v: ends at %d after a second cut", c, leader.raft.Last())
+		}
+		if kept := len(leader.raft.log); kept > c.tail.Entries {
+			t.Errorf("%v: %d entries are kept", c, kept)
+		}
+	}
+}
--- a/internal/accord/sim_test.go
+++ b/internal/accord/sim_test.go
@@ -125,6 +125,8 @@
 	}
 	core.member.ID = disk.id
 	core.raft = NewRaft(disk.id, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
+	// Short, so that snapshots are needed often.
+	core.raft.tail = Tail{Entries: 20, Bytes: 1 << 12}
 	state, err := Thaw(disk.base.Data, s.clock())
 	if err != nil {
 		s.fail("thaw: %v", err)
