--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -37,10 +37,13 @@
 	leader     ID
 	members    []Member
 	base       Snapshot
+	start      place
+	tail       Tail
 	log        []Entry
 	commit     Index
 	applied    Index
 	synced     Index
+	marks      []mark
 	elapsed    int
 	timeout    int
 	votes      map[ID]bool
@@ -60,6 +63,8 @@
 // NewRaft starts from what the disk holds.
 func NewRaft(id ID, pace Pace, luck *rand.Rand, hard Hard, base Snapshot, log []Entry) (raft *Raft) {
 	raft = &Raft{id: id, pace: pace, luck: luck, hard: hard, base: base, log: log}
+	raft.start = place{base.Index, base.Term}
+	raft.tail = Tail{Entries: 4000, Bytes: 4 << 20}
 	raft.commit, raft.applied = base.Index, base.Index
 	raft.synced = raft.lastIndex()
 	raft.refreshMembers()
@@ -111,8 +116,9 @@
 		}
 	}
 	r.issued++
-	w.Last = r.lastIndex()
-	w.LastTerm = r.termAt(w.Last)
+	if len(w.Entries) > 0 || w.Snapshot != nil {
+		r.marks = append(r.marks, mark{r.issued, r.lastIndex()})
+	}
 	r.out.Writes = append(r.out.Writes, w)
 }
 
