--- /dev/null
+++ b/internal/accord/contact.go
@@ -0,0 +1,176 @@
+// Contact is what a leader must have had with a majority before it answers
+// anything from its state. Each round of beats is stamped with the steady time
+// at which it went out; the newest round that a majority of voters has answered
+// proves that no other could lead for a span from that stamp on, as each of
+// those voters refuses its vote for an election from when it heard the round,
+// which was later. The span is shorter than that election by what a late ticker
+// may make it short. Who has told another to stand has no such proof any more.
+package accord
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// roundsKept is how many rounds are remembered by the time they went out.
+	roundsKept = 64
+	// shortTicks is by how much a lease is shorter than an election: a ticker that
+	// was held up gives two ticks at once, and the clocks of two machines may go
+	// at a slightly different pace.
+	shortTicks = 3
+	// hintElections is for how many elections a leader that is not heard is named.
+	hintElections = 2
+)
+
+// Lease is for how many ticks a round that was answered proves leadership.
+func (p Pace) Lease() (ticks int) { return max(0, p.Election-shortTicks) }
+
+// At gives the machine the steady time of its driver, for what it does next.
+func (r *Raft) At(now time.Duration) (same *Raft) {
+	r.now = now
+	return r
+}
+
+func (r *Raft) beginRound() {
+	r.round++
+	r.sent[r.round%roundsKept] = r.now
+}
+
+// Contact tells when the newest round went out that a majority of the voters
+// has answered in this term; the leader itself counts if it votes.
+func (r *Raft) Contact() (sent time.Duration, known bool) {
+	if r.role != Leader || r.yielded {
+		return 0, false
+	}
+	rounds := make([]uint64, 0, len(r.members))
+	for _, member := range r.members {
+		if !member.Voter {
+			continue
+		}
+		answered := uint64(0)
+		if p := r.peers[member.ID]; member.ID == r.id {
+			answered = r.round
+		} else if p != nil {
+			answered = p.ackRound
+		}
+		rounds = append(rounds, answered)
+	}
+	if len(rounds) == 0 {
+		return 0, false
+	}
+	slices.Sort(rounds)
+	agreed := rounds[(len(rounds)-1)/2]
+	if agreed == 0 || agreed > r.round || r.round-agreed >= roundsKept {
+		return 0, false
+	}
+	return r.sent[agreed%roundsKept], true
+}
+
+// bound tells that this core may not help another to lead yet: it leads, or it
+// heard a leader, or it has started and may have heard one before.
+func (r *Raft) bound() bool { return r.role == Leader || r.silence < r.pace.Election }
+
+// heardRound is the round that may be told as heard: none before the term is on
+// disk, as a core that has forgotten the term would not know that it is bound.
+func (r *Raft) heardRound(round uint64) (heard uint64) {
+	if r.done < r.hardAt {
+		return 0
+	}
+	return round
+}
+
+// tellHeard tells at once that a round was heard, where the answer to what came
+// with it waits for the disk. It tells no match.
+func (r *Raft) tellHeard(to ID, round uint64) {
+	if heard := r.heardRound(round); heard > 0 {
+		r.send(Message{Kind: TellHeard, To: to, Round: heard})
+	}
+}
+
+func (r *Raft) takeHeard(m Message) {
+	if p := r.peers[m.From]; r.role == Leader && p != nil {
+		p.heard = 0
+		p.ackRound = max(p.ackRound, m.Round)
+	}
+}
+
+// lease is the span of the steady clock for which a leadership is proven; it is
+// over once another lease, or none, has taken its place.
+type lease struct {
+	term  Term
+	until time.Duration
+	over  chan struct{}
+}
+
+// covers tells that it proves a leadership at a time.
+func (l *lease) covers(term Term, now time.Duration) bool {
+	return l != nil && l.term == term && now < l.until
+}
+
+// leaseNow is the lease that the agreement gives now; a leader that has not
+// committed in its own term has none.
+func (n *Node) leaseNow() (term Term, until time.Duration) {
+	if !n.raft.Settled() {
+		return 0, 0
+	}
+	sent, known := n.raft.Contact()
+	if !known {
+		return n.raft.Term(), 0
+	}
+	return n.raft.Term(), sent + time.Duration(n.raft.pace.Lease())*tickSpan
+}
+
+// endLease takes back what does not hold any more; it comes before anything is
+// sent that lets another lead.
+func (n *Node) endLease() {
+	held := n.lease.Load()
+	if held == nil {
+		return
+	}
+	if term, until := n.leaseNow(); term != held.term || until == 0 {
+		n.setLease(held, term, 0)
+	}
+}
+
+// renewLease gives what was proven; it comes after all that is committed was
+// applied.
+func (n *Node) renewLease() {
+	term, until := n.leaseNow()
+	n.setLease(n.lease.Load(), term, until)
+}
+
+func (n *Node) setLease(held *lease, term Term, until time.Duration) {
+	if held != nil && held.term == term && held.until == until {
+		return
+	}
+	n.lease.Store(&lease{term: term, until: until, over: make(chan struct{})})
+	if held != nil {
+		close(held.over)
+	}
+}
+
+// InContact tells that this core leads in a term and was in contact with a
+// majority so lately that no other can lead now. Where a round is late it waits
+// a while for the next; to ask while the proof holds costs one atomic load.
+func (n *Node) InContact(term Term, patience time.Duration) (proven bool) {
+	held := n.lease.Load()
+	if held.covers(term, n.Now()) {
+		return true
+	}
+	timer := time.NewTimer(patience)
+	defer timer.Stop()
+	for held != nil && held.term == term {
+		select {
+		case <-held.over:
+		case <-timer.C:
+			return false
+		case <-n.stop:
+			return false
+		}
+		if held = n.lease.Load(); held.covers(term, n.Now()) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/accord/contact_test.go
@@ -0,0 +1,482 @@
+// The model of contact plays real agreements on a steady clock of milliseconds:
+// each core has its own ticker, which a held-up core hears late and then twice
+// at once, a slow disk, and links that delay, lose and are cut one way or both.
+// Cores freeze, lose power, start again and hand over. At every millisecond it
+// looks whether a core would answer from its state, also one that is frozen and
+// has not ticked since: none may once another has won a later term. Planted
+// faults prove that the check can fail.
+package accord
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+)
+
+type contactFault struct {
+	receipt bool // the lease counts from the receipt of the answer
+	long    bool // the lease is as long as an election
+	forgets bool // a core that has started again votes at once
+	keeps   bool // a lease is kept by who has told another to stand
+}
+
+type contactWrite struct {
+	write Write
+	due   int
+}
+
+type contactCore struct {
+	id     ID
+	up     bool
+	raft   *Raft
+	hard   Hard
+	log    []Entry
+	queue  []contactWrite
+	inbox  []Message
+	tick   int
+	ticked bool
+	held   int
+	slow   int
+	lease  lease
+}
+
+type contactMail struct {
+	message Message
+	due     int
+}
+
+type contactModel struct {
+	luck     *rand.Rand
+	fault    contactFault
+	base     Snapshot
+	cores    []*contactCore
+	mail     []contactMail
+	cut      map[[2]ID]bool
+	delay    int
+	now      int
+	won      Term
+	answered int
+	broken   string
+}
+
+func newContactModel(seed int64, cores int, fault contactFault) (m *contactModel) {
+	m = &contactModel{luck: rand.New(rand.NewSource(seed)), fault: fault, cut: map[[2]ID]bool{}, delay: 3}
+	for i := range cores {
+		m.base.Members = append(m.base.Members, Member{ID: ID(fmt.Sprint("core-", i)), Voter: true})
+	}
+	m.base.Index, m.base.Term = 1, 1
+	for _, member := range m.base.Members {
+		core := &contactCore{id: member.ID, tick: m.luck.Intn(25)}
+		m.cores = append(m.cores, core)
+		m.start(core)
+	}
+	return m
+}
+
+func (m *contactModel) at() time.Duration { return time.Duration(m.now) * time.Millisecond }
+
+func (m *contactModel) start(core *contactCore) {
+	core.raft = NewRaft(core.id, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
+	if m.fault.forgets {
+		core.raft.silence, core.raft.timeout = electTicks, 2
+	}
+	core.up, core.queue, core.inbox, core.ticked, core.held, core.slow, core.lease = true, nil, nil, false, 0, 0, lease{}
+	core.tick = m.now + 25
+}
+
+// crash ends a core; some of what was not synced yet is lost.
+func (m *contactModel) crash(core *contactCore) {
+	kept := m.luck.Intn(len(core.queue) + 1)
+	for _, queued := range core.queue[:kept] {
+		core.keep(queued.write)
+	}
+	core.up, core.queue, core.lease = false, nil, lease{}
+}
+
+func (c *contactCore) keep(write Write) {
+	if write.Hard != nil {
+		c.hard = *write.Hard
+	}
+	if len(write.Entries) > 0 {
+		c.log = append(c.log[:write.Entries[0].Index-2:write.Entries[0].Index-2], write.Entries...)
+	}
+}
+
+func (m *contactModel) carry(core *contactCore, out Output) {
+	for _, write := range out.Writes {
+		core.queue = append(core.queue, contactWrite{write, m.now + 1 + m.luck.Intn(4) + core.slow})
+	}
+	for _, message := range out.Send {
+		m.post(message)
+	}
+	if core.raft.Role() == Leader {
+		m.won = max(m.won, core.raft.Term())
+	}
+	core.lease = lease{}
+	if !core.raft.Settled() {
+		return
+	}
+	yielded := core.raft.yielded
+	core.raft.yielded = yielded && !m.fault.keeps
+	sent, known := core.raft.Contact()
+	core.raft.yielded = yielded
+	if known {
+		span := core.raft.pace.Lease()
+		if m.fault.long {
+			span = electTicks
+		}
+		core.lease = lease{term: core.raft.Term(), until: sent + time.Duration(span)*tickSpan}
+	}
+}
+
+func (m *contactModel) post(message Message) {
+	if m.cut[[2]ID{message.From, message.To}] || m.luck.Intn(50) == 0 {
+		return
+	}
+	delay := 1 + m.luck.Intn(m.delay)
+	if m.luck.Intn(10) == 0 {
+		delay += m.luck.Intn(40)
+	}
+	m.mail = append(m.mail, contactMail{message, m.now + delay})
+}
+
+func (m *contactModel) step() {
+	m.now++
+	var later []contactMail
+	for _, mail := range m.mail {
+		if mail.due > m.now {
+			later = append(later, mail)
+			continue
+		}
+		for _, core := range m.cores {
+			if core.id == mail.message.To && core.up {
+				core.inbox = append(core.inbox, mail.message)
+			}
+		}
+	}
+	m.mail = later
+	for _, core := range m.cores {
+		if core.up {
+			m.run(core)
+		}
+	}
+	for _, core := range m.cores {
+		if !core.up || m.at() >= core.lease.until {
+			continue
+		}
+		m.answered++
+		if core.lease.term < m.won && m.broken == "" {
+			m.broken = fmt.Sprintf("at %d ms: %s answers for term %d, term %d is won", m.now, core.id, core.lease.term, m.won)
+		}
+	}
+}
+
+// run gives a core what it may take now: one ticks' worth waits at most, and a
+// tick that waits and messages that wait come in any order.
+func (m *contactModel) run(core *contactCore) {
+	if core.tick <= m.now {
+		core.tick, core.ticked = core.tick+25, true
+	}
+	if m.now < core.held {
+		return
+	}
+	for len(core.queue) > 0 && core.queue[0].due <= m.now {
+		write := core.queue[0].write
+		core.queue = core.queue[1:]
+		core.keep(write)
+		for _, message := range write.After {
+			m.post(message)
+		}
+		m.carry(core, core.raft.At(m.at()).Synced(1, write.Last, write.LastTerm))
+	}
+	for core.ticked || len(core.inbox) > 0 {
+		if core.ticked && (len(core.inbox) == 0 || m.luck.Intn(2) == 0) {
+			core.ticked = false
+			m.carry(core, core.raft.At(m.at()).Tick())
+			continue
+		}
+		message := core.inbox[0]
+		core.inbox = core.inbox[1:]
+		if m.fault.receipt && message.Kind >= TellAppend && message.Round > 0 && core.raft.Role() == Leader {
+			core.raft.sent[message.Round%roundsKept] = m.at()
+		}
+		m.carry(core, core.raft.At(m.at()).Step(message))
+	}
+}
+
+func (m *contactModel) trouble() {
+	core, other := m.cores[m.luck.Intn(len(m.cores))], m.cores[m.luck.Intn(len(m.cores))]
+	if leader := m.leader(); leader != nil && m.luck.Intn(2) == 0 {
+		core = leader
+	}
+	switch m.luck.Intn(10) {
+	case 0, 1:
+		if core.up {
+			m.crash(core)
+			// It is back at once, or later: the sooner, the better its forgetting shows.
+			if m.luck.Intn(2) == 0 {
+				m.start(core)
+			}
+		}
+	case 2:
+		core.held = m.now + 100 + m.luck.Intn(500)
+	case 3:
+		m.cutOff(core, true, true)
+	case 4:
+		m.cutOff(core, false, true)
+	case 5:
+		m.cutOff(core, true, false)
+	case 6:
+		m.cut[[2]ID{core.id, other.id}] = true
+	case 7:
+		core.slow = m.luck.Intn(300)
+		m.delay = 1 + m.luck.Intn(120)
+	case 8:
+		// All others lose power while one is cut off, and are back at once.
+		m.cutOff(core, true, true)
+		for _, each := range m.cores {
+			if each != core && each.up {
+				m.crash(each)
+				m.start(each)
+			}
+		}
+	case 9:
+		if core.up && m.now >= core.held {
+			m.carry(core, core.raft.At(m.at()).Resign())
+		}
+	}
+}
+
+// cutOff parts a core from all others, for what it hears, what it says, or both.
+func (m *contactModel) cutOff(core *contactCore, hears, says bool) {
+	for _, other := range m.cores {
+		if other != core {
+			m.cut[[2]ID{other.id, core.id}] = m.cut[[2]ID{other.id, core.id}] || hears
+			m.cut[[2]ID{core.id, other.id}] = m.cut[[2]ID{core.id, other.id}] || says
+		}
+	}
+}
+
+func (m *contactModel) heal() {
+	m.cut, m.delay = map[[2]ID]bool{}, 3
+	for _, core := range m.cores {
+		core.slow = 0
+		if !core.up {
+			m.start(core)
+		}
+	}
+}
+
+// leader is the core that would answer now.
+func (m *contactModel) leader() (leader *contactCore) {
+	for _, core := range m.cores {
+		if core.up && m.at() < core.lease.until {
+			return core
+		}
+	}
+	return nil
+}
+
+// until steps till there is what is asked for, or tells that there never was.
+func (m *contactModel) until(limit int, found func() bool) (took int, ok bool) {
+	for took = 0; took < limit; took++ {
+		if found() {
+			return took, true
+		}
+		m.step()
+	}
+	return took, false
+}
+
+func playContact(seed int64, cores int, fault contactFault) (m *contactModel) {
+	m = newContactModel(seed, cores, fault)
+	for m.now < 20_000 && m.broken == "" {
+		m.step()
+		for _, core := range m.cores {
+			if m.luck.Intn(400) == 0 {
+				core.held = max(core.held, m.now+m.luck.Intn(60))
+			}
+			if !core.up && m.luck.Intn(400) == 0 {
+				m.start(core)
+			}
+		}
+		if m.luck.Intn(250) == 0 {
+			m.trouble()
+		}
+		if m.luck.Intn(800) == 0 {
+			m.heal()
+		}
+	}
+	m.heal()
+	if _, ok := m.until(5000, func() bool { return m.broken != "" || m.leader() != nil && m.leader().lease.term == m.won }); !ok {
+		m.broken = "nobody answers after all is healed"
+	}
+	return m
+}
+
+func TestNobodyAnswersOnceAnotherHasWon(t *testing.T) {
+	for _, cores := range []int{3, 4, 5} {
+		answered := 0
+		for seed := int64(1); seed <= 30; seed++ {
+			m := playContact(seed, cores, contactFault{})
+			if m.broken != "" {
+				t.Errorf("%d cores, seed %d: %s", cores, seed, m.broken)
+			}
+			answered += m.answered
+		}
+		t.Logf("%d cores: somebody answered in %d of %d ms", cores, answered, 30*20_000)
+		if answered < 30*20_000/4 {
+			t.Errorf("%d cores: somebody answered in only %d of %d ms", cores, answered, 30*20_000)
+		}
+	}
+}
+
+func TestPlantedFaultsOfContactAreFound(t *testing.T) {
+	for name, fault := range map[string]contactFault{"receipt": {receipt: true}, "long": {long: true}, "forgets": {forgets: true}, "keeps": {keeps: true}} {
+		found := int64(0)
+		for seed := int64(1); seed <= 200 && found == 0; seed++ {
+			if playContact(seed, 3, fault).broken != "" {
+				found = seed
+			}
+		}
+		if found == 0 {
+			t.Errorf("%s was not found by any seed", name)
+		}
+		t.Logf("%s: found at seed %d", name, found)
+	}
+}
+
+// A calm group answers all the time, and a leader that is cut off, either way,
+// stops within the lease and before another answers.
+func TestALeaderThatIsCutOffStopsAnswering(t *testing.T) {
+	span := int(Pace{beatTicks, electTicks}.Lease() * 25)
+	longest, gap := 0, 0
+	for seed := int64(1); seed <= 200; seed++ {
+		m := newContactModel(seed, 3, contactFault{})
+		if _, ok := m.until(3000, func() bool { return m.leader() != nil }); !ok {
+			t.Fatalf("seed %d: no leader at first", seed)
+		}
+		for range 200 + m.luck.Intn(200) {
+			if m.step(); m.leader() == nil {
+				t.Fatalf("seed %d: nobody answers in the calm, at %d ms", seed, m.now)
+			}
+		}
+		old := m.leader()
+		m.cutOff(old, seed%3 != 0, seed%3 != 1)
+		cut := m.now
+		if _, ok := m.until(3000, func() bool { return m.at() >= old.lease.until }); !ok || m.now-cut > span {
+			t.Fatalf("seed %d: a leader that is cut off answers for %d ms", seed, m.now-cut)
+		}
+		longest = max(longest, m.now-cut)
+		if _, ok := m.until(3000, func() bool { return m.leader() != nil && m.leader() != old }); !ok || m.broken != "" {
+			t.Fatalf("seed %d: no other answers in the end: %s", seed, m.broken)
+		}
+		gap = max(gap, m.now-cut)
+	}
+	t.Logf("longest answer after a cut: %d ms of %d; longest until another answers: %d ms", longest, span, gap)
+}
+
+// A hand-over whose successor is gone ends in a later term, in which the leader
+// has its proof again; until then it has none.
+func TestAHandOverThatComesToNothing(t *testing.T) {
+	m := newContactModel(5, 3, contactFault{})
+	m.until(3000, func() bool { return m.leader() != nil })
+	m.until(100, func() bool { return false })
+	old := m.leader()
+	m.carry(old, old.raft.At(m.at()).Resign())
+	if !old.raft.yielded || old.lease.until != 0 {
+		t.Fatal("a leader that has told another to stand still answers")
+	}
+	successor, term := old.raft.transfer, old.raft.Term()
+	for _, core := range m.cores {
+		if core.id == successor {
+			m.crash(core)
+		}
+	}
+	for m.leader() == nil && m.now < 5000 {
+		m.step()
+	}
+	if leader := m.leader(); leader == nil || leader.lease.term <= term || m.broken != "" {
+		t.Fatalf("nobody answers in a later term: %s", m.broken)
+	}
+}
+
+// A round is told as heard at once while the disk is slow, and no match with it.
+func TestARoundIsHeardBeforeTheDisk(t *testing.T) {
+	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}}
+	base := Snapshot{Index: 1, Term: 1, Members: members}
+	raft := NewRaft("b", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{Term: 2}, base, nil)
+	entry := Message{Kind: Append, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 2, Index: 2}}, Round: 9}
+	out := raft.Step(entry)
+	if len(out.Send) != 1 || out.Send[0].Kind != TellHeard || out.Send[0].Round != 9 || out.Send[0].Index != 0 {
+		t.Fatalf("sent %+v", out.Send)
+	}
+	// In a term that the disk does not have yet, nothing is told as heard.
+	entry.Term, entry.Entries = 3, nil
+	for _, message := range raft.Step(entry).Send {
+		if message.Round != 0 {
+			t.Fatalf("sent %+v before the term is on disk", message)
+		}
+	}
+}
+
+// Contact is with the voters alone, the leader among them only if it votes.
+func TestContactCountsVoters(t *testing.T) {
+	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}, {ID: "l"}}
+	raft := &Raft{id: "a", pace: Pace{beatTicks, electTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
+	for round := range 5 {
+		raft.At(time.Duration(round) * time.Second).beginRound()
+	}
+	for _, c := range []struct {
+		b, c, l uint64
+		votes   bool
+		sent    time.Duration
+		known   bool
+	}{{0, 0, 5, true, 0, false}, {3, 0, 5, true, 2 * time.Second, true}, {3, 4, 5, true, 3 * time.Second, true}, {3, 0, 5, false, 0, false}, {3, 4, 5, false, 2 * time.Second, true}, {6, 6, 0, true, 0, false}} {
+		raft.peers["b"].ackRound, raft.peers["c"].ackRound, raft.peers["l"].ackRound = c.b, c.c, c.l
+		members[0].Voter = c.votes
+		if sent, known := raft.Contact(); sent != c.sent || known != c.known {
+			t.Errorf("%+v: %v, %v", c, sent, known)
+		}
+	}
+}
+
+// Who asks while the proof has lapsed waits for the next round, and no longer
+// than its patience or the leadership.
+func TestInContactWaitsForTheNextRound(t *testing.T) {
+	n := &Node{birth: time.Now(), stop: make(chan struct{})}
+	if n.InContact(7, time.Minute) {
+		t.Fatal("a core that never led is in contact")
+	}
+	n.setLease(nil, 7, n.Now()+time.Hour)
+	if !n.InContact(7, 0) || n.InContact(6, time.Minute) || n.InContact(8, time.Minute) {
+		t.Fatal("a lease counts in its own term alone")
+	}
+	n.setLease(n.lease.Load(), 7, n.Now())
+	if n.InContact(7, time.Millisecond) {
+		t.Fatal("a lease that has run out counts")
+	}
+	for _, next := range []lease{{term: 7, until: time.Hour}, {term: 8, until: time.Hour}, {}} {
+		n.setLease(n.lease.Load(), 7, 0)
+		found := make(chan bool)
+		go func() { found <- n.InContact(7, time.Minute) }()
+		n.setLease(n.lease.Load(), next.term, next.until)
+		if proven := <-found; proven != (next.term == 7) {
+			t.Fatalf("with %+v next: %v", next, proven)
+		}
+	}
+}
+
+// A leader that was not heard for an election is named to nobody.
+func TestAnOldLeaderIsNotNamed(t *testing.T) {
+	n := &Node{birth: time.Now().Add(-time.Minute), members: []Member{{ID: "a", Control: "a:1"}}, leader: "a"}
+	n.heard = n.Now()
+	if _, _, _, leader, _ := n.Standing(); leader.ID != "a" {
+		t.Fatalf("named %+v", leader)
+	}
+	n.heard -= hintElections * electTicks * tickSpan
+	if _, _, _, leader, _ := n.Standing(); leader.ID != "" {
+		t.Fatalf("named %+v", leader)
+	}
+}
--- a/internal/accord/election.go
+++ b/internal/accord/election.go
@@ -47,10 +47,11 @@
 }
 
 func (r *Raft) lead() {
-	r.role, r.leader, r.transfer = Leader, r.id, ""
+	r.role, r.leader, r.transfer, r.yielded = Leader, r.id, "", false
 	r.elapsed, r.quorumAt, r.lag = 0, 0, 0
 	r.peers = map[ID]*progress{}
 	r.refreshMembers()
+	r.beginRound()
 	r.push(Entry{})
 }
 
@@ -76,10 +77,22 @@
 // relieve tells the successor to stand once it has the whole log.
 func (r *Raft) relieve() {
 	if p := r.peers[r.transfer]; p != nil && p.match == r.lastIndex() {
+		r.yielded = true
 		r.send(Message{Kind: TimeoutNow, To: r.transfer})
 	}
 }
 
+// renewTerm ends a hand-over that came to nothing. The one who was told to stand
+// may yet do so, and voters that heard this leader will let it: only in a later
+// term, in which that word is void, is contact a proof again.
+func (r *Raft) renewTerm() {
+	if r.stuck >= r.pace.Election || !r.voter(r.id) {
+		r.follow(r.hard.Term, "")
+		return
+	}
+	r.campaign(false, true)
+}
+
 // Open tells whether the leader takes proposals now, or hands over.
 func (r *Raft) Open() bool { return r.role == Leader && r.transfer == "" }
 
--- a/internal/accord/message.go
+++ b/internal/accord/message.go
@@ -55,6 +55,7 @@
 	TellAppend
 	Install
 	TimeoutNow
+	TellHeard
 )
 
 // Message goes from one core to another.
--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -8,6 +8,7 @@
 	"math/rand"
 	"os"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	crand "crypto/rand"
@@ -48,9 +49,11 @@
 	stop    chan struct{}
 	stopped sync.WaitGroup
 
+	lease   atomic.Pointer[lease]
 	mu      sync.RWMutex
 	state   *State
 	role    Role
+	heard   time.Duration
 	settled bool
 	leader  ID
 	term    Term
@@ -167,11 +170,14 @@
 	look(n.state)
 }
 
-// Standing tells who leads, as this core knows.
+// Standing tells who leads, as this core knows. A leader that was not heard for
+// the longest election is not named.
 func (n *Node) Standing() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	leader, _ = find(n.members, n.leader)
+	if n.role == Leader || n.Now()-n.heard < hintElections*electTicks*tickSpan {
+		leader, _ = find(n.members, n.leader)
+	}
 	return n.role == Leader, n.settled, n.term, leader, n.members
 }
 
@@ -202,17 +208,17 @@
 			return
 		case batch := <-n.inbox:
 			for _, message := range batch {
-				n.carry(n.raft.Step(message))
+				n.carry(n.raft.At(n.Now()).Step(message))
 			}
 		case first := <-wishes:
 			n.propose(first)
 		case note := <-n.synced:
-			n.carry(n.raft.Synced(note.orders, note.index, note.term))
+			n.carry(n.raft.At(n.Now()).Synced(note.orders, note.index, note.term))
 		case tell := <-n.tells:
 			tell()
 		case <-ticker.C:
 			n.ticks++
-			n.carry(n.raft.Tick())
+			n.carry(n.raft.At(n.Now()).Tick())
 			if n.ticks%5 == 0 {
 				n.keepHouse()
 			}
@@ -222,6 +228,7 @@
 
 // carry does what a step asked for.
 func (n *Node) carry(out Output) {
+	n.endLease()
 	for _, message := range out.Send {
 		n.post(message)
 	}
@@ -344,7 +351,7 @@
 	n.mu.Lock()
 	before := n.role == Leader && n.settled
 	was := n.term
-	n.role, n.leader, n.term, n.settled = role, leader, term, settled
+	n.role, n.leader, n.term, n.settled, n.heard = role, leader, term, settled, n.raft.heardAt
 	members := n.raft.Members()
 	if len(members) != len(n.members) || len(members) > 0 && &members[0] != &n.members[0] {
 		n.members = members
@@ -353,6 +360,7 @@
 		}
 	}
 	n.mu.Unlock()
+	n.renewLease()
 	if leader != "" {
 		n.heardAt = n.ticks
 	}
--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -10,6 +10,7 @@
 
 import (
 	"math/rand"
+	"time"
 )
 
 // Role of a core in its group.
@@ -29,24 +30,32 @@
 
 // Raft is one core's part of the agreement.
 type Raft struct {
-	id         ID
-	pace       Pace
-	luck       *rand.Rand
-	hard       Hard
-	role       Role
-	leader     ID
-	members    []Member
-	base       Snapshot
-	log        []Entry
-	commit     Index
-	applied    Index
-	synced     Index
-	elapsed    int
-	timeout    int
-	votes      map[ID]bool
-	pre        bool
-	peers      map[ID]*progress
-	round      uint64
+	id      ID
+	pace    Pace
+	luck    *rand.Rand
+	hard    Hard
+	role    Role
+	leader  ID
+	members []Member
+	base    Snapshot
+	log     []Entry
+	commit  Index
+	applied Index
+	synced  Index
+	elapsed int
+	timeout int
+	votes   map[ID]bool
+	pre     bool
+	peers   map[ID]*progress
+	round   uint64
+	sent    [roundsKept]time.Duration
+	now     time.Duration
+	heardAt time.Duration
+	// silence counts the ticks since a leader was heard, or since the start.
+	silence int
+	// yielded tells that another was told to stand in this term.
+	yielded    bool
+	hardAt     uint64
 	quorumAt   int
 	lag        int
 	transfer   ID
@@ -63,9 +72,15 @@
 	raft.commit, raft.applied = base.Index, base.Index
 	raft.synced = raft.lastIndex()
 	raft.refreshMembers()
-	// A core that has just started knows of no leader and asks early; where
-	// there is one, the pre-vote fails and harms nothing.
+	// A core that has started again has forgotten whom it heard last, and waits for
+	// an election. One that never knew a term has heard nobody and asks early;
+	// where there is a leader, the pre-vote fails and harms nothing.
 	raft.timeout = 2 + luck.Intn(pace.Election/2+1)
+	if hard.Term == 0 {
+		raft.silence = pace.Election
+	} else {
+		raft.timeout += pace.Election
+	}
 	return raft
 }
 
@@ -111,6 +126,9 @@
 		}
 	}
 	r.issued++
+	if w.Hard != nil {
+		r.hardAt = r.issued
+	}
 	w.Last = r.lastIndex()
 	w.LastTerm = r.termAt(w.Last)
 	r.out.Writes = append(r.out.Writes, w)
@@ -137,6 +155,7 @@
 // Tick moves the steady clock on by one tick.
 func (r *Raft) Tick() (out Output) {
 	r.elapsed++
+	r.silence++
 	if r.issued > r.done {
 		r.stuck++
 	} else {
@@ -144,7 +163,7 @@
 	}
 	if r.role != Leader {
 		// A core whose disk stands still could not win and would only raise terms.
-		if r.elapsed >= r.timeout && r.voter(r.id) && r.stuck < r.pace.Election {
+		if r.elapsed >= r.timeout && !r.bound() && r.voter(r.id) && r.stuck < r.pace.Election {
 			r.campaign(true, false)
 		}
 		return r.flush()
@@ -176,6 +195,10 @@
 	if r.transfer != "" {
 		if r.transferAt++; r.transferAt > r.pace.Election {
 			r.transfer = ""
+			if r.yielded {
+				r.renewTerm()
+				return r.flush()
+			}
 		} else {
 			r.relieve()
 		}
@@ -185,7 +208,7 @@
 	}
 	if r.elapsed >= r.pace.Beat {
 		r.elapsed = 0
-		r.round++
+		r.beginRound()
 		for _, member := range r.members {
 			if p := r.peers[member.ID]; p != nil {
 				p.pending = 0
@@ -203,11 +226,7 @@
 	}
 	switch m.Kind {
 	case AskPreVote:
-		fresh := r.leader != "" && r.elapsed < r.pace.Election && r.role != Candidate
-		if r.role == Leader {
-			fresh = true
-		}
-		granted := m.Term > r.hard.Term && !fresh && r.upToDate(m)
+		granted := m.Term > r.hard.Term && !r.bound() && r.upToDate(m)
 		r.send(Message{Kind: TellPreVote, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term)})
 		return r.flush()
 	case TellPreVote:
@@ -222,7 +241,7 @@
 		return r.flush()
 	case AskVote:
 		if m.Term > r.hard.Term {
-			if !m.Force && r.leader != "" && r.elapsed < r.pace.Election {
+			if !m.Force && r.bound() {
 				return Output{}
 			}
 			r.follow(m.Term, "")
@@ -265,6 +284,8 @@
 		r.takeInstall(m)
 	case TellAppend:
 		r.takeTell(m)
+	case TellHeard:
+		r.takeHeard(m)
 	case TimeoutNow:
 		if r.voter(r.id) {
 			r.campaign(false, true)
--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -104,13 +104,16 @@
 		r.role, r.votes, r.pre = Follower, nil, false
 	}
 	r.leader = m.From
-	r.elapsed = 0
+	r.elapsed, r.silence, r.heardAt = 0, 0, r.now
+	if r.timeout < r.pace.Election {
+		r.resetTimer()
+	}
 }
 
 func (r *Raft) takeAppend(m Message) {
 	r.heed(m)
 	if m.Index < r.base.Index {
-		r.send(Message{Kind: TellAppend, To: m.From, Index: r.base.Index, Round: m.Round})
+		r.send(Message{Kind: TellAppend, To: m.From, Index: r.base.Index, Round: r.heardRound(m.Round)})
 		return
 	}
 	if m.Index > r.lastIndex() || r.termAt(m.Index) != m.LogTerm {
@@ -121,7 +124,7 @@
 		if hint < r.commit {
 			hint = r.commit
 		}
-		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: hint, Round: m.Round})
+		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: hint, Round: r.heardRound(m.Round)})
 		return
 	}
 	var fresh []Entry
@@ -151,10 +154,13 @@
 		if changed {
 			r.refreshMembers()
 		}
+		r.tellHeard(m.From, m.Round)
 		r.write(Write{Entries: fresh, After: []Message{tell}})
 	} else if matched > r.synced {
+		r.tellHeard(m.From, m.Round)
 		r.write(Write{After: []Message{tell}})
 	} else {
+		tell.Round = r.heardRound(m.Round)
 		r.send(tell)
 	}
 	commit := m.Commit
@@ -170,7 +176,7 @@
 	r.heed(m)
 	snapshot := m.Snapshot
 	if snapshot == nil || snapshot.Index <= r.commit {
-		r.send(Message{Kind: TellAppend, To: m.From, Index: r.commit, Round: m.Round})
+		r.send(Message{Kind: TellAppend, To: m.From, Index: r.commit, Round: r.heardRound(m.Round)})
 		return
 	}
 	r.base = *snapshot
@@ -178,6 +184,7 @@
 	r.commit, r.applied, r.synced = snapshot.Index, snapshot.Index, 0
 	r.refreshMembers()
 	r.out.Restore = snapshot
+	r.tellHeard(m.From, m.Round)
 	r.write(Write{Snapshot: snapshot, After: []Message{{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round}}})
 }
 
