--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	council = &Council{props: p, log: log, node: node, desk: forum.NewDesk(node)}
+	council = &Council{props: p, log: log, node: node, desk: forum.NewDesk(node, node)}
 	node.OnRole = func(leads bool, term accord.Term) {
 		var opened *forum.Forum
 		if leads {
@@ -105,6 +105,15 @@
 	return &office.Trouble{Kind: problem.NotLeader, Location: "http://" + leader.Control + path}
 }
 
+// proven gives a verdict that was made from the state of this core only where it
+// is proven that it still leads, and leaves the caller without a clear answer else.
+func (c *Council) proven(open *forum.Forum, verdict error) (err error) {
+	if !c.desk.Proven(open) {
+		return &office.Trouble{Kind: problem.Unclear, Text: "no contact with a majority of the cores now"}
+	}
+	return verdict
+}
+
 func (c *Council) wish(command accord.Command) (result accord.Result, err error) {
 	answer := c.node.Wish(command, patience)
 	if !answer.Clear {
@@ -134,15 +143,17 @@
 }
 
 func (c *Council) describe(context.Context) (text []byte, err error) {
-	if err = c.elsewhere("/-/Config.Describe"); err != nil {
+	open, err := c.open("/-/Config.Describe")
+	if err != nil {
 		return nil, err
 	}
-	// A barrier that a majority has synced proves that this core still leads
-	// and has applied all that was acknowledged before the call.
-	if _, err = c.wish(accord.Command{Kind: accord.CommandBarrier}); err != nil {
+	// A leader that is settled has applied all that it or an older one has
+	// acknowledged before the call; contact after the reading proves that no later
+	// one has acknowledged anything.
+	c.node.Read(func(state *accord.State) { text = state.Canon.Describe() })
+	if err = c.proven(open, nil); err != nil {
 		return nil, err
 	}
-	c.node.Read(func(state *accord.State) { text = state.Canon.Describe() })
 	return text, nil
 }
 
--- /dev/null
+++ b/internal/council/council_test.go
@@ -0,0 +1,113 @@
+package council
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"runtime"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"tinpin/internal/accord"
+	"tinpin/internal/events"
+	"tinpin/internal/forum"
+	"tinpin/internal/office"
+	"tinpin/internal/order"
+	"tinpin/internal/problem"
+	"tinpin/internal/props"
+)
+
+// scripted is a contact that holds or not.
+type scripted struct{ lost atomic.Bool }
+
+func (s *scripted) InContact(accord.Term, time.Duration) (proven bool) { return !s.lost.Load() }
+
+// alone is a council of one core that leads, with a contact of the test's own.
+func alone(t *testing.T) (c *Council, contact *scripted) {
+	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprint(w, `{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","0ms","one",3]]},"next_page_token":null}`)
+	}))
+	t.Cleanup(platform.Close)
+	p := props.Props{
+		Name: "core", Address: "127.0.0.1", Control: "127.0.0.1:1", InnerLow: 2, Seeds: []string{"127.0.0.1:1"}, Data: t.TempDir(), FirstStart: true,
+		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, ListInterval: time.Second, ProbeInterval: time.Second, SendInterval: time.Second,
+	}
+	node, err := accord.OpenNode(p, events.Quiet())
+	if err != nil {
+		t.Fatal(err)
+	}
+	contact = &scripted{}
+	c = &Council{props: p, log: events.Quiet(), node: node, desk: forum.NewDesk(node, contact)}
+	led := make(chan bool, 1)
+	node.OnRole = func(leads bool, term accord.Term) {
+		if !leads {
+			return
+		}
+		c.desk.Use(forum.Open(p, events.Quiet(), node, term))
+		led <- true
+	}
+	node.Run()
+	t.Cleanup(func() {
+		if old := c.desk.Use(nil); old != nil {
+			old.Close()
+		}
+		node.Close()
+	})
+	<-led
+	for !c.desk.Forum().Walked() {
+		runtime.Gosched()
+	}
+	return c, contact
+}
+
+func kind(err error) (found problem.Kind) {
+	var trouble *office.Trouble
+	if errors.As(err, &trouble) {
+		return trouble.Kind
+	}
+	return problem.None
+}
+
+// Out of contact no order is refused from what this core holds, and nothing is
+// read from it; what the log decides needs no other proof.
+func TestOutOfContactNothingIsRefusedOrRead(t *testing.T) {
+	c, contact := alone(t)
+	none := context.Background()
+	set := func(body string, check bool) func() error {
+		return func() error { return c.order(none, order.DrainPolicy, []byte(body), check) }
+	}
+	policy := func(version int) string {
+		return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version)
+	}
+	if err := set(policy(4), false)(); err != nil {
+		t.Fatal(err)
+	}
+	for name, call := range map[string]struct {
+		do   func() error
+		with problem.Kind
+	}{
+		"describe":        {func() error { _, err := c.describe(none); return err }, problem.None},
+		"show":            {func() error { _, err := c.show(none, order.DrainPolicy); return err }, problem.None},
+		"a good check":    {set(policy(9), true), problem.None},
+		"an old version":  {set(policy(3), false), problem.BadOrder},
+		"no document":     {set(`{}`, false), problem.BadOrder},
+		"a bad check":     {set(`{}`, true), problem.BadOrder},
+		"the last of all": {func() error { _, err := c.retire(none, "one", false); return err }, problem.BadOrder},
+		"an unknown one":  {func() error { _, err := c.retire(none, "two", false); return err }, problem.BadOrder},
+	} {
+		for lost, want := range map[bool]problem.Kind{false: call.with, true: problem.Unclear} {
+			contact.lost.Store(lost)
+			if got := kind(call.do()); got != want {
+				t.Errorf("%s, contact lost %v: %v, want %v", name, lost, got, want)
+			}
+		}
+	}
+	contact.lost.Store(true)
+	if err := set(policy(5), false)(); err != nil {
+		t.Errorf("an order that the log has taken: %v", err)
+	}
+}
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -54,10 +54,10 @@
 		err = open.CheckPlan(body)
 	}
 	if err != nil {
-		return refused(err)
+		return c.proven(open, refused(err))
 	}
 	if check {
-		return nil
+		return c.proven(open, nil)
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandOrder, Site: string(kind), Body: body})
 	return c.ordered(chronicle.Document, string(kind), "set", result, err)
@@ -107,9 +107,6 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err = c.wish(accord.Command{Kind: accord.CommandBarrier}); err != nil {
-		return nil, err
-	}
 	shown := Shown{Kind: kind}
 	c.node.Read(func(state *accord.State) {
 		document := state.Documents[kind]
@@ -128,6 +125,9 @@
 	case order.DrainPolicy:
 		shown.Retiring = open.Retiring()
 	}
+	if err = c.proven(open, nil); err != nil {
+		return nil, err
+	}
 	return json.Marshal(shown)
 }
 
@@ -149,7 +149,7 @@
 	}
 	service, err := open.CheckRetire(id)
 	if err != nil {
-		return "", refused(err)
+		return "", c.proven(open, refused(err))
 	}
 	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(service), Claim: accord.Claim{Holder: drain.ByOperator}}
 	result, err := c.wish(command)
--- a/internal/council/status.go
+++ b/internal/council/status.go
@@ -17,11 +17,13 @@
 
 // CoreAccount is what an accord daemon tells of itself.
 type CoreAccount struct {
-	Role    string          `json:"role"`
-	Name    string          `json:"name"`
-	ID      string          `json:"id"`
-	Leads   bool            `json:"leads"`
-	Settled bool            `json:"settled"`
+	Role    string `json:"role"`
+	Name    string `json:"name"`
+	ID      string `json:"id"`
+	Leads   bool   `json:"leads"`
+	Settled bool   `json:"settled"`
+	// Contact tells that it leads by a proof that holds now.
+	Contact bool            `json:"contact"`
 	Term    uint64          `json:"term"`
 	Leader  string          `json:"leader"`
 	Members []accord.Member `json:"members"`
@@ -40,6 +42,7 @@
 	var leader accord.Member
 	var term accord.Term
 	account.Leads, account.Settled, term, leader, account.Members = c.node.Standing()
+	account.Contact = c.node.InContact(term, 0)
 	account.Term, account.Leader = uint64(term), leader.Control
 	c.node.Read(func(state *accord.State) { account.Rev, account.Claims = state.Rev, state.Claims() })
 	account.BytesIn, account.BytesOut = parley.Traffic()
@@ -86,7 +89,10 @@
 	default:
 		// Only the leader knows backends and their health.
 		if open := c.desk.Forum(); open != nil {
-			reply.Stamp, reply.Has = open.Stands(ask.Kind, parley.ServerID(ask.Name))
+			stamp, has := open.Stands(ask.Kind, parley.ServerID(ask.Name))
+			if c.desk.Proven(open) {
+				reply.Stamp, reply.Has = stamp, has
+			}
 		}
 	}
 	return nil
--- a/internal/forum/desk.go
+++ b/internal/forum/desk.go
@@ -1,5 +1,6 @@
 // Desk takes the inner calls of fellows on any core. A core that does not lead
-// says who does.
+// says who does, and one that leads answers only what its contact with a majority
+// proves when the answer is made.
 package forum
 
 import (
@@ -10,14 +11,39 @@
 	"tinpin/internal/parley"
 )
 
+const (
+	// contactPatience is how long an answer waits for the next round where the last
+	// one is too old, leadPatience how long the small answer that seekers wait for.
+	contactPatience = 300 * time.Millisecond
+	leadPatience    = 120 * time.Millisecond
+	// claimPatience is a little less than the callers of claims wait, so that none
+	// is carried out for who has given up; freePatience that of who gives back.
+	claimPatience = 480 * time.Millisecond
+	freePatience  = 800 * time.Millisecond
+)
+
+// Contact proves that this core leads in a term and that no other can.
+type Contact interface {
+	InContact(term accord.Term, patience time.Duration) (proven bool)
+}
+
 // Desk answers fellows.
 type Desk struct {
-	node  *accord.Node
-	forum atomic.Pointer[Forum]
+	node    *accord.Node
+	contact Contact
+	forum   atomic.Pointer[Forum]
 }
 
 // NewDesk is a desk without a forum.
-func NewDesk(node *accord.Node) (desk *Desk) { return &Desk{node: node} }
+func NewDesk(node *accord.Node, contact Contact) (desk *Desk) {
+	return &Desk{node: node, contact: contact}
+}
+
+// Proven tells that what a forum has answered up to now is a leader's word. It is
+// asked once the answer is made: one made before a freeze is not proven after it.
+func (d *Desk) Proven(forum *Forum) (proven bool) {
+	return d.contact.InContact(accord.Term(forum.term), contactPatience)
+}
 
 // Use sets the forum of a leadership, nil when it ended.
 func (d *Desk) Use(forum *Forum) (old *Forum) { return d.forum.Swap(forum) }
@@ -31,6 +57,9 @@
 		if err = forum.Beat(ask, news); err != nil {
 			return err
 		}
+		if news.Leader && !d.Proven(forum) {
+			*news = parley.News{}
+		}
 	}
 	if !news.Leader {
 		_, _, _, leader, members := d.node.Standing()
@@ -44,7 +73,7 @@
 
 // Lead tells who leads.
 func (d *Desk) Lead(_ parley.LeadAsk, reply *parley.LeadReply) (err error) {
-	if forum := d.forum.Load(); forum != nil {
+	if forum := d.forum.Load(); forum != nil && d.contact.InContact(accord.Term(forum.term), leadPatience) {
 		reply.Leader, reply.Term = true, forum.term
 	}
 	_, _, _, _, members := d.node.Standing()
@@ -57,25 +86,31 @@
 // Report takes an owner's findings.
 func (d *Desk) Report(ask parley.ReportAsk, reply *parley.ReportReply) (err error) {
 	if forum := d.forum.Load(); forum != nil {
-		reply.Leader = true
-		reply.Taken = forum.Report(ask)
+		taken := forum.Report(ask)
+		if reply.Leader = d.Proven(forum); reply.Leader {
+			reply.Taken = taken
+		}
 	}
 	return nil
 }
 
 // Bind tells where sessions are bound.
 func (d *Desk) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
-	if forum := d.forum.Load(); forum != nil {
-		reply.Leader = true
-		reply.Found = forum.Bind(ask)
+	if forum := d.forum.Load(); forum != nil && d.Proven(forum) {
+		found := forum.Bind(ask)
+		if reply.Leader = d.Proven(forum); reply.Leader {
+			reply.Found, reply.Term = found, forum.term
+		}
 	}
 	return nil
 }
 
-// Claim puts a batch of key claims before the cores.
+// Claim puts a batch of key claims before the cores. Out of contact it takes none
+// of them: that is a clear no, where a wish that nobody can commit has no outcome.
+// What comes back is the log's word and needs no further proof.
 func (d *Desk) Claim(ask parley.ClaimAsk, reply *parley.ClaimReply) (err error) {
 	forum := d.forum.Load()
-	if forum == nil {
+	if forum == nil || !d.Proven(forum) {
 		return nil
 	}
 	reply.Leader = true
@@ -86,7 +121,11 @@
 	for _, claim := range ask.Claims {
 		commands = append(commands, accord.Command{Kind: accord.CommandClaim, Claim: accord.Claim{Key: claim.Key, Request: claim.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
 	}
-	answers := d.node.Wishes(commands, 800*time.Millisecond)
+	patience := freePatience
+	if len(ask.Claims) > 0 {
+		patience = claimPatience
+	}
+	answers := d.node.Wishes(commands, patience)
 	reply.Freed = true
 	for _, answer := range answers[:len(ask.Frees)] {
 		reply.Freed = reply.Freed && answer.Clear
--- a/internal/parley/words.go
+++ b/internal/parley/words.go
@@ -473,6 +473,7 @@
 // BindReply answers a batch in its order.
 type BindReply struct {
 	Leader bool
+	Term   Term
 	Found  []BindFound
 }
 
