--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -82,7 +82,7 @@
 		n.mu.RUnlock()
 		if upto > 0 {
 			select {
-			case n.wishes <- wish{Command{Kind: CommandExpire, Upto: upto}, make(chan Answer, 1), time.Now()}:
+			case n.wishes <- wish{Command{Kind: CommandExpire, Upto: upto}, make(chan Answer, 1), time.Now(), staleWish}:
 			default:
 			}
 		}
--- a/internal/accord/wishes.go
+++ b/internal/accord/wishes.go
@@ -5,6 +5,12 @@
 
 import "time"
 
+// What one log entry takes at most of wishes, and of their bytes.
+const (
+	mostInBatch = 256
+	mostOfBatch = 1 << 20
+)
+
 // Answer is what became of a wish.
 type Answer struct {
 	Result Result
@@ -18,8 +24,13 @@
 	command Command
 	done    chan Answer
 	born    time.Time
+	limit   time.Duration
 }
 
+// givenUp tells that the one who put it before the cores has given up by now, or is
+// about to.
+func (w wish) givenUp(now time.Time) bool { return now.Sub(w.born) >= min(w.limit, staleWish) }
+
 type pendingEntry struct {
 	term   Term
 	wishes []wish
@@ -40,7 +51,7 @@
 	for i, command := range commands {
 		done[i] = make(chan Answer, 1)
 		select {
-		case n.wishes <- wish{command, done[i], now}:
+		case n.wishes <- wish{command, done[i], now, limit}:
 		default:
 			done[i] <- Answer{Refused: true}
 		}
@@ -65,23 +76,23 @@
 	var batch []wish
 	size := 0
 	now := time.Now()
-	for next, more := first, true; more && len(batch) < 256 && size < 1<<20; {
+	for next, more := first, true; more; {
 		// A wish whose caller must have given up is refused, not carried out:
 		// a backlog would otherwise be worked off for nobody.
-		if now.Sub(next.born) > staleWish {
+		if next.givenUp(now) {
 			next.done <- Answer{Refused: true}
 		} else {
 			batch = append(batch, next)
 			size += len(next.command.Body)
 		}
+		if len(batch) == mostInBatch || size >= mostOfBatch {
+			break
+		}
 		select {
 		case next = <-n.wishes:
 		default:
 			more = false
 		}
-		if more && (len(batch) == 256 || size >= 1<<20) {
-			batch = append(batch, next)
-		}
 	}
 	if len(batch) == 0 {
 		return
--- /dev/null
+++ b/internal/accord/wishes_test.go
@@ -0,0 +1,106 @@
+package accord
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+
+	"tinpin/internal/chronicle"
+	"tinpin/internal/events"
+)
+
+// wishing is a node without duties whose agreement is driven by the test; it
+// leads a group of so many, the others being silent.
+func wishing(t *testing.T, voters int) (n *Node) {
+	base := Snapshot{Index: 1, Term: 1}
+	for _, id := range []ID{"a", "b", "c"}[:voters] {
+		base.Members = append(base.Members, Member{ID: id, Voter: true})
+	}
+	n = &Node{
+		log: events.Quiet(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
+		senders: map[ID]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: chronicle.New(events.Quiet()), OnChange: func() {}, OnRole: func(bool, Term) {},
+	}
+	n.raft = NewRaft("a", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, base, nil)
+	for range 2 * electTicks {
+		n.carry(n.raft.Tick())
+		n.carry(n.raft.Step(Message{Kind: TellPreVote, From: "b", To: "a", Term: n.raft.Term() + 1}))
+		n.carry(n.raft.Step(Message{Kind: TellVote, From: "b", To: "a", Term: n.raft.Term()}))
+		if n.raft.Role() == Leader {
+			return n
+		}
+	}
+	t.Fatal("the core does not lead")
+	return nil
+}
+
+func (n *Node) put(age, limit time.Duration) (done chan Answer) {
+	done = make(chan Answer, 1)
+	n.propose(wish{Command{Kind: CommandClaim, Claim: Claim{Key: "k", Request: "r"}}, done, time.Now().Add(-age), limit})
+	return done
+}
+
+func answered(done chan Answer) (answer Answer, now bool) {
+	select {
+	case answer = <-done:
+		return answer, true
+	default:
+		return Answer{}, false
+	}
+}
+
+// A no is given only for what has entered no log.
+func TestARefusedWishIsInNoLog(t *testing.T) {
+	n := wishing(t, 3)
+	last := n.raft.Last()
+	for _, c := range []struct{ age, limit time.Duration }{{time.Hour, 2 * time.Hour}, {time.Second, time.Millisecond}} {
+		if answer, now := answered(n.put(c.age, c.limit)); !now || !answer.Refused || answer.Clear {
+			t.Errorf("a wish that was given up: %+v, answered %v", answer, now)
+		}
+	}
+	n.raft.transfer = "b"
+	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Refused {
+		t.Errorf("a wish while the leadership is handed over: %+v, answered %v", answer, now)
+	}
+	n.raft.transfer = ""
+	// The first two wait, the third finds no room.
+	answers := n.Wishes(make([]Command, 3), time.Millisecond)
+	if answers[0] != (Answer{}) || answers[1] != (Answer{}) || !answers[2].Refused {
+		t.Errorf("a full ring: %+v", answers)
+	}
+	first := <-n.wishes
+	first.born = time.Now().Add(-time.Minute)
+	n.propose(first)
+	if n.raft.Last() != last {
+		t.Errorf("the log went from %d to %d for nobody", last, n.raft.Last())
+	}
+	if answer, now := answered(first.done); !now || !answer.Refused {
+		t.Errorf("the backlog of who gave up: %+v, answered %v", answer, now)
+	}
+}
+
+// What is in the log of a leader that is none any more may still be carried out.
+func TestAWishInTheLogIsNotRefusedWhenTheLeadIsLost(t *testing.T) {
+	n := wishing(t, 3)
+	done := n.put(0, time.Second)
+	if _, now := answered(done); now {
+		t.Fatal("answered before a majority has it")
+	}
+	n.carry(n.raft.Step(Message{Kind: Append, From: "b", To: "a", Term: n.raft.Term() + 1, Index: 1, LogTerm: 1}))
+	if answer, now := answered(done); !now || answer.Refused || answer.Clear {
+		t.Fatalf("%+v, answered %v", answer, now)
+	}
+	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Refused {
+		t.Fatalf("put before one that does not lead: %+v, answered %v", answer, now)
+	}
+}
+
+// An entry of another leader at the same place is no answer to the wish.
+func TestAnotherLeadersEntryAnswersNoWish(t *testing.T) {
+	n := wishing(t, 1)
+	done := make(chan Answer, 1)
+	n.pending[9] = pendingEntry{3, []wish{{done: done}}}
+	n.apply(Entry{Term: 4, Index: 9, Data: Inscribe([]Command{{Kind: CommandBarrier}})})
+	if answer, now := answered(done); !now || answer.Refused || answer.Clear {
+		t.Fatalf("%+v, answered %v", answer, now)
+	}
+}
