--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -68,6 +68,7 @@
 	callers  map[string]*parley.Caller
 	frees    map[parley.KeyClaim]bool
 	patience Patience
+	term     parley.Term
 }
 
 // NewLink is a link that has not found a leader yet.
@@ -173,23 +174,35 @@
 		news.Leader = false
 		return news, nil
 	}
-	if old := *l.leader.Load(); !l.Led() || old != target {
-		l.log.Say(events.LeaderFound, "leader", target, "term", uint64(news.Term))
-	}
-	l.heard.Store(int64(l.clock.Now()))
-	l.leader.Store(&target)
-	l.mu.Lock()
-	l.patience.Heard()
-	l.mu.Unlock()
 	if l.Limits != nil {
 		l.Limits.Fill(l.clock.Now(), tenants)
 	}
 	l.world.Orders.Retries.Fill(l.clock.Now())
-	l.world.Take(asked, news)
+	if !l.world.Take(asked, news) || !l.found(target, news.Term) {
+		news.Leader = false
+		return news, nil
+	}
 	l.Taken()
 	return news, nil
 }
 
+// found notes who leads; an older leader than the one that is known does not.
+func (l *Link) found(target string, term parley.Term) (newest bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if term < l.term {
+		return false
+	}
+	if old := *l.leader.Load(); !l.Led() || old != target {
+		l.log.Say(events.LeaderFound, "leader", target, "term", uint64(term))
+	}
+	l.term = term
+	l.heard.Store(int64(l.clock.Now()))
+	l.leader.Store(&target)
+	l.patience.Heard()
+	return true
+}
+
 // Beat is the duty that keeps the tie.
 func (l *Link) Beat() {
 	for !l.ended() {
@@ -424,6 +437,11 @@
 	if err := l.core(*l.leader.Load()).Call("Forum.Bind", parley.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
 		return nil
 	}
+	if reply.Term > 0 && reply.Term < l.world.Seen().Term {
+		// An older leader's answer came late; a newer one may have bound it anew. A
+		// core of an earlier build names no term.
+		return nil
+	}
 	return reply.Found
 }
 
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -110,32 +110,37 @@
 	return w.seen
 }
 
-// Take takes the news that was asked for at a time.
-func (w *World) Take(asked time.Duration, news *parley.News) {
+// lend takes the leases of news that is not overtaken.
+func (w *World) lend(asked time.Duration, leases []parley.Lease) {
 	w.sharesMu.Lock()
-	for _, lease := range news.Leases {
+	defer w.sharesMu.Unlock()
+	for _, lease := range leases {
 		w.shares.Take(asked, lease)
 	}
-	w.sharesMu.Unlock()
+}
+
+// Take takes the news that was asked for at a time, and tells whether it is the
+// newest leader's: of an older one nothing is taken, however late its answer comes.
+func (w *World) Take(asked time.Duration, news *parley.News) (led bool) {
 	if news.Packed != nil {
 		items, err := parley.Unpack(news.Packed)
 		if err != nil {
 			w.log.Say(events.PropsRefused, "problem", err.Error())
-			return
+			return false
 		}
 		news.Items = items
 	}
 	if news.Part != nil {
 		if err := news.Part.Unpack(); err != nil {
 			w.log.Say(events.PropsRefused, "problem", err.Error())
-			return
+			return false
 		}
 	}
 	if news.Crowd != nil {
 		fellows, err := parley.UnpackRows[parley.FellowChange](news.Crowd)
 		if err != nil {
 			w.log.Say(events.PropsRefused, "problem", err.Error())
-			return
+			return false
 		}
 		news.Fellows = append(news.Fellows, fellows...)
 	}
@@ -143,9 +148,13 @@
 	defer w.mu.Unlock()
 	now := w.clock.Now()
 	// What an older leader, or the same one earlier, told is overtaken.
-	if news.Term < w.seen.Term || news.Term == w.seen.Term && news.Epoch < w.seen.Epoch {
-		return
+	if news.Term < w.seen.Term {
+		return false
+	}
+	if news.Term == w.seen.Term && news.Epoch < w.seen.Epoch {
+		return true
 	}
+	w.lend(asked, news.Leases)
 	if part := news.Part; part != nil && !w.follows(news.Term, part) {
 		// Only the part is refused: the rest says where to go on from.
 		w.log.Say(events.AskRefused, "call", "news", "why", "a part of the list that does not follow", "from", string(part.From), "at", string(part.At))
@@ -237,6 +246,7 @@
 	if changed {
 		w.refresh()
 	}
+	return true
 }
 
 // Tallies gives what is to be told of the backends' outcomes: nothing at all
--- /dev/null
+++ b/internal/passage/world_test.go
@@ -0,0 +1,68 @@
+package passage
+
+import (
+	"testing"
+	"time"
+
+	"tinpin/internal/parley"
+)
+
+// An older leader's answer that comes late lends nothing, and neither does one of
+// the same leader that a later one has overtaken.
+func TestOvertakenNewsLendNothing(t *testing.T) {
+	d := daemonOf(t)
+	news := func(term parley.Term, epoch parley.Epoch, amount float64) *parley.News {
+		return &parley.News{Leader: true, Term: term, Epoch: epoch, Leases: []parley.Lease{{Kind: parley.RetrySlack, Amount: amount, Span: time.Minute}}}
+	}
+	for _, step := range []struct {
+		term   parley.Term
+		epoch  parley.Epoch
+		amount float64
+		led    bool
+		share  float64
+	}{{3, 9, 5, true, 5}, {2, 50, 8, false, 5}, {3, 8, 7, true, 5}, {3, 9, 6, true, 6}, {4, 1, 2, true, 2}, {3, 10, 9, false, 2}} {
+		if led := d.world.Take(d.clock.Now(), news(step.term, step.epoch, step.amount)); led != step.led {
+			t.Errorf("%+v: led %v", step, led)
+		}
+		if share := d.world.Share(parley.RetrySlack, ""); share != step.share {
+			t.Errorf("%+v: share %g", step, share)
+		}
+	}
+	// A lease runs from when it was asked for, however late its answer is.
+	d.world.Take(d.clock.Now()-time.Minute, news(5, 1, 4))
+	if share := d.world.Share(parley.RetrySlack, ""); share != 0 {
+		t.Errorf("a lease that was asked for a minute ago: share %g", share)
+	}
+}
+
+// A leader of an older term does not become the one that is asked again.
+func TestAnOlderLeaderIsNotFoundAgain(t *testing.T) {
+	d := daemonOf(t)
+	if !d.link.found("new:1", 4) || d.link.found("old:1", 3) || *d.link.leader.Load() != "new:1" {
+		t.Fatalf("the leader is %s", *d.link.leader.Load())
+	}
+	if !d.link.found("next:1", 5) || *d.link.leader.Load() != "next:1" {
+		t.Fatalf("the leader is %s", *d.link.leader.Load())
+	}
+}
+
+// lateForum binds in the name of a term.
+type lateForum struct{ term parley.Term }
+
+func (f *lateForum) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
+	reply.Leader, reply.Term, reply.Found = true, f.term, []parley.BindFound{{Outcome: parley.Bound, Server: "i-1"}}
+	return nil
+}
+
+// What an older leader says of a session is no answer any more.
+func TestALateBindingIsNoAnswer(t *testing.T) {
+	d := daemonOf(t)
+	d.world.Take(0, &parley.News{Leader: true, Term: 6, Epoch: 1})
+	for term, answers := range map[parley.Term]int{5: 0, 6: 1, 7: 1} {
+		inner := serveInner(t, map[string]any{"Forum": &lateForum{term}})
+		d.link.leader.Store(&inner)
+		if found := d.link.putBinds([]parley.Bind{{Session: "x"}}); len(found) != answers {
+			t.Errorf("term %d: %+v", term, found)
+		}
+	}
+}
