--- a/internal/accord/contact_test.go
+++ b/internal/accord/contact_test.go
@@ -480,3 +480,46 @@
 		t.Fatalf("named %+v", leader)
 	}
 }
+
+// A node that was frozen does not answer before it has ticked again, nor after,
+// until a round that went out since was answered; one that hands over stops.
+func TestANodeThatWasFrozenAnswersOnlyAfterANewRound(t *testing.T) {
+	n := wishing(t, 3)
+	term := n.raft.Term()
+	tell := func() {
+		n.carry(n.raft.At(n.Now()).Synced(int(n.raft.issued-n.raft.done), n.raft.Last(), term))
+		n.carry(n.raft.At(n.Now()).Step(Message{Kind: TellAppend, From: "b", To: "a", Term: term, Index: n.raft.Last(), Round: n.raft.round}))
+	}
+	// So that nothing here depends on how fast this machine is, rounds go out in the
+	// hour to come but where a freeze is played.
+	ahead := func() {
+		n.raft.At(n.Now() + time.Hour).beginRound()
+		tell()
+	}
+	if n.InContact(term, 0) {
+		t.Fatal("a leader that has committed nothing in its term answers")
+	}
+	if ahead(); !n.InContact(term, 0) || !n.raft.Settled() {
+		t.Fatal("a leader that was answered does not answer")
+	}
+	n.birth = n.birth.Add(-2 * time.Hour)
+	if n.InContact(term, 0) {
+		t.Fatal("after a freeze it answers before it ticks")
+	}
+	for range beatTicks {
+		n.carry(n.raft.At(n.Now()).Tick())
+	}
+	if n.InContact(term, 0) {
+		t.Fatal("after a freeze it answers before it was answered")
+	}
+	if ahead(); !n.InContact(term, 0) {
+		t.Fatal("after a new round it does not answer")
+	}
+	n.carry(n.raft.At(n.Now()).Resign())
+	if n.raft.transfer != "b" || n.InContact(term, 0) {
+		t.Fatal("a leader that hands over answers")
+	}
+	if ahead(); n.InContact(term, 0) {
+		t.Fatal("a leader that has handed over answers again in its term")
+	}
+}
