--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -104,7 +104,10 @@
 		r.role, r.votes, r.pre = Follower, nil, false
 	}
 	r.leader = m.From
-	r.elapsed = 0
+	r.elapsed, r.silence, r.heardAt = 0, 0, r.now
+	if r.timeout < r.pace.Election {
+		r.resetTimer()
+	}
 }
 
 func (r *Raft) takeAppend(m Message) {
@@ -121,7 +124,7 @@
 			conflict = r.termAt(m.Index)
 			hint = r.firstOf(conflict, m.Index) - 1
 		}
-		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commit), LogTerm: conflict, Round: m.Round})
+		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commit), LogTerm: conflict, Round: r.heardRound(m.Round)})
 		return
 	}
 	var fresh []Entry
@@ -151,6 +154,7 @@
 		if changed {
 			r.refreshMembers()
 		}
+		r.tellHeard(m.From, m.Round)
 		r.write(Write{Cut: cut, Entries: fresh, After: []Message{{Kind: TellAppend, To: m.From, Index: matched, Round: m.Round}}})
 	} else {
 		r.tell(m, matched)
@@ -167,7 +171,7 @@
 // tell answers at once, with no more than the disk holds: that the core lives is
 // told also while its disk is busy, and what it holds behind the write.
 func (r *Raft) tell(m Message, index Index) {
-	r.send(Message{Kind: TellAppend, To: m.From, Index: min(index, r.synced), Round: m.Round})
+	r.send(Message{Kind: TellAppend, To: m.From, Index: min(index, r.synced), Round: r.heardRound(m.Round)})
 }
 
 func (r *Raft) takeInstall(m Message) {
@@ -190,6 +194,7 @@
 	r.commit, r.applied = snapshot.Index, snapshot.Index
 	r.refreshMembers()
 	r.out.Restore = snapshot
+	r.tellHeard(m.From, m.Round)
 	r.write(Write{Cut: 1, Snapshot: snapshot, After: []Message{{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round}}})
 }
 
