--- /dev/null
+++ b/internal/passage/round_bench_test.go
@@ -0,0 +1,28 @@
+// What the request path costs: one request after the other through the daemon's
+// whole way to a stand-in on loopback, over a stream that is used again.
+package passage
+
+import (
+	"io"
+	"net"
+	"testing"
+)
+
+func BenchmarkAnswer(b *testing.B) {
+	for _, way := range []string{"/safe/", "/once/"} {
+		b.Run(way[1:len(way)-1], func(b *testing.B) {
+			backend := newStandIn(b, "i-1", func(_ int, r seen, conn net.Conn) bool {
+				_, err := io.WriteString(conn, answer(200, r.ID, "body"))
+				return err == nil
+			})
+			d := daemonOf(b, backend)
+			asked := request("GET", way+"x", "a")
+			b.ReportAllocs()
+			for b.Loop() {
+				if verdict := d.Answer(&Request{Method: asked.Method, Target: asked.Target, Host: asked.Host, ID: asked.ID, Lines: asked.Lines}, "2500"); verdict.Status != 200 {
+					b.Fatal(verdict.Status)
+				}
+			}
+		})
+	}
+}
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -34,7 +34,7 @@
 	streams  int
 }
 
-func newStandIn(t *testing.T, id string, script func(n int, request seen, conn net.Conn) bool) (s *standIn) {
+func newStandIn(t testing.TB, id string, script func(n int, request seen, conn net.Conn) bool) (s *standIn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +107,7 @@
 
 // daemonOf makes a daemon that knows the stand-ins as backends of service s
 // and has three ways: /safe/, /once/ and /key/.
-func daemonOf(t *testing.T, backends ...*standIn) (d *Daemon) {
+func daemonOf(t testing.TB, backends ...*standIn) (d *Daemon) {
 	t.Helper()
 	p := props.Props{Name: "edge-1", Site: "here", Region: "land", Regions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, Descriptors: 1024, SendInterval: time.Second, ProbeInterval: time.Second, Sharers: 3, RestOnce: time.Minute, CPUShare: 1}
 	p.Bounds = props.Bounds{RetryRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, TTLMax: 5 * time.Second, Grace: time.Second}
