--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -153,11 +153,15 @@
 // Lose notes that nobody knows whether the operation ran.
 func (b *Book) Lose(held *Held) { b.settle(held, parley.Lost) }
 
-// Free notes that the operation has not run and will not.
+// Free notes that the operation has not run and will not; what became of it
+// before stands.
 func (b *Book) Free(held *Held) {
 	b.settle(held, parley.Freed)
 	b.mu.Lock()
 	defer b.mu.Unlock()
+	if held.op.standing != parley.Freed {
+		return
+	}
 	now := b.now()
 	if len(b.freed) > 4096 && now-b.pruned > b.window/8 {
 		b.pruned = now
--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -48,6 +48,10 @@
 	if request.ID == "" {
 		return nil, problem.BadRequest, 0
 	}
+	if request.Ahead && !way.Repeat.Repeatable() {
+		// The way has changed since the door looked.
+		return nil, problem.NoRoom, 0
+	}
 	tenant := scene.View.Tenant(request.Host)
 	if tenant != nil {
 		if admitted, wait := d.limits.Admit(now, tenant); !admitted {
@@ -154,7 +158,7 @@
 		if arrived > 0 && !d.retry(now, plan, server) {
 			return verdict, plan.refusal(problem.NoRoom)
 		}
-		round, answering := d.round(plan, server, &arrived)
+		round, answering := d.round(plan, server, now, &arrived)
 		if round.Sent {
 			ended := d.clock.Now()
 			d.budget.Learn(ended, plan.Service, round.Outcome == Whole && (plan.Way.Aim <= 0 || ended-now <= plan.Way.Aim))
@@ -200,23 +204,23 @@
 // backend says nothing for a good part of the aim, neither to this request nor
 // to any other, a second one is asked beside it and the first whole answer is
 // taken; what comes later is let go.
-func (d *Daemon) round(plan *Plan, server *Server, arrived *int) (round Round, answering *Server) {
+func (d *Daemon) round(plan *Plan, server *Server, chosen time.Duration, arrived *int) (round Round, answering *Server) {
 	wait := max(time.Duration(float64(plan.Way.Aim)*hedgePart), time.Duration(hedgeTimes*server.habit.Usual())*time.Millisecond)
 	if !plan.Way.Repeat.Repeatable() || plan.Rounds < 2 || wait <= 0 || plan.Bound != "" {
-		round = run(d.clock, server, plan.Request, d.sending(plan))
+		round = run(d.clock, server, plan.Request, d.sending(plan, chosen))
 		if round.Sent {
 			*arrived++
 		}
 		return round, server
 	}
 	ends := make(chan finished, 2)
-	start := func(with *Server) {
+	start := func(with *Server, chosen time.Duration) {
 		go func() {
-			ends <- finished{run(d.clock, with, plan.Request, d.sending(plan)), with}
+			ends <- finished{run(d.clock, with, plan.Request, d.sending(plan, chosen)), with}
 		}()
 	}
 	sentAt := d.clock.Now()
-	start(server)
+	start(server, chosen)
 	running := 1
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -245,7 +249,7 @@
 			if second == nil || !d.retry(now, plan, second) {
 				continue
 			}
-			start(second)
+			start(second, now)
 			running++
 		}
 	}
@@ -253,8 +257,8 @@
 
 // sending says how a plan's request goes out. What may not run twice is lost
 // to a stream that its backend has forgotten, so its stream must be fresh.
-func (d *Daemon) sending(plan *Plan) (sending Sending) {
-	sending = Sending{Till: plan.Till, Rest: restFull, Keyed: plan.Key != "", Lane: d.lane, May: d.may}
+func (d *Daemon) sending(plan *Plan, chosen time.Duration) (sending Sending) {
+	sending = Sending{Chosen: chosen, Till: plan.Till, Rest: restFull, Keyed: plan.Key != "", Lane: d.lane, May: d.may, Lapse: d.lapse}
 	if plan.Bound != "" {
 		sending.May = func(server *Server) bool {
 			return !server.leaving() && d.world.Orders.Keeps(d.clock.Now(), server.ID, plan.Service)
@@ -263,6 +267,11 @@
 	if !plan.Way.Repeat.Repeatable() {
 		sending.Rest = d.props.RestOnce
 	}
+	if plan.Bound != "" && plan.asked(plan.Bound) && !d.lapse.has(SameStream) {
+		// The backend has had this id before: what it may say to that a second
+		// time must not be taken for what it says now.
+		sending.Rest = restNone
+	}
 	return sending
 }
 
@@ -297,17 +306,25 @@
 // carryKeyed claims the key first.
 func (d *Daemon) carryKeyed(plan *Plan) (verdict Verdict) {
 	request := plan.Request
+	if d.keys.Freed(plan.Key, request.ID) {
+		// The word that gave this claim back may still be under way, and would
+		// give back a new one of the same name.
+		return Deny(problem.KeyUnknown, request.ID)
+	}
 	op, old := d.keys.Open(plan.Key, request.ID)
 	if old != nil {
 		return d.recount(d.link.Fetch(old.Recall(), plan.Key, old.Request()), request.ID)
 	}
 	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
 	for tries := 0; ; tries++ {
+		claimed := d.clock.Now()
 		// A new leader may be there in a moment; the wait for one stays inside
 		// the time in which a refusal still lets the client come back in time.
 		found := d.link.Claim(parley.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Way.Aim/4, limit)
 		switch found.Outcome {
 		case parley.Granted:
+			// The claim is worth its window from when it was asked for.
+			plan.Till = min(plan.Till, claimed+d.props.Bounds.KeyWindow)
 		case parley.Held:
 			var reply parley.RecallReply
 			if found.Holder == parley.FellowID(d.props.Name) {
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -42,6 +42,7 @@
 	stopping  atomic.Bool
 	offices   []*http.Server
 	inner     *parley.Listener
+	lapse     Lapse
 }
 
 // Start takes up the work.
--- a/internal/passage/plan.go
+++ b/internal/passage/plan.go
@@ -5,6 +5,7 @@
 package passage
 
 import (
+	"slices"
 	"time"
 
 	"tinpin/internal/affinity"
@@ -35,6 +36,9 @@
 	Bound   parley.ServerID
 }
 
+// asked tells that a backend was tried before.
+func (p *Plan) asked(server parley.ServerID) bool { return slices.Contains(p.Tried, server) }
+
 // Step is what the plan wants next.
 type Step uint8
 
--- a/internal/passage/round.go
+++ b/internal/passage/round.go
@@ -1,10 +1,11 @@
 // A round is one sending of a request to one backend over one stream. It ends
-// in one of a few outcomes, of which only NotSent and Turned prove that the
-// request has not run. The answer is taken only if it is whole, carries the
-// request's id and, as a success, the backend's stamp; an answer that belongs
-// to another request is passed over and the next one awaited. The codec is
-// that of net/http; its transport is not used, because it repeats requests on
-// its own.
+// in one of a few outcomes, of which only NotSent, Withheld and Turned prove that
+// the request has not run. The answer is taken only if it is whole, carries the
+// request's id and no other and, as a success, the backend's stamp; an answer that
+// belongs to another request is passed over and the next one awaited. A word
+// without an id that the request was not run counts only on a fresh stream, where
+// it cannot belong to a request before. The codec is that of net/http; its
+// transport is not used, because it repeats requests on its own.
 package passage
 
 import (
@@ -40,6 +41,11 @@
 	wholeMost  = 256 << 10
 	streamMost = 16 << 10
 	skipMost   = 4
+	// sendSpan is how long a choice of a backend holds, with all that was looked
+	// at for it; what a daemon that stood still takes up later is chosen anew.
+	sendSpan = time.Second
+	// restNone wants a fresh stream.
+	restNone = -1
 )
 
 // lineReader is the buffered reading side of a stream.
@@ -64,7 +70,8 @@
 	Silent
 	// Failed: a whole answer that tells of the backend's own failure. It has run.
 	Failed
-	// Withheld: the backend was retired between the choice and the sending.
+	// Withheld: between the choice and the sending the backend was retired, or
+	// the choice became too old. Nothing has left.
 	Withheld
 	// Forgotten: a stream that had rested was reset before any byte of an
 	// answer came. The backend had most likely forgotten it, but nothing proves
@@ -81,6 +88,9 @@
 	HasBody              bool
 	// Stream passes the answer on as it comes but for its beginning.
 	Stream bool
+	// Ahead tells that it was taken up while others before it on the client's
+	// stream were not answered, so that it may yet count as not read.
+	Ahead bool
 	// head is the part of the head that is the same in every round; rounds may
 	// run beside each other.
 	once sync.Once
@@ -163,14 +173,15 @@
 	Sent bool
 }
 
-// Sending says how a request goes out: until when, over a stream that has
-// rested how long at most; and may tells, once a stream is at hand, whether it
-// may still go.
+// Sending says how a request goes out: when its backend was chosen, until when,
+// over a stream that has rested how long at most; and may tells, once a stream is
+// at hand, whether it may still go.
 type Sending struct {
-	Till, Rest time.Duration
-	Keyed      bool
-	Lane       *Lane
-	May        func(server *Server) bool
+	Chosen, Till, Rest time.Duration
+	Keyed              bool
+	Lane               *Lane
+	May                func(server *Server) bool
+	Lapse              Lapse
 }
 
 // run sends the request to the server and reads the answer.
@@ -197,21 +208,27 @@
 	}
 	server.hold(stream, sending.Keyed)
 	defer server.release(stream)
-	if sending.May != nil && !sending.May(server) {
-		server.give(now, stream, 4*time.Second)
+	data := request.bytes(sending.Till-now, server.ID)
+	_ = stream.conn.SetDeadline(time.Now().Add(sending.Till - now))
+	if !sending.holds(clock, server) {
+		_ = stream.conn.SetDeadline(time.Time{})
+		server.give(clock.Now(), stream, 4*time.Second)
 		return Round{Outcome: Withheld}
 	}
-	_ = stream.conn.SetDeadline(time.Now().Add(sending.Till - now))
-	sent, err := stream.conn.Write(request.bytes(sending.Till-now, server.ID))
-	if err != nil && sent == 0 && !errors.Is(err, os.ErrDeadlineExceeded) {
+	sent, err := stream.conn.Write(data)
+	if err != nil && sent == 0 {
+		// The kernel has taken nothing, so nothing has left.
 		server.drop(stream)
 		return Round{Outcome: NotSent}
 	}
-	if err != nil {
+	if err != nil && isTimeout(err) {
 		server.drop(stream)
 		return Round{Outcome: Broken, Sent: true}
 	}
-	round = receive(clock, stream, request, begun)
+	// A backend that resets the stream while the request is written may have
+	// answered before.
+	reading := reading{clock: clock, stream: stream, request: request, begun: begun, cut: err != nil, lapse: sending.Lapse}
+	round = reading.receive()
 	if round.Verdict.Rest != nil {
 		round.Verdict.Rest = sending.Lane.Through(round.Verdict.Rest)
 	}
@@ -222,101 +239,198 @@
 	return round
 }
 
+// holds tells, right before the sending, that it may still go. A daemon may have
+// stood still since it looked, and no timer needs to have fired yet: so the clock
+// is read last.
+func (s Sending) holds(clock Clock, server *Server) bool {
+	if s.May != nil && !s.May(server) {
+		return false
+	}
+	now := clock.Now()
+	return now < s.Till && now-s.Chosen <= sendSpan
+}
+
+// belonging tells whose answer a response is.
+type belonging uint8
+
+const (
+	nameless belonging = iota
+	own
+	foreign
+	// garbled: it carries two ids.
+	garbled
+)
+
+func whose(response *http.Response, id string) (belongs belonging) {
+	ids := response.Header[headRequest]
+	switch {
+	case len(ids) > 1:
+		return garbled
+	case len(ids) == 0 || ids[0] == "":
+		return nameless
+	case ids[0] == id:
+		return own
+	}
+	return foreign
+}
+
+// notRun tells that a response says that its request was not run.
+func notRun(response *http.Response) bool {
+	return response.StatusCode >= 400 && (response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest)
+}
+
+// reading is the reading of the answer to one request.
+type reading struct {
+	clock   Clock
+	stream  *Stream
+	request *Request
+	begun   time.Duration
+	// cut tells that the stream broke while the request was written.
+	cut bool
+	// interim and skipped count what was passed over before the answer: words
+	// that one is to come, and answers to others.
+	interim, skipped int
+	lapse            Lapse
+}
+
+// whose tells whose answer a response is.
+func (r *reading) whose(response *http.Response) (belongs belonging) {
+	belongs = whose(response, r.request.ID)
+	switch {
+	case r.lapse == 0:
+	case r.lapse.has(TakeSurplus), belongs == garbled && r.lapse.has(FirstID):
+		belongs = own
+	}
+	return belongs
+}
+
+// first tells that nothing has come on the stream since the request was written.
+func (r *reading) first() bool { return r.interim+r.skipped == 0 }
+
+// proves tells that a word without an id can only be about this request: nothing
+// else was ever asked on the stream.
+func (r *reading) proves() bool {
+	return r.stream.fresh && r.first() || r.lapse.has(TrustNameless)
+}
+
+// failed is what a stream that brings no further answer means.
+func (r *reading) failed(err error) (round Round) {
+	r.stream.server.drop(r.stream)
+	switch {
+	case isTimeout(err):
+		return Round{Outcome: Silent}
+	case !r.stream.fresh && r.first() && errors.Is(err, syscall.ECONNRESET):
+		if r.lapse.has(RepeatReset) {
+			return Round{Outcome: Turned}
+		}
+		return Round{Outcome: Forgotten}
+	}
+	return Round{Outcome: Broken}
+}
+
+// settle puts the stream back if it is in step and may be used again.
+func (r *reading) settle(response *http.Response, keep time.Duration, good bool) {
+	server := r.stream.server
+	if good && !response.Close && !r.cut && r.skipped == 0 && r.stream.in.Buffered() == 0 && keep > 0 {
+		_ = r.stream.conn.SetDeadline(time.Time{})
+		server.give(r.clock.Now(), r.stream, keep)
+		return
+	}
+	server.drop(r.stream)
+}
+
 // receive reads the answer to the request and puts the stream back if it may
 // be used again.
-func receive(clock Clock, stream *Stream, request *Request, begun time.Duration) (round Round) {
-	server := stream.server
-	for skipped := 0; ; skipped++ {
+func (r *reading) receive() (round Round) {
+	stream, server, request := r.stream, r.stream.server, r.request
+	for {
 		response, err := http.ReadResponse(stream.in, &http.Request{Method: request.Method})
 		if err != nil {
+			return r.failed(err)
+		}
+		if response.StatusCode < 100 || response.StatusCode >= 600 {
 			server.drop(stream)
-			switch {
-			case isTimeout(err):
-				return Round{Outcome: Silent}
-			case !stream.fresh && skipped == 0 && errors.Is(err, syscall.ECONNRESET):
-				return Round{Outcome: Forgotten}
-			}
 			return Round{Outcome: Broken}
 		}
 		if response.StatusCode < 200 {
-			if response.StatusCode == http.StatusSwitchingProtocols || skipped >= skipMost {
+			if response.StatusCode == http.StatusSwitchingProtocols || r.interim >= skipMost {
 				server.drop(stream)
 				return Round{Outcome: Broken}
 			}
+			r.interim++
 			continue
 		}
+		belongs := r.whose(response)
 		body, whole, rest := readBody(response, request.most())
 		if !whole && rest == nil {
 			server.drop(stream)
-			if response.Header.Get(headNotRun) != "" && response.Header.Get(headRequest) == request.ID {
-				return Round{Outcome: Turned}
-			}
-			return Round{Outcome: Broken}
-		}
-		if response.Header.Get(headRequest) != request.ID {
-			foreign := response.Header.Get(headRequest) != ""
-			if foreign && whole && !response.Close && skipped < skipMost {
-				continue
-			}
-			server.drop(stream)
-			if !foreign && whole && response.Header.Get(headNotRun) != "" {
-				return Round{Outcome: Turned}
-			}
-			if !foreign && response.StatusCode == http.StatusMisdirectedRequest {
-				server.moved(clock.Now())
+			if belongs == own && notRun(response) {
 				return Round{Outcome: Turned}
 			}
 			return Round{Outcome: Broken}
 		}
-		if cold := response.Header.Get(headCold); cold != "" {
-			if left, ok := coldSpan(cold); ok && left > 0 {
-				server.chill(clock.Now(), left)
-			}
-		}
-		if load := response.Header.Get(headLoad); load != "" {
-			server.hear(clock.Now(), load)
-		}
-		keep := keepFor(response)
-		settle := func(good bool) {
-			if good && !response.Close && stream.in.Buffered() == 0 && keep > 0 {
-				_ = stream.conn.SetDeadline(time.Time{})
-				server.give(clock.Now(), stream, keep)
-				return
-			}
-			server.drop(stream)
-		}
-		if response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest {
+		switch {
+		case belongs == foreign && whole && !response.Close && r.skipped < skipMost:
+			r.skipped++
+			continue
+		case belongs == nameless && whole && notRun(response) && r.proves():
 			if response.StatusCode == http.StatusMisdirectedRequest {
-				server.moved(clock.Now())
+				server.moved(r.clock.Now())
 			}
-			settle(whole)
+			server.drop(stream)
 			return Round{Outcome: Turned}
-		}
-		if response.StatusCode < 300 && response.Header.Get(headStamp) == "" {
+		case belongs != own:
 			server.drop(stream)
 			return Round{Outcome: Broken}
 		}
-		outcome := Whole
-		if response.StatusCode >= 500 {
-			outcome = Failed
+		return r.take(response, body, whole, rest)
+	}
+}
+
+// take makes the round of the request's own answer.
+func (r *reading) take(response *http.Response, body []byte, whole bool, rest io.Reader) (round Round) {
+	stream, server := r.stream, r.stream.server
+	if cold := response.Header.Get(headCold); cold != "" {
+		if left, ok := coldSpan(cold); ok && left > 0 {
+			server.chill(r.clock.Now(), left)
 		}
-		verdict := Verdict{Status: response.StatusCode, Lines: returned(response.Header), Body: body, Length: int64(len(body))}
-		if request.Method == http.MethodHead {
-			verdict.NoBody = true
-			verdict.Length = max(0, response.ContentLength)
+	}
+	if load := response.Header.Get(headLoad); load != "" {
+		server.hear(r.clock.Now(), load)
+	}
+	keep := keepFor(response)
+	if notRun(response) {
+		if response.StatusCode == http.StatusMisdirectedRequest {
+			server.moved(r.clock.Now())
 		}
-		if rest != nil {
-			verdict.Rest, verdict.Length, verdict.Chunked = rest, response.ContentLength, response.ContentLength < 0
-			verdict.Finish = func(good bool) {
-				settle(good)
-				now := clock.Now()
-				server.end(now, now-begun, outcome)
-			}
-			return Round{Outcome: outcome, Verdict: verdict}
+		r.settle(response, keep, whole)
+		return Round{Outcome: Turned}
+	}
+	// An answer that says of a success that it was not run says nothing.
+	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" {
+		server.drop(stream)
+		return Round{Outcome: Broken}
+	}
+	outcome := Whole
+	if response.StatusCode >= 500 {
+		outcome = Failed
+	}
+	verdict := Verdict{Status: response.StatusCode, Lines: returned(response.Header), Body: body, Length: int64(len(body))}
+	if r.request.Method == http.MethodHead {
+		verdict.NoBody = true
+		verdict.Length = max(0, response.ContentLength)
+	}
+	if rest != nil {
+		verdict.Rest, verdict.Length, verdict.Chunked = rest, response.ContentLength, response.ContentLength < 0
+		verdict.Finish = func(good bool) {
+			r.settle(response, keep, good)
+			now := r.clock.Now()
+			server.end(now, now-r.begun, outcome)
 		}
-		settle(true)
 		return Round{Outcome: outcome, Verdict: verdict}
 	}
+	r.settle(response, keep, true)
+	return Round{Outcome: outcome, Verdict: verdict}
 }
 
 // readBody reads a body whole where it is small; of a large one it gives the
--- /dev/null
+++ b/internal/passage/round_test.go
@@ -0,0 +1,253 @@
+// What a round takes for an answer, for a proof, and for a right to send.
+package passage
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"tinpin/internal/parley"
+)
+
+// rested makes a daemon whose stream to its one backend has carried a request.
+func rested(t *testing.T, script func(n int, r seen, conn net.Conn) bool) (d *Daemon, backend *standIn) {
+	t.Helper()
+	backend = newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+		if n == 1 {
+			return good(n, r, conn)
+		}
+		return script(n, r, conn)
+	})
+	d = daemonOf(t, backend)
+	if verdict := d.Answer(request("GET", "/once/first", "first"), "2500"); verdict.Status != 200 {
+		t.Fatal(verdict.Status)
+	}
+	return d, backend
+}
+
+func reset(conn net.Conn) {
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	_ = conn.Close()
+}
+
+// What comes on a stream before the request's own answer, or instead of it, must
+// neither be taken for it nor prove that it has not run.
+func TestWhatIsTakenForAnAnswer(t *testing.T) {
+	nameless := func(status int, lines string) string {
+		return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n%s\r\n", status, lines)
+	}
+	mine := answer(200, "ID", "body of ID")
+	cases := map[string]struct {
+		text          string
+		fresh, rested int // the status of a request that may not be repeated
+		runs          int // on a fresh stream
+	}{
+		"421 without an id":            {nameless(421, ""), 200, 502, 2},
+		"not run without an id":        {nameless(503, headNotRun+": 1\r\n"), 200, 502, 2},
+		"503 without a word":           {nameless(503, ""), 502, 502, 1},
+		"another's, 421 without an id": {answer(200, "other", "not yours") + nameless(421, ""), 502, 502, 1},
+		"1xx, 421 without an id":       {"HTTP/1.1 100 Continue\r\n\r\n" + nameless(421, ""), 502, 502, 1},
+		"421 without an id, then mine": {nameless(421, "") + mine, 200, 502, 2},
+		"an empty id":                  {nameless(421, headRequest+":\r\n"), 200, 502, 2},
+		"two ids, mine first":          {answer(200, "ID", "body of ID", headRequest+": other"), 502, 502, 1},
+		"two ids, mine last":           {answer(200, "other", "body of ID", headRequest+": ID"), 502, 502, 1},
+		"two ids, not run":             {answer(503, "ID", "", headRequest+": other", headNotRun+": 1"), 502, 502, 1},
+		"an id of another length":      {answer(200, "ID0", "body of ID") + mine, 200, 200, 1},
+		"only ids of another length":   {answer(200, "ID0", ""), 504, 504, 1},
+		"too many of others":           {strings.Repeat(answer(200, "other", "no"), 6) + mine, 502, 502, 1},
+		"two lengths":                  {answer(200, "ID", "body of ID", "Content-Length: 3"), 502, 502, 1},
+		"a length that is no number":   {strings.Replace(mine, "Length: 1", "Length: -1", 1), 502, 502, 1},
+		"a status that is no number":   {strings.Replace(mine, "200", "2x0", 1), 502, 502, 1},
+		"a status with a sign":         {strings.Replace(mine, "200", "+20", 1), 502, 502, 1},
+		"a status out of range":        {strings.Replace(mine, "200", "999", 1), 502, 502, 1},
+		"1xx, then mine":               {"HTTP/1.1 103 Early Hints\r\n\r\n" + mine, 200, 200, 1},
+		"1xx without end":              {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 6) + mine, 502, 502, 1},
+		"another protocol":             {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + mine, 502, 502, 1},
+		"a success that was not run":   {answer(200, "ID", "body of ID", headNotRun+": 1"), 502, 502, 1},
+		"not run, cut short":           {strings.Replace(answer(503, "ID", "", headNotRun+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
+		"another's not run, cut short": {strings.Replace(answer(503, "other", "", headNotRun+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
+	}
+	for name, c := range cases {
+		bad := func(_ int, r seen, conn net.Conn) bool {
+			_, _ = io.WriteString(conn, strings.ReplaceAll(c.text, "ID", r.ID))
+			return strings.HasPrefix(name, "only")
+		}
+		for _, isFresh := range []bool{true, false} {
+			want, wantRuns := c.rested, 1
+			if isFresh {
+				want, wantRuns = c.fresh, c.runs
+			} else if c.rested == 200 {
+				wantRuns = c.runs
+			}
+			d, backend := rested(t, bad)
+			if isFresh {
+				d.world.servers["i-1"].sweep(d.clock.Now(), true)
+				d.world.servers["i-1"].closed = false
+			}
+			sound := newStandIn(t, "i-2", good)
+			server := parley.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
+			d.world.Take(0, &parley.News{Leader: true, Term: 1, Epoch: 2, Servers: []parley.ServerChange{{Server: server}}})
+			d.world.servers["i-2"].pace, d.world.servers["i-2"].paceAt = 1e6, 1
+			verdict := d.Answer(request("GET", "/once/q", "ab"), "300")
+			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
+				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
+			}
+			if verdict.Status == 200 && string(verdict.Body) != "body of ab" {
+				t.Errorf("%s, fresh %v: body %q", name, isFresh, verdict.Body)
+			}
+		}
+	}
+}
+
+// A stream that ends is no proof, wherever in the request or its answer it ends.
+func TestAStreamThatEndsProvesNothing(t *testing.T) {
+	for name, c := range map[string]struct {
+		end    func(r seen, conn net.Conn)
+		status int
+	}{
+		"reset, nothing said":  {func(_ seen, conn net.Conn) { reset(conn) }, 502},
+		"closed, nothing said": {func(_ seen, conn net.Conn) { _ = conn.Close() }, 502},
+		"reset behind the answer": {func(r seen, conn net.Conn) {
+			_, _ = io.WriteString(conn, answer(200, r.ID, "body of "+r.ID))
+			_ = conn.Close()
+		}, 200},
+		"reset within the answer": {func(r seen, conn net.Conn) {
+			_, _ = io.WriteString(conn, answer(200, r.ID, "body of "+r.ID)[:30])
+			reset(conn)
+		}, 502},
+	} {
+		for _, way := range []string{"/once/", "/safe/"} {
+			d, backend := rested(t, func(n int, r seen, conn net.Conn) bool {
+				if n == 2 {
+					c.end(r, conn)
+					return false
+				}
+				return good(n, r, conn)
+			})
+			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
+			if verdict.Status != c.status || backend.count() != 2 {
+				t.Errorf("%s on %s: status %d after %d arrivals", name, way, verdict.Status, backend.count())
+			}
+		}
+	}
+}
+
+// A backend that answers before it has read the whole request and resets the
+// stream is heard; what it did not say stays unknown.
+func TestAStreamResetWhileTheRequestIsWritten(t *testing.T) {
+	for name, c := range map[string]struct {
+		say    string
+		status int
+	}{
+		"turned away":   {answer(503, "up", "", headNotRun+": 1"), 503},
+		"nothing":       {"", 502},
+		"another's":     {answer(503, "other", "", headNotRun+": 1"), 502},
+		"its own error": {answer(500, "up", ""), 500},
+	} {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() {
+			for {
+				conn, acceptErr := listener.Accept()
+				if acceptErr != nil {
+					return
+				}
+				_, _ = bufio.NewReader(conn).ReadString('\n')
+				_, _ = io.WriteString(conn, c.say)
+				// Unread bytes make this a reset.
+				_ = conn.Close()
+			}
+		}()
+		d := daemonOf(t, &standIn{id: "i-1", listener: listener})
+		large := request("POST", "/once/q", "up")
+		large.HasBody, large.Body = true, make([]byte, 16<<20)
+		if verdict := d.Answer(large, "800"); verdict.Status != c.status {
+			t.Errorf("%s: status %d, want %d", name, verdict.Status, c.status)
+		}
+		_ = listener.Close()
+	}
+}
+
+// What was looked at before a standstill is void after it: nothing leaves.
+func TestNothingLeavesOutsideItsSpan(t *testing.T) {
+	backend := newStandIn(t, "i-1", good)
+	d := daemonOf(t, backend)
+	server := d.world.servers["i-1"]
+	now := d.clock.Now()
+	for name, c := range map[string]struct {
+		sending Sending
+		outcome Outcome
+	}{
+		"chosen long ago": {Sending{Chosen: now - sendSpan - time.Hour, Till: now + time.Hour}, Withheld},
+		"over while it was looked at": {Sending{Chosen: now, Till: now + 50*time.Millisecond, May: func(*Server) bool {
+			for d.clock.Now() < now+50*time.Millisecond {
+			}
+			return true
+		}}, Withheld},
+		"retired":        {Sending{Chosen: now, Till: now + time.Hour, May: func(*Server) bool { return false }}, Withheld},
+		"over before it": {Sending{Chosen: now, Till: now}, NotSent},
+	} {
+		if round := run(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
+			t.Errorf("%s: %+v", name, round)
+		}
+	}
+	if verdict := d.Answer(request("GET", "/once/q", "b"), "800"); verdict.Status != 200 || backend.count() != 1 {
+		t.Fatalf("status %d after %d arrivals", verdict.Status, backend.count())
+	}
+}
+
+// A claim is worth its window from when it was asked for, and no longer.
+func TestAClaimThatHasRunOutIsNotUsed(t *testing.T) {
+	backend := newStandIn(t, "i-1", good)
+	d := daemonOf(t, backend)
+	d.props.Bounds.KeyWindow = time.Nanosecond
+	led(t, d, &standInForum{script: grant})
+	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
+		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	}
+	if d.keys.Find("k", "a").Standing != parley.Freed {
+		t.Fatal("the key is not given back")
+	}
+	// The same request again must not run under the claim that is given back.
+	d.props.Bounds.KeyWindow = time.Minute
+	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
+		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	}
+	if verdict := d.Answer(keyed("b", "k"), "2500"); verdict.Status != 200 || backend.count() != 1 {
+		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	}
+}
+
+// A backend that a session is bound to is asked again over a fresh stream: on the
+// old one a second copy of its refusal would prove the wrong thing.
+func TestARefusalThatComesTwice(t *testing.T) {
+	for lapse, want := range map[Lapse]int{0: 2, SameStream: 3} {
+		var told sync.Map
+		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+			no := answer(503, r.ID, "", headNotRun+": 1")
+			if _, again := told.LoadOrStore(conn, true); n == 1 || again {
+				// The second time it comes before the answer to a run.
+				_, err := io.WriteString(conn, no)
+				if n == 1 {
+					return err == nil
+				}
+			}
+			return good(n, r, conn)
+		})
+		d := daemonOf(t, backend)
+		d.lapse = lapse
+		d.budget.Earn(d.clock.Now(), "s")
+		view := d.world.Scene().View
+		plan := &Plan{Way: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Till: d.clock.Now() + 2*time.Second, Rounds: 3, Bound: "i-1"}
+		if _, kind := d.search(plan, d.throttles.of("s")); kind != 0 || backend.count() != want {
+			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", lapse, kind, backend.count(), want)
+		}
+	}
+}
