--- a/internal/passage/door.go
+++ b/internal/passage/door.go
@@ -148,6 +148,8 @@
 	ready   Verdict
 	old     bool
 	last    bool
+	// head tells that the answer has no body.
+	head bool
 }
 
 // counted counts what is read, and ends a head that is too long.
@@ -269,12 +271,13 @@
 			deny(kind, id)
 			return
 		}
-		t := &turn{verdict: make(chan Verdict, 1), old: parsed.ProtoMinor == 0, last: parsed.Close}
+		t := &turn{verdict: make(chan Verdict, 1), old: parsed.ProtoMinor == 0, last: parsed.Close, head: parsed.Method == http.MethodHead}
 		path, _, _ := strings.Cut(request.Target, "?")
 		way := d.view().Find(request.Host, path)
 		if way != nil && !way.Repeat.Repeatable() {
 			v.pending.Wait()
 		}
+		request.Ahead = v.working.Load() > 0
 		if v.broken.Load() || v.closing.Load() {
 			return
 		}
@@ -374,6 +377,7 @@
 			done()
 			continue
 		}
+		verdict.NoBody = verdict.NoBody || t.head
 		verdict.Close = verdict.Close || t.last || d.stopping.Load()
 		if verdict.Close {
 			v.closing.Store(true)
