--- a/internal/accord/wishes.go
+++ b/internal/accord/wishes.go
@@ -17,7 +17,8 @@
 type wish struct {
 	command Command
 	done    chan Answer
-	born    time.Time
+	// stale is when nobody waits for it any more.
+	stale time.Time
 }
 
 type pendingEntry struct {
@@ -34,13 +35,13 @@
 func (n *Node) Wishes(commands []Command, limit time.Duration) (answers []Answer) {
 	answers = make([]Answer, len(commands))
 	done := make([]chan Answer, len(commands))
-	now := time.Now()
+	stale := time.Now().Add(min(limit, staleWish))
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for i, command := range commands {
 		done[i] = make(chan Answer, 1)
 		select {
-		case n.wishes <- wish{command, done[i], now}:
+		case n.wishes <- wish{command, done[i], stale}:
 		default:
 			done[i] <- Answer{Refused: true}
 		}
@@ -68,7 +69,7 @@
 	for next, more := first, true; more && len(batch) < 256 && size < 1<<20; {
 		// A wish whose caller must have given up is refused, not carried out:
 		// a backlog would otherwise be worked off for nobody.
-		if now.Sub(next.born) > staleWish {
+		if now.After(next.stale) {
 			next.done <- Answer{Refused: true}
 		} else {
 			batch = append(batch, next)
--- a/internal/forum/desk.go
+++ b/internal/forum/desk.go
@@ -86,7 +86,11 @@
 	for _, claim := range ask.Claims {
 		commands = append(commands, accord.Command{Kind: accord.CommandClaim, Claim: accord.Claim{Key: claim.Key, Request: claim.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
 	}
-	answers := d.node.Wishes(commands, 800*time.Millisecond)
+	limit := 800 * time.Millisecond
+	if ask.Left > 0 {
+		limit = min(limit, ask.Left)
+	}
+	answers := d.node.Wishes(commands, limit)
 	reply.Freed = true
 	for _, answer := range answers[:len(ask.Frees)] {
 		reply.Freed = reply.Freed && answer.Clear
--- a/internal/parley/caller.go
+++ b/internal/parley/caller.go
@@ -1,6 +1,8 @@
 // Caller keeps one stream to one fellow and calls over it. A stream that has
 // been silent through a whole call's time is given up, since behind a cut
-// nothing else would tell; the next call makes a new one.
+// nothing else would tell; the next call makes a new one. Calls are numbered by
+// stream, so a new one never takes an answer of an old one's. Each answer is read
+// into a value of its own, which the one who asked gets only whole and in time.
 package parley
 
 import (
@@ -8,6 +10,7 @@
 	"errors"
 	"net"
 	"net/rpc"
+	"reflect"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -106,21 +109,23 @@
 	}
 }
 
-// Call asks and waits no longer than limit. The reply may only be read if err
-// is nil.
+// Call asks and waits no longer than limit. The reply, a pointer, is set only if
+// err is nil; an answer that comes later goes nowhere.
 func (c *Caller) Call(method string, ask, reply any, limit time.Duration) (err error) {
 	client, err := c.stream(limit)
 	if err != nil {
 		return err
 	}
 	begun := time.Since(c.birth)
-	call := client.Go(method, ask, reply, make(chan *rpc.Call, 1))
+	answer := reflect.New(reflect.TypeOf(reply).Elem())
+	call := client.Go(method, ask, answer.Interface(), make(chan *rpc.Call, 1))
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-call.Done:
 		if call.Error == nil {
 			c.heard.Store(int64(time.Since(c.birth)))
+			reflect.ValueOf(reply).Elem().Set(answer.Elem())
 			return nil
 		}
 		if _, told := call.Error.(rpc.ServerError); !told {
--- a/internal/parley/words.go
+++ b/internal/parley/words.go
@@ -398,12 +398,14 @@
 	Cores  []Core
 }
 
-// ClaimAsk puts a batch of claims or gives claims back.
+// ClaimAsk puts a batch of claims or gives claims back. Left is how long from its
+// sending anybody waits for the answer, 0 for no word on it.
 type ClaimAsk struct {
 	Holder FellowID
 	Life   Life
 	Claims []KeyClaim
 	Frees  []KeyClaim
+	Left   time.Duration
 }
 
 // KeyClaim is an operation key wanted for a request.
--- a/internal/passage/batcher.go
+++ b/internal/passage/batcher.go
@@ -1,13 +1,16 @@
 // Batcher gathers what many requests ask of one place and asks it in few calls:
 // all that waits goes into the next one. What waits is bounded; beyond it an
 // ask is not taken at all, which its caller may tell apart from an ask whose
-// answer did not come.
+// answer did not come. What nobody waits for any more is not sent, and a call
+// says how long somebody waits for it. A reply that has not an answer for each
+// ask answers none: whose is whose would be a guess.
 package passage
 
 import "time"
 
 type asked[A, R any] struct {
 	ask  A
+	till time.Time
 	done chan R
 }
 
@@ -16,11 +19,11 @@
 	ring   chan asked[A, R]
 	places chan struct{}
 	most   int
-	send   func(asks []A) []R
+	send   func(asks []A, left time.Duration) []R
 }
 
 // NewBatcher holds so many asks, has so many calls under way, each with so many.
-func NewBatcher[A, R any](ring, calls, most int, send func(asks []A) []R) (batcher *Batcher[A, R]) {
+func NewBatcher[A, R any](ring, calls, most int, send func(asks []A, left time.Duration) []R) (batcher *Batcher[A, R]) {
 	return &Batcher[A, R]{ring: make(chan asked[A, R], ring), places: make(chan struct{}, calls), most: most, send: send}
 }
 
@@ -49,24 +52,30 @@
 
 func (b *Batcher[A, R]) call(batch []asked[A, R]) {
 	defer func() { <-b.places }()
-	asks := make([]A, len(batch))
-	for i := range batch {
-		asks[i] = batch[i].ask
-	}
-	replies := b.send(asks)
-	for i := range batch {
-		var reply R
-		if i < len(replies) {
-			reply = replies[i]
+	now := time.Now()
+	var left time.Duration
+	asks, waiting := make([]A, 0, len(batch)), batch[:0]
+	for _, wish := range batch {
+		if rest := wish.till.Sub(now); rest > 0 {
+			asks, waiting, left = append(asks, wish.ask), append(waiting, wish), max(left, rest)
 		}
-		batch[i].done <- reply
+	}
+	if len(asks) == 0 {
+		return
+	}
+	replies := b.send(asks, left)
+	if len(replies) != len(asks) {
+		replies = make([]R, len(asks))
+	}
+	for i := range waiting {
+		waiting[i].done <- replies[i]
 	}
 }
 
 // Ask asks and waits no longer than limit; taken tells that it may have been
 // sent, answered that the reply is one.
 func (b *Batcher[A, R]) Ask(ask A, limit time.Duration) (reply R, taken, answered bool) {
-	wish := asked[A, R]{ask, make(chan R, 1)}
+	wish := asked[A, R]{ask, time.Now().Add(limit), make(chan R, 1)}
 	select {
 	case b.ring <- wish:
 	default:
--- /dev/null
+++ b/internal/passage/batcher_test.go
@@ -0,0 +1,85 @@
+package passage
+
+import (
+	"testing"
+	"time"
+
+	"tinpin/internal/parley"
+)
+
+// Of a reply that has not an answer for each ask none is taken.
+func TestAReplyOfAnotherLengthAnswersNobody(t *testing.T) {
+	for _, size := range []int{0, 1, 3} {
+		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []parley.ClaimFound) {
+			for range size {
+				replies = append(replies, parley.ClaimFound{Outcome: parley.Granted})
+			}
+			return replies
+		})
+		batch := make([]asked[int, parley.ClaimFound], 2)
+		for i := range batch {
+			batch[i] = asked[int, parley.ClaimFound]{i, time.Now().Add(time.Hour), make(chan parley.ClaimFound, 1)}
+		}
+		batcher.places <- struct{}{}
+		batcher.call(batch)
+		for i := range batch {
+			if found := <-batch[i].done; found.Outcome != parley.Unclear {
+				t.Errorf("%d answers to 2 claims: the one at %d is %+v", size, i, found)
+			}
+		}
+	}
+}
+
+// What nobody waits for any more is not sent, and a call tells how long the
+// longest is waited for.
+func TestWhatIsGivenUpIsNotSent(t *testing.T) {
+	var sent []int
+	var told time.Duration
+	batcher := NewBatcher(4, 1, 4, func(asks []int, left time.Duration) []int {
+		sent, told = append(sent, asks...), left
+		return asks
+	})
+	batch := []asked[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}, {2, time.Now().Add(time.Hour), make(chan int, 1)}, {3, time.Now().Add(time.Minute), make(chan int, 1)}}
+	second := batch[1].done
+	batcher.places <- struct{}{}
+	batcher.call(batch)
+	if len(sent) != 2 || sent[0] != 2 || sent[1] != 3 || <-second != 2 || told <= 59*time.Minute || told > time.Hour {
+		t.Fatalf("sent %v, left %v", sent, told)
+	}
+	sent = nil
+	batcher.places <- struct{}{}
+	batcher.call([]asked[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}})
+	if sent != nil {
+		t.Fatalf("sent %v", sent)
+	}
+}
+
+// shortForum leads and answers a batch with no rows.
+type shortForum struct{}
+
+func (shortForum) Claim(ask parley.ClaimAsk, reply *parley.ClaimReply) (err error) {
+	reply.Leader = true
+	return nil
+}
+
+func (shortForum) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
+	reply.Leader = true
+	return nil
+}
+
+// A leader's reply without the row for a claim or a binding leaves its outcome open.
+func TestAShortReplyOfALeaderLeavesItOpen(t *testing.T) {
+	d := daemonOf(t)
+	inner := serveInner(t, map[string]any{"Forum": shortForum{}})
+	d.link.leader.Store(&inner)
+	d.link.heard.Store(int64(d.clock.Now() + time.Hour))
+	go d.link.Claims()
+	go d.link.Binds()
+	t.Cleanup(func() { close(d.link.Ended) })
+	if found := d.link.claim(parley.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != parley.Unclear {
+		t.Errorf("%+v", found)
+	}
+	if found, taken, answered := d.link.binds.Ask(parley.Bind{Session: "s"}, time.Second); !taken || !answered || found.Outcome != parley.BindUnclear {
+		t.Errorf("%+v", found)
+	}
+}
--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -403,23 +403,23 @@
 // Binds sends what asks where sessions are bound.
 func (l *Link) Binds() { l.binds.Run(l.Ended) }
 
-func (l *Link) putClaims(claims []parley.KeyClaim) (found []parley.ClaimFound) {
-	ask := parley.ClaimAsk{Holder: parley.FellowID(l.props.Name), Life: l.life, Claims: claims}
+func (l *Link) putClaims(claims []parley.KeyClaim, left time.Duration) (found []parley.ClaimFound) {
+	ask := parley.ClaimAsk{Holder: parley.FellowID(l.props.Name), Life: l.life, Claims: claims, Left: left}
 	var reply parley.ClaimReply
 	err := l.core(*l.leader.Load()).Call("Forum.Claim", ask, &reply, 2*claimCall)
+	if err == nil && reply.Leader {
+		return reply.Found
+	}
 	found = make([]parley.ClaimFound, len(claims))
-	refused := err != nil && parley.Unsent.Has(err) || err == nil && !reply.Leader
-	for i := range found {
-		if refused {
+	if err == nil || parley.Unsent.Has(err) {
+		for i := range found {
 			found[i].Outcome = parley.Refused
-		} else if err == nil && i < len(reply.Found) {
-			found[i] = reply.Found[i]
 		}
 	}
 	return found
 }
 
-func (l *Link) putBinds(binds []parley.Bind) (found []parley.BindFound) {
+func (l *Link) putBinds(binds []parley.Bind, _ time.Duration) (found []parley.BindFound) {
 	var reply parley.BindReply
 	if err := l.core(*l.leader.Load()).Call("Forum.Bind", parley.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
 		return nil
