--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -261,7 +261,7 @@
 	sending = Sending{Chosen: chosen, Till: plan.Till, Rest: restFull, Keyed: plan.Key != "", Lane: d.lane, May: d.may, Lapse: d.lapse}
 	if plan.Bound != "" {
 		sending.May = func(server *Server) bool {
-			return !server.leaving() && d.world.Orders.Keeps(d.clock.Now(), server.ID, plan.Service)
+			return !server.leaving() && d.leased(server) && d.world.Orders.Keeps(d.clock.Now(), server.ID, plan.Service)
 		}
 	}
 	if !plan.Way.Repeat.Repeatable() {
@@ -293,7 +293,12 @@
 
 // may tells whether a backend may still be sent a new caller.
 func (d *Daemon) may(server *Server) bool {
-	return !server.leaving() && d.world.Orders.Sends(d.clock.Now(), server.ID)
+	return !server.leaving() && d.leased(server) && d.world.Orders.Sends(d.clock.Now(), server.ID)
+}
+
+// leased tells that a lease stands for a backend that is cold.
+func (d *Daemon) leased(server *Server) bool {
+	return !server.isCold(d.clock.Now()) || d.world.Share(parley.ColdRate, string(server.ID)) > 0
 }
 
 // letGo takes an answer that is not needed any more.
--- a/internal/passage/round_test.go
+++ b/internal/passage/round_test.go
@@ -203,6 +203,28 @@
 	}
 }
 
+// A cold backend that was chosen under a lease gets nothing once that has run out.
+func TestALeaseThatHasRunOutIsNotUsed(t *testing.T) {
+	backend := newStandIn(t, "i-1", good)
+	d := daemonOf(t, backend)
+	server := d.world.servers["i-1"]
+	server.coldTill = d.clock.Now() + time.Hour
+	way := d.world.Scene().View.Find("a.example", "/once/x")
+	for _, bound := range []parley.ServerID{"", "i-1"} {
+		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: Withheld, time.Minute: Whole} {
+			now := d.clock.Now()
+			d.world.Take(now, &parley.News{Leader: true, Term: 1, Epoch: 1, Leases: []parley.Lease{{Kind: parley.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
+			plan := &Plan{Way: way, Service: "s", Till: now + time.Second, Bound: bound}
+			if round := run(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
+				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
+			}
+		}
+	}
+	if backend.count() != 2 {
+		t.Fatalf("%d arrivals", backend.count())
+	}
+}
+
 // A claim is worth its window from when it was asked for, and no longer.
 func TestAClaimThatHasRunOutIsNotUsed(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
--- a/internal/passage/server.go
+++ b/internal/passage/server.go
@@ -317,6 +317,13 @@
 	return now < s.outTill || now < s.coldTill || s.doubted(now, s.habit.Calm(usualPace))
 }
 
+// isCold tells that the backend bears little.
+func (s *Server) isCold(now time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now < s.coldTill
+}
+
 // leaving tells that the platform has said so.
 func (s *Server) leaving() bool {
 	s.mu.Lock()
