--- a/internal/accord/wishes_test.go
+++ b/internal/accord/wishes_test.go
@@ -104,3 +104,25 @@
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
 }
+
+// What nobody waits for any more is not put before the cores: this node has none
+// to put it before.
+func TestAWishThatNobodyWaitsForIsDropped(t *testing.T) {
+	node := &Node{wishes: make(chan wish, 4)}
+	answers := node.Wishes([]Command{{Kind: CommandClaim}, {Kind: CommandClaim}}, 0)
+	for _, answer := range answers {
+		if answer.Clear || answer.Refused {
+			t.Fatalf("%+v before anybody looked at it", answer)
+		}
+	}
+	first := <-node.wishes
+	for !first.givenUp(time.Now()) {
+	}
+	node.propose(first)
+	if answer := <-first.done; !answer.Refused {
+		t.Fatalf("%+v", answer)
+	}
+	if len(node.wishes) != 0 {
+		t.Fatal("one is left")
+	}
+}
--- a/internal/forum/desk.go
+++ b/internal/forum/desk.go
@@ -125,6 +125,9 @@
 	if len(ask.Claims) > 0 {
 		patience = claimPatience
 	}
+	if ask.Left > 0 {
+		patience = min(patience, ask.Left)
+	}
 	answers := d.node.Wishes(commands, patience)
 	reply.Freed = true
 	for _, answer := range answers[:len(ask.Frees)] {
--- a/internal/passage/world_test.go
+++ b/internal/passage/world_test.go
@@ -61,7 +61,7 @@
 	for term, answers := range map[parley.Term]int{5: 0, 6: 1, 7: 1} {
 		inner := serveInner(t, map[string]any{"Forum": &lateForum{term}})
 		d.link.leader.Store(&inner)
-		if found := d.link.putBinds([]parley.Bind{{Session: "x"}}); len(found) != answers {
+		if found := d.link.putBinds([]parley.Bind{{Session: "x"}}, claimCall); len(found) != answers {
 			t.Errorf("term %d: %+v", term, found)
 		}
 	}
