--- /dev/null
+++ b/internal/accord/orders.go
@@ -0,0 +1,155 @@
+// Orders that are no configurations: documents, their withdrawal, and retiring.
+// What was taken is remembered under its number, so that the same order, sent
+// again after others, is confirmed and changes nothing, whatever stands by then.
+package accord
+
+import (
+	"encoding/json"
+
+	"tinpin/internal/affinity"
+	"tinpin/internal/canon"
+	"tinpin/internal/dayplan"
+	"tinpin/internal/drain"
+	"tinpin/internal/order"
+	"tinpin/internal/parley"
+	"tinpin/internal/record"
+	"tinpin/internal/retry"
+)
+
+// ordersMost is how many orders that were taken are remembered.
+const ordersMost = 4096
+
+func refusal(err error) (result Result) {
+	return Result{Problem: err.Error(), Conflict: record.Conflict.Has(err)}
+}
+
+func documentNumber(kind order.Kind, version order.Version) (number record.Number) {
+	return record.Number{Kind: "document", Name: string(kind), Version: uint64(version)}
+}
+
+func retireNumber(id parley.ServerID) (number record.Number) {
+	return record.Number{Kind: "retire", Name: string(id)}
+}
+
+// CheckDocument tells what would become of a document, or of its withdrawal
+// where it has no body: whether it was taken before, or why it is refused.
+func (s *State) CheckDocument(next order.Document) (after order.Document, taken bool, err error) {
+	if next.Body != "" {
+		var head struct{ Version order.Version }
+		if json.Unmarshal([]byte(next.Body), &head) == nil {
+			next.Version = head.Version
+		}
+	}
+	if content, known := s.Orders.Content(documentNumber(next.Kind, next.Version)); known {
+		if content == next.Content() {
+			return s.Documents[next.Kind], true, nil
+		}
+		return after, false, record.Conflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, s.Documents[next.Kind].Stamp())
+	}
+	if next.Body != "" {
+		if next, err = ReadDocument(next.Kind, []byte(next.Body), s.Canon); err != nil {
+			return after, false, err
+		}
+	}
+	after, changed, err := s.Documents[next.Kind].Next(next)
+	return after, err == nil && !changed, err
+}
+
+// ReadDocument reads a document and checks it against the services that stand.
+func ReadDocument(kind order.Kind, body []byte, config *canon.Canon) (document order.Document, err error) {
+	known := func(service string) bool { return config.Stands(canon.Services, service) }
+	document = order.Document{Kind: kind, Body: string(body)}
+	switch kind {
+	case order.DrainPolicy:
+		policy, readErr := drain.Read(body)
+		if readErr != nil {
+			return document, readErr
+		}
+		document.Version, err = policy.Version, policy.Check(known)
+	case order.DayPlan:
+		plan, readErr := dayplan.Read(body)
+		if readErr != nil {
+			return document, readErr
+		}
+		document.Version, err = plan.Version, plan.Check(known, func(parley.RegionName) bool { return true })
+	case order.SessionAffinity:
+		policy, readErr := affinity.Read(body)
+		if readErr != nil {
+			return document, readErr
+		}
+		document.Version, err = policy.Version, policy.Check(known)
+	case order.RetryLimit:
+		limit, readErr := retry.Read(body)
+		if readErr != nil {
+			return document, readErr
+		}
+		document.Version, err = limit.Version, limit.Check(known)
+	default:
+		err = order.Class.New("unknown kind of document %q", kind)
+	}
+	return document, err
+}
+
+func (s *State) setDocument(rev uint64, command Command) (err error) {
+	next := order.Document{Kind: order.Kind(command.Site), Version: order.Version(command.Upto), Body: string(command.Body)}
+	after, taken, err := s.CheckDocument(next)
+	if err != nil || taken {
+		return err
+	}
+	// What stands may be older than the record.
+	if before := s.Documents[next.Kind]; before.Version > 0 {
+		s.Orders.Note(documentNumber(before.Kind, before.Version), before.Content())
+	}
+	s.Orders.Note(documentNumber(after.Kind, after.Version), after.Content())
+	after.Rev = rev
+	s.Documents[next.Kind], s.Rev = after, rev
+	if next.Kind == order.DayPlan && !after.InForce() {
+		// The count and its time stay, so that no later step goes back.
+		s.Move.Targets, s.Move.Rev = nil, rev
+	}
+	return nil
+}
+
+// RetireTaken tells whether an order to retire a backend stands, and whether one
+// was ever taken from an operator.
+func (s *State) RetireTaken(id parley.ServerID) (stands, taken bool) {
+	standing, known := s.Retired[id]
+	_, taken = s.Orders.Content(retireNumber(id))
+	return known && !standing.Gone, taken
+}
+
+// takenBackMost is how many orders that were taken back are remembered.
+const takenBackMost = 512
+
+func (s *State) retire(rev uint64, command Command) {
+	id := parley.ServerID(command.Site)
+	if command.Kind == CommandRetire && command.Holder == drain.ByOperator {
+		s.Orders.Note(retireNumber(id), record.Digest{})
+	}
+	standing, known := s.Retired[id]
+	known = known && !standing.Gone
+	switch {
+	case command.Kind == CommandRetire && !known:
+		standing = parley.Retirement{Server: id, Service: parley.ServiceName(command.Body), By: command.Holder, Announced: rev}
+	case command.Kind == CommandStop && known && standing.Stopped == 0:
+		standing.Stopped = rev
+	case command.Kind == CommandRestore && known:
+		standing.Gone = true
+	default:
+		return
+	}
+	standing.Rev = rev
+	s.Retired[id], s.Rev = standing, rev
+	var goneID parley.ServerID
+	gone := 0
+	for other, retired := range s.Retired {
+		if retired.Gone {
+			if gone++; goneID == "" || retired.Rev < s.Retired[goneID].Rev {
+				goneID = other
+			}
+		}
+	}
+	if gone > takenBackMost {
+		delete(s.Retired, goneID)
+	}
+}
--- /dev/null
+++ b/internal/accord/orders_test.go
@@ -0,0 +1,267 @@
+// Orders that keep their word: played by two operators with random numbers and
+// contents, lost answers, repeats long after, and snapshots in between, one
+// number has one content, what was confirmed is confirmed again, and takes
+// effect once.
+package accord
+
+import (
+	"bytes"
+	"encoding/gob"
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"tinpin/internal/canon"
+	"tinpin/internal/drain"
+	"tinpin/internal/order"
+	"tinpin/internal/parley"
+	"tinpin/internal/record"
+)
+
+const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
+
+func policy(version int, service, notice string) (command Command) {
+	return Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
+}
+
+func withdrawal(version int) (command Command) {
+	return Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Upto: uint64(version)}
+}
+
+func thawed(t *testing.T, state *State) (again *State) {
+	t.Helper()
+	data, err := state.Freeze()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again, err = Thaw(data, 0); err != nil {
+		t.Fatal(err)
+	}
+	return again
+}
+
+func TestADocumentSentAgainIsConfirmed(t *testing.T) {
+	state := NewState()
+	const yes, no, conflict = "yes", "no", "conflict"
+	steps := []struct {
+		name    string
+		command Command
+		want    string
+		version order.Version
+	}{
+		{"services", Command{Kind: CommandConfig, Body: []byte(services)}, yes, 0},
+		{"unknown service", policy(4, "nobody", "1s"), no, 0},
+		{"five", policy(5, "desk", "1s"), yes, 5},
+		{"another operator's six", policy(6, "pay", "1s"), yes, 6},
+		{"five again", policy(5, "desk", "1s"), yes, 6},
+		{"five, written otherwise", Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: bytes.ReplaceAll(policy(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
+		{"five, other content", policy(5, "desk", "2s"), conflict, 6},
+		{"six, other content", policy(6, "pay", "2s"), conflict, 6},
+		{"older, never taken", policy(3, "pay", "1s"), no, 6},
+		{"six, withdrawn", withdrawal(6), conflict, 6},
+		{"withdrawn", withdrawal(7), yes, 7},
+		{"withdrawn again", withdrawal(7), yes, 7},
+		{"seven, set", policy(7, "pay", "1s"), conflict, 7},
+		{"eight", policy(8, "pay", "1s"), yes, 8},
+		{"seven withdrawn again", withdrawal(7), yes, 8},
+		{"the service goes", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"desk","version":2}]}}`)}, yes, 8},
+		{"five once more", policy(5, "desk", "1s"), yes, 8},
+		{"key twice", Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: bytes.Replace(policy(9, "pay", "1s").Body, []byte(`{"version":9`), []byte(`{"version":9,"version":9`), 1)}, no, 8},
+		{"negative", policy(-1, "pay", "1s"), no, 8},
+		{"nought", policy(0, "pay", "1s"), no, 8},
+	}
+	for i, step := range steps {
+		before := state.Rev
+		result := state.Apply(uint64(i+1), step.command, 0)
+		got := yes
+		if result.Problem != "" {
+			got = no
+		}
+		if result.Conflict {
+			got = conflict
+		}
+		if got != step.want || state.Documents[order.DrainPolicy].Version != step.version {
+			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Problem, state.Documents[order.DrainPolicy].Version)
+		}
+		if got != yes && state.Rev != before {
+			t.Errorf("%s: refused and changed something", step.name)
+		}
+		state = thawed(t, state)
+	}
+}
+
+func TestARetirementTakenIsRemembered(t *testing.T) {
+	state := NewState()
+	id := parley.ServerID("i-1")
+	at := func(kind CommandKind, by string) Command {
+		return Command{Kind: kind, Site: string(id), Body: []byte("pay"), Claim: Claim{Holder: by}}
+	}
+	for i, step := range []struct {
+		command       Command
+		stands, taken bool
+	}{
+		{at(CommandRestore, ""), false, false},
+		{at(CommandRetire, drain.ByPlatform), true, false},
+		{at(CommandRetire, drain.ByOperator), true, true},
+		{at(CommandRestore, ""), false, true},
+		{at(CommandRestore, ""), false, true},
+	} {
+		if result := state.Apply(uint64(i+1), step.command, 0); result.Problem != "" {
+			t.Errorf("step %d: %s", i, result.Problem)
+		}
+		state = thawed(t, state)
+		if stands, taken := state.RetireTaken(id); stands != step.stands || taken != step.taken {
+			t.Errorf("step %d: stands %v, taken %v", i, stands, taken)
+		}
+	}
+}
+
+// A snapshot as versions without the record wrote it.
+func TestASnapshotWithoutTheRecordIsRead(t *testing.T) {
+	type older struct {
+		Canon       []canon.Item
+		Evacuations map[string]Evacuation
+		Documents   map[order.Kind]order.Document
+		Seq, Rev    uint64
+	}
+	full := NewState()
+	full.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
+	full.Apply(2, policy(5, "pay", "1s"), 0)
+	var data bytes.Buffer
+	if err := gob.NewEncoder(&data).Encode(older{Canon: full.Canon.Items(), Documents: full.Documents, Rev: 2}); err != nil {
+		t.Fatal(err)
+	}
+	state, err := Thaw(data.Bytes(), 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, command := range []Command{policy(5, "pay", "1s"), policy(6, "desk", "1s"), policy(5, "pay", "1s"), {Kind: CommandConfig, Body: []byte(services)}} {
+		if result := state.Apply(uint64(i+3), command, 0); result.Problem != "" {
+			t.Errorf("order %d: %s", i, result.Problem)
+		}
+	}
+	if !state.Apply(9, policy(5, "pay", "2s"), 0).Conflict {
+		t.Error("other content under the version that stood was taken")
+	}
+}
+
+// sent is one order of the model, and what is known of it.
+type sent struct {
+	command   Command
+	numbers   []record.Number
+	contents  []string
+	confirmed bool
+	effects   int
+}
+
+// operators draws orders that often share their numbers.
+type operators struct{ luck *rand.Rand }
+
+func (o operators) order() (next *sent) {
+	version, pick := 1+o.luck.Intn(12), o.luck.Intn(3)
+	switch o.luck.Intn(5) {
+	case 0:
+		next = &sent{command: policy(version, []string{"pay", "desk"}[pick%2], fmt.Sprint(pick, "s"))}
+	case 1:
+		next = &sent{command: withdrawal(version)}
+	default:
+		item, other := o.luck.Intn(3), o.luck.Intn(3)
+		next = &sent{command: Command{Kind: CommandConfig, Body: o.call(item, other, version, pick)}}
+		for _, named := range []int{item, other} {
+			next.numbers = append(next.numbers, record.Number{Kind: "services", Name: fmt.Sprint("s", named), Version: uint64(version)})
+			next.contents = append(next.contents, fmt.Sprint(pick))
+		}
+		return next
+	}
+	next.numbers = []record.Number{{Kind: "document", Version: uint64(version)}}
+	next.contents = []string{string(next.command.Body)}
+	return next
+}
+
+func (o operators) call(item, other, version, pick int) (body []byte) {
+	if pick == 2 {
+		return fmt.Appendf(nil, `{"removals":{"services":[{"name":"s%d","version":%d},{"name":"s%d","version":%d}]}}`, item, version, other, version)
+	}
+	if o.luck.Intn(2) == 0 {
+		return fmt.Appendf(nil, `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["s%d",%d,%d],["s%d",%d,%d]]}}}`, item, pick, version, other, pick, version)
+	}
+	return fmt.Appendf(nil, `{"upserts":{"services":{"column_names":["version","protocol","max_connections","name"],"row_values":[[%d,null,%d.0,"s%d"],[%d,null,%d.0,"s%d"]]}}}`, version, pick, item, version, pick, other)
+}
+
+// stands is all that orders have brought about.
+func stands(state *State) (text string) {
+	document := state.Documents[order.DrainPolicy]
+	return fmt.Sprint(state.Canon.Items(), document.Stamp(), document.Body)
+}
+
+func TestOrdersOfTwoOperatorsKeepTheirWord(t *testing.T) {
+	for seed := int64(1); seed <= 40; seed++ {
+		luck := rand.New(rand.NewSource(seed))
+		state, log := NewState(), [][]byte{}
+		commit := func(command Command) (result Result) {
+			log = append(log, Inscribe([]Command{command}))
+			return state.Apply(uint64(len(log)), command, 0)
+		}
+		commit(Command{Kind: CommandConfig, Body: []byte(services)})
+		confirmed, orders, held := map[record.Number]string{}, []*sent{}, 0
+		for step := 0; step < 400; step++ {
+			var now *sent
+			if luck.Intn(3) > 0 || len(orders) == 0 {
+				now = operators{luck}.order()
+				orders = append(orders, now)
+			} else {
+				now = orders[luck.Intn(len(orders))]
+			}
+			if luck.Intn(6) == 0 {
+				continue // lost on its way
+			}
+			before := stands(state)
+			result := commit(now.command)
+			changed := stands(state) != before
+			if changed {
+				now.effects++
+			}
+			if now.confirmed && result.Problem != "" {
+				t.Fatalf("seed %d step %d: confirmed before, now %s", seed, step, result.Problem)
+			}
+			if result.Problem != "" && changed || now.effects > 1 {
+				t.Fatalf("seed %d step %d: %d effects, %q", seed, step, now.effects, result.Problem)
+			}
+			if result.Problem == "" {
+				now.confirmed = true
+				for i, number := range now.numbers {
+					if content, known := confirmed[number]; known && content != now.contents[i] {
+						t.Fatalf("seed %d step %d: %v confirmed with %s and with %s", seed, step, number, content, now.contents[i])
+					}
+					confirmed[number] = now.contents[i]
+				}
+				held++
+			}
+			if luck.Intn(20) == 0 {
+				state = thawed(t, state)
+			}
+		}
+		if held < 50 {
+			t.Fatalf("seed %d: only %d orders confirmed", seed, held)
+		}
+		// A core that replays the log from its start comes to the same state.
+		again := NewState()
+		for i, entry := range log {
+			commands, err := Decipher(entry)
+			if err != nil {
+				t.Fatal(err)
+			}
+			again.Apply(uint64(i+1), commands[0], 0)
+		}
+		if diff := cmp.Diff(string(again.Canon.Describe()), string(state.Canon.Describe())); diff != "" {
+			t.Fatalf("seed %d: %s", seed, diff)
+		}
+		for _, pair := range [][2]*record.Record{{again.Orders, state.Orders}, {again.Canon.Overtaken, state.Canon.Overtaken}} {
+			if diff := cmp.Diff(pair[0].Freeze(), pair[1].Freeze()); diff != "" {
+				t.Fatalf("seed %d: %s", seed, diff)
+			}
+		}
+	}
+}
--- a/internal/accord/state.go
+++ b/internal/accord/state.go
@@ -12,13 +12,11 @@
 	"encoding/json"
 	"time"
 
-	"tinpin/internal/affinity"
 	"tinpin/internal/canon"
 	"tinpin/internal/dayplan"
-	"tinpin/internal/drain"
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
-	"tinpin/internal/retry"
+	"tinpin/internal/record"
 )
 
 // CommandKind tells commands apart.
@@ -71,10 +69,12 @@
 // Result is what applying a command gave.
 type Result struct {
 	Problem string
-	Granted bool
-	Held    Claim
-	Binding Binding
-	Moved   bool
+	// Conflict tells that another order was taken under the same number.
+	Conflict bool
+	Granted  bool
+	Held     Claim
+	Binding  Binding
+	Moved    bool
 }
 
 // Evacuation is the standing order for one site, with the place of its last change.
@@ -105,6 +105,7 @@
 	Documents   map[order.Kind]order.Document
 	Retired     map[parley.ServerID]parley.Retirement
 	Move        parley.Move
+	Orders      *record.Record
 	bindings    map[parley.SessionID]Binding
 	claims      map[string]*heldClaim
 	order       []*heldClaim
@@ -114,7 +115,7 @@
 
 // NewState is empty.
 func NewState() (state *State) {
-	return &State{Canon: canon.New(), Evacuations: map[string]Evacuation{}, Documents: map[order.Kind]order.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
+	return &State{Canon: canon.New(), Evacuations: map[string]Evacuation{}, Documents: map[order.Kind]order.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, Orders: record.New(ordersMost), bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
 }
 
 // Claims counts the keys held.
@@ -135,7 +136,7 @@
 	switch command.Kind {
 	case CommandConfig:
 		if err := s.Canon.Apply(command.Body, rev); err != nil {
-			return Result{Problem: err.Error()}
+			return refusal(err)
 		}
 		s.Rev = rev
 	case CommandEvacuate, CommandReturn:
@@ -171,7 +172,7 @@
 		s.unbind(command)
 	case CommandOrder:
 		if err := s.setDocument(rev, command); err != nil {
-			return Result{Problem: err.Error()}
+			return refusal(err)
 		}
 	case CommandRetire, CommandStop, CommandRestore:
 		s.retire(rev, command)
@@ -186,95 +187,6 @@
 	return Result{Granted: true}
 }
 
-// ReadDocument reads a document and checks it against the services that stand.
-func ReadDocument(kind order.Kind, body []byte, config *canon.Canon) (document order.Document, err error) {
-	known := func(service string) bool { return config.Stands(canon.Services, service) }
-	document = order.Document{Kind: kind, Body: string(body)}
-	switch kind {
-	case order.DrainPolicy:
-		policy, readErr := drain.Read(body)
-		if readErr != nil {
-			return document, readErr
-		}
-		document.Version, err = policy.Version, policy.Check(known)
-	case order.DayPlan:
-		plan, readErr := dayplan.Read(body)
-		if readErr != nil {
-			return document, readErr
-		}
-		document.Version, err = plan.Version, plan.Check(known, func(parley.RegionName) bool { return true })
-	case order.SessionAffinity:
-		policy, readErr := affinity.Read(body)
-		if readErr != nil {
-			return document, readErr
-		}
-		document.Version, err = policy.Version, policy.Check(known)
-	case order.RetryLimit:
-		limit, readErr := retry.Read(body)
-		if readErr != nil {
-			return document, readErr
-		}
-		document.Version, err = limit.Version, limit.Check(known)
-	default:
-		err = order.Class.New("unknown kind of document %q", kind)
-	}
-	return document, err
-}
-
-func (s *State) setDocument(rev uint64, command Command) (err error) {
-	kind := order.Kind(command.Site)
-	next := order.Document{Kind: kind, Version: order.Version(command.Upto)}
-	if len(command.Body) > 0 {
-		if next, err = ReadDocument(kind, command.Body, s.Canon); err != nil {
-			return err
-		}
-	}
-	after, changed, err := s.Documents[kind].Next(next)
-	if err != nil || !changed {
-		return err
-	}
-	after.Rev = rev
-	s.Documents[kind], s.Rev = after, rev
-	if kind == order.DayPlan && !after.InForce() {
-		// The count and its time stay, so that no later step goes back.
-		s.Move.Targets, s.Move.Rev = nil, rev
-	}
-	return nil
-}
-
-// takenBackMost is how many orders that were taken back are remembered.
-const takenBackMost = 512
-
-func (s *State) retire(rev uint64, command Command) {
-	id := parley.ServerID(command.Site)
-	standing, known := s.Retired[id]
-	known = known && !standing.Gone
-	switch {
-	case command.Kind == CommandRetire && !known:
-		standing = parley.Retirement{Server: id, Service: parley.ServiceName(command.Body), By: command.Holder, Announced: rev}
-	case command.Kind == CommandStop && known && standing.Stopped == 0:
-		standing.Stopped = rev
-	case command.Kind == CommandRestore && known:
-		standing.Gone = true
-	default:
-		return
-	}
-	standing.Rev = rev
-	s.Retired[id], s.Rev = standing, rev
-	var goneID parley.ServerID
-	gone := 0
-	for other, retired := range s.Retired {
-		if retired.Gone {
-			if gone++; goneID == "" || retired.Rev < s.Retired[goneID].Rev {
-				goneID = other
-			}
-		}
-	}
-	if gone > takenBackMost {
-		delete(s.Retired, goneID)
-	}
-}
-
 // Expirable gives the place up to which claims are older than window.
 func (s *State) Expirable(now, window time.Duration) (upto uint64) {
 	for _, claim := range s.order {
@@ -296,11 +208,16 @@
 	Claims      []Claim
 	Seqs        []uint64
 	Seq, Rev    uint64
+	// What follows is absent in snapshots of older versions.
+	Columns   map[canon.Set][]string
+	Overtaken record.Frozen
+	Orders    record.Frozen
 }
 
 // Freeze writes the state out for a snapshot.
 func (s *State) Freeze() (data []byte, err error) {
-	still := frozen{Canon: s.Canon.Items(), Evacuations: s.Evacuations, Documents: s.Documents, Retired: s.Retired, Move: s.Move, Bindings: s.bindings, Seq: s.seq, Rev: s.Rev}
+	still := frozen{Canon: s.Canon.Items(), Evacuations: s.Evacuations, Documents: s.Documents, Retired: s.Retired, Move: s.Move, Bindings: s.bindings, Seq: s.seq, Rev: s.Rev,
+		Columns: s.Canon.Columns(), Overtaken: s.Canon.Overtaken.Freeze(), Orders: s.Orders.Freeze()}
 	for _, claim := range s.order {
 		if s.claims[claim.Key] == claim {
 			still.Claims = append(still.Claims, claim.Claim)
@@ -324,9 +241,16 @@
 	if err = gob.NewDecoder(bytes.NewReader(data)).Decode(&still); err != nil {
 		return nil, err
 	}
+	state.Canon.SetColumns(still.Columns)
 	if err = state.Canon.Restore(still.Canon); err != nil {
 		return nil, err
 	}
+	if state.Canon.Overtaken, err = record.Thaw(canon.OvertakenMost, still.Overtaken); err != nil {
+		return nil, err
+	}
+	if state.Orders, err = record.Thaw(ordersMost, still.Orders); err != nil {
+		return nil, err
+	}
 	if still.Evacuations != nil {
 		state.Evacuations = still.Evacuations
 	}
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -117,22 +117,33 @@
 	if err = c.elsewhere("/-/Config.Update"); err != nil {
 		return err
 	}
+	// What cannot be read is refused whatever stands.
+	call, err := canon.ReadCall(body)
+	if err != nil {
+		return &office.Trouble{Kind: problem.BadConfig, Text: err.Error()}
+	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
 	if result.Problem != "" {
-		return &office.Trouble{Kind: problem.BadConfig, Text: result.Problem}
+		return refusedAs(problem.BadConfig, result)
 	}
 	c.log.Say(events.ConfigTaken, "bytes", len(body))
-	if call, callErr := canon.ReadCall(body); callErr == nil {
-		for _, path := range call.Paths() {
-			c.node.Chronicle.Note(chronicle.Item, path, "acknowledged", "", 0, true)
-		}
+	for _, path := range call.Paths() {
+		c.node.Chronicle.Note(chronicle.Item, path, "acknowledged", "", 0, true)
 	}
 	return nil
 }
 
+// refusedAs is the trouble with an order that the cores have refused.
+func refusedAs(kind problem.Kind, result accord.Result) (err error) {
+	if result.Conflict {
+		kind = problem.VersionTaken
+	}
+	return &office.Trouble{Kind: kind, Text: result.Problem}
+}
+
 func (c *Council) describe(context.Context) (text []byte, err error) {
 	if err = c.elsewhere("/-/Config.Describe"); err != nil {
 		return nil, err
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -18,12 +18,23 @@
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
+	"tinpin/internal/record"
 )
 
 func refused(err error) error {
+	if record.Conflict.Has(err) {
+		return &office.Trouble{Kind: problem.VersionTaken, Text: err.Error()}
+	}
 	return &office.Trouble{Kind: problem.BadOrder, Text: err.Error()}
 }
 
+// barrier waits until all that this core put before the cores is applied. Only
+// behind it is a refusal from this core's own look at the state a proven one.
+func (c *Council) barrier() (err error) {
+	_, err = c.wish(accord.Command{Kind: accord.CommandBarrier})
+	return err
+}
+
 // open gives the forum of this core if it leads.
 func (c *Council) open(path string) (open *forum.Forum, err error) {
 	if err = c.elsewhere(path); err != nil {
@@ -44,14 +55,21 @@
 	if err != nil {
 		return err
 	}
-	var document order.Document
-	c.node.Read(func(state *accord.State) {
-		if document, err = accord.ReadDocument(kind, body, state.Canon); err == nil {
-			_, _, err = state.Documents[kind].Next(document)
+	look := func() (lookErr error) {
+		taken := false
+		c.node.Read(func(state *accord.State) {
+			_, taken, lookErr = state.CheckDocument(order.Document{Kind: kind, Body: string(body)})
+		})
+		if lookErr == nil && !taken && kind == order.DayPlan {
+			lookErr = open.CheckPlan(body)
 		}
-	})
-	if err == nil && kind == order.DayPlan {
-		err = open.CheckPlan(body)
+		return lookErr
+	}
+	if err = look(); err != nil && !check {
+		if err = c.barrier(); err != nil {
+			return err
+		}
+		err = look()
 	}
 	if err != nil {
 		return refused(err)
@@ -79,7 +97,7 @@
 		return err
 	}
 	if result.Problem != "" {
-		return refused(order.Class.New("%s", result.Problem))
+		return refusedAs(problem.BadOrder, result)
 	}
 	c.log.Say(events.OrderTaken, "kind", kind, "name", name, "what", what)
 	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
@@ -107,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err = c.wish(accord.Command{Kind: accord.CommandBarrier}); err != nil {
+	if err = c.barrier(); err != nil {
 		return nil, err
 	}
 	shown := Shown{Kind: kind}
@@ -147,9 +165,16 @@
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &office.Trouble{Kind: problem.Unclear, Text: "the platform's list is not read yet"}
 	}
-	service, err := open.CheckRetire(id)
-	if err != nil {
-		return "", refused(err)
+	service, listed, refusal := open.CheckRetire(id)
+	if refusal != nil {
+		if err = c.barrier(); err != nil {
+			return "", err
+		}
+		var sent sentAgain
+		c.node.Read(func(state *accord.State) { sent.stands, sent.taken = state.RetireTaken(id) })
+		if service, listed, refusal = open.CheckRetire(id); refusal != nil && !sent.stands {
+			return sent.answer(listed, refusal)
+		}
 	}
 	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(service), Claim: accord.Claim{Holder: drain.ByOperator}}
 	result, err := c.wish(command)
@@ -163,3 +188,20 @@
 	}
 	return string(drain.Announced), nil
 }
+
+// sentAgain is what is agreed on of an order to retire that would be refused if
+// it were new.
+type sentAgain struct{ stands, taken bool }
+
+// answer confirms an order that was taken and whose backend has left the list.
+// One that was taken back since cannot be told from a new one: it has no effect
+// and gets neither a yes nor a no.
+func (s sentAgain) answer(listed bool, refusal error) (phase string, err error) {
+	switch {
+	case s.taken && !listed:
+		return string(drain.Left), nil
+	case s.taken:
+		return "", &office.Trouble{Kind: problem.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
+	}
+	return "", refused(refusal)
+}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -52,7 +52,7 @@
 
 func TestErrorsTable(t *testing.T) {
 	text := page(t, "docs/errors.md")
-	for kind := problem.BadRequest; kind <= problem.CutOff; kind++ {
+	for kind := problem.BadRequest; kind <= problem.VersionTaken; kind++ {
 		answer := kind.Answer()
 		ran := "no"
 		if answer.Ran {
--- a/internal/drain/desk.go
+++ b/internal/drain/desk.go
@@ -30,6 +30,8 @@
 	Held      Phase = "held"
 	Stopping  Phase = "stopping"
 	Together  Phase = "together"
+	// Left is told of a backend that is gone from the list.
+	Left Phase = "left"
 )
 
 // Follower is one daemon as the leader hears it.
--- a/internal/forum/orders.go
+++ b/internal/forum/orders.go
@@ -252,21 +252,22 @@
 	return f.list.Walked
 }
 
-// CheckRetire tells why a backend may not be retired at all.
-func (f *Forum) CheckRetire(id parley.ServerID) (service parley.ServiceName, err error) {
+// CheckRetire tells why a backend may not be retired at all, and whether it is
+// on the list.
+func (f *Forum) CheckRetire(id parley.ServerID) (service parley.ServiceName, listed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	server, listed := f.list.Servers.Get(id)
 	if !listed {
-		return "", order.Class.New("backend %q is not on the platform's list", id)
+		return "", false, order.Class.New("backend %q is not on the platform's list", id)
 	}
 	if standing, ordered := f.orders.retired[id]; ordered && !standing.Gone {
-		return server.Service, nil
+		return server.Service, true, nil
 	}
 	if stock := f.stock(server.Service); stock.Useful <= 1 {
-		return "", order.Class.New("backend %q is the last of service %q that is of use", id, server.Service)
+		return "", true, order.Class.New("backend %q is the last of service %q that is of use", id, server.Service)
 	}
-	return server.Service, nil
+	return server.Service, true, nil
 }
 
 // CheckPlan tells what regions a plan names that no site is in.
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,7 +1,7 @@
 // Package order holds what the operator's documents (the drain policy, the
 // day's plan, the limit on retries, session affinity) have in common: each is one written document with a version, agreed on by the cores, set
-// whole or not at all. The highest version holds; the same call sent again
-// changes nothing; an older version, or another text under the version that
+// whole or not at all. The highest version holds; the same content under it
+// changes nothing; an older version, or another content under the version that
 // holds, is refused. Faults of a document are gathered and told in one line.
 package order
 
@@ -11,9 +11,12 @@
 	"strconv"
 	"strings"
 	"time"
+	"unicode/utf8"
 
 	"github.com/valyala/fastjson"
 	"github.com/zeebo/errs"
+
+	"tinpin/internal/record"
 )
 
 // Class marks refused orders.
@@ -78,13 +81,18 @@
 	return stamp
 }
 
+// Content is a digest of what the document says, however it is written.
+func (d Document) Content() (content record.Digest) { return record.DigestJSON([]byte(d.Body)) }
+
 // Next gives what stands after a call that sets or withdraws, and whether that
 // changes anything.
 func (d Document) Next(next Document) (after Document, changed bool, err error) {
 	switch {
-	case next.Version == d.Version && next.Body == d.Body:
+	case next.Version == d.Version && next.Content() == d.Content():
 		return d, false, nil
-	case next.Version <= d.Version:
+	case next.Version == d.Version:
+		return d, false, record.Conflict.New("version %d is not above %d, which holds with other content", next.Version, d.Version)
+	case next.Version < d.Version:
 		return d, false, Class.New("version %d is not above %d, which holds", next.Version, d.Version)
 	}
 	return next, true, nil
@@ -145,9 +153,12 @@
 // misspelt one would otherwise be obeyed in its absence.
 func Open(body []byte, into any) (err error) {
 	v, err := fastjson.ParseBytes(body)
-	if err != nil || v.Type() != fastjson.TypeObject {
+	if err != nil || v.Type() != fastjson.TypeObject || !utf8.Valid(body) || fastjson.ValidateBytes(body) != nil {
 		return Class.New("the document must be a JSON object")
 	}
+	if key, twice := record.Twice(v); twice {
+		return Class.New("an object of the document holds %q twice", key)
+	}
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
 	if err = decoder.Decode(into); err != nil {
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -35,6 +35,7 @@
 	BadOrder
 	NoSession
 	CutOff
+	VersionTaken
 )
 
 // Answer is what a problem looks like to the one who called.
@@ -70,6 +71,7 @@
 	NotReady:     {Status: 503, Text: "not ready"},
 	Unclear:      {Status: 503, Text: "no majority answered in time"},
 	BadOrder:     {Status: 422, Text: "refused order"},
+	VersionTaken: {Status: 409, Text: "this version holds other content"},
 	NoSession:    {Status: 503, Text: "the session's backend cannot be asked for now", RetryMS: 200},
 	CutOff:       {Status: 503, Text: "this daemon has lost touch with the others", RetryMS: 500},
 	NotStarted:   {Status: 503, Text: "the configuration is not known yet", RetryMS: 300},
