--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -120,14 +120,14 @@
 	// What cannot be read is refused whatever stands.
 	call, err := canon.ReadCall(body)
 	if err != nil {
-		return &office.Trouble{Kind: problem.BadConfig, Text: err.Error()}
+		return c.refuse(chronicle.Item, &office.Trouble{Kind: problem.BadConfig, Text: err.Error()})
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
 	if result.Problem != "" {
-		return refusedAs(problem.BadConfig, result)
+		return c.refuse(chronicle.Item, refusedAs(problem.BadConfig, result))
 	}
 	c.log.Say(events.ConfigTaken, "bytes", len(body))
 	for _, path := range call.Paths() {
@@ -137,13 +137,19 @@
 }
 
 // refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind problem.Kind, result accord.Result) (err error) {
+func refusedAs(kind problem.Kind, result accord.Result) (trouble *office.Trouble) {
 	if result.Conflict {
 		kind = problem.VersionTaken
 	}
 	return &office.Trouble{Kind: kind, Text: result.Problem}
 }
 
+// refuse logs what the caller is told.
+func (c *Council) refuse(subject string, trouble *office.Trouble) (err error) {
+	c.log.Say(events.OrderRefused, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
+	return trouble
+}
+
 func (c *Council) describe(context.Context) (text []byte, err error) {
 	if err = c.elsewhere("/-/Config.Describe"); err != nil {
 		return nil, err
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -21,7 +21,7 @@
 	"tinpin/internal/record"
 )
 
-func refused(err error) error {
+func refused(err error) (trouble *office.Trouble) {
 	if record.Conflict.Has(err) {
 		return &office.Trouble{Kind: problem.VersionTaken, Text: err.Error()}
 	}
@@ -72,7 +72,10 @@
 		err = look()
 	}
 	if err != nil {
-		return refused(err)
+		if check {
+			return refused(err)
+		}
+		return c.refuse(chronicle.Document, refused(err))
 	}
 	if check {
 		return nil
@@ -97,7 +100,7 @@
 		return err
 	}
 	if result.Problem != "" {
-		return refusedAs(problem.BadOrder, result)
+		return c.refuse(kind, refusedAs(problem.BadOrder, result))
 	}
 	c.log.Say(events.OrderTaken, "kind", kind, "name", name, "what", what)
 	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
@@ -173,7 +176,10 @@
 		var sent sentAgain
 		c.node.Read(func(state *accord.State) { sent.stands, sent.taken = state.RetireTaken(id) })
 		if service, listed, refusal = open.CheckRetire(id); refusal != nil && !sent.stands {
-			return sent.answer(listed, refusal)
+			if phase, err = sent.answer(listed, refusal); err != nil {
+				c.log.Say(events.OrderRefused, "kind", chronicle.Retirement, "name", string(id), "why", err.Error())
+			}
+			return phase, err
 		}
 	}
 	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(service), Claim: accord.Claim{Holder: drain.ByOperator}}
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -47,6 +47,9 @@
 	RetriesHeld
 )
 
+// OrderRefused is beside the others, whose numbers run on.
+const OrderRefused Event = 140
+
 // Texts is the catalogue.
 var Texts = map[Event]string{
 	Started:         "daemon started",
@@ -75,6 +78,7 @@
 	MoveStands:      "target of the day's plan goes on or waits",
 	CutOff:          "cut off from leader and fellows, or back in touch",
 	OrderTaken:      "operator's order acknowledged",
+	OrderRefused:    "operator's order refused",
 	SessionMoved:    "session moved to another backend",
 	AskRefused:      "malformed call of a daemon refused",
 	RetriesHeld:     "retries to a slow service held back, or let again",
