--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -40,18 +40,22 @@
 			next.Version = head.Version
 		}
 	}
+	standing := s.Documents[next.Kind]
+	if standing.Version == next.Version && standing.Content() == next.Content() {
+		return standing, true, nil
+	}
 	if content, known := s.Orders.Content(documentNumber(next.Kind, next.Version)); known {
 		if content == next.Content() {
-			return s.Documents[next.Kind], true, nil
+			return standing, true, nil
 		}
-		return after, false, record.Conflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, s.Documents[next.Kind].Stamp())
+		return after, false, record.Conflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, standing.Stamp())
 	}
 	if next.Body != "" {
 		if next, err = ReadDocument(next.Kind, []byte(next.Body), s.Canon); err != nil {
 			return after, false, err
 		}
 	}
-	after, changed, err := s.Documents[next.Kind].Next(next)
+	after, changed, err := standing.Next(next)
 	return after, err == nil && !changed, err
 }
 
@@ -96,11 +100,9 @@
 	if err != nil || taken {
 		return err
 	}
-	// What stands may be older than the record.
 	if before := s.Documents[next.Kind]; before.Version > 0 {
 		s.Orders.Note(documentNumber(before.Kind, before.Version), before.Content())
 	}
-	s.Orders.Note(documentNumber(after.Kind, after.Version), after.Content())
 	after.Rev = rev
 	s.Documents[next.Kind], s.Rev = after, rev
 	if next.Kind == order.DayPlan && !after.InForce() {
--- /dev/null
+++ b/internal/canon/fuzz_test.go
@@ -0,0 +1,62 @@
+// Whatever is sent: a refused call changes nothing, the same call is confirmed
+// twice and takes effect once, replicas that apply the same calls, one of them
+// from a snapshot, describe the same, and what is described can be sent.
+package canon
+
+import (
+	"testing"
+
+	"tinpin/internal/record"
+)
+
+func copied(t *testing.T, c *Canon) (again *Canon) {
+	t.Helper()
+	again = New()
+	again.SetColumns(c.Columns())
+	if err := again.Restore(c.Items()); err != nil {
+		t.Fatal(err)
+	}
+	var err error
+	if again.Overtaken, err = record.Thaw(OvertakenMost, c.Overtaken.Freeze()); err != nil {
+		t.Fatal(err)
+	}
+	return again
+}
+
+func FuzzCalls(f *testing.F) {
+	for _, call := range []string{
+		firstCall, at("5"), at("0"), at("1.5"), at("18446744073709551615"), `{}`, `[]`, `{"upserts":null,"removals":{}}`,
+		route("r1", "a.example", "/nine/", "idempotent", "1s", "1s", "s1", "9"), route("r1", "a.example", "/x/", "idempotent", "1s", "1s", "s1", "7"),
+		`{"removals":{"routes":[{"name":"r1","version":12},{"name":"r2","version":12}],"services":[{"name":"s1","version":12}]}}`,
+		`{"upserts":{"limits":{"version":9,"x":[1e5,{"a":null}]}},"removals":{"limits":[{"name":"","version":8}]}}`,
+		`{"upserts":{"tenants":{"column_names":["name","hostnames","rate","version"],"row_values":[["t1",["a.example"],5,1]]}}}`,
+	} {
+		f.Add([]byte(call), []byte(at("5")))
+		f.Add([]byte(at("5")), []byte(call))
+	}
+	f.Fuzz(func(t *testing.T, one, other []byte) {
+		c := set(t)
+		for i, call := range [][]byte{one, other, one, other} {
+			replica := copied(t, c)
+			before, noted := string(c.Describe()), c.Overtaken.Len()
+			err := c.Apply(call, uint64(i+2))
+			after := string(c.Describe())
+			if err != nil && (after != before || c.Overtaken.Len() != noted) {
+				t.Fatalf("refused with %v, and changed", err)
+			}
+			if replicaErr := replica.Apply(call, uint64(i+2)); (replicaErr == nil) != (err == nil) || string(replica.Describe()) != after || string(replica.Overtaken.Freeze().Entries) != string(c.Overtaken.Freeze().Entries) {
+				t.Fatalf("replicas part: %v, %v", err, replicaErr)
+			}
+			if err != nil {
+				continue
+			}
+			noted = c.Overtaken.Len()
+			if err = c.Apply(call, uint64(i+20)); err != nil || string(c.Describe()) != after || c.Overtaken.Len() != noted {
+				t.Fatalf("sent again: %v", err)
+			}
+			if err = New().Apply([]byte(`{"upserts":`+after+`}`), 1); err != nil {
+				t.Fatalf("what stands cannot be sent: %v", err)
+			}
+		}
+	})
+}
--- a/internal/clerk/clerk.go
+++ b/internal/clerk/clerk.go
@@ -135,7 +135,8 @@
 	return shown, Class.Wrap(json.Unmarshal(answer, &shown))
 }
 
-// call tries each control address; an answer below 500 is the answer.
+// call tries each control address; an answer below 500 is the answer. Where none
+// has one, nobody can say whether the order stands, and it may be sent again.
 func (c *Clerk) call(ctx context.Context, method, path string, body []byte) (answer []byte, err error) {
 	err = Class.New("no control address is given")
 	for _, control := range c.Controls {
@@ -143,6 +144,9 @@
 			return answer, err
 		}
 	}
+	if method == http.MethodPost {
+		return nil, Class.New("no clear answer, the same may be sent again: %v", err)
+	}
 	return nil, err
 }
 
@@ -172,6 +176,9 @@
 		Text string `json:"error_message"`
 	}
 	_ = json.Unmarshal(answer, &told)
+	if response.StatusCode == http.StatusConflict {
+		return nil, refusal.New("another order was taken under this version: %s", told.Text)
+	}
 	if response.StatusCode < 500 {
 		return nil, refusal.New("%s", told.Text)
 	}
--- a/internal/council/status.go
+++ b/internal/council/status.go
@@ -27,6 +27,11 @@
 	Members []accord.Member `json:"members"`
 	Rev     uint64          `json:"rev"`
 	Claims  int             `json:"claims"`
+	// Orders and Overtaken count what the record of orders and of overtaken
+	// versions holds; Forgotten what fell out of either for want of room.
+	Orders    int    `json:"orders_remembered"`
+	Overtaken int    `json:"overtaken_remembered"`
+	Forgotten uint64 `json:"orders_forgotten"`
 	// BytesIn and BytesOut are those of inner calls since it started.
 	BytesIn  int64          `json:"bytes_in"`
 	BytesOut int64          `json:"bytes_out"`
@@ -41,7 +46,11 @@
 	var term accord.Term
 	account.Leads, account.Settled, term, leader, account.Members = c.node.Standing()
 	account.Term, account.Leader = uint64(term), leader.Control
-	c.node.Read(func(state *accord.State) { account.Rev, account.Claims = state.Rev, state.Claims() })
+	c.node.Read(func(state *accord.State) {
+		account.Rev, account.Claims = state.Rev, state.Claims()
+		account.Orders, account.Overtaken = state.Orders.Len(), state.Canon.Overtaken.Len()
+		account.Forgotten = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
+	})
 	account.BytesIn, account.BytesOut = parley.Traffic()
 	if open := c.desk.Forum(); open != nil {
 		account.Forum = open.Account()
--- a/internal/record/content.go
+++ b/internal/record/content.go
@@ -15,7 +15,7 @@
 )
 
 // Digest stands for a content, or for the number it came under.
-type Digest [16]byte
+type Digest [8]byte
 
 // Content gathers parsed values for one digest.
 type Content struct{ text []byte }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	if _, err = Thaw(3, Frozen{Entries: make([]byte, 33)}); err == nil {
+	if _, err = Thaw(3, Frozen{Entries: make([]byte, entryBytes+1)}); err == nil {
 		t.Error("a cut record was read")
 	}
 }
