--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -18,12 +18,23 @@
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
+	"tinpin/internal/record"
 )
 
-func refused(err error) error {
+func refused(err error) (trouble *office.Trouble) {
+	if record.Conflict.Has(err) {
+		return &office.Trouble{Kind: problem.VersionTaken, Text: err.Error()}
+	}
 	return &office.Trouble{Kind: problem.BadOrder, Text: err.Error()}
 }
 
+// barrier waits until all that this core put before the cores is applied. Only
+// behind it is a refusal from this core's own look at the state a proven one.
+func (c *Council) barrier() (err error) {
+	_, err = c.wish(accord.Command{Kind: accord.CommandBarrier})
+	return err
+}
+
 // open gives the forum of this core if it leads.
 func (c *Council) open(path string) (open *forum.Forum, err error) {
 	if err = c.elsewhere(path); err != nil {
@@ -44,17 +55,30 @@
 	if err != nil {
 		return err
 	}
-	var document order.Document
-	c.node.Read(func(state *accord.State) {
-		if document, err = accord.ReadDocument(kind, body, state.Canon); err == nil {
-			_, _, err = state.Documents[kind].Next(document)
+	look := func() (lookErr error) {
+		taken := false
+		c.node.Read(func(state *accord.State) {
+			_, taken, lookErr = state.CheckDocument(order.Document{Kind: kind, Body: string(body)})
+		})
+		if lookErr == nil && !taken && kind == order.DayPlan {
+			lookErr = open.CheckPlan(body)
 		}
-	})
-	if err == nil && kind == order.DayPlan {
-		err = open.CheckPlan(body)
+		return lookErr
+	}
+	if err = look(); err != nil && !check {
+		if err = c.barrier(); err != nil {
+			return err
+		}
+		err = look()
 	}
 	if err != nil {
-		return c.proven(open, refused(err))
+		if check {
+			return c.proven(open, refused(err))
+		}
+		if unproven := c.proven(open, nil); unproven != nil {
+			return unproven
+		}
+		return c.refuse(chronicle.Document, refused(err))
 	}
 	if check {
 		return c.proven(open, nil)
@@ -79,7 +103,7 @@
 		return err
 	}
 	if result.Problem != "" {
-		return refused(order.Class.New("%s", result.Problem))
+		return c.refuse(kind, refusedAs(problem.BadOrder, result))
 	}
 	c.log.Say(events.OrderTaken, "kind", kind, "name", name, "what", what)
 	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
@@ -147,9 +171,22 @@
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &office.Trouble{Kind: problem.Unclear, Text: "the platform's list is not read yet"}
 	}
-	service, err := open.CheckRetire(id)
-	if err != nil {
-		return "", c.proven(open, refused(err))
+	service, listed, refusal := open.CheckRetire(id)
+	if refusal != nil {
+		if err = c.barrier(); err != nil {
+			return "", err
+		}
+		var sent sentAgain
+		c.node.Read(func(state *accord.State) { sent.stands, sent.taken = state.RetireTaken(id) })
+		if service, listed, refusal = open.CheckRetire(id); refusal != nil && !sent.stands {
+			if err = c.proven(open, nil); err != nil {
+				return "", err
+			}
+			if phase, err = sent.answer(listed, refusal); err != nil {
+				c.log.Say(events.OrderRefused, "kind", chronicle.Retirement, "name", string(id), "why", err.Error())
+			}
+			return phase, err
+		}
 	}
 	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(service), Claim: accord.Claim{Holder: drain.ByOperator}}
 	result, err := c.wish(command)
@@ -163,3 +200,20 @@
 	}
 	return string(drain.Announced), nil
 }
+
+// sentAgain is what is agreed on of an order to retire that would be refused if
+// it were new.
+type sentAgain struct{ stands, taken bool }
+
+// answer confirms an order that was taken and whose backend has left the list.
+// One that was taken back since cannot be told from a new one: it has no effect
+// and gets neither a yes nor a no.
+func (s sentAgain) answer(listed bool, refusal error) (phase string, err error) {
+	switch {
+	case s.taken && !listed:
+		return string(drain.Left), nil
+	case s.taken:
+		return "", &office.Trouble{Kind: problem.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
+	}
+	return "", refused(refusal)
+}
