--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -1,12 +1,14 @@
-// Keeping house: the leader takes newcomers in and lets the departed go, and a
-// core that is no member asks to become one.
+// Keeping house: the leader carries out what the policy of membership decides,
+// and a core that is no member asks to become one.
 package accord
 
 import (
 	crand "crypto/rand"
 	"encoding/hex"
 	"net"
+	"sort"
 	"time"
+
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
@@ -17,6 +19,15 @@
 	at     int
 }
 
+const (
+	houseTicks   = 5
+	askTicks     = 10
+	joinerTicks  = 100
+	leavingTicks = 2 * electTicks
+	refusedTicks = 400
+	maxRefused   = 64
+)
+
 // JoinAsk asks to be taken in.
 type JoinAsk struct{ Member Member }
 
@@ -37,45 +48,71 @@
 		return nil
 	}
 	select {
-	case d.node.tells <- func() { d.node.joiners[ask.Member.ID] = joiner{ask.Member, d.node.ticks} }:
+	case d.node.tells <- func() { d.node.noteJoiner(ask.Member) }:
 	default:
 	}
 	return nil
 }
 
+// noteJoiner keeps a newcomer for the next decision, or says why it cannot be
+// taken in.
+func (n *Node) noteJoiner(newcomer Member) {
+	why := n.membership.Refuse(n.raft.Members(), newcomer)
+	if _, member := find(n.raft.Members(), newcomer.ID); why == "" && member {
+		return
+	}
+	if _, waits := n.joiners[newcomer.ID]; why == "" && !waits && len(n.joiners) >= n.membership.MostLearners {
+		why = "too many wait to be taken in"
+	}
+	if why == "" {
+		n.joiners[newcomer.ID] = joiner{newcomer, n.ticks}
+		return
+	}
+	if said, known := n.refused[newcomer.ID]; known && n.ticks-said < refusedTicks {
+		return
+	}
+	if len(n.refused) >= maxRefused {
+		n.refused = map[ID]int{}
+	}
+	n.refused[newcomer.ID] = n.ticks
+	n.log.Say(events.JoinRefused, "id", string(newcomer.ID), "inner", newcomer.Inner, "problem", why)
+}
+
+// roll is what this leader sees of the members.
+func (n *Node) roll() (roll Roll) {
+	for id, joiner := range n.joiners {
+		if n.ticks-joiner.at > joinerTicks {
+			delete(n.joiners, id)
+			continue
+		}
+		roll.Waiting = append(roll.Waiting, joiner.member)
+	}
+	sort.Slice(roll.Waiting, func(i, j int) bool { return roll.Waiting[i].ID < roll.Waiting[j].ID })
+	for id, at := range n.leaving {
+		if n.ticks-at > leavingTicks {
+			delete(n.leaving, id)
+		}
+	}
+	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = n.self.ID, n.ticks, n.raft.Members(), n.raft.CaughtUp
+	roll.Leaving = func(id ID) bool { _, leaving := n.leaving[id]; return leaving }
+	roll.Silence = func(id ID) int { ticks, _ := n.raft.Heard(id); return ticks }
+	return roll
+}
+
 // keepHouse takes newcomers in, lets the departed go, expires old keys and,
 // where this core is no member, asks to become one.
 func (n *Node) keepHouse() {
 	if n.raft.Role() != Leader {
 		_, member := find(n.raft.Members(), n.self.ID)
-		if (!member || n.ticks-n.heardAt > 2*electTicks) && n.ticks%10 == 0 {
-			go n.askToJoin()
+		if !n.parting && (!member || n.ticks-n.heardAt > 2*electTicks) && n.ticks%askTicks == 0 {
+			n.askToJoin()
 		}
 		return
 	}
 	if !n.raft.Settled() {
 		return
 	}
-	for id, joiner := range n.joiners {
-		if n.ticks-joiner.at > 100 {
-			delete(n.joiners, id)
-		}
-	}
-	var waiting []Member
-	for _, joiner := range n.joiners {
-		waiting = append(waiting, joiner.member)
-	}
-	next, change := NextMembers(n.raft.Members(), n.self, waiting, Voters(n.props.MachineLosses), n.raft.CaughtUp, func(id ID) bool {
-		ticks, known := n.raft.Heard(id)
-		return known && ticks > departTicks
-	})
-	if change {
-		accepted, out := n.raft.Change(next)
-		if accepted {
-			n.log.Say(events.MemberChanged, "members", len(next))
-			n.carry(out)
-		}
-	}
+	n.changeMembers()
 	if n.ticks%25 == 0 {
 		n.mu.RLock()
 		upto := n.state.Expirable(n.Now(), n.props.Bounds.KeyWindow+15*time.Second)
@@ -89,53 +126,20 @@
 	}
 }
 
-// Voters is how many cores should vote, so that what was acknowledged outlasts
-// the loss of so many: of twice as many and one, a majority is left.
-func Voters(losses int) (wanted int) { return max(3, 2*losses+1) }
-
-// NextMembers is the next single change of membership, if one is due: a
-// newcomer becomes a learner; a wiped or departed voter goes when a caught-up
-// learner stands ready; a caught-up learner becomes a voter while there are
-// fewer than wanted.
-func NextMembers(members []Member, self Member, waiting []Member, wanted int, caughtUp func(ID) bool, departed func(ID) bool) (next []Member, change bool) {
-	next = append([]Member(nil), members...)
-	for _, newcomer := range waiting {
-		if _, known := find(members, newcomer.ID); !known {
-			newcomer.Voter = false
-			return append(next, newcomer), true
-		}
-	}
-	voters, ready := 0, -1
-	for i, member := range members {
-		if member.Voter {
-			voters++
-		} else if caughtUp(member.ID) {
-			ready = i
-		}
-	}
-	// A later member at the same address is the newer life of the same core.
-	replaced := func(at int) bool {
-		for _, newer := range members[at+1:] {
-			if newer.Inner == members[at].Inner && (departed(members[at].ID) || caughtUp(newer.ID)) {
-				return true
-			}
-		}
-		return false
-	}
-	for i, member := range members {
-		if member.ID == self.ID {
-			continue
-		}
-		wiped := replaced(i)
-		if member.Voter && wiped && ready >= 0 || member.Voter && departed(member.ID) && ready >= 0 || !member.Voter && (wiped && !caughtUp(member.ID) || departed(member.ID)) {
-			return append(next[:i], next[i+1:]...), true
-		}
+// changeMembers makes the one change of membership that is due.
+func (n *Node) changeMembers() {
+	roll := n.roll()
+	decision := n.membership.Decide(roll)
+	if decision.Move == Stay {
+		return
 	}
-	if ready >= 0 && voters < wanted {
-		next[ready].Voter = true
-		return next, true
+	accepted, out := n.raft.Change(decision.Next)
+	if !accepted {
+		return
 	}
-	return nil, false
+	n.membership.Took(roll, decision)
+	n.log.Say(events.MemberChanged, "move", decision.Move.String(), "id", string(decision.Member.ID), "members", len(decision.Next))
+	n.carry(out)
 }
 
 func (n *Node) askToJoin() {
@@ -150,17 +154,22 @@
 	n.mu.RUnlock()
 	delete(targets, n.self.Inner)
 	for target := range targets {
-		caller := parley.NewCaller(target)
-		var reply JoinReply
-		if err := caller.Call("Accord.Join", JoinAsk{n.self}, &reply, 300*time.Millisecond); err == nil {
-			n.mu.Lock()
-			for _, inner := range reply.Inners {
-				n.book[ID("heard-"+inner)] = inner
-			}
-			n.mu.Unlock()
-		}
-		caller.Close()
+		go n.askOneToJoin(target)
+	}
+}
+
+func (n *Node) askOneToJoin(target string) {
+	caller := parley.NewCaller(target)
+	defer caller.Close()
+	var reply JoinReply
+	if err := caller.Call("Accord.Join", JoinAsk{n.self}, &reply, 300*time.Millisecond); err != nil {
+		return
+	}
+	n.mu.Lock()
+	for _, inner := range reply.Inners {
+		n.book[ID("heard-"+inner)] = inner
 	}
+	n.mu.Unlock()
 }
 
 // Identity decides who a core with an empty disk is: a founder where the
--- /dev/null
+++ b/internal/accord/leave.go
@@ -0,0 +1,158 @@
+// Leaving by agreement: a core that is asked to stop hands leadership over and
+// asks the leader to be taken out. Where nobody is near to take its place the
+// leader says so at once, and the core ends as the voter it is; else it stays
+// until the new set is committed, within the time it has.
+package accord
+
+import (
+	"time"
+
+	"tinpin/internal/parley"
+)
+
+// Parting is what a leader says to a core that leaves.
+type Parting uint8
+
+// The partings: stay a member and end, wait, or gone from the members.
+const (
+	PartAsMember Parting = iota + 1
+	PartLater
+	PartNow
+)
+
+// LeaveAsk asks to be taken out.
+type LeaveAsk struct{ ID ID }
+
+// LeaveReply is empty where the core asked does not lead.
+type LeaveReply struct{ Parting Parting }
+
+// Leave notes a core that is about to end.
+func (d *Desk) Leave(ask LeaveAsk, reply *LeaveReply) (err error) {
+	parting := make(chan Parting, 1)
+	select {
+	case d.node.tells <- func() { parting <- d.node.noteLeaving(ask.ID) }:
+	default:
+		return nil
+	}
+	timer := time.NewTimer(leaveWait)
+	defer timer.Stop()
+	select {
+	case reply.Parting = <-parting:
+	case <-timer.C:
+	case <-d.node.stop:
+	}
+	return nil
+}
+
+const (
+	leaveWait   = 150 * time.Millisecond
+	resignWait  = 200 * time.Millisecond
+	resignSpan  = 50 * time.Millisecond
+	leaveSearch = 4 * electTicks * tickSpan
+)
+
+// noteLeaving answers for the leader; it is zero where this core does not lead.
+func (n *Node) noteLeaving(id ID) (parting Parting) {
+	if !n.raft.Settled() || n.parting {
+		return 0
+	}
+	delete(n.joiners, id)
+	member, known := find(n.raft.Members(), id)
+	switch {
+	case !known && n.raft.changing():
+		return PartLater
+	case !known:
+		return PartNow
+	case !member.Voter || !n.membership.Successor(n.roll(), id):
+		delete(n.leaving, id)
+		return PartAsMember
+	}
+	n.leaving[id] = n.ticks
+	n.changeMembers()
+	return PartLater
+}
+
+// leave is bounded by three quarters of the time until the process is killed.
+func (n *Node) leave() {
+	end := time.Now().Add(n.props.Bounds.Grace * 3 / 4)
+	ask := n.part()
+	heard := time.Now()
+	for now := heard; ask && now.Before(end) && now.Sub(heard) < leaveSearch; now = time.Now() {
+		parting, answered := n.askToLeave()
+		if parting == PartAsMember || parting == PartNow {
+			break
+		}
+		if answered {
+			heard = time.Now()
+		}
+		time.Sleep(tickSpan)
+		n.part()
+	}
+	// What was handed to the couriers may go out, and another may take over.
+	time.Sleep(resignSpan)
+	for waited := resignSpan; waited < resignWait && n.leads(); waited += tickSpan {
+		time.Sleep(tickSpan)
+	}
+}
+
+func (n *Node) leads() (leads bool) {
+	leads, _, _, _, _ = n.Standing()
+	return leads
+}
+
+// part resigns and tells whether the leader is to be asked: not where this core
+// led and knows that nobody is near.
+func (n *Node) part() (ask bool) {
+	done := make(chan bool, 1)
+	resign := func() {
+		n.parting = true
+		near := true
+		if n.raft.Role() == Leader {
+			near = n.membership.Successor(n.roll(), n.self.ID)
+			if n.raft.Open() {
+				n.carry(n.raft.Resign())
+			}
+		}
+		_, member := find(n.raft.Members(), n.self.ID)
+		done <- near && member
+	}
+	select {
+	case n.tells <- resign:
+	case <-time.After(resignWait):
+		return false
+	}
+	select {
+	case ask = <-done:
+	case <-time.After(resignWait):
+	}
+	return ask
+}
+
+// askToLeave asks the leader, or all where none is known.
+func (n *Node) askToLeave() (parting Parting, answered bool) {
+	_, _, _, leader, members := n.Standing()
+	if leader.ID != "" && leader.ID != n.self.ID {
+		members = []Member{leader}
+	}
+	replies := make(chan Parting, len(members))
+	asked := 0
+	for _, member := range members {
+		if member.ID == n.self.ID || !member.Voter {
+			continue
+		}
+		asked++
+		go func() {
+			caller := parley.NewCaller(member.Inner)
+			defer caller.Close()
+			var reply LeaveReply
+			_ = caller.Call("Accord.Leave", LeaveAsk{n.self.ID}, &reply, leaveWait)
+			replies <- reply.Parting
+		}()
+	}
+	for ; asked > 0; asked-- {
+		if parting = <-replies; parting != 0 {
+			return parting, true
+		}
+	}
+	return 0, false
+}
--- /dev/null
+++ b/internal/accord/membership_test.go
@@ -0,0 +1,273 @@
+package accord
+
+import (
+	"testing"
+	"time"
+)
+
+// rollOf makes a roll of members that are all heard and have all, but for
+// those named as dead, leaving or behind.
+func rollOf(members []Member, dead, leaving, behind string) (roll Roll) {
+	within := func(ids string, id ID) bool {
+		for _, each := range ids {
+			if ID(string(each)) == id {
+				return true
+			}
+		}
+		return false
+	}
+	return Roll{
+		Self: members[0].ID, Members: members,
+		Leaving:  func(id ID) bool { return within(leaving, id) },
+		CaughtUp: func(id ID) bool { return !within(dead, id) && !within(behind, id) },
+		Silence: func(id ID) int {
+			if within(dead, id) {
+				return 1 << 20
+			}
+			return 0
+		},
+	}
+}
+
+// group gives members a, b, c and so on: first voters, then learners.
+func group(voters, learners int) (members []Member) {
+	for i := 0; i < voters+learners; i++ {
+		id := string(rune('a' + i))
+		members = append(members, Member{ID: ID(id), Inner: id, Voter: i < voters})
+	}
+	return members
+}
+
+func countVoters(members []Member) (voters int) {
+	for _, member := range members {
+		if member.Voter {
+			voters++
+		}
+	}
+	return voters
+}
+
+// With three founders of five cores, two losses must leave a majority: the
+// other two are made voters as soon as they have the log.
+func TestAllThatTheLossesAskForVote(t *testing.T) {
+	for _, c := range []struct{ losses, voters int }{{1, 3}, {2, 5}, {3, 6}} {
+		next := group(3, 3)
+		for {
+			decision := NewMembership(c.losses, 0, 0).Decide(rollOf(next, "", "", ""))
+			if decision.Move == Stay {
+				break
+			}
+			next = decision.Next
+		}
+		if voters := countVoters(next); voters != c.voters {
+			t.Errorf("%d losses: %d voters, want %d", c.losses, voters, c.voters)
+		}
+	}
+	if decision := NewMembership(2, 0, 0).Decide(rollOf(group(3, 3), "", "", "abcdef")); decision.Move != Stay {
+		t.Error("a core that lacks the log was made a voter")
+	}
+}
+
+// Each row is a group, who is dead, leaving or behind, and the moves in turn.
+func TestOrderOfChanges(t *testing.T) {
+	for _, c := range []struct {
+		name                  string
+		losses                int
+		members               []Member
+		dead, leaving, behind string
+		moves                 string
+	}{
+		{"dead first out, then raised", 1, group(3, 1), "c", "", "", "-c+d"},
+		{"leaving: raised, then out", 1, group(3, 1), "", "c", "", "+d-c"},
+		{"dead, nobody ready", 1, group(3, 1), "c", "", "d", ""},
+		{"dead, nobody near", 1, group(3, 0), "c", "", "", ""},
+		{"leaving, nobody near", 1, group(3, 0), "", "c", "", ""},
+		{"more than wanted, dead", 1, group(4, 0), "c", "", "", "-c"},
+		{"more than wanted, leaving", 1, group(4, 0), "", "c", "", "-c"},
+		{"more than wanted, all well", 1, group(4, 0), "", "", "", ""},
+		{"two leave, two come", 1, group(3, 2), "", "bc", "", "+d-b+e-c"},
+		{"two leave, one comes", 1, group(3, 1), "", "bc", "", "+d-b"},
+		{"one dead, one leaves, one comes", 1, group(3, 1), "b", "c", "", "-b+d"},
+		{"two of five dead, two ready", 2, group(5, 2), "de", "", "", "-d+f-e+g"},
+		{"two of five dead, one ready", 2, group(5, 1), "de", "", "", "-d-e+f"},
+		{"two of five dead, one ready, one near", 2, group(5, 2), "de", "", "g", "-d+f"},
+		{"a dead learner that was never missed", 1, group(3, 1), "d", "", "", "-d"},
+	} {
+		membership := NewMembership(c.losses, 0, 4*time.Second)
+		members, moves := c.members, ""
+		for step := 0; step < 12; step++ {
+			decision := membership.Decide(rollOf(members, c.dead, c.leaving, c.behind))
+			if decision.Move == Stay {
+				break
+			}
+			sign := "+"
+			if decision.Move == Remove {
+				sign = "-"
+			}
+			moves += sign + string(decision.Member.ID)
+			members = decision.Next
+		}
+		if moves != c.moves {
+			t.Errorf("%s: %q, want %q", c.name, moves, c.moves)
+		}
+	}
+}
+
+func TestTimesFollowTheSettings(t *testing.T) {
+	for _, c := range []struct {
+		catchUp time.Duration
+		silence int
+	}{{4 * time.Second, 40}, {6 * time.Second, 60}, {40 * time.Second, 400}, {0, 3 * electTicks}, {time.Second, 3 * electTicks}} {
+		if silence := NewMembership(1, 0, c.catchUp).Silence; silence != c.silence {
+			t.Errorf("catch_up %v: silence of %d ticks, want %d", c.catchUp, silence, c.silence)
+		}
+	}
+}
+
+// A newer life at the same address means that the older is gone at once, as
+// voter and as learner; one that was only noted and not heard since does not.
+func TestNewerLifeEndsTheOlder(t *testing.T) {
+	members := group(3, 1)
+	members[3].Inner = "c"
+	silence := map[ID]int{"c": 2}
+	roll := rollOf(members, "", "", "")
+	roll.Silence = func(id ID) int { return silence[id] }
+	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Remove || decision.Member.ID != "c" {
+		t.Errorf("%s %s", decision.Move, decision.Member.ID)
+	}
+	silence["c"], silence["d"] = 0, 30
+	roll.CaughtUp = func(id ID) bool { return id != "d" }
+	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Stay {
+		t.Errorf("the life that is heard went: %s %s", decision.Move, decision.Member.ID)
+	}
+	members = append(group(3, 2), Member{ID: "f", Inner: "d"})
+	roll = rollOf(members, "", "", "ef")
+	roll.Silence = func(id ID) int { return map[ID]int{"d": 1}[id] }
+	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Remove || decision.Member.ID != "d" {
+		t.Errorf("%s %s", decision.Move, decision.Member.ID)
+	}
+}
+
+func TestZonesDecideTies(t *testing.T) {
+	members := group(3, 2)
+	for i, zone := range []string{"x", "x", "y", "x", "z"} {
+		members[i].Site = zone
+	}
+	// Of two dead, the one goes whose zone has the most voters.
+	if decision := NewMembership(1, 1, 0).Decide(rollOf(members, "bc", "", "")); decision.Move != Remove || decision.Member.ID != "b" {
+		t.Errorf("%s %s", decision.Move, decision.Member.ID)
+	}
+	members[1].Voter = false
+	for zones, id := range map[int]ID{0: "b", 1: "e"} {
+		if decision := NewMembership(1, zones, 0).Decide(rollOf(members, "", "", "")); decision.Move != Raise || decision.Member.ID != id {
+			t.Errorf("%d zones: %s %s, want %s", zones, decision.Move, decision.Member.ID, id)
+		}
+	}
+}
+
+func TestImpossibleNewcomers(t *testing.T) {
+	membership := NewMembership(1, 0, 0)
+	members := group(3, 1)
+	for _, c := range []struct {
+		name     string
+		newcomer Member
+		members  []Member
+		refused  bool
+	}{
+		{"fit", Member{ID: "x", Inner: "x"}, members, false},
+		{"no id", Member{Inner: "x"}, members, true},
+		{"no address", Member{ID: "x"}, members, true},
+		{"a member again", Member{ID: "b", Inner: "b"}, members, false},
+		{"a member's id elsewhere", Member{ID: "b", Inner: "x"}, members, true},
+		{"too many learners", Member{ID: "x", Inner: "x"}, group(3, membership.MostLearners), true},
+		{"too many learners, a newer life of one", Member{ID: "x", Inner: "d"}, group(3, membership.MostLearners), false},
+	} {
+		if why := membership.Refuse(c.members, c.newcomer); (why != "") != c.refused {
+			t.Errorf("%s: %q", c.name, why)
+		}
+		roll := rollOf(c.members, "", "", "")
+		roll.Waiting = []Member{c.newcomer}
+		decision := membership.Decide(roll)
+		if admitted := decision.Move == Admit; admitted && (c.refused || c.name == "a member again") {
+			t.Errorf("%s: admitted", c.name)
+		}
+		seen := map[ID]bool{}
+		for _, member := range decision.Next {
+			if seen[member.ID] {
+				t.Errorf("%s: %s counts twice", c.name, member.ID)
+			}
+			seen[member.ID] = true
+		}
+	}
+	voting := Member{ID: "x", Inner: "x", Voter: true}
+	roll := rollOf(members, "", "", "")
+	roll.Waiting = []Member{voting}
+	if decision := membership.Decide(roll); decision.Move != Admit || decision.Member.Voter || countVoters(decision.Next) != 3 {
+		t.Error("a newcomer came with a vote of its own making")
+	}
+}
+
+// Who is waited for: someone in touch beyond those that others need.
+func TestSuccessor(t *testing.T) {
+	for _, c := range []struct {
+		name                  string
+		members               []Member
+		dead, leaving, behind string
+		near                  bool
+	}{
+		{"plain restart", group(3, 0), "", "", "", false},
+		{"a learner", group(3, 1), "", "", "", true},
+		{"a learner that catches up", group(3, 1), "", "", "d", true},
+		{"a dead learner", group(3, 1), "d", "", "", false},
+		{"a learner that the dead one needs", group(3, 1), "c", "", "", false},
+		{"a learner that another leaver needs", group(3, 1), "", "c", "", false},
+		{"two learners, two leavers", group(3, 2), "", "c", "", true},
+		{"already raised", group(4, 0), "", "", "", true},
+	} {
+		if near := NewMembership(1, 0, 4*time.Second).Successor(rollOf(c.members, c.dead, c.leaving, c.behind), "b"); near != c.near {
+			t.Errorf("%s: %v", c.name, near)
+		}
+	}
+	roll := rollOf(group(3, 0), "", "", "")
+	roll.Waiting = []Member{{ID: "n", Inner: "n"}}
+	if !NewMembership(1, 0, 0).Successor(roll, "b") {
+		t.Error("one that waits to be taken in is coming")
+	}
+}
+
+// A core that was struck out must be heard without a gap before it votes
+// again, each time for longer; one that stays is forgiven.
+func TestStrikesHoldFlappersBack(t *testing.T) {
+	membership := NewMembership(1, 0, 4*time.Second)
+	last := 0
+	for strike := 0; strike < 4; strike++ {
+		if strike > 0 {
+			lost := rollOf(group(3, 0), "c", "", "")
+			membership.Took(lost, Decision{Move: Remove, Member: lost.Members[2]})
+			membership.Decide(lost)
+		}
+		members := group(3, 0)
+		members[2].Voter = false
+		waited := 0
+		for ; waited < 1000; waited++ {
+			roll := rollOf(members, "", "", "")
+			roll.Tick = 10000*strike + waited
+			if membership.Decide(roll).Move == Raise {
+				break
+			}
+		}
+		if want := map[bool]int{true: 0, false: membership.Silence << max(strike-1, 0)}[strike == 0]; waited != want {
+			t.Errorf("after %d strikes: raised after %d ticks, want %d", strike, waited, want)
+		}
+		if strike > 1 && waited <= last {
+			t.Errorf("strike %d waits no longer than the one before", strike)
+		}
+		last = waited
+	}
+	roll := rollOf(group(3, 0), "", "", "")
+	roll.Tick = 1 << 20
+	membership.Decide(roll)
+	if len(membership.strikes) != 0 {
+		t.Error("a core that stayed was not forgiven")
+	}
+}
--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -29,7 +29,6 @@
 	maxWishes    = 2048
 	compactCount = 4000
 	compactBytes = 12 << 20
-	departTicks  = 320
 )
 
 // Node is one core.
@@ -61,6 +60,12 @@
 	senders map[ID]*sender
 	pending map[Index]pendingEntry
 	joiners map[ID]joiner
+	leaving map[ID]int
+	refused map[ID]int
+	parting bool
+
+	membership *Membership
+
 	logSize int
 	loaded  Index
 	ticks   int
@@ -95,6 +100,7 @@
 		inbox: make(chan []Message, 256), wishes: make(chan wish, maxWishes), synced: make(chan syncedNote, 256),
 		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
 		book: map[ID]string{}, senders: map[ID]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
+		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewMembership(p.MachineLosses, p.ZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, Chronicle: chronicle.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	inner := p.Inner("accord")
@@ -127,18 +133,10 @@
 	go n.scribe()
 }
 
-// Close hands leadership over if held, and stops.
+// Close leaves the group where a successor is near, hands leadership over if
+// held, and stops.
 func (n *Node) Close() {
-	done := make(chan struct{})
-	select {
-	case n.tells <- func() { n.carry(n.raft.Resign()); close(done) }:
-		select {
-		case <-done:
-		case <-time.After(200 * time.Millisecond):
-		}
-	case <-time.After(200 * time.Millisecond):
-	}
-	time.Sleep(50 * time.Millisecond)
+	n.leave()
 	close(n.stop)
 	// A disk that stands still must not hold the end up.
 	closed := make(chan struct{})
@@ -213,7 +211,7 @@
 		case <-ticker.C:
 			n.ticks++
 			n.carry(n.raft.Tick())
-			if n.ticks%5 == 0 {
+			if n.ticks%houseTicks == 0 {
 				n.keepHouse()
 			}
 		}
--- a/internal/accord/sim_test.go
+++ b/internal/accord/sim_test.go
@@ -47,6 +47,9 @@
 	pending map[Index]simPending
 	waiting map[ID]Member
 	ticks   int
+	heardAt int
+
+	membership *Membership
 }
 
 type simPending struct {
@@ -75,12 +78,17 @@
 	lives   int
 	next    int
 	broken  string
+	leaving map[ID]bool
+	catchUp time.Duration
+	silence int
+	changes int
 }
 
 func newSim(seed int64, cores int, fault planted) (s *sim) {
 	s = &sim{
 		luck: rand.New(rand.NewSource(seed)), fault: fault, cores: map[string]*simCore{}, cut: map[[2]string]bool{},
 		leaders: map[Term]ID{}, agreed: map[Index]string{}, granted: map[string]string{}, acked: map[string]Claim{},
+		leaving: map[ID]bool{}, catchUp: 4 * time.Second,
 	}
 	var founders []Member
 	for i := 0; i < cores; i++ {
@@ -109,6 +117,14 @@
 	}
 }
 
+// setCatchUp has all cores follow other settings.
+func (s *sim) setCatchUp(catchUp time.Duration) {
+	s.catchUp = catchUp
+	for _, core := range s.cores {
+		core.membership = NewMembership(1, 0, catchUp)
+	}
+}
+
 func (s *sim) clock() time.Duration { return time.Duration(s.now) * tickSpan }
 
 func (s *sim) start(host string) {
@@ -130,7 +146,9 @@
 		s.fail("thaw: %v", err)
 		return
 	}
+	core.heardAt = core.ticks
 	core.state, core.pending, core.waiting, core.up = state, map[Index]simPending{}, map[ID]Member{}, true
+	core.membership = NewMembership(1, 0, s.catchUp)
 	disk.stalled = 0
 }
 
@@ -326,7 +344,10 @@
 func (s *sim) keepHouse(host string) {
 	core := s.cores[host]
 	if core.raft.Role() != Leader {
-		if _, member := find(core.raft.Members(), core.disk.id); !member {
+		if core.raft.LeaderID() != "" {
+			core.heardAt = core.ticks
+		}
+		if _, member := find(core.raft.Members(), core.disk.id); !member || core.ticks-core.heardAt > 2*electTicks {
 			for _, other := range s.order {
 				leader := s.cores[other]
 				if leader.up && leader.raft.Role() == Leader && !s.cut[[2]string{host, other}] {
@@ -339,23 +360,34 @@
 	if !core.raft.Settled() {
 		return
 	}
-	var waiting []Member
-	for _, member := range core.waiting {
-		waiting = append(waiting, member)
+	roll := s.roll(host)
+	if s.silence > 0 {
+		core.membership.Silence = s.silence
 	}
-	sort.Slice(waiting, func(i, j int) bool { return waiting[i].ID < waiting[j].ID })
 	core.waiting = map[ID]Member{}
-	next, change := NextMembers(core.raft.Members(), Member{ID: core.disk.id, Inner: host}, waiting, Voters(1), core.raft.CaughtUp, func(id ID) bool {
-		ticks, known := core.raft.Heard(id)
-		return known && ticks > departTicks
-	})
-	if change {
-		if accepted, out := core.raft.Change(next); accepted {
-			s.carry(host, out)
-		}
+	decision := core.membership.Decide(roll)
+	if decision.Move == Stay {
+		return
+	}
+	if accepted, out := core.raft.Change(decision.Next); accepted {
+		s.changes++
+		core.membership.Took(roll, decision)
+		s.carry(host, out)
 	}
 }
 
+func (s *sim) roll(host string) (roll Roll) {
+	core := s.cores[host]
+	roll = Roll{Self: core.disk.id, Tick: core.ticks, Members: core.raft.Members(), CaughtUp: core.raft.CaughtUp}
+	for _, member := range core.waiting {
+		roll.Waiting = append(roll.Waiting, member)
+	}
+	sort.Slice(roll.Waiting, func(i, j int) bool { return roll.Waiting[i].ID < roll.Waiting[j].ID })
+	roll.Leaving = func(id ID) bool { return s.leaving[id] }
+	roll.Silence = func(id ID) int { ticks, _ := core.raft.Heard(id); return ticks }
+	return roll
+}
+
 // claim has some client ask each core that thinks it leads.
 func (s *sim) claim() {
 	s.next++
@@ -634,35 +666,3 @@
 		t.Fatal("after a restart ages count from the restart")
 	}
 }
-
-// With three founders of five cores, two losses must leave a majority: the
-// other two are made voters as soon as they have the log.
-func TestAllThatTheLossesAskForVote(t *testing.T) {
-	var members []Member
-	for i, id := range []ID{"a", "b", "c", "d", "e", "f"} {
-		members = append(members, Member{ID: id, Inner: string(id), Voter: i < 3})
-	}
-	all, none := func(ID) bool { return true }, func(ID) bool { return false }
-	for _, c := range []struct{ losses, voters int }{{1, 3}, {2, 5}, {3, 6}} {
-		next := members
-		for {
-			after, change := NextMembers(next, members[0], nil, Voters(c.losses), all, none)
-			if !change {
-				break
-			}
-			next = after
-		}
-		voters := 0
-		for _, member := range next {
-			if member.Voter {
-				voters++
-			}
-		}
-		if voters != c.voters {
-			t.Errorf("%d losses: %d voters, want %d", c.losses, voters, c.voters)
-		}
-	}
-	if _, change := NextMembers(members, members[0], nil, Voters(2), none, none); change {
-		t.Error("a core that lacks the log was made a voter")
-	}
-}
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -45,6 +45,7 @@
 	SessionMoved
 	AskRefused
 	RetriesHeld
+	JoinRefused
 )
 
 // Texts is the catalogue.
@@ -78,6 +79,7 @@
 	SessionMoved:    "session moved to another backend",
 	AskRefused:      "malformed call of a daemon refused",
 	RetriesHeld:     "retries to a slow service held back, or let again",
+	JoinRefused:     "core refused as a member",
 }
 
 // Log writes numbered events.
--- a/internal/props/props.go
+++ b/internal/props/props.go
@@ -22,8 +22,8 @@
 
 // Bounds are the figures of the rules in force; zero where not given.
 type Bounds struct {
-	AddressReuse, Contact, Drain, Grace, ConfigApply, RetryWindow, KeyWindow, TTLMax time.Duration
-	RetryRatio, RetrySlack, ColdOverage, ColdSlack                                   float64
+	AddressReuse, Contact, CatchUp, Drain, Grace, ConfigApply, RetryWindow, KeyWindow, TTLMax time.Duration
+	RetryRatio, RetrySlack, ColdOverage, ColdSlack                                            float64
 }
 
 // Props are the checked settings of one daemon.
@@ -48,6 +48,8 @@
 	RestOnce time.Duration
 	// MachineLosses is how many cores may be lost at once.
 	MachineLosses int
+	// ZoneLosses is how many zones may be lost at once.
+	ZoneLosses int
 	// LinkMbps is the daemon's own bandwidth, 0 for no bound.
 	LinkMbps float64
 	// CPUShare is the part of a processor this daemon has.
@@ -185,6 +187,7 @@
 	b := &props.Bounds
 	b.AddressReuse = r.span(v, "bounds.address_reuse", 2*time.Second)
 	b.Contact = r.span(v, "bounds.contact", 3*time.Second)
+	b.CatchUp = r.span(v, "bounds.catch_up", 4*time.Second)
 	b.Drain = r.span(v, "bounds.drain", 2500*time.Millisecond)
 	b.Grace = r.span(v, "bounds.grace_period", 6*time.Second)
 	b.ConfigApply = r.span(v, "bounds.config_apply", 2500*time.Millisecond)
@@ -201,6 +204,7 @@
 	props.Sharers = int(r.number(v, "backend_sharers", 1, 3))
 	props.RestOnce = r.span(v, "rest_once", 250*time.Millisecond)
 	props.MachineLosses = int(r.number(v, "machine_losses", 0, 1))
+	props.ZoneLosses = int(r.number(v, "zone_losses", 0, 0))
 	props.LinkMbps = r.number(v, "link_mbps", 0, 0)
 	props.CPUShare = r.number(v, "cpu_share", 0.001, 1)
 	if props.ProbeInterval < 10*time.Millisecond {
--- a/internal/props/props_test.go
+++ b/internal/props/props_test.go
@@ -11,14 +11,14 @@
 )
 
 const good = `{"name":"edge-1","address":"10.1.0.13","site":"a","region":"north","regions":{"a":"north"},"first_start":true,"data":"",
-"listen":{"frontend":"10.1.0.13:8161"},"inner_ports":[7720,7735],"seeds":["10.1.0.15:8166"],"memory_mb":284,"bounds":{"drain":"2500ms","retry_budget_ratio":0.2},"send_interval":"4s","something_new":[1,{"x":2}]}`
+"listen":{"frontend":"10.1.0.13:8161"},"inner_ports":[7720,7735],"seeds":["10.1.0.15:8166"],"memory_mb":284,"bounds":{"drain":"2500ms","catch_up":"6s","retry_budget_ratio":0.2},"send_interval":"4s","something_new":[1,{"x":2}]}`
 
 func TestParse(t *testing.T) {
 	p, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Bounds.Drain != 2500*time.Millisecond || p.SendInterval != 4*time.Second || p.ProbeInterval != time.Second || p.Inner("accord") != "10.1.0.13:7720" || p.Inner("passage") != "10.1.0.13:7721" || p.Accord(p.Seeds[0]) != "10.1.0.15:7720" {
+	if p.Bounds.Drain != 2500*time.Millisecond || p.Bounds.CatchUp != 6*time.Second || p.SendInterval != 4*time.Second || p.ProbeInterval != time.Second || p.Inner("accord") != "10.1.0.13:7720" || p.Inner("passage") != "10.1.0.13:7721" || p.Accord(p.Seeds[0]) != "10.1.0.15:7720" {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -34,6 +34,7 @@
 		"seeds.0":             {`["10.1.0.15:8166"]`, `["10.1.0.15"]`},
 		"memory_mb":           {`284`, `"much"`},
 		"bounds.drain":        {`"2500ms"`, `"2500"`},
+		"bounds.catch_up":     {`"6s"`, `6`},
 		"send_interval":       {`"4s"`, `4`},
 		"bounds.retry_budget": {`0.2`, `-1`},
 	}
@@ -65,7 +66,7 @@
 	values := map[string]string{
 		"node_name": `"core-1"`, "ip_address": `"10.0.0.1"`, "zone": `"a"`, "region": `"n"`, "zones": `{"a":"n"}`, "first_start": `true`, "data_directory": `"/data"`,
 		"listen_addresses": `{"control_plane":"10.0.0.1:8166"}`, "internal_port_range": `[7720,7735]`, "seed_nodes": `["10.0.0.1:8166"]`,
-		"limits.memory_mb": `280`, "limits.cpu_share": `0.25`, "limits.link_mbps": `5.5`, "fault_tolerance.machine_losses": `2`, "limits.max_file_descriptors": `4096`, "cloud_api.address": `"10.9.0.1:80"`, "cloud_api.rate_per_s": `44.0`, "bounds": `{"drain":"2s"}`,
+		"limits.memory_mb": `280`, "limits.cpu_share": `0.25`, "limits.link_mbps": `5.5`, "fault_tolerance.machine_losses": `2`, "fault_tolerance.zones": `1`, "limits.max_file_descriptors": `4096`, "cloud_api.address": `"10.9.0.1:80"`, "cloud_api.rate_per_s": `44.0`, "bounds": `{"drain":"2s","catch_up":"6s"}`,
 	}
 	for _, with := range []bool{true, false} {
 		text := string(raw)
@@ -94,6 +95,9 @@
 		if parseErr != nil {
 			t.Fatal(parseErr)
 		}
+		if p.ZoneLosses != 1 || p.Bounds.CatchUp != 6*time.Second {
+			t.Fatalf("%+v", p)
+		}
 		if with && (p.Data != "/data" || p.PlatformAddress != "10.9.0.1:80") || !with && (p.Data != "" || p.PlatformAddress != "") {
 			t.Fatalf("%+v", p)
 		}
