--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -194,6 +194,10 @@
 		p.pending--
 	}
 	if m.Reject {
+		if m.Index == p.match {
+			// An older disk was put back: it holds less than it told.
+			p.match = 0
+		}
 		if m.Index >= p.match {
 			next := m.Hint + 1
 			if next <= p.match {
--- a/internal/accord/sim_test.go
+++ b/internal/accord/sim_test.go
@@ -82,6 +82,7 @@
 	catchUp time.Duration
 	silence int
 	changes int
+	mute    bool // nobody takes newcomers in
 }
 
 func newSim(seed int64, cores int, fault planted) (s *sim) {
@@ -347,7 +348,7 @@
 		if core.raft.LeaderID() != "" {
 			core.heardAt = core.ticks
 		}
-		if _, member := find(core.raft.Members(), core.disk.id); !member || core.ticks-core.heardAt > 2*electTicks {
+		if _, member := find(core.raft.Members(), core.disk.id); !s.mute && (!member || core.ticks-core.heardAt > 2*electTicks) {
 			for _, other := range s.order {
 				leader := s.cores[other]
 				if leader.up && leader.raft.Role() == Leader && !s.cut[[2]string{host, other}] {
