--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -22,7 +22,7 @@
 const (
 	houseTicks   = 5
 	askTicks     = 10
-	joinerTicks  = 100
+	joinerTicks  = 10 * askTicks
 	leavingTicks = 2 * electTicks
 	refusedTicks = 400
 	maxRefused   = 64
--- /dev/null
+++ b/internal/accord/house_test.go
@@ -0,0 +1,101 @@
+package accord
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"tinpin/internal/events"
+)
+
+// housed is a core's house without its listeners, disk and duties.
+func housed(members []Member) (n *Node) {
+	raft := NewRaft(members[0].ID, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
+	return &Node{
+		log: events.Quiet(), raft: raft, self: members[0], membership: NewMembership(1, 0, 0),
+		joiners: map[ID]joiner{}, leaving: map[ID]int{}, refused: map[ID]int{},
+	}
+}
+
+// However many ask to be taken in, and as whom, little is kept of them.
+func TestJoinersAreBounded(t *testing.T) {
+	n := housed(group(3, 1))
+	for i := range 1000 {
+		id := ID(fmt.Sprint("new-", i))
+		for _, newcomer := range []Member{{ID: id, Inner: string(id)}, {ID: id}, {Inner: string(id)}, {ID: "b", Inner: string(id)}, {ID: "b", Inner: "b"}} {
+			n.noteJoiner(newcomer)
+		}
+	}
+	if len(n.joiners) != n.membership.MostLearners || len(n.refused) > maxRefused {
+		t.Errorf("%d joiners and %d refusals are kept", len(n.joiners), len(n.refused))
+	}
+	for id, joiner := range n.joiners {
+		if id == "" || id == "b" || joiner.member.Inner == "" {
+			t.Errorf("%+v waits to be taken in", joiner.member)
+		}
+	}
+	if _, said := n.refused["b"]; !said {
+		t.Error("an id that is a member's at another address was not refused")
+	}
+	n.ticks += joinerTicks + 1
+	if waiting := n.roll().Waiting; len(waiting) != 0 || len(n.joiners) != 0 {
+		t.Errorf("%d are still kept after they stopped asking", len(waiting))
+	}
+}
+
+// A core that does not lead, or leaves itself, says nothing to a leaver.
+func TestOnlyALeaderAnswersALeaver(t *testing.T) {
+	if parting := housed(group(3, 1)).noteLeaving("b"); parting != 0 {
+		t.Errorf("a follower said %d", parting)
+	}
+	for _, c := range []struct {
+		name    string
+		members []Member
+		id      ID
+		parting Parting
+	}{
+		{"plain restart", group(3, 0), "b", PartAsMember},
+		{"a learner", group(3, 1), "d", PartAsMember},
+		{"a successor is near", group(3, 1), "b", PartLater},
+		{"no member any more", group(3, 0), "x", PartNow},
+	} {
+		n := housed(c.members)
+		elect(t, n.raft)
+		if parting := n.noteLeaving(c.id); parting != c.parting {
+			t.Errorf("%s: %d, want %d", c.name, parting, c.parting)
+		}
+		if _, marked := n.leaving[c.id]; marked != (c.parting == PartLater) {
+			t.Errorf("%s: noted %v", c.name, marked)
+		}
+		n.ticks += leavingTicks + 1
+		if n.roll().Leaving(c.id) {
+			t.Errorf("%s: a leaver that asks no more is still noted", c.name)
+		}
+		n.parting = true
+		if parting := n.noteLeaving(c.id); parting != 0 {
+			t.Errorf("%s: a leader that leaves itself said %d", c.name, parting)
+		}
+	}
+}
+
+// elect has a core win and commit in its term, with b voting for it.
+func elect(t *testing.T, r *Raft) {
+	t.Helper()
+	issued := 0
+	answer := func(out Output) {
+		issued += len(out.Writes)
+	}
+	for range 4 * electTicks {
+		answer(r.Tick())
+		if r.role == Candidate {
+			break
+		}
+	}
+	answer(r.Step(Message{Kind: TellPreVote, From: "b", To: r.id, Term: r.hard.Term + 1}))
+	answer(r.Step(Message{Kind: TellVote, From: "b", To: r.id, Term: r.hard.Term}))
+	answer(r.Step(Message{Kind: TellAppend, From: "b", To: r.id, Term: r.hard.Term, Index: r.lastIndex(), Round: r.round}))
+	answer(r.Synced(issued, r.lastIndex(), r.hard.Term))
+	if !r.Settled() {
+		t.Fatal("it does not lead")
+	}
+}
--- a/internal/accord/leave.go
+++ b/internal/accord/leave.go
@@ -73,17 +73,22 @@
 }
 
 // leave is bounded by three quarters of the time until the process is killed.
+// Where no leader answers it goes on asking only if a successor is known.
 func (n *Node) leave() {
 	end := time.Now().Add(n.props.Bounds.Grace * 3 / 4)
-	ask := n.part()
+	ask, patience := n.part()
 	heard := time.Now()
-	for now := heard; ask && now.Before(end) && now.Sub(heard) < leaveSearch; now = time.Now() {
+	for ask {
 		parting, answered := n.askToLeave()
 		if parting == PartAsMember || parting == PartNow {
 			break
 		}
+		now := time.Now()
 		if answered {
-			heard = time.Now()
+			heard, patience = now, leaveSearch
+		}
+		if now.Sub(heard) >= patience || !now.Before(end) {
+			break
 		}
 		time.Sleep(tickSpan)
 		n.part()
@@ -100,32 +105,46 @@
 	return leads
 }
 
-// part resigns and tells whether the leader is to be asked: not where this core
-// led and knows that nobody is near.
-func (n *Node) part() (ask bool) {
-	done := make(chan bool, 1)
+// part resigns and tells whether the leader is to be asked, which it is not
+// where this core led and knows that nobody is near, and how long a leader is
+// to be looked for.
+func (n *Node) part() (ask bool, patience time.Duration) {
+	type standing struct {
+		ask      bool
+		patience time.Duration
+	}
+	done := make(chan standing, 1)
 	resign := func() {
 		n.parting = true
-		near := true
+		var s standing
+		members := n.raft.Members()
+		_, s.ask = find(members, n.self.ID)
+		for _, member := range members {
+			if !member.Voter {
+				s.patience = leaveSearch
+			}
+		}
 		if n.raft.Role() == Leader {
-			near = n.membership.Successor(n.roll(), n.self.ID)
+			s.ask = s.ask && n.membership.Successor(n.roll(), n.self.ID)
 			if n.raft.Open() {
 				n.carry(n.raft.Resign())
 			}
 		}
-		_, member := find(n.raft.Members(), n.self.ID)
-		done <- near && member
+		done <- s
 	}
+	timer := time.NewTimer(resignWait)
+	defer timer.Stop()
 	select {
 	case n.tells <- resign:
-	case <-time.After(resignWait):
-		return false
+	case <-timer.C:
+		return false, 0
 	}
 	select {
-	case ask = <-done:
-	case <-time.After(resignWait):
+	case s := <-done:
+		return s.ask, s.patience
+	case <-timer.C:
+		return false, 0
 	}
-	return ask
 }
 
 // askToLeave asks the leader, or all where none is known.
--- /dev/null
+++ b/internal/stage/members_test.go
@@ -0,0 +1,107 @@
+package stage
+
+import (
+	"context"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"tinpin/internal/accord"
+	"tinpin/internal/council"
+	"tinpin/internal/events"
+	"tinpin/internal/lens"
+)
+
+// membersOf gives the members as the leader has them, by inner address.
+func membersOf(stage *Stage) (members map[string]accord.Member, voters int) {
+	members = map[string]accord.Member{}
+	fleet, err := lens.Look(stage.Inner())
+	if err != nil || fleet.Leader() == nil {
+		return members, 0
+	}
+	for _, member := range fleet.Leader().Members {
+		members[member.Inner] = member
+		if member.Voter {
+			voters++
+		}
+	}
+	return members, voters
+}
+
+// startCore starts a core by its settings, new or with its disk.
+func startCore(t *testing.T, stage *Stage, n int) {
+	t.Helper()
+	p := stage.CoreProps[n]
+	p.FirstStart = false
+	core, err := council.Start(p, events.Quiet())
+	if err != nil {
+		t.Fatal(err)
+	}
+	stage.Cores[p.Name] = core
+}
+
+// Each core in turn, the leader among them, is stopped beside a spare one: when
+// its end is over, three others vote and it is no member; started again with
+// its disk it is a learner under its old id. Where nobody is to spare a stop
+// changes nothing.
+func TestCoresLeaveByAgreement(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 120*time.Second)
+	defer cancel()
+	hosts, folder := Hosts(), t.TempDir()
+	stage, err := Start(folder, hosts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer stage.Close()
+	if _, _, err = stage.Operator(ctx, "POST", "/-/Config.Update", FirstCall); err != nil {
+		t.Fatal(err)
+	}
+	grace := stage.CoreProps[0].Bounds.Grace
+	stop := func(n int) {
+		began := time.Now()
+		stage.StopCore(stage.CoreProps[n].Name)
+		if took := time.Since(began); took > grace {
+			t.Errorf("core %d took %v to end", n, took)
+		}
+	}
+	stop(1)
+	if err = Until(ctx, func() bool { _, voters := membersOf(stage); return voters == 3 }); err != nil {
+		t.Fatal("a plain stop changed who votes")
+	}
+	startCore(t, stage, 1)
+	p := stage.CoreProps[0]
+	p.Name, p.Address, p.FirstStart = "core-4", hosts(4), false
+	p.Control, p.Data = hosts(4)+":18166", filepath.Join(folder, "core-4")
+	stage.CoreProps = append(stage.CoreProps, p)
+	startCore(t, stage, 3)
+	for n := range stage.CoreProps {
+		inner := stage.CoreProps[n].Inner("accord")
+		var before accord.Member
+		if err = Until(ctx, func() bool {
+			members, voters := membersOf(stage)
+			before = members[inner]
+			return len(members) == 4 && voters == 3
+		}); err != nil {
+			t.Fatalf("before core %d stops there are not four members", n)
+		}
+		stop(n)
+		var members map[string]accord.Member
+		var voters int
+		if err = Until(ctx, func() bool { members, voters = membersOf(stage); return len(members) > 0 }); err != nil {
+			t.Fatalf("no leader after core %d has left", n)
+		}
+		if _, stays := members[inner]; before.Voter && stays || voters != 3 {
+			t.Errorf("core %d, a voter %v, has left %d voters of %v", n, before.Voter, voters, members)
+		}
+		startCore(t, stage, n)
+		if err = Until(ctx, func() bool {
+			members, _ = membersOf(stage)
+			return members[inner].ID == before.ID && !members[inner].Voter
+		}); err != nil && before.Voter {
+			t.Fatalf("core %d did not come back as a learner under its id", n)
+		}
+	}
+	if _, _, err = stage.Operator(ctx, "GET", "/-/Config.Describe", ""); err != nil {
+		t.Fatal(err)
+	}
+}
