--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -45,6 +45,7 @@
 	SessionMoved
 	AskRefused
 	RetriesHeld
+	JoinRefused
 )
 
 // OrderRefused is beside the others, whose numbers run on.
@@ -82,6 +83,7 @@
 	SessionMoved:    "session moved to another backend",
 	AskRefused:      "malformed call of a daemon refused",
 	RetriesHeld:     "retries to a slow service held back, or let again",
+	JoinRefused:     "core refused as a member",
 }
 
 // Log writes numbered events.
