--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -194,7 +194,7 @@
 		return "", err
 	}
 	for _, account := range open.Retiring() {
-		if account.Server == string(id) {
+		if account.Server == string(id) && c.desk.Proven(open) {
 			return string(account.Phase), nil
 		}
 	}
--- a/internal/forum/desk.go
+++ b/internal/forum/desk.go
@@ -109,7 +109,7 @@
 // of them: that is a clear no, where a wish that nobody can commit has no outcome.
 // What comes back is the log's word and needs no further proof.
 func (d *Desk) Claim(ask parley.ClaimAsk, reply *parley.ClaimReply) (err error) {
-	forum := d.forum.Load()
+	forum, begun := d.forum.Load(), time.Now()
 	if forum == nil || !d.Proven(forum) {
 		return nil
 	}
@@ -128,7 +128,7 @@
 	if ask.Left > 0 {
 		patience = min(patience, ask.Left)
 	}
-	answers := d.node.Wishes(commands, patience)
+	answers := d.node.Wishes(commands, patience-time.Since(begun))
 	reply.Freed = true
 	for _, answer := range answers[:len(ask.Frees)] {
 		reply.Freed = reply.Freed && answer.Clear
