--- a/internal/accord/contact_test.go
+++ b/internal/accord/contact_test.go
@@ -530,3 +530,33 @@
 		t.Fatal("a leader that has handed over answers again in its term")
 	}
 }
+
+// A core that is cut off tells nobody that it is out of the members, nor that it
+// leads those who want to come in.
+func TestWhoIsCutOffPartsWithNobody(t *testing.T) {
+	n := wishing(t, 3)
+	n.tells, n.joiners, n.refused = make(chan func(), 8), map[ID]joiner{}, map[ID]int{}
+	n.carry(n.raft.At(n.Now() + time.Hour).Synced(int(n.raft.issued - n.raft.done)))
+	n.raft.beginRound()
+	n.carry(n.raft.Step(Message{Kind: TellAppend, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.Last(), Round: n.raft.round}))
+	ended := make(chan bool)
+	go func() {
+		defer close(ended)
+		for tell := range n.tells {
+			tell()
+		}
+	}()
+	for _, want := range []Parting{PartNow, 0} {
+		var left LeaveReply
+		var joined JoinReply
+		if err := n.Desk().Leave(LeaveAsk{"unknown"}, &left); err != nil || left.Parting != want {
+			t.Errorf("parting %d, want %d: %v", left.Parting, want, err)
+		}
+		if err := n.Desk().Join(JoinAsk{Member{ID: "a"}}, &joined); err != nil || joined.Leader != (want != 0) {
+			t.Errorf("parting %d: leads %v, %v", want, joined.Leader, err)
+		}
+		n.birth = n.birth.Add(-2 * time.Hour)
+	}
+	close(n.tells)
+	<-ended
+}
--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -39,8 +39,8 @@
 
 // Join notes a core that wants to be taken in.
 func (d *Desk) Join(ask JoinAsk, reply *JoinReply) (err error) {
-	leads, _, _, _, members := d.node.Standing()
-	reply.Leader = leads
+	leads, _, term, _, members := d.node.Standing()
+	reply.Leader = leads && d.node.InContact(term, 0)
 	for _, member := range members {
 		reply.Inners = append(reply.Inners, member.Inner)
 	}
--- a/internal/accord/leave.go
+++ b/internal/accord/leave.go
@@ -41,6 +41,10 @@
 	case <-timer.C:
 	case <-d.node.stop:
 	}
+	// One that is cut off may not know whom a later leader has taken in.
+	if _, _, term, _, _ := d.node.Standing(); reply.Parting != 0 && !d.node.InContact(term, 0) {
+		reply.Parting = 0
+	}
 	return nil
 }
 
