--- a/internal/accord/members_sim_test.go
+++ b/internal/accord/members_sim_test.go
@@ -82,7 +82,7 @@
 // incident plays the day that broke both small sites: one core replaced in
 // order, another for good with its successor 1 s later, and a little over
 // catch_up after that one's start a disk lost right after an acknowledgement.
-func incident(seed int64, silence int) (broken string) {
+func incident(seed int64, silence, distance int) (broken string) {
 	s := newSim(seed, 3, planted{})
 	s.silence = silence
 	s.run(100)
@@ -97,7 +97,7 @@
 	s.lose(lost)
 	s.run(40)
 	s.add("core-4")
-	s.run(int(simCatchUp/tickSpan) + 8)
+	s.run(int(simCatchUp/tickSpan) + distance)
 	s.lose(last)
 	s.run(20)
 	s.start(last)
@@ -106,20 +106,58 @@
 
 func TestDayOfReplacements(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		if broken := incident(seed, 0); broken != "" {
-			t.Errorf("seed %d: %s", seed, broken)
+		for _, distance := range []int{0, 8, 40, 320} {
+			if broken := incident(seed, 0, distance); broken != "" {
+				t.Errorf("seed %d, %d ticks past catch_up: %s", seed, distance, broken)
+			}
 		}
 		// The 8 s that held before break the same day.
-		if incident(seed, 320) == "" {
+		if incident(seed, 320, 8) == "" {
 			t.Errorf("seed %d: a silence of 8 s was not found", seed)
 		}
 	}
 }
 
+// Where two may be lost at once: two of five go for good, two come, and a
+// little over catch_up later two more disks are lost.
+func TestTwoLossesTwice(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		s := newSim(seed, 5, planted{})
+		s.losses = 2
+		s.setCatchUp(simCatchUp)
+		s.run(200)
+		if leader := s.settledLeader(); leader == nil || leader.raft.voters() != 5 {
+			t.Fatalf("seed %d: five do not vote to begin with", seed)
+		}
+		for n := range 2 {
+			s.lose(s.order[(int(seed)+n)%5])
+		}
+		s.run(40)
+		s.add("core-5")
+		s.add("core-6")
+		s.run(int(simCatchUp/tickSpan) + 8)
+		for n := range 2 {
+			host := s.order[(int(seed)+2+n)%5]
+			s.lose(host)
+		}
+		s.run(20)
+		for n := range 2 {
+			s.start(s.order[(int(seed)+2+n)%5])
+		}
+		if broken := s.whole(); broken != "" {
+			t.Errorf("seed %d: %s", seed, broken)
+		}
+		if leader := s.settledLeader(); leader != nil && leader.raft.voters() != 5 {
+			t.Errorf("seed %d: %d vote at the end", seed, leader.raft.voters())
+		}
+	}
+}
+
 // After the loss of a voter its successor votes within half of catch_up from
 // its start, whatever the settings say.
 func TestSuccessorVotesWithinHalfOfCatchUp(t *testing.T) {
 	for _, catchUp := range []time.Duration{4 * time.Second, 6 * time.Second} {
+		longest := time.Duration(0)
 		for seed := int64(1); seed <= 20; seed++ {
 			s := newSim(seed, 3, planted{})
 			s.setCatchUp(catchUp)
@@ -142,10 +180,12 @@
 				}
 				s.run(1)
 			}
-			if took := time.Duration(s.now-started) * tickSpan; took > catchUp/2 || s.broken != "" {
+			took := time.Duration(s.now-started) * tickSpan
+			if longest = max(longest, took); took > catchUp/2 || s.broken != "" {
 				t.Errorf("catch_up %v, seed %d: %v to vote %s", catchUp, seed, took, s.broken)
 			}
 		}
+		t.Logf("catch_up %v: the longest took %v", catchUp, longest)
 	}
 }
 
--- a/internal/accord/sim_test.go
+++ b/internal/accord/sim_test.go
@@ -81,6 +81,7 @@
 	leaving map[ID]bool
 	catchUp time.Duration
 	silence int
+	losses  int
 	changes int
 	mute    bool // nobody takes newcomers in
 }
@@ -89,7 +90,7 @@
 	s = &sim{
 		luck: rand.New(rand.NewSource(seed)), fault: fault, cores: map[string]*simCore{}, cut: map[[2]string]bool{},
 		leaders: map[Term]ID{}, agreed: map[Index]string{}, granted: map[string]string{}, acked: map[string]Claim{},
-		leaving: map[ID]bool{}, catchUp: 4 * time.Second,
+		leaving: map[ID]bool{}, catchUp: 4 * time.Second, losses: 1,
 	}
 	var founders []Member
 	for i := 0; i < cores; i++ {
@@ -122,7 +123,7 @@
 func (s *sim) setCatchUp(catchUp time.Duration) {
 	s.catchUp = catchUp
 	for _, core := range s.cores {
-		core.membership = NewMembership(1, 0, catchUp)
+		core.membership = NewMembership(s.losses, 0, catchUp)
 	}
 }
 
@@ -151,7 +152,7 @@
 	}
 	core.heardAt = core.ticks
 	core.state, core.pending, core.waiting, core.up = state, map[Index]simPending{}, map[ID]Member{}, true
-	core.membership = NewMembership(1, 0, s.catchUp)
+	core.membership = NewMembership(s.losses, 0, s.catchUp)
 	disk.stalled = 0
 }
 
--- a/internal/stage/members_test.go
+++ b/internal/stage/members_test.go
@@ -60,7 +60,9 @@
 	stop := func(n int) {
 		began := time.Now()
 		stage.StopCore(stage.CoreProps[n].Name)
-		if took := time.Since(began); took > grace {
+		took := time.Since(began)
+		t.Logf("core %d ended in %v", n, took.Round(time.Millisecond))
+		if took > grace {
 			t.Errorf("core %d took %v to end", n, took)
 		}
 	}
