--- /dev/null
+++ b/internal/accord/orders_fuzz_test.go
@@ -0,0 +1,44 @@
+// Whatever comes as a document: a refused one changes nothing, and one that was
+// taken is confirmed again behind another and a snapshot, and changes nothing.
+package accord
+
+import (
+	"fmt"
+	"testing"
+
+	"tinpin/internal/order"
+)
+
+func FuzzDocuments(f *testing.F) {
+	f.Add(uint8(0), policy(5, "pay", "1s").Body)
+	f.Add(uint8(0), []byte(`{"Version":5,"version":6,"rules":[{"service":"*","notice":"1s","finish":"5s","keyed":"deadline","least_share":0}],"lost_touch":"2s","cut_off":"stop"}`))
+	f.Add(uint8(1), []byte(`{"version":1,"step":1,"every":"1s","room":1,"targets":[{"host":"shop.example","time_zone":"UTC","spans":[{"from":"00:00","to":"24:00","weights":{"coast":1},"ramp":"0s"}]}]}`))
+	f.Add(uint8(2), []byte(`{"version":1,"rules":[{"service":"pay","ratio":0.5,"least_per_s":0,"window":"10s"}]}`))
+	f.Add(uint8(3), []byte(`{"version":18446744073709551615}`))
+	f.Fuzz(func(t *testing.T, pick uint8, body []byte) {
+		kind := order.Kinds[int(pick)%len(order.Kinds)]
+		state := NewState()
+		state.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
+		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Stamp(), state.Documents[kind].Body) }
+		command := Command{Kind: CommandOrder, Site: string(kind), Body: body}
+		before := stands()
+		if len(body) == 0 {
+			return
+		}
+		if result := state.Apply(2, command, 0); result.Problem != "" {
+			if stands() != before {
+				t.Fatalf("refused with %s, and changed", result.Problem)
+			}
+			return
+		}
+		version := uint64(state.Documents[kind].Version)
+		if version+1 > version {
+			state.Apply(3, Command{Kind: CommandOrder, Site: string(kind), Upto: version + 1}, 0)
+		}
+		state = thawed(t, state)
+		after := stands()
+		if result := state.Apply(4, command, 0); result.Problem != "" || stands() != after {
+			t.Fatalf("version %d sent again: %q", version, result.Problem)
+		}
+	})
+}
--- a/internal/record/content.go
+++ b/internal/record/content.go
@@ -84,6 +84,7 @@
 	if value, err := fastjson.ParseBytes(text); err == nil {
 		content.Value(value)
 	} else {
+		content.text = append(content.text, '!')
 		content.Text(string(text))
 	}
 	return content.Digest()
