--- a/internal/canon/canon.go
+++ b/internal/canon/canon.go
@@ -347,7 +347,7 @@
 	items []Item
 }
 
-// ReadCall reads the body of a Config.Update whole.
+// ReadCall reads the body of a Config.Update whole, as it comes from an operator.
 func ReadCall(body []byte) (call Call, err error) {
 	// The parser bounds the depth, and takes more than JSON; the second look does not.
 	v, err := fastjson.ParseBytes(body)
@@ -357,6 +357,10 @@
 	if key, twice := record.Twice(v); twice {
 		return call, Class.New("an object of the call holds %q twice", key)
 	}
+	return readCall(v)
+}
+
+func readCall(v *fastjson.Value) (call Call, err error) {
 	if v.Type() != fastjson.TypeObject {
 		return call, Class.New("the call must be an object")
 	}
@@ -514,9 +518,15 @@
 	return items, nil
 }
 
-// Apply reads, checks and carries out a call at the place rev of the log.
+// Apply checks and carries out a call at the place rev of the log. How it is
+// written was looked at before it came there, and counts no more: a log that an
+// older version wrote gives what it gave then.
 func (c *Canon) Apply(body []byte, rev uint64) (err error) {
-	call, err := ReadCall(body)
+	v, err := fastjson.ParseBytes(body)
+	if err != nil {
+		return Class.New("the call is not JSON")
+	}
+	call, err := readCall(v)
 	if err != nil {
 		return err
 	}
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -55,6 +55,9 @@
 	if err != nil {
 		return err
 	}
+	if err = order.CheckText(body); err != nil {
+		return c.refuse(chronicle.Document, refused(err))
+	}
 	look := func() (lookErr error) {
 		taken := false
 		c.node.Read(func(state *accord.State) {
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -149,16 +149,25 @@
 	return Class.New("%s", strings.Join(f.lines, "; "))
 }
 
+// CheckText tells why a body is not to be let in, however it would be read.
+func CheckText(body []byte) (err error) {
+	v, err := fastjson.ParseBytes(body)
+	if err != nil || !utf8.Valid(body) || fastjson.ValidateBytes(body) != nil {
+		return Class.New("the document is not JSON")
+	}
+	if key, twice := record.Twice(v); twice {
+		return Class.New("an object of the document holds %q twice", key)
+	}
+	return nil
+}
+
 // Open reads a body and its version; unknown fields are faults, since a
 // misspelt one would otherwise be obeyed in its absence.
 func Open(body []byte, into any) (err error) {
 	v, err := fastjson.ParseBytes(body)
-	if err != nil || v.Type() != fastjson.TypeObject || !utf8.Valid(body) || fastjson.ValidateBytes(body) != nil {
+	if err != nil || v.Type() != fastjson.TypeObject {
 		return Class.New("the document must be a JSON object")
 	}
-	if key, twice := record.Twice(v); twice {
-		return Class.New("an object of the document holds %q twice", key)
-	}
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
 	if err = decoder.Decode(into); err != nil {
--- /dev/null
+++ b/internal/order/order_test.go
@@ -0,0 +1,41 @@
+// Documents under their versions, and texts that are not let in.
+package order
+
+import (
+	"strings"
+	"testing"
+
+	"tinpin/internal/record"
+)
+
+func TestTextsThatAreNotLetIn(t *testing.T) {
+	for _, body := range []string{"", "{", `{"version":1}{}`, `{"version":1,"version":2}`, `{"rules":[{"a":1,"b":2,"a":1}]}`, "{\"a\":\"\xff\"}", `{"version":007}`, strings.Repeat("[", 1<<20)} {
+		if CheckText([]byte(body)) == nil {
+			t.Errorf("let in: %.40s", body)
+		}
+	}
+	if err := CheckText([]byte(`{"version":1,"rules":[{"a":1},{"a":1}]}`)); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestTheHighestVersionHolds(t *testing.T) {
+	standing := Document{Kind: DayPlan, Version: 5, Body: `{"version":5,"step":1}`}
+	for _, c := range []struct {
+		next              Document
+		changed, conflict bool
+		refused           bool
+	}{
+		{next: standing},
+		{next: Document{Version: 5, Body: ` {"step":1.0, "version":5, "x":null}`}},
+		{next: Document{Version: 5, Body: `{"version":5,"step":2}`}, conflict: true, refused: true},
+		{next: Document{Version: 5}, conflict: true, refused: true},
+		{next: Document{Version: 4, Body: `{"version":4}`}, refused: true},
+		{next: Document{Version: 6}, changed: true},
+	} {
+		after, changed, err := standing.Next(c.next)
+		if changed != c.changed || (err != nil) != c.refused || record.Conflict.Has(err) != c.conflict || !changed && after.Version != standing.Version {
+			t.Errorf("%+v: %v, %v", c.next, changed, err)
+		}
+	}
+}
