--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -3,7 +3,9 @@
 package council
 
 import (
+	"context"
 	"errors"
+	"fmt"
 	"testing"
 
 	"tinpin/internal/accord"
@@ -55,3 +57,42 @@
 		}
 	}
 }
+
+func TestOrdersThroughACore(t *testing.T) {
+	c, _ := alone(t)
+	none := context.Background()
+	policy := func(version int, notice string) []byte {
+		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
+	}
+	set := func(version int, notice string) error {
+		return c.order(none, order.DrainPolicy, policy(version, notice), false)
+	}
+	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["pay",%s,4]]}}}`
+	config := func(most string) error { return c.update(none, fmt.Appendf(nil, services, most)) }
+	for i, step := range []struct {
+		err    error
+		status int
+	}{
+		{config("7"), 200},
+		{config("7.0"), 200},
+		{config("8"), 409},
+		{config("7,8"), 400},
+		{c.update(none, []byte(`{"removals":{"services":[{"name":"pay","version":4}]}}`)), 409},
+		{c.update(none, []byte(`{"upserts":{},"upserts":{}}`)), 400},
+		{set(5, "1s"), 200},
+		{set(6, "1s"), 200},
+		{set(5, "1s"), 200},
+		{set(5, "2s"), 409},
+		{set(4, "1s"), 422},
+		{c.withdraw(none, order.DrainPolicy, 6), 409},
+		{c.withdraw(none, order.DrainPolicy, 7), 200},
+		{set(8, "1s"), 200},
+		{c.withdraw(none, order.DrainPolicy, 7), 200},
+		{c.order(none, order.DrainPolicy, policy(5, "2s"), true), 409},
+		{c.order(none, order.DrainPolicy, []byte(`{"version":9,"version":9}`), false), 422},
+	} {
+		if status := statusOf(t, step.err); status != step.status {
+			t.Errorf("step %d: %d (%v), want %d", i, status, step.err, step.status)
+		}
+	}
+}
