--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -174,14 +174,20 @@
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &office.Trouble{Kind: problem.Unclear, Text: "the platform's list is not read yet"}
 	}
-	service, listed, refusal := open.CheckRetire(id)
+	var sent sentAgain
+	look := func() (service parley.ServiceName, listed bool, refusal error) {
+		c.node.Read(func(state *accord.State) { sent.stands, sent.taken = state.RetireTaken(id) })
+		if service, listed, refusal = open.CheckRetire(id); sent.stands {
+			return service, listed, nil
+		}
+		return service, listed, refusal
+	}
+	service, listed, refusal := look()
 	if refusal != nil {
 		if err = c.barrier(); err != nil {
 			return "", err
 		}
-		var sent sentAgain
-		c.node.Read(func(state *accord.State) { sent.stands, sent.taken = state.RetireTaken(id) })
-		if service, listed, refusal = open.CheckRetire(id); refusal != nil && !sent.stands {
+		if service, listed, refusal = look(); refusal != nil {
 			if err = c.proven(open, nil); err != nil {
 				return "", err
 			}
--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -9,8 +9,10 @@
 	"testing"
 
 	"tinpin/internal/accord"
+	"tinpin/internal/drain"
 	"tinpin/internal/office"
 	"tinpin/internal/order"
+	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
 
@@ -96,3 +98,32 @@
 		}
 	}
 }
+
+// "two" was retired and has left the list; "one", the last of its service, was
+// retired while there were others, and taken back.
+func TestRetiringAgainThroughACore(t *testing.T) {
+	c, _ := alone(t)
+	none := context.Background()
+	for _, id := range []parley.ServerID{"one", "two"} {
+		if _, err := c.retire(none, id, false); statusOf(t, err) != 422 {
+			t.Fatalf("%s, never taken: %v", id, err)
+		}
+		if _, err := c.wish(accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte("s"), Claim: accord.Claim{Holder: drain.ByOperator}}); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := c.retire(none, id, false); err != nil {
+			t.Errorf("%s, taken: %v", id, err)
+		}
+		for range 2 {
+			if _, err := c.retire(none, id, true); err != nil {
+				t.Errorf("%s, taken back: %v", id, err)
+			}
+		}
+	}
+	if phase, err := c.retire(none, "two", false); err != nil || phase != string(drain.Left) {
+		t.Errorf("left the list: %q, %v", phase, err)
+	}
+	if _, err := c.retire(none, "one", false); statusOf(t, err) != 503 {
+		t.Errorf("taken back, the last now: %v", err)
+	}
+}
--- a/internal/forum/orders.go
+++ b/internal/forum/orders.go
@@ -252,8 +252,8 @@
 	return f.list.Walked
 }
 
-// CheckRetire tells why a backend may not be retired at all, and whether it is
-// on the list.
+// CheckRetire tells why a backend that is not retired may not be, and whether it
+// is on the list.
 func (f *Forum) CheckRetire(id parley.ServerID) (service parley.ServiceName, listed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -261,9 +261,6 @@
 	if !listed {
 		return "", false, order.Class.New("backend %q is not on the platform's list", id)
 	}
-	if standing, ordered := f.orders.retired[id]; ordered && !standing.Gone {
-		return server.Service, true, nil
-	}
 	if stock := f.stock(server.Service); stock.Useful <= 1 {
 		return "", true, order.Class.New("backend %q is the last of service %q that is of use", id, server.Service)
 	}
