--- a/api/oas/oas_client_gen.go
+++ b/api/oas/oas_client_gen.go
@@ -164,6 +164,26 @@
 	}
 	uri.AddPathParts(u, pathParts[:]...)
 
+	q := uri.NewQueryEncoder()
+	{
+		// Encode "order" parameter.
+		cfg := uri.QueryParameterEncodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.EncodeParam(cfg, func(e uri.Encoder) error {
+			if val, ok := params.Order.Get(); ok {
+				return e.EncodeValue(conv.StringToString(val))
+			}
+			return nil
+		}); err != nil {
+			return res, errors.Wrap(err, "encode query")
+		}
+	}
+	u.RawQuery = q.Values().Encode()
+
 	r, err := ht.NewRequest(ctx, "POST", u)
 	if err != nil {
 		return res, errors.Wrap(err, "create request")
@@ -225,6 +245,26 @@
 	}
 	uri.AddPathParts(u, pathParts[:]...)
 
+	q := uri.NewQueryEncoder()
+	{
+		// Encode "order" parameter.
+		cfg := uri.QueryParameterEncodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.EncodeParam(cfg, func(e uri.Encoder) error {
+			if val, ok := params.Order.Get(); ok {
+				return e.EncodeValue(conv.StringToString(val))
+			}
+			return nil
+		}); err != nil {
+			return res, errors.Wrap(err, "encode query")
+		}
+	}
+	u.RawQuery = q.Values().Encode()
+
 	r, err := ht.NewRequest(ctx, "POST", u)
 	if err != nil {
 		return res, errors.Wrap(err, "create request")
@@ -375,6 +415,26 @@
 	}
 	uri.AddPathParts(u, pathParts[:]...)
 
+	q := uri.NewQueryEncoder()
+	{
+		// Encode "order" parameter.
+		cfg := uri.QueryParameterEncodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.EncodeParam(cfg, func(e uri.Encoder) error {
+			if val, ok := params.Order.Get(); ok {
+				return e.EncodeValue(conv.StringToString(val))
+			}
+			return nil
+		}); err != nil {
+			return res, errors.Wrap(err, "encode query")
+		}
+	}
+	u.RawQuery = q.Values().Encode()
+
 	r, err := ht.NewRequest(ctx, "POST", u)
 	if err != nil {
 		return res, errors.Wrap(err, "create request")
@@ -436,6 +496,26 @@
 	}
 	uri.AddPathParts(u, pathParts[:]...)
 
+	q := uri.NewQueryEncoder()
+	{
+		// Encode "order" parameter.
+		cfg := uri.QueryParameterEncodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.EncodeParam(cfg, func(e uri.Encoder) error {
+			if val, ok := params.Order.Get(); ok {
+				return e.EncodeValue(conv.StringToString(val))
+			}
+			return nil
+		}); err != nil {
+			return res, errors.Wrap(err, "encode query")
+		}
+	}
+	u.RawQuery = q.Values().Encode()
+
 	r, err := ht.NewRequest(ctx, "POST", u)
 	if err != nil {
 		return res, errors.Wrap(err, "create request")
--- a/api/oas/oas_handlers_gen.go
+++ b/api/oas/oas_handlers_gen.go
@@ -73,6 +73,10 @@
 					Name: "instance",
 					In:   "path",
 				}: params.Instance,
+				{
+					Name: "order",
+					In:   "query",
+				}: params.Order,
 			},
 			Raw: r,
 		}
@@ -168,6 +172,10 @@
 					Name: "instance",
 					In:   "path",
 				}: params.Instance,
+				{
+					Name: "order",
+					In:   "query",
+				}: params.Order,
 			},
 			Raw: r,
 		}
@@ -434,6 +442,10 @@
 					Name: "zone",
 					In:   "path",
 				}: params.Zone,
+				{
+					Name: "order",
+					In:   "query",
+				}: params.Order,
 			},
 			Raw: r,
 		}
@@ -529,6 +541,10 @@
 					Name: "zone",
 					In:   "path",
 				}: params.Zone,
+				{
+					Name: "order",
+					In:   "query",
+				}: params.Order,
 			},
 			Raw: r,
 		}
--- a/api/oas/oas_parameters_gen.go
+++ b/api/oas/oas_parameters_gen.go
@@ -17,6 +17,7 @@
 // BackendRestoreParams is parameters of backendRestore operation.
 type BackendRestoreParams struct {
 	Instance string
+	Order    OptString `json:",omitempty,omitzero"`
 }
 
 func unpackBackendRestoreParams(packed middleware.Parameters) (params BackendRestoreParams) {
@@ -27,10 +28,20 @@
 		}
 		params.Instance = packed[key].(string)
 	}
+	{
+		key := middleware.ParameterKey{
+			Name: "order",
+			In:   "query",
+		}
+		if v, ok := packed[key]; ok {
+			params.Order = v.(OptString)
+		}
+	}
 	return params
 }
 
 func decodeBackendRestoreParams(args [1]string, argsEscaped bool, r *http.Request) (params BackendRestoreParams, _ error) {
+	q := uri.NewQueryDecoder(r.URL.Query())
 	// Decode path: instance.
 	if err := func() error {
 		param := args[0]
@@ -96,12 +107,81 @@
 			Err:  err,
 		}
 	}
+	// Decode query: order.
+	if err := func() error {
+		cfg := uri.QueryParameterDecodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.HasParam(cfg); err == nil {
+			if err := q.DecodeParam(cfg, func(d uri.Decoder) error {
+				var paramsDotOrderVal string
+				if err := func() error {
+					val, err := d.DecodeValue()
+					if err != nil {
+						return err
+					}
+
+					c, err := conv.ToString(val)
+					if err != nil {
+						return err
+					}
+
+					paramsDotOrderVal = c
+					return nil
+				}(); err != nil {
+					return err
+				}
+				params.Order.SetTo(paramsDotOrderVal)
+				return nil
+			}); err != nil {
+				return err
+			}
+			if err := func() error {
+				if value, ok := params.Order.Get(); ok {
+					if err := func() error {
+						if err := (validate.String{
+							MinLength:     1,
+							MinLengthSet:  true,
+							MaxLength:     64,
+							MaxLengthSet:  true,
+							Email:         false,
+							Hostname:      false,
+							Regex:         nil,
+							MinNumeric:    0,
+							MinNumericSet: false,
+							MaxNumeric:    0,
+							MaxNumericSet: false,
+						}).Validate(string(value)); err != nil {
+							return errors.Wrap(err, "string")
+						}
+						return nil
+					}(); err != nil {
+						return err
+					}
+				}
+				return nil
+			}(); err != nil {
+				return err
+			}
+		}
+		return nil
+	}(); err != nil {
+		return params, &ogenerrors.DecodeParamError{
+			Name: "order",
+			In:   "query",
+			Err:  err,
+		}
+	}
 	return params, nil
 }
 
 // BackendRetireParams is parameters of backendRetire operation.
 type BackendRetireParams struct {
 	Instance string
+	Order    OptString `json:",omitempty,omitzero"`
 }
 
 func unpackBackendRetireParams(packed middleware.Parameters) (params BackendRetireParams) {
@@ -112,10 +192,20 @@
 		}
 		params.Instance = packed[key].(string)
 	}
+	{
+		key := middleware.ParameterKey{
+			Name: "order",
+			In:   "query",
+		}
+		if v, ok := packed[key]; ok {
+			params.Order = v.(OptString)
+		}
+	}
 	return params
 }
 
 func decodeBackendRetireParams(args [1]string, argsEscaped bool, r *http.Request) (params BackendRetireParams, _ error) {
+	q := uri.NewQueryDecoder(r.URL.Query())
 	// Decode path: instance.
 	if err := func() error {
 		param := args[0]
@@ -181,12 +271,81 @@
 			Err:  err,
 		}
 	}
+	// Decode query: order.
+	if err := func() error {
+		cfg := uri.QueryParameterDecodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.HasParam(cfg); err == nil {
+			if err := q.DecodeParam(cfg, func(d uri.Decoder) error {
+				var paramsDotOrderVal string
+				if err := func() error {
+					val, err := d.DecodeValue()
+					if err != nil {
+						return err
+					}
+
+					c, err := conv.ToString(val)
+					if err != nil {
+						return err
+					}
+
+					paramsDotOrderVal = c
+					return nil
+				}(); err != nil {
+					return err
+				}
+				params.Order.SetTo(paramsDotOrderVal)
+				return nil
+			}); err != nil {
+				return err
+			}
+			if err := func() error {
+				if value, ok := params.Order.Get(); ok {
+					if err := func() error {
+						if err := (validate.String{
+							MinLength:     1,
+							MinLengthSet:  true,
+							MaxLength:     64,
+							MaxLengthSet:  true,
+							Email:         false,
+							Hostname:      false,
+							Regex:         nil,
+							MinNumeric:    0,
+							MinNumericSet: false,
+							MaxNumeric:    0,
+							MaxNumericSet: false,
+						}).Validate(string(value)); err != nil {
+							return errors.Wrap(err, "string")
+						}
+						return nil
+					}(); err != nil {
+						return err
+					}
+				}
+				return nil
+			}(); err != nil {
+				return err
+			}
+		}
+		return nil
+	}(); err != nil {
+		return params, &ogenerrors.DecodeParamError{
+			Name: "order",
+			In:   "query",
+			Err:  err,
+		}
+	}
 	return params, nil
 }
 
 // EvacuationStartParams is parameters of evacuationStart operation.
 type EvacuationStartParams struct {
-	Zone string
+	Zone  string
+	Order OptString `json:",omitempty,omitzero"`
 }
 
 func unpackEvacuationStartParams(packed middleware.Parameters) (params EvacuationStartParams) {
@@ -197,10 +356,20 @@
 		}
 		params.Zone = packed[key].(string)
 	}
+	{
+		key := middleware.ParameterKey{
+			Name: "order",
+			In:   "query",
+		}
+		if v, ok := packed[key]; ok {
+			params.Order = v.(OptString)
+		}
+	}
 	return params
 }
 
 func decodeEvacuationStartParams(args [1]string, argsEscaped bool, r *http.Request) (params EvacuationStartParams, _ error) {
+	q := uri.NewQueryDecoder(r.URL.Query())
 	// Decode path: zone.
 	if err := func() error {
 		param := args[0]
@@ -266,12 +435,81 @@
 			Err:  err,
 		}
 	}
+	// Decode query: order.
+	if err := func() error {
+		cfg := uri.QueryParameterDecodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.HasParam(cfg); err == nil {
+			if err := q.DecodeParam(cfg, func(d uri.Decoder) error {
+				var paramsDotOrderVal string
+				if err := func() error {
+					val, err := d.DecodeValue()
+					if err != nil {
+						return err
+					}
+
+					c, err := conv.ToString(val)
+					if err != nil {
+						return err
+					}
+
+					paramsDotOrderVal = c
+					return nil
+				}(); err != nil {
+					return err
+				}
+				params.Order.SetTo(paramsDotOrderVal)
+				return nil
+			}); err != nil {
+				return err
+			}
+			if err := func() error {
+				if value, ok := params.Order.Get(); ok {
+					if err := func() error {
+						if err := (validate.String{
+							MinLength:     1,
+							MinLengthSet:  true,
+							MaxLength:     64,
+							MaxLengthSet:  true,
+							Email:         false,
+							Hostname:      false,
+							Regex:         nil,
+							MinNumeric:    0,
+							MinNumericSet: false,
+							MaxNumeric:    0,
+							MaxNumericSet: false,
+						}).Validate(string(value)); err != nil {
+							return errors.Wrap(err, "string")
+						}
+						return nil
+					}(); err != nil {
+						return err
+					}
+				}
+				return nil
+			}(); err != nil {
+				return err
+			}
+		}
+		return nil
+	}(); err != nil {
+		return params, &ogenerrors.DecodeParamError{
+			Name: "order",
+			In:   "query",
+			Err:  err,
+		}
+	}
 	return params, nil
 }
 
 // EvacuationStopParams is parameters of evacuationStop operation.
 type EvacuationStopParams struct {
-	Zone string
+	Zone  string
+	Order OptString `json:",omitempty,omitzero"`
 }
 
 func unpackEvacuationStopParams(packed middleware.Parameters) (params EvacuationStopParams) {
@@ -282,10 +520,20 @@
 		}
 		params.Zone = packed[key].(string)
 	}
+	{
+		key := middleware.ParameterKey{
+			Name: "order",
+			In:   "query",
+		}
+		if v, ok := packed[key]; ok {
+			params.Order = v.(OptString)
+		}
+	}
 	return params
 }
 
 func decodeEvacuationStopParams(args [1]string, argsEscaped bool, r *http.Request) (params EvacuationStopParams, _ error) {
+	q := uri.NewQueryDecoder(r.URL.Query())
 	// Decode path: zone.
 	if err := func() error {
 		param := args[0]
@@ -351,6 +599,74 @@
 			Err:  err,
 		}
 	}
+	// Decode query: order.
+	if err := func() error {
+		cfg := uri.QueryParameterDecodingConfig{
+			Name:    "order",
+			Style:   uri.QueryStyleForm,
+			Explode: true,
+		}
+
+		if err := q.HasParam(cfg); err == nil {
+			if err := q.DecodeParam(cfg, func(d uri.Decoder) error {
+				var paramsDotOrderVal string
+				if err := func() error {
+					val, err := d.DecodeValue()
+					if err != nil {
+						return err
+					}
+
+					c, err := conv.ToString(val)
+					if err != nil {
+						return err
+					}
+
+					paramsDotOrderVal = c
+					return nil
+				}(); err != nil {
+					return err
+				}
+				params.Order.SetTo(paramsDotOrderVal)
+				return nil
+			}); err != nil {
+				return err
+			}
+			if err := func() error {
+				if value, ok := params.Order.Get(); ok {
+					if err := func() error {
+						if err := (validate.String{
+							MinLength:     1,
+							MinLengthSet:  true,
+							MaxLength:     64,
+							MaxLengthSet:  true,
+							Email:         false,
+							Hostname:      false,
+							Regex:         nil,
+							MinNumeric:    0,
+							MinNumericSet: false,
+							MaxNumeric:    0,
+							MaxNumericSet: false,
+						}).Validate(string(value)); err != nil {
+							return errors.Wrap(err, "string")
+						}
+						return nil
+					}(); err != nil {
+						return err
+					}
+				}
+				return nil
+			}(); err != nil {
+				return err
+			}
+		}
+		return nil
+	}(); err != nil {
+		return params, &ogenerrors.DecodeParamError{
+			Name: "order",
+			In:   "query",
+			Err:  err,
+		}
+	}
 	return params, nil
 }
 
--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -36,7 +36,7 @@
   tinpin drain set|check FILE          set the drain policy, or check it only
   tinpin drain show|withdraw VERSION   read it and the retired back; withdraw it
   tinpin drain retire [-wait TIME] ID  send a backend no new callers
-  tinpin drain restore ID              take that back
+  tinpin drain restore ID              take that back; -order NAME to send either again
   tinpin plan set|check FILE           set the day's plan, or check it only
   tinpin plan show|withdraw VERSION    read it and its steps back; withdraw it
   tinpin retry set|check FILE          set the limit on retries, or check it only
@@ -139,6 +139,7 @@
 	set.SetOutput(io.Discard)
 	control := set.String("control", "", "")
 	wait := set.Duration("wait", 0, "")
+	name := set.String("order", "", "")
 	if err := set.Parse(rest[1:]); err != nil {
 		return wrong("%s %s: %v", word, verb, err)
 	}
@@ -154,7 +155,7 @@
 		}
 		controls = p.Seeds
 	}
-	desk := &clerk.Clerk{Controls: controls, Wait: *wait}
+	desk := &clerk.Clerk{Controls: controls, Wait: *wait, Order: *name}
 	good, err := desk.Carry(context.Background(), out, word, verb, set.Args())
 	if err != nil {
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -31,6 +31,40 @@
 	return record.Number{Kind: "retire", Name: string(id)}
 }
 
+// namedOrder tells that a command is an order without a version, and that its
+// operator gave it a name of its own, the key.
+func (c Command) namedOrder() (named bool) {
+	switch c.Kind {
+	case CommandEvacuate, CommandReturn, CommandRetire, CommandRestore:
+		return c.Key != ""
+	}
+	return false
+}
+
+func orderNumber(command Command) (number record.Number) {
+	return record.Number{Kind: "order", Name: command.Key}
+}
+
+func orderContent(command Command) (digest record.Digest) {
+	content := &record.Content{}
+	content.Number(uint64(command.Kind))
+	content.Text(command.Site)
+	return content.Digest()
+}
+
+// TakenByName tells whether an order was taken under the name that it has, or
+// why not where another was.
+func (s *State) TakenByName(command Command) (taken bool, err error) {
+	if !command.namedOrder() {
+		return false, nil
+	}
+	content, known := s.Orders.Content(orderNumber(command))
+	if known && content != orderContent(command) {
+		return false, record.Conflict.New("order %q is another one", command.Key)
+	}
+	return known, nil
+}
+
 // CheckDocument tells what would become of a document, or of its withdrawal
 // where it has no body: whether it was taken before, or why it is refused.
 func (s *State) CheckDocument(next order.Document) (after order.Document, taken bool, err error) {
--- a/internal/accord/orders_test.go
+++ b/internal/accord/orders_test.go
@@ -120,6 +120,38 @@
 	}
 }
 
+func TestANamedOrderTakesEffectOnce(t *testing.T) {
+	state := NewState()
+	order := func(kind CommandKind, site, name string) Command {
+		return Command{Kind: kind, Site: site, Body: []byte("pay"), Claim: Claim{Holder: drain.ByOperator, Key: name}}
+	}
+	for i, step := range []struct {
+		command           Command
+		conflict          bool
+		evacuated, stands bool
+	}{
+		{command: order(CommandEvacuate, "z", "a"), evacuated: true},
+		{command: order(CommandReturn, "z", "b")},
+		{command: order(CommandEvacuate, "z", "a")},
+		{command: order(CommandEvacuate, "z", "b"), conflict: true},
+		{command: order(CommandEvacuate, "y", "a"), conflict: true},
+		{command: order(CommandEvacuate, "z", ""), evacuated: true},
+		{command: order(CommandReturn, "z", "b"), evacuated: true},
+		{command: order(CommandRetire, "i-1", "c"), evacuated: true, stands: true},
+		{command: order(CommandRestore, "i-1", "d"), evacuated: true},
+		{command: order(CommandRetire, "i-1", "c"), evacuated: true},
+		{command: order(CommandRetire, "i-1", "e"), evacuated: true, stands: true},
+		{command: order(CommandRestore, "i-1", "d"), evacuated: true, stands: true},
+	} {
+		result := state.Apply(uint64(i+1), step.command, 0)
+		state = thawed(t, state)
+		stands, _ := state.RetireTaken("i-1")
+		if result.Conflict != step.conflict || (result.Problem != "") != step.conflict || state.Evacuations["z"].Active != step.evacuated || stands != step.stands {
+			t.Errorf("step %d: %+v, evacuated %v, retired %v", i, result, state.Evacuations["z"].Active, stands)
+		}
+	}
+}
+
 // A snapshot as versions without the record wrote it.
 func TestASnapshotWithoutTheRecordIsRead(t *testing.T) {
 	type older struct {
@@ -163,11 +195,17 @@
 
 func (o operators) order() (next *sent) {
 	version, pick := 1+o.luck.Intn(12), o.luck.Intn(3)
-	switch o.luck.Intn(5) {
+	switch o.luck.Intn(6) {
 	case 0:
 		next = &sent{command: policy(version, []string{"pay", "desk"}[pick%2], fmt.Sprint(pick, "s"))}
 	case 1:
 		next = &sent{command: withdrawal(version)}
+	case 2:
+		kind, name := []CommandKind{CommandEvacuate, CommandReturn}[pick%2], fmt.Sprint("name ", o.luck.Intn(40))
+		return &sent{
+			command: Command{Kind: kind, Site: "z", Claim: Claim{Key: name}},
+			numbers: []record.Number{{Kind: "order", Name: name}}, contents: []string{fmt.Sprint(kind)},
+		}
 	default:
 		item, other := o.luck.Intn(3), o.luck.Intn(3)
 		next = &sent{command: Command{Kind: CommandConfig, Body: o.call(item, other, version, pick)}}
@@ -195,7 +233,7 @@
 // stands is all that orders have brought about.
 func stands(state *State) (text string) {
 	document := state.Documents[order.DrainPolicy]
-	return fmt.Sprint(state.Canon.Items(), document.Stamp(), document.Body)
+	return fmt.Sprint(state.Canon.Items(), document.Stamp(), document.Body, state.Evacuations["z"].Active)
 }
 
 func TestOrdersOfTwoOperatorsKeepTheirWord(t *testing.T) {
--- a/internal/clerk/clerk.go
+++ b/internal/clerk/clerk.go
@@ -7,6 +7,7 @@
 import (
 	"bytes"
 	"context"
+	"crypto/rand"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -36,6 +37,9 @@
 // Clerk knows where the accord daemons are.
 type Clerk struct {
 	Controls []string
+	// Order names an order that has no version, so that it takes effect once however
+	// often it is sent; empty: a name drawn for this call.
+	Order string
 	// Wait is how long to wait for a retired backend to be let go by all.
 	Wait   time.Duration
 	client http.Client
@@ -72,7 +76,7 @@
 		}
 		return c.tell(ctx, out, "/-/Orders.Withdraw/"+string(kind)+"/"+words[0], nil)
 	case "restore":
-		return c.tell(ctx, out, "/-/Backends.Restore/"+url.PathEscape(words[0]), nil)
+		return c.tell(ctx, out, c.named("/-/Backends.Restore/"+url.PathEscape(words[0])), nil)
 	case "retire":
 		return c.retire(ctx, out, words[0])
 	}
@@ -83,23 +87,38 @@
 	return true, print(out, shown)
 }
 
+// named adds the order's name, the same for each control address that is tried.
+func (c *Clerk) named(path string) (whole string) {
+	name := c.Order
+	if name == "" {
+		name = rand.Text()
+	}
+	return path + "?order=" + url.QueryEscape(name)
+}
+
 func (c *Clerk) tell(ctx context.Context, out io.Writer, path string, body []byte) (good bool, err error) {
+	_, err = c.status(ctx, out, path, body)
+	return err == nil, err
+}
+
+func (c *Clerk) status(ctx context.Context, out io.Writer, path string, body []byte) (status string, err error) {
 	answer, err := c.call(ctx, http.MethodPost, path, body)
 	if err != nil {
-		return false, err
+		return "", err
 	}
 	var done struct{ Status string }
 	if err = json.Unmarshal(answer, &done); err != nil {
-		return false, Class.Wrap(err)
+		return "", Class.Wrap(err)
 	}
 	_, err = fmt.Fprintln(out, done.Status)
-	return true, Class.Wrap(err)
+	return done.Status, Class.Wrap(err)
 }
 
 // retire orders it and, where asked to, waits until all daemons in touch follow.
 func (c *Clerk) retire(ctx context.Context, out io.Writer, id string) (good bool, err error) {
-	if good, err = c.tell(ctx, out, "/-/Backends.Retire/"+url.PathEscape(id), nil); err != nil || c.Wait <= 0 {
-		return good, err
+	status, err := c.status(ctx, out, c.named("/-/Backends.Retire/"+url.PathEscape(id)), nil)
+	if gone := drain.Phase(status); err != nil || c.Wait <= 0 || gone == drain.Left || gone == drain.TakenBack {
+		return err == nil && gone != drain.TakenBack, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
@@ -145,7 +164,13 @@
 		}
 	}
 	if method == http.MethodPost {
-		return nil, Class.New("no clear answer, the same may be sent again: %v", err)
+		again := "the same may be sent again"
+		if _, name, named := strings.Cut(path, "?order="); named {
+			if name, err := url.QueryUnescape(name); err == nil {
+				again += " with -order " + name
+			}
+		}
+		return nil, Class.New("no clear answer, %s: %v", again, err)
 	}
 	return nil, err
 }
--- a/internal/clerk/clerk_test.go
+++ b/internal/clerk/clerk_test.go
@@ -7,6 +7,7 @@
 	"context"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -23,9 +24,10 @@
 		{[]int{503, 422}, false, "refused: version 5 stands"},
 		{[]int{503, 503}, false, "no clear answer, the same may be sent again"},
 	} {
-		desk := &Clerk{}
+		desk, names := &Clerk{}, []string(nil)
 		for _, status := range c.statuses {
-			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				names = append(names, r.URL.Query().Get("order"))
 				w.WriteHeader(status)
 				_, _ = w.Write([]byte(`{"status":"acknowledged","error_message":"version 5 stands"}`))
 			}))
@@ -34,8 +36,36 @@
 		}
 		var out bytes.Buffer
 		good, err := desk.Carry(context.Background(), &out, "drain", "withdraw", []string{"5"})
+		if slices.ContainsFunc(names, func(name string) bool { return name != "" }) {
+			t.Errorf("an order with a version got the names %q", names)
+		}
 		if good != c.good || good != strings.Contains(out.String(), "acknowledged") || !good && !strings.Contains(err.Error(), c.said) {
 			t.Errorf("%v: %v, %q, %v", c.statuses, good, out.String(), err)
 		}
 	}
 }
+
+// An order without a version has one name at each address that is tried, and the
+// operator is told it where no answer is clear.
+func TestAnOrderWithoutAVersionHasOneName(t *testing.T) {
+	for _, given := range []string{"", "mine&1"} {
+		var names []string
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			names = append(names, r.URL.Query().Get("order"))
+			w.WriteHeader(503)
+		}))
+		defer server.Close()
+		control := strings.TrimPrefix(server.URL, "http://")
+		desk := &Clerk{Controls: []string{control, control}, Order: given}
+		for _, verb := range []string{"retire", "restore"} {
+			names = nil
+			_, err := desk.Carry(context.Background(), &bytes.Buffer{}, "drain", verb, []string{"i-1"})
+			if len(names) != 2 || names[0] != names[1] || names[0] == "" || given != "" && names[0] != given {
+				t.Errorf("%s: names %q", verb, names)
+			}
+			if err == nil || !strings.Contains(err.Error(), "-order ") {
+				t.Errorf("%s: %v", verb, err)
+			}
+		}
+	}
+}
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"net/http"
+	"net/url"
 	"time"
 
 	"tinpin/internal/accord"
@@ -174,17 +175,29 @@
 	return text, nil
 }
 
-func (c *Council) evacuate(_ context.Context, site string, start bool) (err error) {
+// withOrder adds to a path the name that an order may have.
+func withOrder(path, id string) (whole string) {
+	if id == "" {
+		return path
+	}
+	return path + "?order=" + url.QueryEscape(id)
+}
+
+func (c *Council) evacuate(_ context.Context, site string, start bool, id string) (err error) {
 	kind, verb := accord.CommandReturn, "Stop"
 	if start {
 		kind, verb = accord.CommandEvacuate, "Start"
 	}
-	if err = c.elsewhere("/-/Evacuations." + verb + "/" + site); err != nil {
+	if err = c.elsewhere(withOrder("/-/Evacuations."+verb+"/"+url.PathEscape(site), id)); err != nil {
 		return err
 	}
-	if _, err = c.wish(accord.Command{Kind: kind, Site: site}); err != nil {
+	result, err := c.wish(accord.Command{Kind: kind, Site: site, Claim: accord.Claim{Key: id}})
+	if err != nil {
 		return err
 	}
+	if result.Problem != "" {
+		return c.refuse(chronicle.Evacuation, refusedAs(problem.BadOrder, result))
+	}
 	c.log.Say(events.EvacuationTaken, "site", site, "start", start)
 	c.node.Chronicle.Note(chronicle.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -96,8 +96,8 @@
 		"an old version":  {set(policy(3), false), problem.BadOrder},
 		"no document":     {set(`{}`, false), problem.BadOrder},
 		"a bad check":     {set(`{}`, true), problem.BadOrder},
-		"the last of all": {func() error { _, err := c.retire(none, "one", false); return err }, problem.BadOrder},
-		"an unknown one":  {func() error { _, err := c.retire(none, "two", false); return err }, problem.BadOrder},
+		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, problem.BadOrder},
+		"an unknown one":  {func() error { _, err := c.retire(none, "two", false, ""); return err }, problem.BadOrder},
 	} {
 		for lost, want := range map[bool]problem.Kind{false: call.with, true: problem.Unclear} {
 			contact.lost.Store(lost)
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -7,6 +7,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"net/url"
 
 	"tinpin/internal/accord"
 	"tinpin/internal/chronicle"
@@ -158,15 +159,15 @@
 	return json.Marshal(shown)
 }
 
-func (c *Council) retire(_ context.Context, id parley.ServerID, back bool) (phase string, err error) {
+func (c *Council) retire(_ context.Context, id parley.ServerID, back bool, named string) (phase string, err error) {
 	if back {
-		if _, err = c.open("/-/Backends.Restore/" + string(id)); err != nil {
+		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
 			return "", err
 		}
-		result, wishErr := c.wish(accord.Command{Kind: accord.CommandRestore, Site: string(id)})
+		result, wishErr := c.wish(accord.Command{Kind: accord.CommandRestore, Site: string(id), Claim: accord.Claim{Key: named}})
 		return "restored", c.ordered(chronicle.Retirement, string(id), "restored", result, wishErr)
 	}
-	open, err := c.open("/-/Backends.Retire/" + string(id))
+	open, err := c.open(withOrder("/-/Backends.Retire/"+url.PathEscape(string(id)), named))
 	if err != nil {
 		return "", err
 	}
@@ -174,10 +175,17 @@
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &office.Trouble{Kind: problem.Unclear, Text: "the platform's list is not read yet"}
 	}
+	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Claim: accord.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
+	agreed := func() {
+		c.node.Read(func(state *accord.State) {
+			sent.stands, sent.taken = state.RetireTaken(id)
+			sent.named, _ = state.TakenByName(command)
+		})
+	}
 	look := func() (service parley.ServiceName, listed bool, refusal error) {
-		c.node.Read(func(state *accord.State) { sent.stands, sent.taken = state.RetireTaken(id) })
-		if service, listed, refusal = open.CheckRetire(id); sent.stands {
+		agreed()
+		if service, listed, refusal = open.CheckRetire(id); sent.stands || sent.named {
 			return service, listed, nil
 		}
 		return service, listed, refusal
@@ -197,7 +205,7 @@
 			return phase, err
 		}
 	}
-	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(service), Claim: accord.Claim{Holder: drain.ByOperator}}
+	command.Body = []byte(service)
 	result, err := c.wish(command)
 	if err = c.ordered(chronicle.Retirement, string(id), "retired", result, err); err != nil {
 		return "", err
@@ -207,12 +215,15 @@
 			return string(account.Phase), nil
 		}
 	}
+	if agreed(); !sent.stands {
+		return string(drain.TakenBack), nil
+	}
 	return string(drain.Announced), nil
 }
 
 // sentAgain is what is agreed on of an order to retire that would be refused if
 // it were new.
-type sentAgain struct{ stands, taken bool }
+type sentAgain struct{ stands, taken, named bool }
 
 // answer confirms an order that was taken and whose backend has left the list.
 // One that was taken back since cannot be told from a new one: it has no effect
--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -105,25 +105,59 @@
 	c, _ := alone(t)
 	none := context.Background()
 	for _, id := range []parley.ServerID{"one", "two"} {
-		if _, err := c.retire(none, id, false); statusOf(t, err) != 422 {
+		if _, err := c.retire(none, id, false, ""); statusOf(t, err) != 422 {
 			t.Fatalf("%s, never taken: %v", id, err)
 		}
 		if _, err := c.wish(accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte("s"), Claim: accord.Claim{Holder: drain.ByOperator}}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.retire(none, id, false); err != nil {
+		if _, err := c.retire(none, id, false, ""); err != nil {
 			t.Errorf("%s, taken: %v", id, err)
 		}
 		for range 2 {
-			if _, err := c.retire(none, id, true); err != nil {
+			if _, err := c.retire(none, id, true, ""); err != nil {
 				t.Errorf("%s, taken back: %v", id, err)
 			}
 		}
 	}
-	if phase, err := c.retire(none, "two", false); err != nil || phase != string(drain.Left) {
+	if phase, err := c.retire(none, "two", false, ""); err != nil || phase != string(drain.Left) {
 		t.Errorf("left the list: %q, %v", phase, err)
 	}
-	if _, err := c.retire(none, "one", false); statusOf(t, err) != 503 {
+	if _, err := c.retire(none, "one", false, ""); statusOf(t, err) != 503 {
 		t.Errorf("taken back, the last now: %v", err)
 	}
 }
+
+// An order with a name is confirmed again behind the opposite one, and has no
+// second effect.
+func TestNamedOrdersThroughACore(t *testing.T) {
+	c, _ := alone(t)
+	none := context.Background()
+	for i, step := range []struct {
+		start  bool
+		name   string
+		status int
+		stands bool
+	}{{true, "a", 200, true}, {false, "b", 200, false}, {true, "a", 200, false}, {true, "b", 409, false}, {true, "", 200, true}} {
+		if status := statusOf(t, c.evacuate(none, "zone", step.start, step.name)); status != step.status {
+			t.Errorf("step %d: %d", i, status)
+		}
+		c.node.Read(func(state *accord.State) {
+			if state.Evacuations["zone"].Active != step.stands {
+				t.Errorf("step %d: stands %v", i, !step.stands)
+			}
+		})
+	}
+	if _, err := c.wish(accord.Command{Kind: accord.CommandRetire, Site: "two", Claim: accord.Claim{Holder: drain.ByOperator, Key: "r"}}); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.retire(none, "two", true, "s"); err != nil {
+		t.Fatal(err)
+	}
+	if phase, err := c.retire(none, "two", false, "r"); err != nil || phase != string(drain.TakenBack) {
+		t.Errorf("sent again by its name: %q, %v", phase, err)
+	}
+	if _, err := c.retire(none, "one", true, "s"); statusOf(t, err) != 409 {
+		t.Errorf("another order by that name: %v", err)
+	}
+}
--- a/internal/drain/desk.go
+++ b/internal/drain/desk.go
@@ -32,6 +32,8 @@
 	Together  Phase = "together"
 	// Left is told of a backend that is gone from the list.
 	Left Phase = "left"
+	// TakenBack is told of an order that was taken, and taken back since.
+	TakenBack Phase = "taken back"
 )
 
 // Follower is one daemon as the leader hears it.
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -38,15 +38,16 @@
 type Duties struct {
 	Update   func(ctx context.Context, body []byte) error
 	Describe func(ctx context.Context) ([]byte, error)
-	Evacuate func(ctx context.Context, site string, start bool) error
+	// Evacuate orders it or takes it back; id may name the order.
+	Evacuate func(ctx context.Context, site string, start bool, id string) error
 	Resolve  func(ctx context.Context, host, region, site string) ([]string, time.Duration, error)
 	Ready    func() bool
 	// Order sets a document or, with check, only looks it over.
 	Order    func(ctx context.Context, kind order.Kind, body []byte, check bool) error
 	Withdraw func(ctx context.Context, kind order.Kind, version order.Version) error
 	Show     func(ctx context.Context, kind order.Kind) ([]byte, error)
-	// Retire orders that a backend be retired, or takes that back.
-	Retire func(ctx context.Context, id parley.ServerID, back bool) (phase string, err error)
+	// Retire orders that a backend be retired, or takes that back; id may name the order.
+	Retire func(ctx context.Context, server parley.ServerID, back bool, id string) (phase string, err error)
 }
 
 type office struct{ duties Duties }
@@ -70,22 +71,22 @@
 	return o.duties.Describe(ctx)
 }
 
-func (o office) evacuate(ctx context.Context, site string, start bool) (done *oas.Done, err error) {
+func (o office) evacuate(ctx context.Context, site string, start bool, id string) (done *oas.Done, err error) {
 	if o.duties.Evacuate == nil {
 		return nil, errElsewhere
 	}
-	if err = o.duties.Evacuate(ctx, site, start); err != nil {
+	if err = o.duties.Evacuate(ctx, site, start, id); err != nil {
 		return nil, err
 	}
 	return &oas.Done{Status: "acknowledged"}, nil
 }
 
 func (o office) EvacuationStart(ctx context.Context, params oas.EvacuationStartParams) (done *oas.Done, err error) {
-	return o.evacuate(ctx, params.Zone, true)
+	return o.evacuate(ctx, params.Zone, true, params.Order.Or(""))
 }
 
 func (o office) EvacuationStop(ctx context.Context, params oas.EvacuationStopParams) (done *oas.Done, err error) {
-	return o.evacuate(ctx, params.Zone, false)
+	return o.evacuate(ctx, params.Zone, false, params.Order.Or(""))
 }
 
 func (o office) Resolve(ctx context.Context, params oas.ResolveParams) (directions *oas.Directions, err error) {
@@ -140,11 +141,11 @@
 	return o.duties.Show(ctx, order.Kind(params.Kind))
 }
 
-func (o office) retire(ctx context.Context, id string, back bool) (done *oas.Done, err error) {
+func (o office) retire(ctx context.Context, server string, back bool, id string) (done *oas.Done, err error) {
 	if o.duties.Retire == nil {
 		return nil, errElsewhere
 	}
-	phase, err := o.duties.Retire(ctx, parley.ServerID(id), back)
+	phase, err := o.duties.Retire(ctx, parley.ServerID(server), back, id)
 	if err != nil {
 		return nil, err
 	}
@@ -152,11 +153,11 @@
 }
 
 func (o office) BackendRetire(ctx context.Context, params oas.BackendRetireParams) (done *oas.Done, err error) {
-	return o.retire(ctx, params.Instance, false)
+	return o.retire(ctx, params.Instance, false, params.Order.Or(""))
 }
 
 func (o office) BackendRestore(ctx context.Context, params oas.BackendRestoreParams) (done *oas.Done, err error) {
-	return o.retire(ctx, params.Instance, true)
+	return o.retire(ctx, params.Instance, true, params.Order.Or(""))
 }
 
 func (o office) NewError(_ context.Context, err error) (other *oas.OtherStatusCodeWithHeaders) {
