--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -3,12 +3,16 @@
 package council
 
 import (
+	"context"
 	"errors"
+	"fmt"
 	"testing"
 
 	"tinpin/internal/accord"
+	"tinpin/internal/drain"
 	"tinpin/internal/office"
 	"tinpin/internal/order"
+	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
 
@@ -55,3 +59,105 @@
 		}
 	}
 }
+
+func TestOrdersThroughACore(t *testing.T) {
+	c, _ := alone(t)
+	none := context.Background()
+	policy := func(version int, notice string) []byte {
+		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
+	}
+	set := func(version int, notice string) error {
+		return c.order(none, order.DrainPolicy, policy(version, notice), false)
+	}
+	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["pay",%s,4]]}}}`
+	config := func(most string) error { return c.update(none, fmt.Appendf(nil, services, most)) }
+	for i, step := range []struct {
+		err    error
+		status int
+	}{
+		{config("7"), 200},
+		{config("7.0"), 200},
+		{config("8"), 409},
+		{config("7,8"), 400},
+		{c.update(none, []byte(`{"removals":{"services":[{"name":"pay","version":4}]}}`)), 409},
+		{c.update(none, []byte(`{"upserts":{},"upserts":{}}`)), 400},
+		{set(5, "1s"), 200},
+		{set(6, "1s"), 200},
+		{set(5, "1s"), 200},
+		{set(5, "2s"), 409},
+		{set(4, "1s"), 422},
+		{c.withdraw(none, order.DrainPolicy, 6), 409},
+		{c.withdraw(none, order.DrainPolicy, 7), 200},
+		{set(8, "1s"), 200},
+		{c.withdraw(none, order.DrainPolicy, 7), 200},
+		{c.order(none, order.DrainPolicy, policy(5, "2s"), true), 409},
+		{c.order(none, order.DrainPolicy, []byte(`{"version":9,"version":9}`), false), 422},
+	} {
+		if status := statusOf(t, step.err); status != step.status {
+			t.Errorf("step %d: %d (%v), want %d", i, status, step.err, step.status)
+		}
+	}
+}
+
+// "two" was retired and has left the list; "one", the last of its service, was
+// retired while there were others, and taken back.
+func TestRetiringAgainThroughACore(t *testing.T) {
+	c, _ := alone(t)
+	none := context.Background()
+	for _, id := range []parley.ServerID{"one", "two"} {
+		if _, err := c.retire(none, id, false, ""); statusOf(t, err) != 422 {
+			t.Fatalf("%s, never taken: %v", id, err)
+		}
+		if _, err := c.wish(accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte("s"), Claim: accord.Claim{Holder: drain.ByOperator}}); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := c.retire(none, id, false, ""); err != nil {
+			t.Errorf("%s, taken: %v", id, err)
+		}
+		for range 2 {
+			if _, err := c.retire(none, id, true, ""); err != nil {
+				t.Errorf("%s, taken back: %v", id, err)
+			}
+		}
+	}
+	if phase, err := c.retire(none, "two", false, ""); err != nil || phase != string(drain.Left) {
+		t.Errorf("left the list: %q, %v", phase, err)
+	}
+	if _, err := c.retire(none, "one", false, ""); statusOf(t, err) != 503 {
+		t.Errorf("taken back, the last now: %v", err)
+	}
+}
+
+// An order with a name is confirmed again behind the opposite one, and has no
+// second effect.
+func TestNamedOrdersThroughACore(t *testing.T) {
+	c, _ := alone(t)
+	none := context.Background()
+	for i, step := range []struct {
+		start  bool
+		name   string
+		status int
+		stands bool
+	}{{true, "a", 200, true}, {false, "b", 200, false}, {true, "a", 200, false}, {true, "b", 409, false}, {true, "", 200, true}} {
+		if status := statusOf(t, c.evacuate(none, "zone", step.start, step.name)); status != step.status {
+			t.Errorf("step %d: %d", i, status)
+		}
+		c.node.Read(func(state *accord.State) {
+			if state.Evacuations["zone"].Active != step.stands {
+				t.Errorf("step %d: stands %v", i, !step.stands)
+			}
+		})
+	}
+	if _, err := c.wish(accord.Command{Kind: accord.CommandRetire, Site: "two", Claim: accord.Claim{Holder: drain.ByOperator, Key: "r"}}); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.retire(none, "two", true, "s"); err != nil {
+		t.Fatal(err)
+	}
+	if phase, err := c.retire(none, "two", false, "r"); err != nil || phase != string(drain.TakenBack) {
+		t.Errorf("sent again by its name: %q, %v", phase, err)
+	}
+	if _, err := c.retire(none, "one", true, "s"); statusOf(t, err) != 409 {
+		t.Errorf("another order by that name: %v", err)
+	}
+}
