--- /dev/null
+++ b/cmd/tinpin-account/main.go
@@ -0,0 +1,81 @@
+// The tinpin-account command sends rounds of requests through real daemons on
+// loopback to stand-ins for backends that are in trouble, and accounts for every
+// run and every answer by id. It ends by itself, with 1 on any mismatch.
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"tinpin/internal/account"
+	"tinpin/internal/stage"
+)
+
+const usage = `tinpin-account accounts for every run and every answer, on loopback
+
+  tinpin-account [-rounds N] [-for TIME] [-clients N] [-seed N] [-json]
+
+It ends after so many rounds or that time, whichever comes first. The stand-ins for
+the backends reset, garble, delay, keep silent and double their answers at random by
+the seed; which request meets which trouble also depends on the machine's timing.
+The table's columns from "repeats" on are mismatches, which must be 0. It ends with
+0 if all agree, 1 on a mismatch or if it could not be played, 2 on a wrong flag.
+`
+
+func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
+
+func run(args []string, out, bad io.Writer) (code int) {
+	wrong := func(err error, code int) int {
+		_, _ = fmt.Fprintln(bad, "tinpin-account:", err)
+		return code
+	}
+	options := account.Usual
+	set := flag.NewFlagSet("tinpin-account", flag.ContinueOnError)
+	set.SetOutput(io.Discard)
+	set.IntVar(&options.Rounds, "rounds", options.Rounds, "")
+	set.DurationVar(&options.Time, "for", options.Time, "")
+	set.IntVar(&options.Clients, "clients", options.Clients, "")
+	set.Uint64Var(&options.Seed, "seed", options.Seed, "")
+	asJSON := set.Bool("json", false, "")
+	if err := set.Parse(args); err != nil {
+		if err == flag.ErrHelp {
+			_, _ = io.WriteString(out, usage)
+			return 0
+		}
+		return wrong(fmt.Errorf("%w; see 'tinpin-account -help'", err), 2)
+	}
+	if set.NArg() > 0 {
+		return wrong(fmt.Errorf("what is %q? see 'tinpin-account -help'", set.Arg(0)), 2)
+	}
+	if err := options.Check(); err != nil {
+		return wrong(err, 2)
+	}
+	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer cancel()
+	system, err := account.Open(stage.Hosts())
+	if err != nil {
+		return wrong(err, 1)
+	}
+	defer system.Close()
+	report, err := system.Play(ctx, options)
+	if err != nil {
+		return wrong(err, 1)
+	}
+	if *asJSON {
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", " ")
+		_ = encoder.Encode(report)
+	} else {
+		report.Table(out)
+	}
+	if !report.Good() {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/account/options.go
@@ -0,0 +1,50 @@
+// Package account plays clients against real daemons on loopback whose backends
+// are stand-ins that reset, garble, delay, keep silent and double their answers,
+// and accounts for every run and every answer by id, at the stand-in and at the
+// client. What does not agree is a mismatch: a repeat of what may not be
+// repeated, a promise that was broken, an answer that is another's, a success
+// without a run, a try that ended without an answer.
+package account
+
+import (
+	"runtime"
+	"time"
+
+	"github.com/zeebo/errs"
+)
+
+// Class marks failures of the account itself.
+var Class = errs.Class("account")
+
+// Most that an account may be asked for.
+const (
+	RoundsMost  = 5_000_000
+	TimeMost    = time.Hour
+	ClientsMost = 256
+)
+
+// Options of one play. A round is one client's request with its tries.
+type Options struct {
+	Rounds  int
+	Time    time.Duration
+	Clients int
+	Seed    uint64
+}
+
+// Usual is what is played where nothing is said.
+var Usual = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
+
+// Check names what is out of bounds.
+func (o Options) Check() (err error) {
+	switch {
+	case o.Rounds < 1 || o.Rounds > RoundsMost:
+		return Class.New("rounds: %d is not within 1 and %d", o.Rounds, RoundsMost)
+	case o.Time <= 0 || o.Time > TimeMost:
+		return Class.New("for: %v is not above 0 and up to %v", o.Time, TimeMost)
+	case o.Clients < 1 || o.Clients > ClientsMost:
+		return Class.New("clients: %d is not within 1 and %d", o.Clients, ClientsMost)
+	case o.Seed == 0:
+		return Class.New("seed: 0 is no seed")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/passage/account_test.go
@@ -0,0 +1,68 @@
+package passage_test
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"tinpin/internal/account"
+	"tinpin/internal/passage"
+	"tinpin/internal/stage"
+)
+
+// opened is a system whose daemons leave nothing out, and a way to play it.
+func opened(t *testing.T, first int) (play func(lapse passage.Lapse) account.Report) {
+	t.Helper()
+	hosts := stage.Hosts()
+	system, err := account.Open(func(n int) string { return hosts(first + n) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(system.Close)
+	options := account.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
+	return func(lapse passage.Lapse) (report account.Report) {
+		for _, edge := range system.Stage.Edges {
+			edge.Plant(lapse)
+		}
+		options.Seed++
+		if report, err = system.Play(context.Background(), options); err != nil {
+			t.Fatal(err)
+		}
+		return report
+	}
+}
+
+// A short account of the daemons as they are agrees in everything.
+func TestTheAccountAgrees(t *testing.T) {
+	play := opened(t, 100)
+	if report := play(0); !report.Good() || report.Rounds != 300 {
+		var table strings.Builder
+		report.Table(&table)
+		t.Fatal(table.String())
+	}
+}
+
+// Each check that is left out is found by the account.
+func TestTheAccountFindsWhatIsPlanted(t *testing.T) {
+	play := opened(t, 170)
+	for name, c := range map[string]struct {
+		lapse passage.Lapse
+		found func(account.Line) int
+	}{
+		"a rested 421 without an id is proof": {passage.TrustNameless, func(l account.Line) int { return l.Repeats + l.Promises }},
+		"a reset of a rested stream is proof": {passage.RepeatReset, func(l account.Line) int { return l.Repeats + l.Promises }},
+		"a surplus answer is taken":           {passage.TakeSurplus, func(l account.Line) int { return l.Crossed }},
+		"the first of two ids counts":         {passage.FirstID, func(l account.Line) int { return l.Crossed }},
+	} {
+		found, plays := 0, 0
+		for ; plays < 10 && found == 0; plays++ {
+			for _, line := range play(c.lapse).Lines {
+				found += c.found(line)
+			}
+		}
+		if t.Logf("%s: %d found in play %d", name, found, plays); found == 0 {
+			t.Errorf("not found: %s", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/passage/export_test.go
@@ -0,0 +1,4 @@
+package passage
+
+// Plant has a daemon leave a check out.
+func (d *Daemon) Plant(lapse Lapse) { d.lapse = lapse }
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -38,13 +38,17 @@
 	// Work is how long it works on a request; Failing has it fail them all.
 	Work    atomic.Int64
 	Failing atomic.Bool
-	server  *http.Server
+	// Server is closed with the stage.
+	Server  io.Closer
 	mu      sync.Mutex
 	keys    map[string]int
 	callers map[string]int
 	arrived map[string]int
 }
 
+// Site is where everything on the stage is.
+const Site = "harbour"
+
 // CallerHeader names the session of a request on the stage.
 const CallerHeader = "X-Caller"
 
@@ -135,24 +139,43 @@
 
 // Start sets up three cores, two edges and four backends of two services.
 func Start(folder string, hosts func(n int) string) (stage *Stage, err error) {
-	return start(folder, hosts, true)
+	backends, err := plainBackends(hosts)
+	if err != nil {
+		return nil, err
+	}
+	return start(folder, hosts, backends, true)
+}
+
+// StartWith sets up the same with backends that are served already, all of them
+// at the stage's one site.
+func StartWith(folder string, hosts func(n int) string, backends []*Backend) (stage *Stage, err error) {
+	return start(folder, hosts, backends, true)
 }
 
 // StartGateway sets up the same without a directory: clients come by an address
 // of the platform, which asks the edges whether they are ready.
 func StartGateway(folder string, hosts func(n int) string) (stage *Stage, err error) {
-	return start(folder, hosts, false)
+	backends, err := plainBackends(hosts)
+	if err != nil {
+		return nil, err
+	}
+	return start(folder, hosts, backends, false)
 }
 
-func start(folder string, hosts func(n int) string, directory bool) (stage *Stage, err error) {
-	stage = &Stage{Cores: map[string]*council.Council{}, Edges: map[string]*passage.Daemon{}, hosts: hosts, draining: map[string]bool{}}
+// plainBackends are four backends that work.
+func plainBackends(hosts func(n int) string) (backends []*Backend, err error) {
 	for i, service := range []string{"hello", "hello", "ledger", "ledger"} {
-		backend := &Backend{ID: fmt.Sprint("i-", i+1), Service: service, Address: hosts(40+i) + ":18080", Site: "harbour", keys: map[string]int{}, callers: map[string]int{}, arrived: map[string]int{}}
-		if backend.server, err = serve(backend.Address, backend); err != nil {
+		backend := &Backend{ID: fmt.Sprint("i-", i+1), Service: service, Address: hosts(40+i) + ":18080", Site: Site, keys: map[string]int{}, callers: map[string]int{}, arrived: map[string]int{}}
+		if backend.Server, err = serve(backend.Address, backend); err != nil {
 			return nil, err
 		}
-		stage.Backends = append(stage.Backends, backend)
+		backends = append(backends, backend)
 	}
+	return backends, nil
+}
+
+func start(folder string, hosts func(n int) string, backends []*Backend, directory bool) (stage *Stage, err error) {
+	stage = &Stage{Cores: map[string]*council.Council{}, Edges: map[string]*passage.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
 	platform := hosts(30) + ":18169"
 	if stage.platform, err = serve(platform, http.HandlerFunc(stage.list)); err != nil {
 		return nil, err
@@ -163,7 +186,7 @@
 	}
 	common := func(name string, n int) (p props.Props) {
 		p = props.Props{
-			Name: name, Address: hosts(n), Site: "harbour", Region: "coast", Regions: map[string]string{"harbour": "coast"}, FirstStart: true,
+			Name: name, Address: hosts(n), Site: Site, Region: "coast", Regions: map[string]string{Site: "coast"}, FirstStart: true,
 			InnerLow: 17720, InnerHigh: 17735, Seeds: seeds, MemoryMB: 256, Descriptors: 1024, PlatformAddress: platform, PlatformRate: 100,
 			Sharers: 3, RestOnce: 250 * time.Millisecond, CPUShare: 1,
 			SendInterval: time.Second, ProbeInterval: 500 * time.Millisecond, ListInterval: 200 * time.Millisecond,
@@ -379,6 +402,6 @@
 	}
 	_ = s.platform.Close()
 	for _, backend := range s.Backends {
-		_ = backend.server.Close()
+		_ = backend.Server.Close()
 	}
 }
