--- a/internal/account/backend.go
+++ b/internal/account/backend.go
@@ -240,8 +240,8 @@
 	case RunNotRun:
 		a.lines = "Tinpin-Not-Executed: 1\r\n"
 		whole = a.text()
-	case OwnError:
-		a.status = 500
+	case OwnError, OwnBusy:
+		a.status = map[Trouble]int{OwnError: 500, OwnBusy: 503}[trouble]
 		whole = a.text()
 	}
 	return s.say(whole)
--- a/internal/account/trouble.go
+++ b/internal/account/trouble.go
@@ -40,6 +40,7 @@
 	TurnedElsewhere
 	TurnedTwice
 	OwnError
+	OwnBusy
 	troubles
 )
 
@@ -95,6 +96,7 @@
 	TurnedElsewhere:       {"turned away by 421", 4, anywhere},
 	TurnedTwice:           {"turned away twice", 12, anywhere},
 	OwnError:              {"its own failure", 8, anywhere},
+	OwnBusy:               {"503 without a word, run", 8, anywhere},
 }
 
 // draw picks a trouble, with a number below a thousand, for a request.
--- a/internal/passage/door_test.go
+++ b/internal/passage/door_test.go
@@ -3,6 +3,7 @@
 
 import (
 	"io"
+	"net"
 	"net/http"
 	"testing"
 )
@@ -36,3 +37,39 @@
 		t.Fatalf("%d runs", backend.count())
 	}
 }
+
+// Where the daemon ends, or its client goes, with a request at work, the stream
+// ends with it: nothing is promised of what may have run, and what the backend
+// still says reaches nobody else.
+func TestAnEndWithARequestAtWorkPromisesNothing(t *testing.T) {
+	for _, clientGoes := range []bool{false, true} {
+		begun, gate := make(chan struct{}), make(chan struct{})
+		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+			if n == 1 {
+				close(begun)
+				<-gate
+			}
+			return good(n, r, conn)
+		})
+		d := daemonOf(t, backend)
+		conn, in := client(t, d)
+		_, _ = io.WriteString(conn, ask("POST", "/once/1", "p1", "Content-Length: 0"))
+		<-begun
+		if clientGoes {
+			_ = conn.Close()
+		} else {
+			d.door.Stop()
+			d.door.Close()
+			if response, _, err := receiveOne(t, in, "POST"); err == nil {
+				t.Fatalf("told %d", response.StatusCode)
+			}
+		}
+		close(gate)
+		if verdict := d.Answer(request("POST", "/once/2", "p2"), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of p2" {
+			t.Fatalf("%d %q", verdict.Status, verdict.Body)
+		}
+		if backend.count() != 2 {
+			t.Fatalf("%d arrivals", backend.count())
+		}
+	}
+}
--- a/internal/passage/keyed_test.go
+++ b/internal/passage/keyed_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/keys"
 	"tinpin/internal/parley"
 )
 
@@ -244,3 +245,29 @@
 		}
 	}
 }
+
+// What an earlier life of a daemon held is unknown to the next, whatever it has
+// under the same name, and is never run again.
+func TestAClaimOfAnEarlierLifeIsUnknown(t *testing.T) {
+	backend := newStandIn(t, "i-1", good)
+	d := daemonOf(t, backend)
+	forum := &standInForum{script: func(int, parley.KeyClaim) parley.ClaimFound {
+		return parley.ClaimFound{Outcome: parley.Held, Holder: "edge-1", Life: d.life + 1, Request: "z"}
+	}}
+	led(t, d, forum)
+	if verdict := d.Answer(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
+		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	}
+	for _, standing := range []func(op *keys.Held){func(*keys.Held) {}, d.keys.Free, func(op *keys.Held) { d.keys.Answer(op, 200, nil, nil) }} {
+		op, _ := d.keys.Open("other", "z")
+		if op == nil {
+			break
+		}
+		standing(op)
+		var reply parley.RecallReply
+		if err := (&Desk{d}).Recall(parley.RecallAsk{Key: "other", Request: "z", Life: d.life + 1}, &reply); err != nil || reply.Standing != parley.Lost {
+			t.Fatal(reply, err)
+		}
+		d.keys.Free(op)
+	}
+}
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -262,7 +262,7 @@
 	for kind := problem.BadRequest; kind <= problem.CutOff; kind++ {
 		answer := kind.Answer()
 		promise := answer.Status == 408 || answer.Status == 421 || answer.Status == 429 || answer.Status == 503
-		if answer.Status == 0 || promise && answer.Ran {
+		if answer.Status == 0 || promise && answer.Ran || promise != problem.Promises(answer.Status) {
 			t.Errorf("kind %d: %+v", kind, answer)
 		}
 	}
--- a/internal/passage/round.go
+++ b/internal/passage/round.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"tinpin/internal/parley"
+	"tinpin/internal/problem"
 )
 
 // Head lines of the protocol.
@@ -406,8 +407,9 @@
 		r.settle(response, keep, whole)
 		return Round{Outcome: Turned}
 	}
-	// An answer that says of a success that it was not run says nothing.
-	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" {
+	// An answer that says of a success that it was not run says nothing, and one
+	// whose status would be a promise to the client makes none without that word.
+	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" || problem.Promises(response.StatusCode) {
 		server.drop(stream)
 		return Round{Outcome: Broken}
 	}
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -77,6 +77,12 @@
 	NotStarted:   {Status: 503, Text: "the configuration is not known yet", RetryMS: 300},
 }
 
+// Promises tells that a status is a promise that the request has not run and never
+// will.
+func Promises(status int) bool {
+	return status == 408 || status == 421 || status == 429 || status == 503
+}
+
 // Answer gives the table's entry.
 func (k Kind) Answer() (answer Answer) { return table[k] }
 
