--- a/internal/passage/round_test.go
+++ b/internal/passage/round_test.go
@@ -278,3 +278,31 @@
 		}
 	}
 }
+
+// A stream that is reset between the look at it and the write takes nothing of the
+// request: that is proof, also where it may not be repeated.
+func TestAWriteThatTookNothingIsProof(t *testing.T) {
+	conns := make(chan net.Conn, 2)
+	backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+		conns <- conn
+		return good(n, r, conn)
+	})
+	d := daemonOf(t, backend)
+	server := d.world.servers["i-1"]
+	now := d.clock.Now()
+	sending := Sending{Chosen: now, Till: now + time.Second, Rest: time.Minute}
+	if round := run(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Whole {
+		t.Fatalf("%+v", round)
+	}
+	sending.May = func(server *Server) bool {
+		reset(<-conns)
+		for stream := range server.active {
+			for stream.quiet() {
+			}
+		}
+		return true
+	}
+	if round := run(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
+		t.Fatalf("%+v after %d arrivals", round, backend.count())
+	}
+}
