--- a/internal/passage/round_test.go
+++ b/internal/passage/round_test.go
@@ -53,6 +53,11 @@
 		"another's, 421 without an id": {answer(200, "other", "not yours") + nameless(421, ""), 502, 502, 1},
 		"1xx, 421 without an id":       {"HTTP/1.1 100 Continue\r\n\r\n" + nameless(421, ""), 502, 502, 1},
 		"421 without an id, then mine": {nameless(421, "") + mine, 200, 502, 2},
+		"its own 503 without a word":   {answer(503, "ID", "sorry"), 502, 502, 1},
+		"its own 429 without a word":   {answer(429, "ID", "sorry"), 502, 502, 1},
+		"its own 408 without a word":   {answer(408, "ID", "sorry"), 502, 502, 1},
+		"its own 504":                  {answer(504, "ID", "sorry"), 504, 504, 1},
+		"its own 404":                  {answer(404, "ID", "sorry"), 404, 404, 1},
 		"an empty id":                  {nameless(421, headRequest+":\r\n"), 200, 502, 2},
 		"two ids, mine first":          {answer(200, "ID", "body of ID", headRequest+": other"), 502, 502, 1},
 		"two ids, mine last":           {answer(200, "other", "body of ID", headRequest+": ID"), 502, 502, 1},
@@ -273,3 +278,31 @@
 		}
 	}
 }
+
+// A stream that is reset between the look at it and the write takes nothing of the
+// request: that is proof, also where it may not be repeated.
+func TestAWriteThatTookNothingIsProof(t *testing.T) {
+	conns := make(chan net.Conn, 2)
+	backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+		conns <- conn
+		return good(n, r, conn)
+	})
+	d := daemonOf(t, backend)
+	server := d.world.servers["i-1"]
+	now := d.clock.Now()
+	sending := Sending{Chosen: now, Till: now + time.Second, Rest: time.Minute}
+	if round := run(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Whole {
+		t.Fatalf("%+v", round)
+	}
+	sending.May = func(server *Server) bool {
+		reset(<-conns)
+		for stream := range server.active {
+			for stream.quiet() {
+			}
+		}
+		return true
+	}
+	if round := run(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
+		t.Fatalf("%+v after %d arrivals", round, backend.count())
+	}
+}
