--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -5,6 +5,7 @@
 package accord
 
 import (
+	"errors"
 	"math/rand"
 	"os"
 	"sync"
@@ -94,11 +95,13 @@
 	}
 	store, err := OpenStore(p.Data, vfs.Default)
 	if err != nil {
+		log.Say(events.RecordSpoiled, "problem", err.Error())
 		return nil, err
 	}
 	id, hard, base, entries, err := store.Load()
 	if err != nil {
-		return nil, err
+		log.Say(events.RecordSpoiled, "problem", err.Error())
+		return nil, errors.Join(err, store.Close())
 	}
 	node = &Node{
 		props: p, log: log, store: store, birth: time.Now(),
--- a/internal/accord/store.go
+++ b/internal/accord/store.go
@@ -50,7 +50,11 @@
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	return &Store{db: db}, nil
+	store = &Store{db: db}
+	if err = store.sealAll(); err != nil {
+		return nil, errors.Join(err, db.Close())
+	}
+	return store, nil
 }
 
 // Close closes the store.
@@ -65,8 +69,11 @@
 		return false, Class.Wrap(err)
 	}
 	defer func() { _ = closer.Close() }()
+	if value, err = unseal(key, value); err != nil {
+		return false, err
+	}
 	if err = gob.NewDecoder(bytes.NewReader(value)).Decode(into); err != nil {
-		return false, Class.New("record %q cannot be read: %v", key, err)
+		return false, Spoiled.New("%q cannot be read: %v", key, err)
 	}
 	return true, nil
 }
@@ -94,11 +101,11 @@
 	entry.Index, entry.Term = index, Term(r.number())
 	members := r.text()
 	if r.bad {
-		return entry, Class.New("log entry %d cannot be read", index)
+		return entry, Spoiled.New("log entry %d cannot be read", index)
 	}
 	if len(members) > 0 {
 		if err = gob.NewDecoder(bytes.NewReader(members)).Decode(&entry.Members); err != nil {
-			return entry, Class.New("log entry %d cannot be read: %v", index, err)
+			return entry, Spoiled.New("log entry %d cannot be read: %v", index, err)
 		}
 	}
 	entry.Data = append([]byte(nil), r.data...)
@@ -125,8 +132,13 @@
 	next, term := base.Index+1, base.Term
 	for valid := iter.First(); valid; valid = iter.Next() {
 		index := Index(binary.BigEndian.Uint64(iter.Key()[1:]))
+		var value []byte
 		var entry Entry
-		if entry, err = readEntry(index, iter.Value()); err != nil {
+		if value, err = unseal(iter.Key(), iter.Value()); err != nil {
+			err = Spoiled.New("log entry %d: %v", index, err)
+			return
+		}
+		if entry, err = readEntry(index, value); err != nil {
 			return
 		}
 		if entry.Term < term {
@@ -139,14 +151,19 @@
 		log = append(log, entry)
 		next, term = next+1, entry.Term
 	}
+	if id == "" && (hard != Hard{} || base.Index > 0 || len(log) > 0) {
+		err = Spoiled.New("the disk holds a log and no id")
+	}
 	return
 }
 
+func put(batch *pebble.Batch, key, value []byte) { _ = batch.Set(key, seal(key, value), nil) }
+
 // Found writes the identity of a new disk, with the founders where it is one.
 func (s *Store) Found(id ID, base Snapshot) (err error) {
 	batch := s.db.NewBatch()
-	_ = batch.Set(keyID, encode(id), nil)
-	_ = batch.Set(keySnapshot, encode(base), nil)
+	put(batch, keyID, encode(id))
+	put(batch, keySnapshot, encode(base))
 	return Class.Wrap(batch.Commit(pebble.Sync))
 }
 
@@ -155,17 +172,17 @@
 	batch := s.db.NewBatch()
 	for _, write := range writes {
 		if write.Hard != nil {
-			_ = batch.Set(keyHard, encode(*write.Hard), nil)
+			put(batch, keyHard, encode(*write.Hard))
 		}
 		if write.Cut > 0 {
 			_ = batch.DeleteRange(keyEntry(write.Cut), keyLogEnd, nil)
 		}
 		if write.Snapshot != nil {
-			_ = batch.Set(keySnapshot, encode(*write.Snapshot), nil)
+			put(batch, keySnapshot, encode(*write.Snapshot))
 			_ = batch.DeleteRange(keyEntry(0), keyEntry(write.Snapshot.Index+1), nil)
 		}
 		for _, entry := range write.Entries {
-			_ = batch.Set(keyEntry(entry.Index), writeEntry(entry), nil)
+			put(batch, keyEntry(entry.Index), writeEntry(entry))
 		}
 	}
 	if batch.Empty() {
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -47,6 +47,7 @@
 	RetriesHeld
 	JoinRefused
 	MessageRefused
+	RecordSpoiled
 )
 
 // OrderRefused is beside the others, whose numbers run on.
@@ -84,6 +85,7 @@
 	SessionMoved:    "session moved to another backend",
 	AskRefused:      "malformed call of a daemon refused",
 	MessageRefused:  "message of another core refused",
+	RecordSpoiled:   "disk cannot be read, the core does not start",
 	RetriesHeld:     "retries to a slow service held back, or let again",
 	JoinRefused:     "core refused as a member",
 }
