--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -46,6 +46,8 @@
 	AskRefused
 	RetriesHeld
 	JoinRefused
+	MessageRefused
+	RecordSpoiled
 )
 
 // OrderRefused is beside the others, whose numbers run on.
@@ -82,6 +84,8 @@
 	OrderRefused:    "operator's order refused",
 	SessionMoved:    "session moved to another backend",
 	AskRefused:      "malformed call of a daemon refused",
+	MessageRefused:  "message of another core refused",
+	RecordSpoiled:   "disk cannot be read, the core does not start",
 	RetriesHeld:     "retries to a slow service held back, or let again",
 	JoinRefused:     "core refused as a member",
 }
