--- a/internal/accord/election.go
+++ b/internal/accord/election.go
@@ -3,8 +3,8 @@
 package accord
 
 func (r *Raft) campaign(pre, force bool) {
-	r.resetTimer()
 	r.role, r.leader, r.pre = Candidate, "", pre
+	r.askLater()
 	r.votes = map[ID]bool{r.id: true}
 	term := r.hard.Term + 1
 	kind := AskPreVote
@@ -29,6 +29,26 @@
 	r.countVotes()
 }
 
+// askLater sets when this core asks again. Where no leader was known since the
+// start that is soon, as others that have started a moment later may say no now;
+// but a vote gets its time, since terms and disks are used up by it.
+func (r *Raft) askLater() {
+	r.resetTimer()
+	if r.fresh && r.pre {
+		r.timeout = r.soon()
+	}
+}
+
+// standBack leaves the vote to another that asks at the same time and is as good:
+// of two that stand, neither would win. One that stands already goes on.
+func (r *Raft) standBack() {
+	if !r.pre {
+		return
+	}
+	r.askLater()
+	r.role, r.votes, r.pre = Follower, nil, false
+}
+
 func (r *Raft) countVotes() {
 	yes := 0
 	for id, granted := range r.votes {
@@ -47,7 +67,7 @@
 }
 
 func (r *Raft) lead() {
-	r.role, r.leader, r.transfer, r.yielded = Leader, r.id, "", false
+	r.role, r.leader, r.transfer, r.yielded, r.fresh = Leader, r.id, "", false, false
 	r.elapsed, r.quorumAt, r.lag = 0, 0, 0
 	r.peers = map[ID]*progress{}
 	r.refreshMembers()
--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -58,6 +58,8 @@
 	heardAt   time.Duration
 	// silence counts the ticks since a leader was heard, or since the start.
 	silence int
+	// fresh tells that no leader was known since the start.
+	fresh bool
 	// yielded tells that another was told to stand in this term.
 	yielded    bool
 	hardAt     uint64
@@ -80,14 +82,18 @@
 	raft.commit, raft.applied = base.Index, base.Index
 	raft.synced = raft.lastIndex()
 	raft.refreshMembers()
-	// A core that has started again has forgotten whom it heard last, and waits for
-	// an election. One that never knew a term has heard nobody and asks early;
-	// where there is a leader, the pre-vote fails and harms nothing.
-	raft.timeout = 2 + luck.Intn(pace.Election/2+1)
+	// A core that has started again has forgotten whom it heard last, and waits
+	// until what that one was told has run out. One that never knew a term has heard
+	// nobody and asks at once; where there is a leader, the pre-vote fails and harms
+	// nothing.
+	raft.fresh = true
+	raft.timeout = raft.soon()
 	if hard.Term == 0 {
 		raft.silence = pace.Election
 	} else {
-		raft.timeout += pace.Election
+		forgotten := pace.Lease() + 1
+		raft.silence = pace.Election - forgotten
+		raft.timeout = forgotten + luck.Intn(pace.Election/2+1)
 	}
 	return raft
 }
@@ -112,6 +118,9 @@
 	return r.role == Leader && r.termAt(r.commit) == r.hard.Term
 }
 
+// soon is when to ask again where nobody is known to lead.
+func (r *Raft) soon() (ticks int) { return 2 + r.luck.Intn(r.pace.Election/2+1) }
+
 func (r *Raft) resetTimer() {
 	r.elapsed = 0
 	r.timeout = r.pace.Election + r.luck.Intn(r.pace.Election+1)
@@ -241,6 +250,9 @@
 	switch m.Kind {
 	case AskPreVote:
 		granted := m.Term > r.hard.Term && !r.bound() && r.upToDate(m)
+		if granted && r.role == Candidate && m.From < r.id {
+			r.standBack()
+		}
 		r.send(Message{Kind: TellPreVote, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term)})
 		return r.flush()
 	case TellPreVote:
--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -190,7 +190,7 @@
 		r.role, r.votes, r.pre = Follower, nil, false
 	}
 	r.leader = m.From
-	r.elapsed, r.silence, r.heardAt = 0, 0, r.now
+	r.elapsed, r.silence, r.heardAt, r.fresh = 0, 0, r.now, false
 	if r.timeout < r.pace.Election {
 		r.resetTimer()
 	}
