--- a/cmd/tinpin-account/main.go
+++ b/cmd/tinpin-account/main.go
@@ -21,7 +21,8 @@
 
   tinpin-account [-rounds N] [-for TIME] [-clients N] [-seed N] [-json]
 
-It ends after so many rounds or that time, whichever comes first. The stand-ins for
+It ends after so many rounds (20000 if nothing is said) or that time (5m), whichever
+comes first; clients are four for each processor, 24 at most, the seed is 1. The stand-ins for
 the backends reset, garble, delay, keep silent and double their answers at random by
 the seed; which request meets which trouble also depends on the machine's timing.
 The table's columns from "repeats" on are mismatches, which must be 0. It ends with
