--- /dev/null
+++ b/internal/trial/case.go
@@ -0,0 +1,116 @@
+// Case is a run that broke, as it is kept in a file: it replays step by step,
+// and it is made shorter as far as it still breaks in the same check.
+package trial
+
+import (
+	"encoding/json"
+	"os"
+	"strings"
+	"time"
+)
+
+// Case of one run that broke.
+type Case struct {
+	Seed     int64     `json:"seed"`
+	Options  Options   `json:"options"`
+	Troubles []Trouble `json:"troubles"`
+	Broken   string    `json:"broken"`
+	Drawn    int       `json:"drawn"`
+	Plays    int       `json:"plays"`
+	Log      []string  `json:"log"`
+}
+
+// CheckOf names the check that a run broke.
+func CheckOf(broken string) (check string) {
+	check, _, _ = strings.Cut(broken, ":")
+	return check
+}
+
+// CaseOf is the whole case of a seed.
+func CaseOf(verdict Verdict, options Options) (kept Case) {
+	troubles := Draw(verdict.Seed, options)
+	return Case{Seed: verdict.Seed, Options: options, Troubles: troubles, Broken: verdict.Broken, Drawn: len(troubles), Log: verdict.Log}
+}
+
+// Shorten makes a case shorter as long as it breaks in the same check: it ends
+// soon after the break, has fewer callers, and only the troubles it takes.
+func (c Case) Shorten(limit time.Duration) (short Case) {
+	short = c
+	begin := time.Now()
+	try := func(options Options, troubles []Trouble) (same bool) {
+		if time.Since(begin) > limit {
+			return false
+		}
+		verdict := PlayWith(c.Seed, options, troubles, nil)
+		short.Plays++
+		if verdict.Broken == "" || CheckOf(verdict.Broken) != CheckOf(c.Broken) {
+			return false
+		}
+		short.Options, short.Troubles, short.Broken, short.Log = options, troubles, verdict.Broken, verdict.Log
+		return true
+	}
+	for part := time.Duration(1); part < 8; part++ {
+		options := short.Options
+		options.Length = c.Options.Length * part / 8
+		if options.Length >= time.Second && try(options, before(short.Troubles, options.Length)) {
+			break
+		}
+	}
+	for _, fewer := range []func(options *Options){
+		func(options *Options) { options.Operators = 1 },
+		func(options *Options) { options.Edges = 1 },
+	} {
+		options := short.Options
+		fewer(&options)
+		try(options, short.Troubles)
+	}
+	for size := len(short.Troubles); size > 0; size /= 2 {
+		for from := 0; from < len(short.Troubles); {
+			rest := append(append([]Trouble(nil), short.Troubles[:from]...), short.Troubles[min(len(short.Troubles), from+size):]...)
+			if !try(short.Options, rest) {
+				from += size
+			}
+		}
+	}
+	return short
+}
+
+func before(troubles []Trouble, end time.Duration) (kept []Trouble) {
+	for _, trouble := range troubles {
+		if trouble.At < end {
+			kept = append(kept, trouble)
+		}
+	}
+	return kept
+}
+
+// Write keeps the case in a file.
+func (c Case) Write(path string) (err error) {
+	data, err := json.MarshalIndent(c, "", " ")
+	if err != nil {
+		return Class.Wrap(err)
+	}
+	return Class.Wrap(os.WriteFile(path, append(data, '\n'), 0o644))
+}
+
+// ReadCase reads a case and refuses what cannot be played.
+func ReadCase(path string) (kept Case, err error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return kept, Class.Wrap(err)
+	}
+	if err = json.Unmarshal(data, &kept); err != nil {
+		return kept, Class.New("%s is not a case: %v", path, err)
+	}
+	for _, trouble := range kept.Troubles {
+		if kinds, kindErr := ReadKinds(string(trouble.Kind)); kindErr != nil || len(kinds) != 1 || trouble.At < 0 || trouble.Span < 0 || trouble.Core < 0 {
+			return kept, Class.New("%s: the trouble %q at %s cannot be brought about", path, trouble.Kind, trouble.At)
+		}
+	}
+	return kept, kept.Options.Check()
+}
+
+// Replay plays the case again and tells each step.
+func (c Case) Replay(noted func(line string)) (verdict Verdict) {
+	return PlayWith(c.Seed, c.Options, c.Troubles, noted)
+}
--- /dev/null
+++ b/internal/trial/case_test.go
@@ -0,0 +1,67 @@
+package trial
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func small(plant Plant) (options Options) {
+	options = Usual()
+	options.Length, options.Plant = 8*time.Second, plant
+	return options
+}
+
+func TestSameSeedSameVerdict(t *testing.T) {
+	for seed := int64(1); seed <= 4; seed++ {
+		first, second := Play(seed, small("")), Play(seed, small(""))
+		if diff := cmp.Diff(first, second); diff != "" {
+			t.Fatalf("seed %d: %s", seed, diff)
+		}
+	}
+}
+
+// A case that broke is made shorter, kept, and breaks again when it is read back.
+func TestACaseIsShortenedAndReplays(t *testing.T) {
+	options := small(LoneCommit)
+	options.Troubles = []Kind{Cut, Storm, Freeze, Reset}
+	var verdict Verdict
+	for seed := int64(1); verdict.Broken == "" && seed < 60; seed++ {
+		verdict = Play(seed, options)
+	}
+	if verdict.Broken == "" {
+		t.Fatal("no seed found the planted fault")
+	}
+	whole := CaseOf(verdict, options)
+	short := whole.Shorten(10 * time.Second)
+	if len(short.Troubles) > len(whole.Troubles) || short.Options.Length > whole.Options.Length || CheckOf(short.Broken) != CheckOf(whole.Broken) {
+		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(whole.Troubles), whole.Options.Length, len(short.Troubles), short.Options.Length, whole.Broken, short.Broken)
+	}
+	path := filepath.Join(t.TempDir(), "case.json")
+	if err := short.Write(path); err != nil {
+		t.Fatal(err)
+	}
+	kept, err := ReadCase(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := 0
+	if again := kept.Replay(func(string) { lines++ }); again.Broken != short.Broken || lines == 0 {
+		t.Fatalf("%q became %q in %d lines", short.Broken, again.Broken, lines)
+	}
+}
+
+func TestCasesThatCannotBePlayedAreRefused(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "case.json")
+	for _, text := range []string{"", "[]", `{"options":{}}`, `{"options":{"length":1000000000,"cores":3,"losses":1,"operators":1,"edges":1,"gap":1000000000,"catch_up":4000000000},"troubles":[{"kind":"quake"}]}`} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := ReadCase(path); err == nil {
+			t.Errorf("taken: %s", text)
+		}
+	}
+}
--- /dev/null
+++ b/internal/trial/desk.go
@@ -0,0 +1,56 @@
+// The desk of a core: what callers ask of it, answered as the council and the
+// forum do.
+package trial
+
+import "tinpin/internal/accord"
+
+// elsewhere says who leads, if this core knows.
+func (c *Core) elsewhere() (answer reply) {
+	answer.elsewhere = true
+	for _, other := range c.world.cores {
+		if other != c && c.raft.LeaderID() == other.member.ID {
+			answer.leader = other
+		}
+	}
+	return answer
+}
+
+// take has an order carried out.
+func (c *Core) take(o Order, back func(reply)) {
+	if !c.leads() {
+		back(c.elsewhere())
+		return
+	}
+	c.put(o.command(), func(answer Answer) { back(reply{told: o.answerOf(answer)}) })
+}
+
+// describe reads a register once a majority has confirmed that this core leads.
+func (c *Core) describe(history *History, back func(reply)) {
+	if !c.leads() {
+		back(c.elsewhere())
+		return
+	}
+	c.put(accord.Command{Kind: accord.CommandBarrier}, func(answer Answer) {
+		if !answer.Clear {
+			back(reply{})
+			return
+		}
+		back(reply{told: history.look(c.state)})
+	})
+}
+
+// news is what a beat of an edge is answered with.
+type news struct {
+	term accord.Term
+	rev  uint64
+	from *Core
+}
+
+// beat answers an edge from the state as it stands.
+func (c *Core) beat(history *History, back func(reply, news)) {
+	if !c.fresh() {
+		back(c.elsewhere(), news{})
+		return
+	}
+	back(reply{told: history.look(c.state)}, news{c.raft.Term(), c.state.Rev, c})
+}
--- /dev/null
+++ b/internal/trial/disk.go
@@ -0,0 +1,232 @@
+// Disk is the disk of one core: the real store over a file system in memory
+// that keeps only what was synced when power is lost, and then perhaps a part
+// of the record that was being written. Beside it stands what the disk must
+// hold, so that what is read back can be held against what was written.
+package trial
+
+import (
+	"io"
+	"math/rand"
+	"os"
+	"strings"
+
+	"github.com/cockroachdb/pebble/vfs"
+
+	"tinpin/internal/accord"
+)
+
+const folder = "data"
+
+// Disk of one core.
+type Disk struct {
+	fs    *vfs.MemFS
+	store *accord.Store
+	id    accord.ID
+	plant Plant
+
+	// What must be on disk.
+	hard accord.Hard
+	base accord.Snapshot
+	log  []accord.Entry
+}
+
+// newDisk founds the disk of one core.
+func newDisk(id accord.ID, base accord.Snapshot, plant Plant) (disk *Disk, err error) {
+	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, plant: plant}
+	if err = disk.fs.MkdirAll(folder, 0o755); err != nil {
+		return nil, Class.Wrap(err)
+	}
+	root, err := disk.fs.OpenDir("/")
+	if err != nil {
+		return nil, Class.Wrap(err)
+	}
+	if err = root.Sync(); err != nil {
+		return nil, Class.Wrap(err)
+	}
+	if disk.store, err = accord.OpenStore(folder, disk.fs); err != nil {
+		return nil, Class.Wrap(err)
+	}
+	return disk, Class.Wrap(disk.store.Found(id, base))
+}
+
+// Load opens the disk and tells what it holds, and an error where that is not
+// what was written to it.
+func (d *Disk) Load() (hard accord.Hard, base accord.Snapshot, log []accord.Entry, err error) {
+	if d.store == nil {
+		if d.store, err = accord.OpenStore(folder, d.fs); err != nil {
+			return hard, base, nil, Class.Wrap(err)
+		}
+	}
+	id, hard, base, log, err := d.store.Load()
+	switch {
+	case err != nil:
+		return hard, base, log, Class.Wrap(err)
+	case id != d.id:
+		return hard, base, log, Class.New("the disk of %s gave back the id %q", d.id, id)
+	case hard != d.hard && d.plant != LoseVote:
+		return hard, base, log, Class.New("the disk of %s gave back term %d and vote %q for %d and %q", d.id, hard.Term, hard.Vote, d.hard.Term, d.hard.Vote)
+	case base.Index != d.base.Index || base.Term != d.base.Term:
+		return hard, base, log, Class.New("the disk of %s gave back a snapshot of %d for one of %d", d.id, base.Index, d.base.Index)
+	case len(log) != len(d.log):
+		return hard, base, log, Class.New("the disk of %s gave back a log up to %d, written was one up to %d", d.id, int(base.Index)+len(log), d.Last())
+	}
+	for i := range log {
+		if log[i].Term != d.log[i].Term {
+			return hard, base, log, Class.New("the disk of %s gave back entry %d of term %d for term %d", d.id, log[i].Index, log[i].Term, d.log[i].Term)
+		}
+	}
+	return hard, base, log, nil
+}
+
+// Last is the last place that is on disk.
+func (d *Disk) Last() (last accord.Index) { return d.base.Index + accord.Index(len(d.log)) }
+
+// Holds tells whether the place of that term is on disk.
+func (d *Disk) Holds(index accord.Index, term accord.Term) (holds bool) {
+	if index <= d.base.Index {
+		return true
+	}
+	return index <= d.Last() && (term == 0 || d.log[index-d.base.Index-1].Term == term)
+}
+
+// Write carries orders out.
+func (d *Disk) Write(writes []accord.Write) (err error) {
+	var lost []accord.Entry
+	carried := writes
+	if d.plant == LoseVote {
+		carried = append([]accord.Write(nil), writes...)
+		for i := range carried {
+			carried[i].Hard = nil
+		}
+	}
+	if err = d.store.Write(carried); err != nil {
+		return Class.Wrap(err)
+	}
+	reload := false
+	for _, write := range writes {
+		if write.Hard != nil {
+			d.hard = *write.Hard
+		}
+		if write.Snapshot != nil {
+			reload = true
+		}
+		if len(write.Entries) > 0 {
+			lost = d.extend(write.Entries)
+		}
+	}
+	if reload {
+		_, _, d.base, d.log, err = d.store.Load()
+		return Class.Wrap(err)
+	}
+	if d.plant == CutTail && len(lost) > 0 {
+		return Class.Wrap(d.store.Write([]accord.Write{{Entries: lost}}))
+	}
+	return nil
+}
+
+// extend puts entries behind what is written, in place of what stood there.
+func (d *Disk) extend(entries []accord.Entry) (lost []accord.Entry) {
+	first := entries[0].Index
+	if first <= d.base.Index {
+		return nil
+	}
+	keep := int(first - d.base.Index - 1)
+	if keep < len(d.log) {
+		if behind := keep + len(entries); behind < len(d.log) {
+			lost = append(lost, d.log[behind:]...)
+		}
+		d.log = d.log[:keep:keep]
+	}
+	d.log = append(d.log, entries...)
+	return lost
+}
+
+// Close ends a process whose machine stays up.
+func (d *Disk) Close() (err error) {
+	if d.store == nil {
+		return nil
+	}
+	err = d.store.Close()
+	d.store = nil
+	return err
+}
+
+// LosePower ends the machine; of the orders under way a part may be written.
+func (d *Disk) LosePower(under []accord.Write, luck *rand.Rand) (err error) {
+	if d.store == nil {
+		return nil
+	}
+	d.fs.SetIgnoreSyncs(true)
+	var name string
+	var torn []byte
+	if len(under) > 0 {
+		if err = d.store.Write(under); err != nil {
+			return Class.Wrap(err)
+		}
+		if name, torn, err = d.newestLog(); err != nil {
+			return err
+		}
+	}
+	_ = d.Close()
+	d.fs.ResetToSyncedState()
+	d.fs.SetIgnoreSyncs(false)
+	if name == "" {
+		return nil
+	}
+	return d.tear(name, torn, luck)
+}
+
+func (d *Disk) newestLog() (name string, data []byte, err error) {
+	names, err := d.fs.List(folder)
+	if err != nil {
+		return "", nil, Class.Wrap(err)
+	}
+	for _, candidate := range names {
+		if strings.HasSuffix(candidate, ".log") && candidate > name {
+			name = candidate
+		}
+	}
+	data, err = d.read(name)
+	return name, data, err
+}
+
+func (d *Disk) read(name string) (data []byte, err error) {
+	file, err := d.fs.Open(d.fs.PathJoin(folder, name))
+	if os.IsNotExist(err) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, Class.Wrap(err)
+	}
+	defer func() { _ = file.Close() }()
+	data, err = io.ReadAll(file)
+	return data, Class.Wrap(err)
+}
+
+// tear puts a part of what was not synced behind what was, short of the whole:
+// a record that lies whole on disk is one that was written.
+func (d *Disk) tear(name string, whole []byte, luck *rand.Rand) (err error) {
+	kept, err := d.read(name)
+	if err != nil || len(kept) == 0 || len(whole) <= len(kept)+1 {
+		return err
+	}
+	part := append(kept, whole[len(kept):len(kept)+1+luck.Intn(len(whole)-len(kept)-1)]...)
+	file, err := d.fs.Create(d.fs.PathJoin(folder, name))
+	if err != nil {
+		return Class.Wrap(err)
+	}
+	if _, err = file.Write(part); err != nil {
+		return Class.Wrap(err)
+	}
+	if err = file.Sync(); err != nil {
+		return Class.Wrap(err)
+	}
+	if err = file.Close(); err != nil {
+		return Class.Wrap(err)
+	}
+	root, err := d.fs.OpenDir(folder)
+	if err != nil {
+		return Class.Wrap(err)
+	}
+	return Class.Wrap(root.Sync())
+}
--- /dev/null
+++ b/internal/trial/history.go
@@ -0,0 +1,212 @@
+// History is what callers asked and were told of one register: an item, a
+// document, an evacuation or a key. It must be explained by some order of the
+// calls, each carried out at one moment between its sending and its answer; a
+// call without a clear answer may have been carried out at any time since, or
+// never. A number that was confirmed for one content is confirmed for no other,
+// what was taken is never refused, and a key has one run.
+package trial
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+)
+
+// Shape of a register.
+type Shape uint8
+
+// The shapes: with versions, on and off, and held by the first who asks.
+const (
+	Versioned Shape = iota
+	Flag
+	Key
+)
+
+type verb uint8
+
+const (
+	set verb = iota
+	read
+)
+
+// outcome of a call, as the caller was told.
+type outcome uint8
+
+const (
+	unclear outcome = iota
+	confirmed
+	refused
+)
+
+// call is what was asked.
+type call struct {
+	verb    verb
+	version uint64
+	content string
+}
+
+// told is what was answered.
+type told struct {
+	outcome outcome
+	version uint64
+	content string
+}
+
+// operation is one call with its answer.
+type operation struct {
+	client     int
+	call       call
+	told       told
+	from, upto time.Duration
+}
+
+// History of one register.
+type History struct {
+	shape      Shape
+	name       string
+	operations []*operation
+	open       int
+	next       uint64
+}
+
+// begin notes a call; it is open until its answer is noted.
+func (h *History) begin(client int, call call, now time.Duration) (op *operation) {
+	op = &operation{client: client, call: call, from: now, upto: math.MaxInt64}
+	h.operations = append(h.operations, op)
+	h.open++
+	return op
+}
+
+// end notes the answer.
+func (h *History) end(op *operation, told told, now time.Duration) {
+	if told.outcome == unclear {
+		return
+	}
+	h.open--
+	op.told, op.upto = told, now
+}
+
+// forget takes back a call that nobody took up.
+func (h *History) forget(op *operation) {
+	for i := len(h.operations) - 1; i >= 0; i-- {
+		if h.operations[i] == op {
+			h.operations = append(h.operations[:i], h.operations[i+1:]...)
+			h.open--
+			return
+		}
+	}
+}
+
+// standing is what holds in a register; taken lists what was taken under which version.
+type standing struct {
+	version uint64
+	content string
+	taken   string
+}
+
+func (s standing) under(version uint64) (content string, known bool) {
+	_, behind, known := strings.Cut(s.taken, fmt.Sprintf(";%d=", version))
+	content, _, _ = strings.Cut(behind, ";")
+	return content, known
+}
+
+func (s standing) take(call call) (after standing) {
+	after = s
+	after.taken += fmt.Sprintf(";%d=%s", call.version, call.content)
+	if call.version > s.version {
+		after.version, after.content = call.version, call.content
+	}
+	return after
+}
+
+// step carries one call out on what holds, and tells whether it may be answered so.
+func (h Shape) step(now standing, call call, told told) (right bool, after standing) {
+	if call.verb == read {
+		return told.outcome != confirmed || told.version == now.version && told.content == now.content, now
+	}
+	switch h {
+	case Flag:
+		if told.outcome != refused {
+			now.content = call.content
+		}
+		return told.outcome != refused, now
+	case Key:
+		if told.outcome == refused {
+			return now.content != "" && now.content != call.content, now
+		}
+		if now.content == "" {
+			now.content = call.content
+		}
+		return told.outcome == unclear || now.content == call.content, now
+	}
+	content, known := now.under(call.version)
+	switch {
+	case told.outcome == refused:
+		return known && content != call.content || !known && call.version < now.version, now
+	case known:
+		return told.outcome == unclear || content == call.content, now
+	case call.version > now.version || told.outcome == confirmed:
+		return true, now.take(call)
+	}
+	return true, now
+}
+
+func (h Shape) model() (model porcupine.Model) {
+	return porcupine.Model{
+		Init: func() any { return standing{} },
+		Step: func(state, input, output any) (bool, any) {
+			right, after := h.step(state.(standing), input.(call), output.(told))
+			return right, after
+		},
+	}
+}
+
+// Check tells whether the history can be explained; sure is false where that
+// was not found out in time.
+func (h *History) Check(limit time.Duration) (right, sure bool) {
+	var operations []porcupine.Operation
+	for _, op := range h.operations {
+		if op.call.verb == read && op.told.outcome != confirmed {
+			continue
+		}
+		operations = append(operations, porcupine.Operation{
+			ClientId: op.client, Input: op.call, Output: op.told, Call: int64(op.from), Return: int64(op.upto),
+		})
+	}
+	switch porcupine.CheckOperationsTimeout(h.shape.model(), operations, limit) {
+	case porcupine.Ok:
+		return true, true
+	case porcupine.Illegal:
+		return false, true
+	}
+	return true, false
+}
+
+// Text writes the history out, one call a line.
+func (h *History) Text() (lines []string) {
+	for _, op := range h.operations {
+		what := fmt.Sprintf("set %d to %q", op.call.version, op.call.content)
+		if op.call.verb == read {
+			what = "read"
+		}
+		answer := "open"
+		switch op.told.outcome {
+		case confirmed:
+			answer = "confirmed"
+			if op.call.verb == read {
+				answer = fmt.Sprintf("%d is %q", op.told.version, op.told.content)
+			}
+		case refused:
+			answer = "refused"
+		}
+		upto := "end"
+		if op.upto != math.MaxInt64 {
+			upto = op.upto.String()
+		}
+		lines = append(lines, fmt.Sprintf("%s..%s caller %d: %s: %s", op.from, upto, op.client, what, answer))
+	}
+	return lines
+}
--- /dev/null
+++ b/internal/trial/order.go
@@ -0,0 +1,124 @@
+// Order is what an operator wants done to one register, as the command that
+// brings it about in the real state, and how the register is read there.
+package trial
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"tinpin/internal/accord"
+	"tinpin/internal/order"
+)
+
+const unwritten = ""
+
+// Order for one register.
+type Order struct {
+	history *History
+	call    call
+	// another writes the same content in other words.
+	another bool
+}
+
+// sort of a register is what stands before the slash of its name.
+func sortOf(name string) (sort, rest string) {
+	sort, rest, _ = strings.Cut(name, "/")
+	return sort, rest
+}
+
+func (o Order) command() (command accord.Command) {
+	sort, name := sortOf(o.history.name)
+	switch sort {
+	case "config":
+		return accord.Command{Kind: accord.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
+	case "document":
+		if o.call.content == unwritten {
+			return accord.Command{Kind: accord.CommandOrder, Site: name, Upto: o.call.version}
+		}
+		return accord.Command{Kind: accord.CommandOrder, Site: name, Body: []byte(documentText(o.call))}
+	case "evacuation":
+		if o.call.content == "active" {
+			return accord.Command{Kind: accord.CommandEvacuate, Site: name}
+		}
+		return accord.Command{Kind: accord.CommandReturn, Site: name}
+	}
+	return accord.Command{Kind: accord.CommandClaim, Claim: accord.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
+}
+
+func itemText(name string, call call, another bool) (text string) {
+	if another {
+		return fmt.Sprintf(`{"upserts": {"services": {"column_names": ["version", "cold_start", "max_connections", "name", "health_check_path"], "row_values": [[%d, null, %s, %q, "/h"]]}}}`, call.version, call.content, name)
+	}
+	return fmt.Sprintf(`{"upserts":{"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[[%q,"/h",%s,%d]]}}}`, name, call.content, call.version)
+}
+
+func documentText(call call) (text string) {
+	return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"%sms","keyed":"deadline","least_share":0.5}],"lost_touch":"5s","cut_off":"stop"}`, call.version, call.content)
+}
+
+// look reads a register from the agreed state.
+func (h *History) look(state *accord.State) (seen told) {
+	seen.outcome = confirmed
+	sort, name := sortOf(h.name)
+	switch sort {
+	case "config":
+		item, known := state.Canon.Find("services/" + name)
+		if !known {
+			return seen
+		}
+		seen.version = uint64(item.Version)
+		for _, field := range item.Fields {
+			if field.Name == "max_connections" {
+				seen.content = field.JSON
+			}
+		}
+	case "document":
+		document := state.Documents[order.Kind(name)]
+		seen.version = uint64(document.Version)
+		if _, behind, found := strings.Cut(document.Body, `"finish":"`); found {
+			seen.content, _, _ = strings.Cut(behind, "ms")
+		}
+	case "evacuation":
+		if standing, known := state.Evacuations[name]; known {
+			seen.content = standing.Stamp()
+		}
+	case "key":
+		claim, _ := state.Held(name)
+		seen.content = claim.Request
+	}
+	return seen
+}
+
+// answerOf is what the caller of an order is told.
+func (o Order) answerOf(answer Answer) (told told) {
+	sort, _ := sortOf(o.history.name)
+	switch {
+	case !answer.Clear:
+		told.outcome = unclear
+	case sort == "key" && !answer.Result.Granted, sort != "key" && answer.Result.Problem != "":
+		told.outcome = refused
+	default:
+		told.outcome = confirmed
+	}
+	return told
+}
+
+// bend is what a planted fault makes of the outcome of a command.
+func (p Plant) bend(state *accord.State, command accord.Command, result accord.Result) (bent accord.Result) {
+	switch {
+	case p == TwoContents && command.Kind == accord.CommandConfig:
+		result.Problem = ""
+	case p == TwoRuns && command.Kind == accord.CommandClaim:
+		result.Granted = true
+	case p == ResentRefused && command.Kind == accord.CommandOrder && len(command.Body) > 0:
+		var version uint64
+		_, behind, _ := strings.Cut(string(command.Body), `"version":`)
+		number, _, _ := strings.Cut(behind, ",")
+		version, _ = strconv.ParseUint(number, 10, 64)
+		if uint64(state.Documents[order.Kind(command.Site)].Version) > version {
+			result.Problem = "the version is not above the one that holds"
+		}
+	}
+	return result
+}
--- /dev/null
+++ b/internal/trial/plant.go
@@ -0,0 +1,61 @@
+// Plant is a fault that the trial puts in on purpose, so as to show that its
+// checks find it. Each is brought about in the trial, on the way between the
+// real machines and what drives them; no daemon can be set to any of them.
+package trial
+
+import "slices"
+
+// Plant names a planted fault.
+type Plant string
+
+// The planted faults.
+const (
+	CutTail       Plant = "cutTail"
+	LateSnapshot  Plant = "lateSnapshot"
+	EarlyTell     Plant = "earlyTell"
+	ForgetSync    Plant = "forgetSync"
+	LoseVote      Plant = "loseVote"
+	RestartVotes  Plant = "restartVotes"
+	LoneCommit    Plant = "loneCommit"
+	TwoContents   Plant = "twoContents"
+	ResentRefused Plant = "resentRefused"
+	UnclearNo     Plant = "unclearNo"
+	TwoRuns       Plant = "twoRuns"
+	SlowStrike    Plant = "slowStrike"
+	ShrinkFirst   Plant = "shrinkFirst"
+	StaleRead     Plant = "staleRead"
+	EdgeBack      Plant = "edgeBack"
+)
+
+// PlantTexts says what each planted fault is.
+var PlantTexts = []struct {
+	Plant Plant
+	Text  string
+}{
+	{CutTail, "what lay on disk behind a rewritten place of the log comes back"},
+	{LateSnapshot, "a snapshot that comes late drops the entries behind it"},
+	{EarlyTell, "what stands behind a write is told before the write is on disk"},
+	{ForgetSync, "the disk says that it has written before it has"},
+	{LoseVote, "term and vote never reach the disk"},
+	{RestartVotes, "a core that lost its disk comes back under its old id, as a voter"},
+	{LoneCommit, "the leader confirms what it has only put into its own log"},
+	{TwoContents, "another content under the version that holds is confirmed"},
+	{ResentRefused, "an order that was taken is refused when it is sent again after another"},
+	{UnclearNo, "an order whose fate is open is answered as refused"},
+	{TwoRuns, "a key that is held is granted to whoever asks next"},
+	{SlowStrike, "a lost voter is struck out only after 8 s"},
+	{ShrinkFirst, "a silent voter is struck out at once, with nobody to take its place"},
+	{StaleRead, "a leader answers without having been in contact with a majority"},
+	{EdgeBack, "an edge takes the word of a leader of an older term"},
+}
+
+// Known tells whether there is such a fault.
+func (p Plant) Known() (known bool) { return slices.Contains(Plants(), p) }
+
+// Plants lists the planted faults.
+func Plants() (plants []Plant) {
+	for _, known := range PlantTexts {
+		plants = append(plants, known.Plant)
+	}
+	return plants
+}
--- /dev/null
+++ b/internal/trial/strike.go
@@ -0,0 +1,229 @@
+// Strike brings the troubles about, and keeps the account of what is lost: a
+// core counts as lost while it is down, frozen, slowed or cut off, and for
+// catch_up after it is back. Disks are lost only within the losses that are
+// borne; whatever keeps its disk may go at any time.
+package trial
+
+import (
+	"fmt"
+	"math/rand"
+	"time"
+
+	"tinpin/internal/accord"
+)
+
+func (c *Core) troubled() (troubled bool) {
+	now := c.world.agenda.now
+	return !c.up || c.frozen || now < c.slowUntil || now < c.stalled || now < c.fullUntil || c.world.network.parted(c)
+}
+
+// watch keeps the account; while more are in trouble than are borne, nobody's
+// time to catch up runs.
+func (w *World) watch() {
+	w.agenda.After(50*time.Millisecond, w.watch)
+	w.account()
+}
+
+func (w *World) account() (lost int) {
+	now, troubled := w.agenda.now, 0
+	for _, core := range w.standing() {
+		if core.troubled() {
+			troubled++
+			core.lostAt = now
+		}
+	}
+	for _, core := range w.standing() {
+		if core.lost() {
+			lost++
+			if troubled > w.options.Losses || now < w.network.lossy {
+				core.lostAt = now
+			}
+		}
+	}
+	return lost
+}
+
+func (c *Core) lost() (lost bool) { return c.world.agenda.now-c.lostAt < c.world.options.CatchUp }
+
+// bearable tells whether this core may lose its disk now.
+func (w *World) bearable(core *Core) (bearable bool) {
+	lost := w.account()
+	if core.lost() {
+		lost--
+	}
+	return lost < w.options.Losses
+}
+
+// later carries something out for a core unless its process has changed meanwhile.
+func (c *Core) later(span time.Duration, run func()) {
+	life := c.life
+	c.world.agenda.After(span, func() {
+		if c.life == life {
+			run()
+		}
+	})
+}
+
+// again starts a core after a time.
+func (c *Core) again(span time.Duration) { c.world.agenda.After(span, c.start) }
+
+// wipe takes the disk of a core that is down.
+func (c *Core) wipe() {
+	w := c.world
+	_ = c.disk.Close()
+	w.lives++
+	id, base := accord.ID(fmt.Sprintf("%s-%d", c.host, w.lives)), accord.Snapshot{}
+	if w.options.Plant == RestartVotes {
+		id, base = c.disk.id, w.founding()
+	}
+	disk, err := newDisk(id, base, w.options.Plant)
+	if err != nil {
+		w.fail("%v", err)
+		return
+	}
+	c.disk, c.member.ID = disk, id
+}
+
+// founding is the planted fault's first snapshot, as if all started for the first time.
+func (w *World) founding() (base accord.Snapshot) {
+	base = accord.Snapshot{Index: 1, Term: 1}
+	for i := range 3 {
+		host := fmt.Sprintf("core-%d", i)
+		base.Members = append(base.Members, accord.Member{ID: accord.ID("founder-" + host), Inner: host, Voter: true})
+	}
+	return base
+}
+
+// strike brings one trouble about.
+func (w *World) strike(trouble Trouble) {
+	cores := w.standing()
+	core := cores[trouble.Core%len(cores)]
+	luck := rand.New(rand.NewSource(trouble.Luck))
+	if leader := w.settled(); leader != nil && luck.Intn(3) == 0 {
+		core = leader
+	}
+	span := trouble.Span
+	w.note("trouble: %s of %s for %s", trouble.Kind, core.host, span)
+	switch trouble.Kind {
+	case Freeze:
+		core.freeze()
+		core.later(span, core.thaw)
+	case Slow:
+		core.slowUntil = w.agenda.now + span
+	case Clock:
+		core.wall += time.Duration(luck.Intn(7200)-3600) * time.Second
+	case Cut, OneWay:
+		in, out := true, true
+		if trouble.Kind == OneWay {
+			in = luck.Intn(2) == 0
+			out = !in
+		}
+		for _, other := range cores {
+			if other != core && out {
+				w.network.part(core, other, span)
+			}
+			if other != core && in {
+				w.network.part(other, core, span)
+			}
+		}
+	case Reset:
+		w.network.resets[core]++
+	case Lossy:
+		w.network.lossy = w.agenda.now + span
+	case Answers:
+		w.network.answers = w.agenda.now + span
+	case Kill, Power:
+		core.end(trouble.Kind == Power)
+		core.again(span / 2)
+	case PowerAll:
+		for _, each := range cores {
+			each.end(true)
+			each.again(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
+		}
+	case Wipe:
+		if w.bearable(core) {
+			core.end(true)
+			core.wipe()
+			core.again(span / 2)
+		}
+	case WipeRest:
+		w.wipeRest(core, luck, span)
+	case Replace:
+		if w.bearable(core) {
+			core.end(true)
+			w.replace(core, span/2)
+		}
+	case Supersede:
+		w.supersede(core, span)
+	case Flap:
+		w.flap(core, 2+luck.Intn(4), span)
+	case Stall:
+		core.stalled = w.agenda.now + span
+	case Full:
+		core.fullUntil = w.agenda.now + span
+	case Storm:
+		w.storm = w.agenda.now + span + time.Second
+	}
+}
+
+// wipeRest is the closing fault: some lose their disks, all others lose power.
+func (w *World) wipeRest(core *Core, luck *rand.Rand, span time.Duration) {
+	if w.account() > 0 {
+		return
+	}
+	cores := w.standing()
+	first := luck.Intn(len(cores))
+	for _, each := range cores {
+		each.end(true)
+		each.again(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
+	}
+	for i := range w.options.Losses {
+		cores[(first+i)%len(cores)].wipe()
+	}
+}
+
+// replace has a new core take the place of one that is gone for good.
+func (w *World) replace(core *Core, span time.Duration) {
+	core.end(false)
+	core.gone = true
+	w.lives++
+	host := w.newHost()
+	successor := w.addCore(host, accord.ID(fmt.Sprintf("%s-%d", host, w.lives)), accord.Snapshot{})
+	successor.lostAt = w.agenda.now
+	successor.again(span)
+}
+
+// supersede asks a core to stop, which hands its leadership over and ends.
+func (w *World) supersede(core *Core, span time.Duration) {
+	if !w.bearable(core) || !core.up || core.frozen {
+		return
+	}
+	core.carry(core.raft.Resign())
+	core.lostAt = w.agenda.now
+	core.later(250*time.Millisecond, func() {
+		if core.up && !core.gone {
+			w.replace(core, span/4)
+		}
+	})
+}
+
+func (w *World) flap(core *Core, times int, span time.Duration) {
+	if times == 0 || core.gone {
+		return
+	}
+	core.end(false)
+	core.again(span / 3)
+	w.agenda.After(span, func() { w.flap(core, times-1, span) })
+}
+
+// heal ends all troubles.
+func (w *World) heal() {
+	w.note("calm")
+	w.network.cut, w.network.late = map[way]int{}, map[way][]func(){}
+	w.network.lossy, w.network.answers, w.storm = 0, 0, 0
+	for _, core := range w.standing() {
+		core.slowUntil, core.stalled, core.fullUntil = 0, 0, 0
+		core.thaw()
+		core.start()
+	}
+}
--- /dev/null
+++ b/internal/trial/trouble.go
@@ -0,0 +1,120 @@
+// Trouble is one thing that goes wrong at a time that the seed has chosen. All
+// of a run are drawn before it starts, so that a failing run can be made
+// shorter by leaving some of them out.
+package trial
+
+import (
+	"math/rand"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Kind of trouble.
+type Kind string
+
+// The kinds of trouble.
+const (
+	Freeze    Kind = "freeze"
+	Slow      Kind = "slow"
+	Clock     Kind = "clock"
+	Cut       Kind = "cut"
+	OneWay    Kind = "oneway"
+	Reset     Kind = "reset"
+	Lossy     Kind = "lossy"
+	Answers   Kind = "answers"
+	Kill      Kind = "kill"
+	Power     Kind = "power"
+	PowerAll  Kind = "power-all"
+	Wipe      Kind = "wipe"
+	WipeRest  Kind = "wipe-rest"
+	Replace   Kind = "replace"
+	Supersede Kind = "supersede"
+	Flap      Kind = "flap"
+	Stall     Kind = "stall"
+	Full      Kind = "full"
+	Storm     Kind = "storm"
+)
+
+// KindTexts says what each kind of trouble is.
+var KindTexts = []struct {
+	Kind Kind
+	Text string
+}{
+	{Freeze, "a core stands still while the steady time runs on, its handlers often wake before its ticks"},
+	{Slow, "a core is late with everything"},
+	{Clock, "a core's wall clock steps; its steady clock does not"},
+	{Cut, "a core is cut off from all other cores, but not from callers"},
+	{OneWay, "a core is not heard by the others, or does not hear them"},
+	{Reset, "all that is under way to and from a core is lost"},
+	{Lossy, "messages are lost, doubled and reordered"},
+	{Answers, "answers to callers are lost"},
+	{Kill, "a core's process ends at once and is started again from its disk"},
+	{Power, "a core loses power, with a torn write, and starts again"},
+	{PowerAll, "all cores lose power at once"},
+	{Wipe, "a core loses its disk, within the losses that are borne"},
+	{WipeRest, "as many cores as are borne lose their disks while all others lose power"},
+	{Replace, "a core ends for good and a new one takes its place, within the losses that are borne"},
+	{Supersede, "a core is asked to stop and a new one takes its place"},
+	{Flap, "a core comes and goes several times"},
+	{Stall, "a core's disk stands still"},
+	{Full, "a core's disk refuses to write"},
+	{Storm, "hundreds of changes come at once"},
+}
+
+// Kinds lists the kinds of trouble.
+func Kinds() (kinds []Kind) {
+	for _, known := range KindTexts {
+		kinds = append(kinds, known.Kind)
+	}
+	return kinds
+}
+
+// ReadKinds reads a list of kinds, as in freeze,cut.
+func ReadKinds(text string) (kinds []Kind, err error) {
+	if text == "" || text == "all" {
+		return Kinds(), nil
+	}
+	if text == "none" {
+		return nil, nil
+	}
+	for _, name := range strings.Split(text, ",") {
+		kind := Kind(strings.TrimSpace(name))
+		if !slices.Contains(Kinds(), kind) {
+			return nil, Class.New("unknown kind of trouble %q", name)
+		}
+		if !slices.Contains(kinds, kind) {
+			kinds = append(kinds, kind)
+		}
+	}
+	return kinds, nil
+}
+
+// Trouble is one thing that goes wrong.
+type Trouble struct {
+	At   time.Duration `json:"at"`
+	Kind Kind          `json:"kind"`
+	Core int           `json:"core"`
+	Luck int64         `json:"luck"`
+	Span time.Duration `json:"span"`
+}
+
+// draw chooses the troubles of a run; now and then one comes right after another.
+func draw(luck *rand.Rand, options Options) (troubles []Trouble) {
+	if len(options.Troubles) == 0 {
+		return nil
+	}
+	for at := 2 * time.Second; ; {
+		gap := time.Duration(luck.ExpFloat64() * float64(options.Gap))
+		if luck.Intn(4) == 0 {
+			gap = time.Duration(luck.Intn(120)) * time.Millisecond
+		}
+		if at += gap; at >= options.Length {
+			return troubles
+		}
+		troubles = append(troubles, Trouble{
+			At: at, Kind: options.Troubles[luck.Intn(len(options.Troubles))], Core: luck.Intn(64), Luck: luck.Int63n(1 << 40),
+			Span: time.Duration(50+luck.ExpFloat64()*900) * time.Millisecond,
+		})
+	}
+}
--- /dev/null
+++ b/internal/trial/witness.go
@@ -0,0 +1,151 @@
+// Witness holds every core to what must be true at each step: one leader a
+// term, one vote a core and term, logs that match, one committed entry a
+// place, and nothing told as held that is not on disk.
+package trial
+
+import (
+	"encoding/binary"
+	"hash/fnv"
+
+	"tinpin/internal/accord"
+)
+
+type place struct {
+	index accord.Index
+	term  accord.Term
+}
+
+type voted struct {
+	id   accord.ID
+	term accord.Term
+}
+
+type written struct {
+	mark   uint64
+	before accord.Term
+}
+
+// Witness of one run.
+type Witness struct {
+	world   *World
+	leaders map[accord.Term]accord.ID
+	votes   map[voted]accord.ID
+	agreed  map[accord.Index]uint64
+	logs    map[place]written
+}
+
+func newWitness(world *World) (witness *Witness) {
+	return &Witness{world: world, leaders: map[accord.Term]accord.ID{}, votes: map[voted]accord.ID{}, agreed: map[accord.Index]uint64{}, logs: map[place]written{}}
+}
+
+func markOf(entry accord.Entry) (mark uint64) {
+	hash := fnv.New64a()
+	var term [8]byte
+	binary.BigEndian.PutUint64(term[:], uint64(entry.Term))
+	_, _ = hash.Write(term[:])
+	for _, member := range entry.Members {
+		_, _ = hash.Write([]byte(member.ID))
+		if member.Voter {
+			_, _ = hash.Write([]byte{1})
+		}
+	}
+	_, _ = hash.Write(entry.Data)
+	return hash.Sum64()
+}
+
+// Leads notes who leads a term.
+func (t *Witness) Leads(term accord.Term, id accord.ID) {
+	other, known := t.leaders[term]
+	if known && other != id {
+		t.world.fail("one leader a term: in term %d lead %s and %s", term, other, id)
+	}
+	if !known {
+		t.leaders[term] = id
+		t.world.note("%s leads in term %d", id, term)
+	}
+}
+
+// Applied notes what a core takes as committed.
+func (t *Witness) Applied(host string, entry accord.Entry) {
+	mark := markOf(entry)
+	if other, known := t.agreed[entry.Index]; known && other != mark {
+		t.world.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
+	}
+	t.agreed[entry.Index] = mark
+}
+
+// Restored notes a state that a core takes from a snapshot.
+func (t *Witness) Restored(host string, snapshot accord.Snapshot) {
+	if _, known := t.agreed[snapshot.Index]; !known && snapshot.Index > 1 {
+		t.world.fail("only what is committed: %s takes a snapshot of %d, which nobody has applied", host, snapshot.Index)
+	}
+}
+
+// Wrote notes the entries that a core has put on its disk.
+func (t *Witness) Wrote(host string, writes []accord.Write) {
+	for _, write := range writes {
+		for i, entry := range write.Entries {
+			var before accord.Term
+			if i > 0 {
+				before = write.Entries[i-1].Term
+			}
+			t.match(host, entry, before)
+		}
+	}
+}
+
+// Loaded looks at the whole log that a core starts from.
+func (t *Witness) Loaded(host string, base accord.Snapshot, log []accord.Entry) {
+	before := base.Term
+	for _, entry := range log {
+		t.match(host, entry, before)
+		before = entry.Term
+	}
+}
+
+// match holds a log to the matching property: a place and a term have one
+// entry, and one entry before it.
+func (t *Witness) match(host string, entry accord.Entry, before accord.Term) {
+	at := place{entry.Index, entry.Term}
+	mark := markOf(entry)
+	known, seen := t.logs[at]
+	switch {
+	case seen && known.mark != mark:
+		t.world.fail("logs match: %s has another entry %d of term %d than those before it", host, entry.Index, entry.Term)
+	case seen && known.before != 0 && before != 0 && known.before != before:
+		t.world.fail("logs match: before entry %d of term %d, %s has one of term %d and another core one of term %d", entry.Index, entry.Term, host, before, known.before)
+	case before == 0:
+		before = known.before
+	}
+	t.logs[at] = written{mark, before}
+}
+
+// Sends looks at a message on its way out: what it says must be on disk.
+func (t *Witness) Sends(core *Core, message accord.Message) {
+	switch message.Kind {
+	case accord.TellAppend:
+		if message.Reject || message.Term != core.raft.Term() {
+			return
+		}
+		if !core.disk.Holds(message.Index, core.raft.TermAt(message.Index)) {
+			t.world.fail("told once it is on disk: %s tells that it holds %d, its disk ends at %d", core.host, message.Index, core.disk.Last())
+		}
+	case accord.TellVote:
+		if !message.Reject {
+			t.vote(core, message.Term, message.To)
+		}
+	case accord.AskVote:
+		t.vote(core, message.Term, core.member.ID)
+	}
+}
+
+func (t *Witness) vote(core *Core, term accord.Term, chosen accord.ID) {
+	at := voted{core.member.ID, term}
+	if other, known := t.votes[at]; known && other != chosen {
+		t.world.fail("one vote a term: %s votes for %s and for %s in term %d", core.member.ID, other, chosen, term)
+	}
+	t.votes[at] = chosen
+	if hard := core.disk.hard; hard.Term < term || hard.Term == term && hard.Vote != chosen {
+		t.world.fail("told once it is on disk: %s votes for %s in term %d, its disk has term %d and %q", core.member.ID, chosen, term, hard.Term, hard.Vote)
+	}
+}
