--- a/internal/trial/core.go
+++ b/internal/trial/core.go
@@ -184,7 +184,8 @@
 
 func (c *Core) freeze() { c.frozen, c.heldTick = c.up, false }
 
-// thaw wakes the process: mostly its handlers run before its first tick.
+// thaw wakes the process: mostly its handlers run before its first tick, and
+// not always in the order in which they were called.
 func (c *Core) thaw() {
 	if !c.up || !c.frozen {
 		return
@@ -193,6 +194,9 @@
 	c.lostAt = c.world.agenda.now
 	held := c.held
 	c.held = nil
+	if c.luck.Intn(2) == 0 {
+		c.luck.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
+	}
 	tick := c.heldTick && !c.tickDue
 	if tick && c.luck.Intn(4) == 0 {
 		tick = false
--- a/internal/trial/desk.go
+++ b/internal/trial/desk.go
@@ -44,13 +44,18 @@
 	term accord.Term
 	rev  uint64
 	from *Core
+	seen []told
 }
 
 // beat answers an edge from the state as it stands.
-func (c *Core) beat(history *History, back func(reply, news)) {
+func (c *Core) beat(histories []*History, back func(reply, news)) {
 	if !c.fresh() {
 		back(c.elsewhere(), news{})
 		return
 	}
-	back(reply{told: history.look(c.state)}, news{c.raft.Term(), c.state.Rev, c})
+	got := news{term: c.raft.Term(), rev: c.state.Rev, from: c}
+	for _, history := range histories {
+		got.seen = append(got.seen, history.look(c.state))
+	}
+	back(reply{told: told{outcome: confirmed}}, got)
 }
--- a/internal/trial/edge.go
+++ b/internal/trial/edge.go
@@ -22,28 +22,44 @@
 	if e.world.ending {
 		return
 	}
-	e.world.agenda.After(time.Duration(150+e.luck.Intn(300))*time.Millisecond, e.live)
+	e.world.agenda.After(time.Duration(60+e.luck.Intn(240))*time.Millisecond, e.live)
 	e.beat()
 	if e.busy < 4 && e.luck.Intn(3) == 0 {
 		e.claim()
 	}
 }
 
-// beat asks for news, one beat at a time.
+// beat asks for news of what is worked on, one beat at a time; now and then it
+// asks any core, as one does that has just started.
 func (e *Edge) beat() {
 	if e.beating {
 		return
 	}
 	e.beating = true
-	history, to := e.world.recent(), e.pick(nil)
+	to := e.pick(nil)
+	if e.luck.Intn(4) == 0 {
+		to = e.pick(to)
+	}
+	histories := e.world.current()
+	reads := make([]*operation, len(histories))
+	for i, history := range histories {
+		reads[i] = history.begin(e.number, call{verb: read}, e.world.agenda.now)
+	}
 	var got news
-	e.attempt(history, call{verb: read}, to, func(back func(reply)) {
-		to.beat(history, func(answer reply, told news) {
+	e.attempt(&History{}, call{verb: read}, to, func(back func(reply)) {
+		to.beat(histories, func(answer reply, told news) {
 			got = told
 			back(answer)
 		})
 	}, func(answer reply, core *Core) {
 		e.beating = false
+		for i, history := range histories {
+			if got.from == nil || answer.told.outcome != confirmed {
+				history.forget(reads[i])
+			} else {
+				history.end(reads[i], got.seen[i], e.world.agenda.now)
+			}
+		}
 		switch {
 		case answer.elsewhere:
 			e.leader = answer.leader
--- a/internal/trial/history.go
+++ b/internal/trial/history.go
@@ -69,6 +69,7 @@
 	name       string
 	operations []*operation
 	open       int
+	writes     int
 	next       uint64
 }
 
@@ -76,7 +77,10 @@
 func (h *History) begin(client int, call call, now time.Duration) (op *operation) {
 	op = &operation{client: client, call: call, from: now, upto: math.MaxInt64}
 	h.operations = append(h.operations, op)
-	h.open++
+	if call.verb == set {
+		h.open++
+		h.writes++
+	}
 	return op
 }
 
@@ -85,7 +89,9 @@
 	if told.outcome == unclear {
 		return
 	}
-	h.open--
+	if op.call.verb == set {
+		h.open--
+	}
 	op.told, op.upto = told, now
 }
 
@@ -94,7 +100,9 @@
 	for i := len(h.operations) - 1; i >= 0; i-- {
 		if h.operations[i] == op {
 			h.operations = append(h.operations[:i], h.operations[i+1:]...)
-			h.open--
+			if op.call.verb == set {
+				h.open--
+			}
 			return
 		}
 	}
@@ -108,14 +116,26 @@
 }
 
 func (s standing) under(version uint64) (content string, known bool) {
-	_, behind, known := strings.Cut(s.taken, fmt.Sprintf(";%d=", version))
+	_, behind, known := strings.Cut(s.taken, stamp(version))
 	content, _, _ = strings.Cut(behind, ";")
 	return content, known
 }
 
+func stamp(version uint64) (text string) { return fmt.Sprintf(";%06d=", version) }
+
+// take keeps what was taken in the order of the versions, so that what holds is
+// the same however it came about.
 func (s standing) take(call call) (after standing) {
 	after = s
-	after.taken += fmt.Sprintf(";%d=%s", call.version, call.content)
+	at := 0
+	for next := stamp(call.version); at < len(s.taken) && s.taken[at:min(len(s.taken), at+len(next))] < next; {
+		if step := strings.Index(s.taken[at+1:], ";"); step >= 0 {
+			at += 1 + step
+		} else {
+			at = len(s.taken)
+		}
+	}
+	after.taken = s.taken[:at] + stamp(call.version) + call.content + s.taken[at:]
 	if call.version > s.version {
 		after.version, after.content = call.version, call.content
 	}
--- a/internal/trial/history_test.go
+++ b/internal/trial/history_test.go
@@ -32,7 +32,7 @@
 		"open, then undone":              {Versioned, false, []line{{set(1, "a"), open}, {look, seen(1, "a")}, {look, seen(0, "")}}},
 		"open, never carried out":        {Versioned, true, []line{{set(1, "a"), open}, {set(1, "b"), yes}, {look, seen(1, "b")}}},
 		"open, taken, another confirmed": {Versioned, false, []line{{set(1, "a"), open}, {look, seen(1, "a")}, {set(1, "b"), yes}}},
-		"on and off":                     {Flag, true, []line{{set(0, "active"), yes}, {look, seen(0, "active")}, {set(0, "withdrawn"), yes}, {look, seen(0, "withdrawn")}}},
+		"on and off":                     {Flag, true, []line{{set(0, "active"), yes}, {look, seen(0, "active")}, {set(0, ""), yes}, {look, seen(0, "")}}},
 		"an evacuation lost":             {Flag, false, []line{{set(0, "active"), yes}, {look, seen(0, "")}}},
 		"one run":                        {Key, true, []line{{set(0, "r"), yes}, {set(0, "s"), no}, {set(0, "r"), yes}, {look, seen(0, "r")}}},
 		"two runs":                       {Key, false, []line{{set(0, "r"), yes}, {set(0, "s"), yes}}},
--- a/internal/trial/operator.go
+++ b/internal/trial/operator.go
@@ -30,7 +30,7 @@
 		o.read(w.recent(), func() {})
 	case pick < 6:
 		o.evacuate()
-	case pick < 9 && w.document.open < mostOpen && len(w.document.operations) < 60:
+	case pick < 9 && w.document.open < mostOpen && w.document.writes < 60:
 		o.set(w.document)
 	default:
 		o.set(w.item())
@@ -53,7 +53,7 @@
 func (o *Operator) evacuate() {
 	asked := call{content: "active"}
 	if o.luck.Intn(2) == 0 {
-		asked.content = "withdrawn"
+		asked.content = unwritten
 	}
 	o.order(Order{history: o.world.site(), call: asked}, 0)
 }
--- a/internal/trial/order.go
+++ b/internal/trial/order.go
@@ -80,7 +80,7 @@
 			seen.content, _, _ = strings.Cut(behind, "ms")
 		}
 	case "evacuation":
-		if standing, known := state.Evacuations[name]; known {
+		if standing := state.Evacuations[name]; standing.Active {
 			seen.content = standing.Stamp()
 		}
 	case "key":
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -120,7 +120,7 @@
 	return history
 }
 
-func (h *History) full() (full bool) { return h.open >= mostOpen || len(h.operations) >= mostCalls }
+func (h *History) full() (full bool) { return h.open >= mostOpen || h.writes >= mostCalls }
 
 // item gives one of the items that are worked on; one with many calls is left.
 func (w *World) item() (history *History) {
@@ -139,21 +139,25 @@
 }
 
 func (w *World) key() (history *History) {
-	if w.claimed == nil || w.claimed.open > 2 || len(w.claimed.operations) >= 6 {
+	if w.claimed == nil || w.claimed.open > 2 || w.claimed.writes >= 6 {
 		w.claimed = w.newHistory(Key, fmt.Sprintf("key/k-%d", len(w.histories)))
 	}
 	return w.claimed
 }
 
+// current lists the registers that are worked on.
+func (w *World) current() (histories []*History) {
+	histories = append([]*History{w.document}, w.items...)
+	if w.evacuated != nil {
+		histories = append(histories, w.evacuated)
+	}
+	return histories
+}
+
 // recent gives a register to read.
 func (w *World) recent() (history *History) {
-	switch pick := w.luck.Intn(6); {
-	case pick == 0:
-		return w.document
-	case pick == 1 && w.evacuated != nil:
-		return w.evacuated
-	}
-	return w.items[w.luck.Intn(len(w.items))]
+	current := w.current()
+	return current[w.luck.Intn(len(current))]
 }
 
 func (w *World) count(answer told) { w.counts[answer.outcome]++ }
