--- a/internal/accord/drive.go
+++ b/internal/accord/drive.go
@@ -10,3 +10,6 @@
 
 // TermAt is the term of the entry at a place of the log, zero where there is none.
 func (r *Raft) TermAt(index Index) (term Term) { return r.termAt(index) }
+
+// KeepTail sets what is kept of the log behind the snapshot.
+func (r *Raft) KeepTail(tail Tail) { r.tail = tail }
--- a/internal/trial/core.go
+++ b/internal/trial/core.go
@@ -18,6 +18,7 @@
 	mostHeld    = 400
 	compactMost = 60
 	joinAge     = 100
+	tailMost    = 20
 )
 
 // Answer is what became of a wish.
@@ -72,6 +73,7 @@
 	stalled   time.Duration
 	fullUntil time.Duration
 	wall      time.Duration
+	lease     Lease
 
 	// lostAt is when the core was last lost, in the sense of the losses borne.
 	lostAt time.Duration
@@ -100,6 +102,8 @@
 		return
 	}
 	c.up, c.frozen, c.held, c.heldTick, c.tickDue = true, false, nil, false, false
+	c.raft.KeepTail(accord.Tail{Entries: tailMost, Bytes: 1 << 20})
+	c.lease = Lease{}
 	c.pending, c.wishes, c.joiners, c.queue, c.writing = map[accord.Index]pendingEntry{}, nil, nil, nil, nil
 	c.stalled, c.slowUntil, c.busyUntil, c.ticks, c.heardAt = 0, 0, 0, 0, 0
 	w.note("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.Last())
@@ -216,7 +220,7 @@
 func (c *Core) tick() {
 	c.tickDue = false
 	c.ticks++
-	c.carry(c.raft.Tick())
+	c.carry(c.at().Tick())
 	if c.ticks%5 == 0 && c.up {
 		c.keepHouse()
 	}
@@ -228,7 +232,7 @@
 	if c.world.options.Plant == LateSnapshot && c.dropBehind(message) {
 		return
 	}
-	c.carry(c.raft.Step(message))
+	c.carry(c.at().Step(message))
 	c.propose()
 }
 
@@ -247,7 +251,7 @@
 	if message.Term == c.disk.hard.Term {
 		hard.Vote = c.disk.hard.Vote
 	}
-	write := accord.Write{Hard: &hard, Snapshot: snapshot, Last: snapshot.Index, LastTerm: snapshot.Term}
+	write := accord.Write{Hard: &hard, Cut: 1, Snapshot: snapshot}
 	if c.disk.Write([]accord.Write{write}) != nil {
 		return false
 	}
@@ -260,6 +264,7 @@
 // carry does what a step asked for.
 func (c *Core) carry(out accord.Output) {
 	w := c.world
+	c.lease.end(c)
 	for _, message := range out.Send {
 		c.post(message)
 	}
@@ -294,6 +299,7 @@
 	} else {
 		c.forsake()
 	}
+	c.lease.renew(c)
 	if c.raft.LeaderID() != "" {
 		c.heardAt = c.ticks
 	}
@@ -346,9 +352,8 @@
 		c.world.fail("%s: the state cannot be written: %v", c.host, err)
 		return
 	}
-	if snapshot, done := c.raft.Compact(c.raft.Commit(), data); done {
-		c.queue = append(c.queue, accord.Write{Snapshot: &snapshot, Last: snapshot.Index + 1})
-		c.write()
+	if done, out := c.raft.Compact(c.raft.Commit(), data); done {
+		c.carry(out)
 	}
 }
 
@@ -393,19 +398,14 @@
 
 // report tells the agreement what is on disk, and sends what waited for it.
 func (c *Core) report(writes []accord.Write) {
-	var index accord.Index
-	var term accord.Term
 	for _, write := range writes {
 		if c.world.options.Plant != EarlyTell {
 			for _, message := range write.After {
 				c.post(message)
 			}
 		}
-		if len(write.Entries) > 0 || write.Snapshot != nil && write.LastTerm != 0 {
-			index, term = write.Last, write.LastTerm
-		}
 	}
-	c.carry(c.raft.Synced(len(writes), index, term))
+	c.carry(c.at().Synced(len(writes)))
 	c.propose()
 }
 
@@ -472,4 +472,7 @@
 func (c *Core) leads() (leads bool) { return c.raft.Settled() }
 
 // fresh tells whether it may answer from its state at this moment.
-func (c *Core) fresh() (fresh bool) { return c.leads() }
+func (c *Core) fresh() (fresh bool) { return c.leads() && c.lease.covers(c) }
+
+// at gives the agreement the steady time.
+func (c *Core) at() (raft *accord.Raft) { return c.raft.At(c.world.agenda.now) }
--- a/internal/trial/desk.go
+++ b/internal/trial/desk.go
@@ -24,19 +24,16 @@
 	c.put(o.command(), func(answer Answer) { back(reply{told: o.answerOf(answer)}) })
 }
 
-// describe reads a register once a majority has confirmed that this core leads.
+// describe reads a register, where contact proves that this core leads.
 func (c *Core) describe(history *History, back func(reply)) {
-	if !c.leads() {
+	switch {
+	case !c.leads():
 		back(c.elsewhere())
-		return
-	}
-	c.put(accord.Command{Kind: accord.CommandBarrier}, func(answer Answer) {
-		if !answer.Clear {
-			back(reply{})
-			return
-		}
+	case !c.fresh():
+		back(reply{})
+	default:
 		back(reply{told: history.look(c.state)})
-	})
+	}
 }
 
 // news is what a beat of an edge is answered with.
--- /dev/null
+++ b/internal/trial/lease.go
@@ -0,0 +1,64 @@
+// Lease is for how long a core's contact with a majority proves that it leads,
+// kept as a node keeps it: taken back before anything is sent that lets another
+// lead, renewed once all that is committed was applied, and looked at when an
+// answer is made.
+package trial
+
+import (
+	"time"
+
+	"tinpin/internal/accord"
+)
+
+// Lease of one core.
+type Lease struct {
+	term  accord.Term
+	until time.Duration
+
+	// For the planted faults: the last round known, when that was, and the wall
+	// clock by then.
+	sent, received, wall time.Duration
+}
+
+func (l *Lease) now(c *Core) (term accord.Term, until time.Duration) {
+	if !c.raft.Settled() {
+		return 0, 0
+	}
+	sent, known := c.raft.Contact()
+	if !known {
+		return c.raft.Term(), 0
+	}
+	span := time.Duration(accord.UsualPace().Lease()) * accord.TickSpan
+	if sent != l.sent {
+		l.sent, l.received, l.wall = sent, c.world.agenda.now, c.wall
+	}
+	switch c.world.options.Plant {
+	case LeaseFromReceipt:
+		sent = l.received
+	case LongLease:
+		span *= 4
+	case WallLease:
+		sent += l.wall
+	}
+	return c.raft.Term(), sent + span
+}
+
+func (l *Lease) end(c *Core) {
+	if term, until := l.now(c); term != l.term || until == 0 {
+		l.term, l.until = term, 0
+	}
+}
+
+func (l *Lease) renew(c *Core) { l.term, l.until = l.now(c) }
+
+// covers tells that the leadership is proven at this moment.
+func (l *Lease) covers(c *Core) (covers bool) {
+	now := c.world.agenda.now
+	switch c.world.options.Plant {
+	case StaleRead:
+		return true
+	case WallLease:
+		now += c.wall
+	}
+	return l.term == c.raft.Term() && now < l.until
+}
--- a/internal/trial/plant.go
+++ b/internal/trial/plant.go
@@ -10,21 +10,24 @@
 
 // The planted faults.
 const (
-	CutTail       Plant = "cutTail"
-	LateSnapshot  Plant = "lateSnapshot"
-	EarlyTell     Plant = "earlyTell"
-	ForgetSync    Plant = "forgetSync"
-	LoseVote      Plant = "loseVote"
-	RestartVotes  Plant = "restartVotes"
-	LoneCommit    Plant = "loneCommit"
-	TwoContents   Plant = "twoContents"
-	ResentRefused Plant = "resentRefused"
-	UnclearNo     Plant = "unclearNo"
-	TwoRuns       Plant = "twoRuns"
-	SlowStrike    Plant = "slowStrike"
-	ShrinkFirst   Plant = "shrinkFirst"
-	StaleRead     Plant = "staleRead"
-	EdgeBack      Plant = "edgeBack"
+	CutTail          Plant = "cutTail"
+	LateSnapshot     Plant = "lateSnapshot"
+	EarlyTell        Plant = "earlyTell"
+	ForgetSync       Plant = "forgetSync"
+	LoseVote         Plant = "loseVote"
+	RestartVotes     Plant = "restartVotes"
+	LoneCommit       Plant = "loneCommit"
+	TwoContents      Plant = "twoContents"
+	ResentRefused    Plant = "resentRefused"
+	UnclearNo        Plant = "unclearNo"
+	TwoRuns          Plant = "twoRuns"
+	SlowStrike       Plant = "slowStrike"
+	ShrinkFirst      Plant = "shrinkFirst"
+	StaleRead        Plant = "staleRead"
+	LeaseFromReceipt Plant = "leaseFromReceipt"
+	LongLease        Plant = "longLease"
+	WallLease        Plant = "wallLease"
+	EdgeBack         Plant = "edgeBack"
 )
 
 // PlantTexts says what each planted fault is.
@@ -46,6 +49,9 @@
 	{SlowStrike, "a lost voter is struck out only after 8 s"},
 	{ShrinkFirst, "a silent voter is struck out at once, with nobody to take its place"},
 	{StaleRead, "a leader answers without having been in contact with a majority"},
+	{LeaseFromReceipt, "a leader's lease counts from when a round was answered, not from when it was sent"},
+	{LongLease, "a leader's lease is longer than an election"},
+	{WallLease, "a leader's lease is counted on the wall clock"},
 	{EdgeBack, "an edge takes the word of a leader of an older term"},
 }
 
