--- a/internal/accord/drive.go
+++ b/internal/accord/drive.go
@@ -13,3 +13,6 @@
 
 // KeepTail sets what is kept of the log behind the snapshot.
 func (r *Raft) KeepTail(tail Tail) { r.tail = tail }
+
+// Changing tells whether a change of members is under way.
+func (r *Raft) Changing() (changing bool) { return r.changing() }
--- a/internal/trial/core.go
+++ b/internal/trial/core.go
@@ -51,15 +51,18 @@
 	disk   *Disk
 	luck   *rand.Rand
 
-	up, gone bool
-	life     int
-	raft     *accord.Raft
-	state    *accord.State
-	pending  map[accord.Index]pendingEntry
-	wishes   []wish
-	joiners  []joiner
-	ticks    int
-	heardAt  int
+	up, gone   bool
+	life       int
+	raft       *accord.Raft
+	state      *accord.State
+	pending    map[accord.Index]pendingEntry
+	wishes     []wish
+	joiners    []joiner
+	leaving    map[accord.ID]int
+	leavingNow bool
+	membership *accord.Membership
+	ticks      int
+	heardAt    int
 
 	queue   []accord.Write
 	writing []accord.Write
@@ -103,7 +106,7 @@
 	}
 	c.up, c.frozen, c.held, c.heldTick, c.tickDue = true, false, nil, false, false
 	c.raft.KeepTail(accord.Tail{Entries: tailMost, Bytes: 1 << 20})
-	c.lease = Lease{}
+	c.lease, c.leaving, c.leavingNow, c.membership = Lease{}, map[accord.ID]int{}, false, w.newMembership()
 	c.pending, c.wishes, c.joiners, c.queue, c.writing = map[accord.Index]pendingEntry{}, nil, nil, nil, nil
 	c.stalled, c.slowUntil, c.busyUntil, c.ticks, c.heardAt = 0, 0, 0, 0, 0
 	w.note("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.Last())
@@ -221,7 +224,7 @@
 	c.tickDue = false
 	c.ticks++
 	c.carry(c.at().Tick())
-	if c.ticks%5 == 0 && c.up {
+	if c.ticks%houseTicks == 0 && c.up {
 		c.keepHouse()
 	}
 	c.propose()
--- a/internal/trial/house.go
+++ b/internal/trial/house.go
@@ -1,66 +1,109 @@
 // Keeping house in simulated time: the leader asks the real policy which
-// change of members is due; a core that is no member asks to become one.
+// change of members is due; a core that is no member asks to become one, and
+// one that is asked to stop asks to be taken out.
 package trial
 
-import "tinpin/internal/accord"
+import (
+	"slices"
+	"time"
 
-// slowTicks is how long the planted slow strike-out waits.
-const slowTicks = 320
+	"tinpin/internal/accord"
+)
+
+const (
+	// slowTicks is how long the planted slow strike-out waits.
+	slowTicks    = 320
+	houseTicks   = 5
+	askTicks     = 10
+	leavingTicks = 18
+	leavePause   = 100 * time.Millisecond
+)
+
+// newMembership is the real policy, as the settings ask for it.
+func (w *World) newMembership() (membership *accord.Membership) {
+	membership = accord.NewMembership(w.options.Losses, 0, w.options.CatchUp)
+	if w.options.Plant == SlowStrike {
+		membership.Silence = slowTicks
+	}
+	return membership
+}
 
 func (c *Core) isMember() (member bool) {
-	for _, known := range c.raft.Members() {
-		if known.ID == c.member.ID {
-			return true
+	_, member = c.memberOf(c.member.ID)
+	return member
+}
+
+func (c *Core) memberOf(id accord.ID) (member accord.Member, known bool) {
+	for _, member = range c.raft.Members() {
+		if member.ID == id {
+			return member, true
 		}
 	}
-	return false
+	return accord.Member{}, false
 }
 
 func (c *Core) keepHouse() {
 	if c.raft.Role() != accord.Leader {
-		if (!c.isMember() || c.ticks-c.heardAt > 18) && c.ticks%10 == 0 {
+		if !c.leavingNow && (!c.isMember() || c.ticks-c.heardAt > 18) && c.ticks%askTicks == 0 {
 			c.askToJoin()
 		}
 		return
 	}
-	if !c.raft.Settled() {
-		return
+	if c.raft.Settled() {
+		c.changeMembers()
 	}
-	var waiting []accord.Member
+}
+
+// roll is what this leader sees of the members.
+func (c *Core) roll() (roll accord.Roll) {
 	kept := c.joiners[:0]
 	for _, joiner := range c.joiners {
 		if c.ticks-joiner.at <= joinAge {
 			kept = append(kept, joiner)
-			waiting = append(waiting, joiner.member)
+			roll.Waiting = append(roll.Waiting, joiner.member)
 		}
 	}
 	c.joiners = kept
-	next, change := c.nextMembers(waiting)
-	if !change {
+	for id, at := range c.leaving {
+		if c.ticks-at > leavingTicks {
+			delete(c.leaving, id)
+		}
+	}
+	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = c.member.ID, c.ticks, c.raft.Members(), c.raft.CaughtUp
+	roll.Leaving = func(id accord.ID) bool { _, leaving := c.leaving[id]; return leaving }
+	roll.Silence = func(id accord.ID) int { ticks, _ := c.raft.Heard(id); return ticks }
+	if c.world.options.Plant == RaiseEarly {
+		roll.CaughtUp = func(accord.ID) bool { return true }
+	}
+	return roll
+}
+
+func (c *Core) changeMembers() {
+	roll := c.roll()
+	decision := c.membership.Decide(roll)
+	if c.world.options.Plant == ShrinkFirst {
+		decision = c.shrink(roll, decision)
+	}
+	if decision.Move == accord.Stay {
 		return
 	}
-	if accepted, out := c.raft.Change(next); accepted {
-		c.world.note("%s changes the members to %s", c.host, membersText(next))
+	if accepted, out := c.raft.Change(decision.Next); accepted {
+		c.membership.Took(roll, decision)
+		c.dropJoiner(decision.Member.ID)
+		c.world.note("%s: %s of %s, members are %s", c.host, decision.Move, decision.Member.ID, membersText(decision.Next))
 		c.carry(out)
 	}
 }
 
-func (c *Core) nextMembers(waiting []accord.Member) (next []accord.Member, change bool) {
-	members := c.raft.Members()
-	silent := func(ticks int) func(id accord.ID) bool {
-		return func(id accord.ID) bool {
-			heard, known := c.raft.Heard(id)
-			return known && heard > ticks
+// shrink is the planted fault of a voter struck out with nobody for its place.
+func (c *Core) shrink(roll accord.Roll, usual accord.Decision) (decision accord.Decision) {
+	for i, member := range roll.Members {
+		if member.Voter && member.ID != roll.Self && roll.Silence(member.ID) > 12 {
+			rest := append(append([]accord.Member(nil), roll.Members[:i]...), roll.Members[i+1:]...)
+			return accord.Decision{Move: accord.Remove, Member: member, Next: rest}
 		}
 	}
-	if c.world.options.Plant == ShrinkFirst {
-		for i, member := range members {
-			if member.Voter && member.ID != c.member.ID && silent(12)(member.ID) {
-				return append(append([]accord.Member(nil), members[:i]...), members[i+1:]...), true
-			}
-		}
-	}
-	return accord.NextMembers(members, c.member, waiting, accord.Voters(c.world.options.Losses), c.raft.CaughtUp, silent(slowTicks))
+	return usual
 }
 
 func (c *Core) askToJoin() {
@@ -73,16 +116,88 @@
 }
 
 func (c *Core) takeJoiner(member accord.Member) {
-	if c.raft.Role() != accord.Leader {
+	if _, known := c.memberOf(member.ID); known || c.raft.Role() != accord.Leader || c.membership.Refuse(c.raft.Members(), member) != "" {
 		return
 	}
-	for i := range c.joiners {
-		if c.joiners[i].member.ID == member.ID {
-			c.joiners[i].at = c.ticks
+	waits := slices.ContainsFunc(c.joiners, func(j joiner) bool { return j.member.ID == member.ID })
+	c.joiners = slices.DeleteFunc(c.joiners, func(j joiner) bool { return j.member.Inner == member.Inner })
+	c.joiners = append(c.joiners, joiner{member, c.ticks})
+	if !waits && c.raft.Settled() {
+		c.changeMembers()
+	}
+}
+
+func (c *Core) dropJoiner(id accord.ID) {
+	c.joiners = slices.DeleteFunc(c.joiners, func(j joiner) bool { return j.member.ID == id })
+}
+
+// leave has a core that was asked to stop resign and ask to be taken out, and
+// ends it once it may go or its time is up.
+func (c *Core) leave(until time.Duration, gone func()) {
+	life := c.life
+	ask := func(run func()) {
+		c.receive(func() {
+			if c.life == life {
+				run()
+			}
+		})
+	}
+	ended := false
+	end := func() {
+		if !ended && c.life == life {
+			ended = true
+			gone()
+		}
+	}
+	c.world.agenda.After(until-c.world.agenda.now, end)
+	var again func()
+	again = func() {
+		if ended || !c.up || c.life != life {
+			return
+		}
+		c.world.agenda.After(leavePause, func() { ask(again) })
+		c.leavingNow = true
+		if c.raft.Role() == accord.Leader {
+			if !c.membership.Successor(c.roll(), c.member.ID) {
+				c.carry(c.at().Resign())
+				c.world.agenda.After(leavePause, end)
+				return
+			}
+			if c.raft.Open() {
+				c.carry(c.at().Resign())
+			}
 			return
 		}
+		for _, other := range c.world.standing() {
+			if other != c {
+				c.world.network.call(c, other, func() {
+					if other.partsWith(c.member.ID) {
+						c.world.network.call(other, c, end)
+					}
+				})
+			}
+		}
 	}
-	c.joiners = append(c.joiners, joiner{member, c.ticks})
+	ask(again)
+}
+
+// partsWith notes a core that is about to end, and tells whether it may go now.
+func (c *Core) partsWith(id accord.ID) (now bool) {
+	if !c.fresh() || c.leavingNow {
+		return false
+	}
+	c.dropJoiner(id)
+	member, known := c.memberOf(id)
+	switch {
+	case !known:
+		return !c.raft.Changing()
+	case !member.Voter || !c.membership.Successor(c.roll(), id):
+		delete(c.leaving, id)
+		return true
+	}
+	c.leaving[id] = c.ticks
+	c.changeMembers()
+	return false
 }
 
 func membersText(members []accord.Member) (text string) {
--- a/internal/trial/plant.go
+++ b/internal/trial/plant.go
@@ -23,6 +23,7 @@
 	TwoRuns          Plant = "twoRuns"
 	SlowStrike       Plant = "slowStrike"
 	ShrinkFirst      Plant = "shrinkFirst"
+	RaiseEarly       Plant = "raiseEarly"
 	StaleRead        Plant = "staleRead"
 	LeaseFromReceipt Plant = "leaseFromReceipt"
 	LongLease        Plant = "longLease"
@@ -48,6 +49,7 @@
 	{TwoRuns, "a key that is held is granted to whoever asks next"},
 	{SlowStrike, "a lost voter is struck out only after 8 s"},
 	{ShrinkFirst, "a silent voter is struck out at once, with nobody to take its place"},
+	{RaiseEarly, "a newcomer votes before it has the log"},
 	{StaleRead, "a leader answers without having been in contact with a majority"},
 	{LeaseFromReceipt, "a leader's lease counts from when a round was answered, not from when it was sent"},
 	{LongLease, "a leader's lease is longer than an election"},
--- a/internal/trial/strike.go
+++ b/internal/trial/strike.go
@@ -12,9 +12,12 @@
 	"tinpin/internal/accord"
 )
 
+// leaveMost is three quarters of the time that a core has to end.
+const leaveMost = 3750 * time.Millisecond
+
 func (c *Core) troubled() (troubled bool) {
 	now := c.world.agenda.now
-	return !c.up || c.frozen || now < c.slowUntil || now < c.stalled || now < c.fullUntil || c.world.network.parted(c)
+	return !c.up || c.leavingNow || c.frozen || now < c.slowUntil || now < c.stalled || now < c.fullUntil || c.world.network.parted(c)
 }
 
 // watch keeps the account; while more are in trouble than are borne, nobody's
@@ -154,7 +157,7 @@
 			w.replace(core, span/2)
 		}
 	case Supersede:
-		w.supersede(core, span)
+		w.supersede(core, luck, span)
 	case Flap:
 		w.flap(core, 2+luck.Intn(4), span)
 	case Stall:
@@ -184,26 +187,38 @@
 
 // replace has a new core take the place of one that is gone for good.
 func (w *World) replace(core *Core, span time.Duration) {
-	core.end(false)
 	core.gone = true
+	w.successor(span)
+}
+
+func (w *World) successor(span time.Duration) (core *Core) {
 	w.lives++
 	host := w.newHost()
-	successor := w.addCore(host, accord.ID(fmt.Sprintf("%s-%d", host, w.lives)), accord.Snapshot{})
-	successor.lostAt = w.agenda.now
-	successor.again(span)
+	core = w.addCore(host, accord.ID(fmt.Sprintf("%s-%d", host, w.lives)), accord.Snapshot{})
+	core.lostAt = w.agenda.now
+	core.again(span)
+	return core
 }
 
-// supersede asks a core to stop, which hands its leadership over and ends.
-func (w *World) supersede(core *Core, span time.Duration) {
-	if !w.bearable(core) || !core.up || core.frozen {
+// supersede asks a core to stop, which leaves by agreement and ends; its
+// successor may be there before that or come after it.
+func (w *World) supersede(core *Core, luck *rand.Rand, span time.Duration) {
+	if !w.bearable(core) || !core.up || core.frozen || core.leavingNow {
 		return
 	}
-	core.carry(core.raft.Resign())
 	core.lostAt = w.agenda.now
-	core.later(250*time.Millisecond, func() {
-		if core.up && !core.gone {
-			w.replace(core, span/4)
+	var successor *Core
+	if luck.Intn(2) == 0 {
+		successor = w.successor(0)
+	}
+	core.leave(w.agenda.now+leaveMost, func() {
+		core.end(false)
+		core.gone = true
+		w.note("%s has gone", core.host)
+		if successor == nil {
+			successor = w.successor(span / 4)
 		}
+		successor.lostAt = w.agenda.now
 	})
 }
 
