--- a/internal/accord/state.go
+++ b/internal/accord/state.go
@@ -133,11 +133,13 @@
 // Apply carries one command out at the log's place rev; now is this core's
 // steady clock.
 func (s *State) Apply(rev uint64, command Command, now time.Duration) (result Result) {
-	if taken, err := s.TakenByName(command); taken {
-		return Result{Granted: true}
-	} else if err != nil {
+	taken, err := s.TakenByName(command)
+	if err != nil {
 		return refusal(err)
 	}
+	if taken {
+		return Result{Granted: true}
+	}
 	if command.namedOrder() {
 		s.Orders.Note(orderNumber(command), orderContent(command))
 	}
