--- a/internal/accord/contact_test.go
+++ b/internal/accord/contact_test.go
@@ -55,6 +55,8 @@
 	cut      map[[2]ID]bool
 	delay    int
 	now      int
+	parting  *contactCore
+	partAt   int
 	won      Term
 	answered int
 	broken   string
@@ -143,6 +145,10 @@
 
 func (m *contactModel) step() {
 	m.now++
+	if m.parting != nil && m.now >= m.partAt {
+		m.cutOff(m.parting, true, true)
+		m.parting = nil
+	}
 	var later []contactMail
 	for _, mail := range m.mail {
 		if mail.due > m.now {
@@ -210,7 +216,7 @@
 	if leader := m.leader(); leader != nil && m.luck.Intn(2) == 0 {
 		core = leader
 	}
-	switch m.luck.Intn(10) {
+	switch m.luck.Intn(15) {
 	case 0, 1:
 		if core.up {
 			m.crash(core)
@@ -221,14 +227,16 @@
 		}
 	case 2:
 		core.held = m.now + 100 + m.luck.Intn(500)
-	case 3:
-		// The others are held up a little, so that their ticks come in twos.
-		m.cutOff(core, true, true)
+	case 3, 11, 12, 13, 14:
+		// The others are held up a little, and a late tick comes right behind the
+		// last round that they hear.
+		held := m.now + m.luck.Intn(50)
 		for _, each := range m.cores {
 			if each != core {
-				each.held = max(each.held, m.now+m.luck.Intn(50))
+				each.held = max(each.held, held)
 			}
 		}
+		m.parting, m.partAt = core, held+m.luck.Intn(10)
 	case 4:
 		m.cutOff(core, false, true)
 	case 5:
@@ -248,12 +256,29 @@
 			}
 		}
 	case 9:
+		if core.up && m.now >= core.held {
+			m.change(core)
+		}
+	case 10:
 		if core.up && m.now >= core.held {
 			m.carry(core, core.raft.At(m.at()).Resign())
 		}
 	}
 }
 
+// change has a leader make a voter a learner, or a learner a voter.
+func (m *contactModel) change(core *contactCore) {
+	next := append([]Member(nil), core.raft.Members()...)
+	at := m.luck.Intn(len(next))
+	next[at].Voter = !next[at].Voter
+	if voters := core.raft.voters(); next[at].ID == core.id || voters <= 2 && !next[at].Voter {
+		return
+	}
+	if accepted, out := core.raft.At(m.at()).Change(next); accepted {
+		m.carry(core, out)
+	}
+}
+
 // cutOff parts a core from all others, for what it hears, what it says, or both.
 func (m *contactModel) cutOff(core *contactCore, hears, says bool) {
 	for _, other := range m.cores {
@@ -265,7 +290,7 @@
 }
 
 func (m *contactModel) heal() {
-	m.cut, m.delay = map[[2]ID]bool{}, 3
+	m.cut, m.delay, m.parting = map[[2]ID]bool{}, 3, nil
 	for _, core := range m.cores {
 		core.slow = 0
 		if !core.up {
@@ -341,8 +366,8 @@
 func TestPlantedFaultsOfContactAreFound(t *testing.T) {
 	for name, fault := range map[string]contactFault{"receipt": {receipt: true}, "long": {long: true}, "forgets": {forgets: true}, "keeps": {keeps: true}} {
 		found := int64(0)
-		for seed := int64(1); seed <= 200 && found == 0; seed++ {
-			if playContact(seed, 3, fault).broken != "" {
+		for seed := int64(1); seed <= 600 && found == 0; seed++ {
+			if playContact(seed, 5, fault).broken != "" {
 				found = seed
 			}
 		}
