--- a/internal/accord/house_test.go
+++ b/internal/accord/house_test.go
@@ -109,3 +109,17 @@
 		t.Fatal("it does not lead")
 	}
 }
+
+// Who is told to stand has the whole log: no change enters it meanwhile.
+func TestNoChangeWhileHandingOver(t *testing.T) {
+	r := housed(group(3, 1)).raft
+	elect(t, r)
+	r.Resign()
+	if r.Open() {
+		t.Fatal("it does not hand over")
+	}
+	last := r.Last()
+	if accepted, _ := r.Change(group(4, 0)); accepted || r.Last() != last {
+		t.Error("a change entered the log while the leadership was handed over")
+	}
+}
--- a/internal/accord/members.go
+++ b/internal/accord/members.go
@@ -48,9 +48,10 @@
 }
 
 // Change puts a new set of members into the log, one change at a time, and
-// only once the leader has committed in its own term.
+// only once the leader has committed in its own term, and not while it hands
+// over: the one who is told to stand would lack the change.
 func (r *Raft) Change(members []Member) (accepted bool, out Output) {
-	if !r.Settled() || r.changing() {
+	if !r.Open() || !r.Settled() || r.changing() {
 		return false, Output{}
 	}
 	r.push(Entry{Members: members})
