--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -14,8 +14,6 @@
 
 	crand "crypto/rand"
 
-	"github.com/cockroachdb/pebble/vfs"
-
 	"tinpin/internal/chronicle"
 	"tinpin/internal/events"
 	"tinpin/internal/props"
@@ -94,7 +92,7 @@
 	if err = os.MkdirAll(p.Data, 0o755); err != nil {
 		return nil, Class.Wrap(err)
 	}
-	store, err := OpenStore(p.Data, vfs.Default)
+	store, err := OpenStore(p.Data, roomFor(p.Data, log))
 	if err != nil {
 		log.Say(events.RecordSpoiled, "problem", err.Error())
 		return nil, err
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -48,11 +48,10 @@
 	JoinRefused
 	MessageRefused
 	RecordSpoiled
+	OrderRefused
+	DiskFull
 )
 
-// OrderRefused is beside the others, whose numbers run on.
-const OrderRefused Event = 140
-
 // Texts is the catalogue.
 var Texts = map[Event]string{
 	Started:         "daemon started",
@@ -85,6 +84,7 @@
 	SessionMoved:    "session moved to another backend",
 	AskRefused:      "malformed call of a daemon refused",
 	MessageRefused:  "message of another core refused",
+	DiskFull:        "disk is full, writes wait, or go on",
 	RecordSpoiled:   "disk cannot be read, the core does not start",
 	RetriesHeld:     "retries to a slow service held back, or let again",
 	JoinRefused:     "core refused as a member",
