--- a/internal/trial/disk.go
+++ b/internal/trial/disk.go
@@ -91,7 +91,11 @@
 
 // Write carries orders out.
 func (d *Disk) Write(writes []accord.Write) (err error) {
-	var lost []accord.Entry
+	if d.plant == CutTail {
+		if err = d.writeUncut(writes); err != nil {
+			return err
+		}
+	}
 	carried := writes
 	if d.plant == LoseVote {
 		carried = append([]accord.Write(nil), writes...)
@@ -102,7 +106,7 @@
 	if err = d.store.Write(carried); err != nil {
 		return Class.Wrap(err)
 	}
-	reload := false
+	reload, last := false, d.Last()
 	for _, write := range writes {
 		if write.Hard != nil {
 			d.hard = *write.Hard
@@ -111,41 +115,48 @@
 			reload = true
 		}
 		if len(write.Entries) > 0 {
-			lost = d.extend(write.Entries)
+			d.extend(write.Entries)
 		}
 	}
-	if reload {
+	switch {
+	case reload:
 		_, _, d.base, d.log, err = d.store.Load()
-		return Class.Wrap(err)
-	}
-	if len(lost) == 0 {
-		return nil
+	case d.Last() < last:
+		// The cut has to be whole in this write: power may go at any moment from here.
+		_, _, _, err = d.Load()
 	}
-	if d.plant == CutTail {
-		if err = d.store.Write([]accord.Write{{Entries: lost}}); err != nil {
+	return err
+}
+
+// writeUncut is the planted fault of a cut that is not in the write of what
+// replaces the tail: for a moment the disk holds both.
+func (d *Disk) writeUncut(writes []accord.Write) (err error) {
+	for _, write := range writes {
+		if write.Cut <= d.base.Index || len(write.Entries) == 0 || write.Snapshot != nil || len(writes) > 1 {
+			continue
+		}
+		first := write.Entries[:1]
+		if err = d.store.Write([]accord.Write{{Entries: first}}); err != nil {
 			return Class.Wrap(err)
 		}
+		d.extend(first)
+		if _, _, _, err = d.Load(); err != nil {
+			return err
+		}
 	}
-	// The cut has to be whole in this write: power may go at any moment from here.
-	_, _, _, err = d.Load()
-	return err
+	return nil
 }
 
 // extend puts entries behind what is written, in place of what stood there.
-func (d *Disk) extend(entries []accord.Entry) (lost []accord.Entry) {
+func (d *Disk) extend(entries []accord.Entry) {
 	first := entries[0].Index
 	if first <= d.base.Index {
-		return nil
+		return
 	}
-	keep := int(first - d.base.Index - 1)
-	if keep < len(d.log) {
-		if behind := keep + len(entries); behind < len(d.log) {
-			lost = append(lost, d.log[behind:]...)
-		}
+	if keep := int(first - d.base.Index - 1); keep < len(d.log) {
 		d.log = d.log[:keep:keep]
 	}
 	d.log = append(d.log, entries...)
-	return lost
 }
 
 // Close ends a process whose machine stays up.
--- a/internal/trial/strike.go
+++ b/internal/trial/strike.go
@@ -114,7 +114,12 @@
 	case Slow:
 		core.slowUntil = w.agenda.now + span
 	case Clock:
-		core.wall += time.Duration(luck.Intn(7200)-3600) * time.Second
+		step := time.Duration(luck.Intn(7200)-3600) * time.Second
+		for all := luck.Intn(2) == 0; len(cores) > 0; cores = cores[1:] {
+			if all || cores[0] == core {
+				cores[0].wall += step
+			}
+		}
 	case Cut, OneWay:
 		in, out := true, true
 		if trouble.Kind == OneWay {
--- a/internal/trial/trouble.go
+++ b/internal/trial/trouble.go
@@ -43,7 +43,7 @@
 }{
 	{Freeze, "a core stands still while the steady time runs on, its handlers often wake before its ticks"},
 	{Slow, "a core is late with everything"},
-	{Clock, "a core's wall clock steps; its steady clock does not"},
+	{Clock, "the wall clock of a core, or of all, steps; the steady clocks do not"},
 	{Cut, "a core is cut off from all other cores, but not from callers"},
 	{OneWay, "a core is not heard by the others, or does not hear them"},
 	{Reset, "all that is under way to and from a core is lost"},
