--- a/internal/accord/contact.go
+++ b/internal/accord/contact.go
@@ -77,12 +77,17 @@
 	if r.done < r.hardAt {
 		return 0
 	}
+	r.told = max(r.told, round)
 	return round
 }
 
 // tellHeard tells at once that a round was heard, where the answer to what came
-// with it waits for the disk. It tells no match.
+// with it waits for the disk and the round's beat has not been answered yet. It
+// tells no match.
 func (r *Raft) tellHeard(to ID, round uint64) {
+	if round <= r.told {
+		return
+	}
 	if heard := r.heardRound(round); heard > 0 {
 		r.send(Message{Kind: TellHeard, To: to, Round: heard})
 	}
--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -61,8 +61,10 @@
 	// fresh tells that no leader was known since the start.
 	fresh bool
 	// yielded tells that another was told to stand in this term.
-	yielded    bool
-	hardAt     uint64
+	yielded bool
+	hardAt  uint64
+	// told is the newest round of this term's leader that was told as heard.
+	told       uint64
 	quorumAt   int
 	lag        int
 	transfer   ID
@@ -170,7 +172,7 @@
 		hard := r.hard
 		r.write(Write{Hard: &hard})
 	}
-	r.role, r.leader, r.pre, r.transfer = Follower, leader, false, ""
+	r.role, r.leader, r.pre, r.transfer, r.told = Follower, leader, false, "", 0
 	r.peers, r.votes = nil, nil
 	r.resetTimer()
 }
