--- /dev/null
+++ b/internal/accord/check.go
@@ -0,0 +1,111 @@
+// What a message of the agreement cannot be: no core that works sends it, in no
+// order of events. It is refused before anything is taken from it. What only
+// came late, or to the wrong core, is not among these.
+package accord
+
+const (
+	// mostTerm and mostIndex are beyond what any group reaches.
+	mostTerm  Term  = 1 << 56
+	mostIndex Index = 1 << 56
+)
+
+// impossible tells why a message cannot be, or nothing.
+func (r *Raft) impossible(m *Message) (why string) {
+	switch {
+	case m.Kind < AskPreVote || m.Kind > TellPart:
+		return "unknown kind"
+	case m.From == "" || m.From == r.id:
+		return "impossible sender"
+	case m.Term == 0 || m.Term > mostTerm || m.LogTerm > m.Term && m.Kind != TellAppend:
+		return "impossible term"
+	case m.Index > mostIndex || m.Commit > mostIndex || m.Hint > mostIndex:
+		return "impossible index"
+	case len(m.Entries) > 0 && m.Kind != Append || (m.Snapshot != nil) != (m.Kind == Install) || (m.Part != nil) != (m.Kind == InstallPart):
+		return "content of another kind"
+	}
+	switch m.Kind {
+	case AskPreVote, AskVote:
+		if (m.Index == 0) != (m.LogTerm == 0) {
+			return "impossible end of a log"
+		}
+	case Append:
+		return r.impossibleAppend(m)
+	case Install:
+		return r.impossibleSnapshot(m, place{m.Snapshot.Index, m.Snapshot.Term}, m.Snapshot.Members)
+	case InstallPart:
+		part := m.Part
+		if part.Total > mostSnapshot || part.Offset > part.Total || uint64(len(part.Data)) > part.Total-part.Offset {
+			return "part lies outside its snapshot"
+		}
+		return r.impossibleSnapshot(m, place{part.Index, part.Term}, part.Members)
+	case TellAppend, TellHeard, TellPart:
+		if r.role == Leader && m.Term == r.hard.Term && (m.Round > r.round || m.Kind == TellAppend && !m.Reject && m.Index > r.lastIndex()) {
+			return "answer to what was not sent"
+		}
+	}
+	return ""
+}
+
+// rival tells that another is known to lead the message's term.
+func (r *Raft) rival(m *Message) bool {
+	return m.Term == r.hard.Term && r.leader != "" && r.leader != m.From
+}
+
+func (r *Raft) impossibleAppend(m *Message) (why string) {
+	switch {
+	case r.rival(m):
+		return "two leaders in a term"
+	case (m.Index == 0) != (m.LogTerm == 0) || m.Index == 0 && len(m.Entries) > 0:
+		return "impossible place in the log"
+	case r.undoes(m.Index, m.LogTerm):
+		return "would undo what is committed"
+	}
+	term := m.LogTerm
+	for i := range m.Entries {
+		entry := &m.Entries[i]
+		switch {
+		case entry.Index != m.Index+1+Index(i):
+			return "entries do not follow each other"
+		case entry.Term < term || entry.Term > m.Term:
+			return "impossible term of an entry"
+		case entry.Members != nil && !possibleMembers(entry.Members):
+			return "impossible members"
+		case r.undoes(entry.Index, entry.Term):
+			return "would undo what is committed"
+		}
+		term = entry.Term
+	}
+	return ""
+}
+
+func (r *Raft) impossibleSnapshot(m *Message, end place, members []Member) (why string) {
+	switch {
+	case r.rival(m):
+		return "two leaders in a term"
+	case end.index == 0 || end.index > mostIndex || end.term == 0 || end.term > m.Term || end.index > r.commit && end.term < r.termAt(r.commit) || r.undoes(end.index, end.term):
+		return "impossible end of a snapshot"
+	case !possibleMembers(members):
+		return "impossible members"
+	}
+	return ""
+}
+
+// undoes tells that another term is claimed for a committed place than the one it
+// has.
+func (r *Raft) undoes(index Index, term Term) bool {
+	return index > 0 && index <= r.commit && index >= r.start.index && r.termAt(index) != term
+}
+
+// possibleMembers tells that each has an id of its own and somebody votes.
+func possibleMembers(members []Member) bool {
+	voters := 0
+	for i, member := range members {
+		if _, twice := find(members[:i], member.ID); twice || member.ID == "" {
+			return false
+		}
+		if member.Voter {
+			voters++
+		}
+	}
+	return voters > 0
+}
--- /dev/null
+++ b/internal/accord/check_test.go
@@ -0,0 +1,214 @@
+package accord
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"github.com/cockroachdb/pebble/vfs"
+)
+
+// mark is all of a core that a refused message may not change.
+func (b *bench) mark() string {
+	r := b.raft
+	return fmt.Sprint(r.hard, r.role, r.leader, r.members, r.base, r.log, r.commit, r.applied, r.synced, r.elapsed, r.silence, len(b.queued), r.gathering == nil, r.peers["c"])
+}
+
+func TestImpossibleMessagesAreRefusedAndChangeNothing(t *testing.T) {
+	good := Snapshot{Index: 20, Term: 3, Members: trio}
+	part := Part{Index: 20, Term: 3, Members: trio, Total: 4, Data: []byte("data")}
+	with := func(change func(p *Part)) *Part { p := part; change(&p); return &p }
+	cases := map[string]Message{
+		"no kind": {}, "unknown kind": {Kind: TellPart + 1}, "no sender": {Kind: Append, From: "-", Index: 5, LogTerm: 2}, "itself": {Kind: Append, From: "b", Index: 5, LogTerm: 2},
+		"a term beyond all": {Kind: AskVote, Term: 1 << 60, Index: 9, LogTerm: 3}, "an index beyond all": {Kind: Append, Index: 1 << 60, LogTerm: 2},
+		"a hint beyond all": {Kind: TellPreVote, Hint: 1 << 60}, "a log's term above its own": {Kind: Append, Index: 10, LogTerm: 4},
+		"index 0 with entries": {Kind: Append, Entries: run(1, 2, 2)}, "index without term": {Kind: Append, Index: 5}, "term without index": {Kind: Append, LogTerm: 2},
+		"a gap": {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{entry(11, 3), entry(13, 3)}}, "not behind its index": {Kind: Append, Index: 10, LogTerm: 2, Entries: run(12, 13, 3)},
+		"terms going down": {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{entry(11, 3), entry(12, 2)}}, "an entry's term above its own": {Kind: Append, Index: 10, LogTerm: 2, Entries: run(11, 11, 4)},
+		"an entry below the term before it": {Kind: Append, Index: 10, LogTerm: 2, Entries: run(11, 11, 1)},
+		"a member without id":               {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: []Member{{Voter: true}}}}},
+		"a member twice":                    {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: append(trio[:2:2], trio[0])}}},
+		"nobody votes":                      {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: []Member{{ID: "a"}}}}},
+		"another committed entry":           {Kind: Append, Index: 4, LogTerm: 2, Entries: run(5, 6, 3)}, "another committed place": {Kind: Append, Index: 5, LogTerm: 1},
+		"a second leader":    {Kind: Append, From: "c", Index: 10, LogTerm: 2},
+		"entries in a vote":  {Kind: AskVote, Term: 4, Index: 10, LogTerm: 2, Entries: run(2, 3, 2)},
+		"install of nothing": {Kind: Install}, "a snapshot in an append": {Kind: Append, Index: 5, LogTerm: 2, Snapshot: &good},
+		"a snapshot without members": {Kind: Install, Snapshot: &Snapshot{Index: 20, Term: 3}}, "a snapshot of place 0": {Kind: Install, Snapshot: &Snapshot{Term: 3, Members: trio}},
+		"a snapshot of a later term":    {Kind: Install, Snapshot: &Snapshot{Index: 20, Term: 4, Members: trio}},
+		"a snapshot that goes back":     {Kind: Install, Snapshot: &Snapshot{Index: 20, Term: 1, Members: trio}},
+		"a part without members":        {Kind: InstallPart, Part: with(func(p *Part) { p.Members = nil })},
+		"a part beyond its end":         {Kind: InstallPart, Part: with(func(p *Part) { p.Offset = 2 })},
+		"a part of too much":            {Kind: InstallPart, Part: with(func(p *Part) { p.Total = mostSnapshot + 1 })},
+		"a part with a wrong checksum":  {Kind: InstallPart, Part: &part},
+		"a part and a snapshot at once": {Kind: InstallPart, Part: &part, Snapshot: &good},
+	}
+	for name, m := range cases {
+		b := newBench(t, "b", Hard{Term: 3}, run(2, 10, 2)...)
+		b.step(Message{Kind: Append, Term: 3, Index: 10, LogTerm: 2, Commit: 7})
+		before := b.mark()
+		m.To = "b"
+		switch m.From {
+		case "":
+			m.From = "a"
+		case "-":
+			m.From = ""
+		}
+		if m.Term == 0 {
+			m.Term = 3
+		}
+		out := b.raft.Step(m)
+		if len(out.Refused) != 1 || len(out.Send)+len(out.Writes)+len(out.Apply) != 0 || out.Restore != nil {
+			t.Errorf("%s: %+v", name, out)
+		}
+		if after := b.mark(); after != before {
+			t.Errorf("%s changed\n%s\n%s", name, before, after)
+		}
+	}
+	b := newBench(t, "b", Hard{Term: 3}, run(2, 10, 2)...)
+	if out := b.raft.Step(Message{Kind: Append, From: "a", To: "b"}); len(out.Refused) != 1 {
+		t.Errorf("a message without a term: %+v", out)
+	}
+	// A leader hears of no entry that it has not, nor of a round to come, nor of
+	// another leader in its term.
+	b.elect()
+	b.told = nil
+	for _, m := range []Message{{Kind: TellAppend, Index: 99}, {Kind: TellAppend, Index: 5, Round: 99}, {Kind: TellHeard, Round: 99}, {Kind: Append, Index: 5, LogTerm: 2}} {
+		before := b.mark()
+		m.From, m.To, m.Term = "c", "b", b.raft.Term()
+		if out := b.raft.Step(m); len(out.Refused) != 1 || b.mark() != before {
+			t.Errorf("%+v: %+v", m, out)
+		}
+	}
+}
+
+// FuzzMessages gives a core messages made of the input; whatever comes, its log
+// has no gap, its terms don't go down, nothing committed is taken back, and what
+// is refused changes nothing.
+func FuzzMessages(f *testing.F) {
+	for seed := int64(0); seed < 30; seed++ {
+		data := make([]byte, 400)
+		rand.New(rand.NewSource(seed)).Read(data)
+		f.Add(data)
+	}
+	f.Fuzz(func(t *testing.T, data []byte) {
+		b := newBench(t, "b", Hard{Term: 2}, run(2, 6, 2)...)
+		next := func() (value int) {
+			if len(data) > 0 {
+				value, data = int(data[0]), data[1:]
+			}
+			return value
+		}
+		committed := map[Index]Term{}
+		for len(data) > 0 {
+			m := Message{
+				Kind: Kind(next() % 13), From: trio[next()%3].ID, To: "b", Term: b.raft.Term() + Term(next()%4) - 1,
+				Index: Index(next() % 12), LogTerm: Term(next() % 6), Commit: Index(next() % 12), Hint: Index(next() % 12),
+				Reject: next()%2 == 0, Round: uint64(next() % 4),
+			}
+			if m.Kind == Append && next()%4 > 0 {
+				m.LogTerm = b.raft.termAt(m.Index)
+			}
+			for i, count := 0, next()%4; i < count; i++ {
+				m.Entries = append(m.Entries, Entry{Term: Term(next() % 6), Index: m.Index + Index(i+next()%9/8) + 1})
+			}
+			end := place{Index(next() % 16), Term(next() % 6)}
+			if m.Kind == Install || next()%16 == 0 {
+				m.Snapshot = &Snapshot{Index: end.index, Term: end.term, Members: trio[:next()%4]}
+			}
+			if m.Kind == InstallPart || next()%16 == 0 {
+				whole := bytes.Repeat([]byte{byte(end.index)}, 8)
+				offset := next() % 9
+				m.Part = &Part{Index: end.index, Term: end.term, Members: trio[:next()%4], Total: 8, Offset: uint64(offset), Whole: checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
+				m.Part.Sum = m.Part.sum()
+			}
+			before := b.mark()
+			out := b.raft.Step(m)
+			if len(out.Refused) > 0 && m.Kind != InstallPart && b.mark() != before {
+				t.Fatalf("%+v was refused and changed\n%s\n%s", m, before, b.mark())
+			}
+			b.take(out)
+			if next()%2 == 0 {
+				b.syncAll()
+			}
+			if next()%8 == 0 {
+				b.take(b.raft.Tick())
+			}
+			r := b.raft
+			if r.commit > r.lastIndex() || r.applied > r.commit || r.base.Index > r.commit || r.synced > r.lastIndex() {
+				t.Fatalf("base %d, applied %d, commit %d, synced %d, last %d", r.base.Index, r.applied, r.commit, r.synced, r.lastIndex())
+			}
+			term := r.start.term
+			for i, each := range r.log {
+				if each.Index != r.start.index+Index(i)+1 || each.Term < term || each.Term > r.hard.Term {
+					t.Fatalf("entry %d of term %d behind term %d in term %d", each.Index, each.Term, term, r.hard.Term)
+				}
+				term = each.Term
+			}
+			for index := r.start.index + 1; index <= r.commit; index++ {
+				if was, known := committed[index]; known && was != r.termAt(index) {
+					t.Fatalf("committed %d went from term %d to %d", index, was, r.termAt(index))
+				}
+				committed[index] = r.termAt(index)
+			}
+		}
+	})
+}
+
+func FuzzEntryRecord(f *testing.F) {
+	f.Add(writeEntry(entry(5, 300)))
+	f.Add(writeEntry(Entry{Term: 2, Members: trio}))
+	f.Add([]byte{1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		read, err := readEntry(5, data)
+		if err != nil {
+			if !Spoiled.Has(err) {
+				t.Fatal(err)
+			}
+			return
+		}
+		again, err := readEntry(5, writeEntry(read))
+		if err != nil || again.Term != read.Term || len(again.Members) != len(read.Members) || !bytes.Equal(again.Data, read.Data) {
+			t.Fatalf("%+v came back as %+v, %v", read, again, err)
+		}
+	})
+}
+
+func FuzzSnapshotRecord(f *testing.F) {
+	state, _ := NewState().Freeze()
+	f.Add(encode(Snapshot{Index: 3, Term: 2, Members: trio, Data: state}), state)
+	f.Add(seal(keySnapshot, nil), []byte{0x7f})
+	f.Fuzz(func(t *testing.T, record, state []byte) {
+		store, err := OpenStore("data", vfs.NewMem())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() { _ = store.Close() }()
+		_ = store.db.Set(keyID, seal(keyID, encode(ID("a"))), nil)
+		_ = store.db.Set(keySnapshot, seal(keySnapshot, record), nil)
+		if _, _, _, _, err = store.Load(); err != nil && !Spoiled.Has(err) {
+			t.Fatal(err)
+		}
+		if _, err = unseal(keySnapshot, record); err == nil && len(record) < sealSize {
+			t.Fatal("a record without room for a seal has one")
+		}
+		if thawed, thawErr := Thaw(state, 0); thawErr == nil && thawed == nil {
+			t.Fatal("no state and no error")
+		}
+	})
+}
+
+func FuzzCommands(f *testing.F) {
+	f.Add(Inscribe([]Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}))
+	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 1})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		commands, err := Decipher(data)
+		if err != nil {
+			return
+		}
+		again, err := Decipher(Inscribe(commands))
+		if err != nil || len(again) != len(commands) {
+			t.Fatalf("%d commands came back as %d, %v", len(commands), len(again), err)
+		}
+	})
+}
--- a/internal/accord/install.go
+++ b/internal/accord/install.go
@@ -133,10 +133,6 @@
 
 func (r *Raft) takePart(m Message) {
 	part := m.Part
-	if part == nil || part.Total > mostSnapshot || part.Offset > part.Total || uint64(len(part.Data)) > part.Total-part.Offset {
-		r.refuse(m, "part lies outside its snapshot")
-		return
-	}
 	if part.Sum != part.sum() {
 		r.refuse(m, "part's checksum is wrong")
 		return
--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -249,6 +249,10 @@
 	if m.To != r.id {
 		return Output{}
 	}
+	if why := r.impossible(&m); why != "" {
+		r.refuse(m, why)
+		return r.flush()
+	}
 	switch m.Kind {
 	case AskPreVote:
 		granted := m.Term > r.hard.Term && !r.bound() && r.upToDate(m)
--- a/internal/accord/sim_test.go
+++ b/internal/accord/sim_test.go
@@ -220,6 +220,11 @@
 
 func (s *sim) carry(host string, out Output) {
 	core := s.cores[host]
+	for _, refusal := range out.Refused {
+		if refusal.Why != "part of another snapshot" {
+			s.fail("%s refused a message of kind %d of %s: %s", host, refusal.Kind, refusal.From, refusal.Why)
+		}
+	}
 	for _, message := range out.Send {
 		s.post(host, message)
 	}
