--- a/internal/accord/contact.go
+++ b/internal/accord/contact.go
@@ -29,6 +29,9 @@
 // At gives the machine the steady time of its driver, for what it does next.
 func (r *Raft) At(now time.Duration) (same *Raft) {
 	r.now = now
+	if !r.timed {
+		r.born, r.timed = now, true
+	}
 	return r
 }
 
--- a/internal/accord/election.go
+++ b/internal/accord/election.go
@@ -8,15 +8,23 @@
 	r.votes = map[ID]bool{r.id: true}
 	term := r.hard.Term + 1
 	kind := AskPreVote
-	if !pre {
+	if pre {
+		r.beginAsking()
+	} else {
 		kind = AskVote
 		r.hard = Hard{Term: term, Vote: r.id}
 	}
+	lives := r.lives()
 	var asks []Message
 	for _, member := range r.members {
-		if member.Voter && member.ID != r.id {
-			asks = append(asks, Message{Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()), Force: force})
+		if member.ID == r.id || !member.Voter && !(pre && r.fresh) {
+			continue
+		}
+		ask := Message{Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()), Force: force, Life: lives[member.ID]}
+		if pre {
+			ask.Round = r.attempt
 		}
+		asks = append(asks, ask)
 	}
 	if pre {
 		for _, ask := range asks {
@@ -56,7 +64,11 @@
 			yes++
 		}
 	}
-	if yes <= r.voters()/2 {
+	if r.pre && r.lives() != nil {
+		r.campaign(false, false)
+		return
+	}
+	if yes <= r.voters()/2 || r.pre && r.bound() {
 		return
 	}
 	if r.pre {
--- a/internal/accord/message.go
+++ b/internal/accord/message.go
@@ -2,6 +2,8 @@
 // messages between cores, and what one step asks of the one who drives it.
 package accord
 
+import "time"
+
 // ID names one life of a core's disk; a wiped disk comes back under a new one.
 type ID string
 
@@ -75,6 +77,11 @@
 	Snapshot *Snapshot
 	Force    bool
 	Part     *Part
+	// Idle, Life and Age are of a core that has known no leader since its start:
+	// that it says so, which start that was, and how long ago.
+	Idle bool
+	Life uint64
+	Age  time.Duration
 }
 
 // size is about what a message weighs on its way.
--- a/internal/accord/raft.go
+++ b/internal/accord/raft.go
@@ -58,8 +58,7 @@
 	heardAt   time.Duration
 	// silence counts the ticks since a leader was heard, or since the start.
 	silence int
-	// fresh tells that no leader was known since the start.
-	fresh bool
+	restart
 	// yielded tells that another was told to stand in this term.
 	yielded bool
 	hardAt  uint64
@@ -85,17 +84,14 @@
 	raft.synced = raft.lastIndex()
 	raft.refreshMembers()
 	// A core that has started again has forgotten whom it heard last, and waits
-	// until what that one was told has run out. One that never knew a term has heard
-	// nobody and asks at once; where there is a leader, the pre-vote fails and harms
-	// nothing.
-	raft.fresh = true
+	// until what that one was told has run out, or all others say that they know of
+	// nobody either. One that never knew a term has heard nobody. Both ask at once;
+	// where there is a leader, the pre-vote fails and harms nothing.
+	raft.restart = restart{fresh: true, life: luck.Uint64() | 1}
 	raft.timeout = raft.soon()
-	if hard.Term == 0 {
-		raft.silence = pace.Election
-	} else {
-		forgotten := pace.Lease() + 1
-		raft.silence = pace.Election - forgotten
-		raft.timeout = forgotten + luck.Intn(pace.Election/2+1)
+	raft.silence = pace.Election
+	if hard.Term > 0 {
+		raft.silence -= pace.Lease() + 1
 	}
 	return raft
 }
@@ -120,9 +116,6 @@
 	return r.role == Leader && r.termAt(r.commit) == r.hard.Term
 }
 
-// soon is when to ask again where nobody is known to lead.
-func (r *Raft) soon() (ticks int) { return 2 + r.luck.Intn(r.pace.Election/2+1) }
-
 func (r *Raft) resetTimer() {
 	r.elapsed = 0
 	r.timeout = r.pace.Election + r.luck.Intn(r.pace.Election+1)
@@ -188,7 +181,7 @@
 	}
 	if r.role != Leader {
 		// A core whose disk stands still could not win and would only raise terms.
-		if r.elapsed >= r.timeout && !r.bound() && r.voter(r.id) && r.stuck < r.pace.Election {
+		if r.elapsed >= r.timeout && (r.fresh || !r.bound()) && r.voter(r.id) && r.stuck < r.pace.Election {
 			r.campaign(true, false)
 		}
 		return r.flush()
@@ -255,15 +248,21 @@
 	}
 	switch m.Kind {
 	case AskPreVote:
-		granted := m.Term > r.hard.Term && !r.bound() && r.upToDate(m)
-		if granted && r.role == Candidate && m.From < r.id {
+		good := m.Term > r.hard.Term && r.upToDate(m)
+		granted, idle := good && !r.bound(), good && r.knowsNobody()
+		if (granted || idle) && r.role == Candidate && m.From < r.id {
 			r.standBack()
 		}
-		r.send(Message{Kind: TellPreVote, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term)})
+		tell := Message{Kind: TellPreVote, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term), Round: m.Round}
+		if idle {
+			tell.Idle, tell.Life, tell.Age = true, r.life, r.age()
+		}
+		r.send(tell)
 		return r.flush()
 	case TellPreVote:
 		if r.role == Candidate && r.pre && m.Term == r.hard.Term+1 {
 			r.votes[m.From] = !m.Reject
+			r.noteIdle(m)
 			if m.Reject && Term(m.Hint) > r.hard.Term {
 				r.follow(Term(m.Hint), "")
 			} else {
@@ -273,7 +272,7 @@
 		return r.flush()
 	case AskVote:
 		if m.Term > r.hard.Term {
-			if !m.Force && r.bound() {
+			if !m.Force && r.bound() && !(r.knowsNobody() && m.Life == r.life) {
 				return Output{}
 			}
 			r.follow(m.Term, "")
