--- a/internal/trial/hunt.go
+++ b/internal/trial/hunt.go
@@ -68,7 +68,7 @@
 
 // Hunt plays the seeds; after each it tells how far it is.
 func Hunt(options Options, seeds Range, told func(report Report)) (report Report) {
-	report = Report{Options: options, Range: seeds, Checks: map[string]int{}}
+	report = Report{Options: options, Range: seeds, Broken: []Verdict{}, Checks: map[string]int{}}
 	begin := time.Now()
 	var mu sync.Mutex
 	var workers sync.WaitGroup
