--- a/internal/accord/replicate.go
+++ b/internal/accord/replicate.go
@@ -3,6 +3,7 @@
 package accord
 
 import (
+	"slices"
 	"sort"
 	"time"
 )
@@ -125,11 +126,11 @@
 		return
 	}
 	p.idle++
-	flight := p.flight
+	flight, messages := p.flight, len(p.under)
 	if p.sending != nil {
-		flight = p.sending.underWay * int(r.partSize)
+		flight, messages = p.sending.underWay*int(r.partSize), p.sending.underWay
 	}
-	if p.idle > r.pace.Election+appendsUnderWay+flight*int(time.Second/tickSpan)/slowLink {
+	if p.idle > r.pace.Election+messages+flight*int(time.Second/tickSpan)/slowLink {
 		r.resume(id, p)
 	}
 }
@@ -231,8 +232,10 @@
 		if first <= r.lastIndex() {
 			cut = first
 			r.undo(first - 1)
+			// What is on its way to others still points to what is cut off.
+			r.log = slices.Clone(r.log[:first-r.start.index-1])
 		}
-		r.log = append(r.log[:first-r.start.index-1:first-r.start.index-1], fresh...)
+		r.log = append(r.log, fresh...)
 		changed := cut > 0
 		for i := range fresh {
 			changed = changed || fresh[i].Members != nil
--- a/internal/accord/replicate_test.go
+++ b/internal/accord/replicate_test.go
@@ -163,3 +163,26 @@
 		t.Fatalf("%d entries were sent after a broken stream", entries)
 	}
 }
+
+// What a follower takes costs what it brings, not what its log holds; and a cut
+// leaves alone what is on its way elsewhere.
+func TestAnAppendDoesNotCopyTheLog(t *testing.T) {
+	b := newBench(t, "b", Hard{Term: 2}, run(2, 4000, 2)...)
+	last, moved := Index(4000), 0
+	for range 400 {
+		before := &b.raft.log[0]
+		b.step(Message{Kind: Append, Term: 2, Index: last, LogTerm: 2, Entries: run(last+1, last+1, 2)})
+		last++
+		if before != &b.raft.log[0] {
+			moved++
+		}
+	}
+	if b.raft.Last() != last || moved > 2 {
+		t.Errorf("the log ends at %d, want %d, and was copied %d times", b.raft.Last(), last, moved)
+	}
+	under := b.raft.entriesFrom(last-1, 1<<20)
+	b.step(Message{Kind: Append, Term: 3, Index: last - 2, LogTerm: 2, Entries: run(last-1, last-1, 3)})
+	if b.raft.Last() != last-1 || under[0].Term != 2 || len(under) != 2 {
+		t.Errorf("it ends at %d; under way: %+v", b.raft.Last(), under)
+	}
+}
