--- a/internal/parley/caller.go
+++ b/internal/parley/caller.go
@@ -26,6 +26,13 @@
 // given up.
 const patientCall = 500 * time.Millisecond
 
+const (
+	// standstill is by how much a time-out must be late for this daemon to have
+	// stood still, and unread how long what came meanwhile may take to be read.
+	standstill = 250 * time.Millisecond
+	unread     = 500 * time.Millisecond
+)
+
 // Unsent marks calls that never left this daemon.
 var Unsent = errs.Class("unsent")
 
@@ -67,12 +74,14 @@
 	mu       sync.Mutex
 	client   *rpc.Client
 	heard    atomic.Int64
-	birth    time.Time
+	// clock is the steady time since birth.
+	clock func() time.Duration
 }
 
 // NewCaller is a caller that has no stream yet.
 func NewCaller(address string) (caller *Caller) {
-	return &Caller{Address: address, DialWait: 400 * time.Millisecond, birth: time.Now()}
+	birth := time.Now()
+	return &Caller{Address: address, DialWait: 400 * time.Millisecond, clock: func() time.Duration { return time.Since(birth) }}
 }
 
 func (c *Caller) stream(wait time.Duration) (client *rpc.Client, err error) {
@@ -116,15 +125,12 @@
 	if err != nil {
 		return err
 	}
-	begun := time.Since(c.birth)
+	begun := c.clock()
 	answer := reflect.New(reflect.TypeOf(reply).Elem())
 	call := client.Go(method, ask, answer.Interface(), make(chan *rpc.Call, 1))
-	timer := time.NewTimer(limit)
-	defer timer.Stop()
-	select {
-	case <-call.Done:
+	if c.answered(call, begun, limit) {
 		if call.Error == nil {
-			c.heard.Store(int64(time.Since(c.birth)))
+			c.heard.Store(int64(c.clock()))
 			reflect.ValueOf(reply).Elem().Set(answer.Elem())
 			return nil
 		}
@@ -132,13 +138,35 @@
 			c.drop(client)
 		}
 		return Class.Wrap(call.Error)
+	}
+	// A short wait proves nothing: the other end or the way there may only be slow,
+	// and a stream that is gone is noticed by itself.
+	if limit >= patientCall && time.Duration(c.heard.Load()) < begun {
+		c.drop(client)
+	}
+	return ErrTimeout
+}
+
+// answered waits for a call as long as the limit says. A daemon that stood still
+// meanwhile has not looked at what came: a time-out that is late by more than a
+// busy machine's timers are is none before that is read.
+func (c *Caller) answered(call *rpc.Call, begun, limit time.Duration) (done bool) {
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
+	select {
+	case <-call.Done:
+		return true
 	case <-timer.C:
-		// A short wait proves nothing: the other end or the way there may only
-		// be slow, and a stream that is gone is noticed by itself.
-		if limit >= patientCall && time.Duration(c.heard.Load()) < begun {
-			c.drop(client)
-		}
-		return ErrTimeout
+	}
+	if c.clock()-begun < limit+standstill {
+		return false
+	}
+	timer.Reset(unread)
+	select {
+	case <-call.Done:
+		return true
+	case <-timer.C:
+		return false
 	}
 }
 
--- a/internal/parley/caller_test.go
+++ b/internal/parley/caller_test.go
@@ -112,3 +112,33 @@
 		t.Fatalf("%+v %v", reply, err)
 	}
 }
+
+// A time-out that comes late tells that the daemon stood still: the answer may be
+// here unread, and the stream is not given up before it was read.
+func TestAnAnswerThatCameInAStandstillIsRead(t *testing.T) {
+	for name, c := range map[string]struct {
+		late time.Duration
+		read bool
+	}{"stood still": {standstill + time.Second, true}, "only waited": {0, false}} {
+		caller, gate := served(t)
+		looks := 0
+		caller.clock = func() time.Duration {
+			if looks++; looks == 1 {
+				return 0
+			}
+			// The answer was on its way when the time-out was looked at.
+			if looks == 2 && c.read {
+				close(gate)
+			}
+			return time.Millisecond + c.late
+		}
+		var reply ToldReply
+		err := caller.Call("Told.Ask", -1, &reply, time.Millisecond)
+		if read := err == nil && reply.Note == "late"; read != c.read {
+			t.Errorf("%s: %v, %+v", name, err, reply)
+		}
+		if !c.read {
+			close(gate)
+		}
+	}
+}
