--- a/internal/accord/store_test.go
+++ b/internal/accord/store_test.go
@@ -13,16 +13,23 @@
 	return Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
 }
 
-// After a loss of power the disk holds what was synced, whole, and nothing
-// that was written behind it.
-func TestLossOfPowerKeepsWhatWasSynced(t *testing.T) {
-	disk := vfs.NewStrictMem()
+// strictDisk is a disk with the data folder on it that loses what is not synced.
+func strictDisk(t *testing.T) (disk *vfs.MemFS) {
+	t.Helper()
+	disk = vfs.NewStrictMem()
 	if err := disk.MkdirAll("data", 0o755); err != nil {
 		t.Fatal(err)
 	}
 	if root, err := disk.OpenDir("/"); err != nil || root.Sync() != nil {
 		t.Fatal("the folder itself must last", err)
 	}
+	return disk
+}
+
+// After a loss of power the disk holds what was synced, whole, and nothing
+// that was written behind it.
+func TestLossOfPowerKeepsWhatWasSynced(t *testing.T) {
+	disk := strictDisk(t)
 	store, err := OpenStore("data", disk)
 	if err != nil {
 		t.Fatal(err)
@@ -104,13 +111,7 @@
 // What a newer leader's entry cuts off is gone from the disk with the same
 // sync, also where its term is higher than that of the entry before it.
 func TestACutTailDoesNotComeBack(t *testing.T) {
-	disk := vfs.NewStrictMem()
-	if err := disk.MkdirAll("data", 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if root, err := disk.OpenDir("/"); err != nil || root.Sync() != nil {
-		t.Fatal("the folder itself must last", err)
-	}
+	disk := strictDisk(t)
 	store, err := OpenStore("data", disk)
 	if err != nil {
 		t.Fatal(err)
