--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -94,16 +94,16 @@
 }
 
 // ReadDocument reads a document and checks it against the services that stand.
-func ReadDocument(kind order.Kind, body []byte, config *canon.Canon) (document order.Document, err error) {
-	known := func(service string) bool { return config.Stands(canon.Services, service) }
+func ReadDocument(kind order.Kind, body []byte, items *canon.Canon) (document order.Document, err error) {
+	known := func(service string) bool { return items.Stands(canon.Services, service) }
 	document = order.Document{Kind: kind, Body: string(body)}
 	switch kind {
 	case order.DrainPolicy:
-		policy, readErr := drain.Read(body)
+		parsed, readErr := drain.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
-		document.Version, err = policy.Version, policy.Check(known)
+		document.Version, err = parsed.Version, parsed.Check(known)
 	case order.DayPlan:
 		plan, readErr := dayplan.Read(body)
 		if readErr != nil {
@@ -111,11 +111,11 @@
 		}
 		document.Version, err = plan.Version, plan.Check(known, func(parley.RegionName) bool { return true })
 	case order.SessionAffinity:
-		policy, readErr := affinity.Read(body)
+		parsed, readErr := affinity.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
-		document.Version, err = policy.Version, policy.Check(known)
+		document.Version, err = parsed.Version, parsed.Check(known)
 	case order.RetryLimit:
 		limit, readErr := retry.Read(body)
 		if readErr != nil {
--- a/internal/affinity/policy.go
+++ b/internal/affinity/policy.go
@@ -63,15 +63,15 @@
 )
 
 // Read reads a policy and checks what can be seen from it alone.
-func Read(body []byte) (policy *Policy, err error) {
-	policy = &Policy{}
-	if err = order.Open(body, policy); err != nil {
+func Read(body []byte) (parsed *Policy, err error) {
+	parsed = &Policy{}
+	if err = order.Open(body, parsed); err != nil {
 		return nil, err
 	}
 	faults := &order.Faults{}
-	faults.Head(policy.Version, len(policy.Rules), rulesMost)
+	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
 	named, sum := map[string]bool{}, 0
-	for i, rule := range policy.Rules {
+	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
 		if rule.Service == "" || len(rule.Service) > order.NameMost || named[rule.Service] {
 			faults.Add(where("service"), "is missing, too long or named twice")
@@ -101,7 +101,7 @@
 			faults.Add(where("most"), fmt.Sprintf("brings the sum above %d", SessionsMost))
 		}
 	}
-	return policy, faults.Err()
+	return parsed, faults.Err()
 }
 
 // token tells whether a text may name a header or cookie.
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -81,10 +81,10 @@
 	set := func(body string, check bool) func() error {
 		return func() error { return c.order(none, order.DrainPolicy, []byte(body), check) }
 	}
-	policy := func(version int) string {
+	drainPolicy := func(version int) string {
 		return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version)
 	}
-	if err := set(policy(4), false)(); err != nil {
+	if err := set(drainPolicy(4), false)(); err != nil {
 		t.Fatal(err)
 	}
 	for name, call := range map[string]struct {
@@ -93,8 +93,8 @@
 	}{
 		"describe":        {func() error { _, err := c.describe(none); return err }, problem.None},
 		"show":            {func() error { _, err := c.show(none, order.DrainPolicy); return err }, problem.None},
-		"a good check":    {set(policy(9), true), problem.None},
-		"an old version":  {set(policy(3), false), problem.BadOrder},
+		"a good check":    {set(drainPolicy(9), true), problem.None},
+		"an old version":  {set(drainPolicy(3), false), problem.BadOrder},
 		"no document":     {set(`{}`, false), problem.BadOrder},
 		"a bad check":     {set(`{}`, true), problem.BadOrder},
 		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, problem.BadOrder},
@@ -108,7 +108,7 @@
 		}
 	}
 	contact.lost.Store(true)
-	if err := set(policy(5), false)(); err != nil {
+	if err := set(drainPolicy(5), false)(); err != nil {
 		t.Errorf("an order that the log has taken: %v", err)
 	}
 }
--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -75,11 +75,11 @@
 func TestOrdersThroughACore(t *testing.T) {
 	c, _ := alone(t)
 	none := context.Background()
-	policy := func(version int, notice string) []byte {
+	drainPolicy := func(version int, notice string) []byte {
 		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
 	}
 	set := func(version int, notice string) func() error {
-		return func() error { return c.order(none, order.DrainPolicy, policy(version, notice), false) }
+		return func() error { return c.order(none, order.DrainPolicy, drainPolicy(version, notice), false) }
 	}
 	withdraw := func(version order.Version) func() error {
 		return func() error { return c.withdraw(none, order.DrainPolicy, version) }
@@ -108,7 +108,7 @@
 		{withdraw(7), 200},
 		{set(8, "1s"), 200},
 		{withdraw(7), 200},
-		{func() error { return c.order(none, order.DrainPolicy, policy(5, "2s"), true) }, 409},
+		{func() error { return c.order(none, order.DrainPolicy, drainPolicy(5, "2s"), true) }, 409},
 		{func() error { return c.order(none, order.DrainPolicy, []byte(`{"version":9,"version":9}`), false) }, 422},
 	} {
 		err := sure(t, step.send)
--- a/internal/dayplan/day_test.go
+++ b/internal/dayplan/day_test.go
@@ -78,11 +78,11 @@
 		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: accord.NewState(), plan: plan, stepper: &dayplan.Stepper{},
 		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[parley.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
 	}
-	config := canon.New()
-	if err = config.Apply([]byte(`{"upserts":{"services":{"column_names":["name","version"],"row_values":[["book",1]]}}}`), 1); err != nil {
+	items := canon.New()
+	if err = items.Apply([]byte(`{"upserts":{"services":{"column_names":["name","version"],"row_values":[["book",1]]}}}`), 1); err != nil {
 		t.Fatal(err)
 	}
-	d.state.Canon = config
+	d.state.Canon = items
 	if result := d.apply(accord.Command{Kind: accord.CommandOrder, Site: string(order.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
 		t.Fatal(result.Problem)
 	}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -66,22 +66,22 @@
 
 func TestConfigurationExamples(t *testing.T) {
 	text := page(t, "docs/configuration.md")
-	config := canon.New()
+	items := canon.New()
 	calls, refused := examples(text, "call"), examples(text, "refused")
 	if len(calls) < 2 || len(refused) < 2 {
 		t.Fatal("the page has lost its examples")
 	}
 	for i, call := range calls {
-		if err := config.Apply([]byte(call), uint64(i+1)); err != nil {
+		if err := items.Apply([]byte(call), uint64(i+1)); err != nil {
 			t.Errorf("example %d: %v", i+1, err)
 		}
 	}
 	for i, call := range refused {
-		if config.Apply([]byte(call), 9) == nil {
+		if items.Apply([]byte(call), 9) == nil {
 			t.Errorf("refused example %d was taken", i+1)
 		}
 	}
-	if config.View().Find("shop.example", "/hello/x") == nil || config.View().Find("shop.example", "/pay/x") != nil || config.View().Tenant("shop.example") == nil {
+	if items.View().Find("shop.example", "/hello/x") == nil || items.View().Find("shop.example", "/pay/x") != nil || items.View().Tenant("shop.example") == nil {
 		t.Error("the examples do not leave what the page says")
 	}
 }
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -64,15 +64,15 @@
 )
 
 // Read reads a policy and checks what can be seen from it alone.
-func Read(body []byte) (policy *Policy, err error) {
-	policy = &Policy{}
-	if err = order.Open(body, policy); err != nil {
+func Read(body []byte) (parsed *Policy, err error) {
+	parsed = &Policy{}
+	if err = order.Open(body, parsed); err != nil {
 		return nil, err
 	}
 	faults := &order.Faults{}
-	faults.Head(policy.Version, len(policy.Rules), rulesMost)
+	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
 	named := map[string]bool{}
-	for i, rule := range policy.Rules {
+	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
 		if rule.Service == "" || named[rule.Service] {
 			faults.Add(where("service"), "is missing or named twice")
@@ -91,13 +91,13 @@
 			faults.Add(where("least_share"), "must be 0 or more and below 1")
 		}
 	}
-	if policy.LostTouch < touchMin || policy.LostTouch > longest {
+	if parsed.LostTouch < touchMin || parsed.LostTouch > longest {
 		faults.Add("lost_touch", "must be a time from 1s to 1h")
 	}
-	if policy.CutOff != CutOffStop && policy.CutOff != CutOffServe {
+	if parsed.CutOff != CutOffStop && parsed.CutOff != CutOffServe {
 		faults.Add("cut_off", `must be "stop" or "serve"`)
 	}
-	return policy, faults.Err()
+	return parsed, faults.Err()
 }
 
 // Check tells which services a policy names that are not known.
--- a/internal/forum/forum_test.go
+++ b/internal/forum/forum_test.go
@@ -102,17 +102,17 @@
 // A great many items come in parts, each once, and a fellow that has only some
 // of them is told the rest however the leader changes in between.
 func TestItemsComeInParts(t *testing.T) {
-	config := canon.New()
+	items := canon.New()
 	rows := make([]string, 4000)
 	for i := range rows {
 		rows[i] = fmt.Sprintf(`["r-%d","h.example","/p%d/","idempotent","1s","s",%d]`, i, i, i+1)
 	}
 	call := `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["s",1]]},"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","service_name","version"],"row_values":[` + strings.Join(rows, ",") + `]}}}`
-	if err := config.Apply([]byte(call), 5); err != nil {
+	if err := items.Apply([]byte(call), 5); err != nil {
 		t.Fatal(err)
 	}
 	state := accord.NewState()
-	state.Canon, state.Rev = config, 5
+	state.Canon, state.Rev = items, 5
 	f := bare()
 	f.rev = 5
 	told := 0
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -96,11 +96,11 @@
 			o.permit.Policy(o.policy)
 		}
 		if document.Kind == order.SessionAffinity {
-			var policy *affinity.Policy
+			var drainPolicy *affinity.Policy
 			if document.InForce() {
-				policy, _ = affinity.Read([]byte(document.Body))
+				drainPolicy, _ = affinity.Read([]byte(document.Body))
 			}
-			o.Sessions.Set(policy)
+			o.Sessions.Set(drainPolicy)
 		}
 		if document.Kind == order.RetryLimit {
 			var limit *retry.Policy
@@ -264,17 +264,19 @@
 		now := d.clock.Now()
 		o := d.world.Orders
 		o.mu.Lock()
-		lonely, policy := o.permit.Lonely(now), o.policy
-		over := o.permit.Over(now, func(service parley.ServiceName) time.Duration { return time.Duration(policy.For(service).Finish) })
+		lonely, sessionPolicy := o.permit.Lonely(now), o.policy
+		over := o.permit.Over(now, func(service parley.ServiceName) time.Duration {
+			return time.Duration(sessionPolicy.For(service).Finish)
+		})
 		o.mu.Unlock()
 		for _, retired := range over {
-			d.world.end(retired.Server, policy.For(retired.Service).Keyed == drain.KeyedDeadline)
+			d.world.end(retired.Server, sessionPolicy.For(retired.Service).Keyed == drain.KeyedDeadline)
 		}
-		if policy == nil {
+		if sessionPolicy == nil {
 			o.cutOff.Store(false)
 			continue
 		}
-		if lonely && now-asked > time.Duration(policy.LostTouch)/4 {
+		if lonely && now-asked > time.Duration(sessionPolicy.LostTouch)/4 {
 			asked = now
 			d.askFellows(now)
 		}
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -439,12 +439,12 @@
 func TestOverLimitTakesNothing(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	config := canon.New()
+	items := canon.New()
 	call := `{"upserts":{"tenants":{"column_names":["name","hostnames","rate","burst","version"],"row_values":[["t",["a.example"],10,5,1]]}}}`
-	if err := config.Apply([]byte(call), 2); err != nil {
+	if err := items.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
 	}
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: config.Items()})
+	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
 	conn, in := client(t, d)
 	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", headKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
 	for range 2 {
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -119,15 +119,15 @@
 	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
 	d.limits = NewLimits(d.world.Share, nil)
 	d.door = NewDoor(d.Answer, func() *canon.View { return d.world.Scene().View }, 100, 1<<20)
-	config := canon.New()
+	items := canon.New()
 	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
 		"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[["s","/health",100,1]]},
 		"limits":{"max_header_bytes":2000,"max_body_bytes":5000,"header_timeout":"1s","idle_timeout":"2s","version":1}}}`
-	if err := config.Apply([]byte(call), 1); err != nil {
+	if err := items.Apply([]byte(call), 1); err != nil {
 		t.Fatal(err)
 	}
-	news := &parley.News{Leader: true, Term: 1, Epoch: 1, Full: true, Rev: 1, ItemAt: parley.AllItems, Items: config.Items(), Part: &parley.ListPart{Done: true}}
+	news := &parley.News{Leader: true, Term: 1, Epoch: 1, Full: true, Rev: 1, ItemAt: parley.AllItems, Items: items.Items(), Part: &parley.ListPart{Done: true}}
 	for _, backend := range backends {
 		news.Part.Servers = append(news.Part.Servers, parley.Server{ID: parley.ServerID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Site: "here", Slots: 4})
 	}
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -29,17 +29,17 @@
 			}
 		}
 	}
-	policy, err := Read([]byte(`{"version":1,"rules":[{"service":"*","ratio":0.1,"least_per_s":1,"window":"10s"},{"service":"a","ratio":0,"least_per_s":0,"window":"1s"}]}`))
+	parsed, err := Read([]byte(`{"version":1,"rules":[{"service":"*","ratio":0.1,"least_per_s":1,"window":"10s"},{"service":"a","ratio":0,"least_per_s":0,"window":"1s"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = policy.Check(func(service string) bool { return service == "b" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "a"`) {
+	if err = parsed.Check(func(service string) bool { return service == "b" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "a"`) {
 		t.Fatal(err)
 	}
-	if rule, written := policy.For("a"); !written || rule.Ratio != 0 {
+	if rule, written := parsed.For("a"); !written || rule.Ratio != 0 {
 		t.Fatal("the rule of a service goes before that of all")
 	}
-	if rule, written := policy.For("b"); !written || rule.Ratio != 0.1 {
+	if rule, written := parsed.For("b"); !written || rule.Ratio != 0.1 {
 		t.Fatal("the rule of all holds for the others")
 	}
 	if _, written := (*Policy)(nil).For("a"); written {
--- a/internal/trial/core.go
+++ b/internal/trial/core.go
@@ -478,4 +478,4 @@
 func (c *Core) fresh() (fresh bool) { return c.leads() && c.lease.covers(c) }
 
 // at gives the agreement the steady time.
-func (c *Core) at() (raft *accord.Raft) { return c.raft.At(c.world.agenda.now) }
+func (c *Core) at() (state *accord.Raft) { return c.raft.At(c.world.agenda.now) }
