--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/order"
@@ -94,8 +94,8 @@
 }
 
 // ReadDocument reads a document and checks it against the services that stand.
-func ReadDocument(kind order.Kind, body []byte, items *canon.Canon) (document order.Document, err error) {
-	known := func(service string) bool { return items.Stands(canon.Services, service) }
+func ReadDocument(kind order.Kind, body []byte, items *config.Canon) (document order.Document, err error) {
+	known := func(service string) bool { return items.Stands(config.Services, service) }
 	document = order.Document{Kind: kind, Body: string(body)}
 	switch kind {
 	case order.DrainPolicy:
--- a/internal/accord/orders_test.go
+++ b/internal/accord/orders_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/drain"
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
@@ -155,7 +155,7 @@
 // A snapshot as versions without the record wrote it.
 func TestASnapshotWithoutTheRecordIsRead(t *testing.T) {
 	type older struct {
-		Canon       []canon.Item
+		Canon       []config.Item
 		Evacuations map[string]Evacuation
 		Documents   map[order.Kind]order.Document
 		Seq, Rev    uint64
--- a/internal/accord/state.go
+++ b/internal/accord/state.go
@@ -12,7 +12,7 @@
 	"encoding/json"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
@@ -100,7 +100,7 @@
 
 // State is the agreed state.
 type State struct {
-	Canon       *canon.Canon
+	Canon       *config.Canon
 	Evacuations map[string]Evacuation
 	Documents   map[order.Kind]order.Document
 	Retired     map[parley.ServerID]parley.Retirement
@@ -115,7 +115,7 @@
 
 // NewState is empty.
 func NewState() (state *State) {
-	return &State{Canon: canon.New(), Evacuations: map[string]Evacuation{}, Documents: map[order.Kind]order.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, Orders: record.New(ordersMost), bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
+	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[order.Kind]order.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, Orders: record.New(ordersMost), bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
 }
 
 // Claims counts the keys held.
@@ -209,7 +209,7 @@
 }
 
 type frozen struct {
-	Canon       []canon.Item
+	Canon       []config.Item
 	Evacuations map[string]Evacuation
 	Documents   map[order.Kind]order.Document
 	Retired     map[parley.ServerID]parley.Retirement
@@ -219,7 +219,7 @@
 	Seqs        []uint64
 	Seq, Rev    uint64
 	// What follows is absent in snapshots of older versions.
-	Columns   map[canon.Set][]string
+	Columns   map[config.Set][]string
 	Overtaken record.Frozen
 	Orders    record.Frozen
 }
@@ -255,7 +255,7 @@
 	if err = state.Canon.Restore(still.Canon); err != nil {
 		return nil, err
 	}
-	if state.Canon.Overtaken, err = record.Thaw(canon.OvertakenMost, still.Overtaken); err != nil {
+	if state.Canon.Overtaken, err = record.Thaw(config.OvertakenMost, still.Overtaken); err != nil {
 		return nil, err
 	}
 	if state.Orders, err = record.Thaw(ordersMost, still.Orders); err != nil {
--- a/internal/allot/lender.go
+++ b/internal/allot/lender.go
@@ -11,7 +11,7 @@
 import (
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 )
 
@@ -38,7 +38,7 @@
 }
 
 // BoundOf is a tenant's limit.
-func BoundOf(tenant *canon.Tenant) (bound Bound) {
+func BoundOf(tenant *config.Tenant) (bound Bound) {
 	return Bound{Name: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst}
 }
 
--- a/internal/canon/canon.go
+++ b/internal/config/canon.go
@@ -4,7 +4,7 @@
 // name the highest version holds, be it set or dropped; under one version only
 // one content is confirmed. The fields of an item are kept as they came, so that
 // reading back gives what was sent.
-package canon
+package config
 
 import (
 	"math"
--- a/internal/canon/canon_test.go
+++ b/internal/config/canon_test.go
@@ -1,4 +1,4 @@
-package canon
+package config
 
 import (
 	"fmt"
--- a/internal/canon/content.go
+++ b/internal/config/content.go
@@ -1,6 +1,6 @@
 // Content is what an item says, whatever the way it is written: two items of one
 // version are the same if their parsed fields are, null standing for absent.
-package canon
+package config
 
 import (
 	"slices"
--- a/internal/canon/content_test.go
+++ b/internal/config/content_test.go
@@ -1,6 +1,6 @@
 // One number, one content: what is the same is confirmed again, what is other is
 // refused and nothing of its call takes effect.
-package canon
+package config
 
 import (
 	"strings"
--- a/internal/canon/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -1,7 +1,7 @@
 // Whatever is sent: a refused call changes nothing, the same call is confirmed
 // twice and takes effect once, replicas that apply the same calls, one of them
 // from a snapshot, describe the same, and what is described can be sent.
-package canon
+package config
 
 import (
 	"testing"
--- a/internal/canon/items.go
+++ b/internal/config/items.go
@@ -1,7 +1,7 @@
 // The typed readings of the items: ways (routes), services, tenants and the
 // one item of limits. Each reading checks its own fields; what needs a look at
 // other items is checked where a call is carried out.
-package canon
+package config
 
 import (
 	"time"
--- a/internal/canon/view.go
+++ b/internal/config/view.go
@@ -2,7 +2,7 @@
 // prefix, services by name, tenants by host. It is built once a change and
 // never written to afterwards, so requests read it without a lock. Finding a
 // way costs one look-up per segment of the path, however many ways there are.
-package canon
+package config
 
 import (
 	"slices"
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/canon"
 	"tinpin/internal/chronicle"
+	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/forum"
 	"tinpin/internal/herald"
@@ -130,7 +130,7 @@
 		return err
 	}
 	// What cannot be read is refused whatever stands.
-	call, err := canon.ReadCall(body)
+	call, err := config.ReadCall(body)
 	if err != nil {
 		return c.refuse(chronicle.Item, &office.Trouble{Kind: problem.BadConfig, Text: err.Error()})
 	}
--- a/internal/council/status.go
+++ b/internal/council/status.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/canon"
 	"tinpin/internal/chronicle"
+	"tinpin/internal/config"
 	"tinpin/internal/forum"
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
@@ -72,7 +72,7 @@
 	switch ask.Kind {
 	case chronicle.Item:
 		c.node.Read(func(state *accord.State) {
-			var item canon.Item
+			var item config.Item
 			item, reply.Has = state.Canon.Find(ask.Name)
 			reply.Stamp, reply.Rev = item.Stamp(), item.Rev
 		})
--- a/internal/dayplan/day_test.go
+++ b/internal/dayplan/day_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/keys"
 	"tinpin/internal/order"
@@ -78,7 +78,7 @@
 		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: accord.NewState(), plan: plan, stepper: &dayplan.Stepper{},
 		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[parley.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
 	}
-	items := canon.New()
+	items := config.New()
 	if err = items.Apply([]byte(`{"upserts":{"services":{"column_names":["name","version"],"row_values":[["book",1]]}}}`), 1); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
@@ -66,7 +66,7 @@
 
 func TestConfigurationExamples(t *testing.T) {
 	text := page(t, "docs/configuration.md")
-	items := canon.New()
+	items := config.New()
 	calls, refused := examples(text, "call"), examples(text, "refused")
 	if len(calls) < 2 || len(refused) < 2 {
 		t.Fatal("the page has lost its examples")
@@ -192,7 +192,7 @@
 
 func TestTenantExamples(t *testing.T) {
 	for _, call := range examples(page(t, "docs/tenants.md"), "call") {
-		if err := canon.New().Apply([]byte(call), 1); err != nil {
+		if err := config.New().Apply([]byte(call), 1); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -13,9 +13,9 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/allot"
-	"tinpin/internal/canon"
 	"tinpin/internal/census"
 	"tinpin/internal/chronicle"
+	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
@@ -64,7 +64,7 @@
 	members *census.Ledger[parley.FellowID, bool]
 	absent  []parley.FellowID
 	absAt   parley.Epoch
-	view    *canon.View
+	view    *config.View
 	rev     uint64
 	sites   map[parley.SiteName]bool
 	changed chan struct{}
@@ -104,7 +104,7 @@
 		props: p, log: log, node: node, term: parley.Term(term), birth: time.Now(),
 		clock: clock, roll: census.NewRoll(clock, census.RollBounds{Absent: vigil.StandIn, Struck: struckAfter}),
 		list: census.NewList(clock), cache: vigil.NewCache(clock, 3*p.ProbeInterval+time.Second),
-		book: allot.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: canon.New().View(), sites: map[parley.SiteName]bool{},
+		book: allot.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: config.New().View(), sites: map[parley.SiteName]bool{},
 		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: vigil.NewBalance(),
 	}
 	forum.members = census.NewLedger[parley.FellowID, bool](clock)
@@ -136,7 +136,7 @@
 func (f *Forum) Stir() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var view *canon.View
+	var view *config.View
 	active := map[parley.SiteName]bool{}
 	f.node.Read(func(state *accord.State) {
 		if state.Rev != f.rev {
@@ -452,7 +452,7 @@
 }
 
 type itemPart struct {
-	items  []canon.Item
+	items  []config.Item
 	packed []byte
 	next   itemPlace
 }
--- a/internal/forum/forum_test.go
+++ b/internal/forum/forum_test.go
@@ -8,9 +8,9 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/allot"
-	"tinpin/internal/canon"
 	"tinpin/internal/census"
 	"tinpin/internal/chronicle"
+	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/vigil"
@@ -27,7 +27,7 @@
 		log: events.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: census.NewRoll(clock, census.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: census.NewList(clock),
 		cache: vigil.NewCache(clock, time.Minute), book: allot.Unwaited(leaseSpan), lender: allot.NewLender(0, leaseSpan, true),
-		view: canon.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
+		view: config.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
 		chronicle: chronicle.New(events.Quiet()),
 	}
 }
@@ -102,7 +102,7 @@
 // A great many items come in parts, each once, and a fellow that has only some
 // of them is told the rest however the leader changes in between.
 func TestItemsComeInParts(t *testing.T) {
-	items := canon.New()
+	items := config.New()
 	rows := make([]string, 4000)
 	for i := range rows {
 		rows[i] = fmt.Sprintf(`["r-%d","h.example","/p%d/","idempotent","1s","s",%d]`, i, i, i+1)
--- a/internal/parley/pack.go
+++ b/internal/parley/pack.go
@@ -9,7 +9,7 @@
 	"encoding/gob"
 	"io"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 )
 
 // unpackedMost bounds what a packed part may grow to.
@@ -32,7 +32,7 @@
 }
 
 // Unpack gives the items of the configuration back.
-func Unpack(packed []byte) (items []canon.Item, err error) { return UnpackRows[canon.Item](packed) }
+func Unpack(packed []byte) (items []config.Item, err error) { return UnpackRows[config.Item](packed) }
 
 // UnpackRows gives rows back.
 func UnpackRows[Row any](packed []byte) (items []Row, err error) {
--- a/internal/parley/words.go
+++ b/internal/parley/words.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/order"
 )
 
@@ -363,7 +363,7 @@
 	ItemAt string
 	// Packed are items that Pack made small; else they stand in Items.
 	Packed      []byte
-	Items       []canon.Item
+	Items       []config.Item
 	Evacuations []Evacuation
 	Documents   []order.Document
 	Retired     []Retirement
--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/keys"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
@@ -71,9 +71,9 @@
 		return nil, problem.TooLate, 0
 	}
 	plan = &Plan{Way: way, Service: target(way, rand.Float64()), Request: request, Started: now, Till: now + left, Rounds: way.Rounds}
-	request.Stream = way.Repeat == canon.Download
+	request.Stream = way.Repeat == config.Download
 	d.world.Orders.Sessions.aim(plan, tenant)
-	if way.Repeat == canon.Keyed {
+	if way.Repeat == config.Keyed {
 		plan.Key = request.key()
 		if plan.Key == "" {
 			return nil, problem.NoKey, 0
@@ -278,7 +278,7 @@
 // wanted says what backend a plan's next round is for.
 func (d *Daemon) wanted(plan *Plan, tried []parley.ServerID) (wanted Wanted) {
 	wanted = Wanted{
-		Service: plan.Service, Aim: plan.Way.Aim, Homes: plan.Way.Homes, Tried: tried, Repeatable: plan.Way.Repeat.Repeatable(), Large: plan.Way.Repeat == canon.Download,
+		Service: plan.Service, Aim: plan.Way.Aim, Homes: plan.Way.Homes, Tried: tried, Repeatable: plan.Way.Repeat.Repeatable(), Large: plan.Way.Repeat == config.Download,
 		Weights: d.world.Orders.Weights(plan.Request.Host, plan.Service),
 	}
 	if plan.Bound != "" {
--- a/internal/passage/choose.go
+++ b/internal/passage/choose.go
@@ -9,7 +9,7 @@
 	"math/rand"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/parley"
 )
@@ -252,7 +252,7 @@
 }
 
 // target picks a way's service by weight, with a number from 0 to 1.
-func target(way *canon.Way, draw float64) (service parley.ServiceName) {
+func target(way *config.Way, draw float64) (service parley.ServiceName) {
 	if len(way.Targets) == 1 {
 		return parley.ServiceName(way.Targets[0].Service)
 	}
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/events"
 	"tinpin/internal/keys"
@@ -61,7 +61,7 @@
 	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
-	d.door = NewDoor(d.Answer, func() *canon.View { return d.world.Scene().View }, max(64, (p.Descriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
+	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, max(64, (p.Descriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
 	if d.inner, err = parley.Serve(p.Inner("passage"), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
 		return nil, err
 	}
--- a/internal/passage/door.go
+++ b/internal/passage/door.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
@@ -37,7 +37,7 @@
 // Door takes in clients.
 type Door struct {
 	answer   func(request *Request, deadline string) Verdict
-	view     func() *canon.View
+	view     func() *config.View
 	stopping atomic.Bool
 	open     atomic.Int64
 	atWork   atomic.Int64
@@ -60,7 +60,7 @@
 }
 
 // NewDoor answers with a function; most streams and bytes of bodies at once.
-func NewDoor(answer func(*Request, string) Verdict, view func() *canon.View, most int, room int64) (door *Door) {
+func NewDoor(answer func(*Request, string) Verdict, view func() *config.View, most int, room int64) (door *Door) {
 	door = &Door{answer: answer, view: view, most: int64(most), visits: map[*visit]time.Time{}}
 	door.room.Store(room)
 	return door
@@ -295,7 +295,7 @@
 }
 
 // read takes the request's body in and makes what is passed on.
-func (d *Door) read(v *visit, in *bufio.Reader, parsed *http.Request, limits canon.LimitItem) (request *Request, kind problem.Kind) {
+func (d *Door) read(v *visit, in *bufio.Reader, parsed *http.Request, limits config.LimitItem) (request *Request, kind problem.Kind) {
 	target := parsed.RequestURI
 	if parsed.Method == http.MethodConnect || target == "" || target[0] != '/' && target != "*" {
 		if parsed.URL == nil || parsed.URL.Host == "" || parsed.Method == http.MethodConnect {
--- a/internal/passage/limits.go
+++ b/internal/passage/limits.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tinpin/internal/allot"
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 )
 
@@ -52,7 +52,7 @@
 }
 
 // Admit takes one of a tenant's requests in, or tells when to come back.
-func (l *Limits) Admit(now time.Duration, tenant *canon.Tenant) (admitted bool, back time.Duration) {
+func (l *Limits) Admit(now time.Duration, tenant *config.Tenant) (admitted bool, back time.Duration) {
 	part := l.parts(tenant.Name)
 	l.mu.Lock()
 	admitted, back = l.bucket(tenant.Name).Admit(now, allot.BoundOf(tenant), part)
@@ -68,7 +68,7 @@
 }
 
 // Fill brings all buckets up to now; it is called before parts change.
-func (l *Limits) Fill(now time.Duration, tenants []*canon.Tenant) {
+func (l *Limits) Fill(now time.Duration, tenants []*config.Tenant) {
 	for _, tenant := range tenants {
 		l.mu.Lock()
 		bucket := l.held[tenant.Name]
@@ -87,7 +87,7 @@
 // Demands tells what tenants ask of this daemon: all that were asked for lately,
 // and of the others so many in turn that a beat stays small however many tenants
 // there are. What an idle tenant holds then is its floor.
-func (l *Limits) Demands(tenants []*canon.Tenant) (demands []parley.Demand) {
+func (l *Limits) Demands(tenants []*config.Tenant) (demands []parley.Demand) {
 	l.mu.Lock()
 	from := l.turn
 	if len(tenants) > demandsAtOnce {
--- a/internal/passage/limits_test.go
+++ b/internal/passage/limits_test.go
@@ -5,16 +5,16 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 )
 
 // With more tenants than a beat may tell of, all come round in turn, and those
 // that are asked for are told of with each beat.
 func TestDemandsOfManyTenantsComeInTurn(t *testing.T) {
-	var tenants []*canon.Tenant
+	var tenants []*config.Tenant
 	for n := 0; n < 4*demandsAtOnce; n++ {
-		tenants = append(tenants, &canon.Tenant{Name: fmt.Sprintf("t-%04d", n), Rate: 100, Burst: 100})
+		tenants = append(tenants, &config.Tenant{Name: fmt.Sprintf("t-%04d", n), Rate: 100, Burst: 100})
 	}
 	limits := NewLimits(func(kind parley.LeaseKind, tenant string) float64 { return 0.5 }, nil)
 	busy := tenants[7]
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/canon"
 	"tinpin/internal/chronicle"
+	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
@@ -139,7 +139,7 @@
 			weights[part.Region] = part.Weight
 		}
 		if target.Host != "" {
-			moves.Hosts[canon.PlainHost(target.Host)] = weights
+			moves.Hosts[config.PlainHost(target.Host)] = weights
 		} else {
 			moves.Services[target.Service] = weights
 		}
@@ -196,7 +196,7 @@
 func (o *Orders) Weights(host string, service parley.ServiceName) (weights dayplan.Weights) {
 	moves := o.moves.Load()
 	if len(moves.Hosts) > 0 {
-		if weights = moves.Hosts[canon.PlainHost(host)]; weights != nil {
+		if weights = moves.Hosts[config.PlainHost(host)]; weights != nil {
 			return weights
 		}
 	}
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
@@ -223,11 +223,11 @@
 // A plan never promises that nothing ran once something may have, and sends
 // again only what is idempotent or proven not to have run.
 func TestPlanTable(t *testing.T) {
-	for _, repeat := range []canon.Repeat{canon.Idempotent, canon.NonIdempotent, canon.Keyed} {
+	for _, repeat := range []config.Repeat{config.Idempotent, config.NonIdempotent, config.Keyed} {
 		for first := NotSent; first <= Silent; first++ {
 			for second := NotSent; second <= Silent; second++ {
 				for rounds := 1; rounds <= 3; rounds++ {
-					plan := &Plan{Way: &canon.Way{Repeat: repeat}, Till: time.Second, Rounds: rounds}
+					plan := &Plan{Way: &config.Way{Repeat: repeat}, Till: time.Second, Rounds: rounds}
 					mayHaveRun, arrivals := false, 0
 					for i, outcome := range []Outcome{first, second, Turned, Turned, Turned} {
 						sent := outcome != NotSent
@@ -236,7 +236,7 @@
 						}
 						mayHaveRun = mayHaveRun || outcome == Broken || outcome == Silent
 						step, kind := plan.Learn(0, "b", Round{Outcome: outcome, Sent: sent})
-						if step == TryAgain && mayHaveRun && repeat != canon.Idempotent {
+						if step == TryAgain && mayHaveRun && repeat != config.Idempotent {
 							t.Fatalf("%s %d %d: sent again though it may have run", repeat, first, second)
 						}
 						if step == TryAgain && arrivals >= rounds {
@@ -439,7 +439,7 @@
 func TestOverLimitTakesNothing(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	items := canon.New()
+	items := config.New()
 	call := `{"upserts":{"tenants":{"column_names":["name","hostnames","rate","burst","version"],"row_values":[["t",["a.example"],10,5,1]]}}}`
 	if err := items.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
--- a/internal/passage/plan.go
+++ b/internal/passage/plan.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
 
 // Plan is one request's way.
 type Plan struct {
-	Way     *canon.Way
+	Way     *config.Way
 	Service parley.ServiceName
 	Request *Request
 	Key     string
--- a/internal/passage/sessions.go
+++ b/internal/passage/sessions.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
@@ -96,7 +96,7 @@
 
 // aim gives a plan its session, where its request names one. Of a split way the
 // name decides which service it goes to, so that the session stays there too.
-func (s *Sessions) aim(plan *Plan, tenant *canon.Tenant) {
+func (s *Sessions) aim(plan *Plan, tenant *config.Tenant) {
 	policy := s.policy.Load()
 	if policy == nil {
 		return
@@ -214,7 +214,7 @@
 }
 
 // asked is the part of a request that may name its session.
-func (r *Request) asked(tenant *canon.Tenant) (asked affinity.Asked) {
+func (r *Request) asked(tenant *config.Tenant) (asked affinity.Asked) {
 	asked = affinity.Asked{Lines: r.Lines, Key: r.key()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/canon"
+	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/keys"
 	"tinpin/internal/parley"
@@ -118,8 +118,8 @@
 	d.link = NewLink(p, d.log, clock, d.world, d.keys, 1, d.fellow)
 	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
 	d.limits = NewLimits(d.world.Share, nil)
-	d.door = NewDoor(d.Answer, func() *canon.View { return d.world.Scene().View }, 100, 1<<20)
-	items := canon.New()
+	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, 100, 1<<20)
+	items := config.New()
 	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
 		"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[["s","/health",100,1]]},
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"tinpin/internal/allot"
-	"tinpin/internal/canon"
 	"tinpin/internal/chronicle"
+	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
@@ -26,7 +26,7 @@
 
 // Scene is one state of the world, read-only but for the servers' own marks.
 type Scene struct {
-	View     *canon.View
+	View     *config.View
 	Services map[parley.ServiceName][]*Server
 	// Near are the backends of a service that this daemon uses first, Beyond
 	// all others; Share is how many daemons use each of the near ones.
@@ -60,7 +60,7 @@
 	Orders *Orders
 
 	mu       sync.Mutex
-	canon    *canon.Canon
+	canon    *config.Canon
 	seen     parley.Seen
 	whole    bool
 	named    map[parley.ServerID]bool
@@ -72,7 +72,7 @@
 	told     parley.ShardMap
 	judge    *vigil.Judge
 	listed   bool
-	viewed   *canon.View
+	viewed   *config.View
 	shares   *allot.Shares
 	scene    atomic.Pointer[Scene]
 	sharesMu sync.Mutex
@@ -82,7 +82,7 @@
 // NewWorld knows nothing yet.
 func NewWorld(p props.Props, log *events.Log, clock Clock) (world *World) {
 	world = &World{
-		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: canon.New(), servers: map[parley.ServerID]*Server{},
+		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
 		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
 		watch: vigil.NewWatch(parley.FellowID(p.Name), p.SendInterval, clock.Now()),
 		judge: vigil.NewJudge(), shares: allot.NewShares(), habits: map[parley.ServiceName]*Habit{},
