--- a/internal/accord/orders_fuzz_test.go
+++ b/internal/accord/orders_fuzz_test.go
@@ -10,7 +10,7 @@
 )
 
 func FuzzDocuments(f *testing.F) {
-	f.Add(uint8(0), policy(5, "pay", "1s").Body)
+	f.Add(uint8(0), drainPolicyCommand(5, "pay", "1s").Body)
 	f.Add(uint8(0), []byte(`{"Version":5,"version":6,"rules":[{"service":"*","notice":"1s","finish":"5s","keyed":"deadline","least_share":0}],"lost_touch":"2s","cut_off":"stop"}`))
 	f.Add(uint8(1), []byte(`{"version":1,"step":1,"every":"1s","room":1,"targets":[{"host":"shop.example","time_zone":"UTC","spans":[{"from":"00:00","to":"24:00","weights":{"coast":1},"ramp":"0s"}]}]}`))
 	f.Add(uint8(2), []byte(`{"version":1,"rules":[{"service":"pay","ratio":0.5,"least_per_s":0,"window":"10s"}]}`))
--- a/internal/accord/orders_test.go
+++ b/internal/accord/orders_test.go
@@ -22,7 +22,7 @@
 
 const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
 
-func policy(version int, service, notice string) (command Command) {
+func drainPolicyCommand(version int, service, notice string) (command Command) {
 	return Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
 }
 
@@ -52,27 +52,27 @@
 		version order.Version
 	}{
 		{"services", Command{Kind: CommandConfig, Body: []byte(services)}, yes, 0},
-		{"unknown service", policy(4, "nobody", "1s"), no, 0},
-		{"five", policy(5, "desk", "1s"), yes, 5},
-		{"another operator's six", policy(6, "pay", "1s"), yes, 6},
-		{"five again", policy(5, "desk", "1s"), yes, 6},
-		{"five, written otherwise", Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: bytes.ReplaceAll(policy(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
-		{"five, other content", policy(5, "desk", "2s"), conflict, 6},
-		{"six, other content", policy(6, "pay", "2s"), conflict, 6},
-		{"older, never taken", policy(3, "pay", "1s"), no, 6},
+		{"unknown service", drainPolicyCommand(4, "nobody", "1s"), no, 0},
+		{"five", drainPolicyCommand(5, "desk", "1s"), yes, 5},
+		{"another operator's six", drainPolicyCommand(6, "pay", "1s"), yes, 6},
+		{"five again", drainPolicyCommand(5, "desk", "1s"), yes, 6},
+		{"five, written otherwise", Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
+		{"five, other content", drainPolicyCommand(5, "desk", "2s"), conflict, 6},
+		{"six, other content", drainPolicyCommand(6, "pay", "2s"), conflict, 6},
+		{"older, never taken", drainPolicyCommand(3, "pay", "1s"), no, 6},
 		{"six, withdrawn", withdrawal(6), conflict, 6},
 		{"withdrawn", withdrawal(7), yes, 7},
 		{"withdrawn again", withdrawal(7), yes, 7},
-		{"seven, set", policy(7, "pay", "1s"), conflict, 7},
-		{"eight", policy(8, "pay", "1s"), yes, 8},
+		{"seven, set", drainPolicyCommand(7, "pay", "1s"), conflict, 7},
+		{"eight", drainPolicyCommand(8, "pay", "1s"), yes, 8},
 		{"seven withdrawn again", withdrawal(7), yes, 8},
 		{"the service goes", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"desk","version":2}]}}`)}, yes, 8},
-		{"five once more", policy(5, "desk", "1s"), yes, 8},
+		{"five once more", drainPolicyCommand(5, "desk", "1s"), yes, 8},
 		{"and the other one, of the document that stands", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"pay","version":2}]}}`)}, yes, 8},
-		{"eight again", policy(8, "pay", "1s"), yes, 8},
+		{"eight again", drainPolicyCommand(8, "pay", "1s"), yes, 8},
 		{"back", Command{Kind: CommandConfig, Body: bytes.ReplaceAll([]byte(services), []byte(",1]"), []byte(",3]"))}, yes, 8},
-		{"negative", policy(-1, "pay", "1s"), no, 8},
-		{"nought", policy(0, "pay", "1s"), no, 8},
+		{"negative", drainPolicyCommand(-1, "pay", "1s"), no, 8},
+		{"nought", drainPolicyCommand(0, "pay", "1s"), no, 8},
 	}
 	for i, step := range steps {
 		before := state.Rev
@@ -162,7 +162,7 @@
 	}
 	full := NewState()
 	full.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
-	full.Apply(2, policy(5, "pay", "1s"), 0)
+	full.Apply(2, drainPolicyCommand(5, "pay", "1s"), 0)
 	var data bytes.Buffer
 	if err := gob.NewEncoder(&data).Encode(older{Canon: full.Canon.Items(), Documents: full.Documents, Rev: 2}); err != nil {
 		t.Fatal(err)
@@ -171,12 +171,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, command := range []Command{policy(5, "pay", "1s"), policy(6, "desk", "1s"), policy(5, "pay", "1s"), {Kind: CommandConfig, Body: []byte(services)}} {
+	for i, command := range []Command{drainPolicyCommand(5, "pay", "1s"), drainPolicyCommand(6, "desk", "1s"), drainPolicyCommand(5, "pay", "1s"), {Kind: CommandConfig, Body: []byte(services)}} {
 		if result := state.Apply(uint64(i+3), command, 0); result.Problem != "" {
 			t.Errorf("order %d: %s", i, result.Problem)
 		}
 	}
-	if !state.Apply(9, policy(5, "pay", "2s"), 0).Conflict {
+	if !state.Apply(9, drainPolicyCommand(5, "pay", "2s"), 0).Conflict {
 		t.Error("other content under the version that stood was taken")
 	}
 }
@@ -197,7 +197,7 @@
 	version, pick := 1+o.luck.Intn(12), o.luck.Intn(3)
 	switch o.luck.Intn(6) {
 	case 0:
-		next = &sent{command: policy(version, []string{"pay", "desk"}[pick%2], fmt.Sprint(pick, "s"))}
+		next = &sent{command: drainPolicyCommand(version, []string{"pay", "desk"}[pick%2], fmt.Sprint(pick, "s"))}
 	case 1:
 		next = &sent{command: withdrawal(version)}
 	case 2:
