--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -10,8 +10,8 @@
 	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/record"
 	"tinpin/internal/retry"
 )
@@ -23,7 +23,7 @@
 	return Result{Problem: err.Error(), Conflict: record.Conflict.Has(err)}
 }
 
-func documentNumber(kind order.Kind, version order.Version) (number record.Number) {
+func documentNumber(kind policy.Kind, version policy.Version) (number record.Number) {
 	return record.Number{Kind: "document", Name: string(kind), Version: uint64(version)}
 }
 
@@ -67,9 +67,9 @@
 
 // CheckDocument tells what would become of a document, or of its withdrawal
 // where it has no body: whether it was taken before, or why it is refused.
-func (s *State) CheckDocument(next order.Document) (after order.Document, taken bool, err error) {
+func (s *State) CheckDocument(next policy.Document) (after policy.Document, taken bool, err error) {
 	if next.Body != "" {
-		var head struct{ Version order.Version }
+		var head struct{ Version policy.Version }
 		if json.Unmarshal([]byte(next.Body), &head) == nil {
 			next.Version = head.Version
 		}
@@ -94,42 +94,42 @@
 }
 
 // ReadDocument reads a document and checks it against the services that stand.
-func ReadDocument(kind order.Kind, body []byte, items *config.Canon) (document order.Document, err error) {
+func ReadDocument(kind policy.Kind, body []byte, items *config.Canon) (document policy.Document, err error) {
 	known := func(service string) bool { return items.Stands(config.Services, service) }
-	document = order.Document{Kind: kind, Body: string(body)}
+	document = policy.Document{Kind: kind, Body: string(body)}
 	switch kind {
-	case order.DrainPolicy:
+	case policy.DrainPolicy:
 		parsed, readErr := drain.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
 		document.Version, err = parsed.Version, parsed.Check(known)
-	case order.DayPlan:
+	case policy.DayPlan:
 		plan, readErr := dayplan.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
 		document.Version, err = plan.Version, plan.Check(known, func(parley.RegionName) bool { return true })
-	case order.SessionAffinity:
+	case policy.SessionAffinity:
 		parsed, readErr := affinity.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
 		document.Version, err = parsed.Version, parsed.Check(known)
-	case order.RetryLimit:
+	case policy.RetryLimit:
 		limit, readErr := retry.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
 		document.Version, err = limit.Version, limit.Check(known)
 	default:
-		err = order.Class.New("unknown kind of document %q", kind)
+		err = policy.Class.New("unknown kind of document %q", kind)
 	}
 	return document, err
 }
 
 func (s *State) setDocument(rev uint64, command Command) (err error) {
-	next := order.Document{Kind: order.Kind(command.Site), Version: order.Version(command.Upto), Body: string(command.Body)}
+	next := policy.Document{Kind: policy.Kind(command.Site), Version: policy.Version(command.Upto), Body: string(command.Body)}
 	after, taken, err := s.CheckDocument(next)
 	if err != nil || taken {
 		return err
@@ -139,7 +139,7 @@
 	}
 	after.Rev = rev
 	s.Documents[next.Kind], s.Rev = after, rev
-	if next.Kind == order.DayPlan && !after.InForce() {
+	if next.Kind == policy.DayPlan && !after.InForce() {
 		// The count and its time stay, so that no later step goes back.
 		s.Move.Targets, s.Move.Rev = nil, rev
 	}
--- a/internal/accord/orders_fuzz_test.go
+++ b/internal/accord/orders_fuzz_test.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"testing"
 
-	"tinpin/internal/order"
+	"tinpin/internal/policy"
 )
 
 func FuzzDocuments(f *testing.F) {
@@ -16,7 +16,7 @@
 	f.Add(uint8(2), []byte(`{"version":1,"rules":[{"service":"pay","ratio":0.5,"least_per_s":0,"window":"10s"}]}`))
 	f.Add(uint8(3), []byte(`{"version":18446744073709551615}`))
 	f.Fuzz(func(t *testing.T, pick uint8, body []byte) {
-		kind := order.Kinds[int(pick)%len(order.Kinds)]
+		kind := policy.Kinds[int(pick)%len(policy.Kinds)]
 		state := NewState()
 		state.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
 		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Stamp(), state.Documents[kind].Body) }
--- a/internal/accord/orders_test.go
+++ b/internal/accord/orders_test.go
@@ -15,19 +15,19 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/record"
 )
 
 const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
 
 func drainPolicyCommand(version int, service, notice string) (command Command) {
-	return Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
+	return Command{Kind: CommandOrder, Site: string(policy.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
 }
 
 func withdrawal(version int) (command Command) {
-	return Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Upto: uint64(version)}
+	return Command{Kind: CommandOrder, Site: string(policy.DrainPolicy), Upto: uint64(version)}
 }
 
 func thawed(t *testing.T, state *State) (again *State) {
@@ -49,14 +49,14 @@
 		name    string
 		command Command
 		want    string
-		version order.Version
+		version policy.Version
 	}{
 		{"services", Command{Kind: CommandConfig, Body: []byte(services)}, yes, 0},
 		{"unknown service", drainPolicyCommand(4, "nobody", "1s"), no, 0},
 		{"five", drainPolicyCommand(5, "desk", "1s"), yes, 5},
 		{"another operator's six", drainPolicyCommand(6, "pay", "1s"), yes, 6},
 		{"five again", drainPolicyCommand(5, "desk", "1s"), yes, 6},
-		{"five, written otherwise", Command{Kind: CommandOrder, Site: string(order.DrainPolicy), Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
+		{"five, written otherwise", Command{Kind: CommandOrder, Site: string(policy.DrainPolicy), Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
 		{"five, other content", drainPolicyCommand(5, "desk", "2s"), conflict, 6},
 		{"six, other content", drainPolicyCommand(6, "pay", "2s"), conflict, 6},
 		{"older, never taken", drainPolicyCommand(3, "pay", "1s"), no, 6},
@@ -84,8 +84,8 @@
 		if result.Conflict {
 			got = conflict
 		}
-		if got != step.want || state.Documents[order.DrainPolicy].Version != step.version {
-			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Problem, state.Documents[order.DrainPolicy].Version)
+		if got != step.want || state.Documents[policy.DrainPolicy].Version != step.version {
+			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Problem, state.Documents[policy.DrainPolicy].Version)
 		}
 		if got != yes && state.Rev != before {
 			t.Errorf("%s: refused and changed something", step.name)
@@ -157,7 +157,7 @@
 	type older struct {
 		Canon       []config.Item
 		Evacuations map[string]Evacuation
-		Documents   map[order.Kind]order.Document
+		Documents   map[policy.Kind]policy.Document
 		Seq, Rev    uint64
 	}
 	full := NewState()
@@ -232,7 +232,7 @@
 
 // stands is all that orders have brought about.
 func stands(state *State) (text string) {
-	document := state.Documents[order.DrainPolicy]
+	document := state.Documents[policy.DrainPolicy]
 	return fmt.Sprint(state.Canon.Items(), document.Stamp(), document.Body, state.Evacuations["z"].Active)
 }
 
--- a/internal/accord/state.go
+++ b/internal/accord/state.go
@@ -14,8 +14,8 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/record"
 )
 
@@ -102,7 +102,7 @@
 type State struct {
 	Canon       *config.Canon
 	Evacuations map[string]Evacuation
-	Documents   map[order.Kind]order.Document
+	Documents   map[policy.Kind]policy.Document
 	Retired     map[parley.ServerID]parley.Retirement
 	Move        parley.Move
 	Orders      *record.Record
@@ -115,7 +115,7 @@
 
 // NewState is empty.
 func NewState() (state *State) {
-	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[order.Kind]order.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, Orders: record.New(ordersMost), bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
+	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, Orders: record.New(ordersMost), bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
 }
 
 // Claims counts the keys held.
@@ -188,7 +188,7 @@
 		s.retire(rev, command)
 	case CommandMove:
 		var next parley.Move
-		if json.Unmarshal(command.Body, &next) != nil || !dayplan.Follows(s.Move, next, uint64(s.Documents[order.DayPlan].Version)) || !s.Documents[order.DayPlan].InForce() {
+		if json.Unmarshal(command.Body, &next) != nil || !dayplan.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].InForce() {
 			return Result{Problem: "the step does not follow what is agreed"}
 		}
 		next.Rev = rev
@@ -211,7 +211,7 @@
 type frozen struct {
 	Canon       []config.Item
 	Evacuations map[string]Evacuation
-	Documents   map[order.Kind]order.Document
+	Documents   map[policy.Kind]policy.Document
 	Retired     map[parley.ServerID]parley.Retirement
 	Move        parley.Move
 	Bindings    map[parley.SessionID]Binding
--- a/internal/affinity/policy.go
+++ b/internal/affinity/policy.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // Source is the part of a request that names its session.
@@ -38,8 +38,8 @@
 	// Name of the header or cookie.
 	Name string `json:"name,omitempty"`
 	// Idle is how long a session lasts that nothing is heard of.
-	Idle  order.Span `json:"idle"`
-	Alone string     `json:"alone"`
+	Idle  policy.Span `json:"idle"`
+	Alone string      `json:"alone"`
 	// Most is how many sessions are kept; over it the least recently used go.
 	Most int `json:"most"`
 }
@@ -49,31 +49,31 @@
 
 // Policy is the whole document.
 type Policy struct {
-	Version order.Version `json:"version"`
-	Rules   []Rule        `json:"rules"`
+	Version policy.Version `json:"version"`
+	Rules   []Rule         `json:"rules"`
 }
 
 // SessionsMost is how many sessions all rules together may keep.
 const SessionsMost = 200_000
 
 const (
-	idleLeast = order.Span(10 * time.Second)
-	idleMost  = order.Span(24 * time.Hour)
+	idleLeast = policy.Span(10 * time.Second)
+	idleMost  = policy.Span(24 * time.Hour)
 	rulesMost = 5000
 )
 
 // Read reads a policy and checks what can be seen from it alone.
 func Read(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
-	if err = order.Open(body, parsed); err != nil {
+	if err = policy.Open(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &order.Faults{}
+	faults := &policy.Faults{}
 	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
 	named, sum := map[string]bool{}, 0
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || len(rule.Service) > order.NameMost || named[rule.Service] {
+		if rule.Service == "" || len(rule.Service) > policy.NameMost || named[rule.Service] {
 			faults.Add(where("service"), "is missing, too long or named twice")
 		}
 		named[rule.Service] = true
@@ -119,7 +119,7 @@
 
 // Check tells which services a policy names that are not known.
 func (p *Policy) Check(known func(service string) bool) (err error) {
-	return order.CheckServices(p.Rules, known)
+	return policy.CheckServices(p.Rules, known)
 }
 
 // For gives the rule of a service; without one it knows no sessions.
@@ -127,5 +127,5 @@
 	if p == nil {
 		return rule, false
 	}
-	return order.RuleOf(p.Rules, string(service))
+	return policy.RuleOf(p.Rules, string(service))
 }
--- a/internal/clerk/clerk.go
+++ b/internal/clerk/clerk.go
@@ -23,7 +23,7 @@
 
 	"tinpin/internal/council"
 	"tinpin/internal/drain"
-	"tinpin/internal/order"
+	"tinpin/internal/policy"
 )
 
 // Class marks failures of an operator's call.
@@ -53,7 +53,7 @@
 	"plan":     {"set": 1, "check": 1, "show": 0, "withdraw": 1},
 }
 
-var kinds = map[string]order.Kind{"drain": order.DrainPolicy, "plan": order.DayPlan, "retry": order.RetryLimit, "affinity": order.SessionAffinity}
+var kinds = map[string]policy.Kind{"drain": policy.DrainPolicy, "plan": policy.DayPlan, "retry": policy.RetryLimit, "affinity": policy.SessionAffinity}
 
 // Carry carries one order out and prints what came of it; good tells that it
 // stands as asked.
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
 	for last := ""; ; {
-		shown, showErr := c.show(ctx, order.DrainPolicy)
+		shown, showErr := c.show(ctx, policy.DrainPolicy)
 		if showErr == nil {
 			for _, account := range shown.Retiring {
 				if account.Server != id {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *Clerk) show(ctx context.Context, kind order.Kind) (shown council.Shown, err error) {
+func (c *Clerk) show(ctx context.Context, kind policy.Kind) (shown council.Shown, err error) {
 	answer, err := c.call(ctx, http.MethodGet, "/-/Orders.Show/"+string(kind), nil)
 	if err != nil {
 		return shown, err
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -16,7 +16,7 @@
 	"tinpin/internal/events"
 	"tinpin/internal/forum"
 	"tinpin/internal/office"
-	"tinpin/internal/order"
+	"tinpin/internal/policy"
 	"tinpin/internal/problem"
 	"tinpin/internal/props"
 )
@@ -79,7 +79,7 @@
 	c, contact := alone(t)
 	none := context.Background()
 	set := func(body string, check bool) func() error {
-		return func() error { return c.order(none, order.DrainPolicy, []byte(body), check) }
+		return func() error { return c.order(none, policy.DrainPolicy, []byte(body), check) }
 	}
 	drainPolicy := func(version int) string {
 		return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version)
@@ -92,7 +92,7 @@
 		with problem.Kind
 	}{
 		"describe":        {func() error { _, err := c.describe(none); return err }, problem.None},
-		"show":            {func() error { _, err := c.show(none, order.DrainPolicy); return err }, problem.None},
+		"show":            {func() error { _, err := c.show(none, policy.DrainPolicy); return err }, problem.None},
 		"a good check":    {set(drainPolicy(9), true), problem.None},
 		"an old version":  {set(drainPolicy(3), false), problem.BadOrder},
 		"no document":     {set(`{}`, false), problem.BadOrder},
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -16,8 +16,8 @@
 	"tinpin/internal/events"
 	"tinpin/internal/forum"
 	"tinpin/internal/office"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/problem"
 	"tinpin/internal/record"
 )
@@ -47,7 +47,7 @@
 	return open, nil
 }
 
-func (c *Council) order(_ context.Context, kind order.Kind, body []byte, check bool) (err error) {
+func (c *Council) order(_ context.Context, kind policy.Kind, body []byte, check bool) (err error) {
 	path := "/-/Orders.Set/" + string(kind)
 	if check {
 		path += "?check=true"
@@ -56,15 +56,15 @@
 	if err != nil {
 		return err
 	}
-	if err = order.CheckText(body); err != nil {
+	if err = policy.CheckText(body); err != nil {
 		return c.refuse(chronicle.Document, refused(err))
 	}
 	look := func() (lookErr error) {
 		taken := false
 		c.node.Read(func(state *accord.State) {
-			_, taken, lookErr = state.CheckDocument(order.Document{Kind: kind, Body: string(body)})
+			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 		})
-		if lookErr == nil && !taken && kind == order.DayPlan {
+		if lookErr == nil && !taken && kind == policy.DayPlan {
 			lookErr = open.CheckPlan(body)
 		}
 		return lookErr
@@ -91,9 +91,9 @@
 	return c.ordered(chronicle.Document, string(kind), "set", result, err)
 }
 
-func (c *Council) withdraw(_ context.Context, kind order.Kind, version order.Version) (err error) {
+func (c *Council) withdraw(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
 	if !kind.Known() {
-		return refused(order.Class.New("unknown kind of document %q", kind))
+		return refused(policy.Class.New("unknown kind of document %q", kind))
 	}
 	if _, err = c.open(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
@@ -116,8 +116,8 @@
 
 // Shown is what reading an order back gives.
 type Shown struct {
-	Kind     order.Kind             `json:"kind"`
-	Version  order.Version          `json:"version"`
+	Kind     policy.Kind            `json:"kind"`
+	Version  policy.Version         `json:"version"`
 	InForce  bool                   `json:"in_force"`
 	Document json.RawMessage        `json:"document,omitempty"`
 	Retiring []drain.Account        `json:"retiring,omitempty"`
@@ -127,9 +127,9 @@
 	Retrying []forum.RetryAccount   `json:"retrying,omitempty"`
 }
 
-func (c *Council) show(_ context.Context, kind order.Kind) (text []byte, err error) {
+func (c *Council) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
 	if !kind.Known() {
-		return nil, refused(order.Class.New("unknown kind of document %q", kind))
+		return nil, refused(policy.Class.New("unknown kind of document %q", kind))
 	}
 	open, err := c.open("/-/Orders.Show/" + string(kind))
 	if err != nil {
@@ -139,18 +139,18 @@
 	c.node.Read(func(state *accord.State) {
 		document := state.Documents[kind]
 		shown.Version, shown.InForce, shown.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
-		if kind == order.DayPlan {
+		if kind == policy.DayPlan {
 			shown.Step = state.Move.Count
 		}
 	})
 	switch kind {
-	case order.DayPlan:
+	case policy.DayPlan:
 		shown.Moving = open.Moving()
-	case order.RetryLimit:
+	case policy.RetryLimit:
 		shown.Retrying = open.Retrying()
-	case order.SessionAffinity:
+	case policy.SessionAffinity:
 		shown.Sessions = open.Sessions()
-	case order.DrainPolicy:
+	case policy.DrainPolicy:
 		shown.Retiring = open.Retiring()
 	}
 	if err = c.proven(open, nil); err != nil {
--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -11,8 +11,8 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/drain"
 	"tinpin/internal/office"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/problem"
 )
 
@@ -41,7 +41,7 @@
 }
 
 func TestARetirementSentAgainIsNeverRefused(t *testing.T) {
-	refusal := order.Class.New("no")
+	refusal := policy.Class.New("no")
 	for _, c := range []struct {
 		sent   sentAgain
 		listed bool
@@ -79,10 +79,10 @@
 		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
 	}
 	set := func(version int, notice string) func() error {
-		return func() error { return c.order(none, order.DrainPolicy, drainPolicy(version, notice), false) }
+		return func() error { return c.order(none, policy.DrainPolicy, drainPolicy(version, notice), false) }
 	}
-	withdraw := func(version order.Version) func() error {
-		return func() error { return c.withdraw(none, order.DrainPolicy, version) }
+	withdraw := func(version policy.Version) func() error {
+		return func() error { return c.withdraw(none, policy.DrainPolicy, version) }
 	}
 	update := func(body string) func() error {
 		return func() error { return c.update(none, []byte(body)) }
@@ -108,8 +108,8 @@
 		{withdraw(7), 200},
 		{set(8, "1s"), 200},
 		{withdraw(7), 200},
-		{func() error { return c.order(none, order.DrainPolicy, drainPolicy(5, "2s"), true) }, 409},
-		{func() error { return c.order(none, order.DrainPolicy, []byte(`{"version":9,"version":9}`), false) }, 422},
+		{func() error { return c.order(none, policy.DrainPolicy, drainPolicy(5, "2s"), true) }, 409},
+		{func() error { return c.order(none, policy.DrainPolicy, []byte(`{"version":9,"version":9}`), false) }, 422},
 	} {
 		err := sure(t, step.send)
 		if status := statusOf(t, err); status != step.status {
--- a/internal/council/status.go
+++ b/internal/council/status.go
@@ -8,8 +8,8 @@
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/forum"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // Status answers calls about this daemon.
@@ -80,7 +80,7 @@
 		s.council.node.Read(func(state *accord.State) {
 			switch ask.Kind {
 			case chronicle.Document:
-				document, has := state.Documents[order.Kind(ask.Name)]
+				document, has := state.Documents[policy.Kind(ask.Name)]
 				reply.Stamp, reply.Rev, reply.Has = document.Stamp(), document.Rev, has
 			case chronicle.Retirement:
 				retired, has := state.Retired[parley.ServerID(ask.Name)]
--- a/internal/dayplan/day_test.go
+++ b/internal/dayplan/day_test.go
@@ -18,9 +18,9 @@
 	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/keys"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
+	"tinpin/internal/policy"
 )
 
 const dayPlan = `{"version":1,"step":0.25,"every":"20s","room":0.9,"targets":[{"host":"book.example","time_zone":"Europe/Berlin","spans":[
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	d.state.Canon = items
-	if result := d.apply(accord.Command{Kind: accord.CommandOrder, Site: string(order.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
+	if result := d.apply(accord.Command{Kind: accord.CommandOrder, Site: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
 		t.Fatal(result.Problem)
 	}
 	for _, region := range regions {
--- a/internal/dayplan/plan.go
+++ b/internal/dayplan/plan.go
@@ -16,8 +16,8 @@
 	_ "time/tzdata"
 
 	"tinpin/internal/drain"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // Clock is a time of day, as in 06:30.
@@ -29,7 +29,7 @@
 	hour, hourErr := strconv.Atoi(hours)
 	minute, minuteErr := strconv.Atoi(minutes)
 	if !found || hourErr != nil || minuteErr != nil || len(minutes) != 2 || hour < 0 || minute < 0 || minute > 59 || hour*60+minute > 24*60 {
-		return order.Class.New("%q is no time of day such as 06:30", text)
+		return policy.Class.New("%q is no time of day such as 06:30", text)
 	}
 	*c = Clock(hour*60 + minute)
 	return nil
@@ -77,8 +77,8 @@
 
 // Plan is the whole document.
 type Plan struct {
-	Version order.Version `json:"version"`
-	Targets []Target      `json:"targets"`
+	Version policy.Version `json:"version"`
+	Targets []Target       `json:"targets"`
 	// Step is the largest part of the callers moved at once, Every the least
 	// time between two such steps.
 	Step  float64    `json:"step"`
@@ -92,10 +92,10 @@
 // Read reads a plan and checks what can be seen from it alone.
 func Read(body []byte) (plan *Plan, err error) {
 	plan = &Plan{}
-	if err = order.Open(body, plan); err != nil {
+	if err = policy.Open(body, plan); err != nil {
 		return nil, err
 	}
-	faults := &order.Faults{}
+	faults := &policy.Faults{}
 	if plan.Version == 0 {
 		faults.Add("version", "must be 1 or more")
 	}
@@ -126,7 +126,7 @@
 	return plan, faults.Err()
 }
 
-func (t *Target) check(at string, faults *order.Faults) {
+func (t *Target) check(at string, faults *policy.Faults) {
 	var err error
 	if t.location, err = time.LoadLocation(t.TimeZone); err != nil || t.TimeZone == "" || t.TimeZone == "Local" {
 		faults.Add(at+".time_zone", fmt.Sprintf("%q is no known time zone", t.TimeZone))
@@ -172,7 +172,7 @@
 
 // Check tells what a plan names that is not known.
 func (p *Plan) Check(service func(string) bool, region func(parley.RegionName) bool) (err error) {
-	faults := &order.Faults{}
+	faults := &policy.Faults{}
 	for i, target := range p.Targets {
 		at := fmt.Sprintf("targets.%d", i)
 		if target.Service != "" && !service(string(target.Service)) {
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -9,12 +9,12 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // AllServices is the rule that holds where a service has none of its own.
-const AllServices = order.AllServices
+const AllServices = policy.AllServices
 
 // What keyed requests at work do when their backend leaves.
 const (
@@ -29,7 +29,7 @@
 )
 
 // Span is a time written as text.
-type Span = order.Span
+type Span = policy.Span
 
 // Rule is the policy for one service, or for all.
 type Rule struct {
@@ -49,8 +49,8 @@
 
 // Policy is the whole document.
 type Policy struct {
-	Version order.Version `json:"version"`
-	Rules   []Rule        `json:"rules"`
+	Version policy.Version `json:"version"`
+	Rules   []Rule         `json:"rules"`
 	// LostTouch is after how long a daemon that hears neither a leader nor more
 	// than half of its fellows counts itself as cut off, and CutOff what it does.
 	LostTouch Span   `json:"lost_touch"`
@@ -66,10 +66,10 @@
 // Read reads a policy and checks what can be seen from it alone.
 func Read(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
-	if err = order.Open(body, parsed); err != nil {
+	if err = policy.Open(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &order.Faults{}
+	faults := &policy.Faults{}
 	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
@@ -102,7 +102,7 @@
 
 // Check tells which services a policy names that are not known.
 func (p *Policy) Check(known func(service string) bool) (err error) {
-	return order.CheckServices(p.Rules, known)
+	return policy.CheckServices(p.Rules, known)
 }
 
 // usual holds where no policy or no rule does.
@@ -114,7 +114,7 @@
 	if p == nil {
 		return rule
 	}
-	if written, ruled := order.RuleOf(p.Rules, string(service)); ruled {
+	if written, ruled := policy.RuleOf(p.Rules, string(service)); ruled {
 		return written
 	}
 	return rule
--- a/internal/forum/check.go
+++ b/internal/forum/check.go
@@ -10,8 +10,8 @@
 	"github.com/zeebo/errs"
 
 	"tinpin/internal/events"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // Class marks refused calls.
@@ -28,7 +28,7 @@
 
 func fits(names ...string) (good bool) {
 	for _, name := range names {
-		if len(name) > order.NameMost {
+		if len(name) > policy.NameMost {
 			return false
 		}
 	}
@@ -113,7 +113,7 @@
 func (f *Forum) refuse(call string, by parley.FellowID, fault string) (err error) {
 	count := f.refusals.Add(1)
 	if count <= loggedRefusals || count%loggedRefusals == 0 {
-		f.log.Say(events.AskRefused, "call", call, "by", string(by)[:min(len(by), order.NameMost)], "why", fault, "count", count)
+		f.log.Say(events.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
 	}
 	return Class.New("refused: %s", fault)
 }
--- a/internal/forum/orders.go
+++ b/internal/forum/orders.go
@@ -14,8 +14,8 @@
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/retry"
 	"tinpin/internal/vigil"
 )
@@ -62,14 +62,14 @@
 // take reads what is agreed; the caller holds the forum's lock.
 func (o *orders) take(state *accord.State) {
 	o.policy, o.plan, o.retries = nil, nil, nil
-	if document := state.Documents[order.RetryLimit]; document.InForce() {
+	if document := state.Documents[policy.RetryLimit]; document.InForce() {
 		o.retries, _ = retry.Read([]byte(document.Body))
 		o.retryRev = document.Rev
 	}
-	if document := state.Documents[order.DrainPolicy]; document.InForce() {
+	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
 		o.policy, _ = drain.Read([]byte(document.Body))
 	}
-	if document := state.Documents[order.DayPlan]; document.InForce() {
+	if document := state.Documents[policy.DayPlan]; document.InForce() {
 		o.plan, _ = dayplan.Read([]byte(document.Body))
 	}
 	o.retired = make(map[parley.ServerID]parley.Retirement, len(state.Retired))
@@ -259,10 +259,10 @@
 	defer f.mu.Unlock()
 	server, listed := f.list.Servers.Get(id)
 	if !listed {
-		return "", false, order.Class.New("backend %q is not on the platform's list", id)
+		return "", false, policy.Class.New("backend %q is not on the platform's list", id)
 	}
 	if stock := f.stock(server.Service); stock.Useful <= 1 {
-		return "", true, order.Class.New("backend %q is the last of service %q that is of use", id, server.Service)
+		return "", true, policy.Class.New("backend %q is the last of service %q that is of use", id, server.Service)
 	}
 	return server.Service, true, nil
 }
--- a/internal/forum/sessions.go
+++ b/internal/forum/sessions.go
@@ -13,8 +13,8 @@
 	"tinpin/internal/affinity"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/events"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 const (
@@ -49,7 +49,7 @@
 // take reads what is agreed; the caller holds the forum's lock.
 func (s *sessions) take(state *accord.State) {
 	s.policy = nil
-	if document := state.Documents[order.SessionAffinity]; document.InForce() {
+	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
 		s.policy, _ = affinity.Read([]byte(document.Body))
 	}
 }
@@ -85,7 +85,7 @@
 		return "the session is no session's id"
 	case bind.Idle <= 0 || bind.Idle > idleMost:
 		return "the idle time is out of bounds"
-	case len(bind.From) > order.NameMost:
+	case len(bind.From) > policy.NameMost:
 		return "the name of the backend is too long"
 	case f.view.Services[string(bind.Service)] == nil || !ruled:
 		return "no rule for the service"
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -15,8 +15,8 @@
 	"github.com/ogen-go/ogen/ogenerrors"
 
 	"tinpin/api/oas"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/problem"
 )
 
@@ -43,9 +43,9 @@
 	Resolve  func(ctx context.Context, host, region, site string) ([]string, time.Duration, error)
 	Ready    func() bool
 	// Order sets a document or, with check, only looks it over.
-	Order    func(ctx context.Context, kind order.Kind, body []byte, check bool) error
-	Withdraw func(ctx context.Context, kind order.Kind, version order.Version) error
-	Show     func(ctx context.Context, kind order.Kind) ([]byte, error)
+	Order    func(ctx context.Context, kind policy.Kind, body []byte, check bool) error
+	Withdraw func(ctx context.Context, kind policy.Kind, version policy.Version) error
+	Show     func(ctx context.Context, kind policy.Kind) ([]byte, error)
 	// Retire orders that a backend be retired, or takes that back; id may name the order.
 	Retire func(ctx context.Context, server parley.ServerID, back bool, id string) (phase string, err error)
 }
@@ -115,7 +115,7 @@
 		return nil, errElsewhere
 	}
 	check := params.Check.Or(false)
-	if err = o.duties.Order(ctx, order.Kind(params.Kind), body, check); err != nil {
+	if err = o.duties.Order(ctx, policy.Kind(params.Kind), body, check); err != nil {
 		return nil, err
 	}
 	if check {
@@ -128,7 +128,7 @@
 	if o.duties.Withdraw == nil {
 		return nil, errElsewhere
 	}
-	if err = o.duties.Withdraw(ctx, order.Kind(params.Kind), order.Version(params.Version)); err != nil {
+	if err = o.duties.Withdraw(ctx, policy.Kind(params.Kind), policy.Version(params.Version)); err != nil {
 		return nil, err
 	}
 	return &oas.Done{Status: "acknowledged"}, nil
@@ -138,7 +138,7 @@
 	if o.duties.Show == nil {
 		return nil, errElsewhere
 	}
-	return o.duties.Show(ctx, order.Kind(params.Kind))
+	return o.duties.Show(ctx, policy.Kind(params.Kind))
 }
 
 func (o office) retire(ctx context.Context, server string, back bool, id string) (done *oas.Done, err error) {
--- a/internal/parley/words.go
+++ b/internal/parley/words.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/order"
+	"tinpin/internal/policy"
 )
 
 // FellowID is the name of a daemon, ServerID one life of a backend, SiteName a zone.
@@ -365,7 +365,7 @@
 	Packed      []byte
 	Items       []config.Item
 	Evacuations []Evacuation
-	Documents   []order.Document
+	Documents   []policy.Document
 	Retired     []Retirement
 	Move        *Move
 	// Part is a part of the whole list, for a fellow that lacks it; Servers and
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -16,8 +16,8 @@
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 	"tinpin/internal/retry"
 )
 
@@ -45,7 +45,7 @@
 	policy *drain.Policy
 	permit *drain.Permit
 	agreed map[parley.ServerID]parley.Retirement
-	kinds  map[order.Kind]order.Document
+	kinds  map[policy.Kind]policy.Document
 	move   parley.Move
 	moves  atomic.Pointer[Moves]
 	spills atomic.Pointer[map[parley.ServiceName]parley.Spill]
@@ -60,7 +60,7 @@
 
 // NewOrders follows nothing yet.
 func NewOrders(now time.Duration) (orders *Orders) {
-	orders = &Orders{permit: drain.NewPermit(now), agreed: map[parley.ServerID]parley.Retirement{}, kinds: map[order.Kind]order.Document{}, fleet: map[parley.FellowID]metFellow{}, Sessions: NewSessions()}
+	orders = &Orders{permit: drain.NewPermit(now), agreed: map[parley.ServerID]parley.Retirement{}, kinds: map[policy.Kind]policy.Document{}, fleet: map[parley.FellowID]metFellow{}, Sessions: NewSessions()}
 	orders.moves.Store(&Moves{})
 	orders.spills.Store(&map[parley.ServiceName]parley.Spill{})
 	return orders
@@ -88,21 +88,21 @@
 		}
 		o.kinds[document.Kind] = document
 		memory.Note(chronicle.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
-		if document.Kind == order.DrainPolicy {
+		if document.Kind == policy.DrainPolicy {
 			o.policy = nil
 			if document.InForce() {
 				o.policy, _ = drain.Read([]byte(document.Body))
 			}
 			o.permit.Policy(o.policy)
 		}
-		if document.Kind == order.SessionAffinity {
+		if document.Kind == policy.SessionAffinity {
 			var drainPolicy *affinity.Policy
 			if document.InForce() {
 				drainPolicy, _ = affinity.Read([]byte(document.Body))
 			}
 			o.Sessions.Set(drainPolicy)
 		}
-		if document.Kind == order.RetryLimit {
+		if document.Kind == policy.RetryLimit {
 			var limit *retry.Policy
 			if document.InForce() {
 				limit, _ = retry.Read([]byte(document.Body))
@@ -113,7 +113,7 @@
 	o.follow(now, news.Retired, memory, quiet)
 	if move := news.Move; move != nil && move.Rev > o.move.Rev {
 		o.move = *move
-		memory.Note(chronicle.Move, string(order.DayPlan), "applied", move.Stamp(), move.Rev, quiet)
+		memory.Note(chronicle.Move, string(policy.DayPlan), "applied", move.Stamp(), move.Rev, quiet)
 		o.moves.Store(movesOf(*move))
 	}
 }
@@ -240,7 +240,7 @@
 	defer o.mu.Unlock()
 	switch kind {
 	case chronicle.Document:
-		document, known := o.kinds[order.Kind(name)]
+		document, known := o.kinds[policy.Kind(name)]
 		return document.Stamp(), document.Rev, known
 	case chronicle.Retirement:
 		retired, known := o.agreed[parley.ServerID(name)]
--- a/internal/passage/sessions_test.go
+++ b/internal/passage/sessions_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // agreedForum binds sessions as the leader does, for any number of nodes.
@@ -41,8 +41,8 @@
 }
 
 // written sets a document at a node.
-func written(d *Daemon, rev uint64, kind order.Kind, body string) {
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: parley.Epoch(rev), Rev: rev, ItemAt: parley.AllItems, Documents: []order.Document{{Kind: kind, Version: order.Version(rev), Body: body, Rev: rev}}})
+func written(d *Daemon, rev uint64, kind policy.Kind, body string) {
+	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: parley.Epoch(rev), Rev: rev, ItemAt: parley.AllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
 }
 
 const byCaller = `{"version":2,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
@@ -67,7 +67,7 @@
 		go d.link.Binds()
 		go d.link.Frees()
 		t.Cleanup(func() { close(d.link.Ended) })
-		written(d, 2, order.SessionAffinity, byCaller)
+		written(d, 2, policy.SessionAffinity, byCaller)
 		nodes = append(nodes, d)
 	}
 	return nodes
@@ -160,7 +160,7 @@
 	if standing := d.keys.Find("k", "b").Standing; standing != parley.Freed {
 		t.Fatalf("the key of an operation that was not sent stands at %d", standing)
 	}
-	written(d, 3, order.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
+	written(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
 	if verdict = d.Answer(ofCaller("GET", "/safe/x", "c", "anna"), "2500"); verdict.Status != 200 {
 		t.Fatalf("under \"serve\" what may be repeated gets %d", verdict.Status)
 	}
@@ -214,7 +214,7 @@
 		d := daemonOf(t, backends...)
 		d.budget.written = d.world.Orders.Retries
 		if limit != "" {
-			written(d, 2, order.RetryLimit, limit)
+			written(d, 2, policy.RetryLimit, limit)
 		}
 		for i := 0; i < 10; i++ {
 			d.Answer(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
--- a/internal/order/order.go
+++ b/internal/policy/order.go
@@ -3,7 +3,7 @@
 // whole or not at all. The highest version holds; the same content under it
 // changes nothing; an older version, or another content under the version that
 // holds, is refused. Faults of a document are gathered and told in one line.
-package order
+package policy
 
 import (
 	"encoding/json"
--- a/internal/order/order_test.go
+++ b/internal/policy/order_test.go
@@ -1,5 +1,5 @@
 // Documents under their versions, and texts that are not let in.
-package order
+package policy
 
 import (
 	"strings"
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"tinpin/internal/allot"
-	"tinpin/internal/order"
 	"tinpin/internal/parley"
+	"tinpin/internal/policy"
 )
 
 // Rule is the limit for one service, or for all others.
@@ -22,7 +22,7 @@
 	// few first attempts there are.
 	LeastPerSecond float64 `json:"least_per_s"`
 	// Window is the span over which the limit is counted; it slides.
-	Window order.Span `json:"window"`
+	Window policy.Span `json:"window"`
 }
 
 // For is the service that the rule is for.
@@ -30,30 +30,30 @@
 
 // Policy is the whole document.
 type Policy struct {
-	Version order.Version `json:"version"`
-	Rules   []Rule        `json:"rules"`
+	Version policy.Version `json:"version"`
+	Rules   []Rule         `json:"rules"`
 }
 
 const (
 	ratioMost   = 10
 	leastMost   = 100_000
-	windowLeast = order.Span(time.Second)
-	windowMost  = order.Span(10 * time.Minute)
+	windowLeast = policy.Span(time.Second)
+	windowMost  = policy.Span(10 * time.Minute)
 	rulesMost   = 5000
 )
 
 // Read reads a policy and checks what can be seen from it alone.
 func Read(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
-	if err = order.Open(body, parsed); err != nil {
+	if err = policy.Open(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &order.Faults{}
+	faults := &policy.Faults{}
 	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || len(rule.Service) > order.NameMost || named[rule.Service] {
+		if rule.Service == "" || len(rule.Service) > policy.NameMost || named[rule.Service] {
 			faults.Add(where("service"), "is missing, too long or named twice")
 		}
 		named[rule.Service] = true
@@ -72,7 +72,7 @@
 
 // Check tells which services a policy names that are not known.
 func (p *Policy) Check(known func(service string) bool) (err error) {
-	return order.CheckServices(p.Rules, known)
+	return policy.CheckServices(p.Rules, known)
 }
 
 // For gives the rule of a service; without one there is no written limit.
@@ -80,7 +80,7 @@
 	if p == nil {
 		return rule, false
 	}
-	return order.RuleOf(p.Rules, string(service))
+	return policy.RuleOf(p.Rules, string(service))
 }
 
 // Bound is what is lent of the rule: half of the least may come at once and
--- a/internal/trial/order.go
+++ b/internal/trial/order.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/order"
+	"tinpin/internal/policy"
 )
 
 const unwritten = ""
@@ -74,7 +74,7 @@
 			}
 		}
 	case "document":
-		document := state.Documents[order.Kind(name)]
+		document := state.Documents[policy.Kind(name)]
 		seen.version = uint64(document.Version)
 		if _, behind, found := strings.Cut(document.Body, `"finish":"`); found {
 			seen.content, _, _ = strings.Cut(behind, "ms")
@@ -116,7 +116,7 @@
 		_, behind, _ := strings.Cut(string(command.Body), `"version":`)
 		number, _, _ := strings.Cut(behind, ",")
 		version, _ = strconv.ParseUint(number, 10, 64)
-		if uint64(state.Documents[order.Kind(command.Site)].Version) > version {
+		if uint64(state.Documents[policy.Kind(command.Site)].Version) > version {
 			result.Problem = "the version is not above the one that holds"
 		}
 	}
