--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -13,12 +13,12 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/allot"
-	"tinpin/internal/census"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
+	"tinpin/internal/registry"
 	"tinpin/internal/vigil"
 )
 
@@ -52,16 +52,16 @@
 	birth time.Time
 
 	mu      sync.Mutex
-	clock   *census.Clock
-	roll    *census.Roll
-	list    *census.List
+	clock   *registry.Clock
+	roll    *registry.Roll
+	list    *registry.List
 	cache   *vigil.Cache
 	book    *allot.Book
 	lender  *allot.Lender
 	retries *allot.Lender
 	shards  parley.ShardMap
 	mapAt   parley.Epoch
-	members *census.Ledger[parley.FellowID, bool]
+	members *registry.Ledger[parley.FellowID, bool]
 	absent  []parley.FellowID
 	absAt   parley.Epoch
 	view    *config.View
@@ -98,16 +98,16 @@
 
 // Open starts a leadership's forum.
 func Open(p props.Props, log *events.Log, node *accord.Node, term accord.Term) (forum *Forum) {
-	clock := &census.Clock{}
+	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Forum{
 		props: p, log: log, node: node, term: parley.Term(term), birth: time.Now(),
-		clock: clock, roll: census.NewRoll(clock, census.RollBounds{Absent: vigil.StandIn, Struck: struckAfter}),
-		list: census.NewList(clock), cache: vigil.NewCache(clock, 3*p.ProbeInterval+time.Second),
+		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: vigil.StandIn, Struck: struckAfter}),
+		list: registry.NewList(clock), cache: vigil.NewCache(clock, 3*p.ProbeInterval+time.Second),
 		book: allot.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: config.New().View(), sites: map[parley.SiteName]bool{},
 		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: vigil.NewBalance(),
 	}
-	forum.members = census.NewLedger[parley.FellowID, bool](clock)
+	forum.members = registry.NewLedger[parley.FellowID, bool](clock)
 	first := term == 1
 	forum.lender = allot.NewLender(0, leaseSpan, first)
 	forum.retries = allot.NewLenderOf(allot.RetryKinds, 0, leaseSpan, first)
@@ -250,7 +250,7 @@
 
 // walk is the duty that reads the platform's list.
 func (f *Forum) walk() {
-	platform := census.NewPlatform(f.props.PlatformAddress)
+	platform := registry.NewPlatform(f.props.PlatformAddress)
 	pause := time.Duration(float64(time.Second) / max(f.props.PlatformRate*listPart, 0.1))
 	for {
 		begun := time.Now()
--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/census"
 	"tinpin/internal/events"
 	"tinpin/internal/keys"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
+	"tinpin/internal/registry"
 )
 
 const (
@@ -299,7 +299,7 @@
 	if l.props.PlatformAddress == "" {
 		return
 	}
-	platform := census.NewPlatform(l.props.PlatformAddress)
+	platform := registry.NewPlatform(l.props.PlatformAddress)
 	var due time.Duration
 	for alone := false; !l.ended(); {
 		time.Sleep(alonePause)
--- a/internal/census/census_test.go
+++ b/internal/registry/census_test.go
@@ -1,4 +1,4 @@
-package census
+package registry
 
 import (
 	"fmt"
--- a/internal/census/ledger.go
+++ b/internal/registry/ledger.go
@@ -2,7 +2,7 @@
 // the backends by the platform's list. A ledger numbers each change with an
 // epoch, so that a daemon that names the epoch it has seen is told only what
 // came after.
-package census
+package registry
 
 import "tinpin/internal/parley"
 
--- a/internal/census/list.go
+++ b/internal/registry/list.go
@@ -3,7 +3,7 @@
 // a walk does not show counts only if the walk was whole, and an entry is gone
 // only after a second whole walk did not show it either, unless it was
 // draining.
-package census
+package registry
 
 import (
 	"io"
--- a/internal/census/roll.go
+++ b/internal/registry/roll.go
@@ -2,7 +2,7 @@
 // daemon whose beats stop is held absent after a short bound and struck off
 // after a longer one; the members of the shard map are those that are not
 // struck off and not stopping.
-package census
+package registry
 
 import (
 	"sort"
--- a/internal/vigil/cache.go
+++ b/internal/vigil/cache.go
@@ -8,8 +8,8 @@
 import (
 	"time"
 
-	"tinpin/internal/census"
 	"tinpin/internal/parley"
+	"tinpin/internal/registry"
 )
 
 type watched struct {
@@ -20,7 +20,7 @@
 
 // Cache is the leader's collection of states.
 type Cache struct {
-	States *census.Ledger[parley.ServerID, parley.State]
+	States *registry.Ledger[parley.ServerID, parley.State]
 	until  map[parley.ServerID]time.Duration
 	of     map[parley.ServerID]parley.ServiceName
 	owners map[parley.ServiceName]*watched
@@ -29,9 +29,9 @@
 }
 
 // NewCache is an empty cache; states older than age are unknown.
-func NewCache(clock *census.Clock, age time.Duration) (cache *Cache) {
+func NewCache(clock *registry.Clock, age time.Duration) (cache *Cache) {
 	return &Cache{
-		States: census.NewLedger[parley.ServerID, parley.State](clock), until: map[parley.ServerID]time.Duration{},
+		States: registry.NewLedger[parley.ServerID, parley.State](clock), until: map[parley.ServerID]time.Duration{},
 		of: map[parley.ServerID]parley.ServiceName{}, owners: map[parley.ServiceName]*watched{}, ring: NewRing(nil), age: age,
 	}
 }
--- a/internal/vigil/sim_test.go
+++ b/internal/vigil/sim_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/census"
 	"tinpin/internal/parley"
+	"tinpin/internal/registry"
 )
 
 type planted struct {
@@ -45,8 +45,8 @@
 	term     int
 	leads    bool
 	back     time.Duration
-	clock    *census.Clock
-	roll     *census.Roll
+	clock    *registry.Clock
+	roll     *registry.Roll
 	cache    *Cache
 	shards   parley.ShardMap
 	probed   map[parley.ServiceName]time.Duration
@@ -92,9 +92,9 @@
 func (f *simFleet) lead() {
 	f.term++
 	f.leads = true
-	f.clock = &census.Clock{}
+	f.clock = &registry.Clock{}
 	f.clock.Next()
-	f.roll = census.NewRoll(f.clock, census.RollBounds{Absent: 1300 * time.Millisecond, Struck: 6 * time.Second})
+	f.roll = registry.NewRoll(f.clock, registry.RollBounds{Absent: 1300 * time.Millisecond, Struck: 6 * time.Second})
 	f.cache = NewCache(f.clock, 4*time.Second)
 	f.shards = parley.ShardMap{}
 }
--- a/internal/vigil/vigil_test.go
+++ b/internal/vigil/vigil_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/census"
 	"tinpin/internal/parley"
+	"tinpin/internal/registry"
 )
 
 func members(n int) (ids []parley.FellowID) {
@@ -137,7 +137,7 @@
 }
 
 func TestCacheRefusesTheReplacedOwner(t *testing.T) {
-	cache := NewCache(&census.Clock{}, 4*time.Second)
+	cache := NewCache(&registry.Clock{}, 4*time.Second)
 	cache.Shards(parley.ShardMap{Count: 1, Members: members(2)})
 	rightful := cache.ring.Owner("s", nil)
 	other := parley.FellowID("edge-0")
@@ -173,7 +173,7 @@
 }
 
 func TestWatchersGetOnlyChanges(t *testing.T) {
-	clock := &census.Clock{}
+	clock := &registry.Clock{}
 	cache := NewCache(clock, time.Minute)
 	cache.Shards(parley.ShardMap{Count: 1, Members: members(1)})
 	tell := func(health parley.Health, cold time.Duration, at time.Duration) {
