--- a/internal/affinity/choice.go
+++ b/internal/affinity/choice.go
@@ -8,8 +8,8 @@
 import (
 	"math"
 
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
-	"tinpin/internal/vigil"
 )
 
 // Candidate is a backend that a session may begin on, weighted by its slots.
@@ -23,7 +23,7 @@
 	best := math.Inf(-1)
 	for _, candidate := range candidates {
 		// The hash as a number above 0 and below 1.
-		at := (float64(vigil.Rank(string(candidate.ID), string(session))>>11) + 0.5) / (1 << 53)
+		at := (float64(healthcheck.Rank(string(candidate.ID), string(session))>>11) + 0.5) / (1 << 53)
 		score := float64(max(1, candidate.Weight)) / -math.Log(at)
 		if score > best || score == best && candidate.ID < chosen {
 			best, chosen = score, candidate.ID
--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -16,10 +16,10 @@
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
 	"tinpin/internal/registry"
-	"tinpin/internal/vigil"
 )
 
 const (
@@ -55,7 +55,7 @@
 	clock   *registry.Clock
 	roll    *registry.Roll
 	list    *registry.List
-	cache   *vigil.Cache
+	cache   *healthcheck.Cache
 	book    *allot.Book
 	lender  *allot.Lender
 	retries *allot.Lender
@@ -90,7 +90,7 @@
 	pages   map[parley.ServerID]*parley.ListPart
 
 	refusals  atomic.Int64
-	balance   *vigil.Balance
+	balance   *healthcheck.Balance
 	orders    orders
 	sessions  sessions
 	chronicle *chronicle.Chronicle
@@ -102,10 +102,10 @@
 	clock.Next()
 	forum = &Forum{
 		props: p, log: log, node: node, term: parley.Term(term), birth: time.Now(),
-		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: vigil.StandIn, Struck: struckAfter}),
-		list: registry.NewList(clock), cache: vigil.NewCache(clock, 3*p.ProbeInterval+time.Second),
+		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: struckAfter}),
+		list: registry.NewList(clock), cache: healthcheck.NewCache(clock, 3*p.ProbeInterval+time.Second),
 		book: allot.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: config.New().View(), sites: map[parley.SiteName]bool{},
-		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: vigil.NewBalance(),
+		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: healthcheck.NewBalance(),
 	}
 	forum.members = registry.NewLedger[parley.FellowID, bool](clock)
 	first := term == 1
@@ -656,12 +656,12 @@
 func (f *Forum) uses(to parley.Fellow, server parley.Server, rate float64) (user bool, users int) {
 	nearest := f.nearest(server.Site)
 	users = min(len(nearest), max(1, int(rate/3)))
-	own := vigil.Rank(string(to.ID), string(server.ID))
+	own := healthcheck.Rank(string(to.ID), string(server.ID))
 	here, before := false, 0
 	for _, id := range nearest {
 		if id == to.ID {
 			here = true
-		} else if vigil.Rank(string(id), string(server.ID)) < own {
+		} else if healthcheck.Rank(string(id), string(server.ID)) < own {
 			before++
 		}
 	}
--- a/internal/forum/forum_test.go
+++ b/internal/forum/forum_test.go
@@ -11,22 +11,22 @@
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/registry"
-	"tinpin/internal/vigil"
 )
 
 // bare is a forum without duties: what it is told in the test is all there is.
 func bare() (f *Forum) {
 	defer func() {
-		f.balance, f.orders, f.members = vigil.NewBalance(), newOrders(), registry.NewLedger[parley.FellowID, bool](f.clock)
+		f.balance, f.orders, f.members = healthcheck.NewBalance(), newOrders(), registry.NewLedger[parley.FellowID, bool](f.clock)
 	}()
 	clock := &registry.Clock{}
 	clock.Next()
 	return &Forum{
 		log: events.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
-		cache: vigil.NewCache(clock, time.Minute), book: allot.Unwaited(leaseSpan), lender: allot.NewLender(0, leaseSpan, true),
+		cache: healthcheck.NewCache(clock, time.Minute), book: allot.Unwaited(leaseSpan), lender: allot.NewLender(0, leaseSpan, true),
 		view: config.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
 		chronicle: chronicle.New(events.Quiet()),
 	}
--- a/internal/forum/orders.go
+++ b/internal/forum/orders.go
@@ -14,10 +14,10 @@
 	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
-	"tinpin/internal/vigil"
 )
 
 const (
@@ -296,7 +296,7 @@
 
 // level reckons what sites should send to each other.
 func (f *Forum) level(now time.Duration) {
-	atWork, slots := map[vigil.Place]float64{}, map[vigil.Place]float64{}
+	atWork, slots := map[healthcheck.Place]float64{}, map[healthcheck.Place]float64{}
 	for id, burdens := range f.orders.burdens {
 		fellow, known := f.roll.Fellows.Get(id)
 		if !known || !f.roll.Here(id) {
@@ -304,12 +304,12 @@
 		}
 		for _, burden := range burdens {
 			if burden.AtWork > 0 {
-				atWork[vigil.Place{Service: burden.Service, Site: fellow.Site}] += float64(burden.AtWork)
+				atWork[healthcheck.Place{Service: burden.Service, Site: fellow.Site}] += float64(burden.AtWork)
 			}
 		}
 	}
 	f.list.Servers.Each(func(id parley.ServerID, server parley.Server) {
-		place := vigil.Place{Service: server.Service, Site: server.Site}
+		place := healthcheck.Place{Service: server.Service, Site: server.Site}
 		state, _ := f.cache.States.Get(id)
 		retired := f.orders.retired[id]
 		if server.Draining || f.sites[server.Site] || state.Health == parley.Down || state.Aside != "" || f.cache.ColdUntil(id) > now || retired.Stopped > 0 && !retired.Gone {
--- a/internal/vigil/balance.go
+++ b/internal/healthcheck/balance.go
@@ -6,7 +6,7 @@
 // of its requests to keep and where to send the rest. It follows from what the
 // clients of each site bring, not from where it was served, so that daemons do
 // not run after each other.
-package vigil
+package healthcheck
 
 import (
 	"sort"
--- a/internal/vigil/balance_test.go
+++ b/internal/healthcheck/balance_test.go
@@ -1,4 +1,4 @@
-package vigil
+package healthcheck
 
 import (
 	"testing"
--- a/internal/vigil/cache.go
+++ b/internal/healthcheck/cache.go
@@ -3,7 +3,7 @@
 // and refuses a daemon that the newest map has replaced as owner, except until
 // the successor's first full report. A state whose owner has not finished a
 // round for too long is told as unknown: the source sets no such bound.
-package vigil
+package healthcheck
 
 import (
 	"time"
--- a/internal/vigil/judge.go
+++ b/internal/healthcheck/judge.go
@@ -5,7 +5,7 @@
 // backend that stands out is set aside, for one asking site or for all, no
 // more than a bounded part of a service at once, and let back after a wait
 // that grows with each relapse. When everything fails, nothing stands out.
-package vigil
+package healthcheck
 
 import (
 	"sort"
--- a/internal/vigil/ring.go
+++ b/internal/healthcheck/ring.go
@@ -4,7 +4,7 @@
 // points, a service belongs to the first point at or after its own hash, and
 // a member more or less moves only its own share. The hash and the number of
 // points are part of the inner protocol; a golden test holds them.
-package vigil
+package healthcheck
 
 import (
 	"hash/fnv"
--- a/internal/vigil/sim_test.go
+++ b/internal/healthcheck/sim_test.go
@@ -4,7 +4,7 @@
 // without a prober for longer than the bounds allow; once calm, that each has
 // exactly one and that a backend's death reaches every watcher. Planted faults
 // prove that the checks can fail.
-package vigil
+package healthcheck
 
 import (
 	"fmt"
--- a/internal/vigil/watch.go
+++ b/internal/healthcheck/watch.go
@@ -5,7 +5,7 @@
 // probed by everybody; without a leader for send_interval everything is
 // probed. The one exception: while the leader says an owner is absent, the
 // next on the ring stands in for it at once, with the map left as it is.
-package vigil
+package healthcheck
 
 import (
 	"maps"
--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"tinpin/internal/config"
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/keys"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
-	"tinpin/internal/vigil"
 )
 
 // hedgePart is the part of the aim after which a silent backend is doubted.
@@ -401,7 +401,7 @@
 		if !fellow.Ready || fellow.Stopping || absent[id] || !allowed(plan.Way.Homes, fellow.Region) {
 			continue
 		}
-		if rank := vigil.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
+		if rank := healthcheck.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
 			chosenInner, best = fellow.Inner, rank
 		}
 	}
--- a/internal/passage/directions.go
+++ b/internal/passage/directions.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"tinpin/internal/dayplan"
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
-	"tinpin/internal/vigil"
 )
 
 const (
@@ -89,7 +89,7 @@
 	if len(all) > most {
 		ranks := make(map[parley.FellowID]uint64, len(all))
 		for _, one := range all {
-			ranks[one.id] = vigil.Rank(string(one.id), client)
+			ranks[one.id] = healthcheck.Rank(string(one.id), client)
 		}
 		sort.Slice(all, func(i, j int) bool {
 			if ranks[all[i].id] != ranks[all[j].id] {
--- a/internal/passage/subset.go
+++ b/internal/passage/subset.go
@@ -8,8 +8,8 @@
 package passage
 
 import (
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
-	"tinpin/internal/vigil"
 )
 
 // Subset tells which backends of a site a daemon uses first.
@@ -47,13 +47,13 @@
 	if sharers >= len(s.fellows) {
 		return true
 	}
-	own := vigil.Rank(string(s.self), string(server))
+	own := healthcheck.Rank(string(s.self), string(server))
 	before := 0
 	for _, id := range s.fellows {
 		if id == s.self {
 			continue
 		}
-		if rank := vigil.Rank(string(id), string(server)); rank < own || rank == own && id < s.self {
+		if rank := healthcheck.Rank(string(id), string(server)); rank < own || rank == own && id < s.self {
 			if before++; before >= sharers {
 				return false
 			}
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -15,10 +15,10 @@
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
+	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
 	"tinpin/internal/retry"
-	"tinpin/internal/vigil"
 )
 
 // loggedItems is how many items of one telling are logged each.
@@ -68,9 +68,9 @@
 	evac     map[parley.SiteName]parley.Evacuation
 	fellows  map[parley.FellowID]parley.Fellow
 	cores    map[string]bool
-	watch    *vigil.Watch
+	watch    *healthcheck.Watch
 	told     parley.ShardMap
-	judge    *vigil.Judge
+	judge    *healthcheck.Judge
 	listed   bool
 	viewed   *config.View
 	shares   *allot.Shares
@@ -84,8 +84,8 @@
 	world = &World{
 		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
 		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
-		watch: vigil.NewWatch(parley.FellowID(p.Name), p.SendInterval, clock.Now()),
-		judge: vigil.NewJudge(), shares: allot.NewShares(), habits: map[parley.ServiceName]*Habit{},
+		watch: healthcheck.NewWatch(parley.FellowID(p.Name), p.SendInterval, clock.Now()),
+		judge: healthcheck.NewJudge(), shares: allot.NewShares(), habits: map[parley.ServiceName]*Habit{},
 	}
 	world.Orders.Retries = retry.NewLimiter(world.Share)
 	world.viewed = world.canon.View()
