--- a/internal/forum/account.go
+++ b/internal/forum/account.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"sort"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 )
 
 // FellowAccount is one fellow.
@@ -59,7 +59,7 @@
 		}
 	})
 	now := f.now()
-	account.Lent = append(account.Lent, LentAccount{"retry slack", f.book.Lent(now, allot.Key{Kind: parley.RetrySlack})})
+	account.Lent = append(account.Lent, LentAccount{"retry slack", f.book.Lent(now, quota.Key{Kind: parley.RetrySlack})})
 	for name := range f.view.Services {
 		if rule, written := f.orders.retries.For(parley.ServiceName(name)); written {
 			account.Lent = append(account.Lent, LentAccount{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), f.retries.Lent(now, name)})
--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/allot"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
+	"tinpin/internal/quota"
 	"tinpin/internal/registry"
 )
 
@@ -56,9 +56,9 @@
 	roll    *registry.Roll
 	list    *registry.List
 	cache   *healthcheck.Cache
-	book    *allot.Book
-	lender  *allot.Lender
-	retries *allot.Lender
+	book    *quota.Book
+	lender  *quota.Lender
+	retries *quota.Lender
 	shards  parley.ShardMap
 	mapAt   parley.Epoch
 	members *registry.Ledger[parley.FellowID, bool]
@@ -104,15 +104,15 @@
 		props: p, log: log, node: node, term: parley.Term(term), birth: time.Now(),
 		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: struckAfter}),
 		list: registry.NewList(clock), cache: healthcheck.NewCache(clock, 3*p.ProbeInterval+time.Second),
-		book: allot.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: config.New().View(), sites: map[parley.SiteName]bool{},
+		book: quota.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: config.New().View(), sites: map[parley.SiteName]bool{},
 		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: healthcheck.NewBalance(),
 	}
 	forum.members = registry.NewLedger[parley.FellowID, bool](clock)
 	first := term == 1
-	forum.lender = allot.NewLender(0, leaseSpan, first)
-	forum.retries = allot.NewLenderOf(allot.RetryKinds, 0, leaseSpan, first)
+	forum.lender = quota.NewLender(0, leaseSpan, first)
+	forum.retries = quota.NewLenderOf(quota.RetryKinds, 0, leaseSpan, first)
 	if first {
-		forum.book = allot.Unwaited(leaseSpan)
+		forum.book = quota.Unwaited(leaseSpan)
 	}
 	go forum.tend()
 	if p.PlatformAddress != "" {
@@ -314,7 +314,7 @@
 	})
 	for _, id := range gone {
 		f.cache.Drop(id)
-		f.book.Forget(allot.Key{Kind: parley.ColdRate, Name: string(id)})
+		f.book.Forget(quota.Key{Kind: parley.ColdRate, Name: string(id)})
 	}
 	f.stir()
 }
@@ -616,16 +616,16 @@
 	if present == 0 {
 		return nil
 	}
-	give := func(key allot.Key, bound float64, window time.Duration, want float64) {
+	give := func(key quota.Key, bound float64, window time.Duration, want float64) {
 		if lease, given := f.book.Lend(now, key, bound, window, ask.ID, want); given {
 			leases = append(leases, lease)
 		}
 	}
 	slack := f.props.Bounds.RetrySlack * 0.7
-	give(allot.Key{Kind: parley.RetrySlack}, slack, f.props.Bounds.RetryWindow, slack/float64(present))
+	give(quota.Key{Kind: parley.RetrySlack}, slack, f.props.Bounds.RetryWindow, slack/float64(present))
 	for _, demand := range ask.Demands {
 		if tenant := f.view.TenantNamed(demand.Tenant); tenant != nil {
-			leases = append(leases, f.lender.Lend(now, allot.BoundOf(tenant), ask.ID, present, demand)...)
+			leases = append(leases, f.lender.Lend(now, quota.BoundOf(tenant), ask.ID, present, demand)...)
 		}
 	}
 	for _, demand := range ask.Retries {
@@ -644,7 +644,7 @@
 			continue
 		}
 		if user, users := f.uses(ask.Fellow, server, service.ColdRate); user {
-			give(allot.Key{Kind: parley.ColdRate, Name: string(id)}, service.ColdRate, 1200*time.Millisecond, service.ColdRate/float64(users))
+			give(quota.Key{Kind: parley.ColdRate, Name: string(id)}, service.ColdRate, 1200*time.Millisecond, service.ColdRate/float64(users))
 		}
 	}
 	return leases
--- a/internal/forum/forum_test.go
+++ b/internal/forum/forum_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/allot"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 	"tinpin/internal/registry"
 )
 
@@ -26,7 +26,7 @@
 	return &Forum{
 		log: events.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
-		cache: healthcheck.NewCache(clock, time.Minute), book: allot.Unwaited(leaseSpan), lender: allot.NewLender(0, leaseSpan, true),
+		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
 		view: config.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
 		chronicle: chronicle.New(events.Quiet()),
 	}
--- a/internal/forum/retries.go
+++ b/internal/forum/retries.go
@@ -7,8 +7,8 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 )
 
 // RetryAccount is how the limit of one service stands.
@@ -43,7 +43,7 @@
 		// A node that has not been heard for longer than floors last makes no
 		// retries at all; until then it may keep to what it knew. One that only
 		// older leaders heard counts from when this one began.
-		if now-f.orders.follows[follower.ID].heard <= allot.RetryFloorSpan+time.Second {
+		if now-f.orders.follows[follower.ID].heard <= quota.RetryFloorSpan+time.Second {
 			holds = false
 		}
 	}
--- a/internal/passage/budget.go
+++ b/internal/passage/budget.go
@@ -9,14 +9,14 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 	"tinpin/internal/retry"
 )
 
 const budgetPart = 0.8
 
-type account struct{ requests, extra *allot.Window }
+type account struct{ requests, extra *quota.Window }
 
 // Budget keeps an account per service.
 type Budget struct {
@@ -36,7 +36,7 @@
 func (b *Budget) account(service parley.ServiceName) (found *account) {
 	found = b.accounts[service]
 	if found == nil {
-		found = &account{allot.NewWindow(b.window), allot.NewWindow(b.window)}
+		found = &account{quota.NewWindow(b.window), quota.NewWindow(b.window)}
 		b.accounts[service] = found
 	}
 	return found
--- a/internal/passage/limits.go
+++ b/internal/passage/limits.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/config"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 )
 
 // hungerPause is the least time between two beats that a refusal brings about.
@@ -27,7 +27,7 @@
 	hunger func()
 
 	mu     sync.Mutex
-	held   map[string]*allot.Bucket
+	held   map[string]*quota.Bucket
 	hungry time.Duration
 	turn   int
 }
@@ -35,17 +35,17 @@
 // NewLimits draws on leased parts; hunger is called when a request was refused
 // and a beat might bring a larger part.
 func NewLimits(part func(kind parley.LeaseKind, tenant string) float64, hunger func()) (limits *Limits) {
-	return &Limits{part: part, hunger: hunger, held: map[string]*allot.Bucket{}}
+	return &Limits{part: part, hunger: hunger, held: map[string]*quota.Bucket{}}
 }
 
 func (l *Limits) parts(tenant string) (part float64) {
 	return l.part(parley.TenantShare, tenant) + l.part(parley.TenantFloor, tenant)
 }
 
-func (l *Limits) bucket(tenant string) (bucket *allot.Bucket) {
+func (l *Limits) bucket(tenant string) (bucket *quota.Bucket) {
 	bucket = l.held[tenant]
 	if bucket == nil {
-		bucket = &allot.Bucket{}
+		bucket = &quota.Bucket{}
 		l.held[tenant] = bucket
 	}
 	return bucket
@@ -55,7 +55,7 @@
 func (l *Limits) Admit(now time.Duration, tenant *config.Tenant) (admitted bool, back time.Duration) {
 	part := l.parts(tenant.Name)
 	l.mu.Lock()
-	admitted, back = l.bucket(tenant.Name).Admit(now, allot.BoundOf(tenant), part)
+	admitted, back = l.bucket(tenant.Name).Admit(now, quota.BoundOf(tenant), part)
 	call := !admitted && now-l.hungry >= hungerPause
 	if call {
 		l.hungry = now
@@ -79,7 +79,7 @@
 		}
 		part := l.parts(tenant.Name)
 		l.mu.Lock()
-		l.bucket(tenant.Name).Fill(now, allot.BoundOf(tenant), part)
+		l.bucket(tenant.Name).Fill(now, quota.BoundOf(tenant), part)
 		l.mu.Unlock()
 	}
 }
--- a/internal/passage/server.go
+++ b/internal/passage/server.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 )
 
 const (
@@ -46,7 +46,7 @@
 	pace     float64
 	paceAt   time.Duration
 	idle     []*Stream
-	cold     *allot.Window
+	cold     *quota.Window
 	closed   bool
 	habit    *Habit
 	load     toldLoad
@@ -69,7 +69,7 @@
 }
 
 func newServer(listed parley.Server, region parley.RegionName, asking string, habit *Habit) (server *Server) {
-	return &Server{Server: listed, Region: region, asking: asking, cold: allot.NewWindow(time.Second), habit: habit, active: map[*Stream]bool{}}
+	return &Server{Server: listed, Region: region, asking: asking, cold: quota.NewWindow(time.Second), habit: habit, active: map[*Stream]bool{}}
 }
 
 // Stream is one connection to a backend; it carries one request at a time.
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
+	"tinpin/internal/quota"
 	"tinpin/internal/retry"
 )
 
@@ -73,7 +73,7 @@
 	judge    *healthcheck.Judge
 	listed   bool
 	viewed   *config.View
-	shares   *allot.Shares
+	shares   *quota.Shares
 	scene    atomic.Pointer[Scene]
 	sharesMu sync.Mutex
 	habits   map[parley.ServiceName]*Habit
@@ -85,7 +85,7 @@
 		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
 		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
 		watch: healthcheck.NewWatch(parley.FellowID(p.Name), p.SendInterval, clock.Now()),
-		judge: healthcheck.NewJudge(), shares: allot.NewShares(), habits: map[parley.ServiceName]*Habit{},
+		judge: healthcheck.NewJudge(), shares: quota.NewShares(), habits: map[parley.ServiceName]*Habit{},
 	}
 	world.Orders.Retries = retry.NewLimiter(world.Share)
 	world.viewed = world.canon.View()
@@ -100,7 +100,7 @@
 func (w *World) Share(kind parley.LeaseKind, key string) (amount float64) {
 	w.sharesMu.Lock()
 	defer w.sharesMu.Unlock()
-	return w.shares.Amount(w.clock.Now(), allot.Key{Kind: kind, Name: key})
+	return w.shares.Amount(w.clock.Now(), quota.Key{Kind: kind, Name: key})
 }
 
 // Seen is what a beat names.
--- a/internal/allot/allot_test.go
+++ b/internal/quota/allot_test.go
@@ -1,4 +1,4 @@
-package allot
+package quota
 
 import (
 	"fmt"
--- a/internal/allot/book.go
+++ b/internal/quota/book.go
@@ -5,7 +5,7 @@
 // always stops first. A share counts on for the bound's window after it ran
 // out, because what was done under it still counts then. A new lender lends
 // nothing until every share of its predecessor must have run out.
-package allot
+package quota
 
 import (
 	"math"
--- a/internal/allot/lender.go
+++ b/internal/quota/lender.go
@@ -6,7 +6,7 @@
 // what nobody asks for stays free, so that a surge elsewhere need not wait for
 // shares to run out. A part smaller than one request of the burst could admit
 // nothing and is not lent.
-package allot
+package quota
 
 import (
 	"time"
--- a/internal/allot/window.go
+++ b/internal/quota/window.go
@@ -1,7 +1,7 @@
 // Window counts events over a span that slides, to the exact event where few
 // are kept and by slices of a sixteenth of the span otherwise; an event counts
 // until its whole slice has left the span, so the count never falls short.
-package allot
+package quota
 
 import "time"
 
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 )
 
 const (
@@ -36,7 +36,7 @@
 type standing struct {
 	rule    Rule
 	purse   Purse
-	bucket  allot.Bucket
+	bucket  quota.Bucket
 	gate    Gate
 	used    uint64
 	refused [TooLate + 1]uint64
@@ -83,7 +83,7 @@
 		case !written:
 			delete(l.held, service)
 		case rule != held.rule:
-			held.rule, held.purse, held.bucket = rule, Purse{}, allot.Bucket{}
+			held.rule, held.purse, held.bucket = rule, Purse{}, quota.Bucket{}
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	}
 	earned := held.rule.Ratio
 	switch silence := now - l.asked; {
-	case silence > allot.RetryFloorSpan:
+	case silence > quota.RetryFloorSpan:
 		earned = 0
 	case silence > touchSpan:
 		earned *= floorRatio
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/quota"
 )
 
 // Rule is the limit for one service, or for all others.
@@ -85,6 +85,6 @@
 
 // Bound is what is lent of the rule: half of the least may come at once and
 // half of it as a rate, so that no window holds more than the whole.
-func (r Rule) Bound(service parley.ServiceName) (bound allot.Bound) {
-	return allot.Bound{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
+func (r Rule) Bound(service parley.ServiceName) (bound quota.Bound) {
+	return quota.Bound{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
 }
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/allot"
 	"tinpin/internal/parley"
+	"tinpin/internal/quota"
 )
 
 // cluster plays many nodes before one sluggish backend under a seeded clock:
@@ -19,7 +19,7 @@
 	now     time.Duration
 	fault   plantedFault
 	limited bool
-	lender  *allot.Lender
+	lender  *quota.Lender
 	version int
 	policy  *Policy
 	nodes   []*node
@@ -38,7 +38,7 @@
 type node struct {
 	id       parley.FellowID
 	limiter  *Limiter
-	shares   *allot.Shares
+	shares   *quota.Shares
 	beat     time.Duration
 	cut      time.Duration
 	version  int
@@ -81,9 +81,9 @@
 }
 
 func (c *cluster) restart(n *node) {
-	n.shares, n.version = allot.NewShares(), 0
+	n.shares, n.version = quota.NewShares(), 0
 	n.limiter = NewLimiter(func(kind parley.LeaseKind, service string) float64 {
-		return n.shares.Amount(c.now, allot.Key{Kind: kind, Name: service})
+		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
 	})
 	n.limiter.asked = -time.Hour
 	if c.fault.noWait {
@@ -212,7 +212,7 @@
 // morning plays two minutes: the backend is sluggish from 20 s to 50 s; the
 // limit is lowered at 70 s and counts as kept 71 s after that.
 func morning(seed int64, limited, trouble bool, fault plantedFault) (c *cluster, goodAfter float64) {
-	c = &cluster{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: allot.NewLenderOf(allot.RetryKinds, 0, 1600*time.Millisecond, true)}
+	c = &cluster{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: quota.NewLenderOf(quota.RetryKinds, 0, 1600*time.Millisecond, true)}
 	c.backend.slow = 1
 	c.write(1, 0.1, 2)
 	for i := 0; i < 20; i++ {
@@ -252,7 +252,7 @@
 				c.join()
 			}
 		case 3:
-			c.lender = allot.NewLenderOf(allot.RetryKinds, c.now, 1600*time.Millisecond, fault.noWait)
+			c.lender = quota.NewLenderOf(quota.RetryKinds, c.now, 1600*time.Millisecond, fault.noWait)
 		case 4:
 			if fault.deafNode {
 				n.cut = time.Hour
