--- a/internal/dayplan/day_test.go
+++ b/internal/dayplan/day_test.go
@@ -17,7 +17,7 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
 	"tinpin/internal/policy"
@@ -33,7 +33,7 @@
 type dayEdge struct {
 	parley.Fellow
 	life    uint64
-	book    *keys.Book
+	book    *idempotency.Book
 	weights dayplan.Weights
 	count   uint64
 	downTil time.Duration
@@ -90,7 +90,7 @@
 		for i := range 2 {
 			id := parley.FellowID(fmt.Sprint(region, "-", i))
 			edge := &dayEdge{Fellow: parley.Fellow{ID: id, Region: region, Site: parley.SiteName(region), Front: string(id), Ready: true}, life: 1}
-			edge.book = keys.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
+			edge.book = idempotency.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
 			d.edges = append(d.edges, edge)
 		}
 	}
@@ -143,7 +143,7 @@
 	case 1:
 		edge := d.edges[d.luck.Intn(len(d.edges))]
 		edge.life++
-		edge.book = keys.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
+		edge.book = idempotency.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
 		edge.downTil, edge.count, edge.weights = d.now+20*time.Second, 0, nil
 	case 2:
 		d.darkTil[regions[d.luck.Intn(len(regions))]] = d.now + 10*time.Minute
--- a/internal/keys/keys.go
+++ b/internal/idempotency/keys.go
@@ -3,7 +3,7 @@
 // with the holder, which others ask. An operation whose outcome is not known
 // is never run again; one that was freed has not run and never will under its
 // old request.
-package keys
+package idempotency
 
 import (
 	"sync"
--- a/internal/keys/keys_test.go
+++ b/internal/idempotency/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package idempotency
 
 import (
 	"testing"
--- a/internal/keys/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -3,7 +3,7 @@
 // not at all, daemons that restart, runs that break off. A key must run once.
 // A daemon here does what the request path does: claim before running, run only
 // when granted, give back only what has not run.
-package keys
+package idempotency
 
 import (
 	"fmt"
--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -11,7 +11,7 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/healthcheck"
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 )
@@ -380,7 +380,7 @@
 
 // store keeps the answer of an operation for repeats. Only the homes of a way
 // may store its answers; elsewhere the answer is handed to a fellow there.
-func (d *Daemon) store(op *keys.Held, plan *Plan, verdict Verdict) {
+func (d *Daemon) store(op *idempotency.Held, plan *Plan, verdict Verdict) {
 	homes := plan.Way.Homes
 	switch {
 	case verdict.Rest != nil:
@@ -393,7 +393,7 @@
 }
 
 // handOver lets a fellow within the homes of a way keep an answer.
-func (d *Daemon) handOver(op *keys.Held, plan *Plan, verdict Verdict) {
+func (d *Daemon) handOver(op *idempotency.Held, plan *Plan, verdict Verdict) {
 	scene, absent := d.world.Scene(), d.world.Absent()
 	var chosenInner string
 	var best uint64
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -15,7 +15,7 @@
 	"tinpin/internal/config"
 	"tinpin/internal/dayplan"
 	"tinpin/internal/events"
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
@@ -31,7 +31,7 @@
 	nap       time.Duration
 	world     *World
 	link      *Link
-	keys      *keys.Book
+	keys      *idempotency.Book
 	budget    *Budget
 	limits    *Limits
 	throttles throttles
@@ -51,7 +51,7 @@
 	_, _ = rand.Read(luck[:])
 	d := &Daemon{props: p, log: log, clock: NewClock(), life: parley.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
 	d.world = NewWorld(p, log, d.clock)
-	d.keys = keys.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
+	d.keys = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.link = NewLink(p, log, d.clock, d.world, d.keys, d.life, d.fellow)
 	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(parley.RetrySlack, "") })
 	d.budget.written = d.world.Orders.Retries
--- a/internal/passage/hollow.go
+++ b/internal/passage/hollow.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tinpin/internal/events"
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
 )
@@ -24,7 +24,7 @@
 func StartHollow(p props.Props, life parley.Life) (hollow *Hollow) {
 	log, clock := events.Quiet(), NewClock()
 	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
-	book := keys.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
+	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
 	h.link = NewLink(p, log, clock, h.world, book, life, h.fellow)
 	h.link.Taken = func() {}
 	h.link.Limits = NewLimits(h.world.Share, nil)
--- a/internal/passage/keyed_test.go
+++ b/internal/passage/keyed_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 )
 
@@ -258,7 +258,7 @@
 	if verdict := d.Answer(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	for _, standing := range []func(op *keys.Held){func(*keys.Held) {}, d.keys.Free, func(op *keys.Held) { d.keys.Answer(op, 200, nil, nil) }} {
+	for _, standing := range []func(op *idempotency.Held){func(*idempotency.Held) {}, d.keys.Free, func(op *idempotency.Held) { d.keys.Answer(op, 200, nil, nil) }} {
 		op, _ := d.keys.Open("other", "z")
 		if op == nil {
 			break
--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tinpin/internal/events"
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
 	"tinpin/internal/registry"
@@ -44,7 +44,7 @@
 	log    *events.Log
 	clock  Clock
 	world  *World
-	keys   *keys.Book
+	keys   *idempotency.Book
 	life   parley.Life
 	self   func() parley.Fellow
 	seeds  atomic.Pointer[[]string]
@@ -72,7 +72,7 @@
 }
 
 // NewLink is a link that has not found a leader yet.
-func NewLink(p props.Props, log *events.Log, clock Clock, world *World, book *keys.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
+func NewLink(p props.Props, log *events.Log, clock Clock, world *World, book *idempotency.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
 	link = &Link{
 		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
 		stir:  make(chan struct{}, 1),
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -15,7 +15,7 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/events"
-	"tinpin/internal/keys"
+	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/props"
 )
@@ -114,7 +114,7 @@
 	clock := NewClock()
 	d = &Daemon{props: p, log: events.Quiet(), clock: clock, life: 1}
 	d.world = NewWorld(p, d.log, clock)
-	d.keys = keys.NewBook(time.Minute, 1<<20, clock.Now)
+	d.keys = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
 	d.link = NewLink(p, d.log, clock, d.world, d.keys, 1, d.fellow)
 	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
 	d.limits = NewLimits(d.world.Share, nil)
