--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -8,12 +8,12 @@
 
 	"tinpin/internal/affinity"
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
+	"tinpin/internal/schedule"
 )
 
 // ordersMost is how many orders that were taken are remembered.
@@ -105,7 +105,7 @@
 		}
 		document.Version, err = parsed.Version, parsed.Check(known)
 	case policy.DayPlan:
-		plan, readErr := dayplan.Read(body)
+		plan, readErr := schedule.Read(body)
 		if readErr != nil {
 			return document, readErr
 		}
--- a/internal/accord/state.go
+++ b/internal/accord/state.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/dedup"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/schedule"
 )
 
 // CommandKind tells commands apart.
@@ -188,7 +188,7 @@
 		s.retire(rev, command)
 	case CommandMove:
 		var next parley.Move
-		if json.Unmarshal(command.Body, &next) != nil || !dayplan.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].InForce() {
+		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].InForce() {
 			return Result{Problem: "the step does not follow what is agreed"}
 		}
 		next.Rev = rev
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -11,7 +11,6 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/chronicle"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
@@ -20,6 +19,7 @@
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/problem"
+	"tinpin/internal/schedule"
 )
 
 func refused(err error) (trouble *office.Trouble) {
@@ -121,7 +121,7 @@
 	InForce  bool                   `json:"in_force"`
 	Document json.RawMessage        `json:"document,omitempty"`
 	Retiring []drain.Account        `json:"retiring,omitempty"`
-	Moving   []dayplan.Account      `json:"moving,omitempty"`
+	Moving   []schedule.Account     `json:"moving,omitempty"`
 	Step     uint64                 `json:"step,omitempty"`
 	Sessions *forum.SessionsAccount `json:"sessions,omitempty"`
 	Retrying []forum.RetryAccount   `json:"retrying,omitempty"`
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -12,13 +12,13 @@
 
 	"tinpin/internal/affinity"
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 	"tinpin/internal/props"
 	"tinpin/internal/retry"
+	"tinpin/internal/schedule"
 	"tinpin/internal/strain"
 )
 
@@ -131,7 +131,7 @@
 		}
 	}
 	for _, body := range plans {
-		plan, err := dayplan.Read([]byte(body))
+		plan, err := schedule.Read([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, body := range examples(page(t, "docs/day-plan.md"), "refused") {
-		if _, err := dayplan.Read([]byte(body)); err == nil {
+		if _, err := schedule.Read([]byte(body)); err == nil {
 			t.Errorf("taken: %s", body)
 		}
 	}
--- a/internal/forum/orders.go
+++ b/internal/forum/orders.go
@@ -11,13 +11,13 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
+	"tinpin/internal/schedule"
 )
 
 const (
@@ -35,26 +35,26 @@
 // orders is what the leader holds of both.
 type orders struct {
 	policy   *drain.Policy
-	plan     *dayplan.Plan
+	plan     *schedule.Plan
 	retries  *retry.Policy
 	retryRev uint64
 	retired  map[parley.ServerID]parley.Retirement
 	move     parley.Move
 	desk     *drain.Desk
-	stepper  *dayplan.Stepper
+	stepper  *schedule.Stepper
 	follows  map[parley.FellowID]followed
 	fleet    int
 	burdens  map[parley.FellowID][]parley.Burden
 	busy     bool
 	retiring []drain.Account
-	moving   []dayplan.Account
+	moving   []schedule.Account
 	wall     func() time.Time
 	said     map[string]string
 }
 
 func newOrders() (o orders) {
 	return orders{
-		retired: map[parley.ServerID]parley.Retirement{}, desk: drain.NewDesk(), stepper: &dayplan.Stepper{},
+		retired: map[parley.ServerID]parley.Retirement{}, desk: drain.NewDesk(), stepper: &schedule.Stepper{},
 		follows: map[parley.FellowID]followed{}, burdens: map[parley.FellowID][]parley.Burden{}, wall: time.Now, said: map[string]string{},
 	}
 }
@@ -70,7 +70,7 @@
 		o.policy, _ = drain.Read([]byte(document.Body))
 	}
 	if document := state.Documents[policy.DayPlan]; document.InForce() {
-		o.plan, _ = dayplan.Read([]byte(document.Body))
+		o.plan, _ = schedule.Read([]byte(document.Body))
 	}
 	o.retired = make(map[parley.ServerID]parley.Retirement, len(state.Retired))
 	for id, retired := range state.Retired {
@@ -135,8 +135,8 @@
 }
 
 // regions is what a plan's target has in each region.
-func (f *Forum) regions(target dayplan.Target) (state dayplan.State) {
-	state.Stock = map[parley.RegionName]dayplan.Stock{}
+func (f *Forum) regions(target schedule.Target) (state schedule.State) {
+	state.Stock = map[parley.RegionName]schedule.Stock{}
 	services := []parley.ServiceName{target.Service}
 	if target.Host != "" {
 		services = nil
@@ -269,7 +269,7 @@
 
 // CheckPlan tells what regions a plan names that no site is in.
 func (f *Forum) CheckPlan(body []byte) (err error) {
-	plan, err := dayplan.Read(body)
+	plan, err := schedule.Read(body)
 	if err != nil {
 		return err
 	}
@@ -288,10 +288,10 @@
 }
 
 // Moving gives the standing of each target of the plan.
-func (f *Forum) Moving() (accounts []dayplan.Account) {
+func (f *Forum) Moving() (accounts []schedule.Account) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]dayplan.Account{}, f.orders.moving...)
+	return append([]schedule.Account{}, f.orders.moving...)
 }
 
 // level reckons what sites should send to each other.
--- a/internal/passage/choose.go
+++ b/internal/passage/choose.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/parley"
+	"tinpin/internal/schedule"
 )
 
 // Handicaps, in parts of what an answer takes when its service is calm, or in
@@ -52,7 +52,7 @@
 	Repeatable bool
 	// Weights are the day's plan, nil where there is none: regions that it gives
 	// nothing are asleep and used only where no other can serve.
-	Weights dayplan.Weights
+	Weights schedule.Weights
 	// Away is another site that this request should go to, so that sites of a
 	// region are pressed alike.
 	Away parley.SiteName
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/events"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
 	"tinpin/internal/props"
+	"tinpin/internal/schedule"
 )
 
 // Daemon is a running passage daemon.
@@ -196,7 +196,7 @@
 
 // planned gives the plan's weights for a host: its own, or those of the first
 // service under a plan that it goes to.
-func (d *Daemon) planned(scene *Scene, host string) (weights dayplan.Weights) {
+func (d *Daemon) planned(scene *Scene, host string) (weights schedule.Weights) {
 	if !d.world.Orders.planned() {
 		return nil
 	}
--- a/internal/passage/directions.go
+++ b/internal/passage/directions.go
@@ -14,9 +14,9 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/dayplan"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
+	"tinpin/internal/schedule"
 )
 
 const (
@@ -32,7 +32,7 @@
 // Under a day's plan a region is drawn by the weights, within the homes, and
 // takes the place of the client's own; where nobody is ready there, the answer
 // is as it is without a plan.
-func Directions(fellows map[parley.FellowID]parley.Fellow, absent map[parley.FellowID]bool, homes []string, weights dayplan.Weights, region, site, client string) (addresses []string) {
+func Directions(fellows map[parley.FellowID]parley.Fellow, absent map[parley.FellowID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
 	if drawn := draw(fellows, absent, homes, weights, region); drawn != "" && drawn != region {
 		region, site = drawn, ""
 	}
@@ -108,7 +108,7 @@
 
 // draw picks a region by weight, of those that are homes and have a daemon that
 // is ready; a client's own region is kept where it has its part.
-func draw(fellows map[parley.FellowID]parley.Fellow, absent map[parley.FellowID]bool, homes []string, weights dayplan.Weights, own string) (region string) {
+func draw(fellows map[parley.FellowID]parley.Fellow, absent map[parley.FellowID]bool, homes []string, weights schedule.Weights, own string) (region string) {
 	if weights == nil {
 		return ""
 	}
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -13,12 +13,12 @@
 	"tinpin/internal/affinity"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
+	"tinpin/internal/schedule"
 )
 
 const (
@@ -35,8 +35,8 @@
 
 // Moves is the plan's step in force, by host and by service.
 type Moves struct {
-	Hosts    map[string]dayplan.Weights
-	Services map[parley.ServiceName]dayplan.Weights
+	Hosts    map[string]schedule.Weights
+	Services map[parley.ServiceName]schedule.Weights
 }
 
 // Orders of one daemon.
@@ -132,9 +132,9 @@
 }
 
 func movesOf(move parley.Move) (moves *Moves) {
-	moves = &Moves{Hosts: map[string]dayplan.Weights{}, Services: map[parley.ServiceName]dayplan.Weights{}}
+	moves = &Moves{Hosts: map[string]schedule.Weights{}, Services: map[parley.ServiceName]schedule.Weights{}}
 	for _, target := range move.Targets {
-		weights := dayplan.Weights{}
+		weights := schedule.Weights{}
 		for _, part := range target.Weights {
 			weights[part.Region] = part.Weight
 		}
@@ -193,7 +193,7 @@
 }
 
 // Weights gives the plan's weights for a request, nil where there are none.
-func (o *Orders) Weights(host string, service parley.ServiceName) (weights dayplan.Weights) {
+func (o *Orders) Weights(host string, service parley.ServiceName) (weights schedule.Weights) {
 	moves := o.moves.Load()
 	if len(moves.Hosts) > 0 {
 		if weights = moves.Hosts[config.PlainHost(host)]; weights != nil {
--- a/internal/dayplan/day_test.go
+++ b/internal/schedule/day_test.go
@@ -5,7 +5,7 @@
 // clients repeat their taps across each step, often in another region. Every
 // tap is one run, and callers are served by a region that is awake whenever
 // one can serve.
-package dayplan_test
+package schedule_test
 
 import (
 	"encoding/json"
@@ -16,11 +16,11 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/config"
-	"tinpin/internal/dayplan"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
 	"tinpin/internal/policy"
+	"tinpin/internal/schedule"
 )
 
 const dayPlan = `{"version":1,"step":0.25,"every":"20s","room":0.9,"targets":[{"host":"book.example","time_zone":"Europe/Berlin","spans":[
@@ -34,7 +34,7 @@
 	parley.Fellow
 	life    uint64
 	book    *idempotency.Book
-	weights dayplan.Weights
+	weights schedule.Weights
 	count   uint64
 	downTil time.Duration
 }
@@ -53,8 +53,8 @@
 	start   time.Time
 	rev     uint64
 	state   *accord.State
-	plan    *dayplan.Plan
-	stepper *dayplan.Stepper
+	plan    *schedule.Plan
+	stepper *schedule.Stepper
 	clocks  []time.Duration
 	leader  int
 	noLead  time.Duration
@@ -70,12 +70,12 @@
 }
 
 func newDay(t *testing.T, seed int64, unsafe bool) *day {
-	plan, err := dayplan.Read([]byte(dayPlan))
+	plan, err := schedule.Read([]byte(dayPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &day{
-		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: accord.NewState(), plan: plan, stepper: &dayplan.Stepper{},
+		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: accord.NewState(), plan: plan, stepper: &schedule.Stepper{},
 		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[parley.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
 	}
 	items := config.New()
@@ -118,15 +118,15 @@
 		return
 	}
 	wall := d.start.Add(d.now + d.clocks[d.leader])
-	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.Move, func(dayplan.Target) dayplan.State {
-		stock := map[parley.RegionName]dayplan.Stock{}
+	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.Move, func(schedule.Target) schedule.State {
+		stock := map[parley.RegionName]schedule.Stock{}
 		for _, region := range regions {
-			stock[region] = dayplan.Stock{Slots: 40, Useful: 10, Listed: 10}
+			stock[region] = schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
 			if !d.up(region) {
-				stock[region] = dayplan.Stock{Listed: 10}
+				stock[region] = schedule.Stock{Listed: 10}
 			}
 		}
-		return dayplan.State{Stock: stock, AtWork: 20}
+		return schedule.State{Stock: stock, AtWork: 20}
 	})
 	if move == nil {
 		return
@@ -138,7 +138,7 @@
 	// Something is often lost just at a step.
 	switch d.luck.Intn(8) {
 	case 0:
-		d.leader, d.stepper = (d.leader+1)%len(d.clocks), &dayplan.Stepper{}
+		d.leader, d.stepper = (d.leader+1)%len(d.clocks), &schedule.Stepper{}
 		d.noLead = d.now + time.Minute
 	case 1:
 		edge := d.edges[d.luck.Intn(len(d.edges))]
@@ -155,7 +155,7 @@
 		if edge.count == d.state.Move.Count || d.luck.Intn(3) == 0 {
 			continue
 		}
-		edge.count, edge.weights = d.state.Move.Count, dayplan.Weights{}
+		edge.count, edge.weights = d.state.Move.Count, schedule.Weights{}
 		for _, target := range d.state.Move.Targets {
 			for _, part := range target.Weights {
 				edge.weights[part.Region] = part.Weight
@@ -309,25 +309,25 @@
 // A step waits while the region lacks room or is being emptied, and says so;
 // a clock that was set back commits nothing.
 func TestAStepWaits(t *testing.T) {
-	plan, _ := dayplan.Read([]byte(dayPlan))
-	stepper := &dayplan.Stepper{}
+	plan, _ := schedule.Read([]byte(dayPlan))
+	stepper := &schedule.Stepper{}
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	wall := time.Date(2026, 5, 4, 15, 0, 0, 0, berlin)
 	agreed := parley.Move{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []parley.MoveTarget{{Host: "book.example", Weights: []parley.RegionWeight{{Region: "east", Weight: 1000}}}}}
-	good := dayplan.Stock{Slots: 40, Useful: 10, Listed: 10}
-	for why, mid := range map[string]dayplan.Stock{
+	good := schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
+	for why, mid := range map[string]schedule.Stock{
 		"mid lacks room": {Slots: 5, Useful: 10, Listed: 10}, "mid is being evacuated": {Evacuated: true, Listed: 10},
 		"mid is being drained": {Slots: 40, Useful: 3, Listed: 10}, "mid has no backends": {},
 	} {
-		move, accounts := stepper.Step(0, wall, plan, agreed, func(dayplan.Target) dayplan.State {
-			return dayplan.State{Stock: map[parley.RegionName]dayplan.Stock{"east": good, "mid": mid}, AtWork: 30}
+		move, accounts := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.State {
+			return schedule.State{Stock: map[parley.RegionName]schedule.Stock{"east": good, "mid": mid}, AtWork: 30}
 		})
 		if move != nil || len(accounts) != 1 || len(accounts[0].Waiting) < len(why) || accounts[0].Waiting[:len(why)] != why {
 			t.Errorf("%s: %+v %+v", why, move, accounts)
 		}
 	}
-	sound := func(dayplan.Target) dayplan.State {
-		return dayplan.State{Stock: map[parley.RegionName]dayplan.Stock{"east": good, "mid": good}, AtWork: 20}
+	sound := func(schedule.Target) schedule.State {
+		return schedule.State{Stock: map[parley.RegionName]schedule.Stock{"east": good, "mid": good}, AtWork: 20}
 	}
 	move, _ := stepper.Step(0, wall, plan, agreed, sound)
 	if move == nil || move.Count != 8 || move.Targets[0].Weights[1].Weight != 250 {
--- a/internal/dayplan/plan.go
+++ b/internal/schedule/plan.go
@@ -3,7 +3,7 @@
 // the weight of each region, and a ramp over which a span's weights take the
 // place of those before. Time zones come from the standard library's data,
 // which is built in.
-package dayplan
+package schedule
 
 import (
 	"fmt"
--- a/internal/dayplan/plan_test.go
+++ b/internal/schedule/plan_test.go
@@ -1,4 +1,4 @@
-package dayplan
+package schedule
 
 import (
 	"strings"
--- a/internal/dayplan/schedule.go
+++ b/internal/schedule/schedule.go
@@ -3,7 +3,7 @@
 // wall shows now: where summer time ends and an hour comes twice, a span that
 // has begun stays begun, and where an hour is left out its spans begin at the
 // change.
-package dayplan
+package schedule
 
 import (
 	"time"
--- a/internal/dayplan/stepper.go
+++ b/internal/schedule/stepper.go
@@ -5,7 +5,7 @@
 // up; one that missed steps goes from what is agreed toward the present, by
 // the plan's pace. A step that would send more to a region waits while that
 // region lacks room or is being emptied, and says so.
-package dayplan
+package schedule
 
 import (
 	"fmt"
