--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -19,7 +19,7 @@
 	"tinpin/internal/events"
 	"tinpin/internal/lens"
 	"tinpin/internal/passage"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 // Version is what "tinpin version" says.
@@ -103,7 +103,7 @@
 		_, _ = fmt.Fprintln(out, "tinpin", Version)
 		return 0
 	case "check-props":
-		if _, err := props.Load(words[0]); err != nil {
+		if _, err := settings.Load(words[0]); err != nil {
 			_, _ = fmt.Fprintln(bad, "tinpin:", err)
 			return 2
 		}
@@ -148,7 +148,7 @@
 	}
 	controls := strings.Split(*control, ",")
 	if *control == "" {
-		p, err := props.Load(os.Getenv("TINPIN_CONFIG"))
+		p, err := settings.Load(os.Getenv("TINPIN_CONFIG"))
 		if err != nil {
 			_, _ = fmt.Fprintln(bad, "tinpin:", err)
 			return 1
@@ -173,7 +173,7 @@
 	}
 	starts := strings.Split(at, ",")
 	if at == "" {
-		p, loadErr := props.Load(os.Getenv("TINPIN_CONFIG"))
+		p, loadErr := settings.Load(os.Getenv("TINPIN_CONFIG"))
 		if loadErr != nil {
 			return false, loadErr
 		}
@@ -193,14 +193,14 @@
 }
 
 type daemon interface {
-	Renew(props.Props)
+	Renew(settings.Props)
 	Stop()
 }
 
 // serve runs a role until it is told to stop.
 func serve(role string, bad io.Writer) (code int) {
 	path := os.Getenv("TINPIN_CONFIG")
-	p, err := props.Load(path)
+	p, err := settings.Load(path)
 	if err != nil {
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
 		return 2
@@ -246,7 +246,7 @@
 			}
 		}
 		last = stamp(path)
-		fresh, loadErr := props.Load(path)
+		fresh, loadErr := settings.Load(path)
 		if loadErr != nil {
 			log.Say(events.PropsRefused, "problem", loadErr.Error())
 			continue
--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tinpin/internal/events"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 func TestCommandLine(t *testing.T) {
@@ -78,8 +78,8 @@
 
 type recorder struct{ did chan string }
 
-func (r recorder) Renew(p props.Props) { r.did <- strings.Join(p.Seeds, ",") }
-func (r recorder) Stop()               { r.did <- "stop" }
+func (r recorder) Renew(p settings.Props) { r.did <- strings.Join(p.Seeds, ",") }
+func (r recorder) Stop()                  { r.did <- "stop" }
 
 func TestSettingsAreTakenUpBySignalAndSilently(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
--- a/internal/accord/cutoff_test.go
+++ b/internal/accord/cutoff_test.go
@@ -11,7 +11,7 @@
 
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 // parted takes messages of the agreement, but none from or to who is cut off.
@@ -48,7 +48,7 @@
 	won := make(chan winner, 16)
 	for i := 1; i <= 3; i++ {
 		address := fmt.Sprintf("127.0.0.%d", i)
-		node, err := OpenNode(props.Props{Name: address, Address: address, Control: seeds[i-1], InnerLow: port, Seeds: seeds, Data: t.TempDir(), FirstStart: true, MachineLosses: 1}, events.Quiet())
+		node, err := OpenNode(settings.Props{Name: address, Address: address, Control: seeds[i-1], InnerLow: port, Seeds: seeds, Data: t.TempDir(), FirstStart: true, MachineLosses: 1}, events.Quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -11,7 +11,7 @@
 
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 type joiner struct {
@@ -193,7 +193,7 @@
 // Identity decides who a core with an empty disk is: a founder where the
 // whole system starts for the first time and it is among the seeds, else a
 // newcomer that has to be taken in.
-func Identity(p props.Props) (id ID, base Snapshot) {
+func Identity(p settings.Props) (id ID, base Snapshot) {
 	var founders []Member
 	founder := false
 	for _, seed := range p.Seeds {
--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -16,7 +16,7 @@
 
 	"tinpin/internal/chronicle"
 	"tinpin/internal/events"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // Node is one core.
 type Node struct {
-	props   props.Props
+	props   settings.Props
 	log     *events.Log
 	self    Member
 	raft    *Raft
@@ -85,7 +85,7 @@
 }
 
 // OpenNode opens the disk and makes the core ready to run.
-func OpenNode(p props.Props, log *events.Log) (node *Node, err error) {
+func OpenNode(p settings.Props, log *events.Log) (node *Node, err error) {
 	if p.Data == "" {
 		return nil, Class.New("data is empty: an accord daemon needs a folder")
 	}
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -17,7 +17,7 @@
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 // Patience is how long an operator's call may take before it is unclear; the
@@ -26,7 +26,7 @@
 
 // Council is a running accord daemon.
 type Council struct {
-	props props.Props
+	props settings.Props
 	log   *events.Log
 	node  *accord.Node
 	desk  *forum.Desk
@@ -38,7 +38,7 @@
 }
 
 // Start opens the disk and the listeners and takes up the work.
-func Start(p props.Props, log *events.Log) (council *Council, err error) {
+func Start(p settings.Props, log *events.Log) (council *Council, err error) {
 	node, err := accord.OpenNode(p, log)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 }
 
 // Renew takes changed settings up.
-func (c *Council) Renew(p props.Props) { c.node.SetSeeds(p.Seeds) }
+func (c *Council) Renew(p settings.Props) { c.node.SetSeeds(p.Seeds) }
 
 // Stop hands leadership over and ends.
 func (c *Council) Stop() {
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -16,9 +16,9 @@
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
-	"tinpin/internal/props"
 	"tinpin/internal/retry"
 	"tinpin/internal/schedule"
+	"tinpin/internal/settings"
 	"tinpin/internal/strain"
 )
 
@@ -89,7 +89,7 @@
 func TestSettingsExampleAndTable(t *testing.T) {
 	text := page(t, "docs/settings.md")
 	for _, example := range examples(text, "settings") {
-		if _, err := props.Parse([]byte(example)); err != nil {
+		if _, err := settings.Parse([]byte(example)); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -17,9 +17,9 @@
 	"tinpin/internal/events"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
 	"tinpin/internal/quota"
 	"tinpin/internal/registry"
+	"tinpin/internal/settings"
 )
 
 const (
@@ -45,7 +45,7 @@
 
 // Forum is open while this core leads.
 type Forum struct {
-	props props.Props
+	props settings.Props
 	log   *events.Log
 	node  *accord.Node
 	term  parley.Term
@@ -97,7 +97,7 @@
 }
 
 // Open starts a leadership's forum.
-func Open(p props.Props, log *events.Log, node *accord.Node, term accord.Term) (forum *Forum) {
+func Open(p settings.Props, log *events.Log, node *accord.Node, term accord.Term) (forum *Forum) {
 	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Forum{
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -18,13 +18,13 @@
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/problem"
-	"tinpin/internal/props"
 	"tinpin/internal/schedule"
+	"tinpin/internal/settings"
 )
 
 // Daemon is a running passage daemon.
 type Daemon struct {
-	props     props.Props
+	props     settings.Props
 	log       *events.Log
 	clock     Clock
 	life      parley.Life
@@ -46,7 +46,7 @@
 }
 
 // Start takes up the work.
-func Start(p props.Props, log *events.Log) (daemon *Daemon, err error) {
+func Start(p settings.Props, log *events.Log) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
 	d := &Daemon{props: p, log: log, clock: NewClock(), life: parley.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
@@ -132,7 +132,7 @@
 }
 
 // Renew takes changed settings up.
-func (d *Daemon) Renew(p props.Props) { d.link.SetSeeds(p.Seeds) }
+func (d *Daemon) Renew(p settings.Props) { d.link.SetSeeds(p.Seeds) }
 
 // Stop ends in order: told to the leader first, so that no directory names
 // this daemon any more; then each answer closes its stream; then, when the
--- a/internal/passage/hollow.go
+++ b/internal/passage/hollow.go
@@ -9,19 +9,19 @@
 	"tinpin/internal/events"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 // Hollow node.
 type Hollow struct {
-	props props.Props
+	props settings.Props
 	link  *Link
 	world *World
 	life  parley.Life
 }
 
 // StartHollow takes up the beats.
-func StartHollow(p props.Props, life parley.Life) (hollow *Hollow) {
+func StartHollow(p settings.Props, life parley.Life) (hollow *Hollow) {
 	log, clock := events.Quiet(), NewClock()
 	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -12,8 +12,8 @@
 	"tinpin/internal/events"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
 	"tinpin/internal/registry"
+	"tinpin/internal/settings"
 )
 
 const (
@@ -40,7 +40,7 @@
 
 // Link ties the daemon to its leader.
 type Link struct {
-	props  props.Props
+	props  settings.Props
 	log    *events.Log
 	clock  Clock
 	world  *World
@@ -72,7 +72,7 @@
 }
 
 // NewLink is a link that has not found a leader yet.
-func NewLink(p props.Props, log *events.Log, clock Clock, world *World, book *idempotency.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
+func NewLink(p settings.Props, log *events.Log, clock Clock, world *World, book *idempotency.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
 	link = &Link{
 		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
 		stir:  make(chan struct{}, 1),
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -17,7 +17,7 @@
 	"tinpin/internal/events"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 type seen struct {
@@ -109,8 +109,8 @@
 // and has three ways: /safe/, /once/ and /key/.
 func daemonOf(t testing.TB, backends ...*standIn) (d *Daemon) {
 	t.Helper()
-	p := props.Props{Name: "edge-1", Site: "here", Region: "land", Regions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, Descriptors: 1024, SendInterval: time.Second, ProbeInterval: time.Second, Sharers: 3, RestOnce: time.Minute, CPUShare: 1}
-	p.Bounds = props.Bounds{RetryRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, TTLMax: 5 * time.Second, Grace: time.Second}
+	p := settings.Props{Name: "edge-1", Site: "here", Region: "land", Regions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, Descriptors: 1024, SendInterval: time.Second, ProbeInterval: time.Second, Sharers: 3, RestOnce: time.Minute, CPUShare: 1}
+	p.Bounds = settings.Bounds{RetryRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, TTLMax: 5 * time.Second, Grace: time.Second}
 	clock := NewClock()
 	d = &Daemon{props: p, log: events.Quiet(), clock: clock, life: 1}
 	d.world = NewWorld(p, d.log, clock)
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -16,9 +16,9 @@
 	"tinpin/internal/events"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
 	"tinpin/internal/quota"
 	"tinpin/internal/retry"
+	"tinpin/internal/settings"
 )
 
 // loggedItems is how many items of one telling are logged each.
@@ -51,7 +51,7 @@
 
 // World keeps it.
 type World struct {
-	props props.Props
+	props settings.Props
 	log   *events.Log
 	clock Clock
 	// Chronicle remembers what became of changes here.
@@ -80,7 +80,7 @@
 }
 
 // NewWorld knows nothing yet.
-func NewWorld(p props.Props, log *events.Log, clock Clock) (world *World) {
+func NewWorld(p settings.Props, log *events.Log, clock Clock) (world *World) {
 	world = &World{
 		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
 		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
--- a/internal/props/props.go
+++ b/internal/settings/props.go
@@ -2,7 +2,7 @@
 // from deploy/props.tmpl; every field is checked, all findings are collected,
 // and the caller sees one error that names each field at fault. Fields that
 // this version does not know are left alone.
-package props
+package settings
 
 import (
 	"net"
--- a/internal/props/props_test.go
+++ b/internal/settings/props_test.go
@@ -1,4 +1,4 @@
-package props
+package settings
 
 import (
 	"os"
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -25,7 +25,7 @@
 	"tinpin/internal/council"
 	"tinpin/internal/events"
 	"tinpin/internal/passage"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 // Class marks failures of the stage.
@@ -112,10 +112,10 @@
 	Cores     map[string]*council.Council
 	Edges     map[string]*passage.Daemon
 	Backends  []*Backend
-	CoreProps []props.Props
-	EdgeProps []props.Props
+	CoreProps []settings.Props
+	EdgeProps []settings.Props
 	hosts     func(n int) string
-	edge      func(n int) props.Props
+	edge      func(n int) settings.Props
 	platform  *http.Server
 	mu        sync.Mutex
 	draining  map[string]bool
@@ -184,14 +184,14 @@
 	for i := 1; i <= 3; i++ {
 		seeds = append(seeds, hosts(i)+":18166")
 	}
-	common := func(name string, n int) (p props.Props) {
-		p = props.Props{
+	common := func(name string, n int) (p settings.Props) {
+		p = settings.Props{
 			Name: name, Address: hosts(n), Site: Site, Region: "coast", Regions: map[string]string{Site: "coast"}, FirstStart: true,
 			InnerLow: 17720, InnerHigh: 17735, Seeds: seeds, MemoryMB: 256, Descriptors: 1024, PlatformAddress: platform, PlatformRate: 100,
 			Sharers: 3, RestOnce: 250 * time.Millisecond, CPUShare: 1,
 			SendInterval: time.Second, ProbeInterval: 500 * time.Millisecond, ListInterval: 200 * time.Millisecond,
 		}
-		p.Bounds = props.Bounds{Grace: 2 * time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 20, TTLMax: 5 * time.Second}
+		p.Bounds = settings.Bounds{Grace: 2 * time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 20, TTLMax: 5 * time.Second}
 		return p
 	}
 	for i := 1; i <= 3; i++ {
@@ -202,7 +202,7 @@
 			return nil, err
 		}
 	}
-	stage.edge = func(n int) (p props.Props) {
+	stage.edge = func(n int) (p settings.Props) {
 		p = common(fmt.Sprint("edge-", n), 20+n)
 		p.Front, p.Readiness = p.Address+":18161", p.Address+":18167"
 		if directory {
--- a/internal/strain/system.go
+++ b/internal/strain/system.go
@@ -20,7 +20,7 @@
 
 	"tinpin/internal/council"
 	"tinpin/internal/parley"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 const (
@@ -41,20 +41,20 @@
 
 // nodesTask is what a process of hollow nodes is given.
 type nodesTask struct {
-	Props   props.Props `json:"props"`
-	First   int         `json:"first"`
-	Count   int         `json:"count"`
-	Size    Size        `json:"size"`
-	Members float64     `json:"members"`
-	Claims  float64     `json:"claims"`
-	Reports float64     `json:"reports"`
+	Props   settings.Props `json:"props"`
+	First   int            `json:"first"`
+	Count   int            `json:"count"`
+	Size    Size           `json:"size"`
+	Members float64        `json:"members"`
+	Claims  float64        `json:"claims"`
+	Reports float64        `json:"reports"`
 }
 
 type system struct {
 	size     Size
 	hosts    func(n int) string
 	cores    []*worker
-	props    []props.Props
+	props    []settings.Props
 	nodes    []*worker
 	platform *http.Server
 	version  int
@@ -116,14 +116,14 @@
 }
 
 // common are the settings of every daemon.
-func (s *system) common(name, address string, seeds []string) (p props.Props) {
-	p = props.Props{
+func (s *system) common(name, address string, seeds []string) (p settings.Props) {
+	p = settings.Props{
 		Name: name, Address: address, Site: "z0", Region: "r0", Regions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}, FirstStart: true,
 		InnerLow: innerLow, InnerHigh: innerLow + 15, Seeds: seeds, MemoryMB: 4096, Descriptors: 8192,
 		PlatformAddress: net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)), PlatformRate: 44, Sharers: 3, RestOnce: 250 * time.Millisecond, CPUShare: 1,
 		SendInterval: 4 * time.Second, ProbeInterval: time.Second, ListInterval: 700 * time.Millisecond, MachineLosses: 1,
 	}
-	p.Bounds = props.Bounds{Grace: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 600, TTLMax: 5 * time.Second}
+	p.Bounds = settings.Bounds{Grace: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 600, TTLMax: 5 * time.Second}
 	return p
 }
 
--- a/internal/strain/worker.go
+++ b/internal/strain/worker.go
@@ -18,7 +18,7 @@
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
-	"tinpin/internal/props"
+	"tinpin/internal/settings"
 )
 
 const pollPause = 2 * time.Millisecond
@@ -44,7 +44,7 @@
 }
 
 func workCore(lines *bufio.Scanner) (err error) {
-	var p props.Props
+	var p settings.Props
 	if err = task(lines, &p); err != nil {
 		return err
 	}
