--- a/internal/problem/problem.go
+++ b/internal/apierror/problem.go
@@ -2,7 +2,7 @@
 // call, and the one table from each kind to its answer. A status that promises
 // "has not run and never will" (408, 421, 429, 503) may only stand behind a
 // kind whose Ran is false.
-package problem
+package apierror
 
 import "strconv"
 
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"tinpin/internal/accord"
+	"tinpin/internal/apierror"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
@@ -16,7 +17,6 @@
 	"tinpin/internal/herald"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 	"tinpin/internal/settings"
 )
 
@@ -103,16 +103,16 @@
 		return nil
 	}
 	if leads || leader.Control == "" {
-		return &office.Trouble{Kind: problem.Unclear, Text: "no leader is settled now"}
+		return &office.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
-	return &office.Trouble{Kind: problem.NotLeader, Location: "http://" + leader.Control + path}
+	return &office.Trouble{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
 }
 
 // proven gives a verdict that was made from the state of this core only where it
 // is proven that it still leads, and leaves the caller without a clear answer else.
 func (c *Council) proven(open *forum.Forum, verdict error) (err error) {
 	if !c.desk.Proven(open) {
-		return &office.Trouble{Kind: problem.Unclear, Text: "no contact with a majority of the cores now"}
+		return &office.Trouble{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
 	}
 	return verdict
 }
@@ -120,7 +120,7 @@
 func (c *Council) wish(command accord.Command) (result accord.Result, err error) {
 	answer := c.node.Wish(command, c.patience)
 	if !answer.Clear {
-		return result, &office.Trouble{Kind: problem.Unclear}
+		return result, &office.Trouble{Kind: apierror.Unclear}
 	}
 	return answer.Result, nil
 }
@@ -132,14 +132,14 @@
 	// What cannot be read is refused whatever stands.
 	call, err := config.ReadCall(body)
 	if err != nil {
-		return c.refuse(chronicle.Item, &office.Trouble{Kind: problem.BadConfig, Text: err.Error()})
+		return c.refuse(chronicle.Item, &office.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(chronicle.Item, refusedAs(problem.BadConfig, result))
+		return c.refuse(chronicle.Item, refusedAs(apierror.BadConfig, result))
 	}
 	c.log.Say(events.ConfigTaken, "bytes", len(body))
 	for _, path := range call.Paths() {
@@ -149,9 +149,9 @@
 }
 
 // refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind problem.Kind, result accord.Result) (trouble *office.Trouble) {
+func refusedAs(kind apierror.Kind, result accord.Result) (trouble *office.Trouble) {
 	if result.Conflict {
-		kind = problem.VersionTaken
+		kind = apierror.VersionTaken
 	}
 	return &office.Trouble{Kind: kind, Text: result.Problem}
 }
@@ -198,7 +198,7 @@
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(chronicle.Evacuation, refusedAs(problem.BadOrder, result))
+		return c.refuse(chronicle.Evacuation, refusedAs(apierror.BadOrder, result))
 	}
 	c.log.Say(events.EvacuationTaken, "site", site, "start", start)
 	c.node.Chronicle.Note(chronicle.Evacuation, site, "acknowledged", "", 0, true)
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"tinpin/internal/accord"
+	"tinpin/internal/apierror"
 	"tinpin/internal/events"
 	"tinpin/internal/forum"
 	"tinpin/internal/office"
 	"tinpin/internal/policy"
-	"tinpin/internal/problem"
 	"tinpin/internal/settings"
 )
 
@@ -65,12 +65,12 @@
 	return c, contact
 }
 
-func kind(err error) (found problem.Kind) {
+func kind(err error) (found apierror.Kind) {
 	var trouble *office.Trouble
 	if errors.As(err, &trouble) {
 		return trouble.Kind
 	}
-	return problem.None
+	return apierror.None
 }
 
 // Out of contact no order is refused from what this core holds, and nothing is
@@ -89,18 +89,18 @@
 	}
 	for name, call := range map[string]struct {
 		do   func() error
-		with problem.Kind
+		with apierror.Kind
 	}{
-		"describe":        {func() error { _, err := c.describe(none); return err }, problem.None},
-		"show":            {func() error { _, err := c.show(none, policy.DrainPolicy); return err }, problem.None},
-		"a good check":    {set(drainPolicy(9), true), problem.None},
-		"an old version":  {set(drainPolicy(3), false), problem.BadOrder},
-		"no document":     {set(`{}`, false), problem.BadOrder},
-		"a bad check":     {set(`{}`, true), problem.BadOrder},
-		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, problem.BadOrder},
-		"an unknown one":  {func() error { _, err := c.retire(none, "two", false, ""); return err }, problem.BadOrder},
+		"describe":        {func() error { _, err := c.describe(none); return err }, apierror.None},
+		"show":            {func() error { _, err := c.show(none, policy.DrainPolicy); return err }, apierror.None},
+		"a good check":    {set(drainPolicy(9), true), apierror.None},
+		"an old version":  {set(drainPolicy(3), false), apierror.BadOrder},
+		"no document":     {set(`{}`, false), apierror.BadOrder},
+		"a bad check":     {set(`{}`, true), apierror.BadOrder},
+		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, apierror.BadOrder},
+		"an unknown one":  {func() error { _, err := c.retire(none, "two", false, ""); return err }, apierror.BadOrder},
 	} {
-		for lost, want := range map[bool]problem.Kind{false: call.with, true: problem.Unclear} {
+		for lost, want := range map[bool]apierror.Kind{false: call.with, true: apierror.Unclear} {
 			contact.lost.Store(lost)
 			if got := kind(call.do()); got != want {
 				t.Errorf("%s, contact lost %v: %v, want %v", name, lost, got, want)
--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -9,11 +9,11 @@
 	"testing"
 
 	"tinpin/internal/accord"
+	"tinpin/internal/apierror"
 	"tinpin/internal/drain"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
-	"tinpin/internal/problem"
 )
 
 func statusOf(t *testing.T, err error) (status int) {
@@ -32,7 +32,7 @@
 func sure(t *testing.T, send func() error) (err error) {
 	t.Helper()
 	for range 100 {
-		if err = send(); kind(err) != problem.Unclear {
+		if err = send(); kind(err) != apierror.Unclear {
 			return err
 		}
 	}
@@ -62,10 +62,10 @@
 
 func TestATakenVersionIs409(t *testing.T) {
 	for _, c := range []struct {
-		kind     problem.Kind
+		kind     apierror.Kind
 		conflict bool
 		status   int
-	}{{problem.BadConfig, false, 400}, {problem.BadOrder, false, 422}, {problem.BadConfig, true, 409}, {problem.BadOrder, true, 409}} {
+	}{{apierror.BadConfig, false, 400}, {apierror.BadOrder, false, 422}, {apierror.BadConfig, true, 409}, {apierror.BadOrder, true, 409}} {
 		if status := statusOf(t, refusedAs(c.kind, accord.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -11,11 +11,11 @@
 	"testing"
 
 	"tinpin/internal/affinity"
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
 	"tinpin/internal/events"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 	"tinpin/internal/retry"
 	"tinpin/internal/schedule"
 	"tinpin/internal/settings"
@@ -52,7 +52,7 @@
 
 func TestErrorsTable(t *testing.T) {
 	text := page(t, "docs/errors.md")
-	for kind := problem.BadRequest; kind <= problem.VersionTaken; kind++ {
+	for kind := apierror.BadRequest; kind <= apierror.VersionTaken; kind++ {
 		answer := kind.Answer()
 		ran := "no"
 		if answer.Ran {
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -15,14 +15,14 @@
 	"github.com/ogen-go/ogen/ogenerrors"
 
 	"tinpin/api/oas"
+	"tinpin/internal/apierror"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
-	"tinpin/internal/problem"
 )
 
 // Trouble is a problem with the words for the one who called.
 type Trouble struct {
-	Kind     problem.Kind
+	Kind     apierror.Kind
 	Text     string
 	Location string
 }
@@ -52,7 +52,7 @@
 
 type office struct{ duties Duties }
 
-var errElsewhere = &Trouble{Kind: problem.NoWay, Text: "this daemon does not answer that"}
+var errElsewhere = &Trouble{Kind: apierror.NoWay, Text: "this daemon does not answer that"}
 
 func (o office) ConfigUpdate(ctx context.Context, body jx.Raw) (done *oas.Done, err error) {
 	if o.duties.Update == nil {
@@ -105,7 +105,7 @@
 		return nil, errElsewhere
 	}
 	if !o.duties.Ready() {
-		return nil, &Trouble{Kind: problem.NotReady}
+		return nil, &Trouble{Kind: apierror.NotReady}
 	}
 	return &oas.Done{Status: "ready"}, nil
 }
@@ -161,15 +161,15 @@
 }
 
 func (o office) NewError(_ context.Context, err error) (other *oas.OtherStatusCodeWithHeaders) {
-	trouble := &Trouble{Kind: problem.Unclear, Text: err.Error()}
+	trouble := &Trouble{Kind: apierror.Unclear, Text: err.Error()}
 	if !errors.As(err, &trouble) {
 		var coded ogenerrors.Error
 		if errors.As(err, &coded) {
-			trouble.Kind = problem.BadRequest
+			trouble.Kind = apierror.BadRequest
 		}
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			trouble.Kind = problem.BodyTooLarge
+			trouble.Kind = apierror.BodyTooLarge
 		}
 	}
 	answer := trouble.Kind.Answer()
--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 )
 
 // hedgePart is the part of the aim after which a silent backend is doubted.
@@ -28,14 +28,14 @@
 const roomPause = 12 * time.Millisecond
 
 // plan makes the plan of a request, or says why there is none.
-func (d *Daemon) plan(request *Request, deadline string) (plan *Plan, kind problem.Kind, back time.Duration) {
+func (d *Daemon) plan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, back time.Duration) {
 	scene := d.world.Scene()
 	now := d.clock.Now()
 	if d.world.Orders.CutOff() {
-		return nil, problem.CutOff, 0
+		return nil, apierror.CutOff, 0
 	}
 	if !scene.Started {
-		return nil, problem.NotStarted, 0
+		return nil, apierror.NotStarted, 0
 	}
 	path := request.Target
 	if at := strings.IndexByte(path, '?'); at >= 0 {
@@ -43,19 +43,19 @@
 	}
 	way := scene.View.Find(request.Host, path)
 	if way == nil {
-		return nil, problem.NoWay, 0
+		return nil, apierror.NoWay, 0
 	}
 	if request.ID == "" {
-		return nil, problem.BadRequest, 0
+		return nil, apierror.BadRequest, 0
 	}
 	if request.Ahead && !way.Repeat.Repeatable() {
 		// The way has changed since the door looked.
-		return nil, problem.NoRoom, 0
+		return nil, apierror.NoRoom, 0
 	}
 	tenant := scene.View.Tenant(request.Host)
 	if tenant != nil {
 		if admitted, wait := d.limits.Admit(now, tenant); !admitted {
-			return nil, problem.OverLimit, wait
+			return nil, apierror.OverLimit, wait
 		}
 	}
 	left := way.Timeout
@@ -68,7 +68,7 @@
 		}
 	}
 	if left <= 0 {
-		return nil, problem.TooLate, 0
+		return nil, apierror.TooLate, 0
 	}
 	plan = &Plan{Way: way, Service: target(way, rand.Float64()), Request: request, Started: now, Till: now + left, Rounds: way.Rounds}
 	request.Stream = way.Repeat == config.Download
@@ -76,43 +76,43 @@
 	if way.Repeat == config.Keyed {
 		plan.Key = request.key()
 		if plan.Key == "" {
-			return nil, problem.NoKey, 0
+			return nil, apierror.NoKey, 0
 		}
 		if tenant != nil {
 			plan.Key = tenant.Name + "/" + plan.Key
 		}
 	}
 	d.budget.Earn(now, plan.Service)
-	return plan, problem.None, 0
+	return plan, apierror.None, 0
 }
 
 // Answer plans a request and carries the plan out.
 func (d *Daemon) Answer(request *Request, deadline string) (verdict Verdict) {
 	plan, kind, back := d.plan(request, deadline)
-	if kind != problem.None {
+	if kind != apierror.None {
 		return DenyFor(kind, request.ID, back)
 	}
 	if plan.Key != "" {
 		return d.carryKeyed(plan)
 	}
 	verdict, kind = d.carry(plan)
-	if kind != problem.None {
+	if kind != apierror.None {
 		return Deny(kind, request.ID)
 	}
 	return verdict
 }
 
 // carry goes through the rounds of a plan, once the throttle lets it.
-func (d *Daemon) carry(plan *Plan) (verdict Verdict, kind problem.Kind) {
+func (d *Daemon) carry(plan *Plan) (verdict Verdict, kind apierror.Kind) {
 	if plan.Session != "" {
-		if kind = d.bind(plan); kind != problem.None {
+		if kind = d.bind(plan); kind != apierror.None {
 			return verdict, plan.refusal(kind)
 		}
 	}
 	throttle := d.throttles.of(string(plan.Service))
 	for !throttle.Enter(plan.Way.Priority) {
 		if !d.mayWait(plan) {
-			return verdict, plan.refusal(problem.NoRoom)
+			return verdict, plan.refusal(apierror.NoRoom)
 		}
 		time.Sleep(roomPause)
 	}
@@ -128,20 +128,20 @@
 
 // rounds sends a plan's request until there is an answer or a problem. Where a
 // backend told of its own failure and no other gave an answer, its word is it.
-func (d *Daemon) rounds(plan *Plan, throttle *Throttle) (verdict Verdict, kind problem.Kind) {
+func (d *Daemon) rounds(plan *Plan, throttle *Throttle) (verdict Verdict, kind apierror.Kind) {
 	verdict, kind = d.search(plan, throttle)
-	if kind != problem.None && plan.Failure != nil {
-		return *plan.Failure, problem.None
+	if kind != apierror.None && plan.Failure != nil {
+		return *plan.Failure, apierror.None
 	}
 	return verdict, kind
 }
 
-func (d *Daemon) search(plan *Plan, throttle *Throttle) (verdict Verdict, kind problem.Kind) {
+func (d *Daemon) search(plan *Plan, throttle *Throttle) (verdict Verdict, kind apierror.Kind) {
 	arrived := 0
 	for {
 		now := d.clock.Now()
 		if now >= plan.Till {
-			return verdict, plan.refusal(problem.TooLate)
+			return verdict, plan.refusal(apierror.TooLate)
 		}
 		scene := d.world.Scene()
 		server, any := d.world.choose(scene, d.wanted(plan, plan.Tried))
@@ -151,12 +151,12 @@
 				continue
 			}
 			if any {
-				return verdict, plan.refusal(problem.NoRoom)
+				return verdict, plan.refusal(apierror.NoRoom)
 			}
-			return verdict, plan.refusal(problem.NoBackend)
+			return verdict, plan.refusal(apierror.NoBackend)
 		}
 		if arrived > 0 && !d.retry(now, plan, server) {
-			return verdict, plan.refusal(problem.NoRoom)
+			return verdict, plan.refusal(apierror.NoRoom)
 		}
 		round, answering := d.round(plan, server, now, &arrived)
 		if round.Sent {
@@ -169,7 +169,7 @@
 		step, problemKind := plan.Learn(d.clock.Now(), answering.ID, round)
 		if round.Outcome == Failed {
 			if round.Verdict.Rest != nil {
-				return round.Verdict, problem.None
+				return round.Verdict, apierror.None
 			}
 			plan.Failure = &round.Verdict
 		}
@@ -180,7 +180,7 @@
 				time.Sleep(roomPause)
 			}
 		case GiveAnswer:
-			return round.Verdict, problem.None
+			return round.Verdict, apierror.None
 		case GiveProblem:
 			return verdict, problemKind
 		}
@@ -314,7 +314,7 @@
 	if d.keys.Freed(plan.Key, request.ID) {
 		// The word that gave this claim back may still be under way, and would
 		// give back a new one of the same name.
-		return Deny(problem.KeyUnknown, request.ID)
+		return Deny(apierror.KeyUnknown, request.ID)
 	}
 	op, old := d.keys.Open(plan.Key, request.ID)
 	if old != nil {
@@ -350,19 +350,19 @@
 			// The claim may stand, but nothing will ever be sent under it.
 			d.keys.Free(op)
 			d.link.Free(parley.KeyClaim{Key: plan.Key, Request: request.ID})
-			return Deny(problem.NoLeader, request.ID)
+			return Deny(apierror.NoLeader, request.ID)
 		default:
 			d.keys.Abandon(op)
-			return Deny(problem.NoLeader, request.ID)
+			return Deny(apierror.NoLeader, request.ID)
 		}
 		break
 	}
 	verdict, kind := d.carry(plan)
 	switch {
-	case kind == problem.None:
+	case kind == apierror.None:
 		d.store(op, plan, verdict)
 		return verdict
-	case plan.MayHaveRun && !(kind == problem.Broken && d.dedupes(plan.Service)):
+	case plan.MayHaveRun && !(kind == apierror.Broken && d.dedupes(plan.Service)):
 		d.keys.Lose(op)
 	default:
 		d.keys.Free(op)
@@ -417,7 +417,7 @@
 func (d *Daemon) recount(reply parley.RecallReply, request string) (verdict Verdict) {
 	switch reply.Standing {
 	case parley.Running:
-		return Deny(problem.KeyAtWork, request)
+		return Deny(apierror.KeyAtWork, request)
 	case parley.Answered:
 		verdict = Verdict{Status: reply.Status, Body: reply.Body, Length: int64(len(reply.Body))}
 		for _, line := range reply.Header {
@@ -428,5 +428,5 @@
 		}
 		return verdict
 	}
-	return Deny(problem.KeyUnknown, request)
+	return Deny(apierror.KeyUnknown, request)
 }
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -12,12 +12,12 @@
 	"sync/atomic"
 	"time"
 
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/events"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 	"tinpin/internal/schedule"
 	"tinpin/internal/settings"
 )
@@ -219,7 +219,7 @@
 		addresses = []string{d.props.Front}
 	}
 	if len(addresses) == 0 {
-		return nil, 0, &office.Trouble{Kind: problem.NotReady}
+		return nil, 0, &office.Trouble{Kind: apierror.NotReady}
 	}
 	return addresses, min(directionsTTL, d.props.Bounds.TTLMax), nil
 }
--- a/internal/passage/door.go
+++ b/internal/passage/door.go
@@ -18,9 +18,9 @@
 	"sync/atomic"
 	"time"
 
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 )
 
 const (
@@ -209,7 +209,7 @@
 		d.atWork.Add(1)
 		turns <- t
 	}
-	deny := func(kind problem.Kind, id string) {
+	deny := func(kind apierror.Kind, id string) {
 		verdict := Deny(kind, id)
 		verdict.Close = true
 		put(&turn{ready: verdict, last: true})
@@ -247,27 +247,27 @@
 		if err != nil {
 			switch {
 			case errors.Is(err, errHeadTooLarge):
-				deny(problem.HeadTooLarge, "")
+				deny(apierror.HeadTooLarge, "")
 			case isTimeout(err):
-				deny(problem.HeadTooSlow, "")
+				deny(apierror.HeadTooSlow, "")
 			case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 				return
 			default:
-				deny(problem.BadRequest, "")
+				deny(apierror.BadRequest, "")
 			}
 			return
 		}
 		id := parsed.Header.Get(headRequest)
 		if size > int64(limits.HeadBytes) {
-			deny(problem.HeadTooLarge, id)
+			deny(apierror.HeadTooLarge, id)
 			return
 		}
 		if v.refuse {
-			deny(problem.NoRoom, id)
+			deny(apierror.NoRoom, id)
 			return
 		}
 		request, kind := d.read(v, in, parsed, limits)
-		if kind != problem.None {
+		if kind != apierror.None {
 			deny(kind, id)
 			return
 		}
@@ -295,11 +295,11 @@
 }
 
 // read takes the request's body in and makes what is passed on.
-func (d *Door) read(v *visit, in *bufio.Reader, parsed *http.Request, limits config.LimitItem) (request *Request, kind problem.Kind) {
+func (d *Door) read(v *visit, in *bufio.Reader, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
 	target := parsed.RequestURI
 	if parsed.Method == http.MethodConnect || target == "" || target[0] != '/' && target != "*" {
 		if parsed.URL == nil || parsed.URL.Host == "" || parsed.Method == http.MethodConnect {
-			return nil, problem.BadRequest
+			return nil, apierror.BadRequest
 		}
 		at := strings.Index(target, "://")
 		slash := strings.IndexByte(target[at+3:], '/')
@@ -310,15 +310,15 @@
 		}
 	}
 	if parsed.Host == "" {
-		return nil, problem.BadRequest
+		return nil, apierror.BadRequest
 	}
 	request = &Request{Method: parsed.Method, Target: target, Host: parsed.Host, ID: parsed.Header.Get(headRequest), Lines: carried(parsed.Header)}
 	if parsed.ContentLength == 0 {
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
-		return request, problem.None
+		return request, apierror.None
 	}
 	if parsed.ContentLength > int64(limits.BodyBytes) {
-		return nil, problem.BodyTooLarge
+		return nil, apierror.BodyTooLarge
 	}
 	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
 		v.pending.Wait()
@@ -329,29 +329,29 @@
 	if parsed.ContentLength > 0 {
 		if d.room.Add(-parsed.ContentLength) < 0 {
 			d.room.Add(parsed.ContentLength)
-			return nil, problem.NoRoom
+			return nil, apierror.NoRoom
 		}
 		request.Body = make([]byte, parsed.ContentLength)
 		if _, err := io.ReadFull(parsed.Body, request.Body); err != nil {
 			d.room.Add(parsed.ContentLength)
-			return nil, problem.BadRequest
+			return nil, apierror.BadRequest
 		}
-		return request, problem.None
+		return request, apierror.None
 	}
 	most := min(int64(limits.BodyBytes), max(d.room.Load(), 0))
 	body, err := io.ReadAll(io.LimitReader(parsed.Body, most+1))
 	if err != nil {
-		return nil, problem.BadRequest
+		return nil, apierror.BadRequest
 	}
 	if int64(len(body)) > int64(limits.BodyBytes) {
-		return nil, problem.BodyTooLarge
+		return nil, apierror.BodyTooLarge
 	}
 	if int64(len(body)) > most {
-		return nil, problem.NoRoom
+		return nil, apierror.NoRoom
 	}
 	d.room.Add(-int64(len(body)))
 	request.Body = body
-	return request, problem.None
+	return request, apierror.None
 }
 
 // reply writes the answers in their order.
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 )
 
 func request(method, target, id string) *Request {
@@ -259,10 +259,10 @@
 }
 
 func TestPromisesStandOnlyBehindWhatHasNotRun(t *testing.T) {
-	for kind := problem.BadRequest; kind <= problem.CutOff; kind++ {
+	for kind := apierror.BadRequest; kind <= apierror.CutOff; kind++ {
 		answer := kind.Answer()
 		promise := answer.Status == 408 || answer.Status == 421 || answer.Status == 429 || answer.Status == 503
-		if answer.Status == 0 || promise && answer.Ran || promise != problem.Promises(answer.Status) {
+		if answer.Status == 0 || promise && answer.Ran || promise != apierror.Promises(answer.Status) {
 			t.Errorf("kind %d: %+v", kind, answer)
 		}
 	}
--- a/internal/passage/plan.go
+++ b/internal/passage/plan.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"tinpin/internal/affinity"
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 )
 
 // Plan is one request's way.
@@ -50,49 +50,49 @@
 )
 
 // Learn takes the outcome of a round and tells what comes next.
-func (p *Plan) Learn(now time.Duration, server parley.ServerID, round Round) (step Step, kind problem.Kind) {
+func (p *Plan) Learn(now time.Duration, server parley.ServerID, round Round) (step Step, kind apierror.Kind) {
 	if round.Sent {
 		p.Rounds--
 	}
 	p.Tried = append(p.Tried, server)
 	switch round.Outcome {
 	case Whole:
-		return GiveAnswer, problem.None
+		return GiveAnswer, apierror.None
 	case NotSent:
 		if p.dials++; p.dials > 4 {
-			return GiveProblem, p.refusal(problem.NoBackend)
+			return GiveProblem, p.refusal(apierror.NoBackend)
 		}
 	case Turned, Withheld:
 	case Failed:
 		// The backend's own failure is its answer, unless another may be asked.
 		p.MayHaveRun = true
 		if !p.Way.Repeat.Repeatable() || p.Rounds <= 0 || now >= p.Till {
-			return GiveAnswer, problem.None
+			return GiveAnswer, apierror.None
 		}
-		return TryAgain, problem.None
+		return TryAgain, apierror.None
 	case Broken, Forgotten:
 		p.MayHaveRun = true
 		if !p.Way.Repeat.Repeatable() {
-			return GiveProblem, problem.Broken
+			return GiveProblem, apierror.Broken
 		}
 	case Silent:
 		p.MayHaveRun = true
-		return GiveProblem, problem.DeadlineOver
+		return GiveProblem, apierror.DeadlineOver
 	}
 	if now >= p.Till {
-		return GiveProblem, p.refusal(problem.TooLate)
+		return GiveProblem, p.refusal(apierror.TooLate)
 	}
 	if p.Rounds <= 0 {
-		return GiveProblem, p.refusal(problem.NoRoom)
+		return GiveProblem, p.refusal(apierror.NoRoom)
 	}
-	return TryAgain, problem.None
+	return TryAgain, apierror.None
 }
 
 // refusal is a promise that nothing ran where that is so, else the word that
 // the answer was lost.
-func (p *Plan) refusal(kind problem.Kind) problem.Kind {
+func (p *Plan) refusal(kind apierror.Kind) apierror.Kind {
 	if p.MayHaveRun {
-		return problem.Broken
+		return apierror.Broken
 	}
 	return kind
 }
--- a/internal/passage/round.go
+++ b/internal/passage/round.go
@@ -21,8 +21,8 @@
 	"syscall"
 	"time"
 
+	"tinpin/internal/apierror"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 )
 
 // Head lines of the protocol.
@@ -409,7 +409,7 @@
 	}
 	// An answer that says of a success that it was not run says nothing, and one
 	// whose status would be a promise to the client makes none without that word.
-	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" || problem.Promises(response.StatusCode) {
+	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" || apierror.Promises(response.StatusCode) {
 		server.drop(stream)
 		return Round{Outcome: Broken}
 	}
--- a/internal/passage/sessions.go
+++ b/internal/passage/sessions.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"tinpin/internal/affinity"
+	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/parley"
-	"tinpin/internal/problem"
 )
 
 // rememberedMost is how many sessions a node remembers.
@@ -120,7 +120,7 @@
 }
 
 // bind gives a plan with a session its backend, or tells why there is none.
-func (d *Daemon) bind(plan *Plan) (kind problem.Kind) {
+func (d *Daemon) bind(plan *Plan) (kind apierror.Kind) {
 	s, idle := d.world.Orders.Sessions, time.Duration(plan.Rule.Idle)
 	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
 	server, outcome := s.binder.Bind(plan.Session, idle, affinity.View{
@@ -134,16 +134,16 @@
 	plan.Bound = server
 	switch {
 	case outcome == affinity.Kept:
-		return problem.None
+		return apierror.None
 	case outcome == affinity.Unkept, outcome == affinity.NoAnswer && plan.Rule.Alone == affinity.AloneServe && plan.Way.Repeat.Repeatable():
 		s.count(&s.unkept)
-		return problem.None
+		return apierror.None
 	}
 	s.count(&s.refused)
 	if outcome == affinity.NoBackend {
-		return problem.NoBackend
+		return apierror.NoBackend
 	}
-	return problem.NoSession
+	return apierror.NoSession
 }
 
 func (s *Sessions) count(what *uint64) {
--- a/internal/passage/verdict.go
+++ b/internal/passage/verdict.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"tinpin/internal/problem"
+	"tinpin/internal/apierror"
 )
 
 // Line is one head line of an answer.
@@ -36,11 +36,11 @@
 }
 
 // Deny makes the verdict of a problem for a request id.
-func Deny(kind problem.Kind, request string) (verdict Verdict) { return DenyFor(kind, request, 0) }
+func Deny(kind apierror.Kind, request string) (verdict Verdict) { return DenyFor(kind, request, 0) }
 
 // DenyFor also says when to come back, where that is known better than the
 // table does.
-func DenyFor(kind problem.Kind, request string, back time.Duration) (verdict Verdict) {
+func DenyFor(kind apierror.Kind, request string, back time.Duration) (verdict Verdict) {
 	answer := kind.Answer()
 	if back > 0 {
 		answer.RetryMS = int(back / time.Millisecond)
