--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -16,7 +16,7 @@
 
 	"tinpin/internal/clerk"
 	"tinpin/internal/council"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/lens"
 	"tinpin/internal/passage"
 	"tinpin/internal/settings"
@@ -207,7 +207,7 @@
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(p.MemoryMB) << 20 * 6 / 10)
-	log := events.New(p.Name)
+	log := eventlog.New(p.Name)
 	var running daemon
 	if role == "passage" {
 		running, err = passage.Start(p, log)
@@ -218,7 +218,7 @@
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
 		return 1
 	}
-	log.Say(events.Started, "role", role, "version", Version)
+	log.Say(eventlog.Started, "role", role, "version", Version)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
@@ -228,15 +228,15 @@
 }
 
 // attend heeds signals and changes of the settings file until told to stop.
-func attend(running daemon, path string, signals <-chan os.Signal, renew <-chan time.Time, log *events.Log) (code int) {
+func attend(running daemon, path string, signals <-chan os.Signal, renew <-chan time.Time, log *eventlog.Log) (code int) {
 	last := stamp(path)
 	for {
 		select {
 		case got := <-signals:
 			if got != syscall.SIGHUP {
-				log.Say(events.Stopping)
+				log.Say(eventlog.Stopping)
 				running.Stop()
-				log.Say(events.Stopped)
+				log.Say(eventlog.Stopped)
 				return 0
 			}
 		case <-renew:
@@ -248,11 +248,11 @@
 		last = stamp(path)
 		fresh, loadErr := settings.Load(path)
 		if loadErr != nil {
-			log.Say(events.PropsRefused, "problem", loadErr.Error())
+			log.Say(eventlog.PropsRefused, "problem", loadErr.Error())
 			continue
 		}
 		running.Renew(fresh)
-		log.Say(events.PropsTaken)
+		log.Say(eventlog.PropsTaken)
 	}
 }
 
--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/settings"
 )
 
@@ -92,7 +92,7 @@
 	write("10.0.0.2:1")
 	signals, renew, ended := make(chan os.Signal), make(chan time.Time), make(chan int)
 	running := recorder{make(chan string, 4)}
-	go func() { ended <- attend(running, path, signals, renew, events.Quiet()) }()
+	go func() { ended <- attend(running, path, signals, renew, eventlog.Quiet()) }()
 	renew <- time.Time{} // nothing changed
 	signals <- syscall.SIGHUP
 	if did := <-running.did; did != "10.0.0.2:1" {
--- a/internal/accord/cutoff_test.go
+++ b/internal/accord/cutoff_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
 )
@@ -48,7 +48,7 @@
 	won := make(chan winner, 16)
 	for i := 1; i <= 3; i++ {
 		address := fmt.Sprintf("127.0.0.%d", i)
-		node, err := OpenNode(settings.Props{Name: address, Address: address, Control: seeds[i-1], InnerLow: port, Seeds: seeds, Data: t.TempDir(), FirstStart: true, MachineLosses: 1}, events.Quiet())
+		node, err := OpenNode(settings.Props{Name: address, Address: address, Control: seeds[i-1], InnerLow: port, Seeds: seeds, Data: t.TempDir(), FirstStart: true, MachineLosses: 1}, eventlog.Quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/accord/disk.go
+++ b/internal/accord/disk.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 	"time"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 )
 
 // scribe is the duty that writes the disk.
@@ -30,7 +30,7 @@
 			if err == nil {
 				break
 			}
-			n.log.Say(events.DiskFailed, "problem", err.Error())
+			n.log.Say(eventlog.DiskFailed, "problem", err.Error())
 			select {
 			case n.tells <- func() { n.carry(n.raft.Resign()) }:
 			default:
--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
 )
@@ -75,7 +75,7 @@
 		n.refused = map[ID]int{}
 	}
 	n.refused[newcomer.ID] = n.ticks
-	n.log.Say(events.JoinRefused, "id", string(newcomer.ID), "inner", newcomer.Inner, "problem", why)
+	n.log.Say(eventlog.JoinRefused, "id", string(newcomer.ID), "inner", newcomer.Inner, "problem", why)
 }
 
 // takeJoiner keeps the newest life at an address.
@@ -156,7 +156,7 @@
 	n.changed = true
 	n.membership.Took(roll, decision)
 	delete(n.joiners, decision.Member.ID)
-	n.log.Say(events.MemberChanged, "move", decision.Move.String(), "id", string(decision.Member.ID), "members", len(decision.Next))
+	n.log.Say(eventlog.MemberChanged, "move", decision.Move.String(), "id", string(decision.Member.ID), "members", len(decision.Next))
 	n.carry(out)
 }
 
--- a/internal/accord/refusals.go
+++ b/internal/accord/refusals.go
@@ -2,18 +2,18 @@
 // second, so that a core gone wild fills no disk.
 package accord
 
-import "tinpin/internal/events"
+import "tinpin/internal/eventlog"
 
 type refusals struct {
 	count  int
 	saidAt int
 }
 
-func (r *refusals) say(log *events.Log, ticks int, refusal Refusal) {
+func (r *refusals) say(log *eventlog.Log, ticks int, refusal Refusal) {
 	r.count++
 	if r.saidAt > 0 && ticks-r.saidAt < refusalTicks {
 		return
 	}
 	r.saidAt = max(ticks, 1)
-	log.Say(events.MessageRefused, "from", string(refusal.From), "kind", int(refusal.Kind), "why", refusal.Why, "refused", r.count)
+	log.Say(eventlog.MessageRefused, "from", string(refusal.From), "kind", int(refusal.Kind), "why", refusal.Why, "refused", r.count)
 }
--- a/internal/accord/wishes_test.go
+++ b/internal/accord/wishes_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tinpin/internal/chronicle"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 )
 
 // wishing is a node without duties whose agreement is driven by the test; it
@@ -17,8 +17,8 @@
 		base.Members = append(base.Members, Member{ID: id, Voter: true})
 	}
 	n = &Node{
-		log: events.Quiet(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
-		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: chronicle.New(events.Quiet()), OnChange: func() {}, OnRole: func(bool, Term) {},
+		log: eventlog.Quiet(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
+		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: chronicle.New(eventlog.Quiet()), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	n.raft = NewRaft("a", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, base, nil)
 	for range 2 * electTicks {
--- a/internal/chronicle/chronicle.go
+++ b/internal/chronicle/chronicle.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 )
 
 // Subject says what a change is about.
@@ -43,7 +43,7 @@
 
 // Chronicle is a ring of marks.
 type Chronicle struct {
-	log   *events.Log
+	log   *eventlog.Log
 	birth time.Time
 	mu    sync.Mutex
 	marks []Mark
@@ -53,7 +53,7 @@
 }
 
 // New is an empty chronicle.
-func New(log *events.Log) (c *Chronicle) {
+func New(log *eventlog.Log) (c *Chronicle) {
 	return &Chronicle{log: log, birth: time.Now(), OnMark: func(Mark) {}}
 }
 
@@ -69,7 +69,7 @@
 	c.next++
 	c.mu.Unlock()
 	if !quiet {
-		c.log.Say(events.ChangeSeen, "kind", kind, "name", name, "what", what, "stamp", stamp, "rev", rev)
+		c.log.Say(eventlog.ChangeSeen, "kind", kind, "name", name, "what", what, "stamp", stamp, "rev", rev)
 		c.OnMark(mark)
 	}
 }
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -12,7 +12,7 @@
 	"tinpin/internal/apierror"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
 	"tinpin/internal/herald"
 	"tinpin/internal/office"
@@ -27,7 +27,7 @@
 // Council is a running accord daemon.
 type Council struct {
 	props settings.Props
-	log   *events.Log
+	log   *eventlog.Log
 	node  *accord.Node
 	desk  *forum.Desk
 	// patience is how long a call waits for its outcome.
@@ -38,7 +38,7 @@
 }
 
 // Start opens the disk and the listeners and takes up the work.
-func Start(p settings.Props, log *events.Log) (council *Council, err error) {
+func Start(p settings.Props, log *eventlog.Log) (council *Council, err error) {
 	node, err := accord.OpenNode(p, log)
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 	if result.Problem != "" {
 		return c.refuse(chronicle.Item, refusedAs(apierror.BadConfig, result))
 	}
-	c.log.Say(events.ConfigTaken, "bytes", len(body))
+	c.log.Say(eventlog.ConfigTaken, "bytes", len(body))
 	for _, path := range call.Paths() {
 		c.node.Chronicle.Note(chronicle.Item, path, "acknowledged", "", 0, true)
 	}
@@ -158,7 +158,7 @@
 
 // refuse logs what the caller is told.
 func (c *Council) refuse(subject string, trouble *office.Trouble) (err error) {
-	c.log.Say(events.OrderRefused, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
+	c.log.Say(eventlog.OrderRefused, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
 	return trouble
 }
 
@@ -200,7 +200,7 @@
 	if result.Problem != "" {
 		return c.refuse(chronicle.Evacuation, refusedAs(apierror.BadOrder, result))
 	}
-	c.log.Say(events.EvacuationTaken, "site", site, "start", start)
+	c.log.Say(eventlog.EvacuationTaken, "site", site, "start", start)
 	c.node.Chronicle.Note(chronicle.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
 }
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -14,7 +14,7 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
 	"tinpin/internal/office"
 	"tinpin/internal/policy"
@@ -36,19 +36,19 @@
 		Name: "core", Address: "127.0.0.1", Control: "127.0.0.1:1", InnerLow: 2, Seeds: []string{"127.0.0.1:1"}, Data: t.TempDir(), FirstStart: true,
 		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, ListInterval: time.Second, ProbeInterval: time.Second, SendInterval: time.Second,
 	}
-	node, err := accord.OpenNode(p, events.Quiet())
+	node, err := accord.OpenNode(p, eventlog.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	contact = &scripted{}
 	// What is asked here has an outcome, however slow this machine is.
-	c = &Council{props: p, log: events.Quiet(), node: node, patience: time.Minute, desk: forum.NewDesk(node, contact)}
+	c = &Council{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: forum.NewDesk(node, contact)}
 	led := make(chan bool, 1)
 	node.OnRole = func(leads bool, term accord.Term) {
 		if !leads {
 			return
 		}
-		c.desk.Use(forum.Open(p, events.Quiet(), node, term))
+		c.desk.Use(forum.Open(p, eventlog.Quiet(), node, term))
 		led <- true
 	}
 	node.Run()
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -14,7 +14,7 @@
 	"tinpin/internal/chronicle"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
@@ -109,7 +109,7 @@
 	if result.Problem != "" {
 		return c.refuse(kind, refusedAs(apierror.BadOrder, result))
 	}
-	c.log.Say(events.OrderTaken, "kind", kind, "name", name, "what", what)
+	c.log.Say(eventlog.OrderTaken, "kind", kind, "name", name, "what", what)
 	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
 	return nil
 }
@@ -200,7 +200,7 @@
 				return "", err
 			}
 			if phase, err = sent.answer(listed, refusal); err != nil {
-				c.log.Say(events.OrderRefused, "kind", chronicle.Retirement, "name", string(id), "why", err.Error())
+				c.log.Say(eventlog.OrderRefused, "kind", chronicle.Retirement, "name", string(id), "why", err.Error())
 			}
 			return phase, err
 		}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -14,7 +14,7 @@
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/retry"
 	"tinpin/internal/schedule"
@@ -40,10 +40,10 @@
 
 func TestEventsCatalogue(t *testing.T) {
 	text := page(t, "docs/events.md")
-	if rows := strings.Count(text, "\n| 1"); rows != len(events.Texts) {
-		t.Errorf("%d rows for %d events", rows, len(events.Texts))
+	if rows := strings.Count(text, "\n| 1"); rows != len(eventlog.Texts) {
+		t.Errorf("%d rows for %d events", rows, len(eventlog.Texts))
 	}
-	for event, said := range events.Texts {
+	for event, said := range eventlog.Texts {
 		if !strings.Contains(text, fmt.Sprintf("| %d | %s |", event, said)) {
 			t.Errorf("event %d %q is not in the catalogue", event, said)
 		}
--- a/internal/events/events.go
+++ b/internal/eventlog/events.go
@@ -2,7 +2,7 @@
 // event has a fixed number and text; docs/events.md is the catalogue, and a
 // test holds the two together. Nothing on a request's ordinary way is logged:
 // a line costs processor time.
-package events
+package eventlog
 
 import (
 	"fmt"
--- a/internal/forum/check.go
+++ b/internal/forum/check.go
@@ -9,7 +9,7 @@
 
 	"github.com/zeebo/errs"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 )
@@ -113,7 +113,7 @@
 func (f *Forum) refuse(call string, by parley.FellowID, fault string) (err error) {
 	count := f.refusals.Add(1)
 	if count <= loggedRefusals || count%loggedRefusals == 0 {
-		f.log.Say(events.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
+		f.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
 	}
 	return Class.New("refused: %s", fault)
 }
--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -14,7 +14,7 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
@@ -46,7 +46,7 @@
 // Forum is open while this core leads.
 type Forum struct {
 	props settings.Props
-	log   *events.Log
+	log   *eventlog.Log
 	node  *accord.Node
 	term  parley.Term
 	birth time.Time
@@ -97,7 +97,7 @@
 }
 
 // Open starts a leadership's forum.
-func Open(p settings.Props, log *events.Log, node *accord.Node, term accord.Term) (forum *Forum) {
+func Open(p settings.Props, log *eventlog.Log, node *accord.Node, term accord.Term) (forum *Forum) {
 	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Forum{
@@ -186,7 +186,7 @@
 		lost, changed := f.roll.Tick(now)
 		changed, f.moved = changed || f.moved, false
 		for _, id := range lost {
-			f.log.Say(events.FellowLost, "fellow", string(id))
+			f.log.Say(eventlog.FellowLost, "fellow", string(id))
 		}
 		if changed {
 			f.refreshMembers()
@@ -235,7 +235,7 @@
 		f.mapAt = f.clock.Next()
 		f.shards = parley.ShardMap{Term: f.term, Count: f.mapAt, Members: members}
 		f.cache.Shards(f.shards)
-		f.log.Say(events.MapChanged, "count", uint64(f.mapAt), "members", len(members))
+		f.log.Say(eventlog.MapChanged, "count", uint64(f.mapAt), "members", len(members))
 	}
 	absent := f.roll.Absent()
 	same = len(absent) == len(f.absent)
@@ -257,7 +257,7 @@
 		servers, pages, err := platform.Walk(min(pause, 100*time.Millisecond), func(page []parley.Server) { f.merge(page, false) })
 		interval := listInterval(f.props.ListInterval, pause, pages)
 		if err != nil {
-			f.log.Say(events.ListFailed, "problem", err.Error())
+			f.log.Say(eventlog.ListFailed, "problem", err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
 		} else {
 			f.merge(servers, true)
@@ -330,7 +330,7 @@
 	f.mu.Lock()
 	joined, changed := f.roll.Beat(f.now(), ask.Fellow)
 	if joined {
-		f.log.Say(events.FellowJoined, "fellow", string(ask.ID), "life", uint64(ask.Life))
+		f.log.Say(eventlog.FellowJoined, "fellow", string(ask.ID), "life", uint64(ask.Life))
 	}
 	// Who came or changed is told with the next turn of tend: after a change of
 	// leader all come at once, and each would wake all the others.
--- a/internal/forum/forum_test.go
+++ b/internal/forum/forum_test.go
@@ -9,7 +9,7 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
@@ -24,11 +24,11 @@
 	clock := &registry.Clock{}
 	clock.Next()
 	return &Forum{
-		log: events.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
+		log: eventlog.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
 		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
 		view: config.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
-		chronicle: chronicle.New(events.Quiet()),
+		chronicle: chronicle.New(eventlog.Quiet()),
 	}
 }
 
--- a/internal/forum/orders.go
+++ b/internal/forum/orders.go
@@ -12,7 +12,7 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/drain"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
@@ -190,7 +190,7 @@
 			commands = append(commands, accord.Command{Kind: accord.CommandStop, Site: string(id)})
 		}
 		for _, account := range o.retiring {
-			f.say(events.RetireStands, account.Server, string(account.Phase), "why", account.Why)
+			f.say(eventlog.RetireStands, account.Server, string(account.Phase), "why", account.Why)
 		}
 	} else {
 		o.retiring = nil
@@ -213,7 +213,7 @@
 			}
 		}
 		for _, account := range o.moving {
-			f.say(events.MoveStands, account.Target, account.Waiting, "wanted", account.Wanted)
+			f.say(eventlog.MoveStands, account.Target, account.Waiting, "wanted", account.Wanted)
 		}
 	}
 	if len(commands) == 0 || o.busy {
@@ -233,7 +233,7 @@
 }
 
 // say logs how an order stands, once for each change.
-func (f *Forum) say(event events.Event, subject, stands string, pairs ...any) {
+func (f *Forum) say(event eventlog.Event, subject, stands string, pairs ...any) {
 	key := fmt.Sprint(int(event), subject)
 	if f.orders.said[key] == stands {
 		return
--- a/internal/forum/sessions.go
+++ b/internal/forum/sessions.go
@@ -12,7 +12,7 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/affinity"
 	"tinpin/internal/chronicle"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 )
@@ -174,7 +174,7 @@
 			found[i] = parley.BindFound{Outcome: parley.Bound, Server: binding.Server}
 			if answer.Result.Moved {
 				f.sessions.moved++
-				f.log.Say(events.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
+				f.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
 				f.chronicle.Note(chronicle.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 			}
 		}
--- a/internal/lens/trace.go
+++ b/internal/lens/trace.go
@@ -18,7 +18,7 @@
 
 	"tinpin/internal/chronicle"
 	"tinpin/internal/council"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 )
 
@@ -135,7 +135,7 @@
 				continue
 			}
 			var read line
-			if json.Unmarshal([]byte(text[brace:]), &read) == nil && read.Event == int(events.ChangeSeen) && read.Kind == kind && read.Name == name {
+			if json.Unmarshal([]byte(text[brace:]), &read) == nil && read.Event == int(eventlog.ChangeSeen) && read.Kind == kind && read.Name == name {
 				found = append(found, read)
 			}
 		}
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -14,7 +14,7 @@
 
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
@@ -25,7 +25,7 @@
 // Daemon is a running passage daemon.
 type Daemon struct {
 	props     settings.Props
-	log       *events.Log
+	log       *eventlog.Log
 	clock     Clock
 	life      parley.Life
 	nap       time.Duration
@@ -46,7 +46,7 @@
 }
 
 // Start takes up the work.
-func Start(p settings.Props, log *events.Log) (daemon *Daemon, err error) {
+func Start(p settings.Props, log *eventlog.Log) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
 	d := &Daemon{props: p, log: log, clock: NewClock(), life: parley.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
@@ -56,7 +56,7 @@
 	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(parley.RetrySlack, "") })
 	d.budget.written = d.world.Orders.Retries
 	d.budget.written.OnGate = func(service parley.ServiceName, open bool) {
-		log.Say(events.RetriesHeld, "service", string(service), "open", open)
+		log.Say(eventlog.RetriesHeld, "service", string(service), "open", open)
 	}
 	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
--- a/internal/passage/hollow.go
+++ b/internal/passage/hollow.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
@@ -22,7 +22,7 @@
 
 // StartHollow takes up the beats.
 func StartHollow(p settings.Props, life parley.Life) (hollow *Hollow) {
-	log, clock := events.Quiet(), NewClock()
+	log, clock := eventlog.Quiet(), NewClock()
 	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
 	h.link = NewLink(p, log, clock, h.world, book, life, h.fellow)
--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/registry"
@@ -41,7 +41,7 @@
 // Link ties the daemon to its leader.
 type Link struct {
 	props  settings.Props
-	log    *events.Log
+	log    *eventlog.Log
 	clock  Clock
 	world  *World
 	keys   *idempotency.Book
@@ -72,7 +72,7 @@
 }
 
 // NewLink is a link that has not found a leader yet.
-func NewLink(p settings.Props, log *events.Log, clock Clock, world *World, book *idempotency.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
+func NewLink(p settings.Props, log *eventlog.Log, clock Clock, world *World, book *idempotency.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
 	link = &Link{
 		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
 		stir:  make(chan struct{}, 1),
@@ -194,7 +194,7 @@
 		return false
 	}
 	if old := *l.leader.Load(); !l.Led() || old != target {
-		l.log.Say(events.LeaderFound, "leader", target, "term", uint64(term))
+		l.log.Say(eventlog.LeaderFound, "leader", target, "term", uint64(term))
 	}
 	l.term = term
 	l.heard.Store(int64(l.clock.Now()))
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -14,7 +14,7 @@
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
@@ -284,7 +284,7 @@
 		cut := o.permit.CutOff(d.clock.Now())
 		o.mu.Unlock()
 		if o.cutOff.Swap(cut) != cut {
-			d.log.Say(events.CutOff, "cut_off", cut)
+			d.log.Say(eventlog.CutOff, "cut_off", cut)
 		}
 	}
 }
--- a/internal/passage/probe.go
+++ b/internal/passage/probe.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tinpin/internal/chronicle"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 )
 
@@ -140,7 +140,7 @@
 			state := held.state
 			p.mu.Unlock()
 			server.note(d.clock.Now(), nil, &state)
-			d.log.Say(events.AsideChanged, "backend", string(server.ID), "aside", aside)
+			d.log.Say(eventlog.AsideChanged, "backend", string(server.ID), "aside", aside)
 			d.world.Chronicle.Note(chronicle.Health, string(server.ID), "judged", state.Stamp(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
@@ -273,7 +273,7 @@
 	}
 	if before.Health != state.Health {
 		if before.Health != parley.Unknown || state.Health == parley.Down {
-			d.log.Say(events.HealthChanged, "backend", string(server.ID), "health", int(state.Health))
+			d.log.Say(eventlog.HealthChanged, "backend", string(server.ID), "health", int(state.Health))
 		}
 	}
 	if turned && d.link.Led() {
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
@@ -112,7 +112,7 @@
 	p := settings.Props{Name: "edge-1", Site: "here", Region: "land", Regions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, Descriptors: 1024, SendInterval: time.Second, ProbeInterval: time.Second, Sharers: 3, RestOnce: time.Minute, CPUShare: 1}
 	p.Bounds = settings.Bounds{RetryRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, TTLMax: 5 * time.Second, Grace: time.Second}
 	clock := NewClock()
-	d = &Daemon{props: p, log: events.Quiet(), clock: clock, life: 1}
+	d = &Daemon{props: p, log: eventlog.Quiet(), clock: clock, life: 1}
 	d.world = NewWorld(p, d.log, clock)
 	d.keys = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
 	d.link = NewLink(p, d.log, clock, d.world, d.keys, 1, d.fellow)
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -13,7 +13,7 @@
 
 	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
@@ -52,7 +52,7 @@
 // World keeps it.
 type World struct {
 	props settings.Props
-	log   *events.Log
+	log   *eventlog.Log
 	clock Clock
 	// Chronicle remembers what became of changes here.
 	Chronicle *chronicle.Chronicle
@@ -80,7 +80,7 @@
 }
 
 // NewWorld knows nothing yet.
-func NewWorld(p settings.Props, log *events.Log, clock Clock) (world *World) {
+func NewWorld(p settings.Props, log *eventlog.Log, clock Clock) (world *World) {
 	world = &World{
 		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
 		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
@@ -125,21 +125,21 @@
 	if news.Packed != nil {
 		items, err := parley.Unpack(news.Packed)
 		if err != nil {
-			w.log.Say(events.PropsRefused, "problem", err.Error())
+			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
 			return false
 		}
 		news.Items = items
 	}
 	if news.Part != nil {
 		if err := news.Part.Unpack(); err != nil {
-			w.log.Say(events.PropsRefused, "problem", err.Error())
+			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
 			return false
 		}
 	}
 	if news.Crowd != nil {
 		fellows, err := parley.UnpackRows[parley.FellowChange](news.Crowd)
 		if err != nil {
-			w.log.Say(events.PropsRefused, "problem", err.Error())
+			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
 			return false
 		}
 		news.Fellows = append(news.Fellows, fellows...)
@@ -157,7 +157,7 @@
 	w.lend(asked, news.Leases)
 	if part := news.Part; part != nil && !w.follows(news.Term, part) {
 		// Only the part is refused: the rest says where to go on from.
-		w.log.Say(events.AskRefused, "call", "news", "why", "a part of the list that does not follow", "from", string(part.From), "at", string(part.At))
+		w.log.Say(eventlog.AskRefused, "call", "news", "why", "a part of the list that does not follow", "from", string(part.From), "at", string(part.At))
 		news.Part = nil
 	}
 	first := w.seen.Rev == 0
@@ -183,7 +183,7 @@
 	}
 	for _, item := range news.Items {
 		if err := w.canon.Put(item); err != nil {
-			w.log.Say(events.PropsRefused, "item", item.Name, "problem", err.Error())
+			w.log.Say(eventlog.PropsRefused, "item", item.Name, "problem", err.Error())
 		}
 	}
 	for _, item := range news.Items {
@@ -466,10 +466,10 @@
 	w.watch.Led(now, led)
 	applied, headless := w.watch.Tick(now)
 	if applied {
-		w.log.Say(events.MapChanged, "count", uint64(w.watch.Applied().Count), "members", len(w.watch.Applied().Members))
+		w.log.Say(eventlog.MapChanged, "count", uint64(w.watch.Applied().Count), "members", len(w.watch.Applied().Members))
 	}
 	if headless {
-		w.log.Say(events.Headless)
+		w.log.Say(eventlog.Headless)
 	}
 	shards := w.watch.Applied()
 	return w.watch.Duties(), shards.Term, shards.Count
--- a/internal/stage/members_test.go
+++ b/internal/stage/members_test.go
@@ -8,7 +8,7 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/council"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/lens"
 )
 
@@ -39,7 +39,7 @@
 	p.FirstStart, p.Bounds.Grace, p.Bounds.CatchUp = false, slow, slow
 	var err error
 	if untilErr := Until(ctx, func() bool {
-		stage.Cores[p.Name], err = council.Start(p, events.Quiet())
+		stage.Cores[p.Name], err = council.Start(p, eventlog.Quiet())
 		return err == nil
 	}); untilErr != nil {
 		t.Fatal(err)
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -23,7 +23,7 @@
 	"github.com/zeebo/errs"
 
 	"tinpin/internal/council"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/passage"
 	"tinpin/internal/settings"
 )
@@ -198,7 +198,7 @@
 		p := common(fmt.Sprint("core-", i), i)
 		p.Control, p.Data = hosts(i)+":18166", filepath.Join(folder, p.Name)
 		stage.CoreProps = append(stage.CoreProps, p)
-		if stage.Cores[p.Name], err = council.Start(p, events.Quiet()); err != nil {
+		if stage.Cores[p.Name], err = council.Start(p, eventlog.Quiet()); err != nil {
 			return nil, err
 		}
 	}
@@ -221,7 +221,7 @@
 // AddEdge sets up one edge more.
 func (s *Stage) AddEdge() (err error) {
 	p := s.edge(len(s.EdgeProps) + 1)
-	edge, err := passage.Start(p, events.Quiet())
+	edge, err := passage.Start(p, eventlog.Quiet())
 	if err != nil {
 		return err
 	}
--- a/internal/strain/worker.go
+++ b/internal/strain/worker.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tinpin/internal/council"
-	"tinpin/internal/events"
+	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
 	"tinpin/internal/settings"
@@ -48,7 +48,7 @@
 	if err = task(lines, &p); err != nil {
 		return err
 	}
-	core, err := council.Start(p, events.Quiet())
+	core, err := council.Start(p, eventlog.Quiet())
 	if err != nil {
 		return err
 	}
