--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -14,8 +14,8 @@
 
 	crand "crypto/rand"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 	"tinpin/internal/settings"
 )
 
@@ -77,7 +77,7 @@
 	heardAt int
 
 	// Chronicle remembers what became of changes here.
-	Chronicle *chronicle.Chronicle
+	Chronicle *history.Chronicle
 
 	// OnChange is called after the state changed, OnRole when leadership came or went.
 	OnChange func()
@@ -108,7 +108,7 @@
 		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
 		book: map[ID]string{}, senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
 		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewMembership(p.MachineLosses, p.ZoneLosses, p.Bounds.CatchUp),
-		seeds: p.Seeds, Chronicle: chronicle.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
+		seeds: p.Seeds, Chronicle: history.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	inner := p.Inner("accord")
 	if id == "" {
@@ -279,16 +279,16 @@
 func (n *Node) noteOrders(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
 		if document.Rev > before {
-			n.Chronicle.Note(chronicle.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
+			n.Chronicle.Note(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
 		}
 	}
 	for id, retired := range n.state.Retired {
 		if retired.Rev > before {
-			n.Chronicle.Note(chronicle.Retirement, string(id), "applied", retired.Stamp(), retired.Rev, quiet)
+			n.Chronicle.Note(history.Retirement, string(id), "applied", retired.Stamp(), retired.Rev, quiet)
 		}
 	}
 	if move := n.state.Move; move.Rev > before {
-		n.Chronicle.Note(chronicle.Move, "day-plan", "applied", move.Stamp(), move.Rev, quiet)
+		n.Chronicle.Note(history.Move, "day-plan", "applied", move.Stamp(), move.Rev, quiet)
 	}
 }
 
@@ -309,11 +309,11 @@
 	if changed {
 		n.noteOrders(before, entry.Index <= n.loaded)
 		for _, item := range n.state.Canon.Since(before) {
-			n.Chronicle.Note(chronicle.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
+			n.Chronicle.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
 		}
 		for _, evacuation := range n.state.Evacuations {
 			if evacuation.Rev > before {
-				n.Chronicle.Note(chronicle.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
+				n.Chronicle.Note(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
 			}
 		}
 	}
--- a/internal/accord/wishes_test.go
+++ b/internal/accord/wishes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 )
 
 // wishing is a node without duties whose agreement is driven by the test; it
@@ -18,7 +18,7 @@
 	}
 	n = &Node{
 		log: eventlog.Quiet(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
-		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: chronicle.New(eventlog.Quiet()), OnChange: func() {}, OnRole: func(bool, Term) {},
+		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: history.New(eventlog.Quiet()), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	n.raft = NewRaft("a", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, base, nil)
 	for range 2 * electTicks {
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -10,11 +10,11 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
 	"tinpin/internal/herald"
+	"tinpin/internal/history"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
@@ -64,7 +64,7 @@
 		if heraldErr != nil {
 			return nil, heraldErr
 		}
-		node.Chronicle.OnMark = func(mark chronicle.Mark) {
+		node.Chronicle.OnMark = func(mark history.Mark) {
 			if mark.What != "acknowledged" && council.desk.Forum() != nil {
 				teller.Tell(mark)
 			}
@@ -132,18 +132,18 @@
 	// What cannot be read is refused whatever stands.
 	call, err := config.ReadCall(body)
 	if err != nil {
-		return c.refuse(chronicle.Item, &office.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
+		return c.refuse(history.Item, &office.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(chronicle.Item, refusedAs(apierror.BadConfig, result))
+		return c.refuse(history.Item, refusedAs(apierror.BadConfig, result))
 	}
 	c.log.Say(eventlog.ConfigTaken, "bytes", len(body))
 	for _, path := range call.Paths() {
-		c.node.Chronicle.Note(chronicle.Item, path, "acknowledged", "", 0, true)
+		c.node.Chronicle.Note(history.Item, path, "acknowledged", "", 0, true)
 	}
 	return nil
 }
@@ -198,9 +198,9 @@
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(chronicle.Evacuation, refusedAs(apierror.BadOrder, result))
+		return c.refuse(history.Evacuation, refusedAs(apierror.BadOrder, result))
 	}
 	c.log.Say(eventlog.EvacuationTaken, "site", site, "start", start)
-	c.node.Chronicle.Note(chronicle.Evacuation, site, "acknowledged", "", 0, true)
+	c.node.Chronicle.Note(history.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
 }
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -11,11 +11,11 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
+	"tinpin/internal/history"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
@@ -57,7 +57,7 @@
 		return err
 	}
 	if err = policy.CheckText(body); err != nil {
-		return c.refuse(chronicle.Document, refused(err))
+		return c.refuse(history.Document, refused(err))
 	}
 	look := func() (lookErr error) {
 		taken := false
@@ -82,13 +82,13 @@
 		if unproven := c.proven(open, nil); unproven != nil {
 			return unproven
 		}
-		return c.refuse(chronicle.Document, refused(err))
+		return c.refuse(history.Document, refused(err))
 	}
 	if check {
 		return c.proven(open, nil)
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandOrder, Site: string(kind), Body: body})
-	return c.ordered(chronicle.Document, string(kind), "set", result, err)
+	return c.ordered(history.Document, string(kind), "set", result, err)
 }
 
 func (c *Council) withdraw(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
@@ -99,7 +99,7 @@
 		return err
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandOrder, Site: string(kind), Upto: uint64(version)})
-	return c.ordered(chronicle.Document, string(kind), "withdrawn", result, err)
+	return c.ordered(history.Document, string(kind), "withdrawn", result, err)
 }
 
 func (c *Council) ordered(kind, name, what string, result accord.Result, err error) error {
@@ -165,7 +165,7 @@
 			return "", err
 		}
 		result, wishErr := c.wish(accord.Command{Kind: accord.CommandRestore, Site: string(id), Claim: accord.Claim{Key: named}})
-		return "restored", c.ordered(chronicle.Retirement, string(id), "restored", result, wishErr)
+		return "restored", c.ordered(history.Retirement, string(id), "restored", result, wishErr)
 	}
 	open, err := c.open(withOrder("/-/Backends.Retire/"+url.PathEscape(string(id)), named))
 	if err != nil {
@@ -200,14 +200,14 @@
 				return "", err
 			}
 			if phase, err = sent.answer(listed, refusal); err != nil {
-				c.log.Say(eventlog.OrderRefused, "kind", chronicle.Retirement, "name", string(id), "why", err.Error())
+				c.log.Say(eventlog.OrderRefused, "kind", history.Retirement, "name", string(id), "why", err.Error())
 			}
 			return phase, err
 		}
 	}
 	command.Body = []byte(service)
 	result, err := c.wish(command)
-	if err = c.ordered(chronicle.Retirement, string(id), "retired", result, err); err != nil {
+	if err = c.ordered(history.Retirement, string(id), "retired", result, err); err != nil {
 		return "", err
 	}
 	for _, account := range open.Retiring() {
--- a/internal/council/status.go
+++ b/internal/council/status.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/forum"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 )
@@ -66,30 +66,30 @@
 func (s *Status) Trace(ask parley.TraceAsk, reply *parley.TraceReply) (err error) {
 	c := s.council
 	reply.Name = c.props.Name
-	for _, told := range c.node.Chronicle.Tell(chronicle.Subject{Kind: ask.Kind, Name: ask.Name}) {
+	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
 		reply.Marks = append(reply.Marks, parley.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
 	switch ask.Kind {
-	case chronicle.Item:
+	case history.Item:
 		c.node.Read(func(state *accord.State) {
 			var item config.Item
 			item, reply.Has = state.Canon.Find(ask.Name)
 			reply.Stamp, reply.Rev = item.Stamp(), item.Rev
 		})
-	case chronicle.Document, chronicle.Retirement, chronicle.Move:
+	case history.Document, history.Retirement, history.Move:
 		s.council.node.Read(func(state *accord.State) {
 			switch ask.Kind {
-			case chronicle.Document:
+			case history.Document:
 				document, has := state.Documents[policy.Kind(ask.Name)]
 				reply.Stamp, reply.Rev, reply.Has = document.Stamp(), document.Rev, has
-			case chronicle.Retirement:
+			case history.Retirement:
 				retired, has := state.Retired[parley.ServerID(ask.Name)]
 				reply.Stamp, reply.Rev, reply.Has = retired.Stamp(), retired.Rev, has
 			default:
 				reply.Stamp, reply.Rev, reply.Has = state.Move.Stamp(), state.Move.Rev, state.Move.Rev > 0
 			}
 		})
-	case chronicle.Evacuation:
+	case history.Evacuation:
 		c.node.Read(func(state *accord.State) {
 			var evacuation accord.Evacuation
 			evacuation, reply.Has = state.Evacuations[ask.Name]
--- a/internal/forum/account.go
+++ b/internal/forum/account.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"sort"
 
-	"tinpin/internal/chronicle"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 )
@@ -76,7 +76,7 @@
 func (f *Forum) Stands(kind string, id parley.ServerID) (stamp string, has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if kind == chronicle.Backend {
+	if kind == history.Backend {
 		server, known := f.list.Servers.Get(id)
 		return server.Stamp(), known
 	}
--- a/internal/forum/forum.go
+++ b/internal/forum/forum.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/registry"
@@ -93,7 +93,7 @@
 	balance   *healthcheck.Balance
 	orders    orders
 	sessions  sessions
-	chronicle *chronicle.Chronicle
+	chronicle *history.Chronicle
 }
 
 // Open starts a leadership's forum.
@@ -295,7 +295,7 @@
 		if gone {
 			stamp = "gone"
 		}
-		f.chronicle.Note(chronicle.Backend, string(id), "listed", stamp, 0, first)
+		f.chronicle.Note(history.Backend, string(id), "listed", stamp, 0, first)
 	})
 	now := f.now()
 	for _, server := range fresh {
@@ -722,7 +722,7 @@
 	before := f.clock.Now()
 	taken, changed := f.cache.Report(f.now(), ask, absent)
 	f.cache.States.Since(before, func(id parley.ServerID, state parley.State, _ bool) {
-		f.chronicle.Note(chronicle.Health, string(id), "reported by "+string(ask.Fellow), state.Stamp(), uint64(f.clock.Now()), true)
+		f.chronicle.Note(history.Health, string(id), "reported by "+string(ask.Fellow), state.Stamp(), uint64(f.clock.Now()), true)
 	})
 	if changed {
 		f.stir()
--- a/internal/forum/forum_test.go
+++ b/internal/forum/forum_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/registry"
@@ -28,7 +28,7 @@
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
 		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
 		view: config.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
-		chronicle: chronicle.New(eventlog.Quiet()),
+		chronicle: history.New(eventlog.Quiet()),
 	}
 }
 
--- a/internal/forum/sessions.go
+++ b/internal/forum/sessions.go
@@ -11,8 +11,8 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/affinity"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 )
@@ -175,7 +175,7 @@
 			if answer.Result.Moved {
 				f.sessions.moved++
 				f.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
-				f.chronicle.Note(chronicle.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
+				f.chronicle.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 			}
 		}
 	}
--- a/internal/herald/herald.go
+++ b/internal/herald/herald.go
@@ -16,8 +16,8 @@
 
 	"github.com/zeebo/errs"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 )
 
 // Class marks failures of the herald.
@@ -33,7 +33,7 @@
 	client  cloudevents.Client
 	source  string
 	log     *eventlog.Log
-	ring    chan chronicle.Mark
+	ring    chan history.Mark
 	count   uint64
 	dropped atomic.Uint64
 }
@@ -48,13 +48,13 @@
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	herald = &Herald{client: client, source: "/tinpin/" + daemon, log: log, ring: make(chan chronicle.Mark, ringRoom)}
+	herald = &Herald{client: client, source: "/tinpin/" + daemon, log: log, ring: make(chan history.Mark, ringRoom)}
 	go herald.run()
 	return herald, nil
 }
 
 // Tell puts a change into the ring, or counts it as dropped.
-func (h *Herald) Tell(mark chronicle.Mark) {
+func (h *Herald) Tell(mark history.Mark) {
 	select {
 	case h.ring <- mark:
 	default:
@@ -66,7 +66,7 @@
 func (h *Herald) Dropped() uint64 { return h.dropped.Load() }
 
 // Event makes the event of a change.
-func (h *Herald) Event(mark chronicle.Mark) (event cloudevents.Event, err error) {
+func (h *Herald) Event(mark history.Mark) (event cloudevents.Event, err error) {
 	h.count++
 	event = cloudevents.NewEvent()
 	event.SetID(fmt.Sprintf("%d-%d", time.Now().UnixNano(), h.count))
--- a/internal/herald/herald_test.go
+++ b/internal/herald/herald_test.go
@@ -7,8 +7,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 )
 
 func TestChangesAreTold(t *testing.T) {
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	herald.Tell(chronicle.Mark{Subject: chronicle.Subject{Kind: chronicle.Item, Name: "routes/r1"}, What: "applied", Stamp: "7", Rev: 12})
+	herald.Tell(history.Mark{Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, What: "applied", Stamp: "7", Rev: 12})
 	request := <-got
 	for head, want := range map[string]string{"Ce-Type": "tinpin.item.applied", "Ce-Source": "/tinpin/core-1", "Ce-Subject": "routes/r1", "Ce-Specversion": "1.0"} {
 		if request.Header.Get(head) != want {
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for i := 0; i < 5*ringRoom; i++ {
-		herald.Tell(chronicle.Mark{Subject: chronicle.Subject{Kind: chronicle.Backend, Name: "b"}, What: "listed"})
+		herald.Tell(history.Mark{Subject: history.Subject{Kind: history.Backend, Name: "b"}, What: "listed"})
 	}
 	if dropped := herald.Dropped(); dropped < 4*ringRoom-2 {
 		t.Fatalf("only %d dropped: the ring is not bounded", dropped)
--- a/internal/chronicle/chronicle.go
+++ b/internal/history/chronicle.go
@@ -2,7 +2,7 @@
 // item of the configuration, an evacuation, a backend or its health here, and
 // how long ago on the daemon's steady clock. The tracer reads it from running
 // daemons; each mark is also logged, so that the same can be read from logs.
-package chronicle
+package history
 
 import (
 	"sync"
--- a/internal/lens/trace.go
+++ b/internal/lens/trace.go
@@ -16,9 +16,9 @@
 	"text/tabwriter"
 	"time"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/council"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // Known tells whether the tracer knows a kind of subject.
-func Known(kind string) bool { return slices.Contains(chronicle.Kinds, kind) }
+func Known(kind string) bool { return slices.Contains(history.Kinds, kind) }
 
 // Trace prints what became of a subject; good tells that every daemon has it
 // as the leader has.
@@ -78,11 +78,11 @@
 	for _, daemon := range names {
 		reply := replies[daemon]
 		core := slices.ContainsFunc(f.Cores, func(account council.CoreAccount) bool { return account.Name == daemon })
-		if daemon == leader.Name || core && (kind == chronicle.Backend || kind == chronicle.Health) {
+		if daemon == leader.Name || core && (kind == history.Backend || kind == history.Health) {
 			continue
 		}
 		same := reply.Has == right.Has && reply.Stamp == right.Stamp || reply.Rev > 0 && reply.Rev == right.Rev
-		if kind == chronicle.Health {
+		if kind == history.Health {
 			same = strings.HasPrefix(reply.Stamp, strings.Fields(right.Stamp + " ")[0])
 		}
 		if !same {
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
@@ -67,7 +67,7 @@
 }
 
 // take takes news that were asked for at a time.
-func (o *Orders) take(now, asked time.Duration, news *parley.News, memory *chronicle.Chronicle, quiet bool) {
+func (o *Orders) take(now, asked time.Duration, news *parley.News, memory *history.Chronicle, quiet bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.permit.Led(asked)
@@ -87,7 +87,7 @@
 			continue
 		}
 		o.kinds[document.Kind] = document
-		memory.Note(chronicle.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
+		memory.Note(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
 		if document.Kind == policy.DrainPolicy {
 			o.policy = nil
 			if document.InForce() {
@@ -113,13 +113,13 @@
 	o.follow(now, news.Retired, memory, quiet)
 	if move := news.Move; move != nil && move.Rev > o.move.Rev {
 		o.move = *move
-		memory.Note(chronicle.Move, string(policy.DayPlan), "applied", move.Stamp(), move.Rev, quiet)
+		memory.Note(history.Move, string(policy.DayPlan), "applied", move.Stamp(), move.Rev, quiet)
 		o.moves.Store(movesOf(*move))
 	}
 }
 
 // follow takes agreed orders to retire; the caller holds the lock.
-func (o *Orders) follow(now time.Duration, retired []parley.Retirement, memory *chronicle.Chronicle, quiet bool) {
+func (o *Orders) follow(now time.Duration, retired []parley.Retirement, memory *history.Chronicle, quiet bool) {
 	for _, order := range retired {
 		if order.Rev <= o.agreed[order.Server].Rev {
 			continue
@@ -127,7 +127,7 @@
 		o.agreed[order.Server] = order
 		o.permit.Take(now, order)
 		o.any.Store(true)
-		memory.Note(chronicle.Retirement, string(order.Server), "applied", order.Stamp(), order.Rev, quiet)
+		memory.Note(history.Retirement, string(order.Server), "applied", order.Stamp(), order.Rev, quiet)
 	}
 }
 
@@ -239,10 +239,10 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch kind {
-	case chronicle.Document:
+	case history.Document:
 		document, known := o.kinds[policy.Kind(name)]
 		return document.Stamp(), document.Rev, known
-	case chronicle.Retirement:
+	case history.Retirement:
 		retired, known := o.agreed[parley.ServerID(name)]
 		return retired.Stamp(), retired.Rev, known
 	}
--- a/internal/passage/probe.go
+++ b/internal/passage/probe.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 )
 
@@ -141,7 +141,7 @@
 			p.mu.Unlock()
 			server.note(d.clock.Now(), nil, &state)
 			d.log.Say(eventlog.AsideChanged, "backend", string(server.ID), "aside", aside)
-			d.world.Chronicle.Note(chronicle.Health, string(server.ID), "judged", state.Stamp(), 0, true)
+			d.world.Chronicle.Note(history.Health, string(server.ID), "judged", state.Stamp(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
 	}
@@ -269,7 +269,7 @@
 	}
 	server.note(d.clock.Now(), nil, &state)
 	if turned {
-		d.world.Chronicle.Note(chronicle.Health, string(server.ID), "probed", state.Stamp(), 0, true)
+		d.world.Chronicle.Note(history.Health, string(server.ID), "probed", state.Stamp(), 0, true)
 	}
 	if before.Health != state.Health {
 		if before.Health != parley.Unknown || state.Health == parley.Down {
--- a/internal/passage/status.go
+++ b/internal/passage/status.go
@@ -4,7 +4,7 @@
 import (
 	"encoding/json"
 
-	"tinpin/internal/chronicle"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/retry"
 )
@@ -52,7 +52,7 @@
 func (s *Status) Trace(ask parley.TraceAsk, reply *parley.TraceReply) (err error) {
 	w := s.daemon.world
 	reply.Name = s.daemon.props.Name
-	for _, told := range w.Chronicle.Tell(chronicle.Subject{Kind: ask.Kind, Name: ask.Name}) {
+	for _, told := range w.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
 		reply.Marks = append(reply.Marks, parley.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
 	reply.Stamp, reply.Rev, reply.Has = w.Stands(ask.Kind, ask.Name)
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/chronicle"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
+	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/retry"
@@ -55,7 +55,7 @@
 	log   *eventlog.Log
 	clock Clock
 	// Chronicle remembers what became of changes here.
-	Chronicle *chronicle.Chronicle
+	Chronicle *history.Chronicle
 	// Orders are the drain policy, the retired backends and the day's plan.
 	Orders *Orders
 
@@ -82,7 +82,7 @@
 // NewWorld knows nothing yet.
 func NewWorld(p settings.Props, log *eventlog.Log, clock Clock) (world *World) {
 	world = &World{
-		props: p, log: log, clock: clock, Chronicle: chronicle.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
+		props: p, log: log, clock: clock, Chronicle: history.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
 		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
 		watch: healthcheck.NewWatch(parley.FellowID(p.Name), p.SendInterval, clock.Now()),
 		judge: healthcheck.NewJudge(), shares: quota.NewShares(), habits: map[parley.ServiceName]*Habit{},
@@ -177,7 +177,7 @@
 	for _, evacuation := range news.Evacuations {
 		if old := w.evac[evacuation.Site]; old.Rev < evacuation.Rev {
 			w.evac[evacuation.Site] = evacuation
-			w.Chronicle.Note(chronicle.Evacuation, string(evacuation.Site), "applied", evacuation.Stamp(), evacuation.Rev, first)
+			w.Chronicle.Note(history.Evacuation, string(evacuation.Site), "applied", evacuation.Stamp(), evacuation.Rev, first)
 			back[evacuation.Site] = old.Active && !evacuation.Active
 		}
 	}
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, item := range news.Items {
-		w.Chronicle.Note(chronicle.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > loggedItems)
+		w.Chronicle.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > loggedItems)
 	}
 	if news.Rev > w.seen.Rev || news.Rev == w.seen.Rev && news.ItemAt > w.seen.ItemAt {
 		w.seen.Rev, w.seen.ItemAt = news.Rev, news.ItemAt
@@ -219,7 +219,7 @@
 	}
 	for _, state := range news.States {
 		if server := w.servers[state.Server]; server != nil && !state.Gone {
-			w.Chronicle.Note(chronicle.Health, string(state.Server), "heard", state.Stamp(), uint64(news.Epoch), true)
+			w.Chronicle.Note(history.Health, string(state.Server), "heard", state.Stamp(), uint64(news.Epoch), true)
 			server.note(now, nil, &state)
 		}
 	}
@@ -339,7 +339,7 @@
 		server := w.servers[change.ID]
 		if change.Gone {
 			if server != nil {
-				w.Chronicle.Note(chronicle.Backend, string(change.ID), "applied", "gone", 0, false)
+				w.Chronicle.Note(history.Backend, string(change.ID), "applied", "gone", 0, false)
 				server.sweep(now, true)
 				delete(w.servers, change.ID)
 			}
@@ -357,7 +357,7 @@
 		}
 		if stamp := change.Stamp(); server.told != stamp {
 			server.told = stamp
-			w.Chronicle.Note(chronicle.Backend, string(change.ID), "applied", stamp, 0, quiet)
+			w.Chronicle.Note(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
 		}
 		server.note(now, &change.Server, nil)
 	}
@@ -513,12 +513,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch kind {
-	case chronicle.Item:
+	case history.Item:
 		item, known := w.canon.Find(name)
 		return item.Stamp(), item.Rev, known
-	case chronicle.Document, chronicle.Retirement, chronicle.Move:
+	case history.Document, history.Retirement, history.Move:
 		return w.Orders.stands(kind, name)
-	case chronicle.Evacuation:
+	case history.Evacuation:
 		evacuation, known := w.evac[parley.SiteName(name)]
 		return evacuation.Stamp(), evacuation.Rev, known
 	}
@@ -528,7 +528,7 @@
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if kind == chronicle.Backend {
+	if kind == history.Backend {
 		return server.Server.Stamp(), 0, true
 	}
 	return parley.State{Health: server.health, Cold: max(0, server.coldTill-w.clock.Now())}.Stamp(), 0, true
