--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -13,8 +13,8 @@
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
-	"tinpin/internal/herald"
 	"tinpin/internal/history"
+	"tinpin/internal/notify"
 	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
@@ -60,7 +60,7 @@
 	}
 	if p.EventsTo != "" {
 		// Each change is told once, by the core that leads when it is applied.
-		teller, heraldErr := herald.New(p.EventsTo, p.Name, log)
+		teller, heraldErr := notify.New(p.EventsTo, p.Name, log)
 		if heraldErr != nil {
 			return nil, heraldErr
 		}
--- a/internal/herald/herald.go
+++ b/internal/notify/herald.go
@@ -2,7 +2,7 @@
 // CloudEvents library. It is off unless events_to is set. A bounded ring lies
 // between the daemon and the receiver: one that is slow or gone costs it the
 // events that do not fit, and never the daemon any time.
-package herald
+package notify
 
 import (
 	"context"
--- a/internal/herald/herald_test.go
+++ b/internal/notify/herald_test.go
@@ -1,4 +1,4 @@
-package herald
+package notify
 
 import (
 	"encoding/json"
