--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -14,8 +14,8 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
 	"tinpin/internal/history"
+	"tinpin/internal/httpapi"
 	"tinpin/internal/notify"
-	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
 )
@@ -73,7 +73,7 @@
 	if council.inner, err = parley.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &Status{council}}); err != nil {
 		return nil, err
 	}
-	if council.office, err = office.Serve(p.Control, office.Duties{
+	if council.office, err = httpapi.Serve(p.Control, httpapi.Duties{
 		Update: council.update, Describe: council.describe, Evacuate: council.evacuate,
 		Order: council.order, Withdraw: council.withdraw, Show: council.show, Retire: council.retire,
 	}); err != nil {
@@ -103,16 +103,16 @@
 		return nil
 	}
 	if leads || leader.Control == "" {
-		return &office.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
+		return &httpapi.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
-	return &office.Trouble{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
+	return &httpapi.Trouble{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
 }
 
 // proven gives a verdict that was made from the state of this core only where it
 // is proven that it still leads, and leaves the caller without a clear answer else.
 func (c *Council) proven(open *forum.Forum, verdict error) (err error) {
 	if !c.desk.Proven(open) {
-		return &office.Trouble{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
+		return &httpapi.Trouble{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
 	}
 	return verdict
 }
@@ -120,7 +120,7 @@
 func (c *Council) wish(command accord.Command) (result accord.Result, err error) {
 	answer := c.node.Wish(command, c.patience)
 	if !answer.Clear {
-		return result, &office.Trouble{Kind: apierror.Unclear}
+		return result, &httpapi.Trouble{Kind: apierror.Unclear}
 	}
 	return answer.Result, nil
 }
@@ -132,7 +132,7 @@
 	// What cannot be read is refused whatever stands.
 	call, err := config.ReadCall(body)
 	if err != nil {
-		return c.refuse(history.Item, &office.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
+		return c.refuse(history.Item, &httpapi.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
 	}
 	result, err := c.wish(accord.Command{Kind: accord.CommandConfig, Body: body})
 	if err != nil {
@@ -149,15 +149,15 @@
 }
 
 // refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind apierror.Kind, result accord.Result) (trouble *office.Trouble) {
+func refusedAs(kind apierror.Kind, result accord.Result) (trouble *httpapi.Trouble) {
 	if result.Conflict {
 		kind = apierror.VersionTaken
 	}
-	return &office.Trouble{Kind: kind, Text: result.Problem}
+	return &httpapi.Trouble{Kind: kind, Text: result.Problem}
 }
 
 // refuse logs what the caller is told.
-func (c *Council) refuse(subject string, trouble *office.Trouble) (err error) {
+func (c *Council) refuse(subject string, trouble *httpapi.Trouble) (err error) {
 	c.log.Say(eventlog.OrderRefused, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
 	return trouble
 }
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -16,7 +16,7 @@
 	"tinpin/internal/apierror"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
-	"tinpin/internal/office"
+	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
 	"tinpin/internal/settings"
 )
@@ -66,7 +66,7 @@
 }
 
 func kind(err error) (found apierror.Kind) {
-	var trouble *office.Trouble
+	var trouble *httpapi.Trouble
 	if errors.As(err, &trouble) {
 		return trouble.Kind
 	}
--- a/internal/council/orders.go
+++ b/internal/council/orders.go
@@ -16,17 +16,17 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/forum"
 	"tinpin/internal/history"
-	"tinpin/internal/office"
+	"tinpin/internal/httpapi"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/schedule"
 )
 
-func refused(err error) (trouble *office.Trouble) {
+func refused(err error) (trouble *httpapi.Trouble) {
 	if dedup.Conflict.Has(err) {
-		return &office.Trouble{Kind: apierror.VersionTaken, Text: err.Error()}
+		return &httpapi.Trouble{Kind: apierror.VersionTaken, Text: err.Error()}
 	}
-	return &office.Trouble{Kind: apierror.BadOrder, Text: err.Error()}
+	return &httpapi.Trouble{Kind: apierror.BadOrder, Text: err.Error()}
 }
 
 // barrier waits until all that this core put before the cores is applied. Only
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	if open = c.desk.Forum(); open == nil {
-		return nil, &office.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
+		return nil, &httpapi.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
 	return open, nil
 }
@@ -173,7 +173,7 @@
 	}
 	if !open.Walked() {
 		// A new leader has not read the list yet: that is no reason to refuse.
-		return "", &office.Trouble{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
+		return "", &httpapi.Trouble{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
 	}
 	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Claim: accord.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
@@ -233,7 +233,7 @@
 	case s.taken && !listed:
 		return string(drain.Left), nil
 	case s.taken:
-		return "", &office.Trouble{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
+		return "", &httpapi.Trouble{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
 	}
 	return "", refused(refusal)
 }
--- a/internal/council/orders_test.go
+++ b/internal/council/orders_test.go
@@ -11,7 +11,7 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
 	"tinpin/internal/drain"
-	"tinpin/internal/office"
+	"tinpin/internal/httpapi"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 )
@@ -21,7 +21,7 @@
 	if err == nil {
 		return 200
 	}
-	var trouble *office.Trouble
+	var trouble *httpapi.Trouble
 	if !errors.As(err, &trouble) {
 		t.Fatal(err)
 	}
--- a/internal/office/office.go
+++ b/internal/httpapi/office.go
@@ -2,7 +2,7 @@
 // the operator's calls, the directory and the readiness check. A daemon gives
 // the office those duties it has; calls for the others are answered as not
 // known here. Every failure goes through the one table of problems.
-package office
+package httpapi
 
 import (
 	"context"
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -15,8 +15,8 @@
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/httpapi"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/office"
 	"tinpin/internal/parley"
 	"tinpin/internal/schedule"
 	"tinpin/internal/settings"
@@ -72,7 +72,7 @@
 		if address == "" {
 			continue
 		}
-		server, serveErr := office.Serve(address, office.Duties{Ready: d.isReady, Resolve: d.resolve})
+		server, serveErr := httpapi.Serve(address, httpapi.Duties{Ready: d.isReady, Resolve: d.resolve})
 		if serveErr != nil {
 			return nil, serveErr
 		}
@@ -214,12 +214,12 @@
 // resolve tells a client where to go.
 func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
 	scene := d.world.Scene()
-	addresses = Directions(scene.Fellows, d.world.Absent(), scene.View.Homes(host), d.planned(scene, host), region, site, office.Caller(ctx))
+	addresses = Directions(scene.Fellows, d.world.Absent(), scene.View.Homes(host), d.planned(scene, host), region, site, httpapi.Caller(ctx))
 	if len(addresses) == 0 && d.isReady() {
 		addresses = []string{d.props.Front}
 	}
 	if len(addresses) == 0 {
-		return nil, 0, &office.Trouble{Kind: apierror.NotReady}
+		return nil, 0, &httpapi.Trouble{Kind: apierror.NotReady}
 	}
 	return addresses, min(directionsTTL, d.props.Bounds.TTLMax), nil
 }
