--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"tinpin/internal/clerk"
+	"tinpin/internal/adminclient"
 	"tinpin/internal/council"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/lens"
@@ -65,7 +65,7 @@
 		return wrong("no command")
 	}
 	word, rest := args[0], args[1:]
-	if verbs, orders := clerk.Verbs[word]; orders {
+	if verbs, orders := adminclient.Verbs[word]; orders {
 		return ordered(word, verbs, rest, out, bad, wrong)
 	}
 	if word == "-h" || word == "--help" || word == "-help" {
@@ -155,7 +155,7 @@
 		}
 		controls = p.Seeds
 	}
-	desk := &clerk.Clerk{Controls: controls, Wait: *wait, Order: *name}
+	desk := &adminclient.Clerk{Controls: controls, Wait: *wait, Order: *name}
 	good, err := desk.Carry(context.Background(), out, word, verb, set.Args())
 	if err != nil {
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
--- a/internal/clerk/clerk.go
+++ b/internal/adminclient/clerk.go
@@ -2,7 +2,7 @@
 // each control address in turn, follows the way to the leader, and tells what
 // was answered. Every call it makes may be made again: the same order twice
 // changes nothing.
-package clerk
+package adminclient
 
 import (
 	"bytes"
--- a/internal/clerk/clerk_test.go
+++ b/internal/adminclient/clerk_test.go
@@ -1,6 +1,6 @@
 // What the operator reads of a refusal, of an order that was taken under the same
 // version, and of no clear answer.
-package clerk
+package adminclient
 
 import (
 	"bytes"
--- a/internal/stage/orders_test.go
+++ b/internal/stage/orders_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/clerk"
+	"tinpin/internal/adminclient"
 	"tinpin/internal/lens"
 )
 
@@ -41,7 +41,7 @@
 	if err = stage.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	desk := &clerk.Clerk{Wait: 30 * time.Second}
+	desk := &adminclient.Clerk{Wait: 30 * time.Second}
 	for _, p := range stage.CoreProps {
 		desk.Controls = append(desk.Controls, p.Control)
 	}
--- a/internal/stage/sessions_test.go
+++ b/internal/stage/sessions_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/clerk"
+	"tinpin/internal/adminclient"
 	"tinpin/internal/lens"
 )
 
@@ -29,7 +29,7 @@
 	if err = stage.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	desk := &clerk.Clerk{}
+	desk := &adminclient.Clerk{}
 	for _, p := range stage.CoreProps {
 		desk.Controls = append(desk.Controls, p.Control)
 	}
