--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -16,8 +16,8 @@
 
 	"tinpin/internal/adminclient"
 	"tinpin/internal/council"
+	"tinpin/internal/diagnostics"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/lens"
 	"tinpin/internal/passage"
 	"tinpin/internal/settings"
 )
@@ -110,7 +110,7 @@
 		_, _ = fmt.Fprintln(out, "settings are good")
 		return 0
 	case "status", "trace":
-		if word == "trace" && !lens.Known(words[0]) {
+		if word == "trace" && !diagnostics.Known(words[0]) {
 			return wrong("trace: unknown kind %q", words[0])
 		}
 		good, err := look(word, words, *at, *logs, *asJSON, out)
@@ -169,7 +169,7 @@
 // look carries out one of the operator's tools.
 func look(word string, words []string, at, logs string, asJSON bool, out io.Writer) (good bool, err error) {
 	if logs != "" {
-		return true, lens.TraceLogs(out, strings.Split(logs, ","), words[0], words[1])
+		return true, diagnostics.TraceLogs(out, strings.Split(logs, ","), words[0], words[1])
 	}
 	starts := strings.Split(at, ",")
 	if at == "" {
@@ -182,7 +182,7 @@
 			starts = append(starts, p.Accord(seed))
 		}
 	}
-	fleet, err := lens.Look(starts)
+	fleet, err := diagnostics.Look(starts)
 	if err != nil {
 		return false, err
 	}
--- a/internal/lens/lens.go
+++ b/internal/diagnostics/lens.go
@@ -2,7 +2,7 @@
 // daemons how they stand and what became of a change, and says plainly which
 // of them cannot be reached or lack it. It needs the inner address of one
 // accord daemon; the others it learns from there.
-package lens
+package diagnostics
 
 import (
 	"encoding/json"
--- a/internal/lens/trace.go
+++ b/internal/diagnostics/trace.go
@@ -2,7 +2,7 @@
 // applied, listed, probed or heard at each, by the ages that the daemons tell
 // on their own steady clocks, so that no two clocks are compared. From logs it
 // has only the written time of day, and says so.
-package lens
+package diagnostics
 
 import (
 	"bufio"
--- a/internal/stage/members_test.go
+++ b/internal/stage/members_test.go
@@ -8,14 +8,14 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/council"
+	"tinpin/internal/diagnostics"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/lens"
 )
 
 // membersOf gives the members as the leader has them, by inner address.
 func membersOf(stage *Stage) (members map[string]accord.Member, voters int) {
 	members = map[string]accord.Member{}
-	fleet, err := lens.Look(stage.Inner())
+	fleet, err := diagnostics.Look(stage.Inner())
 	if err != nil || fleet.Leader() == nil {
 		return members, 0
 	}
@@ -78,7 +78,7 @@
 		}
 		startCore(ctx, t, stage, n)
 		if err = Until(ctx, func() bool {
-			fleet, lookErr := lens.Look(stage.Inner())
+			fleet, lookErr := diagnostics.Look(stage.Inner())
 			return lookErr == nil && fleet.Leader() != nil && len(fleet.Cores) == 3
 		}); err != nil {
 			t.Fatal(err)
--- a/internal/stage/orders_test.go
+++ b/internal/stage/orders_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"tinpin/internal/adminclient"
-	"tinpin/internal/lens"
+	"tinpin/internal/diagnostics"
 )
 
 func paper(t *testing.T, body string) (path string) {
@@ -98,8 +98,8 @@
 	if err = Until(ctx, func() bool { return retired.Runs.Load() > 5 }); err != nil {
 		t.Fatal("nothing reaches the backend")
 	}
-	var fleet *lens.Fleet
-	if fleet, err = lens.Look(stage.Inner()); err != nil {
+	var fleet *diagnostics.Fleet
+	if fleet, err = diagnostics.Look(stage.Inner()); err != nil {
 		t.Fatal(err)
 	}
 	leader := fleet.Leader().Name
@@ -143,7 +143,7 @@
 	if said, showErr := carry("drain", "show"); showErr != nil || !strings.Contains(said, "i-3") || !strings.Contains(said, "version 3") {
 		t.Fatal(said, showErr)
 	}
-	if fleet, err = lens.Look(stage.Inner()); err != nil {
+	if fleet, err = diagnostics.Look(stage.Inner()); err != nil {
 		t.Fatal(err)
 	}
 	out.Reset()
--- a/internal/stage/sessions_test.go
+++ b/internal/stage/sessions_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tinpin/internal/adminclient"
-	"tinpin/internal/lens"
+	"tinpin/internal/diagnostics"
 )
 
 // set has a whole system and the operator's desk ready for a test.
@@ -126,7 +126,7 @@
 	}
 	press.use(stage.EdgeProps[0].Front, stage.EdgeProps[1].Front, stage.EdgeProps[2].Front)
 	more(60)
-	fleet, err := lens.Look(stage.Inner())
+	fleet, err := diagnostics.Look(stage.Inner())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 // follows tells that every daemon has the document that the leader has.
 func follows(t *testing.T, stage *Stage, document string) (all bool) {
 	t.Helper()
-	fleet, err := lens.Look(stage.Inner())
+	fleet, err := diagnostics.Look(stage.Inner())
 	if err != nil {
 		return false
 	}
--- a/internal/stage/stage_test.go
+++ b/internal/stage/stage_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/lens"
+	"tinpin/internal/diagnostics"
 )
 
 // The whole system on loopback: founding, configuration, requests, keys,
@@ -57,9 +57,9 @@
 	}
 
 	var out bytes.Buffer
-	var fleet *lens.Fleet
+	var fleet *diagnostics.Fleet
 	look := func() {
-		if fleet, err = lens.Look(stage.Inner()); err != nil {
+		if fleet, err = diagnostics.Look(stage.Inner()); err != nil {
 			t.Fatal(err)
 		}
 		out.Reset()
@@ -120,7 +120,7 @@
 	if err = stage.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := lens.Look(stage.Inner())
+	fleet, err := diagnostics.Look(stage.Inner())
 	if err != nil || fleet.Leader() == nil {
 		t.Fatal("no leader", err)
 	}
