--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tinpin/internal/adminclient"
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/diagnostics"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/passage"
@@ -212,7 +212,7 @@
 	if role == "passage" {
 		running, err = passage.Start(p, log)
 	} else {
-		running, err = council.Start(p, log)
+		running, err = controller.Start(p, log)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
--- a/internal/adminclient/clerk.go
+++ b/internal/adminclient/clerk.go
@@ -21,7 +21,7 @@
 
 	"github.com/zeebo/errs"
 
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/drain"
 	"tinpin/internal/policy"
 )
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *Clerk) show(ctx context.Context, kind policy.Kind) (shown council.Shown, err error) {
+func (c *Clerk) show(ctx context.Context, kind policy.Kind) (shown controller.Shown, err error) {
 	answer, err := c.call(ctx, http.MethodGet, "/-/Orders.Show/"+string(kind), nil)
 	if err != nil {
 		return shown, err
@@ -210,7 +210,7 @@
 	return nil, Class.New("%d %s", response.StatusCode, told.Text)
 }
 
-func print(out io.Writer, shown council.Shown) (err error) {
+func print(out io.Writer, shown controller.Shown) (err error) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	state := "in force"
 	if !shown.InForce {
--- a/internal/council/council.go
+++ b/internal/controller/council.go
@@ -1,6 +1,6 @@
 // Package council is the accord role: one core with its disk, the desk for
 // fellows, the forum while it leads, and the operator's interface.
-package council
+package controller
 
 import (
 	"context"
--- a/internal/council/council_test.go
+++ b/internal/controller/council_test.go
@@ -1,4 +1,4 @@
-package council
+package controller
 
 import (
 	"context"
--- a/internal/council/orders.go
+++ b/internal/controller/orders.go
@@ -1,7 +1,7 @@
 // Orders is the operator's side of the drain policy, of retiring and of the
 // day's plan. A call is looked over by the leader, which knows the list and
 // the regions, and again where it is applied, on the state it meets there.
-package council
+package controller
 
 import (
 	"context"
--- a/internal/council/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -1,6 +1,6 @@
 // What an operator is told of an order that is sent again, or whose number is
 // another's.
-package council
+package controller
 
 import (
 	"context"
--- a/internal/council/status.go
+++ b/internal/controller/status.go
@@ -1,5 +1,5 @@
 // Status is an accord daemon's account of itself for operators' tools.
-package council
+package controller
 
 import (
 	"encoding/json"
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -16,7 +16,7 @@
 
 	"github.com/zeebo/errs"
 
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
 )
@@ -28,9 +28,9 @@
 
 // Fleet is what the daemons told.
 type Fleet struct {
-	Cores       []council.CoreAccount `json:"cores"`
-	Fellows     []passage.Account     `json:"passages"`
-	Unreachable []string              `json:"unreachable"`
+	Cores       []controller.CoreAccount `json:"cores"`
+	Fellows     []passage.Account        `json:"passages"`
+	Unreachable []string                 `json:"unreachable"`
 	inners      map[string]string
 }
 
@@ -64,7 +64,7 @@
 			asked[address] = true
 		}
 		each(wave, "Status.Tell", parley.StatusAsk{}, func(address string, reply parley.StatusReply, callErr error) {
-			var account council.CoreAccount
+			var account controller.CoreAccount
 			if callErr == nil {
 				callErr = json.Unmarshal(reply.JSON, &account)
 			}
@@ -115,7 +115,7 @@
 }
 
 // Leader is the core that leads in the highest term.
-func (f *Fleet) Leader() (leader *council.CoreAccount) {
+func (f *Fleet) Leader() (leader *controller.CoreAccount) {
 	for i := range f.Cores {
 		if core := &f.Cores[i]; core.Leads && core.Settled && (leader == nil || core.Term > leader.Term) {
 			leader = core
--- a/internal/stage/members_test.go
+++ b/internal/stage/members_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/diagnostics"
 	"tinpin/internal/eventlog"
 )
@@ -39,7 +39,7 @@
 	p.FirstStart, p.Bounds.Grace, p.Bounds.CatchUp = false, slow, slow
 	var err error
 	if untilErr := Until(ctx, func() bool {
-		stage.Cores[p.Name], err = council.Start(p, eventlog.Quiet())
+		stage.Cores[p.Name], err = controller.Start(p, eventlog.Quiet())
 		return err == nil
 	}); untilErr != nil {
 		t.Fatal(err)
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -22,7 +22,7 @@
 
 	"github.com/zeebo/errs"
 
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/passage"
 	"tinpin/internal/settings"
@@ -109,7 +109,7 @@
 
 // Stage is a running system.
 type Stage struct {
-	Cores     map[string]*council.Council
+	Cores     map[string]*controller.Council
 	Edges     map[string]*passage.Daemon
 	Backends  []*Backend
 	CoreProps []settings.Props
@@ -175,7 +175,7 @@
 }
 
 func start(folder string, hosts func(n int) string, backends []*Backend, directory bool) (stage *Stage, err error) {
-	stage = &Stage{Cores: map[string]*council.Council{}, Edges: map[string]*passage.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
+	stage = &Stage{Cores: map[string]*controller.Council{}, Edges: map[string]*passage.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
 	platform := hosts(30) + ":18169"
 	if stage.platform, err = serve(platform, http.HandlerFunc(stage.list)); err != nil {
 		return nil, err
@@ -198,7 +198,7 @@
 		p := common(fmt.Sprint("core-", i), i)
 		p.Control, p.Data = hosts(i)+":18166", filepath.Join(folder, p.Name)
 		stage.CoreProps = append(stage.CoreProps, p)
-		if stage.Cores[p.Name], err = council.Start(p, eventlog.Quiet()); err != nil {
+		if stage.Cores[p.Name], err = controller.Start(p, eventlog.Quiet()); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/strain/system.go
+++ b/internal/strain/system.go
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/parley"
 	"tinpin/internal/settings"
 )
@@ -297,7 +297,7 @@
 }
 
 // leader asks the cores how they stand and gives the one that leads.
-func (s *system) leader() (at int, account council.CoreAccount, err error) {
+func (s *system) leader() (at int, account controller.CoreAccount, err error) {
 	for i, p := range s.props {
 		caller := parley.NewCaller(p.Inner("accord"))
 		var reply parley.StatusReply
@@ -306,7 +306,7 @@
 		if callErr != nil {
 			continue
 		}
-		var told council.CoreAccount
+		var told controller.CoreAccount
 		if json.Unmarshal(reply.JSON, &told) == nil && told.Leads && told.Settled {
 			return i, told, nil
 		}
--- a/internal/strain/worker.go
+++ b/internal/strain/worker.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/council"
+	"tinpin/internal/controller"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/parley"
 	"tinpin/internal/passage"
@@ -48,7 +48,7 @@
 	if err = task(lines, &p); err != nil {
 		return err
 	}
-	core, err := council.Start(p, eventlog.Quiet())
+	core, err := controller.Start(p, eventlog.Quiet())
 	if err != nil {
 		return err
 	}
