--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -11,8 +11,8 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/coordinator"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/forum"
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/notify"
@@ -29,7 +29,7 @@
 	props settings.Props
 	log   *eventlog.Log
 	node  *accord.Node
-	desk  *forum.Desk
+	desk  *coordinator.Desk
 	// patience is how long a call waits for its outcome.
 	patience time.Duration
 
@@ -43,11 +43,11 @@
 	if err != nil {
 		return nil, err
 	}
-	council = &Council{props: p, log: log, node: node, patience: patience, desk: forum.NewDesk(node, node)}
+	council = &Council{props: p, log: log, node: node, patience: patience, desk: coordinator.NewDesk(node, node)}
 	node.OnRole = func(leads bool, term accord.Term) {
-		var opened *forum.Forum
+		var opened *coordinator.Forum
 		if leads {
-			opened = forum.Open(p, log, node, term)
+			opened = coordinator.Open(p, log, node, term)
 		}
 		if old := council.desk.Use(opened); old != nil {
 			old.Close()
@@ -110,7 +110,7 @@
 
 // proven gives a verdict that was made from the state of this core only where it
 // is proven that it still leads, and leaves the caller without a clear answer else.
-func (c *Council) proven(open *forum.Forum, verdict error) (err error) {
+func (c *Council) proven(open *coordinator.Forum, verdict error) (err error) {
 	if !c.desk.Proven(open) {
 		return &httpapi.Trouble{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
 	}
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -14,8 +14,8 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
+	"tinpin/internal/coordinator"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/forum"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
 	"tinpin/internal/settings"
@@ -42,13 +42,13 @@
 	}
 	contact = &scripted{}
 	// What is asked here has an outcome, however slow this machine is.
-	c = &Council{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: forum.NewDesk(node, contact)}
+	c = &Council{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewDesk(node, contact)}
 	led := make(chan bool, 1)
 	node.OnRole = func(leads bool, term accord.Term) {
 		if !leads {
 			return
 		}
-		c.desk.Use(forum.Open(p, eventlog.Quiet(), node, term))
+		c.desk.Use(coordinator.Open(p, eventlog.Quiet(), node, term))
 		led <- true
 	}
 	node.Run()
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -11,10 +11,10 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
+	"tinpin/internal/coordinator"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/forum"
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/parley"
@@ -37,7 +37,7 @@
 }
 
 // open gives the forum of this core if it leads.
-func (c *Council) open(path string) (open *forum.Forum, err error) {
+func (c *Council) open(path string) (open *coordinator.Forum, err error) {
 	if err = c.elsewhere(path); err != nil {
 		return nil, err
 	}
@@ -116,15 +116,15 @@
 
 // Shown is what reading an order back gives.
 type Shown struct {
-	Kind     policy.Kind            `json:"kind"`
-	Version  policy.Version         `json:"version"`
-	InForce  bool                   `json:"in_force"`
-	Document json.RawMessage        `json:"document,omitempty"`
-	Retiring []drain.Account        `json:"retiring,omitempty"`
-	Moving   []schedule.Account     `json:"moving,omitempty"`
-	Step     uint64                 `json:"step,omitempty"`
-	Sessions *forum.SessionsAccount `json:"sessions,omitempty"`
-	Retrying []forum.RetryAccount   `json:"retrying,omitempty"`
+	Kind     policy.Kind                  `json:"kind"`
+	Version  policy.Version               `json:"version"`
+	InForce  bool                         `json:"in_force"`
+	Document json.RawMessage              `json:"document,omitempty"`
+	Retiring []drain.Account              `json:"retiring,omitempty"`
+	Moving   []schedule.Account           `json:"moving,omitempty"`
+	Step     uint64                       `json:"step,omitempty"`
+	Sessions *coordinator.SessionsAccount `json:"sessions,omitempty"`
+	Retrying []coordinator.RetryAccount   `json:"retrying,omitempty"`
 }
 
 func (c *Council) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,7 +6,7 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/config"
-	"tinpin/internal/forum"
+	"tinpin/internal/coordinator"
 	"tinpin/internal/history"
 	"tinpin/internal/parley"
 	"tinpin/internal/policy"
@@ -35,9 +35,9 @@
 	Overtaken int    `json:"overtaken_remembered"`
 	Forgotten uint64 `json:"orders_forgotten"`
 	// BytesIn and BytesOut are those of inner calls since it started.
-	BytesIn  int64          `json:"bytes_in"`
-	BytesOut int64          `json:"bytes_out"`
-	Forum    *forum.Account `json:"forum,omitempty"`
+	BytesIn  int64                `json:"bytes_in"`
+	BytesOut int64                `json:"bytes_out"`
+	Forum    *coordinator.Account `json:"forum,omitempty"`
 }
 
 // Tell gives the account.
--- a/internal/forum/account.go
+++ b/internal/coordinator/account.go
@@ -1,6 +1,6 @@
 // Account is what the leader tells operators: the fellows, the shard map with
 // the owner of each service, and what is lent of each bound.
-package forum
+package coordinator
 
 import (
 	"fmt"
--- a/internal/forum/check.go
+++ b/internal/coordinator/check.go
@@ -1,7 +1,7 @@
 // Check looks over what fellows bring before any of it is taken. A call with a
 // number that cannot be, a name that is too long, or findings of another map or
 // service is refused whole: it changes nothing, and is logged.
-package forum
+package coordinator
 
 import (
 	"fmt"
--- a/internal/forum/desk.go
+++ b/internal/coordinator/desk.go
@@ -1,7 +1,7 @@
 // Desk takes the inner calls of fellows on any core. A core that does not lead
 // says who does, and one that leads answers only what its contact with a majority
 // proves when the answer is made.
-package forum
+package coordinator
 
 import (
 	"sync/atomic"
--- a/internal/forum/forum.go
+++ b/internal/coordinator/forum.go
@@ -3,7 +3,7 @@
 // state cache and the book of leases, which are all state machines; the forum
 // gives them time and holds beats open until there is something to tell. It
 // lives as long as one leadership; a new leader opens a new one.
-package forum
+package coordinator
 
 import (
 	"slices"
--- a/internal/forum/map_test.go
+++ b/internal/coordinator/map_test.go
@@ -1,4 +1,4 @@
-package forum
+package coordinator
 
 import (
 	"fmt"
--- a/internal/forum/orders.go
+++ b/internal/coordinator/orders.go
@@ -3,7 +3,7 @@
 // the epochs that they ask for, one call at a time, and keeps the accounts for
 // operators. What is agreed reaches the fellows with the news, and their next
 // beats are the proof that they follow it.
-package forum
+package coordinator
 
 import (
 	"encoding/json"
--- a/internal/forum/retries.go
+++ b/internal/coordinator/retries.go
@@ -1,7 +1,7 @@
 // Retries is what the leader tells operators of the written limit on retries:
 // the rule of each service, what is lent of its least rate, and whether every
 // node keeps it yet.
-package forum
+package coordinator
 
 import (
 	"sort"
--- a/internal/forum/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -2,7 +2,7 @@
 // session that is on the desk is answered from what is agreed; any other goes
 // through the log. A backend that has ended, leaves, or lies in an evacuated
 // site is the one reason for which a session is bound anew, and it is told.
-package forum
+package coordinator
 
 import (
 	"fmt"
