--- a/internal/accord/binding.go
+++ b/internal/accord/binding.go
@@ -9,19 +9,19 @@
 	"time"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Binding of one session.
 type Binding struct {
-	Service parley.ServiceName
-	Server  parley.ServerID
+	Service rpc.ServiceName
+	Server  rpc.ServerID
 	Idle    time.Duration
 	Seq     uint64
 }
 
 // BindCommand is the command of an ask.
-func BindCommand(bind parley.Bind) (command Command) {
+func BindCommand(bind rpc.Bind) (command Command) {
 	return Command{
 		Kind: CommandBind, Site: string(bind.Service), Upto: uint64(bind.Idle),
 		Claim: Claim{Key: string(bind.Session), Request: string(bind.Server), Holder: string(bind.From)},
@@ -29,14 +29,14 @@
 }
 
 // Binding looks a session up.
-func (s *State) Binding(session parley.SessionID) (binding Binding, bound bool) {
+func (s *State) Binding(session rpc.SessionID) (binding Binding, bound bool) {
 	binding, bound = s.bindings[session]
 	return binding, bound
 }
 
 // EachBinding visits all, the one that was asked for first in the log first.
-func (s *State) EachBinding(visit func(session parley.SessionID, binding Binding)) {
-	sessions := make([]parley.SessionID, 0, len(s.bindings))
+func (s *State) EachBinding(visit func(session rpc.SessionID, binding Binding)) {
+	sessions := make([]rpc.SessionID, 0, len(s.bindings))
 	for session := range s.bindings {
 		sessions = append(sessions, session)
 	}
@@ -48,17 +48,17 @@
 
 // bind carries a CommandBind out.
 func (s *State) bind(command Command) (result Result) {
-	session, from := parley.SessionID(command.Key), parley.ServerID(command.Holder)
+	session, from := rpc.SessionID(command.Key), rpc.ServerID(command.Holder)
 	standing, bound := s.bindings[session]
 	switch {
 	case bound && from != "" && from == standing.Server:
-		standing.Server = parley.ServerID(command.Request)
+		standing.Server = rpc.ServerID(command.Request)
 		result.Moved = from != standing.Server
 	case bound:
 	case len(s.bindings) >= affinity.SessionsMost:
 		return Result{Problem: "there are too many sessions"}
 	default:
-		standing = Binding{Service: parley.ServiceName(command.Site), Server: parley.ServerID(command.Request)}
+		standing = Binding{Service: rpc.ServiceName(command.Site), Server: rpc.ServerID(command.Request)}
 	}
 	s.seq++
 	standing.Seq, standing.Idle = s.seq, time.Duration(command.Upto)
@@ -69,7 +69,7 @@
 
 // unbind carries a CommandUnbind out.
 func (s *State) unbind(command Command) {
-	session := parley.SessionID(command.Key)
+	session := rpc.SessionID(command.Key)
 	if standing, bound := s.bindings[session]; bound && standing.Seq == command.Upto {
 		delete(s.bindings, session)
 	}
--- a/internal/accord/courier.go
+++ b/internal/accord/courier.go
@@ -5,7 +5,7 @@
 
 import (
 	"time"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Batch is what one core sends another.
@@ -28,7 +28,7 @@
 // sender carries messages to one core.
 type sender struct {
 	ring   chan Message
-	caller *parley.Caller
+	caller *rpc.Caller
 }
 
 const (
@@ -51,7 +51,7 @@
 		if s != nil {
 			close(s.ring)
 		}
-		s = &sender{ring: make(chan Message, 512), caller: parley.NewCaller(inner)}
+		s = &sender{ring: make(chan Message, 512), caller: rpc.NewCaller(inner)}
 		n.senders[way] = s
 		s.caller.DialWait = courierDial
 		go n.courier(s)
--- a/internal/accord/cutoff_test.go
+++ b/internal/accord/cutoff_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tinpin/internal/eventlog"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -61,7 +61,7 @@
 			}
 			won <- winner{node, term}
 		}
-		served, err := parley.Serve(node.self.Inner, map[string]any{"Accord": &parted{node.Desk(), off}})
+		served, err := rpc.Serve(node.self.Inner, map[string]any{"Accord": &parted{node.Desk(), off}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/accord/house.go
+++ b/internal/accord/house.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tinpin/internal/eventlog"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -177,7 +177,7 @@
 }
 
 func (n *Node) askOneToJoin(target string) {
-	caller := parley.NewCaller(target)
+	caller := rpc.NewCaller(target)
 	defer caller.Close()
 	var reply JoinReply
 	if err := caller.Call("Accord.Join", JoinAsk{n.self}, &reply, 300*time.Millisecond); err != nil {
--- a/internal/accord/leave.go
+++ b/internal/accord/leave.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Parting is what a leader says to a core that leaves.
@@ -173,7 +173,7 @@
 		}
 		asked++
 		go func() {
-			caller := parley.NewCaller(member.Inner)
+			caller := rpc.NewCaller(member.Inner)
 			defer caller.Close()
 			var reply LeaveReply
 			err := caller.Call("Accord.Leave", LeaveAsk{n.self.ID}, &reply, leaveWait)
--- a/internal/accord/orders.go
+++ b/internal/accord/orders.go
@@ -10,9 +10,9 @@
 	"tinpin/internal/config"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -27,7 +27,7 @@
 	return dedup.Number{Kind: "document", Name: string(kind), Version: uint64(version)}
 }
 
-func retireNumber(id parley.ServerID) (number dedup.Number) {
+func retireNumber(id rpc.ServerID) (number dedup.Number) {
 	return dedup.Number{Kind: "retire", Name: string(id)}
 }
 
@@ -109,7 +109,7 @@
 		if readErr != nil {
 			return document, readErr
 		}
-		document.Version, err = plan.Version, plan.Check(known, func(parley.RegionName) bool { return true })
+		document.Version, err = plan.Version, plan.Check(known, func(rpc.RegionName) bool { return true })
 	case policy.SessionAffinity:
 		parsed, readErr := affinity.Read(body)
 		if readErr != nil {
@@ -148,7 +148,7 @@
 
 // RetireTaken tells whether an order to retire a backend stands, and whether one
 // was ever taken from an operator.
-func (s *State) RetireTaken(id parley.ServerID) (stands, taken bool) {
+func (s *State) RetireTaken(id rpc.ServerID) (stands, taken bool) {
 	standing, known := s.Retired[id]
 	_, taken = s.Orders.Content(retireNumber(id))
 	return known && !standing.Gone, taken
@@ -158,7 +158,7 @@
 const takenBackMost = 512
 
 func (s *State) retire(rev uint64, command Command) {
-	id := parley.ServerID(command.Site)
+	id := rpc.ServerID(command.Site)
 	if command.Kind == CommandRetire && command.Holder == drain.ByOperator {
 		s.Orders.Note(retireNumber(id), dedup.Digest{})
 	}
@@ -166,7 +166,7 @@
 	known = known && !standing.Gone
 	switch {
 	case command.Kind == CommandRetire && !known:
-		standing = parley.Retirement{Server: id, Service: parley.ServiceName(command.Body), By: command.Holder, Announced: rev}
+		standing = rpc.Retirement{Server: id, Service: rpc.ServiceName(command.Body), By: command.Holder, Announced: rev}
 	case command.Kind == CommandStop && known && standing.Stopped == 0:
 		standing.Stopped = rev
 	case command.Kind == CommandRestore && known:
@@ -176,7 +176,7 @@
 	}
 	standing.Rev = rev
 	s.Retired[id], s.Rev = standing, rev
-	var goneID parley.ServerID
+	var goneID rpc.ServerID
 	gone := 0
 	for other, retired := range s.Retired {
 		if retired.Gone {
--- a/internal/accord/orders_test.go
+++ b/internal/accord/orders_test.go
@@ -16,8 +16,8 @@
 	"tinpin/internal/config"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
@@ -96,7 +96,7 @@
 
 func TestARetirementTakenIsRemembered(t *testing.T) {
 	state := NewState()
-	id := parley.ServerID("i-1")
+	id := rpc.ServerID("i-1")
 	at := func(kind CommandKind, by string) Command {
 		return Command{Kind: kind, Site: string(id), Body: []byte("pay"), Claim: Claim{Holder: by}}
 	}
--- a/internal/accord/state.go
+++ b/internal/accord/state.go
@@ -14,8 +14,8 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/dedup"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -103,10 +103,10 @@
 	Canon       *config.Canon
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
-	Retired     map[parley.ServerID]parley.Retirement
-	Move        parley.Move
+	Retired     map[rpc.ServerID]rpc.Retirement
+	Move        rpc.Move
 	Orders      *dedup.Record
-	bindings    map[parley.SessionID]Binding
+	bindings    map[rpc.SessionID]Binding
 	claims      map[string]*heldClaim
 	order       []*heldClaim
 	seq         uint64
@@ -115,7 +115,7 @@
 
 // NewState is empty.
 func NewState() (state *State) {
-	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retired: map[parley.ServerID]parley.Retirement{}, Orders: dedup.New(ordersMost), bindings: map[parley.SessionID]Binding{}, claims: map[string]*heldClaim{}}
+	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retired: map[rpc.ServerID]rpc.Retirement{}, Orders: dedup.New(ordersMost), bindings: map[rpc.SessionID]Binding{}, claims: map[string]*heldClaim{}}
 }
 
 // Claims counts the keys held.
@@ -187,7 +187,7 @@
 	case CommandRetire, CommandStop, CommandRestore:
 		s.retire(rev, command)
 	case CommandMove:
-		var next parley.Move
+		var next rpc.Move
 		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].InForce() {
 			return Result{Problem: "the step does not follow what is agreed"}
 		}
@@ -212,9 +212,9 @@
 	Canon       []config.Item
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
-	Retired     map[parley.ServerID]parley.Retirement
-	Move        parley.Move
-	Bindings    map[parley.SessionID]Binding
+	Retired     map[rpc.ServerID]rpc.Retirement
+	Move        rpc.Move
+	Bindings    map[rpc.SessionID]Binding
 	Claims      []Claim
 	Seqs        []uint64
 	Seq, Rev    uint64
--- a/internal/affinity/binder.go
+++ b/internal/affinity/binder.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Outcome of a binding.
@@ -53,18 +53,18 @@
 	Now func() time.Duration
 	// Over tells that a session may not stay on a backend, Begin where it would
 	// begin, Ask what the leader says.
-	Over  func(server parley.ServerID) bool
-	Begin func() parley.ServerID
-	Ask   func(from, choice parley.ServerID) parley.BindFound
+	Over  func(server rpc.ServerID) bool
+	Begin func() rpc.ServerID
+	Ask   func(from, choice rpc.ServerID) rpc.BindFound
 }
 
 // Bind gives the backend of a session.
-func (b *Binder) Bind(session parley.SessionID, idle time.Duration, view View) (server parley.ServerID, outcome Outcome) {
+func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view View) (server rpc.ServerID, outcome Outcome) {
 	now := view.Now()
 	b.mu.Lock()
 	known, fresh := b.table.Find(now, session)
 	b.mu.Unlock()
-	var from parley.ServerID
+	var from rpc.ServerID
 	if fresh {
 		if !view.Over(known) {
 			return known, Kept
@@ -79,8 +79,8 @@
 		asked := view.Now()
 		found := view.Ask(from, choice)
 		switch found.Outcome {
-		case parley.Bound:
-		case parley.BindFull:
+		case rpc.Bound:
+		case rpc.BindFull:
 			return "", Unkept
 		default:
 			return "", NoAnswer
--- a/internal/affinity/choice.go
+++ b/internal/affinity/choice.go
@@ -9,17 +9,17 @@
 	"math"
 
 	"tinpin/internal/healthcheck"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Candidate is a backend that a session may begin on, weighted by its slots.
 type Candidate struct {
-	ID     parley.ServerID
+	ID     rpc.ServerID
 	Weight int
 }
 
 // Choose picks one, or none where there is none.
-func Choose(session parley.SessionID, candidates []Candidate) (chosen parley.ServerID) {
+func Choose(session rpc.SessionID, candidates []Candidate) (chosen rpc.ServerID) {
 	best := math.Inf(-1)
 	for _, candidate := range candidates {
 		// The hash as a number above 0 and below 1.
--- a/internal/affinity/choice_test.go
+++ b/internal/affinity/choice_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // evenFactor is by how much the busiest backend may pass the mean share of
@@ -13,15 +13,15 @@
 
 func candidates(count, weight int) (all []Candidate) {
 	for i := 0; i < count; i++ {
-		all = append(all, Candidate{parley.ServerID(fmt.Sprint("i-", i)), weight})
+		all = append(all, Candidate{rpc.ServerID(fmt.Sprint("i-", i)), weight})
 	}
 	return all
 }
 
-func session(n int) parley.SessionID { return SessionOf("s", nil, fmt.Sprint("caller ", n)) }
+func session(n int) rpc.SessionID { return SessionOf("s", nil, fmt.Sprint("caller ", n)) }
 
 func TestSessionsBeginEvenly(t *testing.T) {
-	all, counts := candidates(20, 3), map[parley.ServerID]int{}
+	all, counts := candidates(20, 3), map[rpc.ServerID]int{}
 	for n := 0; n < 4000; n++ {
 		counts[Choose(session(n), all)]++
 	}
--- a/internal/affinity/desk.go
+++ b/internal/affinity/desk.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // spare is what is added to a session's time for calls on their way.
@@ -24,45 +24,45 @@
 
 // Ended is a session that is off the desk, with the number of its binding.
 type Ended struct {
-	Session parley.SessionID
+	Session rpc.SessionID
 	Seq     uint64
 }
 
 // Desk of one leadership.
 type Desk struct {
-	rolls map[parley.ServiceName]*simplelru.LRU[parley.SessionID, touched]
+	rolls map[rpc.ServiceName]*simplelru.LRU[rpc.SessionID, touched]
 	// Crowded counts sessions that went because there were too many.
 	Crowded uint64
 }
 
 // NewDesk knows no session.
 func NewDesk() (desk *Desk) {
-	return &Desk{rolls: map[parley.ServiceName]*simplelru.LRU[parley.SessionID, touched]{}}
+	return &Desk{rolls: map[rpc.ServiceName]*simplelru.LRU[rpc.SessionID, touched]{}}
 }
 
-func (d *Desk) roll(service parley.ServiceName) (roll *simplelru.LRU[parley.SessionID, touched]) {
+func (d *Desk) roll(service rpc.ServiceName) (roll *simplelru.LRU[rpc.SessionID, touched]) {
 	roll = d.rolls[service]
 	if roll == nil {
 		// Its size is bounded by the state, which refuses what is too many.
-		roll, _ = simplelru.NewLRU[parley.SessionID, touched](2*SessionsMost, nil)
+		roll, _ = simplelru.NewLRU[rpc.SessionID, touched](2*SessionsMost, nil)
 		d.rolls[service] = roll
 	}
 	return roll
 }
 
 // Put notes a session that is bound.
-func (d *Desk) Put(now time.Duration, service parley.ServiceName, session parley.SessionID, idle time.Duration, seq uint64) {
+func (d *Desk) Put(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration, seq uint64) {
 	d.roll(service).Add(session, touched{now, idle, seq})
 }
 
 // Known tells that a session is on the desk.
-func (d *Desk) Known(service parley.ServiceName, session parley.SessionID) (known bool) {
+func (d *Desk) Known(service rpc.ServiceName, session rpc.SessionID) (known bool) {
 	return d.roll(service).Contains(session)
 }
 
 // Touch notes that a session is in use; a session that is not on the desk must
 // go through the log.
-func (d *Desk) Touch(now time.Duration, service parley.ServiceName, session parley.SessionID, idle time.Duration) (known bool) {
+func (d *Desk) Touch(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration) (known bool) {
 	roll := d.roll(service)
 	last, known := roll.Get(session)
 	if known {
@@ -75,7 +75,7 @@
 // Answer gives where an asked session is, where the log need not be asked; else
 // it gives the ask as it is to go into the log. Ended tells that a session may
 // not stay on a backend.
-func (d *Desk) Answer(now time.Duration, bind parley.Bind, standing parley.ServerID, bound bool, ended func(server parley.ServerID) bool) (server parley.ServerID, propose parley.Bind, answered bool) {
+func (d *Desk) Answer(now time.Duration, bind rpc.Bind, standing rpc.ServerID, bound bool, ended func(server rpc.ServerID) bool) (server rpc.ServerID, propose rpc.Bind, answered bool) {
 	if bind.From != "" && !ended(bind.From) {
 		bind.From = ""
 	}
@@ -86,7 +86,7 @@
 }
 
 // Count is how many sessions of a service there are.
-func (d *Desk) Count(service parley.ServiceName) (count int) {
+func (d *Desk) Count(service rpc.ServiceName) (count int) {
 	if roll := d.rolls[service]; roll != nil {
 		return roll.Len()
 	}
@@ -95,7 +95,7 @@
 
 // Over takes sessions off the desk that are past their time, or that are the
 // least recently used of too many, up to a number at once.
-func (d *Desk) Over(now time.Duration, most func(service parley.ServiceName) int, atOnce int) (over []Ended) {
+func (d *Desk) Over(now time.Duration, most func(service rpc.ServiceName) int, atOnce int) (over []Ended) {
 	for service, roll := range d.rolls {
 		for len(over) < atOnce {
 			session, last, any := roll.GetOldest()
--- a/internal/affinity/desk_test.go
+++ b/internal/affinity/desk_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 func TestTheDeskBoundsWhatIsKept(t *testing.T) {
@@ -15,7 +15,7 @@
 	if !desk.Touch(20*time.Second, "s", session(0), time.Minute) || desk.Touch(20*time.Second, "s", session(99), time.Minute) {
 		t.Fatal("what is on the desk and what is not")
 	}
-	eight := func(parley.ServiceName) int { return 8 }
+	eight := func(rpc.ServiceName) int { return 8 }
 	over := desk.Over(21*time.Second, eight, 100)
 	if len(over) != 2 || over[0].Session != session(1) || over[1].Session != session(2) || over[0].Seq != 1 || desk.Crowded != 2 {
 		t.Fatalf("the least recently used go: %v, %d counted", over, desk.Crowded)
--- a/internal/affinity/name.go
+++ b/internal/affinity/name.go
@@ -11,7 +11,7 @@
 	"sort"
 	"strings"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Finding says how a session's name was found.
@@ -85,7 +85,7 @@
 // SessionOf gives the id of a session at a service. Ways that are bound to other
 // homes have sessions of their own, since a backend of one may be forbidden to
 // the other.
-func SessionOf(service parley.ServiceName, homes []string, name string) (session parley.SessionID) {
+func SessionOf(service rpc.ServiceName, homes []string, name string) (session rpc.SessionID) {
 	sorted := append([]string{}, homes...)
 	sort.Strings(sorted)
 	hash := sha256.New()
@@ -93,14 +93,14 @@
 		_, _ = hash.Write([]byte(part))
 		_, _ = hash.Write([]byte{0})
 	}
-	return parley.SessionID(base64.RawURLEncoding.EncodeToString(hash.Sum(nil)[:16]))
+	return rpc.SessionID(base64.RawURLEncoding.EncodeToString(hash.Sum(nil)[:16]))
 }
 
 // SessionLength is how long an id is.
 const SessionLength = 22
 
 // GoodID tells that an id can have come from SessionOf.
-func GoodID(session parley.SessionID) (good bool) {
+func GoodID(session rpc.SessionID) (good bool) {
 	if len(session) != SessionLength {
 		return false
 	}
--- a/internal/affinity/policy.go
+++ b/internal/affinity/policy.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // Source is the part of a request that names its session.
@@ -123,7 +123,7 @@
 }
 
 // For gives the rule of a service; without one it knows no sessions.
-func (p *Policy) For(service parley.ServiceName) (rule Rule, ruled bool) {
+func (p *Policy) For(service rpc.ServiceName) (rule Rule, ruled bool) {
 	if p == nil {
 		return rule, false
 	}
--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -8,7 +8,7 @@
 
 	"tinpin/internal/accord"
 	"tinpin/internal/affinity"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // morning plays a busy morning under a seeded clock: callers partway through
@@ -24,7 +24,7 @@
 	desk     *affinity.Desk
 	unbinds  []affinity.Ended
 	unbindAt time.Duration
-	backends map[parley.ServerID]*backend
+	backends map[rpc.ServerID]*backend
 	made     int
 	nodes    []*node
 	callers  []*caller
@@ -41,7 +41,7 @@
 }
 
 type backend struct {
-	id    parley.ServerID
+	id    rpc.ServerID
 	ended time.Duration
 }
 
@@ -56,22 +56,22 @@
 // caller is one person with a session of some steps.
 type caller struct {
 	name    string
-	session parley.SessionID
+	session rpc.SessionID
 	next    time.Duration
 	step    int
 	steps   int
-	on      parley.ServerID
+	on      rpc.ServerID
 	last    time.Duration
 }
 
 const (
 	idle    = 10 * time.Second
-	service = parley.ServiceName("booking")
+	service = rpc.ServiceName("booking")
 )
 
 func (m *morning) addBackend() {
 	m.made++
-	id := parley.ServerID(fmt.Sprint("i-", m.made))
+	id := rpc.ServerID(fmt.Sprint("i-", m.made))
 	m.backends[id] = &backend{id: id}
 }
 
@@ -84,9 +84,9 @@
 	m.desk, m.unbinds = affinity.NewDesk(), nil
 	if m.fault.lostAtHand {
 		bad := accord.NewState()
-		m.state.EachBinding(func(session parley.SessionID, binding accord.Binding) {
+		m.state.EachBinding(func(session rpc.SessionID, binding accord.Binding) {
 			if m.luck.Intn(4) > 0 {
-				bad.Apply(1, accord.BindCommand(parley.Bind{Session: session, Service: binding.Service, Server: binding.Server, Idle: binding.Idle}), m.now)
+				bad.Apply(1, accord.BindCommand(rpc.Bind{Session: session, Service: binding.Service, Server: binding.Server, Idle: binding.Idle}), m.now)
 			}
 		})
 		m.state = bad
@@ -99,7 +99,7 @@
 	if m.state, err = accord.Thaw(data, m.now); err != nil {
 		panic(err)
 	}
-	m.state.EachBinding(func(session parley.SessionID, binding accord.Binding) {
+	m.state.EachBinding(func(session rpc.SessionID, binding accord.Binding) {
 		m.desk.Put(m.now, binding.Service, session, binding.Idle, binding.Seq)
 	})
 }
@@ -109,37 +109,37 @@
 	return m.state.Apply(m.rev, command, m.now)
 }
 
-func (m *morning) ended(id parley.ServerID, lag time.Duration) (ended bool) {
+func (m *morning) ended(id rpc.ServerID, lag time.Duration) (ended bool) {
 	b := m.backends[id]
 	return b == nil || b.ended > 0 && m.now >= b.ended+lag
 }
 
 // ask is the leader's answer to a node, as the forum gives it.
-func (m *morning) ask(bind parley.Bind) (found parley.BindFound) {
+func (m *morning) ask(bind rpc.Bind) (found rpc.BindFound) {
 	standing, bound := m.state.Binding(bind.Session)
-	server, propose, answered := m.desk.Answer(m.now, bind, standing.Server, bound, func(id parley.ServerID) bool { return m.ended(id, 50*time.Millisecond) })
+	server, propose, answered := m.desk.Answer(m.now, bind, standing.Server, bound, func(id rpc.ServerID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
-		return parley.BindFound{Outcome: parley.Bound, Server: server}
+		return rpc.BindFound{Outcome: rpc.Bound, Server: server}
 	}
 	if m.luck.Intn(50) == 0 {
 		// It may have been carried out and nobody knows.
 		if m.luck.Intn(2) == 0 {
 			m.apply(accord.BindCommand(propose))
 		}
-		return parley.BindFound{}
+		return rpc.BindFound{}
 	}
 	result := m.apply(accord.BindCommand(propose))
 	if result.Problem != "" {
-		return parley.BindFound{Outcome: parley.BindFull}
+		return rpc.BindFound{Outcome: rpc.BindFull}
 	}
 	m.desk.Put(m.now, bind.Service, bind.Session, bind.Idle, result.Binding.Seq)
-	return parley.BindFound{Outcome: parley.Bound, Server: result.Binding.Server}
+	return rpc.BindFound{Outcome: rpc.Bound, Server: result.Binding.Server}
 }
 
 // tend unbinds what is past its time; a call that was lost is sent again a
 // while later.
 func (m *morning) tend() {
-	m.unbinds = append(m.unbinds, m.desk.Over(m.now, func(parley.ServiceName) int { return 5000 }, 64)...)
+	m.unbinds = append(m.unbinds, m.desk.Over(m.now, func(rpc.ServiceName) int { return 5000 }, 64)...)
 	if m.now < m.unbindAt {
 		return
 	}
@@ -171,16 +171,16 @@
 	}
 	server, outcome := n.binder.Bind(c.session, span, affinity.View{
 		Now:   func() time.Duration { return m.now },
-		Over:  func(id parley.ServerID) bool { return m.ended(id, n.lag) },
-		Begin: func() parley.ServerID { return affinity.Choose(c.session, all) },
-		Ask: func(from, choice parley.ServerID) parley.BindFound {
+		Over:  func(id rpc.ServerID) bool { return m.ended(id, n.lag) },
+		Begin: func() rpc.ServerID { return affinity.Choose(c.session, all) },
+		Ask: func(from, choice rpc.ServerID) rpc.BindFound {
 			if n.odd {
-				return parley.BindFound{Outcome: parley.Bound, Server: all[m.luck.Intn(len(all))].ID}
+				return rpc.BindFound{Outcome: rpc.Bound, Server: all[m.luck.Intn(len(all))].ID}
 			}
 			if m.now < n.cut {
-				return parley.BindFound{}
+				return rpc.BindFound{}
 			}
-			return m.ask(parley.Bind{Session: c.session, Service: service, Server: choice, From: from, Idle: idle})
+			return m.ask(rpc.Bind{Session: c.session, Service: service, Server: choice, From: from, Idle: idle})
 		},
 	})
 	if outcome != affinity.Kept || m.ended(server, 0) {
@@ -196,7 +196,7 @@
 }
 
 func play(seed int64, fault plantedFault) (m *morning) {
-	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: accord.NewState(), backends: map[parley.ServerID]*backend{}, runs: map[string]int{}}
+	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: accord.NewState(), backends: map[rpc.ServerID]*backend{}, runs: map[string]int{}}
 	m.lead()
 	for i := 0; i < 12; i++ {
 		m.addBackend()
@@ -261,7 +261,7 @@
 		case 6:
 			var live []*backend
 			for n := 1; n <= m.made; n++ {
-				if b := m.backends[parley.ServerID(fmt.Sprint("i-", n))]; b.ended == 0 {
+				if b := m.backends[rpc.ServerID(fmt.Sprint("i-", n))]; b.ended == 0 {
 					live = append(live, b)
 				}
 			}
--- a/internal/affinity/table.go
+++ b/internal/affinity/table.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // freshPart is the part of the idle time for which a node may rely on an answer.
@@ -18,13 +18,13 @@
 func Fresh(idle time.Duration) (span time.Duration) { return idle / freshPart }
 
 type remembered struct {
-	server parley.ServerID
+	server rpc.ServerID
 	till   time.Duration
 }
 
 // Table of one node.
 type Table struct {
-	held    *simplelru.LRU[parley.SessionID, remembered]
+	held    *simplelru.LRU[rpc.SessionID, remembered]
 	Dropped uint64
 	drops   bool
 }
@@ -32,7 +32,7 @@
 // NewTable remembers so many sessions.
 func NewTable(most int) (table *Table) {
 	table = &Table{}
-	table.held, _ = simplelru.NewLRU(max(1, most), func(parley.SessionID, remembered) {
+	table.held, _ = simplelru.NewLRU(max(1, most), func(rpc.SessionID, remembered) {
 		if table.drops {
 			table.Dropped++
 		}
@@ -41,13 +41,13 @@
 }
 
 // Find gives where a session is bound, and whether that may be relied on.
-func (t *Table) Find(now time.Duration, session parley.SessionID) (server parley.ServerID, fresh bool) {
+func (t *Table) Find(now time.Duration, session rpc.SessionID) (server rpc.ServerID, fresh bool) {
 	found, known := t.held.Get(session)
 	return found.server, known && now < found.till
 }
 
 // Take notes what was answered to what was asked at a time.
-func (t *Table) Take(asked time.Duration, session parley.SessionID, server parley.ServerID, idle time.Duration) {
+func (t *Table) Take(asked time.Duration, session rpc.SessionID, server rpc.ServerID, idle time.Duration) {
 	t.drops = true
 	t.held.Add(session, remembered{server, asked + Fresh(idle)})
 	t.drops = false
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -16,7 +16,7 @@
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/notify"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -33,7 +33,7 @@
 	// patience is how long a call waits for its outcome.
 	patience time.Duration
 
-	inner  *parley.Listener
+	inner  *rpc.Listener
 	office *http.Server
 }
 
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	if council.inner, err = parley.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &Status{council}}); err != nil {
+	if council.inner, err = rpc.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &Status{council}}); err != nil {
 		return nil, err
 	}
 	if council.office, err = httpapi.Serve(p.Control, httpapi.Duties{
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -17,8 +17,8 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -159,7 +159,7 @@
 	return json.Marshal(shown)
 }
 
-func (c *Council) retire(_ context.Context, id parley.ServerID, back bool, named string) (phase string, err error) {
+func (c *Council) retire(_ context.Context, id rpc.ServerID, back bool, named string) (phase string, err error) {
 	if back {
 		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
 			return "", err
@@ -183,7 +183,7 @@
 			sent.named, _ = state.TakenByName(command)
 		})
 	}
-	look := func() (service parley.ServiceName, listed bool, refusal error) {
+	look := func() (service rpc.ServiceName, listed bool, refusal error) {
 		agreed()
 		if service, listed, refusal = open.CheckRetire(id); sent.stands || sent.named {
 			return service, listed, nil
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,8 +8,8 @@
 	"tinpin/internal/config"
 	"tinpin/internal/coordinator"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // Status answers calls about this daemon.
@@ -41,7 +41,7 @@
 }
 
 // Tell gives the account.
-func (s *Status) Tell(_ parley.StatusAsk, reply *parley.StatusReply) (err error) {
+func (s *Status) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
 	c := s.council
 	account := CoreAccount{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
 	var leader accord.Member
@@ -54,7 +54,7 @@
 		account.Orders, account.Overtaken = state.Orders.Len(), state.Canon.Overtaken.Len()
 		account.Forgotten = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
 	})
-	account.BytesIn, account.BytesOut = parley.Traffic()
+	account.BytesIn, account.BytesOut = rpc.Traffic()
 	if open := c.desk.Forum(); open != nil {
 		account.Forum = open.Account()
 	}
@@ -63,11 +63,11 @@
 }
 
 // Trace tells what this daemon knows of a subject.
-func (s *Status) Trace(ask parley.TraceAsk, reply *parley.TraceReply) (err error) {
+func (s *Status) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
 	c := s.council
 	reply.Name = c.props.Name
 	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Marks = append(reply.Marks, parley.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
+		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
 	switch ask.Kind {
 	case history.Item:
@@ -83,7 +83,7 @@
 				document, has := state.Documents[policy.Kind(ask.Name)]
 				reply.Stamp, reply.Rev, reply.Has = document.Stamp(), document.Rev, has
 			case history.Retirement:
-				retired, has := state.Retired[parley.ServerID(ask.Name)]
+				retired, has := state.Retired[rpc.ServerID(ask.Name)]
 				reply.Stamp, reply.Rev, reply.Has = retired.Stamp(), retired.Rev, has
 			default:
 				reply.Stamp, reply.Rev, reply.Has = state.Move.Stamp(), state.Move.Rev, state.Move.Rev > 0
@@ -98,7 +98,7 @@
 	default:
 		// Only the leader knows backends and their health.
 		if open := c.desk.Forum(); open != nil {
-			stamp, has := open.Stands(ask.Kind, parley.ServerID(ask.Name))
+			stamp, has := open.Stands(ask.Kind, rpc.ServerID(ask.Name))
 			if c.desk.Proven(open) {
 				reply.Stamp, reply.Has = stamp, has
 			}
--- a/internal/coordinator/account.go
+++ b/internal/coordinator/account.go
@@ -7,8 +7,8 @@
 	"sort"
 
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 // FellowAccount is one fellow.
@@ -42,7 +42,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	account = &Account{MapCount: uint64(f.shards.Count), Owners: map[string]string{}}
-	f.roll.Fellows.Each(func(id parley.FellowID, fellow parley.Fellow) {
+	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
 		account.Fellows = append(account.Fellows, FellowAccount{string(id), string(fellow.Site), fellow.Inner, fellow.Ready && !fellow.Stopping, f.roll.Here(id)})
 	})
 	sort.Slice(account.Fellows, func(i, j int) bool { return account.Fellows[i].Name < account.Fellows[j].Name })
@@ -50,18 +50,18 @@
 		account.Members = append(account.Members, string(member))
 	}
 	for name := range f.view.Services {
-		account.Owners[name] = string(f.cache.Owner(parley.ServiceName(name), f.absent))
+		account.Owners[name] = string(f.cache.Owner(rpc.ServiceName(name), f.absent))
 	}
-	f.list.Servers.Each(func(parley.ServerID, parley.Server) { account.Backends++ })
-	f.cache.States.Each(func(_ parley.ServerID, state parley.State) {
-		if state.Health == parley.Down {
+	f.list.Servers.Each(func(rpc.ServerID, rpc.Server) { account.Backends++ })
+	f.cache.States.Each(func(_ rpc.ServerID, state rpc.State) {
+		if state.Health == rpc.Down {
 			account.Down++
 		}
 	})
 	now := f.now()
-	account.Lent = append(account.Lent, LentAccount{"retry slack", f.book.Lent(now, quota.Key{Kind: parley.RetrySlack})})
+	account.Lent = append(account.Lent, LentAccount{"retry slack", f.book.Lent(now, quota.Key{Kind: rpc.RetrySlack})})
 	for name := range f.view.Services {
-		if rule, written := f.orders.retries.For(parley.ServiceName(name)); written {
+		if rule, written := f.orders.retries.For(rpc.ServiceName(name)); written {
 			account.Lent = append(account.Lent, LentAccount{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), f.retries.Lent(now, name)})
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // Stands tells how a backend or its health stands at the leader.
-func (f *Forum) Stands(kind string, id parley.ServerID) (stamp string, has bool) {
+func (f *Forum) Stands(kind string, id rpc.ServerID) (stamp string, has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if kind == history.Backend {
--- a/internal/coordinator/check.go
+++ b/internal/coordinator/check.go
@@ -10,8 +10,8 @@
 	"github.com/zeebo/errs"
 
 	"tinpin/internal/eventlog"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // Class marks refused calls.
@@ -35,7 +35,7 @@
 	return true
 }
 
-func demandFault(what string, demands []parley.Demand) (fault string) {
+func demandFault(what string, demands []rpc.Demand) (fault string) {
 	if len(demands) > demandsMost {
 		return "too many " + what
 	}
@@ -53,7 +53,7 @@
 }
 
 // beatFault tells what is wrong with a beat.
-func beatFault(ask parley.BeatAsk) (fault string) {
+func beatFault(ask rpc.BeatAsk) (fault string) {
 	switch {
 	case ask.ID == "" || !fits(string(ask.ID), string(ask.Site), string(ask.Region), ask.Front, ask.Inner):
 		return "a name is missing or too long"
@@ -82,7 +82,7 @@
 }
 
 // reportFault tells what is wrong with an owner's report; the caller holds the lock.
-func (f *Forum) reportFault(ask parley.ReportAsk) (fault string) {
+func (f *Forum) reportFault(ask rpc.ReportAsk) (fault string) {
 	switch {
 	case ask.Fellow == "" || !fits(string(ask.Fellow), string(ask.Service)):
 		return "a name is missing or too long"
@@ -96,7 +96,7 @@
 			return "a name that is too long"
 		case listed && server.Service != ask.Service:
 			return fmt.Sprintf("findings of a backend of %q", server.Service)
-		case state.Health > parley.Down:
+		case state.Health > rpc.Down:
 			return fmt.Sprintf("health %d", state.Health)
 		case state.Cold < 0 || state.Cold > coldMost:
 			return "cold for " + state.Cold.String()
@@ -110,7 +110,7 @@
 const loggedRefusals = 64
 
 // refuse notes a refused call.
-func (f *Forum) refuse(call string, by parley.FellowID, fault string) (err error) {
+func (f *Forum) refuse(call string, by rpc.FellowID, fault string) (err error) {
 	count := f.refusals.Add(1)
 	if count <= loggedRefusals || count%loggedRefusals == 0 {
 		f.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
--- a/internal/coordinator/desk.go
+++ b/internal/coordinator/desk.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -52,39 +52,39 @@
 func (d *Desk) Forum() (forum *Forum) { return d.forum.Load() }
 
 // Beat answers a beat.
-func (d *Desk) Beat(ask parley.BeatAsk, news *parley.News) (err error) {
+func (d *Desk) Beat(ask rpc.BeatAsk, news *rpc.News) (err error) {
 	if forum := d.forum.Load(); forum != nil {
 		if err = forum.Beat(ask, news); err != nil {
 			return err
 		}
 		if news.Leader && !d.Proven(forum) {
-			*news = parley.News{}
+			*news = rpc.News{}
 		}
 	}
 	if !news.Leader {
 		_, _, _, leader, members := d.node.Standing()
 		news.Hint = leader.Inner
 		for _, member := range members {
-			news.Cores = append(news.Cores, parley.Core{Inner: member.Inner, Control: member.Control})
+			news.Cores = append(news.Cores, rpc.Core{Inner: member.Inner, Control: member.Control})
 		}
 	}
 	return nil
 }
 
 // Lead tells who leads.
-func (d *Desk) Lead(_ parley.LeadAsk, reply *parley.LeadReply) (err error) {
+func (d *Desk) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
 	if forum := d.forum.Load(); forum != nil && d.contact.InContact(accord.Term(forum.term), leadPatience) {
 		reply.Leader, reply.Term = true, forum.term
 	}
 	_, _, _, _, members := d.node.Standing()
 	for _, member := range members {
-		reply.Cores = append(reply.Cores, parley.Core{Inner: member.Inner, Control: member.Control})
+		reply.Cores = append(reply.Cores, rpc.Core{Inner: member.Inner, Control: member.Control})
 	}
 	return nil
 }
 
 // Report takes an owner's findings.
-func (d *Desk) Report(ask parley.ReportAsk, reply *parley.ReportReply) (err error) {
+func (d *Desk) Report(ask rpc.ReportAsk, reply *rpc.ReportReply) (err error) {
 	if forum := d.forum.Load(); forum != nil {
 		taken := forum.Report(ask)
 		if reply.Leader = d.Proven(forum); reply.Leader {
@@ -95,7 +95,7 @@
 }
 
 // Bind tells where sessions are bound.
-func (d *Desk) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
+func (d *Desk) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
 	if forum := d.forum.Load(); forum != nil && d.Proven(forum) {
 		found := forum.Bind(ask)
 		if reply.Leader = d.Proven(forum); reply.Leader {
@@ -108,7 +108,7 @@
 // Claim puts a batch of key claims before the cores. Out of contact it takes none
 // of them: that is a clear no, where a wish that nobody can commit has no outcome.
 // What comes back is the log's word and needs no further proof.
-func (d *Desk) Claim(ask parley.ClaimAsk, reply *parley.ClaimReply) (err error) {
+func (d *Desk) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
 	forum, begun := d.forum.Load(), time.Now()
 	if forum == nil || !d.Proven(forum) {
 		return nil
@@ -134,18 +134,18 @@
 		reply.Freed = reply.Freed && answer.Clear
 	}
 	for _, answer := range answers[len(ask.Frees):] {
-		found := parley.ClaimFound{}
+		found := rpc.ClaimFound{}
 		switch {
 		case answer.Refused:
-			found.Outcome = parley.Refused
+			found.Outcome = rpc.Refused
 		case !answer.Clear:
-			found.Outcome = parley.Unclear
+			found.Outcome = rpc.Unclear
 		case answer.Result.Granted:
-			found.Outcome = parley.Granted
+			found.Outcome = rpc.Granted
 		default:
 			held := answer.Result.Held
-			found.Outcome = parley.Held
-			found.Holder, found.Life, found.Request = parley.FellowID(held.Holder), parley.Life(held.Life), held.Request
+			found.Outcome = rpc.Held
+			found.Holder, found.Life, found.Request = rpc.FellowID(held.Holder), rpc.Life(held.Life), held.Request
 			found.Inner, _ = forum.Inner(found.Holder)
 		}
 		reply.Found = append(reply.Found, found)
--- a/internal/coordinator/desk_test.go
+++ b/internal/coordinator/desk_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // scripted is a contact that holds or not, and counts who asked.
@@ -31,26 +31,26 @@
 		f.node, f.list.Walked = &accord.Node{}, true
 		desk.Use(f)
 
-		var news parley.News
-		ask := parley.BeatAsk{Fellow: parley.Fellow{ID: "e", Ready: true}, Seen: parley.Seen{ItemAt: parley.AllItems}}
+		var news rpc.News
+		ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}, Seen: rpc.Seen{ItemAt: rpc.AllItems}}
 		if err := desk.Beat(ask, &news); err != nil || news.Leader == lost || lost && (news.Term != 0 || news.Map != nil || len(news.Leases) > 0 || len(news.Fellows) > 0) {
 			t.Errorf("lost %v: news %+v, %v", lost, news, err)
 		}
-		var lead parley.LeadReply
-		if err := desk.Lead(parley.LeadAsk{}, &lead); err != nil || lead.Leader == lost || lost && lead.Term != 0 {
+		var lead rpc.LeadReply
+		if err := desk.Lead(rpc.LeadAsk{}, &lead); err != nil || lead.Leader == lost || lost && lead.Term != 0 {
 			t.Errorf("lost %v: lead %+v, %v", lost, lead, err)
 		}
-		var report parley.ReportReply
-		if err := desk.Report(parley.ReportAsk{Fellow: "e", Service: "s", Full: true}, &report); err != nil || report.Leader == lost || lost && report.Taken {
+		var report rpc.ReportReply
+		if err := desk.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true}, &report); err != nil || report.Leader == lost || lost && report.Taken {
 			t.Errorf("lost %v: report %+v, %v", lost, report, err)
 		}
-		var bind parley.BindReply
-		if err := desk.Bind(parley.BindAsk{Binds: []parley.Bind{{Session: "x"}}}, &bind); err != nil || bind.Leader == lost || lost && len(bind.Found) > 0 {
+		var bind rpc.BindReply
+		if err := desk.Bind(rpc.BindAsk{Binds: []rpc.Bind{{Session: "x"}}}, &bind); err != nil || bind.Leader == lost || lost && len(bind.Found) > 0 {
 			t.Errorf("lost %v: bind %+v, %v", lost, bind, err)
 		}
 		// A claim that is not taken is a clear no: it has entered no log.
-		var claim parley.ClaimReply
-		if err := desk.Claim(parley.ClaimAsk{Holder: "e", Claims: []parley.KeyClaim{{Key: "k", Request: "r"}}}, &claim); err != nil || claim.Leader == lost || lost && len(claim.Found) > 0 {
+		var claim rpc.ClaimReply
+		if err := desk.Claim(rpc.ClaimAsk{Holder: "e", Claims: []rpc.KeyClaim{{Key: "k", Request: "r"}}}, &claim); err != nil || claim.Leader == lost || lost && len(claim.Found) > 0 {
 			t.Errorf("lost %v: claim %+v, %v", lost, claim, err)
 		}
 	}
@@ -63,11 +63,11 @@
 	f := bare()
 	f.node, f.list.Walked = &accord.Node{}, true
 	desk.Use(f)
-	ask := parley.BeatAsk{Fellow: parley.Fellow{ID: "e", Inner: "e:1", Ready: true}, Hold: time.Minute}
-	ask.Term, ask.Epoch, ask.ItemAt, ask.Listed = 7, f.clock.Now()+8, parley.AllItems, true
-	done := make(chan parley.News)
+	ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Inner: "e:1", Ready: true}, Hold: time.Minute}
+	ask.Term, ask.Epoch, ask.ItemAt, ask.Listed = 7, f.clock.Now()+8, rpc.AllItems, true
+	done := make(chan rpc.News)
 	go func() {
-		var news parley.News
+		var news rpc.News
 		_ = desk.Beat(ask, &news)
 		done <- news
 	}()
--- a/internal/coordinator/forum.go
+++ b/internal/coordinator/forum.go
@@ -16,9 +16,9 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -48,7 +48,7 @@
 	props settings.Props
 	log   *eventlog.Log
 	node  *accord.Node
-	term  parley.Term
+	term  rpc.Term
 	birth time.Time
 
 	mu      sync.Mutex
@@ -59,14 +59,14 @@
 	book    *quota.Book
 	lender  *quota.Lender
 	retries *quota.Lender
-	shards  parley.ShardMap
-	mapAt   parley.Epoch
-	members *registry.Ledger[parley.FellowID, bool]
-	absent  []parley.FellowID
-	absAt   parley.Epoch
+	shards  rpc.ShardMap
+	mapAt   rpc.Epoch
+	members *registry.Ledger[rpc.FellowID, bool]
+	absent  []rpc.FellowID
+	absAt   rpc.Epoch
 	view    *config.View
 	rev     uint64
-	sites   map[parley.SiteName]bool
+	sites   map[rpc.SiteName]bool
 	changed chan struct{}
 	stop    chan struct{}
 
@@ -74,20 +74,20 @@
 	// fleet: how many fellows are heard, who is nearest to a site, what is cold.
 	present int
 	moved   bool
-	near    map[parley.SiteName][]parley.FellowID
-	cold    []parley.ServerID
-	owners  map[parley.ServiceName]parley.FellowID
-	tallies map[parley.FellowID][]parley.Tally
+	near    map[rpc.SiteName][]rpc.FellowID
+	cold    []rpc.ServerID
+	owners  map[rpc.ServiceName]rpc.FellowID
+	tallies map[rpc.FellowID][]rpc.Tally
 
 	// parts are the parts of the items as of the place partsOf.
 	partsOf uint64
 	parts   map[itemPlace]itemPart
 	// crowds are rows of fellows packed, by what those told know, as of crowdsOf.
-	crowdsOf parley.Epoch
-	crowds   map[parley.Epoch][]byte
+	crowdsOf rpc.Epoch
+	crowds   map[rpc.Epoch][]byte
 	// pages are parts of the list, by what lies before them, as of pagesOf.
-	pagesOf parley.Epoch
-	pages   map[parley.ServerID]*parley.ListPart
+	pagesOf rpc.Epoch
+	pages   map[rpc.ServerID]*rpc.ListPart
 
 	refusals  atomic.Int64
 	balance   *healthcheck.Balance
@@ -101,13 +101,13 @@
 	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Forum{
-		props: p, log: log, node: node, term: parley.Term(term), birth: time.Now(),
+		props: p, log: log, node: node, term: rpc.Term(term), birth: time.Now(),
 		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: struckAfter}),
 		list: registry.NewList(clock), cache: healthcheck.NewCache(clock, 3*p.ProbeInterval+time.Second),
-		book: quota.NewBook(0, leaseSpan), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, view: config.New().View(), sites: map[parley.SiteName]bool{},
+		book: quota.NewBook(0, leaseSpan), near: map[rpc.SiteName][]rpc.FellowID{}, owners: map[rpc.ServiceName]rpc.FellowID{}, tallies: map[rpc.FellowID][]rpc.Tally{}, view: config.New().View(), sites: map[rpc.SiteName]bool{},
 		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: healthcheck.NewBalance(),
 	}
-	forum.members = registry.NewLedger[parley.FellowID, bool](clock)
+	forum.members = registry.NewLedger[rpc.FellowID, bool](clock)
 	first := term == 1
 	forum.lender = quota.NewLender(0, leaseSpan, first)
 	forum.retries = quota.NewLenderOf(quota.RetryKinds, 0, leaseSpan, first)
@@ -137,7 +137,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var view *config.View
-	active := map[parley.SiteName]bool{}
+	active := map[rpc.SiteName]bool{}
 	f.node.Read(func(state *accord.State) {
 		if state.Rev != f.rev {
 			f.rev = state.Rev
@@ -147,7 +147,7 @@
 		}
 		for site, evacuation := range state.Evacuations {
 			if evacuation.Active {
-				active[parley.SiteName(site)] = true
+				active[rpc.SiteName(site)] = true
 			}
 		}
 	})
@@ -157,7 +157,7 @@
 	// The backends of a site that is taken back may have turned cold unseen.
 	for site := range f.sites {
 		if !active[site] {
-			f.list.Servers.Each(func(id parley.ServerID, server parley.Server) {
+			f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 				if server.Site == site {
 					if service := f.view.Services[string(server.Service)]; service != nil {
 						f.cache.Suspect(f.now(), id, server.Service, service.Cold)
@@ -209,8 +209,8 @@
 
 // refreshMembers derives the shard map and the absent from the roll.
 func (f *Forum) refreshMembers() {
-	f.near, f.present = map[parley.SiteName][]parley.FellowID{}, 0
-	f.roll.Fellows.Each(func(id parley.FellowID, fellow parley.Fellow) {
+	f.near, f.present = map[rpc.SiteName][]rpc.FellowID{}, 0
+	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
 		if f.roll.Here(id) && !fellow.Stopping {
 			f.present++
 		}
@@ -221,7 +221,7 @@
 		same = members[i] == f.shards.Members[i]
 	}
 	if !same {
-		stay := make(map[parley.FellowID]bool, len(members))
+		stay := make(map[rpc.FellowID]bool, len(members))
 		for _, member := range members {
 			stay[member] = true
 			f.members.Set(member, true)
@@ -233,7 +233,7 @@
 		}
 		// All that made this map lies before its count, and behind the last one's.
 		f.mapAt = f.clock.Next()
-		f.shards = parley.ShardMap{Term: f.term, Count: f.mapAt, Members: members}
+		f.shards = rpc.ShardMap{Term: f.term, Count: f.mapAt, Members: members}
 		f.cache.Shards(f.shards)
 		f.log.Say(eventlog.MapChanged, "count", uint64(f.mapAt), "members", len(members))
 	}
@@ -245,7 +245,7 @@
 	if !same {
 		f.absent, f.absAt = absent, f.clock.Next()
 	}
-	f.owners = map[parley.ServiceName]parley.FellowID{}
+	f.owners = map[rpc.ServiceName]rpc.FellowID{}
 }
 
 // walk is the duty that reads the platform's list.
@@ -254,7 +254,7 @@
 	pause := time.Duration(float64(time.Second) / max(f.props.PlatformRate*listPart, 0.1))
 	for {
 		begun := time.Now()
-		servers, pages, err := platform.Walk(min(pause, 100*time.Millisecond), func(page []parley.Server) { f.merge(page, false) })
+		servers, pages, err := platform.Walk(min(pause, 100*time.Millisecond), func(page []rpc.Server) { f.merge(page, false) })
 		interval := listInterval(f.props.ListInterval, pause, pages)
 		if err != nil {
 			f.log.Say(eventlog.ListFailed, "problem", err.Error())
@@ -278,19 +278,19 @@
 }
 
 // merge takes a page of the list, or the whole of a walk.
-func (f *Forum) merge(servers []parley.Server, whole bool) {
+func (f *Forum) merge(servers []rpc.Server, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.clock.Now()
 	first := !f.list.Walked
 	var changed bool
-	var fresh []parley.Server
+	var fresh []rpc.Server
 	if whole {
 		changed = f.list.Whole(servers)
 	} else {
 		changed, fresh = f.list.Page(servers)
 	}
-	f.list.Servers.Since(before, func(id parley.ServerID, server parley.Server, gone bool) {
+	f.list.Servers.Since(before, func(id rpc.ServerID, server rpc.Server, gone bool) {
 		stamp := server.Stamp()
 		if gone {
 			stamp = "gone"
@@ -306,22 +306,22 @@
 	if !changed {
 		return
 	}
-	var gone []parley.ServerID
-	f.cache.States.Each(func(id parley.ServerID, _ parley.State) {
+	var gone []rpc.ServerID
+	f.cache.States.Each(func(id rpc.ServerID, _ rpc.State) {
 		if _, listed := f.list.Servers.Get(id); !listed {
 			gone = append(gone, id)
 		}
 	})
 	for _, id := range gone {
 		f.cache.Drop(id)
-		f.book.Forget(quota.Key{Kind: parley.ColdRate, Name: string(id)})
+		f.book.Forget(quota.Key{Kind: rpc.ColdRate, Name: string(id)})
 	}
 	f.stir()
 }
 
 // Beat notes a fellow's beat and answers it once there is news, or when it
 // has been held long enough.
-func (f *Forum) Beat(ask parley.BeatAsk, news *parley.News) (err error) {
+func (f *Forum) Beat(ask rpc.BeatAsk, news *rpc.News) (err error) {
 	if fault := beatFault(ask); fault != "" {
 		return f.refuse("beat", ask.ID, fault)
 	}
@@ -353,7 +353,7 @@
 		f.mu.Lock()
 	}
 	present := time.Duration(f.roll.Count())
-	if !ask.Listed || ask.ItemAt != parley.AllItems {
+	if !ask.Listed || ask.ItemAt != rpc.AllItems {
 		// In the middle of what comes in parts, nothing is gathered.
 		present = 0
 	}
@@ -369,7 +369,7 @@
 
 // relay keeps what a fellow told of its outcomes for those that own the
 // services, who get it with their next beats.
-func (f *Forum) relay(ask parley.BeatAsk) {
+func (f *Forum) relay(ask rpc.BeatAsk) {
 	for _, tally := range ask.Tallies[:min(len(ask.Tallies), tallyRows)] {
 		if f.view.Services[string(tally.Service)] == nil {
 			continue
@@ -388,7 +388,7 @@
 }
 
 // owner names who watches a service; it is reckoned once a change of the roll.
-func (f *Forum) owner(service parley.ServiceName) (owner parley.FellowID) {
+func (f *Forum) owner(service rpc.ServiceName) (owner rpc.FellowID) {
 	owner, known := f.owners[service]
 	if !known {
 		owner = f.cache.Owner(service, f.absent)
@@ -398,7 +398,7 @@
 }
 
 // due tells whether there is something to tell.
-func (f *Forum) due(ask parley.BeatAsk) bool {
+func (f *Forum) due(ask rpc.BeatAsk) bool {
 	if ask.Term != f.term {
 		return true
 	}
@@ -406,12 +406,12 @@
 }
 
 // owesItems tells whether there are items that a fellow lacks.
-func (f *Forum) owesItems(seen parley.Seen) bool {
-	return seen.Rev < f.rev || seen.ItemAt != parley.AllItems
+func (f *Forum) owesItems(seen rpc.Seen) bool {
+	return seen.Rev < f.rev || seen.ItemAt != rpc.AllItems
 }
 
 // tellItems tells a part of what a fellow lacks.
-func (f *Forum) tellItems(state *accord.State, seen parley.Seen, news *parley.News) {
+func (f *Forum) tellItems(state *accord.State, seen rpc.Seen, news *rpc.News) {
 	if f.parts == nil || f.partsOf != state.Rev {
 		f.partsOf, f.parts = state.Rev, map[itemPlace]itemPart{}
 	}
@@ -439,7 +439,7 @@
 	}
 	for _, evacuation := range state.Evacuations {
 		if evacuation.Rev >= seen.Rev {
-			news.Evacuations = append(news.Evacuations, parley.Evacuation{Site: parley.SiteName(evacuation.Site), Active: evacuation.Active, Rev: evacuation.Rev})
+			news.Evacuations = append(news.Evacuations, rpc.Evacuation{Site: rpc.SiteName(evacuation.Site), Active: evacuation.Active, Rev: evacuation.Rev})
 		}
 	}
 }
@@ -461,12 +461,12 @@
 	items, done := state.Canon.After(from.rev, from.path, itemsRoom)
 	part = itemPart{items: items, next: from}
 	if done {
-		part.next = itemPlace{max(from.rev, state.Rev), parley.AllItems}
+		part.next = itemPlace{max(from.rev, state.Rev), rpc.AllItems}
 	} else if last := len(items) - 1; last >= 0 {
 		part.next = itemPlace{items[last].Rev, items[last].Path()}
 	}
 	if len(items) > packedLeast {
-		if packed, err := parley.Pack(items); err == nil {
+		if packed, err := rpc.Pack(items); err == nil {
 			part.items, part.packed = nil, packed
 		}
 	}
@@ -475,7 +475,7 @@
 
 // nextPart gives the part of the list that a fellow lacks first. What another
 // leader told of its list is no part of this one's.
-func (f *Forum) nextPart(ask parley.BeatAsk) (part *parley.ListPart) {
+func (f *Forum) nextPart(ask rpc.BeatAsk) (part *rpc.ListPart) {
 	if ask.Term != f.term {
 		return f.page(f.now(), "")
 	}
@@ -484,9 +484,9 @@
 
 // page gives the part of the list behind an id, made once for all that are as
 // far while nothing changes.
-func (f *Forum) page(now time.Duration, after parley.ServerID) (page *parley.ListPart) {
+func (f *Forum) page(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
 	if f.pages == nil || f.pagesOf != f.clock.Now() {
-		f.pagesOf, f.pages = f.clock.Now(), map[parley.ServerID]*parley.ListPart{}
+		f.pagesOf, f.pages = f.clock.Now(), map[rpc.ServerID]*rpc.ListPart{}
 	}
 	page = f.pages[after]
 	if page != nil {
@@ -505,15 +505,15 @@
 }
 
 // part gives the part of the list behind an id.
-func (f *Forum) part(now time.Duration, after parley.ServerID) (part *parley.ListPart) {
-	var ids []parley.ServerID
-	f.list.Servers.Each(func(id parley.ServerID, _ parley.Server) {
+func (f *Forum) part(now time.Duration, after rpc.ServerID) (part *rpc.ListPart) {
+	var ids []rpc.ServerID
+	f.list.Servers.Each(func(id rpc.ServerID, _ rpc.Server) {
 		if id > after {
 			ids = append(ids, id)
 		}
 	})
 	slices.Sort(ids)
-	part = &parley.ListPart{From: after, At: after, Done: len(ids) <= partRows}
+	part = &rpc.ListPart{From: after, At: after, Done: len(ids) <= partRows}
 	for _, id := range ids[:min(len(ids), partRows)] {
 		server, _ := f.list.Servers.Get(id)
 		part.Servers = append(part.Servers, server)
@@ -525,7 +525,7 @@
 	return part
 }
 
-func (f *Forum) tell(ask parley.BeatAsk, news *parley.News) {
+func (f *Forum) tell(ask rpc.BeatAsk, news *rpc.News) {
 	now := f.now()
 	since := ask.Epoch
 	news.Leader, news.Term, news.Epoch = true, f.term, f.clock.Now()
@@ -533,7 +533,7 @@
 		since, news.Full = 0, true
 		_, _, _, _, members := f.node.Standing()
 		for _, member := range members {
-			news.Cores = append(news.Cores, parley.Core{Inner: member.Inner, Control: member.Control})
+			news.Cores = append(news.Cores, rpc.Core{Inner: member.Inner, Control: member.Control})
 		}
 	}
 	news.Rev, news.ItemAt = ask.Rev, ask.ItemAt
@@ -546,10 +546,10 @@
 		news.Part = f.nextPart(ask)
 	}
 	if listSince := ask.Epoch; ask.Term == f.term && (ask.Listed || f.list.Walked) {
-		f.list.Servers.Since(listSince, func(_ parley.ServerID, server parley.Server, gone bool) {
-			news.Servers = append(news.Servers, parley.ServerChange{Server: server, Gone: gone})
+		f.list.Servers.Since(listSince, func(_ rpc.ServerID, server rpc.Server, gone bool) {
+			news.Servers = append(news.Servers, rpc.ServerChange{Server: server, Gone: gone})
 		})
-		f.cache.States.Since(listSince, func(_ parley.ServerID, state parley.State, gone bool) {
+		f.cache.States.Since(listSince, func(_ rpc.ServerID, state rpc.State, gone bool) {
 			state = f.cache.Remaining(now, state)
 			state.Gone = gone
 			news.States = append(news.States, state)
@@ -566,28 +566,28 @@
 
 // tellFellows tells what changed of the roll; many rows are packed, once for
 // all that know as much.
-func (f *Forum) tellFellows(since parley.Epoch, news *parley.News) {
+func (f *Forum) tellFellows(since rpc.Epoch, news *rpc.News) {
 	if f.crowdsOf != f.clock.Now() {
-		f.crowdsOf, f.crowds = f.clock.Now(), map[parley.Epoch][]byte{}
+		f.crowdsOf, f.crowds = f.clock.Now(), map[rpc.Epoch][]byte{}
 	}
 	if packed, known := f.crowds[since]; known {
 		news.Crowd = packed
 		return
 	}
-	f.roll.Fellows.Since(since, func(_ parley.FellowID, fellow parley.Fellow, gone bool) {
-		news.Fellows = append(news.Fellows, parley.FellowChange{Fellow: fellow, Gone: gone})
+	f.roll.Fellows.Since(since, func(_ rpc.FellowID, fellow rpc.Fellow, gone bool) {
+		news.Fellows = append(news.Fellows, rpc.FellowChange{Fellow: fellow, Gone: gone})
 	})
 	if len(news.Fellows) <= packedLeast {
 		return
 	}
-	if packed, err := parley.Pack(news.Fellows); err == nil {
+	if packed, err := rpc.Pack(news.Fellows); err == nil {
 		news.Fellows, news.Crowd = nil, packed
 		f.crowds[since] = packed
 	}
 }
 
 // tellMap tells what changed of the map, or all of it to who knows none.
-func (f *Forum) tellMap(seen parley.Seen, news *parley.News) {
+func (f *Forum) tellMap(seen rpc.Seen, news *rpc.News) {
 	if news.Full || seen.MapAt == 0 {
 		shards := f.shards
 		news.Map = &shards
@@ -596,8 +596,8 @@
 	if f.mapAt <= seen.MapAt {
 		return
 	}
-	delta := &parley.MapDelta{Base: seen.MapAt, Count: f.mapAt}
-	f.members.Since(seen.MapAt, func(id parley.FellowID, _ bool, gone bool) {
+	delta := &rpc.MapDelta{Base: seen.MapAt, Count: f.mapAt}
+	f.members.Since(seen.MapAt, func(id rpc.FellowID, _ bool, gone bool) {
 		if gone {
 			delta.Removed = append(delta.Removed, id)
 		} else {
@@ -608,7 +608,7 @@
 }
 
 // lend gives a fellow its shares of every bound.
-func (f *Forum) lend(now time.Duration, ask parley.BeatAsk) (leases []parley.Lease) {
+func (f *Forum) lend(now time.Duration, ask rpc.BeatAsk) (leases []rpc.Lease) {
 	if ask.Stopping {
 		return nil
 	}
@@ -622,14 +622,14 @@
 		}
 	}
 	slack := f.props.Bounds.RetrySlack * 0.7
-	give(quota.Key{Kind: parley.RetrySlack}, slack, f.props.Bounds.RetryWindow, slack/float64(present))
+	give(quota.Key{Kind: rpc.RetrySlack}, slack, f.props.Bounds.RetryWindow, slack/float64(present))
 	for _, demand := range ask.Demands {
 		if tenant := f.view.TenantNamed(demand.Tenant); tenant != nil {
 			leases = append(leases, f.lender.Lend(now, quota.BoundOf(tenant), ask.ID, present, demand)...)
 		}
 	}
 	for _, demand := range ask.Retries {
-		service := parley.ServiceName(demand.Tenant)
+		service := rpc.ServiceName(demand.Tenant)
 		if rule, written := f.orders.retries.For(service); written && rule.LeastPerSecond > 0 && f.view.Services[demand.Tenant] != nil {
 			leases = append(leases, f.retries.Lend(now, rule.Bound(service), ask.ID, present, demand)...)
 		}
@@ -644,7 +644,7 @@
 			continue
 		}
 		if user, users := f.uses(ask.Fellow, server, service.ColdRate); user {
-			give(quota.Key{Kind: parley.ColdRate, Name: string(id)}, service.ColdRate, 1200*time.Millisecond, service.ColdRate/float64(users))
+			give(quota.Key{Kind: rpc.ColdRate, Name: string(id)}, service.ColdRate, 1200*time.Millisecond, service.ColdRate/float64(users))
 		}
 	}
 	return leases
@@ -653,7 +653,7 @@
 // uses tells whether a fellow is among the few that a cold backend's rate is
 // split between: those of the nearest fellows heard that rank highest for it,
 // as they do for its ordinary use, so that many cold backends are spread.
-func (f *Forum) uses(to parley.Fellow, server parley.Server, rate float64) (user bool, users int) {
+func (f *Forum) uses(to rpc.Fellow, server rpc.Server, rate float64) (user bool, users int) {
 	nearest := f.nearest(server.Site)
 	users = min(len(nearest), max(1, int(rate/3)))
 	own := healthcheck.Rank(string(to.ID), string(server.ID))
@@ -670,13 +670,13 @@
 
 // nearest lists the fellows heard in a site, or else in its region, or else
 // all. It is reckoned once a change of the roll, not once a beat.
-func (f *Forum) nearest(site parley.SiteName) (ids []parley.FellowID) {
+func (f *Forum) nearest(site rpc.SiteName) (ids []rpc.FellowID) {
 	if ids, known := f.near[site]; known {
 		return ids
 	}
 	region := f.props.Regions[string(site)]
-	var there, around, all []parley.FellowID
-	f.roll.Fellows.Each(func(id parley.FellowID, fellow parley.Fellow) {
+	var there, around, all []rpc.FellowID
+	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
 		if !f.roll.Here(id) || fellow.Stopping || !fellow.Ready {
 			return
 		}
@@ -688,7 +688,7 @@
 			around = append(around, id)
 		}
 	})
-	for _, ids = range [][]parley.FellowID{there, around, all} {
+	for _, ids = range [][]rpc.FellowID{there, around, all} {
 		if len(ids) > 0 {
 			break
 		}
@@ -698,7 +698,7 @@
 }
 
 // Report takes an owner's findings.
-func (f *Forum) Report(ask parley.ReportAsk) (taken bool) {
+func (f *Forum) Report(ask rpc.ReportAsk) (taken bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.list.Walked {
@@ -708,7 +708,7 @@
 		_ = f.refuse("report", ask.Fellow, fault)
 		return false
 	}
-	absent := map[parley.FellowID]bool{}
+	absent := map[rpc.FellowID]bool{}
 	for _, id := range f.absent {
 		absent[id] = true
 	}
@@ -721,7 +721,7 @@
 	ask.States = listed
 	before := f.clock.Now()
 	taken, changed := f.cache.Report(f.now(), ask, absent)
-	f.cache.States.Since(before, func(id parley.ServerID, state parley.State, _ bool) {
+	f.cache.States.Since(before, func(id rpc.ServerID, state rpc.State, _ bool) {
 		f.chronicle.Note(history.Health, string(id), "reported by "+string(ask.Fellow), state.Stamp(), uint64(f.clock.Now()), true)
 	})
 	if changed {
@@ -731,7 +731,7 @@
 }
 
 // Inner gives a fellow's inner address and the life it was last heard with.
-func (f *Forum) Inner(id parley.FellowID) (inner string, life parley.Life) {
+func (f *Forum) Inner(id rpc.FellowID) (inner string, life rpc.Life) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fellow, _ := f.roll.Fellows.Get(id)
--- a/internal/coordinator/forum_test.go
+++ b/internal/coordinator/forum_test.go
@@ -11,15 +11,15 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
 )
 
 // bare is a forum without duties: what it is told in the test is all there is.
 func bare() (f *Forum) {
 	defer func() {
-		f.balance, f.orders, f.members = healthcheck.NewBalance(), newOrders(), registry.NewLedger[parley.FellowID, bool](f.clock)
+		f.balance, f.orders, f.members = healthcheck.NewBalance(), newOrders(), registry.NewLedger[rpc.FellowID, bool](f.clock)
 	}()
 	clock := &registry.Clock{}
 	clock.Next()
@@ -27,7 +27,7 @@
 		log: eventlog.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
 		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
-		view: config.New().View(), near: map[parley.SiteName][]parley.FellowID{}, owners: map[parley.ServiceName]parley.FellowID{}, tallies: map[parley.FellowID][]parley.Tally{}, sites: map[parley.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
+		view: config.New().View(), near: map[rpc.SiteName][]rpc.FellowID{}, owners: map[rpc.ServiceName]rpc.FellowID{}, tallies: map[rpc.FellowID][]rpc.Tally{}, sites: map[rpc.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
 		chronicle: history.New(eventlog.Quiet()),
 	}
 }
@@ -37,34 +37,34 @@
 // what changes meanwhile.
 func TestAFellowThatCameBeforeTheListGetsAllOfIt(t *testing.T) {
 	f := bare()
-	server := func(id string) parley.Server {
-		return parley.Server{ID: parley.ServerID(id), Service: "s", Address: "x:1"}
+	server := func(id string) rpc.Server {
+		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1"}
 	}
-	f.merge([]parley.Server{server("a"), server("b")}, false)
-	if f.Report(parley.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []parley.State{{Server: "a", Health: parley.Up}}}) {
+	f.merge([]rpc.Server{server("a"), server("b")}, false)
+	if f.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []rpc.State{{Server: "a", Health: rpc.Up}}}) {
 		t.Fatal("a report was taken before the list is whole, and would not be told again")
 	}
-	ask := parley.BeatAsk{Fellow: parley.Fellow{ID: "e", Ready: true}}
+	ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}}
 	// Its first beat made it known; this one brings no change of term.
-	ask.Term, ask.Epoch, ask.ItemAt = 7, f.clock.Now(), parley.AllItems
-	var first parley.News
+	ask.Term, ask.Epoch, ask.ItemAt = 7, f.clock.Now(), rpc.AllItems
+	var first rpc.News
 	f.tell(ask, &first)
 	if first.Part != nil || len(first.Servers) != 0 {
 		t.Fatalf("a list that is not whole was told: %+v", first)
 	}
-	walk := []parley.Server{server("a"), server("b")}
+	walk := []rpc.Server{server("a"), server("b")}
 	for i := range 3*partRows - 2 {
 		walk = append(walk, server(fmt.Sprintf("c-%03d", i)))
 	}
 	f.merge(walk, false)
 	f.merge(walk, true)
-	known := map[parley.ServerID]bool{}
+	known := map[rpc.ServerID]bool{}
 	ask.Term, ask.Epoch = first.Term, first.Epoch
 	for parts := 0; !ask.Listed; parts++ {
 		if !f.due(ask) || parts > 3 {
 			t.Fatalf("after %d parts: due %v", parts, f.due(ask))
 		}
-		var news parley.News
+		var news rpc.News
 		f.tell(ask, &news)
 		if news.Part == nil {
 			t.Fatalf("part %d is missing", parts)
@@ -84,15 +84,15 @@
 		ask.Epoch, ask.ListAt, ask.Listed = news.Epoch, news.Part.At, news.Part.Done
 		if parts == 0 {
 			// One more that sorts before what was told, and one that goes.
-			f.merge([]parley.Server{server("aa")}, false)
+			f.merge([]rpc.Server{server("aa")}, false)
 			f.list.Servers.Drop("a")
 		}
 	}
 	if len(known) != 3*partRows+1 || !known["aa"] || known["a"] {
 		t.Fatalf("%d backends are known, aa: %v, a: %v", len(known), known["aa"], known["a"])
 	}
-	f.merge([]parley.Server{server("d")}, false)
-	var last parley.News
+	f.merge([]rpc.Server{server("d")}, false)
+	var last rpc.News
 	f.tell(ask, &last)
 	if last.Part != nil || len(last.Servers) != 1 {
 		t.Fatalf("then only what changed: %d told", len(last.Servers))
@@ -117,15 +117,15 @@
 	f.rev = 5
 	told := 0
 	known := map[string]bool{}
-	var seen parley.Seen
+	var seen rpc.Seen
 	for parts := 0; f.owesItems(seen); parts++ {
-		var news parley.News
+		var news rpc.News
 		f.tellItems(state, seen, &news)
 		size := 0
 		items := news.Items
 		if news.Packed != nil {
 			var err error
-			if items, err = parley.Unpack(news.Packed); err != nil {
+			if items, err = rpc.Unpack(news.Packed); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -156,9 +156,9 @@
 // it must not end the leader.
 func TestNothingIsToldOfAnEmptyConfiguration(t *testing.T) {
 	f := bare()
-	var news parley.News
-	f.tellItems(accord.NewState(), parley.Seen{}, &news)
-	if news.Rev != 0 || news.ItemAt != parley.AllItems || len(news.Items) != 0 || news.Packed != nil {
+	var news rpc.News
+	f.tellItems(accord.NewState(), rpc.Seen{}, &news)
+	if news.Rev != 0 || news.ItemAt != rpc.AllItems || len(news.Items) != 0 || news.Packed != nil {
 		t.Fatalf("%+v", news)
 	}
 }
--- a/internal/coordinator/map_test.go
+++ b/internal/coordinator/map_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Fellows that are told differences come to the same map as one that is told it
@@ -16,21 +16,21 @@
 	luck := rand.New(rand.NewSource(3))
 	f := bare()
 	type told struct {
-		seen parley.Seen
-		m    parley.ShardMap
+		seen rpc.Seen
+		m    rpc.ShardMap
 	}
 	fellows := make([]told, 8)
 	for step := 0; step < 400; step++ {
 		now := time.Duration(step) * time.Second
-		id := parley.FellowID(fmt.Sprint("e", luck.Intn(30)))
-		f.roll.Beat(now, parley.Fellow{ID: id, Ready: true, Stopping: luck.Intn(3) == 0})
+		id := rpc.FellowID(fmt.Sprint("e", luck.Intn(30)))
+		f.roll.Beat(now, rpc.Fellow{ID: id, Ready: true, Stopping: luck.Intn(3) == 0})
 		if luck.Intn(2) == 0 {
 			f.refreshMembers()
 		}
 		at := &fellows[luck.Intn(len(fellows))]
 		asked := at.seen
 		for again := luck.Intn(2); again >= 0; again-- {
-			var news parley.News
+			var news rpc.News
 			f.tellMap(asked, &news)
 			if news.Map != nil {
 				at.m = *news.Map
@@ -52,12 +52,12 @@
 func TestACrowdIsToldPacked(t *testing.T) {
 	f := bare()
 	for n := 0; n < 300; n++ {
-		f.roll.Beat(0, parley.Fellow{ID: parley.FellowID(fmt.Sprintf("edge-somewhere-%d", n)), Site: "somewhere", Region: "there", Front: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), Inner: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
+		f.roll.Beat(0, rpc.Fellow{ID: rpc.FellowID(fmt.Sprintf("edge-somewhere-%d", n)), Site: "somewhere", Region: "there", Front: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), Inner: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
 	}
-	var news, again parley.News
+	var news, again rpc.News
 	f.tellFellows(0, &news)
 	f.tellFellows(0, &again)
-	rows, err := parley.UnpackRows[parley.FellowChange](news.Crowd)
+	rows, err := rpc.UnpackRows[rpc.FellowChange](news.Crowd)
 	if err != nil || len(rows) != 300 || len(news.Fellows) != 0 || &again.Crowd[0] != &news.Crowd[0] {
 		t.Fatal(len(rows), err)
 	}
@@ -81,14 +81,14 @@
 // the beginning.
 func TestAListBegunByAnotherLeaderIsToldAnew(t *testing.T) {
 	f := bare()
-	var walk []parley.Server
+	var walk []rpc.Server
 	for n := 0; n < 3*partRows; n++ {
-		walk = append(walk, parley.Server{ID: parley.ServerID(fmt.Sprintf("i-%03d", n)), Service: "s", Address: "x:1"})
+		walk = append(walk, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("i-%03d", n)), Service: "s", Address: "x:1"})
 	}
 	for _, whole := range []bool{false, true} {
 		f.merge(walk, whole)
 	}
-	ask := parley.BeatAsk{Fellow: parley.Fellow{ID: "e"}, Seen: parley.Seen{Term: 6, ItemAt: parley.AllItems, ListAt: "i-100"}}
+	ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e"}, Seen: rpc.Seen{Term: 6, ItemAt: rpc.AllItems, ListAt: "i-100"}}
 	if from := f.nextPart(ask).From; from != "" {
 		t.Errorf("another leader's fellow is told on from %s", from)
 	}
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -14,9 +14,9 @@
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -38,13 +38,13 @@
 	plan     *schedule.Plan
 	retries  *retry.Policy
 	retryRev uint64
-	retired  map[parley.ServerID]parley.Retirement
-	move     parley.Move
+	retired  map[rpc.ServerID]rpc.Retirement
+	move     rpc.Move
 	desk     *drain.Desk
 	stepper  *schedule.Stepper
-	follows  map[parley.FellowID]followed
+	follows  map[rpc.FellowID]followed
 	fleet    int
-	burdens  map[parley.FellowID][]parley.Burden
+	burdens  map[rpc.FellowID][]rpc.Burden
 	busy     bool
 	retiring []drain.Account
 	moving   []schedule.Account
@@ -54,8 +54,8 @@
 
 func newOrders() (o orders) {
 	return orders{
-		retired: map[parley.ServerID]parley.Retirement{}, desk: drain.NewDesk(), stepper: &schedule.Stepper{},
-		follows: map[parley.FellowID]followed{}, burdens: map[parley.FellowID][]parley.Burden{}, wall: time.Now, said: map[string]string{},
+		retired: map[rpc.ServerID]rpc.Retirement{}, desk: drain.NewDesk(), stepper: &schedule.Stepper{},
+		follows: map[rpc.FellowID]followed{}, burdens: map[rpc.FellowID][]rpc.Burden{}, wall: time.Now, said: map[string]string{},
 	}
 }
 
@@ -72,7 +72,7 @@
 	if document := state.Documents[policy.DayPlan]; document.InForce() {
 		o.plan, _ = schedule.Read([]byte(document.Body))
 	}
-	o.retired = make(map[parley.ServerID]parley.Retirement, len(state.Retired))
+	o.retired = make(map[rpc.ServerID]rpc.Retirement, len(state.Retired))
 	for id, retired := range state.Retired {
 		o.retired[id] = retired
 	}
@@ -80,9 +80,9 @@
 }
 
 // heard notes how far a fellow follows, by its own beat.
-func (o *orders) heard(now time.Duration, ask parley.BeatAsk) {
+func (o *orders) heard(now time.Duration, ask rpc.BeatAsk) {
 	rev := ask.Rev
-	if ask.ItemAt != parley.AllItems && rev > 0 {
+	if ask.ItemAt != rpc.AllItems && rev > 0 {
 		rev--
 	}
 	o.follows[ask.ID] = followed{rev, now}
@@ -107,14 +107,14 @@
 	}
 	// What older leaders knew of and this one has not heard yet.
 	for len(followers) < f.orders.fleet && now < rememberFellow {
-		followers = append(followers, drain.Follower{ID: parley.FellowID(fmt.Sprint("not heard yet ", len(followers)))})
+		followers = append(followers, drain.Follower{ID: rpc.FellowID(fmt.Sprint("not heard yet ", len(followers)))})
 	}
 	return followers
 }
 
 // stock counts a service's backends.
-func (f *Forum) stock(service parley.ServiceName) (stock drain.Stock) {
-	f.eachBackend(service, func(_ parley.Server, useful bool) {
+func (f *Forum) stock(service rpc.ServiceName) (stock drain.Stock) {
+	f.eachBackend(service, func(_ rpc.Server, useful bool) {
 		stock.Listed++
 		if useful {
 			stock.Useful++
@@ -123,30 +123,30 @@
 	return stock
 }
 
-func (f *Forum) eachBackend(service parley.ServiceName, visit func(server parley.Server, useful bool)) {
-	f.list.Servers.Each(func(id parley.ServerID, server parley.Server) {
+func (f *Forum) eachBackend(service rpc.ServiceName, visit func(server rpc.Server, useful bool)) {
+	f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 		if server.Service != service {
 			return
 		}
 		state, _ := f.cache.States.Get(id)
 		retired := f.orders.retired[id]
-		visit(server, !server.Draining && state.Health != parley.Down && !(retired.Stopped > 0 && !retired.Gone))
+		visit(server, !server.Draining && state.Health != rpc.Down && !(retired.Stopped > 0 && !retired.Gone))
 	})
 }
 
 // regions is what a plan's target has in each region.
 func (f *Forum) regions(target schedule.Target) (state schedule.State) {
-	state.Stock = map[parley.RegionName]schedule.Stock{}
-	services := []parley.ServiceName{target.Service}
+	state.Stock = map[rpc.RegionName]schedule.Stock{}
+	services := []rpc.ServiceName{target.Service}
 	if target.Host != "" {
 		services = nil
 		for _, named := range f.view.ServicesOf(target.Host) {
-			services = append(services, parley.ServiceName(named))
+			services = append(services, rpc.ServiceName(named))
 		}
 	}
 	for _, service := range services {
-		f.eachBackend(service, func(server parley.Server, useful bool) {
-			region := parley.RegionName(f.props.Regions[string(server.Site)])
+		f.eachBackend(service, func(server rpc.Server, useful bool) {
+			region := rpc.RegionName(f.props.Regions[string(server.Site)])
 			stock := state.Stock[region]
 			stock.Listed++
 			if useful && !f.sites[server.Site] {
@@ -164,7 +164,7 @@
 		}
 	}
 	for site := range f.sites {
-		region := parley.RegionName(f.props.Regions[string(site)])
+		region := rpc.RegionName(f.props.Regions[string(site)])
 		stock := state.Stock[region]
 		stock.Evacuated = stock.Useful == 0
 		state.Stock[region] = stock
@@ -177,14 +177,14 @@
 	o := &f.orders
 	var commands []accord.Command
 	if len(o.retired) > 0 {
-		list := make([]parley.Retirement, 0, len(o.retired))
+		list := make([]rpc.Retirement, 0, len(o.retired))
 		for id, retired := range o.retired {
 			if _, listed := f.list.Servers.Get(id); !retired.Gone && !listed && f.list.Walked {
 				commands = append(commands, accord.Command{Kind: accord.CommandRestore, Site: string(id)})
 			}
 			list = append(list, retired)
 		}
-		var stops []parley.ServerID
+		var stops []rpc.ServerID
 		stops, o.retiring = o.desk.Step(now, o.policy, list, f.followers(now), f.stock)
 		for _, id := range stops {
 			commands = append(commands, accord.Command{Kind: accord.CommandStop, Site: string(id)})
@@ -196,13 +196,13 @@
 		o.retiring = nil
 	}
 	if o.policy != nil {
-		f.list.Servers.Each(func(id parley.ServerID, server parley.Server) {
+		f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 			if _, ordered := o.retired[id]; server.Draining && !ordered {
 				commands = append(commands, accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: accord.Claim{Holder: drain.ByPlatform}})
 			}
 		})
 	}
-	var move *parley.Move
+	var move *rpc.Move
 	o.moving = nil
 	if o.plan != nil && f.list.Walked {
 		move, o.moving = o.stepper.Step(now, o.wall(), o.plan, o.move, f.regions)
@@ -254,7 +254,7 @@
 
 // CheckRetire tells why a backend that is not retired may not be, and whether it
 // is on the list.
-func (f *Forum) CheckRetire(id parley.ServerID) (service parley.ServiceName, listed bool, err error) {
+func (f *Forum) CheckRetire(id rpc.ServerID) (service rpc.ServiceName, listed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	server, listed := f.list.Servers.Get(id)
@@ -273,11 +273,11 @@
 	if err != nil {
 		return err
 	}
-	known := map[parley.RegionName]bool{}
+	known := map[rpc.RegionName]bool{}
 	for _, region := range f.props.Regions {
-		known[parley.RegionName(region)] = true
+		known[rpc.RegionName(region)] = true
 	}
-	return plan.Check(func(string) bool { return true }, func(region parley.RegionName) bool { return known[region] })
+	return plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return known[region] })
 }
 
 // Retiring gives the standing of each order to retire.
@@ -308,15 +308,15 @@
 			}
 		}
 	}
-	f.list.Servers.Each(func(id parley.ServerID, server parley.Server) {
+	f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 		place := healthcheck.Place{Service: server.Service, Site: server.Site}
 		state, _ := f.cache.States.Get(id)
 		retired := f.orders.retired[id]
-		if server.Draining || f.sites[server.Site] || state.Health == parley.Down || state.Aside != "" || f.cache.ColdUntil(id) > now || retired.Stopped > 0 && !retired.Gone {
+		if server.Draining || f.sites[server.Site] || state.Health == rpc.Down || state.Aside != "" || f.cache.ColdUntil(id) > now || retired.Stopped > 0 && !retired.Gone {
 			slots[place] += 0
 			return
 		}
 		slots[place] += float64(max(1, server.Slots))
 	})
-	f.balance.Turn(now, atWork, slots, func(site parley.SiteName) string { return f.props.Regions[string(site)] })
+	f.balance.Turn(now, atWork, slots, func(site rpc.SiteName) string { return f.props.Regions[string(site)] })
 }
--- a/internal/coordinator/retries.go
+++ b/internal/coordinator/retries.go
@@ -7,8 +7,8 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 // RetryAccount is how the limit of one service stands.
@@ -49,7 +49,7 @@
 	}
 	sort.Strings(missing)
 	for name := range f.view.Services {
-		rule, written := f.orders.retries.For(parley.ServiceName(name))
+		rule, written := f.orders.retries.For(rpc.ServiceName(name))
 		if !written {
 			continue
 		}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -13,8 +13,8 @@
 	"tinpin/internal/affinity"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -39,11 +39,11 @@
 	moved   uint64
 	refused uint64
 	// stopped is when a retired backend was first found to have been stopped.
-	stopped map[parley.ServerID]time.Duration
+	stopped map[rpc.ServerID]time.Duration
 }
 
 func newSessions() (s sessions) {
-	return sessions{desk: affinity.NewDesk(), stopped: map[parley.ServerID]time.Duration{}}
+	return sessions{desk: affinity.NewDesk(), stopped: map[rpc.ServerID]time.Duration{}}
 }
 
 // take reads what is agreed; the caller holds the forum's lock.
@@ -60,7 +60,7 @@
 	now, s := f.now(), &f.sessions
 	s.built, s.scanned = true, now
 	f.node.Read(func(state *accord.State) {
-		state.EachBinding(func(session parley.SessionID, binding accord.Binding) {
+		state.EachBinding(func(session rpc.SessionID, binding accord.Binding) {
 			if !s.desk.Known(binding.Service, session) {
 				s.desk.Put(now, binding.Service, session, binding.Idle, binding.Seq)
 			}
@@ -77,7 +77,7 @@
 }
 
 // bindFault tells what is wrong with an ask.
-func (f *Forum) bindFault(bind parley.Bind) (fault string) {
+func (f *Forum) bindFault(bind rpc.Bind) (fault string) {
 	server, listed := f.list.Servers.Get(bind.Server)
 	_, ruled := f.sessions.policy.For(bind.Service)
 	switch {
@@ -96,7 +96,7 @@
 }
 
 // ended tells that a session may not stay on a backend; the caller holds the lock.
-func (f *Forum) ended(now time.Duration, id parley.ServerID, service parley.ServiceName) (ended bool, why string) {
+func (f *Forum) ended(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
 	server, listed := f.list.Servers.Get(id)
 	if !listed {
 		return f.list.Walked, "gone"
@@ -120,8 +120,8 @@
 }
 
 // Bind answers a batch of asks.
-func (f *Forum) Bind(ask parley.BindAsk) (found []parley.BindFound) {
-	found = make([]parley.BindFound, len(ask.Binds))
+func (f *Forum) Bind(ask rpc.BindAsk) (found []rpc.BindFound) {
+	found = make([]rpc.BindFound, len(ask.Binds))
 	if _, settled, _, _, _ := f.node.Standing(); !settled {
 		return found
 	}
@@ -138,18 +138,18 @@
 		if fault := f.bindFault(bind); fault != "" {
 			f.sessions.refused++
 			_ = f.refuse("bind", "", fault)
-			found[i].Outcome = parley.BindRefused
+			found[i].Outcome = rpc.BindRefused
 			continue
 		}
 		var standing accord.Binding
 		var bound bool
 		f.node.Read(func(state *accord.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := f.sessions.desk.Answer(now, bind, standing.Server, bound, func(id parley.ServerID) (ended bool) {
+		server, bind, answered := f.sessions.desk.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
 			ended, why[i] = f.ended(now, id, bind.Service)
 			return ended
 		})
 		if answered {
-			found[i] = parley.BindFound{Outcome: parley.Bound, Server: server}
+			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: server}
 			continue
 		}
 		places = append(places, i)
@@ -167,11 +167,11 @@
 		switch {
 		case answer.Refused || !answer.Clear:
 		case answer.Result.Problem != "":
-			found[i].Outcome = parley.BindFull
+			found[i].Outcome = rpc.BindFull
 		default:
 			binding := answer.Result.Binding
 			f.sessions.desk.Put(f.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
-			found[i] = parley.BindFound{Outcome: parley.Bound, Server: binding.Server}
+			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
 			if answer.Result.Moved {
 				f.sessions.moved++
 				f.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
@@ -183,7 +183,7 @@
 }
 
 // mostSessions is how many a service may have.
-func (f *Forum) mostSessions(service parley.ServiceName) (most int) {
+func (f *Forum) mostSessions(service rpc.ServiceName) (most int) {
 	if rule, ruled := f.sessions.policy.For(service); ruled && f.view.Services[string(service)] != nil {
 		return rule.Most
 	}
@@ -252,7 +252,7 @@
 	f.settleSessions()
 	account = &SessionsAccount{Moved: f.sessions.moved, Crowded: f.sessions.desk.Crowded, Refused: f.sessions.refused}
 	for name := range f.view.Services {
-		rule, ruled := f.sessions.policy.For(parley.ServiceName(name))
+		rule, ruled := f.sessions.policy.For(rpc.ServiceName(name))
 		if !ruled {
 			continue
 		}
@@ -260,7 +260,7 @@
 		if rule.Name != "" {
 			from += " " + rule.Name
 		}
-		account.Services = append(account.Services, SessionAccount{Service: name, From: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: f.sessions.desk.Count(parley.ServiceName(name)), Most: rule.Most})
+		account.Services = append(account.Services, SessionAccount{Service: name, From: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: f.sessions.desk.Count(rpc.ServiceName(name)), Most: rule.Most})
 	}
 	sort.Slice(account.Services, func(i, j int) bool { return account.Services[i].Service < account.Services[j].Service })
 	return account
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -17,8 +17,8 @@
 	"github.com/zeebo/errs"
 
 	"tinpin/internal/controller"
-	"tinpin/internal/parley"
 	"tinpin/internal/passage"
+	"tinpin/internal/rpc"
 )
 
 // Class marks what the tools cannot do.
@@ -42,7 +42,7 @@
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			caller := parley.NewCaller(address)
+			caller := rpc.NewCaller(address)
 			defer caller.Close()
 			var reply Reply
 			err := caller.Call(method, ask, &reply, patience)
@@ -63,7 +63,7 @@
 		for _, address := range wave {
 			asked[address] = true
 		}
-		each(wave, "Status.Tell", parley.StatusAsk{}, func(address string, reply parley.StatusReply, callErr error) {
+		each(wave, "Status.Tell", rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
 			var account controller.CoreAccount
 			if callErr == nil {
 				callErr = json.Unmarshal(reply.JSON, &account)
@@ -97,7 +97,7 @@
 		names[fellow.Inner] = fellow.Name
 		addresses = append(addresses, fellow.Inner)
 	}
-	each(addresses, "Status.Tell", parley.StatusAsk{}, func(address string, reply parley.StatusReply, callErr error) {
+	each(addresses, "Status.Tell", rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
 		var account passage.Account
 		if callErr == nil {
 			callErr = json.Unmarshal(reply.JSON, &account)
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -19,13 +19,13 @@
 	"tinpin/internal/controller"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 type traced struct {
 	daemon string
 	ago    time.Duration
-	mark   parley.TraceMark
+	mark   rpc.TraceMark
 }
 
 // Known tells whether the tracer knows a kind of subject.
@@ -36,12 +36,12 @@
 func (f *Fleet) Trace(out io.Writer, kind, name string) (good bool, err error) {
 	var marks []traced
 	var lacks []string
-	replies := map[string]parley.TraceReply{}
+	replies := map[string]rpc.TraceReply{}
 	addresses := make([]string, 0, len(f.inners))
 	for _, address := range f.inners {
 		addresses = append(addresses, address)
 	}
-	each(addresses, "Status.Trace", parley.TraceAsk{Kind: kind, Name: name}, func(address string, reply parley.TraceReply, callErr error) {
+	each(addresses, "Status.Trace", rpc.TraceAsk{Kind: kind, Name: name}, func(address string, reply rpc.TraceReply, callErr error) {
 		if callErr != nil {
 			f.Unreachable = append(f.Unreachable, address)
 			return
@@ -101,7 +101,7 @@
 	return len(lacks) == 0 && len(f.Unreachable) == 0, Class.Wrap(table.Flush())
 }
 
-func stands(reply parley.TraceReply) (text string) {
+func stands(reply rpc.TraceReply) (text string) {
 	if !reply.Has {
 		return "not there"
 	}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -15,8 +15,8 @@
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/parley"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 	"tinpin/internal/settings"
 	"tinpin/internal/strain"
@@ -135,7 +135,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err = plan.Check(known, func(region parley.RegionName) bool {
+		if err = plan.Check(known, func(region rpc.RegionName) bool {
 			return region == "nairobi" || region == "mombasa" || region == "kisumu"
 		}); err != nil {
 			t.Error(err)
--- a/internal/drain/desk.go
+++ b/internal/drain/desk.go
@@ -11,7 +11,7 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // ByPlatform marks orders that follow the platform's word that a backend
@@ -38,7 +38,7 @@
 
 // Follower is one daemon as the leader hears it.
 type Follower struct {
-	ID parley.FellowID
+	ID rpc.FellowID
 	// Rev is how far it has confirmed to follow; Here that it is heard now.
 	Rev  uint64
 	Here bool
@@ -65,18 +65,18 @@
 
 // Desk counts notice.
 type Desk struct {
-	seen map[parley.ServerID]time.Duration
+	seen map[rpc.ServerID]time.Duration
 }
 
 // NewDesk has seen no order.
-func NewDesk() (desk *Desk) { return &Desk{seen: map[parley.ServerID]time.Duration{}} }
+func NewDesk() (desk *Desk) { return &Desk{seen: map[rpc.ServerID]time.Duration{}} }
 
 // Step looks at all orders. It gives the backends whose stop is to be
 // committed now, and the account of each order.
-func (d *Desk) Step(now time.Duration, policy *Policy, orders []parley.Retirement, followers []Follower, stock func(parley.ServiceName) Stock) (stops []parley.ServerID, accounts []Account) {
+func (d *Desk) Step(now time.Duration, policy *Policy, orders []rpc.Retirement, followers []Follower, stock func(rpc.ServiceName) Stock) (stops []rpc.ServerID, accounts []Account) {
 	sort.Slice(orders, func(i, k int) bool { return orders[i].Announced < orders[k].Announced })
-	stopped := map[parley.ServiceName]int{}
-	standing := map[parley.ServerID]bool{}
+	stopped := map[rpc.ServiceName]int{}
+	standing := map[rpc.ServerID]bool{}
 	for _, retired := range orders {
 		if retired.Gone {
 			continue
@@ -111,7 +111,7 @@
 	return stops, accounts
 }
 
-func (d *Desk) phase(now time.Duration, policy *Policy, rule Rule, retired parley.Retirement, followers []Follower, stock Stock, stoppedNow int) (phase Phase, why string) {
+func (d *Desk) phase(now time.Duration, policy *Policy, rule Rule, retired rpc.Retirement, followers []Follower, stock Stock, stoppedNow int) (phase Phase, why string) {
 	confirmed, here, behind := 0, 0, 0
 	upto := max(retired.Announced, retired.Stopped)
 	for _, follower := range followers {
--- a/internal/drain/permit.go
+++ b/internal/drain/permit.go
@@ -11,7 +11,7 @@
 import (
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Permit of one daemon.
@@ -20,13 +20,13 @@
 	stops    bool
 	led      time.Duration
 	fellows  time.Duration
-	retired  map[parley.ServerID]parley.Retirement
-	stoppedA map[parley.ServerID]time.Duration
+	retired  map[rpc.ServerID]rpc.Retirement
+	stoppedA map[rpc.ServerID]time.Duration
 }
 
 // NewPermit begins in touch.
 func NewPermit(now time.Duration) (permit *Permit) {
-	return &Permit{led: now, fellows: now, retired: map[parley.ServerID]parley.Retirement{}, stoppedA: map[parley.ServerID]time.Duration{}}
+	return &Permit{led: now, fellows: now, retired: map[rpc.ServerID]rpc.Retirement{}, stoppedA: map[rpc.ServerID]time.Duration{}}
 }
 
 // Policy takes the policy in force, nil for none.
@@ -44,7 +44,7 @@
 func (p *Permit) Heard(asked time.Duration) { p.fellows = max(p.fellows, asked) }
 
 // Take takes one agreed order; an older one changes nothing.
-func (p *Permit) Take(now time.Duration, retired parley.Retirement) {
+func (p *Permit) Take(now time.Duration, retired rpc.Retirement) {
 	old := p.retired[retired.Server]
 	if retired.Rev <= old.Rev {
 		return
@@ -58,7 +58,7 @@
 }
 
 // Forget drops a backend that is on no list any more.
-func (p *Permit) Forget(server parley.ServerID) {
+func (p *Permit) Forget(server rpc.ServerID) {
 	delete(p.retired, server)
 	delete(p.stoppedA, server)
 }
@@ -74,7 +74,7 @@
 }
 
 // Sends tells whether a new caller may be sent to a backend.
-func (p *Permit) Sends(now time.Duration, server parley.ServerID) (sends bool) {
+func (p *Permit) Sends(now time.Duration, server rpc.ServerID) (sends bool) {
 	retired, ordered := p.retired[server]
 	if !ordered || retired.Gone {
 		return true
@@ -86,13 +86,13 @@
 }
 
 // Finishing tells that a backend was stopped and what is there may go on.
-func (p *Permit) Finishing(now time.Duration, server parley.ServerID, finish time.Duration) (finishing bool) {
+func (p *Permit) Finishing(now time.Duration, server rpc.ServerID, finish time.Duration) (finishing bool) {
 	since, stopped := p.stoppedA[server]
 	return stopped && now-since < finish
 }
 
 // Over lists the backends whose requests at work have had their time.
-func (p *Permit) Over(now time.Duration, finish func(parley.ServiceName) time.Duration) (over []parley.Retirement) {
+func (p *Permit) Over(now time.Duration, finish func(rpc.ServiceName) time.Duration) (over []rpc.Retirement) {
 	for server, since := range p.stoppedA {
 		if retired := p.retired[server]; now-since >= finish(retired.Service) {
 			over = append(over, retired)
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // AllServices is the rule that holds where a service has none of its own.
@@ -109,7 +109,7 @@
 var usual = Rule{Service: AllServices, Finish: Span(30 * time.Second), Keyed: KeyedDeadline, LeastShare: 0}
 
 // For gives the rule of a service.
-func (p *Policy) For(service parley.ServiceName) (rule Rule) {
+func (p *Policy) For(service rpc.ServiceName) (rule Rule) {
 	rule = usual
 	if p == nil {
 		return rule
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 type simFault struct {
@@ -23,7 +23,7 @@
 }
 
 type simDaemon struct {
-	id      parley.FellowID
+	id      rpc.FellowID
 	permit  *Permit
 	rev     uint64
 	fresh   bool // has what is agreed
@@ -38,23 +38,23 @@
 	fault   simFault
 	now     time.Duration
 	rev     uint64
-	agreed  map[parley.ServerID]parley.Retirement
+	agreed  map[rpc.ServerID]rpc.Retirement
 	policy  *Policy
 	daemons []*simDaemon
 	desk    *Desk
-	heard   map[parley.FellowID]Follower
-	heardAt map[parley.FellowID]time.Duration
+	heard   map[rpc.FellowID]Follower
+	heardAt map[rpc.FellowID]time.Duration
 	led     bool
 	newLead time.Duration
 	// together is when the leader told that all follow.
-	together map[parley.ServerID]time.Duration
+	together map[rpc.ServerID]time.Duration
 	late     int
 	runs     map[string]int
 	sent     int
 	refused  int
 	unclear  int
-	atWork   map[parley.ServerID][]simRun
-	ended    map[parley.ServerID]bool
+	atWork   map[rpc.ServerID][]simRun
+	ended    map[rpc.ServerID]bool
 	emptied  bool
 }
 
@@ -71,9 +71,9 @@
 		t.Fatal(err)
 	}
 	s := &simDrain{
-		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[parley.ServerID]parley.Retirement{}, policy: policy, desk: NewDesk(),
-		heard: map[parley.FellowID]Follower{}, heardAt: map[parley.FellowID]time.Duration{}, led: true, together: map[parley.ServerID]time.Duration{},
-		runs: map[string]int{}, atWork: map[parley.ServerID][]simRun{}, ended: map[parley.ServerID]bool{},
+		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.ServerID]rpc.Retirement{}, policy: policy, desk: NewDesk(),
+		heard: map[rpc.FellowID]Follower{}, heardAt: map[rpc.FellowID]time.Duration{}, led: true, together: map[rpc.ServerID]time.Duration{},
+		runs: map[string]int{}, atWork: map[rpc.ServerID][]simRun{}, ended: map[rpc.ServerID]bool{},
 	}
 	for i := range 12 {
 		s.join(i)
@@ -82,7 +82,7 @@
 }
 
 func (s *simDrain) join(i int) {
-	daemon := &simDaemon{id: parley.FellowID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
+	daemon := &simDaemon{id: rpc.FellowID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
 	daemon.permit.Policy(s.policy)
 	s.daemons = append(s.daemons, daemon)
 }
@@ -126,7 +126,7 @@
 	if !s.led {
 		if s.now >= s.newLead {
 			// A new leader has what is agreed, and has heard nobody yet.
-			s.led, s.desk, s.heard = true, NewDesk(), map[parley.FellowID]Follower{}
+			s.led, s.desk, s.heard = true, NewDesk(), map[rpc.FellowID]Follower{}
 		}
 		return
 	}
@@ -139,11 +139,11 @@
 		follower.Here = known && s.now-s.heardAt[d.id] < time.Second
 		followers = append(followers, follower)
 	}
-	var orders []parley.Retirement
+	var orders []rpc.Retirement
 	for _, order := range s.agreed {
 		orders = append(orders, order)
 	}
-	stops, accounts := s.desk.Step(s.now, s.policy, orders, followers, func(parley.ServiceName) Stock {
+	stops, accounts := s.desk.Step(s.now, s.policy, orders, followers, func(rpc.ServiceName) Stock {
 		useful := 8
 		for _, order := range s.agreed {
 			if order.Stopped > 0 {
@@ -166,7 +166,7 @@
 		s.agreed[id] = order
 	}
 	for _, account := range accounts {
-		id := parley.ServerID(account.Server)
+		id := rpc.ServerID(account.Server)
 		if _, told := s.together[id]; !told && account.Phase == Together {
 			s.together[id] = s.now
 		}
@@ -187,7 +187,7 @@
 	}
 	first := s.luck.Intn(8)
 	for i := range 8 {
-		id := parley.ServerID(fmt.Sprint("i-", (first+i)%8))
+		id := rpc.ServerID(fmt.Sprint("i-", (first+i)%8))
 		if !d.permit.Sends(s.now, id) && !s.fault.deaf {
 			continue
 		}
@@ -233,9 +233,9 @@
 			}
 		case 4:
 			if s.led && len(s.agreed) < 7 {
-				id := parley.ServerID(fmt.Sprint("i-", len(s.agreed)))
+				id := rpc.ServerID(fmt.Sprint("i-", len(s.agreed)))
 				s.rev++
-				s.agreed[id] = parley.Retirement{Server: id, Service: "pay", By: ByOperator, Announced: s.rev, Rev: s.rev}
+				s.agreed[id] = rpc.Retirement{Server: id, Service: "pay", By: ByOperator, Announced: s.rev, Rev: s.rev}
 			}
 		}
 		for _, d := range s.daemons {
@@ -308,10 +308,10 @@
 	policy, _ := Read([]byte(sound))
 	desk := NewDesk()
 	all := []Follower{{ID: "a", Rev: 9, Here: true}, {ID: "b", Rev: 9, Here: true}, {ID: "c"}}
-	orders := []parley.Retirement{{Server: "i", Service: "book", By: ByOperator, Announced: 9, Rev: 9}}
+	orders := []rpc.Retirement{{Server: "i", Service: "book", By: ByOperator, Announced: 9, Rev: 9}}
 	stock := Stock{Listed: 4, Useful: 2}
-	step := func(now time.Duration) (stops []parley.ServerID, account Account) {
-		stops, accounts := desk.Step(now, policy, orders, all, func(parley.ServiceName) Stock { return stock })
+	step := func(now time.Duration) (stops []rpc.ServerID, account Account) {
+		stops, accounts := desk.Step(now, policy, orders, all, func(rpc.ServiceName) Stock { return stock })
 		return stops, accounts[0]
 	}
 	if stops, account := step(0); len(stops) != 0 || account.Phase != Announced {
--- a/internal/healthcheck/balance_test.go
+++ b/internal/healthcheck/balance_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
-func land(site parley.SiteName) string {
+func land(site rpc.SiteName) string {
 	if site == "isle" {
 		return "sea"
 	}
@@ -25,7 +25,7 @@
 		}
 	}
 	turn(50, 52, 48)
-	for _, site := range []parley.SiteName{"a", "b", "c", "isle"} {
+	for _, site := range []rpc.SiteName{"a", "b", "c", "isle"} {
 		if spills := balance.Spills(site); len(spills) != 0 {
 			t.Fatalf("%s: %+v though the sites are alike", site, spills)
 		}
--- a/internal/healthcheck/cache.go
+++ b/internal/healthcheck/cache.go
@@ -8,22 +8,22 @@
 import (
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
 )
 
 type watched struct {
-	by    parley.FellowID
+	by    rpc.FellowID
 	fresh time.Duration
 	full  bool
 }
 
 // Cache is the leader's collection of states.
 type Cache struct {
-	States *registry.Ledger[parley.ServerID, parley.State]
-	until  map[parley.ServerID]time.Duration
-	of     map[parley.ServerID]parley.ServiceName
-	owners map[parley.ServiceName]*watched
+	States *registry.Ledger[rpc.ServerID, rpc.State]
+	until  map[rpc.ServerID]time.Duration
+	of     map[rpc.ServerID]rpc.ServiceName
+	owners map[rpc.ServiceName]*watched
 	ring   *Ring
 	age    time.Duration
 }
@@ -31,17 +31,17 @@
 // NewCache is an empty cache; states older than age are unknown.
 func NewCache(clock *registry.Clock, age time.Duration) (cache *Cache) {
 	return &Cache{
-		States: registry.NewLedger[parley.ServerID, parley.State](clock), until: map[parley.ServerID]time.Duration{},
-		of: map[parley.ServerID]parley.ServiceName{}, owners: map[parley.ServiceName]*watched{}, ring: NewRing(nil), age: age,
+		States: registry.NewLedger[rpc.ServerID, rpc.State](clock), until: map[rpc.ServerID]time.Duration{},
+		of: map[rpc.ServerID]rpc.ServiceName{}, owners: map[rpc.ServiceName]*watched{}, ring: NewRing(nil), age: age,
 	}
 }
 
 // Shards takes the newest map.
-func (c *Cache) Shards(shards parley.ShardMap) { c.ring = NewRing(shards.Members) }
+func (c *Cache) Shards(shards rpc.ShardMap) { c.ring = NewRing(shards.Members) }
 
 // Owner names who should watch a service by the newest map.
-func (c *Cache) Owner(service parley.ServiceName, absent []parley.FellowID) (owner parley.FellowID) {
-	away := make(map[parley.FellowID]bool, len(absent))
+func (c *Cache) Owner(service rpc.ServiceName, absent []rpc.FellowID) (owner rpc.FellowID) {
+	away := make(map[rpc.FellowID]bool, len(absent))
 	for _, id := range absent {
 		away[id] = true
 	}
@@ -49,7 +49,7 @@
 }
 
 // Report takes an owner's findings; absent are the fellows not heard.
-func (c *Cache) Report(now time.Duration, report parley.ReportAsk, absent map[parley.FellowID]bool) (taken, changed bool) {
+func (c *Cache) Report(now time.Duration, report rpc.ReportAsk, absent map[rpc.FellowID]bool) (taken, changed bool) {
 	rightful := c.ring.Owner(report.Service, absent)
 	held := c.owners[report.Service]
 	if held == nil {
@@ -73,7 +73,7 @@
 	return true, changed
 }
 
-func (c *Cache) put(now time.Duration, state parley.State) (changed bool) {
+func (c *Cache) put(now time.Duration, state rpc.State) (changed bool) {
 	until := time.Duration(0)
 	if state.Cold > 0 {
 		until = now + state.Cold
@@ -91,20 +91,20 @@
 }
 
 // Suspect marks backends as cold till their owner says otherwise.
-func (c *Cache) Suspect(now time.Duration, server parley.ServerID, service parley.ServiceName, cold time.Duration) {
+func (c *Cache) Suspect(now time.Duration, server rpc.ServerID, service rpc.ServiceName, cold time.Duration) {
 	if cold <= 0 {
 		return
 	}
 	old, _ := c.States.Get(server)
 	c.of[server] = service
-	c.put(now, parley.State{Server: server, Health: old.Health, Aside: old.Aside, Cold: cold})
+	c.put(now, rpc.State{Server: server, Health: old.Health, Aside: old.Aside, Cold: cold})
 }
 
 // ColdUntil gives the end of a backend's cold spell on the leader's clock.
-func (c *Cache) ColdUntil(server parley.ServerID) (until time.Duration) { return c.until[server] }
+func (c *Cache) ColdUntil(server rpc.ServerID) (until time.Duration) { return c.until[server] }
 
 // Cold lists the backends whose cold spell ends after a moment.
-func (c *Cache) Cold(after time.Duration, into []parley.ServerID) (cold []parley.ServerID) {
+func (c *Cache) Cold(after time.Duration, into []rpc.ServerID) (cold []rpc.ServerID) {
 	for server, until := range c.until {
 		if until > 0 && until >= after {
 			into = append(into, server)
@@ -124,8 +124,8 @@
 			if of != service {
 				continue
 			}
-			if old, known := c.States.Get(server); known && old.Health != parley.Unknown {
-				old.Health, old.Cold = parley.Unknown, max(0, c.until[server]-now)
+			if old, known := c.States.Get(server); known && old.Health != rpc.Unknown {
+				old.Health, old.Cold = rpc.Unknown, max(0, c.until[server]-now)
 				if c.States.Set(server, old) {
 					changed = true
 				}
@@ -136,14 +136,14 @@
 }
 
 // Drop forgets a backend that is gone.
-func (c *Cache) Drop(server parley.ServerID) {
+func (c *Cache) Drop(server rpc.ServerID) {
 	c.States.Drop(server)
 	delete(c.until, server)
 	delete(c.of, server)
 }
 
 // Remaining turns a state's cold spell into what is left of it now.
-func (c *Cache) Remaining(now time.Duration, state parley.State) (left parley.State) {
+func (c *Cache) Remaining(now time.Duration, state rpc.State) (left rpc.State) {
 	if state.Cold > 0 {
 		state.Cold = max(0, c.until[state.Server]-now)
 	}
--- a/internal/healthcheck/judge.go
+++ b/internal/healthcheck/judge.go
@@ -11,7 +11,7 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -67,8 +67,8 @@
 }
 
 type accused struct {
-	service parley.ServiceName
-	sites   map[parley.SiteName]*span
+	service rpc.ServiceName
+	sites   map[rpc.SiteName]*span
 	aside   string
 	since   time.Duration
 	wait    time.Duration
@@ -78,18 +78,18 @@
 
 // Judge keeps the sums of what one daemon owns.
 type Judge struct {
-	servers map[parley.ServerID]*accused
-	norms   map[parley.ServiceName]*span
+	servers map[rpc.ServerID]*accused
+	norms   map[rpc.ServiceName]*span
 }
 
 // NewJudge has heard nothing.
 func NewJudge() (judge *Judge) {
-	return &Judge{servers: map[parley.ServerID]*accused{}, norms: map[parley.ServiceName]*span{}}
+	return &Judge{servers: map[rpc.ServerID]*accused{}, norms: map[rpc.ServiceName]*span{}}
 }
 
 // Add takes what a daemon of a site told. A row without a backend is the
 // daemon's sum over the whole service.
-func (j *Judge) Add(now time.Duration, tally parley.Tally) {
+func (j *Judge) Add(now time.Duration, tally rpc.Tally) {
 	more := count{float64(tally.Good), float64(tally.Bad)}
 	if tally.Server == "" {
 		norm := j.norms[tally.Service]
@@ -102,14 +102,14 @@
 	}
 	held := j.servers[tally.Server]
 	if held == nil {
-		held = &accused{service: tally.Service, sites: map[parley.SiteName]*span{}}
+		held = &accused{service: tally.Service, sites: map[rpc.SiteName]*span{}}
 		j.servers[tally.Server] = held
 	}
 	if held.sites[tally.Site] == nil {
 		held.sites[tally.Site] = &span{}
 	}
 	held.sites[tally.Site].add(now, more)
-	if held.aside == parley.AsideForAll || held.aside == string(tally.Site) {
+	if held.aside == rpc.AsideForAll || held.aside == string(tally.Site) {
 		if held.good += more.good; more.bad > 0 {
 			held.good = 0
 		}
@@ -127,7 +127,7 @@
 		return sum.bad >= judgeLeast && sum.bad >= judgePart*sum.all() && sum.bad >= judgeNorm*usual*sum.all()
 	}
 	var total count
-	var bad, sound []parley.SiteName
+	var bad, sound []rpc.SiteName
 	for site, spans := range held.sites {
 		sum := spans.sum(now)
 		total.good += sum.good
@@ -144,22 +144,22 @@
 	case len(bad) == 1 && len(sound) > 0:
 		return string(bad[0]), part
 	case out(total) || len(bad) > 1:
-		return parley.AsideForAll, part
+		return rpc.AsideForAll, part
 	}
 	return "", part
 }
 
 // Tick moves time on; sizes are the numbers of backends of the services that
 // this daemon owns. It gives the backends whose standing changed.
-func (j *Judge) Tick(now time.Duration, sizes map[parley.ServiceName]int) (changed map[parley.ServerID]string) {
-	changed = map[parley.ServerID]string{}
+func (j *Judge) Tick(now time.Duration, sizes map[rpc.ServiceName]int) (changed map[rpc.ServerID]string) {
+	changed = map[rpc.ServerID]string{}
 	type finding struct {
-		id    parley.ServerID
+		id    rpc.ServerID
 		aside string
 		part  float64
 	}
-	out := map[parley.ServiceName]int{}
-	found := map[parley.ServiceName][]finding{}
+	out := map[rpc.ServiceName]int{}
+	found := map[rpc.ServiceName][]finding{}
 	for id, held := range j.servers {
 		if sizes[held.service] == 0 {
 			delete(j.servers, id)
@@ -168,13 +168,13 @@
 		if held.aside != "" {
 			if now-held.since >= held.wait && held.good >= asideGood || now-held.since >= 2*held.wait {
 				held.aside, held.freed = "", now
-				held.sites = map[parley.SiteName]*span{}
+				held.sites = map[rpc.SiteName]*span{}
 				changed[id] = ""
 				continue
 			}
 			out[held.service]++
 			// Trials from elsewhere may show that only one site's requests fail.
-			if aside, _ := j.stands(now, held); aside != "" && aside != held.aside && held.aside == parley.AsideForAll {
+			if aside, _ := j.stands(now, held); aside != "" && aside != held.aside && held.aside == rpc.AsideForAll {
 				held.aside = aside
 				changed[id] = aside
 			}
@@ -213,7 +213,7 @@
 }
 
 // Aside tells for whom a backend is set aside.
-func (j *Judge) Aside(id parley.ServerID) (aside string) {
+func (j *Judge) Aside(id rpc.ServerID) (aside string) {
 	if held := j.servers[id]; held != nil {
 		return held.aside
 	}
--- a/internal/healthcheck/judge_test.go
+++ b/internal/healthcheck/judge_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // hearing plays outcomes of a service of so many backends into a judge; bad
@@ -15,12 +15,12 @@
 	now   time.Duration
 	size  int
 	luck  uint64
-	aside map[parley.ServerID]string
+	aside map[rpc.ServerID]string
 	seen  map[string]bool
 }
 
 func newHearing(size int) *hearing {
-	return &hearing{judge: NewJudge(), size: size, aside: map[parley.ServerID]string{}, seen: map[string]bool{}, luck: 1}
+	return &hearing{judge: NewJudge(), size: size, aside: map[rpc.ServerID]string{}, seen: map[string]bool{}, luck: 1}
 }
 
 func (h *hearing) roll() float64 {
@@ -28,12 +28,12 @@
 	return float64(h.luck>>11) / (1 << 53)
 }
 
-func (h *hearing) play(span time.Duration, sites []parley.SiteName, bad func(n int, site parley.SiteName) float64) {
+func (h *hearing) play(span time.Duration, sites []rpc.SiteName, bad func(n int, site rpc.SiteName) float64) {
 	for end := h.now + span; h.now < end; h.now += 500 * time.Millisecond {
 		for _, site := range sites {
-			whole := parley.Tally{Service: "s", Site: site}
+			whole := rpc.Tally{Service: "s", Site: site}
 			for n := range h.size {
-				row := parley.Tally{Server: parley.ServerID(fmt.Sprint("i-", n)), Service: "s", Site: site}
+				row := rpc.Tally{Server: rpc.ServerID(fmt.Sprint("i-", n)), Service: "s", Site: site}
 				for range 2 {
 					if h.roll() < bad(n, site) {
 						row.Bad++
@@ -48,7 +48,7 @@
 			}
 			h.judge.Add(h.now, whole)
 		}
-		for id, aside := range h.judge.Tick(h.now, map[parley.ServiceName]int{"s": h.size}) {
+		for id, aside := range h.judge.Tick(h.now, map[rpc.ServiceName]int{"s": h.size}) {
 			h.seen[string(id)+" "+aside] = true
 			if h.aside[id] = aside; aside == "" {
 				delete(h.aside, id)
@@ -57,25 +57,25 @@
 	}
 }
 
-var oneSite = []parley.SiteName{"here"}
+var oneSite = []rpc.SiteName{"here"}
 
 func TestJudgeSetsAsideWhatStandsOut(t *testing.T) {
 	h := newHearing(20)
-	h.play(20*time.Second, oneSite, func(int, parley.SiteName) float64 { return 0.005 })
+	h.play(20*time.Second, oneSite, func(int, rpc.SiteName) float64 { return 0.005 })
 	if len(h.aside) != 0 {
 		t.Fatalf("rare failures set aside %v", h.aside)
 	}
-	grey := func(n int, _ parley.SiteName) float64 {
+	grey := func(n int, _ rpc.SiteName) float64 {
 		if n < 3 {
 			return 0.45
 		}
 		return 0.005
 	}
 	h.play(3*time.Second, oneSite, grey)
-	if len(h.aside) != 3 || h.aside["i-0"] != parley.AsideForAll {
+	if len(h.aside) != 3 || h.aside["i-0"] != rpc.AsideForAll {
 		t.Fatalf("of three grey backends %v are set aside", h.aside)
 	}
-	h.play(12*time.Second, oneSite, func(int, parley.SiteName) float64 { return 0 })
+	h.play(12*time.Second, oneSite, func(int, rpc.SiteName) float64 { return 0 })
 	if len(h.aside) != 0 {
 		t.Fatalf("well again, but still aside: %v", h.aside)
 	}
@@ -83,12 +83,12 @@
 
 func TestJudgeSpareWhatFailsAlike(t *testing.T) {
 	h := newHearing(20)
-	h.play(10*time.Second, oneSite, func(int, parley.SiteName) float64 { return 0.6 })
+	h.play(10*time.Second, oneSite, func(int, rpc.SiteName) float64 { return 0.6 })
 	if len(h.aside) != 0 {
 		t.Fatalf("everything fails, yet %v are set aside", h.aside)
 	}
 	h = newHearing(20)
-	h.play(10*time.Second, oneSite, func(n int, _ parley.SiteName) float64 {
+	h.play(10*time.Second, oneSite, func(n int, _ rpc.SiteName) float64 {
 		if n < 7 {
 			return 0.9
 		}
@@ -101,7 +101,7 @@
 
 func TestJudgeTellsAskingSitesApart(t *testing.T) {
 	h := newHearing(20)
-	h.play(5*time.Second, []parley.SiteName{"here", "there"}, func(n int, site parley.SiteName) float64 {
+	h.play(5*time.Second, []rpc.SiteName{"here", "there"}, func(n int, site rpc.SiteName) float64 {
 		if n == 0 && site == "there" {
 			return 0.8
 		}
@@ -115,14 +115,14 @@
 // A backend that relapses waits longer each time.
 func TestJudgeWaitsLongerAtEachRelapse(t *testing.T) {
 	h := newHearing(20)
-	always := func(n int, _ parley.SiteName) float64 {
+	always := func(n int, _ rpc.SiteName) float64 {
 		if n == 0 {
 			return 1
 		}
 		return 0
 	}
 	in := 0
-	h.play(40*time.Second, oneSite, func(n int, site parley.SiteName) float64 {
+	h.play(40*time.Second, oneSite, func(n int, site rpc.SiteName) float64 {
 		if n == 0 && h.aside["i-0"] == "" {
 			in++
 		}
--- a/internal/healthcheck/ring.go
+++ b/internal/healthcheck/ring.go
@@ -10,14 +10,14 @@
 	"hash/fnv"
 	"sort"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const pointsPerMember = 64
 
 type point struct {
 	at     uint64
-	member parley.FellowID
+	member rpc.FellowID
 }
 
 // Ring is the consistent hash over one list of members.
@@ -36,7 +36,7 @@
 }
 
 // NewRing places the members.
-func NewRing(members []parley.FellowID) (ring *Ring) {
+func NewRing(members []rpc.FellowID) (ring *Ring) {
 	ring = &Ring{}
 	for _, member := range members {
 		for n := uint64(0); n < pointsPerMember; n++ {
@@ -54,7 +54,7 @@
 
 // Owner names the member that watches a service; absent ones are passed over
 // in favour of the next on the ring.
-func (r *Ring) Owner(service parley.ServiceName, absent map[parley.FellowID]bool) (owner parley.FellowID) {
+func (r *Ring) Owner(service rpc.ServiceName, absent map[rpc.FellowID]bool) (owner rpc.FellowID) {
 	if len(r.points) == 0 {
 		return ""
 	}
--- a/internal/healthcheck/sim_test.go
+++ b/internal/healthcheck/sim_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
 )
 
 type planted struct {
@@ -23,16 +23,16 @@
 }
 
 type simDaemon struct {
-	id     parley.FellowID
+	id     rpc.FellowID
 	up     bool
 	cut    time.Duration
 	watch  *Watch
 	heard  time.Duration
 	next   time.Duration
-	seen   parley.Epoch
+	seen   rpc.Epoch
 	term   int
-	states map[parley.ServerID]parley.Health
-	known  map[parley.ServerID]parley.Health
+	states map[rpc.ServerID]rpc.Health
+	known  map[rpc.ServerID]rpc.Health
 }
 
 type simFleet struct {
@@ -40,16 +40,16 @@
 	fault    planted
 	now      time.Duration
 	daemons  []*simDaemon
-	services []parley.ServiceName
-	alive    map[parley.ServiceName]bool
+	services []rpc.ServiceName
+	alive    map[rpc.ServiceName]bool
 	term     int
 	leads    bool
 	back     time.Duration
 	clock    *registry.Clock
 	roll     *registry.Roll
 	cache    *Cache
-	shards   parley.ShardMap
-	probed   map[parley.ServiceName]time.Duration
+	shards   rpc.ShardMap
+	probed   map[rpc.ServiceName]time.Duration
 	broken   string
 }
 
@@ -59,12 +59,12 @@
 )
 
 func newSimFleet(seed int64, fault planted) (f *simFleet) {
-	f = &simFleet{luck: rand.New(rand.NewSource(seed)), fault: fault, alive: map[parley.ServiceName]bool{}, probed: map[parley.ServiceName]time.Duration{}}
+	f = &simFleet{luck: rand.New(rand.NewSource(seed)), fault: fault, alive: map[rpc.ServiceName]bool{}, probed: map[rpc.ServiceName]time.Duration{}}
 	for i := range 12 {
 		f.addService(i)
 	}
 	for i := range 6 {
-		f.daemons = append(f.daemons, &simDaemon{id: parley.FellowID(fmt.Sprint("edge-", i))})
+		f.daemons = append(f.daemons, &simDaemon{id: rpc.FellowID(fmt.Sprint("edge-", i))})
 		f.start(f.daemons[i])
 	}
 	f.lead()
@@ -72,7 +72,7 @@
 }
 
 func (f *simFleet) addService(i int) {
-	name := parley.ServiceName(fmt.Sprint("service-", i))
+	name := rpc.ServiceName(fmt.Sprint("service-", i))
 	f.services = append(f.services, name)
 	f.alive[name] = true
 	f.probed[name] = f.now
@@ -86,7 +86,7 @@
 	d.up, d.seen, d.term, d.heard = true, 0, 0, -time.Hour
 	d.watch = NewWatch(d.id, simInterval, f.now)
 	d.watch.Services(f.services)
-	d.states, d.known = map[parley.ServerID]parley.Health{}, map[parley.ServerID]parley.Health{}
+	d.states, d.known = map[rpc.ServerID]rpc.Health{}, map[rpc.ServerID]rpc.Health{}
 }
 
 func (f *simFleet) lead() {
@@ -96,13 +96,13 @@
 	f.clock.Next()
 	f.roll = registry.NewRoll(f.clock, registry.RollBounds{Absent: 1300 * time.Millisecond, Struck: 6 * time.Second})
 	f.cache = NewCache(f.clock, 4*time.Second)
-	f.shards = parley.ShardMap{}
+	f.shards = rpc.ShardMap{}
 }
 
 func (f *simFleet) members() {
 	members := f.roll.Members()
 	if fmt.Sprint(members) != fmt.Sprint(f.shards.Members) {
-		f.shards = parley.ShardMap{Term: parley.Term(f.term), Count: f.clock.Next(), Members: members}
+		f.shards = rpc.ShardMap{Term: rpc.Term(f.term), Count: f.clock.Next(), Members: members}
 		f.cache.Shards(f.shards)
 	}
 }
@@ -136,12 +136,12 @@
 func (f *simFleet) beat(d *simDaemon) {
 	d.next = f.now + time.Duration(100+f.luck.Intn(600))*time.Millisecond
 	d.heard = f.now
-	f.roll.Beat(f.now, parley.Fellow{ID: d.id, Ready: true})
+	f.roll.Beat(f.now, rpc.Fellow{ID: d.id, Ready: true})
 	f.members()
 	if d.term != f.term {
 		d.term, d.seen = f.term, 0
 	}
-	f.cache.States.Since(d.seen, func(id parley.ServerID, state parley.State, _ bool) { d.known[id] = state.Health })
+	f.cache.States.Since(d.seen, func(id rpc.ServerID, state rpc.State, _ bool) { d.known[id] = state.Health })
 	if f.shards.Count > d.seen && !f.fault.noDebounce {
 		d.watch.Map(f.now, f.shards)
 	}
@@ -152,7 +152,7 @@
 }
 
 func (f *simFleet) probe(d *simDaemon) {
-	absent := map[parley.FellowID]bool{}
+	absent := map[rpc.FellowID]bool{}
 	if f.leads {
 		for _, id := range f.roll.Absent() {
 			absent[id] = true
@@ -160,17 +160,17 @@
 	}
 	for _, service := range d.watch.Duties() {
 		f.probed[service] = f.now
-		health := parley.Up
+		health := rpc.Up
 		if !f.alive[service] {
-			health = parley.Down
+			health = rpc.Down
 		}
-		id := parley.ServerID(service)
+		id := rpc.ServerID(service)
 		d.known[id] = health
 		if f.leads && f.now >= d.cut && d.term == f.term {
 			if f.fault.keepStale && f.cache.owners[service] != nil && f.cache.owners[service].by != d.id {
 				continue
 			}
-			f.cache.Report(f.now, parley.ReportAsk{Fellow: d.id, Service: service, Full: true, States: []parley.State{{Server: id, Health: health}}}, absent)
+			f.cache.Report(f.now, rpc.ReportAsk{Fellow: d.id, Service: service, Full: true, States: []rpc.State{{Server: id, Health: health}}}, absent)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 		}
 	case 3:
 		if len(f.daemons) < 9 {
-			fresh := &simDaemon{id: parley.FellowID(fmt.Sprint("edge-", len(f.daemons)))}
+			fresh := &simDaemon{id: rpc.FellowID(fmt.Sprint("edge-", len(f.daemons)))}
 			f.daemons = append(f.daemons, fresh)
 			f.start(fresh)
 		}
@@ -266,11 +266,11 @@
 	}
 	for _, d := range f.daemons {
 		for _, service := range f.services {
-			want := parley.Up
+			want := rpc.Up
 			if !f.alive[service] {
-				want = parley.Down
+				want = rpc.Down
 			}
-			if d.known[parley.ServerID(service)] != want {
+			if d.known[rpc.ServerID(service)] != want {
 				return fmt.Sprintf("%s does not know how %s is", d.id, service)
 			}
 		}
--- a/internal/healthcheck/watch.go
+++ b/internal/healthcheck/watch.go
@@ -12,30 +12,30 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Watch is the shard client's state.
 type Watch struct {
-	self     parley.FellowID
+	self     rpc.FellowID
 	interval time.Duration
 	ring     *Ring
-	applied  parley.ShardMap
-	waiting  *parley.ShardMap
+	applied  rpc.ShardMap
+	waiting  *rpc.ShardMap
 	due      time.Duration
-	absent   map[parley.FellowID]bool
-	missing  map[parley.FellowID]time.Duration
+	absent   map[rpc.FellowID]bool
+	missing  map[rpc.FellowID]time.Duration
 	now      time.Duration
-	settled  map[parley.ServiceName]bool
-	services map[parley.ServiceName]bool
+	settled  map[rpc.ServiceName]bool
+	services map[rpc.ServiceName]bool
 	lostAt   time.Duration
 	led      bool
 	headless bool
 }
 
 // NewWatch starts without a map and without a leader.
-func NewWatch(self parley.FellowID, interval, now time.Duration) (watch *Watch) {
-	return &Watch{self: self, interval: interval, ring: NewRing(nil), absent: map[parley.FellowID]bool{}, missing: map[parley.FellowID]time.Duration{}, settled: map[parley.ServiceName]bool{}, services: map[parley.ServiceName]bool{}, lostAt: now}
+func NewWatch(self rpc.FellowID, interval, now time.Duration) (watch *Watch) {
+	return &Watch{self: self, interval: interval, ring: NewRing(nil), absent: map[rpc.FellowID]bool{}, missing: map[rpc.FellowID]time.Duration{}, settled: map[rpc.ServiceName]bool{}, services: map[rpc.ServiceName]bool{}, lostAt: now}
 }
 
 // StandIn is how long an owner may be silent before the next on the ring stands
@@ -47,13 +47,13 @@
 // the map in use that the newest one lacks is stood in for meanwhile: at once
 // if it was absent before, else after a moment, since a new leader's map grows
 // as the fellows find it.
-func (w *Watch) Map(now time.Duration, shards parley.ShardMap) {
+func (w *Watch) Map(now time.Duration, shards rpc.ShardMap) {
 	w.now = now
 	if w.waiting == nil {
 		w.due = now + w.interval
 	}
 	w.waiting = &shards
-	present := make(map[parley.FellowID]bool, len(shards.Members))
+	present := make(map[rpc.FellowID]bool, len(shards.Members))
 	for _, member := range shards.Members {
 		present[member] = true
 		delete(w.missing, member)
@@ -69,16 +69,16 @@
 }
 
 // Absent takes the leader's word on who is not heard.
-func (w *Watch) Absent(ids []parley.FellowID) {
-	w.absent = make(map[parley.FellowID]bool, len(ids))
+func (w *Watch) Absent(ids []rpc.FellowID) {
+	w.absent = make(map[rpc.FellowID]bool, len(ids))
 	for _, id := range ids {
 		w.absent[id] = true
 	}
 }
 
 // Services takes the configured services.
-func (w *Watch) Services(names []parley.ServiceName) {
-	w.services = make(map[parley.ServiceName]bool, len(names))
+func (w *Watch) Services(names []rpc.ServiceName) {
+	w.services = make(map[rpc.ServiceName]bool, len(names))
 	for _, name := range names {
 		w.services[name] = true
 	}
@@ -104,7 +104,7 @@
 func (w *Watch) Headless() bool { return w.headless }
 
 // Applied is the map in use.
-func (w *Watch) Applied() parley.ShardMap { return w.applied }
+func (w *Watch) Applied() rpc.ShardMap { return w.applied }
 
 // Tick moves time on.
 func (w *Watch) Tick(now time.Duration) (applied, wentHeadless bool) {
@@ -115,7 +115,7 @@
 	if w.waiting != nil && now >= w.due {
 		w.applied, w.waiting = *w.waiting, nil
 		w.ring = NewRing(w.applied.Members)
-		w.missing = map[parley.FellowID]time.Duration{}
+		w.missing = map[rpc.FellowID]time.Duration{}
 		applied = true
 	}
 	if w.applied.Count > 0 && (applied || w.waiting == nil) {
@@ -140,7 +140,7 @@
 }
 
 // Owner names who watches a service by the map in use, or who stands in.
-func (w *Watch) Owner(service parley.ServiceName) (owner parley.FellowID) {
+func (w *Watch) Owner(service rpc.ServiceName) (owner rpc.FellowID) {
 	away := w.absent
 	if len(w.missing) > 0 {
 		away = maps.Clone(w.absent)
@@ -154,12 +154,12 @@
 }
 
 // Probes tells whether this daemon probes a service now.
-func (w *Watch) Probes(service parley.ServiceName) bool {
+func (w *Watch) Probes(service rpc.ServiceName) bool {
 	return w.headless || !w.settled[service] || w.Owner(service) == w.self
 }
 
 // Duties lists what this daemon probes now, in order.
-func (w *Watch) Duties() (duties []parley.ServiceName) {
+func (w *Watch) Duties() (duties []rpc.ServiceName) {
 	for name := range w.services {
 		if w.Probes(name) {
 			duties = append(duties, name)
@@ -170,4 +170,4 @@
 }
 
 // AbsentNow is the leader's last word on who is not heard.
-func (w *Watch) AbsentNow() (absent map[parley.FellowID]bool) { return w.absent }
+func (w *Watch) AbsentNow() (absent map[rpc.FellowID]bool) { return w.absent }
--- a/internal/httpapi/office.go
+++ b/internal/httpapi/office.go
@@ -16,8 +16,8 @@
 
 	"tinpin/api/oas"
 	"tinpin/internal/apierror"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // Trouble is a problem with the words for the one who called.
@@ -47,7 +47,7 @@
 	Withdraw func(ctx context.Context, kind policy.Kind, version policy.Version) error
 	Show     func(ctx context.Context, kind policy.Kind) ([]byte, error)
 	// Retire orders that a backend be retired, or takes that back; id may name the order.
-	Retire func(ctx context.Context, server parley.ServerID, back bool, id string) (phase string, err error)
+	Retire func(ctx context.Context, server rpc.ServerID, back bool, id string) (phase string, err error)
 }
 
 type office struct{ duties Duties }
@@ -145,7 +145,7 @@
 	if o.duties.Retire == nil {
 		return nil, errElsewhere
 	}
-	phase, err := o.duties.Retire(ctx, parley.ServerID(server), back, id)
+	phase, err := o.duties.Retire(ctx, rpc.ServerID(server), back, id)
 	if err != nil {
 		return nil, err
 	}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener, err := parley.Listen(address, 3*time.Second)
+	listener, err := rpc.Listen(address, 3*time.Second)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"tinpin/internal/accord"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 type plantedFault struct {
@@ -58,7 +58,7 @@
 	life := edge.life
 	op, old := edge.book.Open(key, request)
 	if old != nil {
-		if old.Recall().Standing == parley.Answered {
+		if old.Recall().Standing == rpc.Answered {
 			s.served++
 		}
 		return
@@ -135,7 +135,7 @@
 			}
 			return
 		}
-		if edge.book.Find(held.Key, held.Request).Standing == parley.Freed {
+		if edge.book.Find(held.Key, held.Request).Standing == rpc.Freed {
 			s.later(100, func() { s.apply(accord.CommandFree, held) })
 		}
 	}
--- a/internal/passage/batcher_test.go
+++ b/internal/passage/batcher_test.go
@@ -4,26 +4,26 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Of a reply that has not an answer for each ask none is taken.
 func TestAReplyOfAnotherLengthAnswersNobody(t *testing.T) {
 	for _, size := range []int{0, 1, 3} {
-		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []parley.ClaimFound) {
+		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []rpc.ClaimFound) {
 			for range size {
-				replies = append(replies, parley.ClaimFound{Outcome: parley.Granted})
+				replies = append(replies, rpc.ClaimFound{Outcome: rpc.Granted})
 			}
 			return replies
 		})
-		batch := make([]asked[int, parley.ClaimFound], 2)
+		batch := make([]asked[int, rpc.ClaimFound], 2)
 		for i := range batch {
-			batch[i] = asked[int, parley.ClaimFound]{i, time.Now().Add(time.Hour), make(chan parley.ClaimFound, 1)}
+			batch[i] = asked[int, rpc.ClaimFound]{i, time.Now().Add(time.Hour), make(chan rpc.ClaimFound, 1)}
 		}
 		batcher.places <- struct{}{}
 		batcher.call(batch)
 		for i := range batch {
-			if found := <-batch[i].done; found.Outcome != parley.Unclear {
+			if found := <-batch[i].done; found.Outcome != rpc.Unclear {
 				t.Errorf("%d answers to 2 claims: the one at %d is %+v", size, i, found)
 			}
 		}
@@ -57,12 +57,12 @@
 // shortForum leads and answers a batch with no rows.
 type shortForum struct{}
 
-func (shortForum) Claim(ask parley.ClaimAsk, reply *parley.ClaimReply) (err error) {
+func (shortForum) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
 	reply.Leader = true
 	return nil
 }
 
-func (shortForum) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
+func (shortForum) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
 	reply.Leader = true
 	return nil
 }
@@ -76,10 +76,10 @@
 	go d.link.Claims()
 	go d.link.Binds()
 	t.Cleanup(func() { close(d.link.Ended) })
-	if found := d.link.claim(parley.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != parley.Unclear {
+	if found := d.link.claim(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != rpc.Unclear {
 		t.Errorf("%+v", found)
 	}
-	if found, taken, answered := d.link.binds.Ask(parley.Bind{Session: "s"}, time.Second); !taken || !answered || found.Outcome != parley.BindUnclear {
+	if found, taken, answered := d.link.binds.Ask(rpc.Bind{Session: "s"}, time.Second); !taken || !answered || found.Outcome != rpc.BindUnclear {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/passage/budget.go
+++ b/internal/passage/budget.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 )
 
 const budgetPart = 0.8
@@ -25,15 +25,15 @@
 	slack    func() float64
 	written  *retry.Limiter
 	mu       sync.Mutex
-	accounts map[parley.ServiceName]*account
+	accounts map[rpc.ServiceName]*account
 }
 
 // NewBudget keeps to a ratio over a window; slack tells the leased share.
 func NewBudget(ratio float64, window time.Duration, slack func() float64) (budget *Budget) {
-	return &Budget{ratio: ratio, window: max(window, time.Millisecond), slack: slack, accounts: map[parley.ServiceName]*account{}}
+	return &Budget{ratio: ratio, window: max(window, time.Millisecond), slack: slack, accounts: map[rpc.ServiceName]*account{}}
 }
 
-func (b *Budget) account(service parley.ServiceName) (found *account) {
+func (b *Budget) account(service rpc.ServiceName) (found *account) {
 	found = b.accounts[service]
 	if found == nil {
 		found = &account{quota.NewWindow(b.window), quota.NewWindow(b.window)}
@@ -43,7 +43,7 @@
 }
 
 // Earn notes a request for a service.
-func (b *Budget) Earn(now time.Duration, service parley.ServiceName) {
+func (b *Budget) Earn(now time.Duration, service rpc.ServiceName) {
 	if b.written != nil {
 		b.written.First(now, service)
 	}
@@ -53,19 +53,19 @@
 }
 
 // Spend takes one arrival beyond the first, if there is room for it.
-func (b *Budget) Spend(now time.Duration, service parley.ServiceName) (granted bool) {
+func (b *Budget) Spend(now time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool { return true })
 }
 
 // Retry is Spend under the written limit too, for an attempt that would be
 // answered at a time and must be by another.
-func (b *Budget) Retry(now, answered, till time.Duration, service parley.ServiceName) (granted bool) {
+func (b *Budget) Retry(now, answered, till time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool {
 		return b.written == nil || b.written.Spend(now, answered, till, service) == retry.Granted
 	})
 }
 
-func (b *Budget) spend(now time.Duration, service parley.ServiceName, may func() bool) (granted bool) {
+func (b *Budget) spend(now time.Duration, service rpc.ServiceName, may func() bool) (granted bool) {
 	slack := b.slack()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,7 +79,7 @@
 }
 
 // Learn takes what became of an attempt.
-func (b *Budget) Learn(now time.Duration, service parley.ServiceName, inTime bool) {
+func (b *Budget) Learn(now time.Duration, service rpc.ServiceName, inTime bool) {
 	if b.written != nil {
 		b.written.Learn(now, service, inTime)
 	}
--- a/internal/passage/carry.go
+++ b/internal/passage/carry.go
@@ -13,7 +13,7 @@
 	"tinpin/internal/config"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // hedgePart is the part of the aim after which a silent backend is doubted.
@@ -244,7 +244,7 @@
 			if !server.silentSince(sentAt) || now >= plan.Till {
 				continue
 			}
-			tried := append([]parley.ServerID{server.ID}, plan.Tried...)
+			tried := append([]rpc.ServerID{server.ID}, plan.Tried...)
 			second, _ := d.world.choose(d.world.Scene(), d.wanted(plan, tried))
 			if second == nil || !d.retry(now, plan, second) {
 				continue
@@ -276,7 +276,7 @@
 }
 
 // wanted says what backend a plan's next round is for.
-func (d *Daemon) wanted(plan *Plan, tried []parley.ServerID) (wanted Wanted) {
+func (d *Daemon) wanted(plan *Plan, tried []rpc.ServerID) (wanted Wanted) {
 	wanted = Wanted{
 		Service: plan.Service, Aim: plan.Way.Aim, Homes: plan.Way.Homes, Tried: tried, Repeatable: plan.Way.Repeat.Repeatable(), Large: plan.Way.Repeat == config.Download,
 		Weights: d.world.Orders.Weights(plan.Request.Host, plan.Service),
@@ -298,7 +298,7 @@
 
 // leased tells that a lease stands for a backend that is cold.
 func (d *Daemon) leased(server *Server) bool {
-	return !server.isCold(d.clock.Now()) || d.world.Share(parley.ColdRate, string(server.ID)) > 0
+	return !server.isCold(d.clock.Now()) || d.world.Share(rpc.ColdRate, string(server.ID)) > 0
 }
 
 // letGo takes an answer that is not needed any more.
@@ -325,31 +325,31 @@
 		claimed := d.clock.Now()
 		// A new leader may be there in a moment; the wait for one stays inside
 		// the time in which a refusal still lets the client come back in time.
-		found := d.link.Claim(parley.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Way.Aim/4, limit)
+		found := d.link.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Way.Aim/4, limit)
 		switch found.Outcome {
-		case parley.Granted:
+		case rpc.Granted:
 			// The claim is worth its window from when it was asked for.
 			plan.Till = min(plan.Till, claimed+d.props.Bounds.KeyWindow)
-		case parley.Held:
-			var reply parley.RecallReply
-			if found.Holder == parley.FellowID(d.props.Name) {
+		case rpc.Held:
+			var reply rpc.RecallReply
+			if found.Holder == rpc.FellowID(d.props.Name) {
 				if found.Life == d.life && d.keys.Freed(plan.Key, found.Request) {
-					reply.Standing = parley.Freed
-					d.link.Free(parley.KeyClaim{Key: plan.Key, Request: found.Request})
+					reply.Standing = rpc.Freed
+					d.link.Free(rpc.KeyClaim{Key: plan.Key, Request: found.Request})
 				}
 			} else {
 				reply = d.link.Recall(found, plan.Key)
 			}
-			if reply.Standing == parley.Freed && tries < 3 && d.clock.Now()+limit/2 < plan.Till {
+			if reply.Standing == rpc.Freed && tries < 3 && d.clock.Now()+limit/2 < plan.Till {
 				time.Sleep(d.nap)
 				continue
 			}
 			d.keys.Abandon(op)
 			return d.recount(reply, request.ID)
-		case parley.Unclear:
+		case rpc.Unclear:
 			// The claim may stand, but nothing will ever be sent under it.
 			d.keys.Free(op)
-			d.link.Free(parley.KeyClaim{Key: plan.Key, Request: request.ID})
+			d.link.Free(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 			return Deny(apierror.NoLeader, request.ID)
 		default:
 			d.keys.Abandon(op)
@@ -366,14 +366,14 @@
 		d.keys.Lose(op)
 	default:
 		d.keys.Free(op)
-		d.link.Free(parley.KeyClaim{Key: plan.Key, Request: request.ID})
+		d.link.Free(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 	}
 	return Deny(kind, request.ID)
 }
 
 // dedupes tells that a service keeps its own record of keys, so that a run that
 // broke off may be followed by another under the same key.
-func (d *Daemon) dedupes(name parley.ServiceName) bool {
+func (d *Daemon) dedupes(name rpc.ServiceName) bool {
 	service := d.world.Scene().View.Services[string(name)]
 	return service != nil && service.Dedupes
 }
@@ -385,7 +385,7 @@
 	switch {
 	case verdict.Rest != nil:
 		d.keys.Lose(op)
-	case allowed(homes, parley.RegionName(d.props.Region)):
+	case allowed(homes, rpc.RegionName(d.props.Region)):
 		d.keys.Answer(op, verdict.Status, verdict.Lines, verdict.Body)
 	default:
 		go d.handOver(op, plan, verdict)
@@ -405,8 +405,8 @@
 			chosenInner, best = fellow.Inner, rank
 		}
 	}
-	answer := parley.RecallReply{Standing: parley.Answered, Status: verdict.Status, Header: verdict.Lines, Body: verdict.Body}
-	if chosenInner == "" || !d.link.Keep(chosenInner, parley.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
+	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Lines, Body: verdict.Body}
+	if chosenInner == "" || !d.link.Keep(chosenInner, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
 		d.keys.Lose(op)
 		return
 	}
@@ -414,11 +414,11 @@
 }
 
 // recount answers a repeat from what its holder told.
-func (d *Daemon) recount(reply parley.RecallReply, request string) (verdict Verdict) {
+func (d *Daemon) recount(reply rpc.RecallReply, request string) (verdict Verdict) {
 	switch reply.Standing {
-	case parley.Running:
+	case rpc.Running:
 		return Deny(apierror.KeyAtWork, request)
-	case parley.Answered:
+	case rpc.Answered:
 		verdict = Verdict{Status: reply.Status, Body: reply.Body, Length: int64(len(reply.Body))}
 		for _, line := range reply.Header {
 			if line[0] == headRequest {
--- a/internal/passage/choose.go
+++ b/internal/passage/choose.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -43,11 +43,11 @@
 
 // Wanted says what a backend is wanted for.
 type Wanted struct {
-	Service parley.ServiceName
+	Service rpc.ServiceName
 	// Aim is the time within which the answer is wanted, 0 where none is set.
 	Aim   time.Duration
 	Homes []string
-	Tried []parley.ServerID
+	Tried []rpc.ServerID
 	// Repeatable tells that the request may run twice.
 	Repeatable bool
 	// Weights are the day's plan, nil where there is none: regions that it gives
@@ -55,9 +55,9 @@
 	Weights schedule.Weights
 	// Away is another site that this request should go to, so that sites of a
 	// region are pressed alike.
-	Away parley.SiteName
+	Away rpc.SiteName
 	// Only is the one backend that it may be, where the request's session is bound.
-	Only parley.ServerID
+	Only rpc.ServerID
 	// Large tells that the answer may be a large one.
 	Large bool
 }
@@ -71,7 +71,7 @@
 	return aimPart * float64(w.Aim) / float64(time.Millisecond)
 }
 
-func (w Wanted) tried(id parley.ServerID) bool {
+func (w Wanted) tried(id rpc.ServerID) bool {
 	for _, tried := range w.Tried {
 		if tried == id {
 			return true
@@ -80,7 +80,7 @@
 	return false
 }
 
-func allowed(homes []string, region parley.RegionName) bool {
+func allowed(homes []string, region rpc.RegionName) bool {
 	if len(homes) == 0 {
 		return true
 	}
@@ -197,7 +197,7 @@
 	}
 	cost *= 1 + badWeight*server.badness(now)
 	aside, trialDue := server.aside, now >= server.trialAt
-	out, down, burden := now < server.outTill, server.health == parley.Down, server.burden
+	out, down, burden := now < server.outTill, server.health == rpc.Down, server.burden
 	allowance := 0
 	if cold {
 		allowance = server.cold.Sum(now)
@@ -207,7 +207,7 @@
 		return
 	}
 	if cold {
-		if float64(allowance)+1 > w.Share(parley.ColdRate, string(server.ID)) || burden > 0 {
+		if float64(allowance)+1 > w.Share(rpc.ColdRate, string(server.ID)) || burden > 0 {
 			return
 		}
 		cost = 2*cost + 100
@@ -252,9 +252,9 @@
 }
 
 // target picks a way's service by weight, with a number from 0 to 1.
-func target(way *config.Way, draw float64) (service parley.ServiceName) {
+func target(way *config.Way, draw float64) (service rpc.ServiceName) {
 	if len(way.Targets) == 1 {
-		return parley.ServiceName(way.Targets[0].Service)
+		return rpc.ServiceName(way.Targets[0].Service)
 	}
 	sum := 0.0
 	for _, part := range way.Targets {
@@ -263,8 +263,8 @@
 	at := draw * sum
 	for _, part := range way.Targets {
 		if at -= part.Weight; at < 0 {
-			return parley.ServiceName(part.Service)
+			return rpc.ServiceName(part.Service)
 		}
 	}
-	return parley.ServiceName(way.Targets[len(way.Targets)-1].Service)
+	return rpc.ServiceName(way.Targets[len(way.Targets)-1].Service)
 }
--- a/internal/passage/daemon.go
+++ b/internal/passage/daemon.go
@@ -17,7 +17,7 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 	"tinpin/internal/settings"
 )
@@ -27,7 +27,7 @@
 	props     settings.Props
 	log       *eventlog.Log
 	clock     Clock
-	life      parley.Life
+	life      rpc.Life
 	nap       time.Duration
 	world     *World
 	link      *Link
@@ -41,7 +41,7 @@
 	ready     atomic.Bool
 	stopping  atomic.Bool
 	offices   []*http.Server
-	inner     *parley.Listener
+	inner     *rpc.Listener
 	lapse     Lapse
 }
 
@@ -49,20 +49,20 @@
 func Start(p settings.Props, log *eventlog.Log) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
-	d := &Daemon{props: p, log: log, clock: NewClock(), life: parley.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
+	d := &Daemon{props: p, log: log, clock: NewClock(), life: rpc.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
 	d.world = NewWorld(p, log, d.clock)
 	d.keys = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.link = NewLink(p, log, d.clock, d.world, d.keys, d.life, d.fellow)
-	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(parley.RetrySlack, "") })
+	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(rpc.RetrySlack, "") })
 	d.budget.written = d.world.Orders.Retries
-	d.budget.written.OnGate = func(service parley.ServiceName, open bool) {
+	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
 		log.Say(eventlog.RetriesHeld, "service", string(service), "open", open)
 	}
 	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
 	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, max(64, (p.Descriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
-	if d.inner, err = parley.Serve(p.Inner("passage"), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
+	if d.inner, err = rpc.Serve(p.Inner("passage"), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
 		return nil, err
 	}
 	if err = d.door.Open(p.Front); err != nil {
@@ -96,9 +96,9 @@
 }
 
 // fellow is this daemon as it tells of itself.
-func (d *Daemon) fellow() parley.Fellow {
-	return parley.Fellow{
-		ID: parley.FellowID(d.props.Name), Life: d.life, Site: parley.SiteName(d.props.Site), Region: parley.RegionName(d.props.Region),
+func (d *Daemon) fellow() rpc.Fellow {
+	return rpc.Fellow{
+		ID: rpc.FellowID(d.props.Name), Life: d.life, Site: rpc.SiteName(d.props.Site), Region: rpc.RegionName(d.props.Region),
 		Front: d.props.Front, Inner: d.props.Inner("passage"), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
 	}
 }
@@ -167,29 +167,29 @@
 type Desk struct{ daemon *Daemon }
 
 // Recall tells how an operation held here stands.
-func (k *Desk) Recall(ask parley.RecallAsk, reply *parley.RecallReply) (err error) {
+func (k *Desk) Recall(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
 	if ask.Life != k.daemon.life {
-		reply.Standing = parley.Lost
+		reply.Standing = rpc.Lost
 		return nil
 	}
 	*reply = k.daemon.keys.Find(ask.Key, ask.Request)
-	if reply.Standing == parley.Freed {
+	if reply.Standing == rpc.Freed {
 		// The one who asks was told that the claim stands: it may have been
 		// carried out behind the word that gave it back, which is said again.
-		k.daemon.link.Free(parley.KeyClaim{Key: ask.Key, Request: ask.Request})
+		k.daemon.link.Free(rpc.KeyClaim{Key: ask.Key, Request: ask.Request})
 	}
 	return nil
 }
 
 // Keep stores an answer for a fellow that may not keep it itself.
-func (k *Desk) Keep(ask parley.KeepAsk, reply *parley.KeepReply) (err error) {
+func (k *Desk) Keep(ask rpc.KeepAsk, reply *rpc.KeepReply) (err error) {
 	k.daemon.keys.Keep(ask.Key, ask.Request, ask.Answer)
 	reply.Kept = true
 	return nil
 }
 
 // Kept gives such an answer back.
-func (k *Desk) Kept(ask parley.RecallAsk, reply *parley.RecallReply) (err error) {
+func (k *Desk) Kept(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
 	*reply = k.daemon.keys.Kept(ask.Key, ask.Request)
 	return nil
 }
@@ -204,7 +204,7 @@
 		return weights
 	}
 	for _, service := range scene.View.ServicesOf(host) {
-		if weights = d.world.Orders.Weights("", parley.ServiceName(service)); weights != nil {
+		if weights = d.world.Orders.Weights("", rpc.ServiceName(service)); weights != nil {
 			return weights
 		}
 	}
--- a/internal/passage/directions.go
+++ b/internal/passage/directions.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tinpin/internal/healthcheck"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -32,12 +32,12 @@
 // Under a day's plan a region is drawn by the weights, within the homes, and
 // takes the place of the client's own; where nobody is ready there, the answer
 // is as it is without a plan.
-func Directions(fellows map[parley.FellowID]parley.Fellow, absent map[parley.FellowID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
+func Directions(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
 	if drawn := draw(fellows, absent, homes, weights, region); drawn != "" && drawn != region {
 		region, site = drawn, ""
 	}
-	away := !allowed(homes, parley.RegionName(region))
-	distance := func(fellow parley.Fellow) (far int) {
+	away := !allowed(homes, rpc.RegionName(region))
+	distance := func(fellow rpc.Fellow) (far int) {
 		switch {
 		case away && allowed(homes, fellow.Region) || !away && string(fellow.Site) == site:
 			return 0
@@ -80,14 +80,14 @@
 // direction is one daemon that an answer may name.
 type direction struct {
 	front string
-	id    parley.FellowID
+	id    rpc.FellowID
 }
 
 // few picks a client's own of many: those that rank highest for it, so that a
 // daemon more or less changes the answers of its own clients only.
 func few(all []direction, client string, most int) (fronts []string) {
 	if len(all) > most {
-		ranks := make(map[parley.FellowID]uint64, len(all))
+		ranks := make(map[rpc.FellowID]uint64, len(all))
 		for _, one := range all {
 			ranks[one.id] = healthcheck.Rank(string(one.id), client)
 		}
@@ -108,18 +108,18 @@
 
 // draw picks a region by weight, of those that are homes and have a daemon that
 // is ready; a client's own region is kept where it has its part.
-func draw(fellows map[parley.FellowID]parley.Fellow, absent map[parley.FellowID]bool, homes []string, weights schedule.Weights, own string) (region string) {
+func draw(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, own string) (region string) {
 	if weights == nil {
 		return ""
 	}
-	serving := map[parley.RegionName]bool{}
+	serving := map[rpc.RegionName]bool{}
 	for id, fellow := range fellows {
 		if fellow.Ready && !fellow.Stopping && fellow.Front != "" && !absent[id] {
 			serving[fellow.Region] = true
 		}
 	}
 	sum := 0
-	var names []parley.RegionName
+	var names []rpc.RegionName
 	for name, weight := range weights {
 		if weight > 0 && serving[name] && allowed(homes, name) {
 			names = append(names, name)
--- a/internal/passage/door.go
+++ b/internal/passage/door.go
@@ -20,7 +20,7 @@
 
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -68,7 +68,7 @@
 
 // Open listens and serves.
 func (d *Door) Open(address string) (err error) {
-	if d.listener, err = parley.Listen(address, 5*time.Second); err != nil {
+	if d.listener, err = rpc.Listen(address, 5*time.Second); err != nil {
 		return err
 	}
 	go d.Serve(d.listener)
--- a/internal/passage/hollow.go
+++ b/internal/passage/hollow.go
@@ -8,7 +8,7 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -17,11 +17,11 @@
 	props settings.Props
 	link  *Link
 	world *World
-	life  parley.Life
+	life  rpc.Life
 }
 
 // StartHollow takes up the beats.
-func StartHollow(p settings.Props, life parley.Life) (hollow *Hollow) {
+func StartHollow(p settings.Props, life rpc.Life) (hollow *Hollow) {
 	log, clock := eventlog.Quiet(), NewClock()
 	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
@@ -33,31 +33,31 @@
 	return h
 }
 
-func (h *Hollow) fellow() parley.Fellow {
-	return parley.Fellow{
-		ID: parley.FellowID(h.props.Name), Life: h.life, Site: parley.SiteName(h.props.Site), Region: parley.RegionName(h.props.Region),
+func (h *Hollow) fellow() rpc.Fellow {
+	return rpc.Fellow{
+		ID: rpc.FellowID(h.props.Name), Life: h.life, Site: rpc.SiteName(h.props.Site), Region: rpc.RegionName(h.props.Region),
 		Front: h.props.Address + ":1", Inner: h.props.Inner("passage"), Ready: true,
 	}
 }
 
 // Seen tells how far it has come.
-func (h *Hollow) Seen() (seen parley.Seen) { return h.world.Seen() }
+func (h *Hollow) Seen() (seen rpc.Seen) { return h.world.Seen() }
 
 // Claim claims one key.
 func (h *Hollow) Claim(key string) (granted bool) {
-	return h.link.Claim(parley.KeyClaim{Key: key, Request: key}, time.Second, time.Second).Outcome == parley.Granted
+	return h.link.Claim(rpc.KeyClaim{Key: key, Request: key}, time.Second, time.Second).Outcome == rpc.Granted
 }
 
 // Report tells of one backend's health as an owner would.
-func (h *Hollow) Report(service parley.ServiceName, server parley.ServerID, health parley.Health) (taken bool) {
+func (h *Hollow) Report(service rpc.ServiceName, server rpc.ServerID, health rpc.Health) (taken bool) {
 	shards := h.world.shards()
-	return h.link.Report(parley.ReportAsk{Fellow: parley.FellowID(h.props.Name), Term: shards.Term, Count: shards.Count, Service: service, States: []parley.State{{Server: server, Health: health}}})
+	return h.link.Report(rpc.ReportAsk{Fellow: rpc.FellowID(h.props.Name), Term: shards.Term, Count: shards.Count, Service: service, States: []rpc.State{{Server: server, Health: health}}})
 }
 
 // Stop ends it without a word, as a loss would.
 func (h *Hollow) Stop() { close(h.link.Ended) }
 
-func (w *World) shards() (shards parley.ShardMap) {
+func (w *World) shards() (shards rpc.ShardMap) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watch.Applied()
--- a/internal/passage/keyed_test.go
+++ b/internal/passage/keyed_test.go
@@ -10,20 +10,20 @@
 	"time"
 
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // standInForum answers claims by a script, and as a fellow that holds keys.
 type standInForum struct {
 	mu     sync.Mutex
 	claims int
-	freed  []parley.KeyClaim
-	script func(n int, claim parley.KeyClaim) parley.ClaimFound
-	recall func(n int) parley.RecallReply
+	freed  []rpc.KeyClaim
+	script func(n int, claim rpc.KeyClaim) rpc.ClaimFound
+	recall func(n int) rpc.RecallReply
 	asked  int
 }
 
-func (f *standInForum) Claim(ask parley.ClaimAsk, reply *parley.ClaimReply) (err error) {
+func (f *standInForum) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freed = append(f.freed, ask.Frees...)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func (f *standInForum) Recall(_ parley.RecallAsk, reply *parley.RecallReply) (err error) {
+func (f *standInForum) Recall(_ rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked++
@@ -49,7 +49,7 @@
 func serveInner(t *testing.T, receivers map[string]any) (inner string) {
 	t.Helper()
 	inner = fmt.Sprintf("127.%d.%d.1:%d", 128+os.Getpid()>>8&63, os.Getpid()&255, 20000+ports.Add(1))
-	served, err := parley.Serve(inner, receivers)
+	served, err := rpc.Serve(inner, receivers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +76,8 @@
 	return r
 }
 
-func grant(int, parley.KeyClaim) parley.ClaimFound {
-	return parley.ClaimFound{Outcome: parley.Granted}
+func grant(int, rpc.KeyClaim) rpc.ClaimFound {
+	return rpc.ClaimFound{Outcome: rpc.Granted}
 }
 
 func TestARepeatGetsTheFirstAnswer(t *testing.T) {
@@ -108,11 +108,11 @@
 		script   func(int, seen, net.Conn) bool
 		dedupes  bool
 		status   int
-		standing parley.Standing
+		standing rpc.Standing
 	}{
-		"broken":             {broken, false, 502, parley.Lost},
-		"broken, own record": {broken, true, 502, parley.Freed},
-		"turned away":        {turned, false, 503, parley.Freed},
+		"broken":             {broken, false, 502, rpc.Lost},
+		"broken, own record": {broken, true, 502, rpc.Freed},
+		"turned away":        {turned, false, 503, rpc.Freed},
 	} {
 		backend := newStandIn(t, "i-1", c.script)
 		d := daemonOf(t, backend)
@@ -125,33 +125,33 @@
 			t.Errorf("%s: standing %d, want %d", name, standing, c.standing)
 		}
 		runs := backend.count()
-		if verdict := d.Answer(keyed("b", "k"), "2500"); c.standing == parley.Lost && (verdict.Status != 503 || backend.count() != runs) {
+		if verdict := d.Answer(keyed("b", "k"), "2500"); c.standing == rpc.Lost && (verdict.Status != 503 || backend.count() != runs) {
 			t.Errorf("%s: a repeat got %d after %d runs", name, verdict.Status, backend.count())
 		}
 	}
 }
 
 func TestAKeyHeldElsewhere(t *testing.T) {
-	stored := parley.RecallReply{Standing: parley.Answered, Status: 200, Header: [][2]string{{headStamp, "first"}}, Body: []byte("first body")}
+	stored := rpc.RecallReply{Standing: rpc.Answered, Status: 200, Header: [][2]string{{headStamp, "first"}}, Body: []byte("first body")}
 	for name, c := range map[string]struct {
-		recall func(int) parley.RecallReply
+		recall func(int) rpc.RecallReply
 		status int
 		runs   int
 	}{
-		"answered": {func(int) parley.RecallReply { return stored }, 200, 0},
-		"running":  {func(int) parley.RecallReply { return parley.RecallReply{Standing: parley.Running} }, 409, 0},
-		"lost":     {func(int) parley.RecallReply { return parley.RecallReply{Standing: parley.Lost} }, 503, 0},
-		"freed":    {func(int) parley.RecallReply { return parley.RecallReply{Standing: parley.Freed} }, 200, 1},
+		"answered": {func(int) rpc.RecallReply { return stored }, 200, 0},
+		"running":  {func(int) rpc.RecallReply { return rpc.RecallReply{Standing: rpc.Running} }, 409, 0},
+		"lost":     {func(int) rpc.RecallReply { return rpc.RecallReply{Standing: rpc.Lost} }, 503, 0},
+		"freed":    {func(int) rpc.RecallReply { return rpc.RecallReply{Standing: rpc.Freed} }, 200, 1},
 	} {
 		backend := newStandIn(t, "i-1", good)
 		d := daemonOf(t, backend)
 		forum := &standInForum{recall: c.recall}
 		inner := led(t, d, forum)
-		forum.script = func(n int, _ parley.KeyClaim) parley.ClaimFound {
+		forum.script = func(n int, _ rpc.KeyClaim) rpc.ClaimFound {
 			if name == "freed" && n > 1 {
-				return parley.ClaimFound{Outcome: parley.Granted}
+				return rpc.ClaimFound{Outcome: rpc.Granted}
 			}
-			return parley.ClaimFound{Outcome: parley.Held, Holder: "edge-2", Inner: inner, Life: 7, Request: "z"}
+			return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-2", Inner: inner, Life: 7, Request: "z"}
 		}
 		verdict := d.Answer(keyed("a", "k"), "2500")
 		if verdict.Status != c.status || backend.count() != c.runs {
@@ -168,23 +168,23 @@
 func TestAnUnclearClaimIsGivenBack(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	forum := &standInForum{script: func(int, parley.KeyClaim) parley.ClaimFound { return parley.ClaimFound{Outcome: parley.Unclear} }}
+	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimFound { return rpc.ClaimFound{Outcome: rpc.Unclear} }}
 	led(t, d, forum)
 	if verdict := d.Answer(keyed("a", "k"), "300"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if d.keys.Find("k", "a").Standing != parley.Freed {
+	if d.keys.Find("k", "a").Standing != rpc.Freed {
 		t.Fatal("a fellow that asks must be told that the key is free")
 	}
 	for freed := false; !freed; {
-		_ = d.link.Claim(parley.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
+		_ = d.link.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 		forum.mu.Lock()
-		freed = len(forum.freed) > 0 && forum.freed[0] == parley.KeyClaim{Key: "k", Request: "a"}
+		freed = len(forum.freed) > 0 && forum.freed[0] == rpc.KeyClaim{Key: "k", Request: "a"}
 		forum.mu.Unlock()
 	}
 	// Once, not with every claim that follows.
 	for range 5 {
-		_ = d.link.Claim(parley.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
+		_ = d.link.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 	}
 	forum.mu.Lock()
 	defer forum.mu.Unlock()
@@ -201,14 +201,14 @@
 	led(t, d, forum)
 	op, _ := d.keys.Open("k", "a")
 	d.keys.Free(op)
-	var reply parley.RecallReply
-	if err := (&Desk{d}).Recall(parley.RecallAsk{Key: "k", Request: "a", Life: d.life}, &reply); err != nil || reply.Standing != parley.Freed {
+	var reply rpc.RecallReply
+	if err := (&Desk{d}).Recall(rpc.RecallAsk{Key: "k", Request: "a", Life: d.life}, &reply); err != nil || reply.Standing != rpc.Freed {
 		t.Fatal(reply, err)
 	}
 	for freed := false; !freed; {
-		_ = d.link.Claim(parley.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
+		_ = d.link.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 		forum.mu.Lock()
-		freed = len(forum.freed) == 1 && forum.freed[0] == parley.KeyClaim{Key: "k", Request: "a"}
+		freed = len(forum.freed) == 1 && forum.freed[0] == rpc.KeyClaim{Key: "k", Request: "a"}
 		forum.mu.Unlock()
 	}
 }
@@ -251,8 +251,8 @@
 func TestAClaimOfAnEarlierLifeIsUnknown(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	forum := &standInForum{script: func(int, parley.KeyClaim) parley.ClaimFound {
-		return parley.ClaimFound{Outcome: parley.Held, Holder: "edge-1", Life: d.life + 1, Request: "z"}
+	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimFound {
+		return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-1", Life: d.life + 1, Request: "z"}
 	}}
 	led(t, d, forum)
 	if verdict := d.Answer(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
@@ -264,8 +264,8 @@
 			break
 		}
 		standing(op)
-		var reply parley.RecallReply
-		if err := (&Desk{d}).Recall(parley.RecallAsk{Key: "other", Request: "z", Life: d.life + 1}, &reply); err != nil || reply.Standing != parley.Lost {
+		var reply rpc.RecallReply
+		if err := (&Desk{d}).Recall(rpc.RecallAsk{Key: "other", Request: "z", Life: d.life + 1}, &reply); err != nil || reply.Standing != rpc.Lost {
 			t.Fatal(reply, err)
 		}
 		d.keys.Free(op)
--- a/internal/passage/limits.go
+++ b/internal/passage/limits.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 // hungerPause is the least time between two beats that a refusal brings about.
@@ -23,7 +23,7 @@
 
 // Limits keeps a bucket per tenant.
 type Limits struct {
-	part   func(kind parley.LeaseKind, tenant string) float64
+	part   func(kind rpc.LeaseKind, tenant string) float64
 	hunger func()
 
 	mu     sync.Mutex
@@ -34,12 +34,12 @@
 
 // NewLimits draws on leased parts; hunger is called when a request was refused
 // and a beat might bring a larger part.
-func NewLimits(part func(kind parley.LeaseKind, tenant string) float64, hunger func()) (limits *Limits) {
+func NewLimits(part func(kind rpc.LeaseKind, tenant string) float64, hunger func()) (limits *Limits) {
 	return &Limits{part: part, hunger: hunger, held: map[string]*quota.Bucket{}}
 }
 
 func (l *Limits) parts(tenant string) (part float64) {
-	return l.part(parley.TenantShare, tenant) + l.part(parley.TenantFloor, tenant)
+	return l.part(rpc.TenantShare, tenant) + l.part(rpc.TenantFloor, tenant)
 }
 
 func (l *Limits) bucket(tenant string) (bucket *quota.Bucket) {
@@ -87,7 +87,7 @@
 // Demands tells what tenants ask of this daemon: all that were asked for lately,
 // and of the others so many in turn that a beat stays small however many tenants
 // there are. What an idle tenant holds then is its floor.
-func (l *Limits) Demands(tenants []*config.Tenant) (demands []parley.Demand) {
+func (l *Limits) Demands(tenants []*config.Tenant) (demands []rpc.Demand) {
 	l.mu.Lock()
 	from := l.turn
 	if len(tenants) > demandsAtOnce {
@@ -103,7 +103,7 @@
 		}
 		l.mu.Unlock()
 		if inTurn || rate > idleRate {
-			demands = append(demands, parley.Demand{Tenant: tenant.Name, Rate: rate, Floor: l.part(parley.TenantFloor, tenant.Name)})
+			demands = append(demands, rpc.Demand{Tenant: tenant.Name, Rate: rate, Floor: l.part(rpc.TenantFloor, tenant.Name)})
 		}
 	}
 	return demands
--- a/internal/passage/limits_test.go
+++ b/internal/passage/limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // With more tenants than a beat may tell of, all come round in turn, and those
@@ -16,7 +16,7 @@
 	for n := 0; n < 4*demandsAtOnce; n++ {
 		tenants = append(tenants, &config.Tenant{Name: fmt.Sprintf("t-%04d", n), Rate: 100, Burst: 100})
 	}
-	limits := NewLimits(func(kind parley.LeaseKind, tenant string) float64 { return 0.5 }, nil)
+	limits := NewLimits(func(kind rpc.LeaseKind, tenant string) float64 { return 0.5 }, nil)
 	busy := tenants[7]
 	told := map[string]int{}
 	for beat := 0; beat < 4; beat++ {
--- a/internal/passage/link.go
+++ b/internal/passage/link.go
@@ -11,8 +11,8 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
 	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -45,13 +45,13 @@
 	clock  Clock
 	world  *World
 	keys   *idempotency.Book
-	life   parley.Life
-	self   func() parley.Fellow
+	life   rpc.Life
+	self   func() rpc.Fellow
 	seeds  atomic.Pointer[[]string]
 	heard  atomic.Int64
 	leader atomic.Pointer[string]
-	claims *Batcher[parley.KeyClaim, parley.ClaimFound]
-	binds  *Batcher[parley.Bind, parley.BindFound]
+	claims *Batcher[rpc.KeyClaim, rpc.ClaimFound]
+	binds  *Batcher[rpc.Bind, rpc.BindFound]
 	stir   chan struct{}
 	scouts atomic.Bool
 
@@ -60,23 +60,23 @@
 	// Ended is closed when the daemon ends; all duties end with it.
 	Ended chan struct{}
 	// Burdens tells what is at work.
-	Burdens func() []parley.Burden
+	Burdens func() []rpc.Burden
 	// Limits tells the demand of tenants, where there are any.
 	Limits *Limits
 
 	mu       sync.Mutex
-	callers  map[string]*parley.Caller
-	frees    map[parley.KeyClaim]bool
+	callers  map[string]*rpc.Caller
+	frees    map[rpc.KeyClaim]bool
 	patience Patience
-	term     parley.Term
+	term     rpc.Term
 }
 
 // NewLink is a link that has not found a leader yet.
-func NewLink(p settings.Props, log *eventlog.Log, clock Clock, world *World, book *idempotency.Book, life parley.Life, self func() parley.Fellow) (link *Link) {
+func NewLink(p settings.Props, log *eventlog.Log, clock Clock, world *World, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *Link) {
 	link = &Link{
 		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
 		stir:  make(chan struct{}, 1),
-		Ended: make(chan struct{}), callers: map[string]*parley.Caller{}, frees: map[parley.KeyClaim]bool{},
+		Ended: make(chan struct{}), callers: map[string]*rpc.Caller{}, frees: map[rpc.KeyClaim]bool{},
 	}
 	link.claims = NewBatcher(claimRing, claimCalls, claimsMost, link.putClaims)
 	link.binds = NewBatcher(claimRing, claimCalls, claimsMost, link.putBinds)
@@ -93,19 +93,19 @@
 // Led tells whether a leader was heard lately.
 func (l *Link) Led() bool { return l.clock.Now()-time.Duration(l.heard.Load()) < leaderless }
 
-func (l *Link) caller(inner string) (caller *parley.Caller) { return l.callerOf(inner, 0) }
+func (l *Link) caller(inner string) (caller *rpc.Caller) { return l.callerOf(inner, 0) }
 
 // core gives the caller of a core. A call may wait as long for its stream as the
 // patience of now allows: where the way there takes half a second, none would
 // ever come up otherwise.
-func (l *Link) core(inner string) (caller *parley.Caller) { return l.callerOf(inner, patienceMost) }
+func (l *Link) core(inner string) (caller *rpc.Caller) { return l.callerOf(inner, patienceMost) }
 
-func (l *Link) callerOf(inner string, dial time.Duration) (caller *parley.Caller) {
+func (l *Link) callerOf(inner string, dial time.Duration) (caller *rpc.Caller) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	caller = l.callers[inner]
 	if caller == nil {
-		caller = parley.NewCaller(inner)
+		caller = rpc.NewCaller(inner)
 		if dial > 0 {
 			caller.DialWait = dial
 		}
@@ -149,9 +149,9 @@
 }
 
 // beat asks one core for news and takes them if it leads.
-func (l *Link) beat(target string, hold, limit time.Duration) (news *parley.News, err error) {
+func (l *Link) beat(target string, hold, limit time.Duration) (news *rpc.News, err error) {
 	asked := l.clock.Now()
-	ask := parley.BeatAsk{Fellow: l.self(), Seen: l.world.Seen(), Hold: hold}
+	ask := rpc.BeatAsk{Fellow: l.self(), Seen: l.world.Seen(), Hold: hold}
 	tenants := l.world.Scene().View.Tenants()
 	if l.Limits != nil {
 		ask.Demands = l.Limits.Demands(tenants)
@@ -162,7 +162,7 @@
 	if l.Burdens != nil {
 		ask.Burdens = l.Burdens()
 	}
-	news = new(parley.News)
+	news = new(rpc.News)
 	if err = l.core(target).Call("Forum.Beat", ask, news, limit); err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 }
 
 // found notes who leads; an older leader than the one that is known does not.
-func (l *Link) found(target string, term parley.Term) (newest bool) {
+func (l *Link) found(target string, term rpc.Term) (newest bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if term < l.term {
@@ -225,7 +225,7 @@
 // term than given or they have all answered or are overdue. The question is a
 // small one: the news that a new leader owes may take a small link longer than
 // a core that is gone may be waited for.
-func (l *Link) seek(but string, after parley.Term) (found bool) {
+func (l *Link) seek(but string, after rpc.Term) (found bool) {
 	l.mu.Lock()
 	wait := l.patience.Wait()
 	l.mu.Unlock()
@@ -237,8 +237,8 @@
 		}
 		asked++
 		go func() {
-			var reply parley.LeadReply
-			err := l.core(inner).Call("Forum.Lead", parley.LeadAsk{}, &reply, wait)
+			var reply rpc.LeadReply
+			err := l.core(inner).Call("Forum.Lead", rpc.LeadAsk{}, &reply, wait)
 			answers <- leadAnswer{inner, reply, err}
 		}()
 	}
@@ -271,7 +271,7 @@
 // leadAnswer is one core's answer to the question who leads.
 type leadAnswer struct {
 	inner string
-	reply parley.LeadReply
+	reply rpc.LeadReply
 	err   error
 }
 
@@ -322,7 +322,7 @@
 		if now < due {
 			continue
 		}
-		walk, pages, err := platform.Walk(100*time.Millisecond, func([]parley.Server) {})
+		walk, pages, err := platform.Walk(100*time.Millisecond, func([]rpc.Server) {})
 		if err == nil && !l.Led() {
 			l.world.TakeList(walk)
 		}
@@ -340,15 +340,15 @@
 // Claim asks the cores for a key, again where a try had no clear outcome: to
 // claim twice for one request is the same as once. It waits for a leader no
 // longer than patience.
-func (l *Link) Claim(claim parley.KeyClaim, patience, limit time.Duration) (found parley.ClaimFound) {
+func (l *Link) Claim(claim rpc.KeyClaim, patience, limit time.Duration) (found rpc.ClaimFound) {
 	begun := l.clock.Now()
 	unclear := false
 	for pause := claimPause; ; pause *= 2 {
 		found = l.claim(claim, min(claimCall, limit-(l.clock.Now()-begun)))
 		switch found.Outcome {
-		case parley.Granted, parley.Held:
+		case rpc.Granted, rpc.Held:
 			return found
-		case parley.Unclear:
+		case rpc.Unclear:
 			unclear = true
 		}
 		go l.scout()
@@ -359,34 +359,34 @@
 		time.Sleep(pause)
 	}
 	if unclear {
-		found.Outcome = parley.Unclear
+		found.Outcome = rpc.Unclear
 	}
 	return found
 }
 
-func (l *Link) claim(claim parley.KeyClaim, limit time.Duration) (found parley.ClaimFound) {
+func (l *Link) claim(claim rpc.KeyClaim, limit time.Duration) (found rpc.ClaimFound) {
 	if limit <= 0 || !l.Led() {
-		return parley.ClaimFound{Outcome: parley.Refused}
+		return rpc.ClaimFound{Outcome: rpc.Refused}
 	}
 	found, taken, answered := l.claims.Ask(claim, limit)
 	switch {
 	case !taken:
-		found.Outcome = parley.Refused
+		found.Outcome = rpc.Refused
 	case !answered:
-		found.Outcome = parley.Unclear
+		found.Outcome = rpc.Unclear
 	}
 	return found
 }
 
 // Bind asks where a session is bound, again where there was no clear outcome: to
 // ask twice is the same as once. It waits no longer than patience for a leader.
-func (l *Link) Bind(bind parley.Bind, patience, limit time.Duration) (found parley.BindFound) {
+func (l *Link) Bind(bind rpc.Bind, patience, limit time.Duration) (found rpc.BindFound) {
 	begun := l.clock.Now()
 	for pause := claimPause; ; pause *= 2 {
 		if wait := min(claimCall, limit-(l.clock.Now()-begun)); wait > 0 && l.Led() {
 			found, _, _ = l.binds.Ask(bind, wait)
 		}
-		if found.Outcome != parley.BindUnclear {
+		if found.Outcome != rpc.BindUnclear {
 			return found
 		}
 		go l.scout()
@@ -398,7 +398,7 @@
 }
 
 // Free gives a key back; it is told to the cores until they have it.
-func (l *Link) Free(claim parley.KeyClaim) {
+func (l *Link) Free(claim rpc.KeyClaim) {
 	l.mu.Lock()
 	if len(l.frees) < freesHeld {
 		l.frees[claim] = true
@@ -416,25 +416,25 @@
 // Binds sends what asks where sessions are bound.
 func (l *Link) Binds() { l.binds.Run(l.Ended) }
 
-func (l *Link) putClaims(claims []parley.KeyClaim, left time.Duration) (found []parley.ClaimFound) {
-	ask := parley.ClaimAsk{Holder: parley.FellowID(l.props.Name), Life: l.life, Claims: claims, Left: left}
-	var reply parley.ClaimReply
+func (l *Link) putClaims(claims []rpc.KeyClaim, left time.Duration) (found []rpc.ClaimFound) {
+	ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.props.Name), Life: l.life, Claims: claims, Left: left}
+	var reply rpc.ClaimReply
 	err := l.core(*l.leader.Load()).Call("Forum.Claim", ask, &reply, 2*claimCall)
 	if err == nil && reply.Leader {
 		return reply.Found
 	}
-	found = make([]parley.ClaimFound, len(claims))
-	if err == nil || parley.Unsent.Has(err) {
+	found = make([]rpc.ClaimFound, len(claims))
+	if err == nil || rpc.Unsent.Has(err) {
 		for i := range found {
-			found[i].Outcome = parley.Refused
+			found[i].Outcome = rpc.Refused
 		}
 	}
 	return found
 }
 
-func (l *Link) putBinds(binds []parley.Bind, _ time.Duration) (found []parley.BindFound) {
-	var reply parley.BindReply
-	if err := l.core(*l.leader.Load()).Call("Forum.Bind", parley.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
+func (l *Link) putBinds(binds []rpc.Bind, _ time.Duration) (found []rpc.BindFound) {
+	var reply rpc.BindReply
+	if err := l.core(*l.leader.Load()).Call("Forum.Bind", rpc.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
 		return nil
 	}
 	if reply.Term > 0 && reply.Term < l.world.Seen().Term {
@@ -456,7 +456,7 @@
 		}
 		for !l.ended() {
 			l.mu.Lock()
-			var frees []parley.KeyClaim
+			var frees []rpc.KeyClaim
 			for claim := range l.frees {
 				if frees = append(frees, claim); len(frees) == freesMost {
 					break
@@ -466,8 +466,8 @@
 			if len(frees) == 0 {
 				break
 			}
-			ask := parley.ClaimAsk{Holder: parley.FellowID(l.props.Name), Life: l.life, Frees: frees}
-			var reply parley.ClaimReply
+			ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.props.Name), Life: l.life, Frees: frees}
+			var reply rpc.ClaimReply
 			err := l.core(*l.leader.Load()).Call("Forum.Claim", ask, &reply, time.Second)
 			if err != nil || !reply.Leader || !reply.Freed {
 				time.Sleep(freesPause)
@@ -483,41 +483,41 @@
 }
 
 // Recall asks the holder of a key how the operation stands.
-func (l *Link) Recall(found parley.ClaimFound, key string) (reply parley.RecallReply) {
+func (l *Link) Recall(found rpc.ClaimFound, key string) (reply rpc.RecallReply) {
 	if found.Inner == "" {
 		return reply
 	}
-	ask := parley.RecallAsk{Key: key, Request: found.Request, Life: found.Life}
+	ask := rpc.RecallAsk{Key: key, Request: found.Request, Life: found.Life}
 	if err := l.caller(found.Inner).Call("Fellow.Recall", ask, &reply, 600*time.Millisecond); err != nil {
-		return parley.RecallReply{Standing: parley.Lost}
+		return rpc.RecallReply{Standing: rpc.Lost}
 	}
 	return l.Fetch(reply, key, found.Request)
 }
 
 // Fetch gets an answer that was moved from the fellow that keeps it.
-func (l *Link) Fetch(reply parley.RecallReply, key, request string) (fetched parley.RecallReply) {
-	if reply.Standing != parley.Moved {
+func (l *Link) Fetch(reply rpc.RecallReply, key, request string) (fetched rpc.RecallReply) {
+	if reply.Standing != rpc.Moved {
 		return reply
 	}
-	if err := l.caller(reply.Inner).Call("Fellow.Kept", parley.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
-		return parley.RecallReply{Standing: parley.Lost}
+	if err := l.caller(reply.Inner).Call("Fellow.Kept", rpc.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
+		return rpc.RecallReply{Standing: rpc.Lost}
 	}
 	return fetched
 }
 
 // Keep hands an answer to a fellow that may keep it.
-func (l *Link) Keep(inner string, ask parley.KeepAsk) (kept bool) {
-	var reply parley.KeepReply
+func (l *Link) Keep(inner string, ask rpc.KeepAsk) (kept bool) {
+	var reply rpc.KeepReply
 	err := l.caller(inner).Call("Fellow.Keep", ask, &reply, time.Second)
 	return err == nil && reply.Kept
 }
 
 // Report brings an owner's findings to the state cache.
-func (l *Link) Report(ask parley.ReportAsk) (taken bool) {
+func (l *Link) Report(ask rpc.ReportAsk) (taken bool) {
 	if !l.Led() {
 		return false
 	}
-	var reply parley.ReportReply
+	var reply rpc.ReportReply
 	err := l.core(*l.leader.Load()).Call("Forum.Report", ask, &reply, 500*time.Millisecond)
 	return err == nil && reply.Leader && reply.Taken
 }
--- a/internal/passage/orders.go
+++ b/internal/passage/orders.go
@@ -15,9 +15,9 @@
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -29,14 +29,14 @@
 )
 
 type metFellow struct {
-	parley.Fellow
+	rpc.Fellow
 	at time.Duration
 }
 
 // Moves is the plan's step in force, by host and by service.
 type Moves struct {
 	Hosts    map[string]schedule.Weights
-	Services map[parley.ServiceName]schedule.Weights
+	Services map[rpc.ServiceName]schedule.Weights
 }
 
 // Orders of one daemon.
@@ -44,12 +44,12 @@
 	mu     sync.Mutex
 	policy *drain.Policy
 	permit *drain.Permit
-	agreed map[parley.ServerID]parley.Retirement
+	agreed map[rpc.ServerID]rpc.Retirement
 	kinds  map[policy.Kind]policy.Document
-	move   parley.Move
+	move   rpc.Move
 	moves  atomic.Pointer[Moves]
-	spills atomic.Pointer[map[parley.ServiceName]parley.Spill]
-	fleet  map[parley.FellowID]metFellow
+	spills atomic.Pointer[map[rpc.ServiceName]rpc.Spill]
+	fleet  map[rpc.FellowID]metFellow
 	// Retries keeps the written limit on retries.
 	Retries *retry.Limiter
 	// Sessions keeps callers where they began.
@@ -60,19 +60,19 @@
 
 // NewOrders follows nothing yet.
 func NewOrders(now time.Duration) (orders *Orders) {
-	orders = &Orders{permit: drain.NewPermit(now), agreed: map[parley.ServerID]parley.Retirement{}, kinds: map[policy.Kind]policy.Document{}, fleet: map[parley.FellowID]metFellow{}, Sessions: NewSessions()}
+	orders = &Orders{permit: drain.NewPermit(now), agreed: map[rpc.ServerID]rpc.Retirement{}, kinds: map[policy.Kind]policy.Document{}, fleet: map[rpc.FellowID]metFellow{}, Sessions: NewSessions()}
 	orders.moves.Store(&Moves{})
-	orders.spills.Store(&map[parley.ServiceName]parley.Spill{})
+	orders.spills.Store(&map[rpc.ServiceName]rpc.Spill{})
 	return orders
 }
 
 // take takes news that were asked for at a time.
-func (o *Orders) take(now, asked time.Duration, news *parley.News, memory *history.Chronicle, quiet bool) {
+func (o *Orders) take(now, asked time.Duration, news *rpc.News, memory *history.Chronicle, quiet bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.permit.Led(asked)
 	o.Retries.Touch(asked)
-	spills := make(map[parley.ServiceName]parley.Spill, len(news.Spills))
+	spills := make(map[rpc.ServiceName]rpc.Spill, len(news.Spills))
 	for _, spill := range news.Spills {
 		spills[spill.Service] = spill
 	}
@@ -119,7 +119,7 @@
 }
 
 // follow takes agreed orders to retire; the caller holds the lock.
-func (o *Orders) follow(now time.Duration, retired []parley.Retirement, memory *history.Chronicle, quiet bool) {
+func (o *Orders) follow(now time.Duration, retired []rpc.Retirement, memory *history.Chronicle, quiet bool) {
 	for _, order := range retired {
 		if order.Rev <= o.agreed[order.Server].Rev {
 			continue
@@ -131,8 +131,8 @@
 	}
 }
 
-func movesOf(move parley.Move) (moves *Moves) {
-	moves = &Moves{Hosts: map[string]schedule.Weights{}, Services: map[parley.ServiceName]schedule.Weights{}}
+func movesOf(move rpc.Move) (moves *Moves) {
+	moves = &Moves{Hosts: map[string]schedule.Weights{}, Services: map[rpc.ServiceName]schedule.Weights{}}
 	for _, target := range move.Targets {
 		weights := schedule.Weights{}
 		for _, part := range target.Weights {
@@ -148,7 +148,7 @@
 }
 
 // Sends tells whether a new caller may be sent to a backend.
-func (o *Orders) Sends(now time.Duration, server parley.ServerID) (sends bool) {
+func (o *Orders) Sends(now time.Duration, server rpc.ServerID) (sends bool) {
 	if !o.any.Load() {
 		return true
 	}
@@ -159,7 +159,7 @@
 
 // Keeps tells whether a session that is there may stay on a backend: one that
 // was retired keeps its sessions as long as the policy lets requests finish.
-func (o *Orders) Keeps(now time.Duration, server parley.ServerID, service parley.ServiceName) (keeps bool) {
+func (o *Orders) Keeps(now time.Duration, server rpc.ServerID, service rpc.ServiceName) (keeps bool) {
 	if !o.any.Load() {
 		return true
 	}
@@ -184,7 +184,7 @@
 }
 
 // stay keeps fellows that still stand from being forgotten.
-func (o *Orders) stay(now time.Duration, fellows map[parley.FellowID]parley.Fellow) {
+func (o *Orders) stay(now time.Duration, fellows map[rpc.FellowID]rpc.Fellow) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, fellow := range fellows {
@@ -193,7 +193,7 @@
 }
 
 // Weights gives the plan's weights for a request, nil where there are none.
-func (o *Orders) Weights(host string, service parley.ServiceName) (weights schedule.Weights) {
+func (o *Orders) Weights(host string, service rpc.ServiceName) (weights schedule.Weights) {
 	moves := o.moves.Load()
 	if len(moves.Hosts) > 0 {
 		if weights = moves.Hosts[config.PlainHost(host)]; weights != nil {
@@ -204,7 +204,7 @@
 }
 
 // Away draws the site that a request should be sent to, empty for one's own.
-func (o *Orders) Away(service parley.ServiceName) (site parley.SiteName) {
+func (o *Orders) Away(service rpc.ServiceName) (site rpc.SiteName) {
 	spills := *o.spills.Load()
 	if len(spills) == 0 {
 		return ""
@@ -225,7 +225,7 @@
 }
 
 // Retired lists the orders this daemon follows, for a fellow that asks.
-func (o *Orders) Retired() (retired []parley.Retirement) {
+func (o *Orders) Retired() (retired []rpc.Retirement) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, order := range o.agreed {
@@ -243,7 +243,7 @@
 		document, known := o.kinds[policy.Kind(name)]
 		return document.Stamp(), document.Rev, known
 	case history.Retirement:
-		retired, known := o.agreed[parley.ServerID(name)]
+		retired, known := o.agreed[rpc.ServerID(name)]
 		return retired.Stamp(), retired.Rev, known
 	}
 	return o.move.Stamp(), o.move.Rev, o.move.Rev > 0
@@ -265,7 +265,7 @@
 		o := d.world.Orders
 		o.mu.Lock()
 		lonely, sessionPolicy := o.permit.Lonely(now), o.policy
-		over := o.permit.Over(now, func(service parley.ServiceName) time.Duration {
+		over := o.permit.Over(now, func(service rpc.ServiceName) time.Duration {
 			return time.Duration(sessionPolicy.For(service).Finish)
 		})
 		o.mu.Unlock()
@@ -309,8 +309,8 @@
 		places <- struct{}{}
 		go func() {
 			defer func() { <-places; asked.Done() }()
-			var reply parley.OrdersReply
-			if err := d.link.caller(inner).Call("Fellow.Orders", parley.OrdersAsk{From: parley.FellowID(d.props.Name)}, &reply, lonelyCall); err != nil {
+			var reply rpc.OrdersReply
+			if err := d.link.caller(inner).Call("Fellow.Orders", rpc.OrdersAsk{From: rpc.FellowID(d.props.Name)}, &reply, lonelyCall); err != nil {
 				return
 			}
 			answers.Add(1)
@@ -328,7 +328,7 @@
 }
 
 // Orders tells a fellow what this daemon follows.
-func (k *Desk) Orders(_ parley.OrdersAsk, reply *parley.OrdersReply) (err error) {
+func (k *Desk) Orders(_ rpc.OrdersAsk, reply *rpc.OrdersReply) (err error) {
 	reply.Retired = k.daemon.world.Orders.Retired()
 	return nil
 }
--- a/internal/passage/passage_test.go
+++ b/internal/passage/passage_test.go
@@ -10,7 +10,7 @@
 
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 func request(method, target, id string) *Request {
@@ -271,7 +271,7 @@
 func TestChooseKeepsToTheRules(t *testing.T) {
 	backends := []*standIn{newStandIn(t, "i-1", good), newStandIn(t, "i-2", good), newStandIn(t, "i-3", good)}
 	d := daemonOf(t, backends...)
-	pick := func(wanted Wanted) (id parley.ServerID) {
+	pick := func(wanted Wanted) (id rpc.ServerID) {
 		wanted.Service = "s"
 		if server, _ := d.world.choose(d.world.Scene(), wanted); server != nil {
 			id = server.ID
@@ -287,23 +287,23 @@
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
 		}
 	}
-	if pick(Wanted{Tried: []parley.ServerID{"i-3"}}) != "" {
+	if pick(Wanted{Tried: []rpc.ServerID{"i-3"}}) != "" {
 		t.Fatal("a backend was chosen twice")
 	}
 	if pick(Wanted{Homes: []string{"far"}}) != "" {
 		t.Fatal("a backend outside the homes was chosen")
 	}
-	three.health = parley.Down
+	three.health = rpc.Down
 	if pick(Wanted{}) != "i-3" {
 		t.Fatal("the only one is taken even if it is held to be down")
 	}
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Evacuations: []parley.Evacuation{{Site: "here", Active: true, Rev: 2}}})
+	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Evacuations: []rpc.Evacuation{{Site: "here", Active: true, Rev: 2}}})
 	if pick(Wanted{}) != "" {
 		t.Fatal("a backend of an evacuated site was chosen")
 	}
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 3, Rev: 3, Evacuations: []parley.Evacuation{{Site: "here", Rev: 3}}})
+	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 3, Evacuations: []rpc.Evacuation{{Site: "here", Rev: 3}}})
 	one.Draining = false
-	three.health = parley.Up
+	three.health = rpc.Up
 	if got := pick(Wanted{}); got == "" {
 		t.Fatal("none after the evacuation was taken back")
 	}
@@ -317,7 +317,7 @@
 		return good(n, r, conn)
 	}))
 	d.world.servers["i-1"].coldTill = d.clock.Now() + time.Hour
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 2, Leases: []parley.Lease{{Kind: parley.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
+	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
 	for range 12 {
 		d.Answer(request("GET", "/safe/q", "c"), "2500")
 	}
@@ -357,9 +357,9 @@
 }
 
 func TestDirections(t *testing.T) {
-	fellows := map[parley.FellowID]parley.Fellow{}
+	fellows := map[rpc.FellowID]rpc.Fellow{}
 	add := func(id, site, region string, ready, stopping bool) {
-		fellows[parley.FellowID(id)] = parley.Fellow{ID: parley.FellowID(id), Site: parley.SiteName(site), Region: parley.RegionName(region), Front: id, Ready: ready, Stopping: stopping}
+		fellows[rpc.FellowID(id)] = rpc.Fellow{ID: rpc.FellowID(id), Site: rpc.SiteName(site), Region: rpc.RegionName(region), Front: id, Ready: ready, Stopping: stopping}
 	}
 	add("a1", "a", "north", true, false)
 	add("a2", "a", "north", true, false)
@@ -368,9 +368,9 @@
 	add("b1", "b", "north", true, false)
 	add("c1", "c", "south", true, false)
 	var homes []string
-	check := func(region, site, want string, absent ...parley.FellowID) {
+	check := func(region, site, want string, absent ...rpc.FellowID) {
 		t.Helper()
-		away := map[parley.FellowID]bool{}
+		away := map[rpc.FellowID]bool{}
 		for _, id := range absent {
 			away[id] = true
 		}
@@ -393,11 +393,11 @@
 // Of many daemons each client gets a few of its own that stay the same, and one
 // of another site, so that it is not lost with its own.
 func TestDirectionsOfManyDaemons(t *testing.T) {
-	fellows := map[parley.FellowID]parley.Fellow{}
+	fellows := map[rpc.FellowID]rpc.Fellow{}
 	for n := 0; n < 120; n++ {
 		site := fmt.Sprint("site-", n%3)
-		id := parley.FellowID(fmt.Sprintf("%s-%d", site, n))
-		fellows[id] = parley.Fellow{ID: id, Site: parley.SiteName(site), Region: "north", Front: string(id), Ready: true}
+		id := rpc.FellowID(fmt.Sprintf("%s-%d", site, n))
+		fellows[id] = rpc.Fellow{ID: id, Site: rpc.SiteName(site), Region: "north", Front: string(id), Ready: true}
 	}
 	named := map[string]int{}
 	changed := 0
@@ -417,7 +417,7 @@
 		if again := Directions(fellows, nil, nil, nil, "north", "site-0", client); strings.Join(again, " ") != strings.Join(answer, " ") {
 			t.Fatalf("%v, then %v", answer, again)
 		}
-		lost := Directions(fellows, map[parley.FellowID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
+		lost := Directions(fellows, map[rpc.FellowID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
 		if strings.Join(lost, " ") != strings.Join(answer, " ") {
 			changed++
 		}
@@ -444,7 +444,7 @@
 	if err := items.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
 	}
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
+	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
 	conn, in := client(t, d)
 	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", headKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
 	for range 2 {
@@ -453,7 +453,7 @@
 			t.Fatalf("%v %v", response, err)
 		}
 	}
-	if reply := d.keys.Find("t/k", "x"); reply.Standing != parley.Lost || backend.count() != 0 {
+	if reply := d.keys.Find("t/k", "x"); reply.Standing != rpc.Lost || backend.count() != 0 {
 		t.Fatal("a refused request left something behind")
 	}
 }
@@ -464,10 +464,10 @@
 	d := daemonOf(t, backend)
 	server := d.world.servers["i-1"].Server
 	server.Draining = true
-	d.world.Take(0, &parley.News{Leader: true, Term: 3, Epoch: 9, Servers: []parley.ServerChange{{Server: server}}})
+	d.world.Take(0, &rpc.News{Leader: true, Term: 3, Epoch: 9, Servers: []rpc.ServerChange{{Server: server}}})
 	server.Draining = false
-	for _, old := range []parley.News{{Term: 3, Epoch: 8}, {Term: 2, Epoch: 50, Full: true}} {
-		old.Leader, old.Servers = true, []parley.ServerChange{{Server: server}}
+	for _, old := range []rpc.News{{Term: 3, Epoch: 8}, {Term: 2, Epoch: 50, Full: true}} {
+		old.Leader, old.Servers = true, []rpc.ServerChange{{Server: server}}
 		d.world.Take(0, &old)
 		if !d.world.servers["i-1"].Draining {
 			t.Fatalf("news of term %d, epoch %d undid a later one", old.Term, old.Epoch)
--- a/internal/passage/patience_test.go
+++ b/internal/passage/patience_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 func TestPatienceGrowsWhileNobodyAnswersAndEndsWithALeader(t *testing.T) {
@@ -27,13 +27,13 @@
 	lead bool
 }
 
-func (f *slowForum) Lead(_ parley.LeadAsk, reply *parley.LeadReply) (err error) {
+func (f *slowForum) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
 	<-f.let
 	reply.Leader, reply.Term = f.lead, 7
 	return nil
 }
 
-func (f *slowForum) Beat(_ parley.BeatAsk, news *parley.News) (err error) {
+func (f *slowForum) Beat(_ rpc.BeatAsk, news *rpc.News) (err error) {
 	news.Leader, news.Term, news.Epoch = true, 7, 1
 	return nil
 }
@@ -45,9 +45,9 @@
 	d.link.Taken = func() {}
 	slow, mute := &slowForum{let: make(chan struct{}), lead: true}, &slowForum{let: make(chan struct{})}
 	t.Cleanup(func() { close(mute.let) })
-	var cores []parley.Core
+	var cores []rpc.Core
 	for _, forum := range []*slowForum{slow, mute} {
-		cores = append(cores, parley.Core{Inner: serveInner(t, map[string]any{"Forum": forum})})
+		cores = append(cores, rpc.Core{Inner: serveInner(t, map[string]any{"Forum": forum})})
 	}
 	d.world.Learn(cores)
 	if d.link.seek("", 0) {
@@ -68,33 +68,33 @@
 // A part of the list that leaves a gap would make backends look gone.
 func TestAPartOfTheListThatDoesNotFollowIsRefused(t *testing.T) {
 	d := daemonOf(t)
-	server := func(id string) parley.Server {
-		return parley.Server{ID: parley.ServerID(id), Service: "s", Address: "x:1", Site: "here"}
+	server := func(id string) rpc.Server {
+		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1", Site: "here"}
 	}
-	tell := func(term parley.Term, epoch parley.Epoch, part *parley.ListPart) {
-		d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: term, Epoch: epoch, Rev: 1, ItemAt: parley.AllItems, Part: part})
+	tell := func(term rpc.Term, epoch rpc.Epoch, part *rpc.ListPart) {
+		d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: term, Epoch: epoch, Rev: 1, ItemAt: rpc.AllItems, Part: part})
 	}
-	tell(2, 1, &parley.ListPart{At: "b", Servers: []parley.Server{server("a"), server("b")}})
-	for i, bad := range []*parley.ListPart{
-		{From: "d", At: "e", Servers: []parley.Server{server("e")}, Done: true},
-		{From: "b", At: "c", Servers: []parley.Server{server("a"), server("c")}},
+	tell(2, 1, &rpc.ListPart{At: "b", Servers: []rpc.Server{server("a"), server("b")}})
+	for i, bad := range []*rpc.ListPart{
+		{From: "d", At: "e", Servers: []rpc.Server{server("e")}, Done: true},
+		{From: "b", At: "c", Servers: []rpc.Server{server("a"), server("c")}},
 	} {
-		tell(2, parley.Epoch(2+i), bad)
+		tell(2, rpc.Epoch(2+i), bad)
 		if seen := d.world.Seen(); seen.Listed || seen.ListAt != "b" || len(d.world.Scene().Services["s"]) != 2 {
 			t.Fatalf("%+v was taken: %+v", bad, seen)
 		}
 		// The rest of the news is, or a daemon would ask for the same for ever.
-		if d.world.Seen().Epoch != parley.Epoch(2+i) {
+		if d.world.Seen().Epoch != rpc.Epoch(2+i) {
 			t.Fatal("the rest of the news was refused too")
 		}
 	}
-	tell(2, 4, &parley.ListPart{From: "b", At: "c", Servers: []parley.Server{server("c")}, Done: true})
+	tell(2, 4, &rpc.ListPart{From: "b", At: "c", Servers: []rpc.Server{server("c")}, Done: true})
 	if !d.world.Seen().Listed || len(d.world.Scene().Services["s"]) != 3 {
 		t.Fatal("the part that follows was not taken")
 	}
 	// A new leader's list begins anew, also for one in the middle of the last's.
-	tell(3, 1, &parley.ListPart{At: "a", Servers: []parley.Server{server("a")}})
-	tell(4, 1, &parley.ListPart{From: "a", At: "c", Servers: []parley.Server{server("c")}, Done: true})
+	tell(3, 1, &rpc.ListPart{At: "a", Servers: []rpc.Server{server("a")}})
+	tell(4, 1, &rpc.ListPart{From: "a", At: "c", Servers: []rpc.Server{server("c")}, Done: true})
 	if seen := d.world.Seen(); seen.Term != 4 || seen.Listed || seen.ListAt != "" || len(d.world.Scene().Services["s"]) != 3 {
 		t.Fatalf("a later leader's part was taken for the first one: %+v", seen)
 	}
--- a/internal/passage/plan.go
+++ b/internal/passage/plan.go
@@ -11,19 +11,19 @@
 	"tinpin/internal/affinity"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Plan is one request's way.
 type Plan struct {
 	Way     *config.Way
-	Service parley.ServiceName
+	Service rpc.ServiceName
 	Request *Request
 	Key     string
 	Started time.Duration
 	Till    time.Duration
 	Rounds  int
-	Tried   []parley.ServerID
+	Tried   []rpc.ServerID
 	// MayHaveRun is set once a round ended without proof that nothing ran.
 	MayHaveRun bool
 	// Failure is the last answer in which a backend told of its own failure.
@@ -31,13 +31,13 @@
 	dials   int
 	// Session is what the request belongs to, under Rule; Bound is the backend
 	// that it may go to and no other.
-	Session parley.SessionID
+	Session rpc.SessionID
 	Rule    affinity.Rule
-	Bound   parley.ServerID
+	Bound   rpc.ServerID
 }
 
 // asked tells that a backend was tried before.
-func (p *Plan) asked(server parley.ServerID) bool { return slices.Contains(p.Tried, server) }
+func (p *Plan) asked(server rpc.ServerID) bool { return slices.Contains(p.Tried, server) }
 
 // Step is what the plan wants next.
 type Step uint8
@@ -50,7 +50,7 @@
 )
 
 // Learn takes the outcome of a round and tells what comes next.
-func (p *Plan) Learn(now time.Duration, server parley.ServerID, round Round) (step Step, kind apierror.Kind) {
+func (p *Plan) Learn(now time.Duration, server rpc.ServerID, round Round) (step Step, kind apierror.Kind) {
 	if round.Sent {
 		p.Rounds--
 	}
