--- a/internal/passage/probe.go
+++ b/internal/passage/probe.go
@@ -15,7 +15,7 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -42,7 +42,7 @@
 )
 
 type watchedServer struct {
-	state   parley.State
+	state   rpc.State
 	silent  int
 	changed bool
 	due     time.Duration
@@ -52,15 +52,15 @@
 type Prober struct {
 	daemon *Daemon
 	mu     sync.Mutex
-	found  map[parley.ServerID]*watchedServer
-	told   map[parley.ServiceName]parley.Term
+	found  map[rpc.ServerID]*watchedServer
+	told   map[rpc.ServiceName]rpc.Term
 	phase  int
 	pruned time.Duration
 }
 
 // NewProber has found nothing yet.
 func NewProber(d *Daemon) (prober *Prober) {
-	return &Prober{daemon: d, found: map[parley.ServerID]*watchedServer{}, told: map[parley.ServiceName]parley.Term{}}
+	return &Prober{daemon: d, found: map[rpc.ServerID]*watchedServer{}, told: map[rpc.ServiceName]rpc.Term{}}
 }
 
 // Run is the duty that probes.
@@ -82,7 +82,7 @@
 	duties, term, count := d.world.Tick(d.link.Led())
 	scene := d.world.Scene()
 	p.phase = (p.phase + 1) % probePhases
-	mine := map[parley.ServiceName]bool{}
+	mine := map[rpc.ServiceName]bool{}
 	backends := 0
 	for _, service := range duties {
 		mine[service] = true
@@ -121,13 +121,13 @@
 }
 
 // judge brings what the sums of all daemons tell into the states.
-func (p *Prober) judge(scene *Scene, duties []parley.ServiceName, term parley.Term, count parley.Epoch) {
+func (p *Prober) judge(scene *Scene, duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
 	changed := d.world.Judge(duties)
 	if len(changed) == 0 {
 		return
 	}
-	reports := map[parley.ServiceName][]parley.State{}
+	reports := map[rpc.ServiceName][]rpc.State{}
 	for _, service := range duties {
 		for _, server := range scene.Services[service] {
 			aside, moved := changed[server.ID]
@@ -147,16 +147,16 @@
 	}
 	for service, states := range reports {
 		if d.link.Led() {
-			go d.link.Report(parley.ReportAsk{Fellow: parley.FellowID(d.props.Name), Term: term, Count: count, Service: service, States: states})
+			go d.link.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.props.Name), Term: term, Count: count, Service: service, States: states})
 		}
 	}
 }
 
 // held gives what was found of a backend; the caller holds the lock.
-func (p *Prober) held(id parley.ServerID) (held *watchedServer) {
+func (p *Prober) held(id rpc.ServerID) (held *watchedServer) {
 	held = p.found[id]
 	if held == nil {
-		held = &watchedServer{state: parley.State{Server: id}}
+		held = &watchedServer{state: rpc.State{Server: id}}
 		p.found[id] = held
 	}
 	return held
@@ -192,12 +192,12 @@
 	defer p.mu.Unlock()
 	held := p.found[server.ID]
 	if held == nil {
-		held = &watchedServer{state: parley.State{Server: server.ID}}
+		held = &watchedServer{state: rpc.State{Server: server.ID}}
 		held.due = now + time.Duration(rand.Float64()*float64(pace.doubt))
 		p.found[server.ID] = held
 	}
 	interval := pace.well
-	if held.state.Health != parley.Up || held.state.Cold > 0 || server.doubtful(now) {
+	if held.state.Health != rpc.Up || held.state.Cold > 0 || server.doubtful(now) {
 		interval = pace.doubt
 	}
 	// What is due later than the pace has it was set at another pace.
@@ -213,7 +213,7 @@
 func (p *Prober) prune(scene *Scene) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	listed := make(map[parley.ServerID]bool, len(p.found))
+	listed := make(map[rpc.ServerID]bool, len(p.found))
 	for _, servers := range scene.Services {
 		for _, server := range servers {
 			listed[server.ID] = true
@@ -226,7 +226,7 @@
 	}
 }
 
-func (p *Prober) probe(server *Server, path string, term parley.Term, count parley.Epoch) {
+func (p *Prober) probe(server *Server, path string, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
 	finding, cold := probe(d.clock, server, path, false)
 	if finding == FoundSilent {
@@ -246,25 +246,25 @@
 	switch finding {
 	case FoundUp:
 		held.silent = 0
-		held.state.Health, held.state.Cold = parley.Up, cold
+		held.state.Health, held.state.Cold = rpc.Up, cold
 	case FoundDown:
 		held.silent = 0
-		held.state.Health = parley.Down
+		held.state.Health = rpc.Down
 	case FoundSilent:
 		if held.silent++; held.silent >= 2 {
-			held.state.Health = parley.Down
+			held.state.Health = rpc.Down
 		}
 	case FoundBusy:
 		held.silent = 0
-		if held.state.Health != parley.Up {
-			held.state.Health = parley.Up
+		if held.state.Health != rpc.Up {
+			held.state.Health = rpc.Up
 		}
 	}
 	state := held.state
 	turned := before.Health != state.Health || (before.Cold > 0) != (state.Cold > 0) || state.Cold > 0
 	held.changed = held.changed || turned
 	p.mu.Unlock()
-	if finding == FoundGarbled || finding == FoundSilent && state.Health != parley.Down {
+	if finding == FoundGarbled || finding == FoundSilent && state.Health != rpc.Down {
 		return
 	}
 	server.note(d.clock.Now(), nil, &state)
@@ -272,25 +272,25 @@
 		d.world.Chronicle.Note(history.Health, string(server.ID), "probed", state.Stamp(), 0, true)
 	}
 	if before.Health != state.Health {
-		if before.Health != parley.Unknown || state.Health == parley.Down {
+		if before.Health != rpc.Unknown || state.Health == rpc.Down {
 			d.log.Say(eventlog.HealthChanged, "backend", string(server.ID), "health", int(state.Health))
 		}
 	}
 	if turned && d.link.Led() {
-		d.link.Report(parley.ReportAsk{Fellow: parley.FellowID(d.props.Name), Term: term, Count: count, Service: server.Service, States: []parley.State{state}})
+		d.link.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.props.Name), Term: term, Count: count, Service: server.Service, States: []rpc.State{state}})
 	}
 }
 
 // report tells the cache that a round was made; the first to a leader is full.
-func (p *Prober) report(service parley.ServiceName, servers []*Server, term parley.Term, count parley.Epoch) {
+func (p *Prober) report(service rpc.ServiceName, servers []*Server, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
 	leader := d.world.Seen().Term
-	ask := parley.ReportAsk{Fellow: parley.FellowID(d.props.Name), Term: term, Count: count, Service: service}
+	ask := rpc.ReportAsk{Fellow: rpc.FellowID(d.props.Name), Term: term, Count: count, Service: service}
 	p.mu.Lock()
 	ask.Full = p.told[service] != leader
 	if ask.Full {
 		for _, server := range servers {
-			if held := p.found[server.ID]; held != nil && held.state.Health != parley.Unknown {
+			if held := p.found[server.ID]; held != nil && held.state.Health != rpc.Unknown {
 				ask.States = append(ask.States, held.state)
 			}
 		}
--- a/internal/passage/round.go
+++ b/internal/passage/round.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"tinpin/internal/apierror"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Head lines of the protocol.
@@ -154,7 +154,7 @@
 }
 
 // bytes writes the request for one backend.
-func (r *Request) bytes(left time.Duration, target parley.ServerID) (data []byte) {
+func (r *Request) bytes(left time.Duration, target rpc.ServerID) (data []byte) {
 	r.once.Do(r.prepare)
 	data = make([]byte, 0, len(r.head)+len(r.Body)+96)
 	data = append(data, r.head...)
--- a/internal/passage/round_test.go
+++ b/internal/passage/round_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // rested makes a daemon whose stream to its one backend has carried a request.
@@ -95,8 +95,8 @@
 				d.world.servers["i-1"].closed = false
 			}
 			sound := newStandIn(t, "i-2", good)
-			server := parley.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
-			d.world.Take(0, &parley.News{Leader: true, Term: 1, Epoch: 2, Servers: []parley.ServerChange{{Server: server}}})
+			server := rpc.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
+			d.world.Take(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
 			d.world.servers["i-2"].pace, d.world.servers["i-2"].paceAt = 1e6, 1
 			verdict := d.Answer(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
@@ -215,10 +215,10 @@
 	server := d.world.servers["i-1"]
 	server.coldTill = d.clock.Now() + time.Hour
 	way := d.world.Scene().View.Find("a.example", "/once/x")
-	for _, bound := range []parley.ServerID{"", "i-1"} {
+	for _, bound := range []rpc.ServerID{"", "i-1"} {
 		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: Withheld, time.Minute: Whole} {
 			now := d.clock.Now()
-			d.world.Take(now, &parley.News{Leader: true, Term: 1, Epoch: 1, Leases: []parley.Lease{{Kind: parley.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
+			d.world.Take(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
 			plan := &Plan{Way: way, Service: "s", Till: now + time.Second, Bound: bound}
 			if round := run(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
@@ -239,7 +239,7 @@
 	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if d.keys.Find("k", "a").Standing != parley.Freed {
+	if d.keys.Find("k", "a").Standing != rpc.Freed {
 		t.Fatal("the key is not given back")
 	}
 	// The same request again must not run under the claim that is given back.
--- a/internal/passage/server.go
+++ b/internal/passage/server.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -30,12 +30,12 @@
 
 // Server is a backend and its pool.
 type Server struct {
-	parley.Server
-	Region parley.RegionName
+	rpc.Server
+	Region rpc.RegionName
 	told   string
 
 	mu       sync.Mutex
-	health   parley.Health
+	health   rpc.Health
 	coldTill time.Duration
 	outTill  time.Duration
 	outSpan  time.Duration
@@ -55,7 +55,7 @@
 	trialAt  time.Duration
 	bad      float64
 	badAt    time.Duration
-	tally    parley.Tally
+	tally    rpc.Tally
 	badTill  time.Duration
 	// active are the streams that carry a request now, with whether it is keyed.
 	active map[*Stream]bool
@@ -68,7 +68,7 @@
 	at    time.Duration
 }
 
-func newServer(listed parley.Server, region parley.RegionName, asking string, habit *Habit) (server *Server) {
+func newServer(listed rpc.Server, region rpc.RegionName, asking string, habit *Habit) (server *Server) {
 	return &Server{Server: listed, Region: region, asking: asking, cold: quota.NewWindow(time.Second), habit: habit, active: map[*Stream]bool{}}
 }
 
@@ -126,7 +126,7 @@
 	if wait > dialWait {
 		wait = dialWait
 	}
-	dialer := net.Dialer{Timeout: wait, Control: parley.Firm(dialSilence), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
+	dialer := net.Dialer{Timeout: wait, Control: rpc.Firm(dialSilence), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	dialer.SetMultipathTCP(false)
 	s.mu.Lock()
 	s.open++
@@ -275,11 +275,11 @@
 
 // tell gives what is to be told of this backend, if it failed lately or is set
 // aside; of a backend that is well nothing is told.
-func (s *Server) tell(now time.Duration) (tally parley.Tally, told bool) {
+func (s *Server) tell(now time.Duration) (tally rpc.Tally, told bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tally = s.tally
-	s.tally = parley.Tally{}
+	s.tally = rpc.Tally{}
 	tally.Server, tally.Service = s.ID, s.Service
 	if !s.aside && now >= s.badTill || s.closed {
 		s.habit.unwatch(s)
@@ -369,7 +369,7 @@
 }
 
 // note takes what the list and the cache say.
-func (s *Server) note(now time.Duration, listed *parley.Server, state *parley.State) {
+func (s *Server) note(now time.Duration, listed *rpc.Server, state *rpc.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if listed != nil {
@@ -378,14 +378,14 @@
 	}
 	if state != nil {
 		s.health = state.Health
-		if s.aside = state.Aside == parley.AsideForAll || state.Aside != "" && state.Aside == s.asking; s.aside {
+		if s.aside = state.Aside == rpc.AsideForAll || state.Aside != "" && state.Aside == s.asking; s.aside {
 			s.habit.watch(s)
 		}
 		s.coldTill = 0
 		if state.Cold > 0 {
 			s.coldTill = now + state.Cold
 		}
-		if state.Health == parley.Up && s.outTill > now && s.outSpan > outLeast {
+		if state.Health == rpc.Up && s.outTill > now && s.outSpan > outLeast {
 			s.outTill = now
 		}
 	}
--- a/internal/passage/sessions.go
+++ b/internal/passage/sessions.go
@@ -15,7 +15,7 @@
 	"tinpin/internal/affinity"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // rememberedMost is how many sessions a node remembers.
@@ -75,7 +75,7 @@
 }
 
 // find names the session of a request at a service.
-func (s *Sessions) find(policy *affinity.Policy, service parley.ServiceName, asked affinity.Asked) (rule affinity.Rule, name string, named bool) {
+func (s *Sessions) find(policy *affinity.Policy, service rpc.ServiceName, asked affinity.Asked) (rule affinity.Rule, name string, named bool) {
 	rule, ruled := policy.For(service)
 	if !ruled {
 		return rule, "", false
@@ -104,10 +104,10 @@
 	asked := plan.Request.asked(tenant)
 	if len(plan.Way.Targets) > 1 {
 		for _, part := range plan.Way.Targets {
-			if _, ruled := policy.For(parley.ServiceName(part.Service)); !ruled {
+			if _, ruled := policy.For(rpc.ServiceName(part.Service)); !ruled {
 				continue
 			}
-			if _, name, named := s.find(policy, parley.ServiceName(part.Service), asked); named {
+			if _, name, named := s.find(policy, rpc.ServiceName(part.Service), asked); named {
 				plan.Service = target(plan.Way, lotOf(name))
 			}
 			break
@@ -125,10 +125,10 @@
 	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
 	server, outcome := s.binder.Bind(plan.Session, idle, affinity.View{
 		Now:   d.clock.Now,
-		Over:  func(server parley.ServerID) bool { return d.over(d.world.Scene(), plan, server) },
-		Begin: func() parley.ServerID { return d.begin(d.world.Scene(), plan) },
-		Ask: func(from, choice parley.ServerID) parley.BindFound {
-			return d.link.Bind(parley.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Way.Aim/4, limit)
+		Over:  func(server rpc.ServerID) bool { return d.over(d.world.Scene(), plan, server) },
+		Begin: func() rpc.ServerID { return d.begin(d.world.Scene(), plan) },
+		Ask: func(from, choice rpc.ServerID) rpc.BindFound {
+			return d.link.Bind(rpc.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Way.Aim/4, limit)
 		},
 	})
 	plan.Bound = server
@@ -154,14 +154,14 @@
 
 // over tells that a session may not stay on a backend: it has ended or is about
 // to, its site is evacuated, or it was retired and has had its time.
-func (d *Daemon) over(scene *Scene, plan *Plan, id parley.ServerID) (over bool) {
+func (d *Daemon) over(scene *Scene, plan *Plan, id rpc.ServerID) (over bool) {
 	server := scene.server(plan.Service, id)
 	return server == nil || server.leaving() || scene.Evacuate[server.Site] || !allowed(plan.Way.Homes, server.Region) || !d.world.Orders.Keeps(d.clock.Now(), id, plan.Service)
 }
 
 // begin chooses where a new session begins: among the backends of the region
 // that are well and warm, else among those elsewhere, else among what there is.
-func (d *Daemon) begin(scene *Scene, plan *Plan) (chosen parley.ServerID) {
+func (d *Daemon) begin(scene *Scene, plan *Plan) (chosen rpc.ServerID) {
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
@@ -187,7 +187,7 @@
 }
 
 // server looks a backend of a service up; they are sorted by id.
-func (s *Scene) server(service parley.ServiceName, id parley.ServerID) (server *Server) {
+func (s *Scene) server(service rpc.ServiceName, id rpc.ServerID) (server *Server) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
@@ -200,7 +200,7 @@
 func (s *Server) wellAndWarm(now time.Duration) (well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health != parley.Down && now >= s.coldTill && now >= s.outTill && !s.aside
+	return s.health != rpc.Down && now >= s.coldTill && now >= s.outTill && !s.aside
 }
 
 // key is the request's operation key.
--- a/internal/passage/sessions_test.go
+++ b/internal/passage/sessions_test.go
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // agreedForum binds sessions as the leader does, for any number of nodes.
 type agreedForum struct {
 	standInForum
 	bindMu sync.Mutex
-	bound  map[parley.SessionID]parley.ServerID
+	bound  map[rpc.SessionID]rpc.ServerID
 	mute   bool
 	asks   int
 }
 
-func (f *agreedForum) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
+func (f *agreedForum) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
 	f.bindMu.Lock()
 	defer f.bindMu.Unlock()
 	reply.Leader = !f.mute
@@ -35,14 +35,14 @@
 			standing = bind.Server
 			f.bound[bind.Session] = standing
 		}
-		reply.Found = append(reply.Found, parley.BindFound{Outcome: parley.Bound, Server: standing})
+		reply.Found = append(reply.Found, rpc.BindFound{Outcome: rpc.Bound, Server: standing})
 	}
 	return nil
 }
 
 // written sets a document at a node.
 func written(d *Daemon, rev uint64, kind policy.Kind, body string) {
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: parley.Epoch(rev), Rev: rev, ItemAt: parley.AllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
+	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: rpc.Epoch(rev), Rev: rev, ItemAt: rpc.AllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
 }
 
 const byCaller = `{"version":2,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
@@ -57,7 +57,7 @@
 func nodesOf(t *testing.T, forum *agreedForum, views ...[]*standIn) (nodes []*Daemon) {
 	t.Helper()
 	forum.script = grant
-	forum.bound = map[parley.SessionID]parley.ServerID{}
+	forum.bound = map[rpc.SessionID]rpc.ServerID{}
 	inner := serveInner(t, map[string]any{"Forum": forum, "Fellow": forum})
 	for _, view := range views {
 		d := daemonOf(t, view...)
@@ -82,7 +82,7 @@
 	}
 	forum := &agreedForum{}
 	nodes := nodesOf(t, forum, backends, []*standIn{backends[3], backends[2], backends[1], backends[0]})
-	nodes[1].world.Take(nodes[1].clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 3, Rev: 2, ItemAt: parley.AllItems, Fellows: []parley.FellowChange{{Fellow: parley.Fellow{ID: "edge-9", Site: "here", Ready: true}}}})
+	nodes[1].world.Take(nodes[1].clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 2, ItemAt: rpc.AllItems, Fellows: []rpc.FellowChange{{Fellow: rpc.Fellow{ID: "edge-9", Site: "here", Ready: true}}}})
 	where := map[string]string{}
 	run := 0
 	visit := func(caller string, n int) (status int, server string) {
@@ -121,7 +121,7 @@
 	// One leaves: its sessions move, once, and the others stay.
 	gone := where["caller-0"]
 	for _, d := range nodes {
-		d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 1, Epoch: 4, Rev: 2, ItemAt: parley.AllItems, Servers: []parley.ServerChange{{Server: parley.Server{ID: parley.ServerID(gone), Service: "s"}, Gone: true}}})
+		d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 4, Rev: 2, ItemAt: rpc.AllItems, Servers: []rpc.ServerChange{{Server: rpc.Server{ID: rpc.ServerID(gone), Service: "s"}, Gone: true}}})
 	}
 	for step := 0; step < 4; step++ {
 		for c := 0; c < 12; c++ {
@@ -157,7 +157,7 @@
 	if verdict = d.Answer(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
-	if standing := d.keys.Find("k", "b").Standing; standing != parley.Freed {
+	if standing := d.keys.Find("k", "b").Standing; standing != rpc.Freed {
 		t.Fatalf("the key of an operation that was not sent stands at %d", standing)
 	}
 	written(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
--- a/internal/passage/standin_test.go
+++ b/internal/passage/standin_test.go
@@ -16,7 +16,7 @@
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -127,9 +127,9 @@
 	if err := items.Apply([]byte(call), 1); err != nil {
 		t.Fatal(err)
 	}
-	news := &parley.News{Leader: true, Term: 1, Epoch: 1, Full: true, Rev: 1, ItemAt: parley.AllItems, Items: items.Items(), Part: &parley.ListPart{Done: true}}
+	news := &rpc.News{Leader: true, Term: 1, Epoch: 1, Full: true, Rev: 1, ItemAt: rpc.AllItems, Items: items.Items(), Part: &rpc.ListPart{Done: true}}
 	for _, backend := range backends {
-		news.Part.Servers = append(news.Part.Servers, parley.Server{ID: parley.ServerID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Site: "here", Slots: 4})
+		news.Part.Servers = append(news.Part.Servers, rpc.Server{ID: rpc.ServerID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Site: "here", Slots: 4})
 	}
 	d.world.Take(0, news)
 	return d
--- a/internal/passage/status.go
+++ b/internal/passage/status.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 )
 
 // Status answers calls about this daemon.
@@ -32,7 +32,7 @@
 }
 
 // Tell gives the account.
-func (s *Status) Tell(_ parley.StatusAsk, reply *parley.StatusReply) (err error) {
+func (s *Status) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
 	d := s.daemon
 	seen := d.world.Seen()
 	account := Account{
@@ -49,11 +49,11 @@
 }
 
 // Trace tells what this daemon knows of a subject.
-func (s *Status) Trace(ask parley.TraceAsk, reply *parley.TraceReply) (err error) {
+func (s *Status) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
 	w := s.daemon.world
 	reply.Name = s.daemon.props.Name
 	for _, told := range w.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Marks = append(reply.Marks, parley.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
+		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
 	reply.Stamp, reply.Rev, reply.Has = w.Stands(ask.Kind, ask.Name)
 	return nil
--- a/internal/passage/subset.go
+++ b/internal/passage/subset.go
@@ -9,13 +9,13 @@
 
 import (
 	"tinpin/internal/healthcheck"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Subset tells which backends of a site a daemon uses first.
 type Subset struct {
-	self    parley.FellowID
-	fellows []parley.FellowID
+	self    rpc.FellowID
+	fellows []rpc.FellowID
 	sharers int
 }
 
@@ -24,8 +24,8 @@
 const subsetLeast = 6
 
 // NewSubset reckons with the ready daemons of self's site, self among them.
-func NewSubset(self parley.FellowID, site parley.SiteName, fellows map[parley.FellowID]parley.Fellow, sharers int) (subset Subset) {
-	subset = Subset{self: self, fellows: []parley.FellowID{self}}
+func NewSubset(self rpc.FellowID, site rpc.SiteName, fellows map[rpc.FellowID]rpc.Fellow, sharers int) (subset Subset) {
+	subset = Subset{self: self, fellows: []rpc.FellowID{self}}
 	for id, fellow := range fellows {
 		if id != self && fellow.Site == site && fellow.Ready && !fellow.Stopping {
 			subset.fellows = append(subset.fellows, id)
@@ -43,7 +43,7 @@
 }
 
 // Holds tells whether self is among so many that use the backend first.
-func (s Subset) Holds(server parley.ServerID, sharers int) (holds bool) {
+func (s Subset) Holds(server rpc.ServerID, sharers int) (holds bool) {
 	if sharers >= len(s.fellows) {
 		return true
 	}
--- a/internal/passage/subset_test.go
+++ b/internal/passage/subset_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
-func siteOf(count int) (fellows map[parley.FellowID]parley.Fellow) {
-	fellows = map[parley.FellowID]parley.Fellow{}
+func siteOf(count int) (fellows map[rpc.FellowID]rpc.Fellow) {
+	fellows = map[rpc.FellowID]rpc.Fellow{}
 	for i := range count {
-		id := parley.FellowID(fmt.Sprint("edge-", i))
-		fellows[id] = parley.Fellow{ID: id, Site: "harbour", Ready: true}
+		id := rpc.FellowID(fmt.Sprint("edge-", i))
+		fellows[id] = rpc.Fellow{ID: id, Site: "harbour", Ready: true}
 	}
 	return fellows
 }
@@ -22,14 +22,14 @@
 func TestSubsetsAreEven(t *testing.T) {
 	const daemons, backends, sharers = 14, 54, 3
 	fellows := siteOf(daemons)
-	fellows["far"] = parley.Fellow{ID: "far", Site: "hill", Ready: true}
-	fellows["going"] = parley.Fellow{ID: "going", Site: "harbour", Ready: true, Stopping: true}
-	users, sizes := map[parley.ServerID]int{}, map[parley.FellowID]int{}
+	fellows["far"] = rpc.Fellow{ID: "far", Site: "hill", Ready: true}
+	fellows["going"] = rpc.Fellow{ID: "going", Site: "harbour", Ready: true, Stopping: true}
+	users, sizes := map[rpc.ServerID]int{}, map[rpc.FellowID]int{}
 	for i := range daemons {
-		self := parley.FellowID(fmt.Sprint("edge-", i))
+		self := rpc.FellowID(fmt.Sprint("edge-", i))
 		subset := NewSubset(self, "harbour", fellows, sharers)
 		for j := range backends {
-			if id := parley.ServerID(fmt.Sprint("i-", j)); subset.Holds(id, subset.Sharers(backends)) {
+			if id := rpc.ServerID(fmt.Sprint("i-", j)); subset.Holds(id, subset.Sharers(backends)) {
 				users[id]++
 				sizes[self]++
 			}
@@ -56,10 +56,10 @@
 	before, after := siteOf(10), siteOf(11)
 	taken := NewSubset("edge-10", "harbour", after, sharers)
 	for i := range 10 {
-		self := parley.FellowID(fmt.Sprint("edge-", i))
+		self := rpc.FellowID(fmt.Sprint("edge-", i))
 		old, now := NewSubset(self, "harbour", before, sharers), NewSubset(self, "harbour", after, sharers)
 		for j := range backends {
-			id := parley.ServerID(fmt.Sprint("i-", j))
+			id := rpc.ServerID(fmt.Sprint("i-", j))
 			if old.Holds(id, sharers) != now.Holds(id, sharers) && (now.Holds(id, sharers) || !taken.Holds(id, sharers)) {
 				t.Errorf("%s moved at %s though the new daemon did not take it", id, self)
 			}
@@ -84,11 +84,11 @@
 // work for dark.
 func TestADaemonThatKnowsNothingStaysNear(t *testing.T) {
 	d := daemonOf(t)
-	var rows []parley.Server
+	var rows []rpc.Server
 	for n := 0; n < 12; n++ {
-		rows = append(rows, parley.Server{ID: parley.ServerID(fmt.Sprintf("near-%d", n)), Service: "s", Address: "x:1", Site: "here", Slots: 6}, parley.Server{ID: parley.ServerID(fmt.Sprintf("far-%d", n)), Service: "s", Address: "x:1", Site: "there", Slots: 6})
+		rows = append(rows, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("near-%d", n)), Service: "s", Address: "x:1", Site: "here", Slots: 6}, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("far-%d", n)), Service: "s", Address: "x:1", Site: "there", Slots: 6})
 	}
-	d.world.Take(d.clock.Now(), &parley.News{Leader: true, Term: 2, Epoch: 2, Full: true, Rev: 1, ItemAt: parley.AllItems, Part: &parley.ListPart{Done: true, Servers: rows}})
+	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 2, Epoch: 2, Full: true, Rev: 1, ItemAt: rpc.AllItems, Part: &rpc.ListPart{Done: true, Servers: rows}})
 	scene := d.world.Scene()
 	wanted := Wanted{Service: "s", Aim: 2 * time.Second, Repeatable: true}
 	for n := 0; n < 24; n++ {
--- a/internal/passage/throttle.go
+++ b/internal/passage/throttle.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -100,14 +100,14 @@
 }
 
 // burdens tells how many requests are at work at each service.
-func (t *throttles) burdens() (burdens []parley.Burden) {
+func (t *throttles) burdens() (burdens []rpc.Burden) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for service, throttle := range t.held {
 		throttle.mu.Lock()
 		atWork := throttle.atWork
 		throttle.mu.Unlock()
-		burdens = append(burdens, parley.Burden{Service: parley.ServiceName(service), AtWork: atWork})
+		burdens = append(burdens, rpc.Burden{Service: rpc.ServiceName(service), AtWork: atWork})
 	}
 	return burdens
 }
--- a/internal/passage/throttle_test.go
+++ b/internal/passage/throttle_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // A service that can do ten requests at a time, each in 150 ms or so, is given
@@ -104,7 +104,7 @@
 	if _, told := servers[0].tell(now + tallySpan + time.Second); told || len(servers[0].habit.watched()) != 0 {
 		t.Fatal("it is told for ever")
 	}
-	servers[1].note(now, nil, &parley.State{Server: "i-2", Health: parley.Up, Aside: parley.AsideForAll})
+	servers[1].note(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
 	servers[1].begin(now)
 	servers[1].end(now, time.Millisecond, Whole)
 	if tallies = d.world.Tallies(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
--- a/internal/passage/world.go
+++ b/internal/passage/world.go
@@ -15,9 +15,9 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
 	"tinpin/internal/retry"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -27,13 +27,13 @@
 // Scene is one state of the world, read-only but for the servers' own marks.
 type Scene struct {
 	View     *config.View
-	Services map[parley.ServiceName][]*Server
+	Services map[rpc.ServiceName][]*Server
 	// Near are the backends of a service that this daemon uses first, Beyond
 	// all others; Share is how many daemons use each of the near ones.
-	Near, Beyond map[parley.ServiceName][]*Server
-	Share        map[parley.ServiceName]int
-	Evacuate     map[parley.SiteName]bool
-	Fellows      map[parley.FellowID]parley.Fellow
+	Near, Beyond map[rpc.ServiceName][]*Server
+	Share        map[rpc.ServiceName]int
+	Evacuate     map[rpc.SiteName]bool
+	Fellows      map[rpc.FellowID]rpc.Fellow
 	// Sharers counts the daemons that share the backends now.
 	Sharers int
 	Started bool
@@ -61,31 +61,31 @@
 
 	mu       sync.Mutex
 	canon    *config.Canon
-	seen     parley.Seen
+	seen     rpc.Seen
 	whole    bool
-	named    map[parley.ServerID]bool
-	servers  map[parley.ServerID]*Server
-	evac     map[parley.SiteName]parley.Evacuation
-	fellows  map[parley.FellowID]parley.Fellow
+	named    map[rpc.ServerID]bool
+	servers  map[rpc.ServerID]*Server
+	evac     map[rpc.SiteName]rpc.Evacuation
+	fellows  map[rpc.FellowID]rpc.Fellow
 	cores    map[string]bool
 	watch    *healthcheck.Watch
-	told     parley.ShardMap
+	told     rpc.ShardMap
 	judge    *healthcheck.Judge
 	listed   bool
 	viewed   *config.View
 	shares   *quota.Shares
 	scene    atomic.Pointer[Scene]
 	sharesMu sync.Mutex
-	habits   map[parley.ServiceName]*Habit
+	habits   map[rpc.ServiceName]*Habit
 }
 
 // NewWorld knows nothing yet.
 func NewWorld(p settings.Props, log *eventlog.Log, clock Clock) (world *World) {
 	world = &World{
-		props: p, log: log, clock: clock, Chronicle: history.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[parley.ServerID]*Server{},
-		evac: map[parley.SiteName]parley.Evacuation{}, fellows: map[parley.FellowID]parley.Fellow{}, cores: map[string]bool{},
-		watch: healthcheck.NewWatch(parley.FellowID(p.Name), p.SendInterval, clock.Now()),
-		judge: healthcheck.NewJudge(), shares: quota.NewShares(), habits: map[parley.ServiceName]*Habit{},
+		props: p, log: log, clock: clock, Chronicle: history.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[rpc.ServerID]*Server{},
+		evac: map[rpc.SiteName]rpc.Evacuation{}, fellows: map[rpc.FellowID]rpc.Fellow{}, cores: map[string]bool{},
+		watch: healthcheck.NewWatch(rpc.FellowID(p.Name), p.SendInterval, clock.Now()),
+		judge: healthcheck.NewJudge(), shares: quota.NewShares(), habits: map[rpc.ServiceName]*Habit{},
 	}
 	world.Orders.Retries = retry.NewLimiter(world.Share)
 	world.viewed = world.canon.View()
@@ -97,21 +97,21 @@
 func (w *World) Scene() (scene *Scene) { return w.scene.Load() }
 
 // Share is what may be used of a leased bound now.
-func (w *World) Share(kind parley.LeaseKind, key string) (amount float64) {
+func (w *World) Share(kind rpc.LeaseKind, key string) (amount float64) {
 	w.sharesMu.Lock()
 	defer w.sharesMu.Unlock()
 	return w.shares.Amount(w.clock.Now(), quota.Key{Kind: kind, Name: key})
 }
 
 // Seen is what a beat names.
-func (w *World) Seen() (seen parley.Seen) {
+func (w *World) Seen() (seen rpc.Seen) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seen
 }
 
 // lend takes the leases of news that is not overtaken.
-func (w *World) lend(asked time.Duration, leases []parley.Lease) {
+func (w *World) lend(asked time.Duration, leases []rpc.Lease) {
 	w.sharesMu.Lock()
 	defer w.sharesMu.Unlock()
 	for _, lease := range leases {
@@ -121,9 +121,9 @@
 
 // Take takes the news that was asked for at a time, and tells whether it is the
 // newest leader's: of an older one nothing is taken, however late its answer comes.
-func (w *World) Take(asked time.Duration, news *parley.News) (led bool) {
+func (w *World) Take(asked time.Duration, news *rpc.News) (led bool) {
 	if news.Packed != nil {
-		items, err := parley.Unpack(news.Packed)
+		items, err := rpc.Unpack(news.Packed)
 		if err != nil {
 			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
 			return false
@@ -137,7 +137,7 @@
 		}
 	}
 	if news.Crowd != nil {
-		fellows, err := parley.UnpackRows[parley.FellowChange](news.Crowd)
+		fellows, err := rpc.UnpackRows[rpc.FellowChange](news.Crowd)
 		if err != nil {
 			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
 			return false
@@ -162,18 +162,18 @@
 	}
 	first := w.seen.Rev == 0
 	if news.Term != w.seen.Term {
-		w.seen.Listed, w.seen.ListAt, w.seen.MapAt, w.named = false, "", 0, map[parley.ServerID]bool{}
+		w.seen.Listed, w.seen.ListAt, w.seen.MapAt, w.named = false, "", 0, map[rpc.ServerID]bool{}
 	}
 	changed := news.Full || news.Part != nil || len(news.Servers) > 0 || len(news.Fellows) > 0 || len(news.Items) > 0 || len(news.Evacuations) > 0
 	for _, core := range news.Cores {
 		w.cores[core.Inner] = true
 	}
 	if news.Full {
-		w.fellows = map[parley.FellowID]parley.Fellow{}
+		w.fellows = map[rpc.FellowID]rpc.Fellow{}
 	}
 	w.seen.Term, w.seen.Epoch = news.Term, news.Epoch
 	w.Orders.take(now, asked, news, w.Chronicle, first)
-	back := map[parley.SiteName]bool{}
+	back := map[rpc.SiteName]bool{}
 	for _, evacuation := range news.Evacuations {
 		if old := w.evac[evacuation.Site]; old.Rev < evacuation.Rev {
 			w.evac[evacuation.Site] = evacuation
@@ -194,9 +194,9 @@
 	}
 	if len(news.Items) > 0 {
 		w.viewed = w.canon.View()
-		names := make([]parley.ServiceName, 0, len(w.viewed.Services))
+		names := make([]rpc.ServiceName, 0, len(w.viewed.Services))
 		for name := range w.viewed.Services {
-			names = append(names, parley.ServiceName(name))
+			names = append(names, rpc.ServiceName(name))
 		}
 		w.watch.Services(names)
 		w.watch.Settle(now)
@@ -252,7 +252,7 @@
 // Tallies gives what is to be told of the backends' outcomes: nothing at all
 // while none fails. Only those are looked at of which there may be something to
 // tell, so that a beat costs no more where there are more backends.
-func (w *World) Tallies() (tallies []parley.Tally) {
+func (w *World) Tallies() (tallies []rpc.Tally) {
 	now := w.clock.Now()
 	w.mu.Lock()
 	habits := maps.Clone(w.habits)
@@ -268,13 +268,13 @@
 			continue
 		}
 		good, bad := habit.tell()
-		tallies = append(tallies, parley.Tally{Service: service, Good: good, Bad: bad})
+		tallies = append(tallies, rpc.Tally{Service: service, Good: good, Bad: bad})
 	}
 	return tallies
 }
 
 // Learn notes cores that were heard of.
-func (w *World) Learn(cores []parley.Core) {
+func (w *World) Learn(cores []rpc.Core) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, core := range cores {
@@ -283,7 +283,7 @@
 }
 
 // habit gives what is known of a service as a whole; the caller holds the lock.
-func (w *World) habit(service parley.ServiceName) (habit *Habit) {
+func (w *World) habit(service rpc.ServiceName) (habit *Habit) {
 	habit = w.habits[service]
 	if habit == nil {
 		habit = &Habit{}
@@ -294,7 +294,7 @@
 
 // follows tells that a part of the list follows what was told of it: a gap would
 // be taken for backends that are gone.
-func (w *World) follows(term parley.Term, part *parley.ListPart) (follows bool) {
+func (w *World) follows(term rpc.Term, part *rpc.ListPart) (follows bool) {
 	told := w.seen.ListAt
 	if term != w.seen.Term {
 		told = ""
@@ -308,8 +308,8 @@
 }
 
 // part takes a part of the whole list; the last one drops what none named.
-func (w *World) part(now time.Duration, part *parley.ListPart) {
-	changes := make([]parley.ServerChange, len(part.Servers))
+func (w *World) part(now time.Duration, part *rpc.ListPart) {
+	changes := make([]rpc.ServerChange, len(part.Servers))
 	for i, server := range part.Servers {
 		changes[i].Server = server
 	}
@@ -333,7 +333,7 @@
 }
 
 // list takes changes of the list; those of a whole telling are not logged.
-func (w *World) list(now time.Duration, changes []parley.ServerChange, quiet bool) {
+func (w *World) list(now time.Duration, changes []rpc.ServerChange, quiet bool) {
 	for i := range changes {
 		change := &changes[i]
 		server := w.servers[change.ID]
@@ -349,7 +349,7 @@
 			w.named[change.ID] = true
 		}
 		if server == nil {
-			server = newServer(change.Server, parley.RegionName(w.props.Regions[string(change.Site)]), w.props.Site, w.habit(change.Service))
+			server = newServer(change.Server, rpc.RegionName(w.props.Regions[string(change.Site)]), w.props.Site, w.habit(change.Service))
 			if change.Cold > 0 {
 				server.chill(now, change.Cold)
 			}
@@ -364,10 +364,10 @@
 }
 
 // TakeList takes a walk that this daemon made itself for want of a leader.
-func (w *World) TakeList(walk []parley.Server) {
-	changes := make([]parley.ServerChange, len(walk))
+func (w *World) TakeList(walk []rpc.Server) {
+	changes := make([]rpc.ServerChange, len(walk))
 	for i := range walk {
-		changes[i] = parley.ServerChange{Server: walk[i]}
+		changes[i] = rpc.ServerChange{Server: walk[i]}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -379,7 +379,7 @@
 
 // refresh builds the scene anew.
 func (w *World) refresh() {
-	scene := &Scene{View: w.viewed, Services: map[parley.ServiceName][]*Server{}, Near: map[parley.ServiceName][]*Server{}, Beyond: map[parley.ServiceName][]*Server{}, Evacuate: map[parley.SiteName]bool{}, Fellows: map[parley.FellowID]parley.Fellow{}, Listed: w.listed, Rev: w.seen.Rev}
+	scene := &Scene{View: w.viewed, Services: map[rpc.ServiceName][]*Server{}, Near: map[rpc.ServiceName][]*Server{}, Beyond: map[rpc.ServiceName][]*Server{}, Evacuate: map[rpc.SiteName]bool{}, Fellows: map[rpc.FellowID]rpc.Fellow{}, Listed: w.listed, Rev: w.seen.Rev}
 	for _, server := range w.servers {
 		scene.Services[server.Service] = append(scene.Services[server.Service], server)
 	}
@@ -397,8 +397,8 @@
 			scene.Sharers++
 		}
 	}
-	subset := NewSubset(parley.FellowID(w.props.Name), parley.SiteName(w.props.Site), w.fellows, w.props.Sharers)
-	scene.Share = map[parley.ServiceName]int{}
+	subset := NewSubset(rpc.FellowID(w.props.Name), rpc.SiteName(w.props.Site), w.fellows, w.props.Sharers)
+	scene.Share = map[rpc.ServiceName]int{}
 	for service, servers := range scene.Services {
 		here := 0
 		for _, server := range servers {
@@ -416,7 +416,7 @@
 		}
 	}
 	// Until all items are here, a way that is missing proves nothing.
-	w.whole = w.whole || w.seen.ItemAt == parley.AllItems && !w.canon.Empty()
+	w.whole = w.whole || w.seen.ItemAt == rpc.AllItems && !w.canon.Empty()
 	scene.Started = w.whole
 	w.scene.Store(scene)
 }
@@ -437,7 +437,7 @@
 
 // end breaks off what is still at work at a backend; with but, keyed requests
 // may go on.
-func (w *World) end(id parley.ServerID, but bool) {
+func (w *World) end(id rpc.ServerID, but bool) {
 	w.mu.Lock()
 	server := w.servers[id]
 	w.mu.Unlock()
@@ -459,7 +459,7 @@
 }
 
 // Tick moves the watch on and lists the services to probe.
-func (w *World) Tick(led bool) (duties []parley.ServiceName, term parley.Term, count parley.Epoch) {
+func (w *World) Tick(led bool) (duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
@@ -476,9 +476,9 @@
 }
 
 // Judge moves the judge's time on and gives the backends whose standing changed.
-func (w *World) Judge(duties []parley.ServiceName) (changed map[parley.ServerID]string) {
+func (w *World) Judge(duties []rpc.ServiceName) (changed map[rpc.ServerID]string) {
 	scene := w.Scene()
-	sizes := make(map[parley.ServiceName]int, len(duties))
+	sizes := make(map[rpc.ServiceName]int, len(duties))
 	for _, service := range duties {
 		sizes[service] = len(scene.Services[service])
 	}
@@ -495,14 +495,14 @@
 }
 
 // Duties lists the services this daemon probes now.
-func (w *World) Duties() (duties []parley.ServiceName) {
+func (w *World) Duties() (duties []rpc.ServiceName) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watch.Duties()
 }
 
 // Absent lists the fellows the leader does not hear.
-func (w *World) Absent() (absent map[parley.FellowID]bool) {
+func (w *World) Absent() (absent map[rpc.FellowID]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watch.AbsentNow()
@@ -519,10 +519,10 @@
 	case history.Document, history.Retirement, history.Move:
 		return w.Orders.stands(kind, name)
 	case history.Evacuation:
-		evacuation, known := w.evac[parley.SiteName(name)]
+		evacuation, known := w.evac[rpc.SiteName(name)]
 		return evacuation.Stamp(), evacuation.Rev, known
 	}
-	server := w.servers[parley.ServerID(name)]
+	server := w.servers[rpc.ServerID(name)]
 	if server == nil {
 		return "", 0, false
 	}
@@ -531,5 +531,5 @@
 	if kind == history.Backend {
 		return server.Server.Stamp(), 0, true
 	}
-	return parley.State{Health: server.health, Cold: max(0, server.coldTill-w.clock.Now())}.Stamp(), 0, true
+	return rpc.State{Health: server.health, Cold: max(0, server.coldTill-w.clock.Now())}.Stamp(), 0, true
 }
--- a/internal/passage/world_test.go
+++ b/internal/passage/world_test.go
@@ -4,19 +4,19 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // An older leader's answer that comes late lends nothing, and neither does one of
 // the same leader that a later one has overtaken.
 func TestOvertakenNewsLendNothing(t *testing.T) {
 	d := daemonOf(t)
-	news := func(term parley.Term, epoch parley.Epoch, amount float64) *parley.News {
-		return &parley.News{Leader: true, Term: term, Epoch: epoch, Leases: []parley.Lease{{Kind: parley.RetrySlack, Amount: amount, Span: time.Minute}}}
+	news := func(term rpc.Term, epoch rpc.Epoch, amount float64) *rpc.News {
+		return &rpc.News{Leader: true, Term: term, Epoch: epoch, Leases: []rpc.Lease{{Kind: rpc.RetrySlack, Amount: amount, Span: time.Minute}}}
 	}
 	for _, step := range []struct {
-		term   parley.Term
-		epoch  parley.Epoch
+		term   rpc.Term
+		epoch  rpc.Epoch
 		amount float64
 		led    bool
 		share  float64
@@ -24,13 +24,13 @@
 		if led := d.world.Take(d.clock.Now(), news(step.term, step.epoch, step.amount)); led != step.led {
 			t.Errorf("%+v: led %v", step, led)
 		}
-		if share := d.world.Share(parley.RetrySlack, ""); share != step.share {
+		if share := d.world.Share(rpc.RetrySlack, ""); share != step.share {
 			t.Errorf("%+v: share %g", step, share)
 		}
 	}
 	// A lease runs from when it was asked for, however late its answer is.
 	d.world.Take(d.clock.Now()-time.Minute, news(5, 1, 4))
-	if share := d.world.Share(parley.RetrySlack, ""); share != 0 {
+	if share := d.world.Share(rpc.RetrySlack, ""); share != 0 {
 		t.Errorf("a lease that was asked for a minute ago: share %g", share)
 	}
 }
@@ -47,21 +47,21 @@
 }
 
 // lateForum binds in the name of a term.
-type lateForum struct{ term parley.Term }
+type lateForum struct{ term rpc.Term }
 
-func (f *lateForum) Bind(ask parley.BindAsk, reply *parley.BindReply) (err error) {
-	reply.Leader, reply.Term, reply.Found = true, f.term, []parley.BindFound{{Outcome: parley.Bound, Server: "i-1"}}
+func (f *lateForum) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
+	reply.Leader, reply.Term, reply.Found = true, f.term, []rpc.BindFound{{Outcome: rpc.Bound, Server: "i-1"}}
 	return nil
 }
 
 // What an older leader says of a session is no answer any more.
 func TestALateBindingIsNoAnswer(t *testing.T) {
 	d := daemonOf(t)
-	d.world.Take(0, &parley.News{Leader: true, Term: 6, Epoch: 1})
-	for term, answers := range map[parley.Term]int{5: 0, 6: 1, 7: 1} {
+	d.world.Take(0, &rpc.News{Leader: true, Term: 6, Epoch: 1})
+	for term, answers := range map[rpc.Term]int{5: 0, 6: 1, 7: 1} {
 		inner := serveInner(t, map[string]any{"Forum": &lateForum{term}})
 		d.link.leader.Store(&inner)
-		if found := d.link.putBinds([]parley.Bind{{Session: "x"}}, claimCall); len(found) != answers {
+		if found := d.link.putBinds([]rpc.Bind{{Session: "x"}}, claimCall); len(found) != answers {
 			t.Errorf("term %d: %+v", term, found)
 		}
 	}
--- a/internal/quota/allot_test.go
+++ b/internal/quota/allot_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Holders ask, lose touch and come back, leaders change, answers are late or
@@ -14,21 +14,21 @@
 // used within one window.
 func TestSharesNeverSumPastTheBound(t *testing.T) {
 	const span, window = 1600 * time.Millisecond, time.Second
-	key := Key{parley.ColdRate, "b"}
+	key := Key{rpc.ColdRate, "b"}
 	most := 0.0
 	for seed := int64(1); seed <= 40; seed++ {
 		luck := rand.New(rand.NewSource(seed))
 		bound := 5 + 20*luck.Float64()
 		book := NewBook(0, span)
-		holders := map[parley.FellowID]*Shares{}
+		holders := map[rpc.FellowID]*Shares{}
 		type used struct {
 			at     time.Duration
 			amount float64
 		}
 		var log []used
 		type answer struct {
-			to    parley.FellowID
-			lease parley.Lease
+			to    rpc.FellowID
+			lease rpc.Lease
 			asked time.Duration
 			due   time.Duration
 		}
@@ -37,7 +37,7 @@
 			if luck.Intn(200) == 0 {
 				book = NewBook(now, span)
 			}
-			id := parley.FellowID(fmt.Sprint(luck.Intn(8)))
+			id := rpc.FellowID(fmt.Sprint(luck.Intn(8)))
 			if holders[id] == nil || luck.Intn(100) == 0 {
 				holders[id] = NewShares()
 			}
@@ -74,7 +74,7 @@
 
 func TestANewLenderWaits(t *testing.T) {
 	book := NewBook(10*time.Second, time.Second)
-	key := Key{parley.RetrySlack, ""}
+	key := Key{rpc.RetrySlack, ""}
 	if _, given := book.Lend(10500*time.Millisecond, key, 5, 2*time.Second, "a", 5); given {
 		t.Fatal("lent before every share of the predecessor had run out")
 	}
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // The sum that is kept is the sum of what the holders may use, through loans that
@@ -15,9 +15,9 @@
 func TestTheKeptSumIsTheSumOfTheLoans(t *testing.T) {
 	luck := rand.New(rand.NewSource(9))
 	book := Unwaited(1600 * time.Millisecond)
-	key := Key{parley.RetrySlack, ""}
+	key := Key{rpc.RetrySlack, ""}
 	for now := time.Duration(0); now < 5*time.Minute; now += time.Duration(luck.Intn(300)) * time.Millisecond {
-		holder := parley.FellowID(fmt.Sprint("e", luck.Intn(20)))
+		holder := rpc.FellowID(fmt.Sprint("e", luck.Intn(20)))
 		switch luck.Intn(10) {
 		case 0:
 			book.Renew(now, key, time.Second, holder, luck.Float64())
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"tinpin/internal/config"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -44,14 +44,14 @@
 
 // Kinds are the leases by which a lender lends.
 type Kinds struct {
-	Share, Floor parley.LeaseKind
+	Share, Floor rpc.LeaseKind
 	FloorSpan    time.Duration
 }
 
 // The kinds of lenders.
 var (
-	TenantKinds = Kinds{parley.TenantShare, parley.TenantFloor, FloorSpan}
-	RetryKinds  = Kinds{parley.RetryShare, parley.RetryFloor, RetryFloorSpan}
+	TenantKinds = Kinds{rpc.TenantShare, rpc.TenantFloor, FloorSpan}
+	RetryKinds  = Kinds{rpc.RetryShare, rpc.RetryFloor, RetryFloorSpan}
 )
 
 type wanted struct {
@@ -62,12 +62,12 @@
 // demands are what fellows want of one limit, with their sum; the old ones are
 // looked for once a second.
 type demands struct {
-	of    map[parley.FellowID]wanted
+	of    map[rpc.FellowID]wanted
 	sum   float64
 	swept time.Duration
 }
 
-func (d *demands) note(now time.Duration, from parley.FellowID, rate float64) (sum float64) {
+func (d *demands) note(now time.Duration, from rpc.FellowID, rate float64) (sum float64) {
 	d.sum += rate - d.of[from].rate
 	d.of[from] = wanted{rate, now}
 	if now-d.swept > time.Second {
@@ -107,12 +107,12 @@
 }
 
 // Lend gives a fellow its parts of a limit.
-func (l *Lender) Lend(now time.Duration, bound Bound, to parley.FellowID, present int, demand parley.Demand) (leases []parley.Lease) {
+func (l *Lender) Lend(now time.Duration, bound Bound, to rpc.FellowID, present int, demand rpc.Demand) (leases []rpc.Lease) {
 	present = max(1, present)
 	least := 1 / max(bound.Burst, 1)
 	wants := l.wanted[bound.Name]
 	if wants == nil {
-		wants = &demands{of: map[parley.FellowID]wanted{}}
+		wants = &demands{of: map[rpc.FellowID]wanted{}}
 		l.wanted[bound.Name] = wants
 	}
 	sum := wants.note(now, to, demand.Rate)
--- a/internal/quota/tenants_test.go
+++ b/internal/quota/tenants_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // fleet simulates daemons and their leader under a seeded clock: beats with
@@ -31,7 +31,7 @@
 }
 
 type edge struct {
-	id      parley.FellowID
+	id      rpc.FellowID
 	shares  *Shares
 	buckets map[string]*Bucket
 	beat    time.Duration
@@ -48,7 +48,7 @@
 }
 
 func (f *fleet) join() {
-	e := &edge{id: parley.FellowID(fmt.Sprint("edge-", len(f.edges)))}
+	e := &edge{id: rpc.FellowID(fmt.Sprint("edge-", len(f.edges)))}
 	f.edges = append(f.edges, e)
 	e.restart()
 }
@@ -58,7 +58,7 @@
 }
 
 func (e *edge) part(now time.Duration, tenant string) float64 {
-	return e.shares.Amount(now, Key{parley.TenantShare, tenant}) + e.shares.Amount(now, Key{parley.TenantFloor, tenant})
+	return e.shares.Amount(now, Key{rpc.TenantShare, tenant}) + e.shares.Amount(now, Key{rpc.TenantFloor, tenant})
 }
 
 func (e *edge) bucket(tenant string) (b *Bucket) {
@@ -87,8 +87,8 @@
 		for _, tenant := range f.tenants {
 			b := e.bucket(tenant.Name)
 			b.Fill(f.now, tenant, e.part(f.now, tenant.Name))
-			floor := e.shares.Amount(f.now, Key{parley.TenantFloor, tenant.Name})
-			for _, lease := range f.lender.Lend(f.now, tenant, e.id, present, parley.Demand{Tenant: tenant.Name, Rate: b.Demand(), Floor: floor}) {
+			floor := e.shares.Amount(f.now, Key{rpc.TenantFloor, tenant.Name})
+			for _, lease := range f.lender.Lend(f.now, tenant, e.id, present, rpc.Demand{Tenant: tenant.Name, Rate: b.Demand(), Floor: floor}) {
 				if f.fault.fromAnswer {
 					lease.Span *= 3
 				}
--- a/internal/registry/ledger.go
+++ b/internal/registry/ledger.go
@@ -4,23 +4,23 @@
 // came after.
 package registry
 
-import "tinpin/internal/parley"
+import "tinpin/internal/rpc"
 
 // Clock hands out epochs; several ledgers may share one.
-type Clock struct{ now parley.Epoch }
+type Clock struct{ now rpc.Epoch }
 
 // Now is the newest epoch given.
-func (c *Clock) Now() parley.Epoch { return c.now }
+func (c *Clock) Now() rpc.Epoch { return c.now }
 
 // Next gives a new epoch.
-func (c *Clock) Next() parley.Epoch {
+func (c *Clock) Next() rpc.Epoch {
 	c.now++
 	return c.now
 }
 
 type row[V any] struct {
 	value V
-	epoch parley.Epoch
+	epoch rpc.Epoch
 	gone  bool
 }
 
@@ -28,7 +28,7 @@
 type Ledger[K comparable, V comparable] struct {
 	clock *Clock
 	rows  map[K]*row[V]
-	last  parley.Epoch
+	last  rpc.Epoch
 }
 
 // NewLedger is an empty table on a clock.
@@ -76,7 +76,7 @@
 }
 
 // Since visits the rows that changed after an epoch.
-func (l *Ledger[K, V]) Since(epoch parley.Epoch, visit func(key K, value V, gone bool)) {
+func (l *Ledger[K, V]) Since(epoch rpc.Epoch, visit func(key K, value V, gone bool)) {
 	if epoch >= l.last {
 		return
 	}
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -16,14 +16,14 @@
 	"github.com/valyala/fastjson"
 	"github.com/zeebo/errs"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Class marks failures of the census.
 var Class = errs.Class("census")
 
 // ReadPage reads one page of the list.
-func ReadPage(body []byte) (servers []parley.Server, next string, err error) {
+func ReadPage(body []byte) (servers []rpc.Server, next string, err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil, "", Class.New("the list is not JSON")
@@ -41,17 +41,17 @@
 		if len(cells) != len(columns) {
 			return nil, "", Class.New("a row of the list does not fit its columns")
 		}
-		var server parley.Server
+		var server rpc.Server
 		for i, cell := range cells {
 			switch columns[i] {
 			case "instance_id":
-				server.ID = parley.ServerID(cell.GetStringBytes())
+				server.ID = rpc.ServerID(cell.GetStringBytes())
 			case "service_name":
-				server.Service = parley.ServiceName(cell.GetStringBytes())
+				server.Service = rpc.ServiceName(cell.GetStringBytes())
 			case "address":
 				server.Address = string(cell.GetStringBytes())
 			case "zone":
-				server.Site = parley.SiteName(cell.GetStringBytes())
+				server.Site = rpc.SiteName(cell.GetStringBytes())
 			case "capacity_slots":
 				server.Slots = cell.GetInt()
 			case "state":
@@ -81,14 +81,14 @@
 // NewPlatform makes a caller of the platform.
 func NewPlatform(address string) (platform *Platform) {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: 500 * time.Millisecond, Control: parley.Firm(1500 * time.Millisecond), KeepAlive: -1}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: 500 * time.Millisecond, Control: rpc.Firm(1500 * time.Millisecond), KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}
 	return &Platform{Address: address, client: &http.Client{Transport: transport, Timeout: 2 * time.Second}}
 }
 
 // Walk reads all pages, tells each as it comes, and gives the whole.
-func (p *Platform) Walk(pause time.Duration, each func(page []parley.Server)) (servers []parley.Server, pages int, err error) {
+func (p *Platform) Walk(pause time.Duration, each func(page []rpc.Server)) (servers []rpc.Server, pages int, err error) {
 	token := ""
 	for {
 		target := "http://" + p.Address + "/instances"
@@ -127,19 +127,19 @@
 
 // List merges walks into a ledger.
 type List struct {
-	Servers *Ledger[parley.ServerID, parley.Server]
-	missed  map[parley.ServerID]int
+	Servers *Ledger[rpc.ServerID, rpc.Server]
+	missed  map[rpc.ServerID]int
 	Walked  bool
 }
 
 // NewList is an empty list.
 func NewList(clock *Clock) (list *List) {
-	return &List{Servers: NewLedger[parley.ServerID, parley.Server](clock), missed: map[parley.ServerID]int{}}
+	return &List{Servers: NewLedger[rpc.ServerID, rpc.Server](clock), missed: map[rpc.ServerID]int{}}
 }
 
 // Page takes what one page shows. The cold spell is kept as first told, since a
 // remainder that shrinks is no change.
-func (l *List) Page(page []parley.Server) (changed bool, fresh []parley.Server) {
+func (l *List) Page(page []rpc.Server) (changed bool, fresh []rpc.Server) {
 	for _, server := range page {
 		delete(l.missed, server.ID)
 		old, known := l.Servers.Get(server.ID)
@@ -158,15 +158,15 @@
 
 // Whole takes a whole walk, whose pages were taken before, and strikes out
 // what it does not show.
-func (l *List) Whole(walk []parley.Server) (changed bool) {
+func (l *List) Whole(walk []rpc.Server) (changed bool) {
 	changed = !l.Walked
 	l.Walked = true
-	shown := make(map[parley.ServerID]bool, len(walk))
+	shown := make(map[rpc.ServerID]bool, len(walk))
 	for _, server := range walk {
 		shown[server.ID] = true
 	}
-	var gone []parley.ServerID
-	l.Servers.Each(func(id parley.ServerID, server parley.Server) {
+	var gone []rpc.ServerID
+	l.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 		if shown[id] {
 			return
 		}
--- a/internal/registry/roll.go
+++ b/internal/registry/roll.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // RollBounds are the waits of the roll.
@@ -22,17 +22,17 @@
 // Roll keeps the fellows.
 type Roll struct {
 	bounds  RollBounds
-	Fellows *Ledger[parley.FellowID, parley.Fellow]
-	seen    map[parley.FellowID]*attendance
+	Fellows *Ledger[rpc.FellowID, rpc.Fellow]
+	seen    map[rpc.FellowID]*attendance
 }
 
 // NewRoll is an empty roll.
 func NewRoll(clock *Clock, bounds RollBounds) (roll *Roll) {
-	return &Roll{bounds: bounds, Fellows: NewLedger[parley.FellowID, parley.Fellow](clock), seen: map[parley.FellowID]*attendance{}}
+	return &Roll{bounds: bounds, Fellows: NewLedger[rpc.FellowID, rpc.Fellow](clock), seen: map[rpc.FellowID]*attendance{}}
 }
 
 // Beat notes a beat.
-func (r *Roll) Beat(now time.Duration, fellow parley.Fellow) (joined, changed bool) {
+func (r *Roll) Beat(now time.Duration, fellow rpc.Fellow) (joined, changed bool) {
 	seen := r.seen[fellow.ID]
 	if seen == nil {
 		seen = &attendance{}
@@ -48,7 +48,7 @@
 }
 
 // Tick strikes off who was not heard.
-func (r *Roll) Tick(now time.Duration) (lost []parley.FellowID, changed bool) {
+func (r *Roll) Tick(now time.Duration) (lost []rpc.FellowID, changed bool) {
 	for id, seen := range r.seen {
 		silence := now - seen.heard
 		if silence > r.bounds.Absent && !seen.absent {
@@ -65,7 +65,7 @@
 }
 
 // Absent lists the fellows on the roll that are not heard or are stopping.
-func (r *Roll) Absent() (absent []parley.FellowID) {
+func (r *Roll) Absent() (absent []rpc.FellowID) {
 	for id, seen := range r.seen {
 		if fellow, known := r.Fellows.Get(id); known && (seen.absent || fellow.Stopping) {
 			absent = append(absent, id)
@@ -79,14 +79,14 @@
 func (r *Roll) Count() (count int) { return len(r.seen) }
 
 // Here tells whether a fellow is heard.
-func (r *Roll) Here(id parley.FellowID) bool {
+func (r *Roll) Here(id rpc.FellowID) bool {
 	seen := r.seen[id]
 	return seen != nil && !seen.absent
 }
 
 // Members lists who belongs to the shard map.
-func (r *Roll) Members() (members []parley.FellowID) {
-	r.Fellows.Each(func(id parley.FellowID, fellow parley.Fellow) {
+func (r *Roll) Members() (members []rpc.FellowID) {
+	r.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
 		if !fellow.Stopping {
 			members = append(members, id)
 		}
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 const (
@@ -57,18 +57,18 @@
 
 // Limiter of one node.
 type Limiter struct {
-	part func(kind parley.LeaseKind, service string) float64
+	part func(kind rpc.LeaseKind, service string) float64
 	// OnGate is told when retries of a service are held back or let again.
-	OnGate func(service parley.ServiceName, open bool)
+	OnGate func(service rpc.ServiceName, open bool)
 	mu     sync.Mutex
 	policy *Policy
 	asked  time.Duration
-	held   map[parley.ServiceName]*standing
+	held   map[rpc.ServiceName]*standing
 }
 
 // NewLimiter draws on leased parts.
-func NewLimiter(part func(kind parley.LeaseKind, service string) float64) (limiter *Limiter) {
-	return &Limiter{part: part, OnGate: func(parley.ServiceName, bool) {}, held: map[parley.ServiceName]*standing{}}
+func NewLimiter(part func(kind rpc.LeaseKind, service string) float64) (limiter *Limiter) {
+	return &Limiter{part: part, OnGate: func(rpc.ServiceName, bool) {}, held: map[rpc.ServiceName]*standing{}}
 }
 
 // Set takes the policy in force, nil for none. What was earned under another
@@ -96,7 +96,7 @@
 }
 
 // of gives a service's standing, nil where no rule holds; the caller holds the lock.
-func (l *Limiter) of(service parley.ServiceName) (held *standing) {
+func (l *Limiter) of(service rpc.ServiceName) (held *standing) {
 	if l.policy == nil {
 		return nil
 	}
@@ -113,12 +113,12 @@
 }
 
 // parts is what this node holds of a service's least rate.
-func (l *Limiter) parts(service parley.ServiceName) (part float64) {
-	return l.part(parley.RetryShare, string(service)) + l.part(parley.RetryFloor, string(service))
+func (l *Limiter) parts(service rpc.ServiceName) (part float64) {
+	return l.part(rpc.RetryShare, string(service)) + l.part(rpc.RetryFloor, string(service))
 }
 
 // First notes a first attempt.
-func (l *Limiter) First(now time.Duration, service parley.ServiceName) {
+func (l *Limiter) First(now time.Duration, service rpc.ServiceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	held := l.of(service)
@@ -136,7 +136,7 @@
 }
 
 // Learn takes what became of an attempt.
-func (l *Limiter) Learn(now time.Duration, service parley.ServiceName, inTime bool) {
+func (l *Limiter) Learn(now time.Duration, service rpc.ServiceName, inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if held := l.of(service); held != nil && held.gate.Learn(now, inTime) {
@@ -146,7 +146,7 @@
 
 // Spend takes one retry that would be answered at a time and must be by
 // another, or says why not.
-func (l *Limiter) Spend(now, answered, till time.Duration, service parley.ServiceName) (refusal Refusal) {
+func (l *Limiter) Spend(now, answered, till time.Duration, service rpc.ServiceName) (refusal Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	held := l.of(service)
@@ -162,7 +162,7 @@
 	return refusal
 }
 
-func (s *standing) spend(now, answered, till time.Duration, service parley.ServiceName, part float64) (refusal Refusal) {
+func (s *standing) spend(now, answered, till time.Duration, service rpc.ServiceName, part float64) (refusal Refusal) {
 	if answered > till {
 		return TooLate
 	}
@@ -188,11 +188,11 @@
 }
 
 // Demands tells what each service's retries ask of this node.
-func (l *Limiter) Demands() (demands []parley.Demand) {
+func (l *Limiter) Demands() (demands []rpc.Demand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for service, held := range l.held {
-		demands = append(demands, parley.Demand{Tenant: string(service), Rate: held.bucket.Demand(), Floor: l.part(parley.RetryFloor, string(service))})
+		demands = append(demands, rpc.Demand{Tenant: string(service), Rate: held.bucket.Demand(), Floor: l.part(rpc.RetryFloor, string(service))})
 	}
 	return demands
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 // Rule is the limit for one service, or for all others.
@@ -76,7 +76,7 @@
 }
 
 // For gives the rule of a service; without one there is no written limit.
-func (p *Policy) For(service parley.ServiceName) (rule Rule, written bool) {
+func (p *Policy) For(service rpc.ServiceName) (rule Rule, written bool) {
 	if p == nil {
 		return rule, false
 	}
@@ -85,6 +85,6 @@
 
 // Bound is what is lent of the rule: half of the least may come at once and
 // half of it as a rate, so that no window holds more than the whole.
-func (r Rule) Bound(service parley.ServiceName) (bound quota.Bound) {
+func (r Rule) Bound(service rpc.ServiceName) (bound quota.Bound) {
 	return quota.Bound{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
 }
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
 	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
 )
 
 // cluster plays many nodes before one sluggish backend under a seeded clock:
@@ -36,7 +36,7 @@
 }
 
 type node struct {
-	id       parley.FellowID
+	id       rpc.FellowID
 	limiter  *Limiter
 	shares   *quota.Shares
 	beat     time.Duration
@@ -48,7 +48,7 @@
 // call is one request; it is retried once where that is let.
 type call struct {
 	node     *node
-	service  parley.ServiceName
+	service  rpc.ServiceName
 	born     time.Duration
 	sent     time.Duration
 	attempts int
@@ -75,14 +75,14 @@
 }
 
 func (c *cluster) join() {
-	n := &node{id: parley.FellowID(fmt.Sprint("node-", len(c.nodes)))}
+	n := &node{id: rpc.FellowID(fmt.Sprint("node-", len(c.nodes)))}
 	c.nodes = append(c.nodes, n)
 	c.restart(n)
 }
 
 func (c *cluster) restart(n *node) {
 	n.shares, n.version = quota.NewShares(), 0
-	n.limiter = NewLimiter(func(kind parley.LeaseKind, service string) float64 {
+	n.limiter = NewLimiter(func(kind rpc.LeaseKind, service string) float64 {
 		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
 	})
 	n.limiter.asked = -time.Hour
--- a/internal/parley/caller.go
+++ b/internal/rpc/caller.go
@@ -3,7 +3,7 @@
 // nothing else would tell; the next call makes a new one. Calls are numbered by
 // stream, so a new one never takes an answer of an old one's. Each answer is read
 // into a value of its own, which the one who asked gets only whole and in time.
-package parley
+package rpc
 
 import (
 	"context"
--- a/internal/parley/caller_test.go
+++ b/internal/rpc/caller_test.go
@@ -1,4 +1,4 @@
-package parley
+package rpc
 
 import (
 	"errors"
--- a/internal/parley/pack.go
+++ b/internal/rpc/pack.go
@@ -1,7 +1,7 @@
 // Pack makes many items small for the way: what a fellow lacks after a start or
 // a change of leader goes over links that are slow, and the same to all, so it
 // is packed once and told to each.
-package parley
+package rpc
 
 import (
 	"bytes"
--- a/internal/parley/traffic.go
+++ b/internal/rpc/traffic.go
@@ -1,6 +1,6 @@
 // Traffic counts the bytes of inner calls of this process, so that sizing can
 // be measured where no counter of the machine tells processes apart.
-package parley
+package rpc
 
 import (
 	"net"
--- a/internal/parley/words.go
+++ b/internal/rpc/words.go
@@ -1,7 +1,7 @@
 // Package parley is the inner protocol: what daemons say to each other over
 // net/rpc. This file holds the pairs of questions and answers; the types of
 // ids, epochs and spans are shared by all that take part.
-package parley
+package rpc
 
 import (
 	"slices"
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -17,9 +17,9 @@
 	"tinpin/internal/accord"
 	"tinpin/internal/config"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/parley"
 	"tinpin/internal/passage"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
@@ -28,10 +28,10 @@
  {"from":"14:00","to":"22:00","weights":{"mid":1},"ramp":"20m"},
  {"from":"22:00","to":"06:00","weights":{"west":1},"ramp":"20m"}]}]}`
 
-var regions = []parley.RegionName{"east", "mid", "west"}
+var regions = []rpc.RegionName{"east", "mid", "west"}
 
 type dayEdge struct {
-	parley.Fellow
+	rpc.Fellow
 	life    uint64
 	book    *idempotency.Book
 	weights schedule.Weights
@@ -41,7 +41,7 @@
 
 type dayTap struct {
 	key    string
-	region parley.RegionName
+	region rpc.RegionName
 	due    time.Duration
 	tries  int
 }
@@ -59,7 +59,7 @@
 	leader  int
 	noLead  time.Duration
 	edges   []*dayEdge
-	darkTil map[parley.RegionName]time.Duration
+	darkTil map[rpc.RegionName]time.Duration
 	taps    []dayTap
 	runs    map[string]int
 	asked   int
@@ -76,7 +76,7 @@
 	}
 	d := &day{
 		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: accord.NewState(), plan: plan, stepper: &schedule.Stepper{},
-		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[parley.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
+		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[rpc.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
 	}
 	items := config.New()
 	if err = items.Apply([]byte(`{"upserts":{"services":{"column_names":["name","version"],"row_values":[["book",1]]}}}`), 1); err != nil {
@@ -88,8 +88,8 @@
 	}
 	for _, region := range regions {
 		for i := range 2 {
-			id := parley.FellowID(fmt.Sprint(region, "-", i))
-			edge := &dayEdge{Fellow: parley.Fellow{ID: id, Region: region, Site: parley.SiteName(region), Front: string(id), Ready: true}, life: 1}
+			id := rpc.FellowID(fmt.Sprint(region, "-", i))
+			edge := &dayEdge{Fellow: rpc.Fellow{ID: id, Region: region, Site: rpc.SiteName(region), Front: string(id), Ready: true}, life: 1}
 			edge.book = idempotency.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
 			d.edges = append(d.edges, edge)
 		}
@@ -110,7 +110,7 @@
 	return result
 }
 
-func (d *day) up(region parley.RegionName) bool { return d.now >= d.darkTil[region] }
+func (d *day) up(region rpc.RegionName) bool { return d.now >= d.darkTil[region] }
 
 // lead is one turn of the leader.
 func (d *day) lead() {
@@ -119,7 +119,7 @@
 	}
 	wall := d.start.Add(d.now + d.clocks[d.leader])
 	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.Move, func(schedule.Target) schedule.State {
-		stock := map[parley.RegionName]schedule.Stock{}
+		stock := map[rpc.RegionName]schedule.Stock{}
 		for _, region := range regions {
 			stock[region] = schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
 			if !d.up(region) {
@@ -164,8 +164,8 @@
 	}
 }
 
-func (d *day) resolve(region parley.RegionName) (edge *dayEdge) {
-	fellows, absent := map[parley.FellowID]parley.Fellow{}, map[parley.FellowID]bool{}
+func (d *day) resolve(region rpc.RegionName) (edge *dayEdge) {
+	fellows, absent := map[rpc.FellowID]rpc.Fellow{}, map[rpc.FellowID]bool{}
 	var asked *dayEdge
 	for _, candidate := range d.edges {
 		fellows[candidate.ID] = candidate.Fellow
@@ -188,9 +188,9 @@
 }
 
 // serve picks the region of the backend as a daemon does: awake ones first.
-func (d *day) serve(edge *dayEdge) (region parley.RegionName) {
+func (d *day) serve(edge *dayEdge) (region rpc.RegionName) {
 	for _, awake := range []bool{true, false} {
-		for _, candidate := range append([]parley.RegionName{edge.Region}, regions...) {
+		for _, candidate := range append([]rpc.RegionName{edge.Region}, regions...) {
 			if d.up(candidate) && (edge.weights == nil || !awake || edge.weights[candidate] > 0) {
 				return candidate
 			}
@@ -207,7 +207,7 @@
 	request := fmt.Sprint(tap.key, ".", tap.tries)
 	op, old := edge.book.Open(tap.key, request)
 	if old != nil {
-		return old.Recall().Standing == parley.Answered
+		return old.Recall().Standing == rpc.Answered
 	}
 	claim := accord.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
 	result := d.apply(accord.Command{Kind: accord.CommandClaim, Claim: claim})
@@ -215,7 +215,7 @@
 		edge.book.Abandon(op)
 		for _, holder := range d.edges {
 			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Life {
-				return holder.book.Find(tap.key, result.Held.Request).Standing == parley.Answered
+				return holder.book.Find(tap.key, result.Held.Request).Standing == rpc.Answered
 			}
 		}
 		return false
@@ -313,21 +313,21 @@
 	stepper := &schedule.Stepper{}
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	wall := time.Date(2026, 5, 4, 15, 0, 0, 0, berlin)
-	agreed := parley.Move{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []parley.MoveTarget{{Host: "book.example", Weights: []parley.RegionWeight{{Region: "east", Weight: 1000}}}}}
+	agreed := rpc.Move{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []rpc.MoveTarget{{Host: "book.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}}
 	good := schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
 	for why, mid := range map[string]schedule.Stock{
 		"mid lacks room": {Slots: 5, Useful: 10, Listed: 10}, "mid is being evacuated": {Evacuated: true, Listed: 10},
 		"mid is being drained": {Slots: 40, Useful: 3, Listed: 10}, "mid has no backends": {},
 	} {
 		move, accounts := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.State {
-			return schedule.State{Stock: map[parley.RegionName]schedule.Stock{"east": good, "mid": mid}, AtWork: 30}
+			return schedule.State{Stock: map[rpc.RegionName]schedule.Stock{"east": good, "mid": mid}, AtWork: 30}
 		})
 		if move != nil || len(accounts) != 1 || len(accounts[0].Waiting) < len(why) || accounts[0].Waiting[:len(why)] != why {
 			t.Errorf("%s: %+v %+v", why, move, accounts)
 		}
 	}
 	sound := func(schedule.Target) schedule.State {
-		return schedule.State{Stock: map[parley.RegionName]schedule.Stock{"east": good, "mid": good}, AtWork: 20}
+		return schedule.State{Stock: map[rpc.RegionName]schedule.Stock{"east": good, "mid": good}, AtWork: 20}
 	}
 	move, _ := stepper.Step(0, wall, plan, agreed, sound)
 	if move == nil || move.Count != 8 || move.Targets[0].Weights[1].Weight != 250 {
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -16,8 +16,8 @@
 	_ "time/tzdata"
 
 	"tinpin/internal/drain"
-	"tinpin/internal/parley"
 	"tinpin/internal/policy"
+	"tinpin/internal/rpc"
 )
 
 // Clock is a time of day, as in 06:30.
@@ -43,10 +43,10 @@
 // Span is a part of the local day; one that ends before it begins runs over
 // midnight.
 type Span struct {
-	From    Clock                         `json:"from"`
-	To      Clock                         `json:"to"`
-	Weights map[parley.RegionName]float64 `json:"weights"`
-	Ramp    drain.Span                    `json:"ramp"`
+	From    Clock                      `json:"from"`
+	To      Clock                      `json:"to"`
+	Weights map[rpc.RegionName]float64 `json:"weights"`
+	Ramp    drain.Span                 `json:"ramp"`
 }
 
 func (s Span) minutes() (length int) {
@@ -59,10 +59,10 @@
 
 // Target is the plan of one host or one service.
 type Target struct {
-	Host     string             `json:"host,omitempty"`
-	Service  parley.ServiceName `json:"service,omitempty"`
-	TimeZone string             `json:"time_zone"`
-	Spans    []Span             `json:"spans"`
+	Host     string          `json:"host,omitempty"`
+	Service  rpc.ServiceName `json:"service,omitempty"`
+	TimeZone string          `json:"time_zone"`
+	Spans    []Span          `json:"spans"`
 
 	location *time.Location
 }
@@ -171,7 +171,7 @@
 }
 
 // Check tells what a plan names that is not known.
-func (p *Plan) Check(service func(string) bool, region func(parley.RegionName) bool) (err error) {
+func (p *Plan) Check(service func(string) bool, region func(rpc.RegionName) bool) (err error) {
 	faults := &policy.Faults{}
 	for i, target := range p.Targets {
 		at := fmt.Sprintf("targets.%d", i)
@@ -185,7 +185,7 @@
 			}
 			sort.Strings(regions)
 			for _, name := range regions {
-				if !region(parley.RegionName(name)) {
+				if !region(rpc.RegionName(name)) {
 					faults.Add(fmt.Sprintf("%s.spans.%d.weights", at, k), fmt.Sprintf("names unknown region %q", name))
 				}
 			}
--- a/internal/schedule/plan_test.go
+++ b/internal/schedule/plan_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 const threeRegions = `{"version":1,"step":0.25,"every":"5s","room":0.8,"targets":[{"host":"book.example","time_zone":"Europe/Berlin","spans":[
@@ -24,7 +24,7 @@
 
 func TestPlanNamesEachFault(t *testing.T) {
 	plan := read(t, threeRegions)
-	err := plan.Check(func(string) bool { return true }, func(region parley.RegionName) bool { return region != "west" })
+	err := plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return region != "west" })
 	if err == nil || !strings.Contains(err.Error(), `unknown region "west"`) {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	}
 	for _, c := range []struct {
 		day, hour, minute int
-		region            parley.RegionName
+		region            rpc.RegionName
 		weight            int
 	}{
 		{10, 6, 0, "east", 0}, {10, 6, 15, "east", 500}, {10, 6, 15, "west", 375}, {10, 7, 0, "east", 1000}, {10, 14, 0, "east", 1000}, {10, 14, 15, "mid", 500},
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -8,7 +8,7 @@
 import (
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Whole is the sum of a target's weights.
@@ -16,7 +16,7 @@
 
 // Weights is the weight of each region in thousandths; nil where the plan says
 // nothing for the moment, so that nearness alone decides.
-type Weights map[parley.RegionName]int
+type Weights map[rpc.RegionName]int
 
 type placed struct {
 	begin, end time.Time
@@ -73,7 +73,7 @@
 	for _, weight := range s.Weights {
 		sum += weight
 	}
-	parts := map[parley.RegionName]float64{}
+	parts := map[rpc.RegionName]float64{}
 	for region, weight := range s.Weights {
 		parts[region] = weight / sum
 	}
@@ -81,7 +81,7 @@
 }
 
 func blend(from, to Weights, part float64) (weights Weights) {
-	parts := map[parley.RegionName]float64{}
+	parts := map[rpc.RegionName]float64{}
 	for region, weight := range from {
 		parts[region] += (1 - part) * float64(weight) / Whole
 	}
@@ -92,9 +92,9 @@
 }
 
 // round makes whole thousandths that sum to Whole; the largest takes the rest.
-func round(parts map[parley.RegionName]float64) (weights Weights) {
+func round(parts map[rpc.RegionName]float64) (weights Weights) {
 	weights = Weights{}
-	var most parley.RegionName
+	var most rpc.RegionName
 	sum := 0
 	for region, part := range parts {
 		weights[region] = int(part*Whole + 0.5)
--- a/internal/schedule/stepper.go
+++ b/internal/schedule/stepper.go
@@ -12,7 +12,7 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 )
 
 // Stock is what a region has of a target's backends.
@@ -26,7 +26,7 @@
 
 // State is a region as the leader sees it for one target.
 type State struct {
-	Stock map[parley.RegionName]Stock
+	Stock map[rpc.RegionName]Stock
 	// AtWork is how many requests of the target are at work in all.
 	AtWork int
 }
@@ -47,11 +47,11 @@
 
 // Step says which move to commit next, nil for none, and how each target
 // stands. now is the steady clock, wall the time of day.
-func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed parley.Move, state func(Target) State) (next *parley.Move, accounts []Account) {
+func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed rpc.Move, state func(Target) State) (next *rpc.Move, accounts []Account) {
 	mine := agreed.Version == uint64(plan.Version)
 	behind := agreed.Instant > wall.Unix()
 	paced := s.any && now-s.stepped < time.Duration(plan.Every)
-	move := parley.Move{Version: uint64(plan.Version), Count: agreed.Count + 1, Instant: max(wall.Unix(), agreed.Instant)}
+	move := rpc.Move{Version: uint64(plan.Version), Count: agreed.Count + 1, Instant: max(wall.Unix(), agreed.Instant)}
 	changed := !mine
 	for i := range plan.Targets {
 		target := plan.Targets[i]
@@ -76,7 +76,7 @@
 		}
 		accounts = append(accounts, account)
 		if weights != nil {
-			move.Targets = append(move.Targets, parley.MoveTarget{Host: target.Host, Service: target.Service, Weights: listed(weights)})
+			move.Targets = append(move.Targets, rpc.MoveTarget{Host: target.Host, Service: target.Service, Weights: listed(weights)})
 		}
 	}
 	if !changed || paced && mine {
@@ -96,7 +96,7 @@
 	}
 	sort.Strings(regions)
 	for _, name := range regions {
-		region := parley.RegionName(name)
+		region := rpc.RegionName(name)
 		if weights[region] <= held[region] {
 			continue
 		}
@@ -117,7 +117,7 @@
 	return ""
 }
 
-func current(agreed parley.Move, target Target) (weights Weights) {
+func current(agreed rpc.Move, target Target) (weights Weights) {
 	for _, held := range agreed.Targets {
 		if held.Host == target.Host && held.Service == target.Service {
 			weights = Weights{}
@@ -130,9 +130,9 @@
 	return nil
 }
 
-func listed(weights Weights) (list []parley.RegionWeight) {
+func listed(weights Weights) (list []rpc.RegionWeight) {
 	for region, weight := range weights {
-		list = append(list, parley.RegionWeight{Region: region, Weight: weight})
+		list = append(list, rpc.RegionWeight{Region: region, Weight: weight})
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].Region < list[k].Region })
 	return list
@@ -148,6 +148,6 @@
 
 // Follows tells whether a step may follow what is agreed: of the plan that is
 // in force, with the next count, and not before the last one's own time.
-func Follows(agreed, next parley.Move, inForce uint64) bool {
+func Follows(agreed, next rpc.Move, inForce uint64) bool {
 	return next.Version == inForce && next.Count == agreed.Count+1 && next.Instant >= agreed.Instant
 }
--- a/internal/strain/system.go
+++ b/internal/strain/system.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"tinpin/internal/controller"
-	"tinpin/internal/parley"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -299,9 +299,9 @@
 // leader asks the cores how they stand and gives the one that leads.
 func (s *system) leader() (at int, account controller.CoreAccount, err error) {
 	for i, p := range s.props {
-		caller := parley.NewCaller(p.Inner("accord"))
-		var reply parley.StatusReply
-		callErr := caller.Call("Status.Tell", parley.StatusAsk{}, &reply, 5*time.Second)
+		caller := rpc.NewCaller(p.Inner("accord"))
+		var reply rpc.StatusReply
+		callErr := caller.Call("Status.Tell", rpc.StatusAsk{}, &reply, 5*time.Second)
 		caller.Close()
 		if callErr != nil {
 			continue
--- a/internal/strain/worker.go
+++ b/internal/strain/worker.go
@@ -16,8 +16,8 @@
 
 	"tinpin/internal/controller"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/parley"
 	"tinpin/internal/passage"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -69,7 +69,7 @@
 		p.Name = fmt.Sprintf("node-%05d", t.First+i)
 		p.Site = fmt.Sprint("z", (t.First+i)%3)
 		p.Region = p.Regions[p.Site]
-		nodes[i].Store(passage.StartHollow(p, parley.Life(rand.Uint64())))
+		nodes[i].Store(passage.StartHollow(p, rpc.Life(rand.Uint64())))
 	}
 	for i := range nodes {
 		begin(i)
@@ -127,7 +127,7 @@
 			go every(t.Reports, func(n int) {
 				node, backend := nodes[n%len(nodes)].Load(), n%t.Size.Backends
 				go func() {
-					if node.Report(parley.ServiceName(serviceName(backend%t.Size.Services)), parley.ServerID(backendName(backend)), parley.Up+parley.Health(n/t.Size.Backends%2)) {
+					if node.Report(rpc.ServiceName(serviceName(backend%t.Size.Services)), rpc.ServerID(backendName(backend)), rpc.Up+rpc.Health(n/t.Size.Backends%2)) {
 						done.Add(1)
 					}
 				}()
