--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/affinity"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 )
 
@@ -19,7 +19,7 @@
 	luck     *rand.Rand
 	now      time.Duration
 	fault    plantedFault
-	state    *accord.State
+	state    *raft.State
 	rev      uint64
 	desk     *affinity.Desk
 	unbinds  []affinity.Ended
@@ -83,10 +83,10 @@
 func (m *morning) lead() {
 	m.desk, m.unbinds = affinity.NewDesk(), nil
 	if m.fault.lostAtHand {
-		bad := accord.NewState()
-		m.state.EachBinding(func(session rpc.SessionID, binding accord.Binding) {
+		bad := raft.NewState()
+		m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
 			if m.luck.Intn(4) > 0 {
-				bad.Apply(1, accord.BindCommand(rpc.Bind{Session: session, Service: binding.Service, Server: binding.Server, Idle: binding.Idle}), m.now)
+				bad.Apply(1, raft.BindCommand(rpc.Bind{Session: session, Service: binding.Service, Server: binding.Server, Idle: binding.Idle}), m.now)
 			}
 		})
 		m.state = bad
@@ -96,15 +96,15 @@
 		panic(err)
 	}
 	// It comes out of a snapshot as it went in.
-	if m.state, err = accord.Thaw(data, m.now); err != nil {
+	if m.state, err = raft.Thaw(data, m.now); err != nil {
 		panic(err)
 	}
-	m.state.EachBinding(func(session rpc.SessionID, binding accord.Binding) {
+	m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
 		m.desk.Put(m.now, binding.Service, session, binding.Idle, binding.Seq)
 	})
 }
 
-func (m *morning) apply(command accord.Command) (result accord.Result) {
+func (m *morning) apply(command raft.Command) (result raft.Result) {
 	m.rev++
 	return m.state.Apply(m.rev, command, m.now)
 }
@@ -124,11 +124,11 @@
 	if m.luck.Intn(50) == 0 {
 		// It may have been carried out and nobody knows.
 		if m.luck.Intn(2) == 0 {
-			m.apply(accord.BindCommand(propose))
+			m.apply(raft.BindCommand(propose))
 		}
 		return rpc.BindFound{}
 	}
-	result := m.apply(accord.BindCommand(propose))
+	result := m.apply(raft.BindCommand(propose))
 	if result.Problem != "" {
 		return rpc.BindFound{Outcome: rpc.BindFull}
 	}
@@ -152,7 +152,7 @@
 			standing, _ := m.state.Binding(session.Session)
 			session.Seq = standing.Seq
 		}
-		m.apply(accord.Command{Kind: accord.CommandUnbind, Claim: accord.Claim{Key: string(session.Session)}, Upto: session.Seq})
+		m.apply(raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(session.Session)}, Upto: session.Seq})
 	}
 	m.unbinds = nil
 }
@@ -196,7 +196,7 @@
 }
 
 func play(seed int64, fault plantedFault) (m *morning) {
-	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: accord.NewState(), backends: map[rpc.ServerID]*backend{}, runs: map[string]int{}}
+	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: raft.NewState(), backends: map[rpc.ServerID]*backend{}, runs: map[string]int{}}
 	m.lead()
 	for i := 0; i < 12; i++ {
 		m.addBackend()
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -8,7 +8,6 @@
 	"net/url"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/coordinator"
@@ -16,6 +15,7 @@
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/notify"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
@@ -28,7 +28,7 @@
 type Council struct {
 	props settings.Props
 	log   *eventlog.Log
-	node  *accord.Node
+	node  *raft.Node
 	desk  *coordinator.Desk
 	// patience is how long a call waits for its outcome.
 	patience time.Duration
@@ -39,12 +39,12 @@
 
 // Start opens the disk and the listeners and takes up the work.
 func Start(p settings.Props, log *eventlog.Log) (council *Council, err error) {
-	node, err := accord.OpenNode(p, log)
+	node, err := raft.OpenNode(p, log)
 	if err != nil {
 		return nil, err
 	}
 	council = &Council{props: p, log: log, node: node, patience: patience, desk: coordinator.NewDesk(node, node)}
-	node.OnRole = func(leads bool, term accord.Term) {
+	node.OnRole = func(leads bool, term raft.Term) {
 		var opened *coordinator.Forum
 		if leads {
 			opened = coordinator.Open(p, log, node, term)
@@ -117,7 +117,7 @@
 	return verdict
 }
 
-func (c *Council) wish(command accord.Command) (result accord.Result, err error) {
+func (c *Council) wish(command raft.Command) (result raft.Result, err error) {
 	answer := c.node.Wish(command, c.patience)
 	if !answer.Clear {
 		return result, &httpapi.Trouble{Kind: apierror.Unclear}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return c.refuse(history.Item, &httpapi.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
 	}
-	result, err := c.wish(accord.Command{Kind: accord.CommandConfig, Body: body})
+	result, err := c.wish(raft.Command{Kind: raft.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 }
 
 // refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind apierror.Kind, result accord.Result) (trouble *httpapi.Trouble) {
+func refusedAs(kind apierror.Kind, result raft.Result) (trouble *httpapi.Trouble) {
 	if result.Conflict {
 		kind = apierror.VersionTaken
 	}
@@ -170,7 +170,7 @@
 	// A leader that is settled has applied all that it or an older one has
 	// acknowledged before the call; contact after the reading proves that no later
 	// one has acknowledged anything.
-	c.node.Read(func(state *accord.State) { text = state.Canon.Describe() })
+	c.node.Read(func(state *raft.State) { text = state.Canon.Describe() })
 	if err = c.proven(open, nil); err != nil {
 		return nil, err
 	}
@@ -186,14 +186,14 @@
 }
 
 func (c *Council) evacuate(_ context.Context, site string, start bool, id string) (err error) {
-	kind, verb := accord.CommandReturn, "Stop"
+	kind, verb := raft.CommandReturn, "Stop"
 	if start {
-		kind, verb = accord.CommandEvacuate, "Start"
+		kind, verb = raft.CommandEvacuate, "Start"
 	}
 	if err = c.elsewhere(withOrder("/-/Evacuations."+verb+"/"+url.PathEscape(site), id)); err != nil {
 		return err
 	}
-	result, err := c.wish(accord.Command{Kind: kind, Site: site, Claim: accord.Claim{Key: id}})
+	result, err := c.wish(raft.Command{Kind: kind, Site: site, Claim: raft.Claim{Key: id}})
 	if err != nil {
 		return err
 	}
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -12,19 +12,19 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
 	"tinpin/internal/coordinator"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 	"tinpin/internal/settings"
 )
 
 // scripted is a contact that holds or not.
 type scripted struct{ lost atomic.Bool }
 
-func (s *scripted) InContact(accord.Term, time.Duration) (proven bool) { return !s.lost.Load() }
+func (s *scripted) InContact(raft.Term, time.Duration) (proven bool) { return !s.lost.Load() }
 
 // alone is a council of one core that leads, with a contact of the test's own.
 func alone(t *testing.T) (c *Council, contact *scripted) {
@@ -36,7 +36,7 @@
 		Name: "core", Address: "127.0.0.1", Control: "127.0.0.1:1", InnerLow: 2, Seeds: []string{"127.0.0.1:1"}, Data: t.TempDir(), FirstStart: true,
 		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, ListInterval: time.Second, ProbeInterval: time.Second, SendInterval: time.Second,
 	}
-	node, err := accord.OpenNode(p, eventlog.Quiet())
+	node, err := raft.OpenNode(p, eventlog.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	// What is asked here has an outcome, however slow this machine is.
 	c = &Council{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewDesk(node, contact)}
 	led := make(chan bool, 1)
-	node.OnRole = func(leads bool, term accord.Term) {
+	node.OnRole = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,7 +9,6 @@
 	"fmt"
 	"net/url"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
 	"tinpin/internal/coordinator"
 	"tinpin/internal/dedup"
@@ -18,6 +17,7 @@
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
@@ -32,7 +32,7 @@
 // barrier waits until all that this core put before the cores is applied. Only
 // behind it is a refusal from this core's own look at the state a proven one.
 func (c *Council) barrier() (err error) {
-	_, err = c.wish(accord.Command{Kind: accord.CommandBarrier})
+	_, err = c.wish(raft.Command{Kind: raft.CommandBarrier})
 	return err
 }
 
@@ -61,7 +61,7 @@
 	}
 	look := func() (lookErr error) {
 		taken := false
-		c.node.Read(func(state *accord.State) {
+		c.node.Read(func(state *raft.State) {
 			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 		})
 		if lookErr == nil && !taken && kind == policy.DayPlan {
@@ -87,7 +87,7 @@
 	if check {
 		return c.proven(open, nil)
 	}
-	result, err := c.wish(accord.Command{Kind: accord.CommandOrder, Site: string(kind), Body: body})
+	result, err := c.wish(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Body: body})
 	return c.ordered(history.Document, string(kind), "set", result, err)
 }
 
@@ -98,11 +98,11 @@
 	if _, err = c.open(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
 	}
-	result, err := c.wish(accord.Command{Kind: accord.CommandOrder, Site: string(kind), Upto: uint64(version)})
+	result, err := c.wish(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Upto: uint64(version)})
 	return c.ordered(history.Document, string(kind), "withdrawn", result, err)
 }
 
-func (c *Council) ordered(kind, name, what string, result accord.Result, err error) error {
+func (c *Council) ordered(kind, name, what string, result raft.Result, err error) error {
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	shown := Shown{Kind: kind}
-	c.node.Read(func(state *accord.State) {
+	c.node.Read(func(state *raft.State) {
 		document := state.Documents[kind]
 		shown.Version, shown.InForce, shown.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
@@ -164,7 +164,7 @@
 		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
 			return "", err
 		}
-		result, wishErr := c.wish(accord.Command{Kind: accord.CommandRestore, Site: string(id), Claim: accord.Claim{Key: named}})
+		result, wishErr := c.wish(raft.Command{Kind: raft.CommandRestore, Site: string(id), Claim: raft.Claim{Key: named}})
 		return "restored", c.ordered(history.Retirement, string(id), "restored", result, wishErr)
 	}
 	open, err := c.open(withOrder("/-/Backends.Retire/"+url.PathEscape(string(id)), named))
@@ -175,10 +175,10 @@
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &httpapi.Trouble{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
 	}
-	command := accord.Command{Kind: accord.CommandRetire, Site: string(id), Claim: accord.Claim{Holder: drain.ByOperator, Key: named}}
+	command := raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
 	agreed := func() {
-		c.node.Read(func(state *accord.State) {
+		c.node.Read(func(state *raft.State) {
 			sent.stands, sent.taken = state.RetireTaken(id)
 			sent.named, _ = state.TakenByName(command)
 		})
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -8,11 +8,11 @@
 	"fmt"
 	"testing"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/apierror"
 	"tinpin/internal/drain"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 )
 
@@ -66,7 +66,7 @@
 		conflict bool
 		status   int
 	}{{apierror.BadConfig, false, 400}, {apierror.BadOrder, false, 422}, {apierror.BadConfig, true, 409}, {apierror.BadOrder, true, 409}} {
-		if status := statusOf(t, refusedAs(c.kind, accord.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
+		if status := statusOf(t, refusedAs(c.kind, raft.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
 	}
@@ -134,7 +134,7 @@
 		if err := sure(t, retire(id, false)); statusOf(t, err) != 422 {
 			t.Fatalf("%s, never taken: %v", id, err)
 		}
-		if err := sure(t, put(c, accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte("s"), Claim: accord.Claim{Holder: drain.ByOperator}})); err != nil {
+		if err := sure(t, put(c, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte("s"), Claim: raft.Claim{Holder: drain.ByOperator}})); err != nil {
 			t.Fatal(err)
 		}
 		if err := sure(t, retire(id, false)); err != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-func put(c *Council, command accord.Command) func() error {
+func put(c *Council, command raft.Command) func() error {
 	return func() (err error) {
 		_, err = c.wish(command)
 		return err
@@ -175,13 +175,13 @@
 		if status := statusOf(t, sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })); status != step.status {
 			t.Errorf("step %d: %d", i, status)
 		}
-		c.node.Read(func(state *accord.State) {
+		c.node.Read(func(state *raft.State) {
 			if state.Evacuations["zone"].Active != step.stands {
 				t.Errorf("step %d: stands %v", i, !step.stands)
 			}
 		})
 	}
-	if err := sure(t, put(c, accord.Command{Kind: accord.CommandRetire, Site: "two", Claim: accord.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
+	if err := sure(t, put(c, raft.Command{Kind: raft.CommandRetire, Site: "two", Claim: raft.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
 		t.Fatal(err)
 	}
 	phase := ""
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -4,11 +4,11 @@
 import (
 	"encoding/json"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/config"
 	"tinpin/internal/coordinator"
 	"tinpin/internal/history"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 )
 
@@ -23,12 +23,12 @@
 	Leads   bool   `json:"leads"`
 	Settled bool   `json:"settled"`
 	// Contact tells that it leads by a proof that holds now.
-	Contact bool            `json:"contact"`
-	Term    uint64          `json:"term"`
-	Leader  string          `json:"leader"`
-	Members []accord.Member `json:"members"`
-	Rev     uint64          `json:"rev"`
-	Claims  int             `json:"claims"`
+	Contact bool          `json:"contact"`
+	Term    uint64        `json:"term"`
+	Leader  string        `json:"leader"`
+	Members []raft.Member `json:"members"`
+	Rev     uint64        `json:"rev"`
+	Claims  int           `json:"claims"`
 	// Orders and Overtaken count what the record of orders and of overtaken
 	// versions holds; Forgotten what fell out of either for want of room.
 	Orders    int    `json:"orders_remembered"`
@@ -44,12 +44,12 @@
 func (s *Status) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
 	c := s.council
 	account := CoreAccount{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
-	var leader accord.Member
-	var term accord.Term
+	var leader raft.Member
+	var term raft.Term
 	account.Leads, account.Settled, term, leader, account.Members = c.node.Standing()
 	account.Contact = c.node.InContact(term, 0)
 	account.Term, account.Leader = uint64(term), leader.Control
-	c.node.Read(func(state *accord.State) {
+	c.node.Read(func(state *raft.State) {
 		account.Rev, account.Claims = state.Rev, state.Claims()
 		account.Orders, account.Overtaken = state.Orders.Len(), state.Canon.Overtaken.Len()
 		account.Forgotten = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
@@ -71,13 +71,13 @@
 	}
 	switch ask.Kind {
 	case history.Item:
-		c.node.Read(func(state *accord.State) {
+		c.node.Read(func(state *raft.State) {
 			var item config.Item
 			item, reply.Has = state.Canon.Find(ask.Name)
 			reply.Stamp, reply.Rev = item.Stamp(), item.Rev
 		})
 	case history.Document, history.Retirement, history.Move:
-		s.council.node.Read(func(state *accord.State) {
+		s.council.node.Read(func(state *raft.State) {
 			switch ask.Kind {
 			case history.Document:
 				document, has := state.Documents[policy.Kind(ask.Name)]
@@ -90,8 +90,8 @@
 			}
 		})
 	case history.Evacuation:
-		c.node.Read(func(state *accord.State) {
-			var evacuation accord.Evacuation
+		c.node.Read(func(state *raft.State) {
+			var evacuation raft.Evacuation
 			evacuation, reply.Has = state.Evacuations[ask.Name]
 			reply.Stamp, reply.Rev = evacuation.Stamp(), evacuation.Rev
 		})
--- a/internal/coordinator/desk.go
+++ b/internal/coordinator/desk.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 )
 
@@ -24,25 +24,25 @@
 
 // Contact proves that this core leads in a term and that no other can.
 type Contact interface {
-	InContact(term accord.Term, patience time.Duration) (proven bool)
+	InContact(term raft.Term, patience time.Duration) (proven bool)
 }
 
 // Desk answers fellows.
 type Desk struct {
-	node    *accord.Node
+	node    *raft.Node
 	contact Contact
 	forum   atomic.Pointer[Forum]
 }
 
 // NewDesk is a desk without a forum.
-func NewDesk(node *accord.Node, contact Contact) (desk *Desk) {
+func NewDesk(node *raft.Node, contact Contact) (desk *Desk) {
 	return &Desk{node: node, contact: contact}
 }
 
 // Proven tells that what a forum has answered up to now is a leader's word. It is
 // asked once the answer is made: one made before a freeze is not proven after it.
 func (d *Desk) Proven(forum *Forum) (proven bool) {
-	return d.contact.InContact(accord.Term(forum.term), contactPatience)
+	return d.contact.InContact(raft.Term(forum.term), contactPatience)
 }
 
 // Use sets the forum of a leadership, nil when it ended.
@@ -73,7 +73,7 @@
 
 // Lead tells who leads.
 func (d *Desk) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
-	if forum := d.forum.Load(); forum != nil && d.contact.InContact(accord.Term(forum.term), leadPatience) {
+	if forum := d.forum.Load(); forum != nil && d.contact.InContact(raft.Term(forum.term), leadPatience) {
 		reply.Leader, reply.Term = true, forum.term
 	}
 	_, _, _, _, members := d.node.Standing()
@@ -114,12 +114,12 @@
 		return nil
 	}
 	reply.Leader = true
-	commands := make([]accord.Command, 0, len(ask.Frees)+len(ask.Claims))
+	commands := make([]raft.Command, 0, len(ask.Frees)+len(ask.Claims))
 	for _, free := range ask.Frees {
-		commands = append(commands, accord.Command{Kind: accord.CommandFree, Claim: accord.Claim{Key: free.Key, Request: free.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
+		commands = append(commands, raft.Command{Kind: raft.CommandFree, Claim: raft.Claim{Key: free.Key, Request: free.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
 	}
 	for _, claim := range ask.Claims {
-		commands = append(commands, accord.Command{Kind: accord.CommandClaim, Claim: accord.Claim{Key: claim.Key, Request: claim.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
+		commands = append(commands, raft.Command{Kind: raft.CommandClaim, Claim: raft.Claim{Key: claim.Key, Request: claim.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
 	}
 	patience := freePatience
 	if len(ask.Claims) > 0 {
--- a/internal/coordinator/desk_test.go
+++ b/internal/coordinator/desk_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 )
 
@@ -16,7 +16,7 @@
 	asked atomic.Int64
 }
 
-func (s *scripted) InContact(term accord.Term, _ time.Duration) (proven bool) {
+func (s *scripted) InContact(term raft.Term, _ time.Duration) (proven bool) {
 	s.asked.Add(1)
 	return term == 7 && !s.lost.Load()
 }
@@ -26,9 +26,9 @@
 	for _, lost := range []bool{false, true} {
 		contact := &scripted{}
 		contact.lost.Store(lost)
-		desk := NewDesk(&accord.Node{}, contact)
+		desk := NewDesk(&raft.Node{}, contact)
 		f := bare()
-		f.node, f.list.Walked = &accord.Node{}, true
+		f.node, f.list.Walked = &raft.Node{}, true
 		desk.Use(f)
 
 		var news rpc.News
@@ -59,9 +59,9 @@
 // A beat that was held open is proven when it is answered, not when it came.
 func TestABeatThatWasHeldIsProvenWhenItIsAnswered(t *testing.T) {
 	contact := &scripted{}
-	desk := NewDesk(&accord.Node{}, contact)
+	desk := NewDesk(&raft.Node{}, contact)
 	f := bare()
-	f.node, f.list.Walked = &accord.Node{}, true
+	f.node, f.list.Walked = &raft.Node{}, true
 	desk.Use(f)
 	ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Inner: "e:1", Ready: true}, Hold: time.Minute}
 	ask.Term, ask.Epoch, ask.ItemAt, ask.Listed = 7, f.clock.Now()+8, rpc.AllItems, true
--- a/internal/coordinator/forum.go
+++ b/internal/coordinator/forum.go
@@ -11,12 +11,12 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
 	"tinpin/internal/quota"
+	"tinpin/internal/raft"
 	"tinpin/internal/registry"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
@@ -47,7 +47,7 @@
 type Forum struct {
 	props settings.Props
 	log   *eventlog.Log
-	node  *accord.Node
+	node  *raft.Node
 	term  rpc.Term
 	birth time.Time
 
@@ -97,7 +97,7 @@
 }
 
 // Open starts a leadership's forum.
-func Open(p settings.Props, log *eventlog.Log, node *accord.Node, term accord.Term) (forum *Forum) {
+func Open(p settings.Props, log *eventlog.Log, node *raft.Node, term raft.Term) (forum *Forum) {
 	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Forum{
@@ -138,7 +138,7 @@
 	defer f.mu.Unlock()
 	var view *config.View
 	active := map[rpc.SiteName]bool{}
-	f.node.Read(func(state *accord.State) {
+	f.node.Read(func(state *raft.State) {
 		if state.Rev != f.rev {
 			f.rev = state.Rev
 			view = state.Canon.View()
@@ -411,7 +411,7 @@
 }
 
 // tellItems tells a part of what a fellow lacks.
-func (f *Forum) tellItems(state *accord.State, seen rpc.Seen, news *rpc.News) {
+func (f *Forum) tellItems(state *raft.State, seen rpc.Seen, news *rpc.News) {
 	if f.parts == nil || f.partsOf != state.Rev {
 		f.partsOf, f.parts = state.Rev, map[itemPlace]itemPart{}
 	}
@@ -457,7 +457,7 @@
 	next   itemPlace
 }
 
-func partOf(state *accord.State, from itemPlace) (part itemPart) {
+func partOf(state *raft.State, from itemPlace) (part itemPart) {
 	items, done := state.Canon.After(from.rev, from.path, itemsRoom)
 	part = itemPart{items: items, next: from}
 	if done {
@@ -538,7 +538,7 @@
 	}
 	news.Rev, news.ItemAt = ask.Rev, ask.ItemAt
 	if f.owesItems(ask.Seen) {
-		f.node.Read(func(state *accord.State) { f.tellItems(state, ask.Seen, news) })
+		f.node.Read(func(state *raft.State) { f.tellItems(state, ask.Seen, news) })
 	}
 	// The list is told only once it is whole; a fellow that lacks it gets it in
 	// parts, and beside them what changed since it first came.
--- a/internal/coordinator/forum_test.go
+++ b/internal/coordinator/forum_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
 	"tinpin/internal/quota"
+	"tinpin/internal/raft"
 	"tinpin/internal/registry"
 	"tinpin/internal/rpc"
 )
@@ -111,7 +111,7 @@
 	if err := items.Apply([]byte(call), 5); err != nil {
 		t.Fatal(err)
 	}
-	state := accord.NewState()
+	state := raft.NewState()
 	state.Canon, state.Rev = items, 5
 	f := bare()
 	f.rev = 5
@@ -157,7 +157,7 @@
 func TestNothingIsToldOfAnEmptyConfiguration(t *testing.T) {
 	f := bare()
 	var news rpc.News
-	f.tellItems(accord.NewState(), rpc.Seen{}, &news)
+	f.tellItems(raft.NewState(), rpc.Seen{}, &news)
 	if news.Rev != 0 || news.ItemAt != rpc.AllItems || len(news.Items) != 0 || news.Packed != nil {
 		t.Fatalf("%+v", news)
 	}
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -10,11 +10,11 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 	"tinpin/internal/retry"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
@@ -60,7 +60,7 @@
 }
 
 // take reads what is agreed; the caller holds the forum's lock.
-func (o *orders) take(state *accord.State) {
+func (o *orders) take(state *raft.State) {
 	o.policy, o.plan, o.retries = nil, nil, nil
 	if document := state.Documents[policy.RetryLimit]; document.InForce() {
 		o.retries, _ = retry.Read([]byte(document.Body))
@@ -175,19 +175,19 @@
 // carryOn looks at both and commits what they ask for; the caller holds the lock.
 func (f *Forum) carryOn(now time.Duration) {
 	o := &f.orders
-	var commands []accord.Command
+	var commands []raft.Command
 	if len(o.retired) > 0 {
 		list := make([]rpc.Retirement, 0, len(o.retired))
 		for id, retired := range o.retired {
 			if _, listed := f.list.Servers.Get(id); !retired.Gone && !listed && f.list.Walked {
-				commands = append(commands, accord.Command{Kind: accord.CommandRestore, Site: string(id)})
+				commands = append(commands, raft.Command{Kind: raft.CommandRestore, Site: string(id)})
 			}
 			list = append(list, retired)
 		}
 		var stops []rpc.ServerID
 		stops, o.retiring = o.desk.Step(now, o.policy, list, f.followers(now), f.stock)
 		for _, id := range stops {
-			commands = append(commands, accord.Command{Kind: accord.CommandStop, Site: string(id)})
+			commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 		}
 		for _, account := range o.retiring {
 			f.say(eventlog.RetireStands, account.Server, string(account.Phase), "why", account.Why)
@@ -198,7 +198,7 @@
 	if o.policy != nil {
 		f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 			if _, ordered := o.retired[id]; server.Draining && !ordered {
-				commands = append(commands, accord.Command{Kind: accord.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: accord.Claim{Holder: drain.ByPlatform}})
+				commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 		if move != nil {
 			body, err := json.Marshal(move)
 			if err == nil {
-				commands = append(commands, accord.Command{Kind: accord.CommandMove, Body: body})
+				commands = append(commands, raft.Command{Kind: raft.CommandMove, Body: body})
 			}
 		}
 		for _, account := range o.moving {
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -9,11 +9,11 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/affinity"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 )
 
@@ -33,7 +33,7 @@
 	desk   *affinity.Desk
 	built  bool
 	// unbinds are not known to be carried out yet; busy while a call is under way.
-	unbinds []accord.Command
+	unbinds []raft.Command
 	busy    bool
 	scanned time.Duration
 	moved   uint64
@@ -47,7 +47,7 @@
 }
 
 // take reads what is agreed; the caller holds the forum's lock.
-func (s *sessions) take(state *accord.State) {
+func (s *sessions) take(state *raft.State) {
 	s.policy = nil
 	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
 		s.policy, _ = affinity.Read([]byte(document.Body))
@@ -59,8 +59,8 @@
 func (f *Forum) scanSessions() {
 	now, s := f.now(), &f.sessions
 	s.built, s.scanned = true, now
-	f.node.Read(func(state *accord.State) {
-		state.EachBinding(func(session rpc.SessionID, binding accord.Binding) {
+	f.node.Read(func(state *raft.State) {
+		state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
 			if !s.desk.Known(binding.Service, session) {
 				s.desk.Put(now, binding.Service, session, binding.Idle, binding.Seq)
 			}
@@ -131,7 +131,7 @@
 		return found
 	}
 	now := f.now()
-	var commands []accord.Command
+	var commands []raft.Command
 	var places []int
 	why := map[int]string{}
 	for i, bind := range ask.Binds[:min(len(ask.Binds), bindsMost)] {
@@ -141,9 +141,9 @@
 			found[i].Outcome = rpc.BindRefused
 			continue
 		}
-		var standing accord.Binding
+		var standing raft.Binding
 		var bound bool
-		f.node.Read(func(state *accord.State) { standing, bound = state.Binding(bind.Session) })
+		f.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
 		server, bind, answered := f.sessions.desk.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
 			ended, why[i] = f.ended(now, id, bind.Service)
 			return ended
@@ -153,7 +153,7 @@
 			continue
 		}
 		places = append(places, i)
-		commands = append(commands, accord.BindCommand(bind))
+		commands = append(commands, raft.BindCommand(bind))
 	}
 	f.mu.Unlock()
 	if len(commands) == 0 {
@@ -204,7 +204,7 @@
 		f.scanSessions()
 	}
 	for _, over := range s.desk.Over(now, f.mostSessions, unbindsAtOnce-len(s.unbinds)) {
-		s.unbinds = append(s.unbinds, accord.Command{Kind: accord.CommandUnbind, Claim: accord.Claim{Key: string(over.Session)}, Upto: over.Seq})
+		s.unbinds = append(s.unbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
 	}
 	if len(s.unbinds) == 0 {
 		return
--- a/internal/accord/binding.go
+++ b/internal/raft/binding.go
@@ -2,7 +2,7 @@
 // decides; a binding moves only for one who names the backend that it stands
 // on. Its number is new with every command that finds it, so that an unbinding
 // which was sent before counts for nothing.
-package accord
+package raft
 
 import (
 	"sort"
--- a/internal/accord/check.go
+++ b/internal/raft/check.go
@@ -1,7 +1,7 @@
 // What a message of the agreement cannot be: no core that works sends it, in no
 // order of events. It is refused before anything is taken from it. What only
 // came late, or to the wrong core, is not among these.
-package accord
+package raft
 
 const (
 	// mostTerm and mostIndex are beyond what any group reaches.
--- a/internal/accord/contact.go
+++ b/internal/raft/contact.go
@@ -5,7 +5,7 @@
 // those voters refuses its vote for an election from when it heard the round,
 // which was later. The span is shorter than that election by what a late ticker
 // may make it short. Who has told another to stand has no such proof any more.
-package accord
+package raft
 
 import (
 	"slices"
--- a/internal/accord/contact_test.go
+++ b/internal/raft/contact_test.go
@@ -5,7 +5,7 @@
 // looks whether a core would answer from its state, also one that is frozen and
 // has not ticked since: none may once another has won a later term. Planted
 // faults prove that the check can fail.
-package accord
+package raft
 
 import (
 	"fmt"
--- a/internal/accord/courier.go
+++ b/internal/raft/courier.go
@@ -1,7 +1,7 @@
 // Couriers carry the messages of the agreement, two duties for each other core:
 // one for entries and parts of snapshots, one for all that is small, so that a
 // beat is never held up behind what takes long on a thin link.
-package accord
+package raft
 
 import (
 	"time"
--- a/internal/accord/cutoff_test.go
+++ b/internal/raft/cutoff_test.go
@@ -1,6 +1,6 @@
 // Three nodes on loopback, with real tickers, disks and streams: the leader is
 // cut off, and when another has won the old one must have stopped answering.
-package accord
+package raft
 
 import (
 	"fmt"
--- a/internal/accord/disk.go
+++ b/internal/raft/disk.go
@@ -1,5 +1,5 @@
 // The duty that writes the disk, and what it reports back.
-package accord
+package raft
 
 import (
 	"os"
--- a/internal/accord/drive.go
+++ b/internal/raft/drive.go
@@ -1,6 +1,6 @@
 // What those who drive the agreement outside of a node, as the trial does,
 // have to know of its figures and its log.
-package accord
+package raft
 
 // TickSpan is the time from tick to tick.
 const TickSpan = tickSpan
--- a/internal/accord/election.go
+++ b/internal/raft/election.go
@@ -1,6 +1,6 @@
 // Elections: pre-vote, vote and the hand-over of leadership to the member
 // that has the whole log.
-package accord
+package raft
 
 func (r *Raft) campaign(pre, force bool) {
 	r.role, r.leader, r.pre = Candidate, "", pre
--- a/internal/accord/flapping_test.go
+++ b/internal/raft/flapping_test.go
@@ -1,4 +1,4 @@
-package accord
+package raft
 
 import "testing"
 
--- a/internal/accord/house.go
+++ b/internal/raft/house.go
@@ -1,6 +1,6 @@
 // Keeping house: the leader carries out what the policy of membership decides,
 // and a core that is no member asks to become one.
-package accord
+package raft
 
 import (
 	crand "crypto/rand"
--- a/internal/accord/install.go
+++ b/internal/raft/install.go
@@ -2,7 +2,7 @@
 // and goes on from where the member says it is; the member keeps what it has of
 // one snapshot of one leader, refuses what does not fit, and takes the whole in
 // only where its checksum is right.
-package accord
+package raft
 
 import "hash/crc32"
 
--- a/internal/accord/leave.go
+++ b/internal/raft/leave.go
@@ -2,7 +2,7 @@
 // asks the leader to be taken out. Where nobody is near to take its place the
 // leader says so at once, and the core ends as the voter it is; else it stays
 // until the new set is committed, within the time it has.
-package accord
+package raft
 
 import (
 	"time"
--- a/internal/accord/members.go
+++ b/internal/raft/members.go
@@ -1,6 +1,6 @@
 // The members as the log tells them: a change binds from the moment it is in
 // the log, and one is under way at a time.
-package accord
+package raft
 
 func (r *Raft) refreshMembers() {
 	r.members = r.base.Members
--- a/internal/accord/membership.go
+++ b/internal/raft/membership.go
@@ -4,7 +4,7 @@
 // the smaller group needs no more members than before; a voter that leaves but
 // still answers is removed after its successor was raised, so that at each
 // instant as many losses are borne as before. Its times follow the settings.
-package accord
+package raft
 
 import "time"
 
--- a/internal/accord/message.go
+++ b/internal/raft/message.go
@@ -1,6 +1,6 @@
 // The words of the agreement: what members, entries and snapshots are, the
 // messages between cores, and what one step asks of the one who drives it.
-package accord
+package raft
 
 import "time"
 
--- a/internal/accord/node.go
+++ b/internal/raft/node.go
@@ -2,7 +2,7 @@
 // one per fellow core sends, all joined by bounded rings. Wishes that wait
 // together become one log entry. A wish whose fate cannot be known is answered
 // as unclear, never as refused.
-package accord
+package raft
 
 import (
 	"errors"
--- a/internal/accord/orders.go
+++ b/internal/raft/orders.go
@@ -1,7 +1,7 @@
 // Orders that are no configurations: documents, their withdrawal, and retiring.
 // What was taken is remembered under its number, so that the same order, sent
 // again after others, is confirmed and changes nothing, whatever stands by then.
-package accord
+package raft
 
 import (
 	"encoding/json"
--- a/internal/accord/orders_fuzz_test.go
+++ b/internal/raft/orders_fuzz_test.go
@@ -1,6 +1,6 @@
 // Whatever comes as a document: a refused one changes nothing, and one that was
 // taken is confirmed again behind another and a snapshot, and changes nothing.
-package accord
+package raft
 
 import (
 	"fmt"
--- a/internal/accord/orders_test.go
+++ b/internal/raft/orders_test.go
@@ -2,7 +2,7 @@
 // contents, lost answers, repeats long after, and snapshots in between, one
 // number has one content, what was confirmed is confirmed again, and takes
 // effect once.
-package accord
+package raft
 
 import (
 	"bytes"
--- a/internal/accord/raft.go
+++ b/internal/raft/raft.go
@@ -6,7 +6,7 @@
 // member at a time are kept; a membership change binds from the moment it is
 // in the log. The leader counts its own log only once its disk has reported
 // it, so a stalled disk holds up its own vote but not the group's.
-package accord
+package raft
 
 import (
 	"math/rand"
--- a/internal/accord/raftlog.go
+++ b/internal/raft/raftlog.go
@@ -1,7 +1,7 @@
 // The log in memory: its ends, the terms in it, what the disk has reported,
 // and its cut behind a snapshot. A tail of what the snapshot stands for is kept
 // in memory, so that a member a little behind is brought up by entries.
-package accord
+package raft
 
 // Tail bounds what is kept of the log behind the snapshot.
 type Tail struct{ Entries, Bytes int }
--- a/internal/accord/refusals.go
+++ b/internal/raft/refusals.go
@@ -1,6 +1,6 @@
 // Refused messages of the agreement are counted, and logged no more than once a
 // second, so that a core gone wild fills no disk.
-package accord
+package raft
 
 import "tinpin/internal/eventlog"
 
--- a/internal/accord/replicate.go
+++ b/internal/raft/replicate.go
@@ -1,6 +1,6 @@
 // Replication: what the leader sends to each member, what a member takes and
 // tells, and how far all that makes the commit go.
-package accord
+package raft
 
 import (
 	"slices"
--- a/internal/accord/restart.go
+++ b/internal/raft/restart.go
@@ -6,7 +6,7 @@
 // and then been asked; and the vote is asked of that very start, so that none can
 // hear and forget between its word and its vote. Learners are asked as well, since
 // one may have been made a voter by an entry that this core lacks, and may lead.
-package accord
+package raft
 
 import "time"
 
--- a/internal/accord/room.go
+++ b/internal/raft/room.go
@@ -3,7 +3,7 @@
 // agreement what a stalled one is: the core hands leadership over, votes on
 // nothing and goes on following, and neither ends nor loses its place. Any other
 // failure of a write still ends the core.
-package accord
+package raft
 
 import (
 	"errors"
--- a/internal/accord/scribe.go
+++ b/internal/raft/scribe.go
@@ -1,7 +1,7 @@
 // The scribe writes a batch of commands as the bytes of one log entry and
 // reads them back: lengths as varints, texts as they are. It is small because
 // every claimed key passes through it on every core.
-package accord
+package raft
 
 import (
 	"encoding/binary"
--- a/internal/accord/seal.go
+++ b/internal/raft/seal.go
@@ -3,7 +3,7 @@
 // value. A disk of an older version is sealed as a whole, in one sync, when it is
 // opened first; from then on a record without its seal is as spoiled as one
 // whose checksum is wrong.
-package accord
+package raft
 
 import (
 	"encoding/binary"
--- a/internal/accord/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -6,7 +6,7 @@
 // committed; at the end, healed, that nothing acknowledged is lost, that each
 // key was granted once, and that the group still works. Planted faults prove
 // that the checks can fail.
-package accord
+package raft
 
 import (
 	"fmt"
--- a/internal/accord/state.go
+++ b/internal/raft/state.go
@@ -4,7 +4,7 @@
 // clock. The age of a claim is kept beside it, counted on the steady clock
 // from the moment this core applied it, and only the leader turns age into an
 // Expire command.
-package accord
+package raft
 
 import (
 	"bytes"
--- a/internal/accord/store.go
+++ b/internal/raft/store.go
@@ -4,7 +4,7 @@
 // that replaces it. A disk of an older version may still hold such entries; they
 // are known by a term lower than the one before them and dropped when read. Any
 // other break in the log is an error, never a guess.
-package accord
+package raft
 
 import (
 	"bytes"
--- a/internal/accord/wishes.go
+++ b/internal/raft/wishes.go
@@ -1,7 +1,7 @@
 // Wishes are commands put before the cores by this daemon's own duties. Those
 // that wait together become one log entry; one whose fate cannot be known is
 // answered as unclear, never as refused.
-package accord
+package raft
 
 import "time"
 
--- a/internal/stage/members_test.go
+++ b/internal/stage/members_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/controller"
 	"tinpin/internal/diagnostics"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/raft"
 )
 
 // membersOf gives the members as the leader has them, by inner address.
-func membersOf(stage *Stage) (members map[string]accord.Member, voters int) {
-	members = map[string]accord.Member{}
+func membersOf(stage *Stage) (members map[string]raft.Member, voters int) {
+	members = map[string]raft.Member{}
 	fleet, err := diagnostics.Look(stage.Inner())
 	if err != nil || fleet.Leader() == nil {
 		return members, 0
@@ -91,7 +91,7 @@
 	startCore(ctx, t, stage, 3)
 	for n := range stage.CoreProps {
 		inner := stage.CoreProps[n].Inner("accord")
-		var before accord.Member
+		var before raft.Member
 		if err = Until(ctx, func() bool {
 			members, voters := membersOf(stage)
 			before = members[inner]
@@ -100,7 +100,7 @@
 			t.Fatalf("before core %d stops there are not four members", n)
 		}
 		stop(n)
-		var members map[string]accord.Member
+		var members map[string]raft.Member
 		var voters int
 		if err = Until(ctx, func() bool { members, voters = membersOf(stage); return len(members) > 0 }); err != nil {
 			t.Fatalf("no leader after core %d has left", n)
--- a/internal/trial/core.go
+++ b/internal/trial/core.go
@@ -8,7 +8,7 @@
 	"math/rand"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 const (
@@ -23,23 +23,23 @@
 
 // Answer is what became of a wish.
 type Answer struct {
-	Result accord.Result
+	Result raft.Result
 	Clear  bool
 }
 
 type wish struct {
-	command accord.Command
+	command raft.Command
 	born    time.Duration
 	done    func(answer Answer)
 }
 
 type pendingEntry struct {
-	term   accord.Term
+	term   raft.Term
 	wishes []wish
 }
 
 type joiner struct {
-	member accord.Member
+	member raft.Member
 	at     int
 }
 
@@ -47,25 +47,25 @@
 type Core struct {
 	world  *World
 	host   string
-	member accord.Member
+	member raft.Member
 	disk   *Disk
 	luck   *rand.Rand
 
 	up, gone   bool
 	life       int
-	raft       *accord.Raft
-	state      *accord.State
-	pending    map[accord.Index]pendingEntry
+	raft       *raft.Raft
+	state      *raft.State
+	pending    map[raft.Index]pendingEntry
 	wishes     []wish
 	joiners    []joiner
-	leaving    map[accord.ID]int
+	leaving    map[raft.ID]int
 	leavingNow bool
-	membership *accord.Membership
+	membership *raft.Membership
 	ticks      int
 	heardAt    int
 
-	queue   []accord.Write
-	writing []accord.Write
+	queue   []raft.Write
+	writing []raft.Write
 
 	frozen    bool
 	held      []func()
@@ -99,15 +99,15 @@
 	}
 	c.life++
 	c.member.ID = c.disk.id
-	c.raft = accord.NewRaft(c.disk.id, accord.UsualPace(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
-	if c.state, err = accord.Thaw(base.Data, w.agenda.now); err != nil {
+	c.raft = raft.NewRaft(c.disk.id, raft.UsualPace(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
+	if c.state, err = raft.Thaw(base.Data, w.agenda.now); err != nil {
 		w.fail("%s: the snapshot of %d cannot be read: %v", c.host, base.Index, err)
 		return
 	}
 	c.up, c.frozen, c.held, c.heldTick, c.tickDue = true, false, nil, false, false
-	c.raft.KeepTail(accord.Tail{Entries: tailMost, Bytes: 1 << 20})
-	c.lease, c.leaving, c.leavingNow, c.membership = Lease{}, map[accord.ID]int{}, false, w.newMembership()
-	c.pending, c.wishes, c.joiners, c.queue, c.writing = map[accord.Index]pendingEntry{}, nil, nil, nil, nil
+	c.raft.KeepTail(raft.Tail{Entries: tailMost, Bytes: 1 << 20})
+	c.lease, c.leaving, c.leavingNow, c.membership = Lease{}, map[raft.ID]int{}, false, w.newMembership()
+	c.pending, c.wishes, c.joiners, c.queue, c.writing = map[raft.Index]pendingEntry{}, nil, nil, nil, nil
 	c.stalled, c.slowUntil, c.busyUntil, c.ticks, c.heardAt = 0, 0, 0, 0, 0
 	w.note("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.Last())
 	c.scheduleTick(c.life)
@@ -137,11 +137,11 @@
 	for _, waiting := range c.wishes {
 		c.world.drop(waiting)
 	}
-	c.wishes, c.pending = nil, map[accord.Index]pendingEntry{}
+	c.wishes, c.pending = nil, map[raft.Index]pendingEntry{}
 }
 
 func (c *Core) scheduleTick(life int) {
-	c.world.agenda.After(accord.TickSpan, func() {
+	c.world.agenda.After(raft.TickSpan, func() {
 		if !c.up || c.life != life {
 			return
 		}
@@ -231,7 +231,7 @@
 }
 
 // step takes a message from another core.
-func (c *Core) step(message accord.Message) {
+func (c *Core) step(message raft.Message) {
 	if c.world.options.Plant == LateSnapshot && c.dropBehind(message) {
 		return
 	}
@@ -240,32 +240,32 @@
 }
 
 // dropBehind is the planted fault of a late snapshot: the log is put away for it.
-func (c *Core) dropBehind(message accord.Message) (dropped bool) {
+func (c *Core) dropBehind(message raft.Message) (dropped bool) {
 	snapshot := message.Snapshot
-	if message.Kind != accord.Install || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
+	if message.Kind != raft.Install || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
 		snapshot.Index >= c.raft.Last() || len(c.queue)+len(c.writing) > 0 {
 		return false
 	}
-	state, err := accord.Thaw(snapshot.Data, c.world.agenda.now)
+	state, err := raft.Thaw(snapshot.Data, c.world.agenda.now)
 	if err != nil {
 		return false
 	}
-	hard := accord.Hard{Term: message.Term}
+	hard := raft.Hard{Term: message.Term}
 	if message.Term == c.disk.hard.Term {
 		hard.Vote = c.disk.hard.Vote
 	}
-	write := accord.Write{Hard: &hard, Cut: 1, Snapshot: snapshot}
-	if c.disk.Write([]accord.Write{write}) != nil {
+	write := raft.Write{Hard: &hard, Cut: 1, Snapshot: snapshot}
+	if c.disk.Write([]raft.Write{write}) != nil {
 		return false
 	}
 	c.disk.base, c.disk.log = *snapshot, nil
 	c.state = state
-	c.raft = accord.NewRaft(c.member.ID, accord.UsualPace(), rand.New(rand.NewSource(c.luck.Int63())), hard, *snapshot, nil)
+	c.raft = raft.NewRaft(c.member.ID, raft.UsualPace(), rand.New(rand.NewSource(c.luck.Int63())), hard, *snapshot, nil)
 	return true
 }
 
 // carry does what a step asked for.
-func (c *Core) carry(out accord.Output) {
+func (c *Core) carry(out raft.Output) {
 	w := c.world
 	c.lease.end(c)
 	for _, message := range out.Send {
@@ -286,7 +286,7 @@
 		c.write()
 	}
 	if out.Restore != nil {
-		state, err := accord.Thaw(out.Restore.Data, w.agenda.now)
+		state, err := raft.Thaw(out.Restore.Data, w.agenda.now)
 		if err != nil {
 			w.fail("%s: the snapshot of %d cannot be read: %v", c.host, out.Restore.Index, err)
 			return
@@ -297,7 +297,7 @@
 	for _, entry := range out.Apply {
 		c.apply(entry)
 	}
-	if c.raft.Role() == accord.Leader {
+	if c.raft.Role() == raft.Leader {
 		w.witness.Leads(c.raft.Term(), c.member.ID)
 	} else {
 		c.forsake()
@@ -315,7 +315,7 @@
 func (c *Core) forsake() {
 	for _, index := range sortedKeys(c.pending) {
 		for _, waiting := range c.pending[index].wishes {
-			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: accord.Result{Problem: "not carried out"}})
+			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: raft.Result{Problem: "not carried out"}})
 		}
 	}
 	clear(c.pending)
@@ -323,15 +323,15 @@
 
 func (c *Core) answer(waiting wish, answer Answer) { waiting.done(answer) }
 
-func (c *Core) apply(entry accord.Entry) {
+func (c *Core) apply(entry raft.Entry) {
 	w := c.world
 	w.witness.Applied(c.host, entry)
-	commands, err := accord.Decipher(entry.Data)
+	commands, err := raft.Decipher(entry.Data)
 	if err != nil {
 		w.fail("%s: entry %d: %v", c.host, entry.Index, err)
 		return
 	}
-	results := make([]accord.Result, len(commands))
+	results := make([]raft.Result, len(commands))
 	for i, command := range commands {
 		results[i] = w.options.Plant.bend(c.state, command, c.state.Apply(uint64(entry.Index), command, w.agenda.now))
 	}
@@ -400,7 +400,7 @@
 }
 
 // report tells the agreement what is on disk, and sends what waited for it.
-func (c *Core) report(writes []accord.Write) {
+func (c *Core) report(writes []raft.Write) {
 	for _, write := range writes {
 		if c.world.options.Plant != EarlyTell {
 			for _, message := range write.After {
@@ -412,13 +412,13 @@
 	c.propose()
 }
 
-func (c *Core) post(message accord.Message) {
+func (c *Core) post(message raft.Message) {
 	c.world.witness.Sends(c, message)
 	c.world.network.post(c, message)
 }
 
 // put asks for a command to be carried out.
-func (c *Core) put(command accord.Command, done func(answer Answer)) {
+func (c *Core) put(command raft.Command, done func(answer Answer)) {
 	open, life := true, c.life
 	once := func(answer Answer) {
 		if open {
@@ -437,10 +437,10 @@
 
 // propose puts the wishes that wait together into the log.
 func (c *Core) propose() {
-	for c.up && len(c.wishes) > 0 && (c.raft.Role() != accord.Leader || c.raft.Open() && len(c.pending) < mostPending) {
+	for c.up && len(c.wishes) > 0 && (c.raft.Role() != raft.Leader || c.raft.Open() && len(c.pending) < mostPending) {
 		var batch []wish
 		for _, waiting := range c.wishes {
-			if c.world.agenda.now-waiting.born > staleWish || c.raft.Role() != accord.Leader {
+			if c.world.agenda.now-waiting.born > staleWish || c.raft.Role() != raft.Leader {
 				c.answer(waiting, Answer{})
 				continue
 			}
@@ -450,11 +450,11 @@
 		if len(batch) == 0 {
 			return
 		}
-		commands := make([]accord.Command, len(batch))
+		commands := make([]raft.Command, len(batch))
 		for i := range batch {
 			commands[i] = batch[i].command
 		}
-		index, term, accepted, out := c.raft.Propose(accord.Inscribe(commands))
+		index, term, accepted, out := c.raft.Propose(raft.Inscribe(commands))
 		if !accepted {
 			for _, waiting := range batch {
 				c.answer(waiting, Answer{})
@@ -464,7 +464,7 @@
 		c.pending[index] = pendingEntry{term, batch}
 		if c.world.options.Plant == LoneCommit {
 			for _, waiting := range batch {
-				c.answer(waiting, Answer{Clear: true, Result: accord.Result{Granted: true}})
+				c.answer(waiting, Answer{Clear: true, Result: raft.Result{Granted: true}})
 			}
 		}
 		c.carry(out)
@@ -478,4 +478,4 @@
 func (c *Core) fresh() (fresh bool) { return c.leads() && c.lease.covers(c) }
 
 // at gives the agreement the steady time.
-func (c *Core) at() (state *accord.Raft) { return c.raft.At(c.world.agenda.now) }
+func (c *Core) at() (state *raft.Raft) { return c.raft.At(c.world.agenda.now) }
--- a/internal/trial/desk.go
+++ b/internal/trial/desk.go
@@ -2,7 +2,7 @@
 // forum do.
 package trial
 
-import "tinpin/internal/accord"
+import "tinpin/internal/raft"
 
 // elsewhere says who leads, if this core knows.
 func (c *Core) elsewhere() (answer reply) {
@@ -38,7 +38,7 @@
 
 // news is what a beat of an edge is answered with.
 type news struct {
-	term accord.Term
+	term raft.Term
 	rev  uint64
 	from *Core
 	seen []told
--- a/internal/trial/disk.go
+++ b/internal/trial/disk.go
@@ -12,7 +12,7 @@
 
 	"github.com/cockroachdb/pebble/vfs"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 const folder = "data"
@@ -20,18 +20,18 @@
 // Disk of one core.
 type Disk struct {
 	fs    *vfs.MemFS
-	store *accord.Store
-	id    accord.ID
+	store *raft.Store
+	id    raft.ID
 	plant Plant
 
 	// What must be on disk.
-	hard accord.Hard
-	base accord.Snapshot
-	log  []accord.Entry
+	hard raft.Hard
+	base raft.Snapshot
+	log  []raft.Entry
 }
 
 // newDisk founds the disk of one core.
-func newDisk(id accord.ID, base accord.Snapshot, plant Plant) (disk *Disk, err error) {
+func newDisk(id raft.ID, base raft.Snapshot, plant Plant) (disk *Disk, err error) {
 	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, plant: plant}
 	if err = disk.fs.MkdirAll(folder, 0o755); err != nil {
 		return nil, Class.Wrap(err)
@@ -43,7 +43,7 @@
 	if err = root.Sync(); err != nil {
 		return nil, Class.Wrap(err)
 	}
-	if disk.store, err = accord.OpenStore(folder, disk.fs); err != nil {
+	if disk.store, err = raft.OpenStore(folder, disk.fs); err != nil {
 		return nil, Class.Wrap(err)
 	}
 	return disk, Class.Wrap(disk.store.Found(id, base))
@@ -51,9 +51,9 @@
 
 // Load opens the disk and tells what it holds, and an error where that is not
 // what was written to it.
-func (d *Disk) Load() (hard accord.Hard, base accord.Snapshot, log []accord.Entry, err error) {
+func (d *Disk) Load() (hard raft.Hard, base raft.Snapshot, log []raft.Entry, err error) {
 	if d.store == nil {
-		if d.store, err = accord.OpenStore(folder, d.fs); err != nil {
+		if d.store, err = raft.OpenStore(folder, d.fs); err != nil {
 			return hard, base, nil, Class.Wrap(err)
 		}
 	}
@@ -79,10 +79,10 @@
 }
 
 // Last is the last place that is on disk.
-func (d *Disk) Last() (last accord.Index) { return d.base.Index + accord.Index(len(d.log)) }
+func (d *Disk) Last() (last raft.Index) { return d.base.Index + raft.Index(len(d.log)) }
 
 // Holds tells whether the place of that term is on disk.
-func (d *Disk) Holds(index accord.Index, term accord.Term) (holds bool) {
+func (d *Disk) Holds(index raft.Index, term raft.Term) (holds bool) {
 	if index <= d.base.Index {
 		return true
 	}
@@ -90,7 +90,7 @@
 }
 
 // Write carries orders out.
-func (d *Disk) Write(writes []accord.Write) (err error) {
+func (d *Disk) Write(writes []raft.Write) (err error) {
 	if d.plant == CutTail {
 		if err = d.writeUncut(writes); err != nil {
 			return err
@@ -98,7 +98,7 @@
 	}
 	carried := writes
 	if d.plant == LoseVote {
-		carried = append([]accord.Write(nil), writes...)
+		carried = append([]raft.Write(nil), writes...)
 		for i := range carried {
 			carried[i].Hard = nil
 		}
@@ -130,13 +130,13 @@
 
 // writeUncut is the planted fault of a cut that is not in the write of what
 // replaces the tail: for a moment the disk holds both.
-func (d *Disk) writeUncut(writes []accord.Write) (err error) {
+func (d *Disk) writeUncut(writes []raft.Write) (err error) {
 	for _, write := range writes {
 		if write.Cut <= d.base.Index || len(write.Entries) == 0 || write.Snapshot != nil || len(writes) > 1 {
 			continue
 		}
 		first := write.Entries[:1]
-		if err = d.store.Write([]accord.Write{{Entries: first}}); err != nil {
+		if err = d.store.Write([]raft.Write{{Entries: first}}); err != nil {
 			return Class.Wrap(err)
 		}
 		d.extend(first)
@@ -148,7 +148,7 @@
 }
 
 // extend puts entries behind what is written, in place of what stood there.
-func (d *Disk) extend(entries []accord.Entry) {
+func (d *Disk) extend(entries []raft.Entry) {
 	first := entries[0].Index
 	if first <= d.base.Index {
 		return
@@ -170,7 +170,7 @@
 }
 
 // LosePower ends the machine; of the orders under way a part may be written.
-func (d *Disk) LosePower(under []accord.Write, luck *rand.Rand) (err error) {
+func (d *Disk) LosePower(under []raft.Write, luck *rand.Rand) (err error) {
 	if d.store == nil {
 		return nil
 	}
--- a/internal/trial/disk_test.go
+++ b/internal/trial/disk_test.go
@@ -4,16 +4,16 @@
 	"math/rand"
 	"testing"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
-func entryOf(index accord.Index, term accord.Term) (entry accord.Entry) {
-	return accord.Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
+func entryOf(index raft.Index, term raft.Term) (entry raft.Entry) {
+	return raft.Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
 }
 
 func founded(t *testing.T, plant Plant) (disk *Disk) {
 	t.Helper()
-	disk, err := newDisk("a", accord.Snapshot{Index: 1, Term: 1}, plant)
+	disk, err := newDisk("a", raft.Snapshot{Index: 1, Term: 1}, plant)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,10 +26,10 @@
 func TestACutThatIsNotInItsWriteIsFound(t *testing.T) {
 	for _, plant := range []Plant{"", CutTail} {
 		disk := founded(t, plant)
-		if err := disk.Write([]accord.Write{{Entries: []accord.Entry{entryOf(2, 6), entryOf(3, 6)}}}); err != nil {
+		if err := disk.Write([]raft.Write{{Entries: []raft.Entry{entryOf(2, 6), entryOf(3, 6)}}}); err != nil {
 			t.Fatal(err)
 		}
-		err := disk.Write([]accord.Write{{Cut: 2, Entries: []accord.Entry{entryOf(2, 5)}}})
+		err := disk.Write([]raft.Write{{Cut: 2, Entries: []raft.Entry{entryOf(2, 5)}}})
 		if found := err != nil; found != (plant == CutTail) {
 			t.Errorf("%q: %v", plant, err)
 		}
@@ -40,10 +40,10 @@
 func TestATornWriteIsNotHalfThere(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		disk := founded(t, "")
-		if err := disk.Write([]accord.Write{{Hard: &accord.Hard{Term: 2, Vote: "b"}}, {Entries: []accord.Entry{entryOf(2, 2)}}}); err != nil {
+		if err := disk.Write([]raft.Write{{Hard: &raft.Hard{Term: 2, Vote: "b"}}, {Entries: []raft.Entry{entryOf(2, 2)}}}); err != nil {
 			t.Fatal(err)
 		}
-		under := []accord.Write{{Hard: &accord.Hard{Term: 3}}, {Cut: 2, Entries: []accord.Entry{entryOf(2, 3), entryOf(3, 3)}}}
+		under := []raft.Write{{Hard: &raft.Hard{Term: 3}}, {Cut: 2, Entries: []raft.Entry{entryOf(2, 3), entryOf(3, 3)}}}
 		if err := disk.LosePower(under, rand.New(rand.NewSource(seed))); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/trial/edge.go
+++ b/internal/trial/edge.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 // Edge is one edge daemon.
 type Edge struct {
 	*Caller
-	term    accord.Term
+	term    raft.Term
 	rev     uint64
 	beating bool
 }
--- a/internal/trial/house.go
+++ b/internal/trial/house.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 const (
@@ -20,8 +20,8 @@
 )
 
 // newMembership is the real policy, as the settings ask for it.
-func (w *World) newMembership() (membership *accord.Membership) {
-	membership = accord.NewMembership(w.options.Losses, 0, w.options.CatchUp)
+func (w *World) newMembership() (membership *raft.Membership) {
+	membership = raft.NewMembership(w.options.Losses, 0, w.options.CatchUp)
 	if w.options.Plant == SlowStrike {
 		membership.Silence = slowTicks
 	}
@@ -33,17 +33,17 @@
 	return member
 }
 
-func (c *Core) memberOf(id accord.ID) (member accord.Member, known bool) {
+func (c *Core) memberOf(id raft.ID) (member raft.Member, known bool) {
 	for _, member = range c.raft.Members() {
 		if member.ID == id {
 			return member, true
 		}
 	}
-	return accord.Member{}, false
+	return raft.Member{}, false
 }
 
 func (c *Core) keepHouse() {
-	if c.raft.Role() != accord.Leader {
+	if c.raft.Role() != raft.Leader {
 		if !c.leavingNow && (!c.isMember() || c.ticks-c.heardAt > 18) && c.ticks%askTicks == 0 {
 			c.askToJoin()
 		}
@@ -55,7 +55,7 @@
 }
 
 // roll is what this leader sees of the members.
-func (c *Core) roll() (roll accord.Roll) {
+func (c *Core) roll() (roll raft.Roll) {
 	kept := c.joiners[:0]
 	for _, joiner := range c.joiners {
 		if c.ticks-joiner.at <= joinAge {
@@ -70,8 +70,8 @@
 		}
 	}
 	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = c.member.ID, c.ticks, c.raft.Members(), c.raft.CaughtUp
-	roll.Leaving = func(id accord.ID) bool { _, leaving := c.leaving[id]; return leaving }
-	roll.Silence = func(id accord.ID) int { ticks, _ := c.raft.Heard(id); return ticks }
+	roll.Leaving = func(id raft.ID) bool { _, leaving := c.leaving[id]; return leaving }
+	roll.Silence = func(id raft.ID) int { ticks, _ := c.raft.Heard(id); return ticks }
 	return roll
 }
 
@@ -81,7 +81,7 @@
 	if c.world.options.Plant == ShrinkFirst {
 		decision = c.shrink(roll, decision)
 	}
-	if decision.Move == accord.Stay {
+	if decision.Move == raft.Stay {
 		return
 	}
 	if accepted, out := c.raft.Change(decision.Next); accepted {
@@ -93,12 +93,12 @@
 }
 
 // shrink is the planted fault of a voter struck out with nobody for its place.
-func (c *Core) shrink(roll accord.Roll, usual accord.Decision) (decision accord.Decision) {
+func (c *Core) shrink(roll raft.Roll, usual raft.Decision) (decision raft.Decision) {
 	for i, member := range roll.Members {
 		if member.Voter && member.ID != roll.Self && roll.Silence(member.ID) > 12 {
 			c.membership.Wanted = 2
-			rest := append(append([]accord.Member(nil), roll.Members[:i]...), roll.Members[i+1:]...)
-			return accord.Decision{Move: accord.Remove, Member: member, Next: rest}
+			rest := append(append([]raft.Member(nil), roll.Members[:i]...), roll.Members[i+1:]...)
+			return raft.Decision{Move: raft.Remove, Member: member, Next: rest}
 		}
 	}
 	return usual
@@ -113,8 +113,8 @@
 	}
 }
 
-func (c *Core) takeJoiner(member accord.Member) {
-	if _, known := c.memberOf(member.ID); known || c.raft.Role() != accord.Leader || c.membership.Refuse(c.raft.Members(), member) != "" {
+func (c *Core) takeJoiner(member raft.Member) {
+	if _, known := c.memberOf(member.ID); known || c.raft.Role() != raft.Leader || c.membership.Refuse(c.raft.Members(), member) != "" {
 		return
 	}
 	waits := slices.ContainsFunc(c.joiners, func(j joiner) bool { return j.member.ID == member.ID })
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *Core) dropJoiner(id accord.ID) {
+func (c *Core) dropJoiner(id raft.ID) {
 	c.joiners = slices.DeleteFunc(c.joiners, func(j joiner) bool { return j.member.ID == id })
 }
 
@@ -155,7 +155,7 @@
 		}
 		c.world.agenda.After(leavePause, func() { ask(again) })
 		c.leavingNow = true
-		if c.raft.Role() == accord.Leader {
+		if c.raft.Role() == raft.Leader {
 			if !c.membership.Successor(c.roll(), c.member.ID) {
 				c.carry(c.at().Resign())
 				c.world.agenda.After(leavePause, end)
@@ -180,7 +180,7 @@
 }
 
 // partsWith notes a core that is about to end, and tells whether it may go now.
-func (c *Core) partsWith(id accord.ID) (now bool) {
+func (c *Core) partsWith(id raft.ID) (now bool) {
 	if !c.fresh() || c.leavingNow {
 		return false
 	}
@@ -198,7 +198,7 @@
 	return false
 }
 
-func membersText(members []accord.Member) (text string) {
+func membersText(members []raft.Member) (text string) {
 	for i, member := range members {
 		if i > 0 {
 			text += " "
--- a/internal/trial/lease.go
+++ b/internal/trial/lease.go
@@ -7,12 +7,12 @@
 import (
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 // Lease of one core.
 type Lease struct {
-	term  accord.Term
+	term  raft.Term
 	until time.Duration
 
 	// For the planted faults: the last round known, when that was, and the wall
@@ -20,7 +20,7 @@
 	sent, received, wall time.Duration
 }
 
-func (l *Lease) now(c *Core) (term accord.Term, until time.Duration) {
+func (l *Lease) now(c *Core) (term raft.Term, until time.Duration) {
 	if !c.raft.Settled() {
 		return 0, 0
 	}
@@ -28,7 +28,7 @@
 	if !known {
 		return c.raft.Term(), 0
 	}
-	span := time.Duration(accord.UsualPace().Lease()) * accord.TickSpan
+	span := time.Duration(raft.UsualPace().Lease()) * raft.TickSpan
 	if sent != l.sent {
 		l.sent, l.received, l.wall = sent, c.world.agenda.now, c.wall
 	}
--- a/internal/trial/network.go
+++ b/internal/trial/network.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 type way struct{ from, to *Core }
@@ -35,7 +35,7 @@
 }
 
 // post carries a message of the agreement.
-func (n *Network) post(from *Core, message accord.Message) {
+func (n *Network) post(from *Core, message raft.Message) {
 	copies, lost := 1, 0
 	if n.world.agenda.now < n.lossy {
 		lost = 20
--- a/internal/trial/order.go
+++ b/internal/trial/order.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"tinpin/internal/accord"
 	"tinpin/internal/policy"
+	"tinpin/internal/raft"
 )
 
 const unwritten = ""
@@ -27,23 +27,23 @@
 	return sort, rest
 }
 
-func (o Order) command() (command accord.Command) {
+func (o Order) command() (command raft.Command) {
 	sort, name := sortOf(o.history.name)
 	switch sort {
 	case "config":
-		return accord.Command{Kind: accord.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
+		return raft.Command{Kind: raft.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
 	case "document":
 		if o.call.content == unwritten {
-			return accord.Command{Kind: accord.CommandOrder, Site: name, Upto: o.call.version}
+			return raft.Command{Kind: raft.CommandOrder, Site: name, Upto: o.call.version}
 		}
-		return accord.Command{Kind: accord.CommandOrder, Site: name, Body: []byte(documentText(o.call))}
+		return raft.Command{Kind: raft.CommandOrder, Site: name, Body: []byte(documentText(o.call))}
 	case "evacuation":
 		if o.call.content == "active" {
-			return accord.Command{Kind: accord.CommandEvacuate, Site: name}
+			return raft.Command{Kind: raft.CommandEvacuate, Site: name}
 		}
-		return accord.Command{Kind: accord.CommandReturn, Site: name}
+		return raft.Command{Kind: raft.CommandReturn, Site: name}
 	}
-	return accord.Command{Kind: accord.CommandClaim, Claim: accord.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
+	return raft.Command{Kind: raft.CommandClaim, Claim: raft.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
 }
 
 func itemText(name string, call call, another bool) (text string) {
@@ -58,7 +58,7 @@
 }
 
 // look reads a register from the agreed state.
-func (h *History) look(state *accord.State) (seen told) {
+func (h *History) look(state *raft.State) (seen told) {
 	seen.outcome = confirmed
 	sort, name := sortOf(h.name)
 	switch sort {
@@ -105,13 +105,13 @@
 }
 
 // bend is what a planted fault makes of the outcome of a command.
-func (p Plant) bend(state *accord.State, command accord.Command, result accord.Result) (bent accord.Result) {
+func (p Plant) bend(state *raft.State, command raft.Command, result raft.Result) (bent raft.Result) {
 	switch {
-	case p == TwoContents && command.Kind == accord.CommandConfig:
+	case p == TwoContents && command.Kind == raft.CommandConfig:
 		result.Problem = ""
-	case p == TwoRuns && command.Kind == accord.CommandClaim:
+	case p == TwoRuns && command.Kind == raft.CommandClaim:
 		result.Granted = true
-	case p == ResentRefused && command.Kind == accord.CommandOrder && len(command.Body) > 0:
+	case p == ResentRefused && command.Kind == raft.CommandOrder && len(command.Body) > 0:
 		var version uint64
 		_, behind, _ := strings.Cut(string(command.Body), `"version":`)
 		number, _, _ := strings.Cut(behind, ",")
--- a/internal/trial/play.go
+++ b/internal/trial/play.go
@@ -8,7 +8,7 @@
 	"math/rand"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 // Verdict of one run.
@@ -89,7 +89,7 @@
 	if leader == nil {
 		return "nobody leads"
 	}
-	voters, cores, ids := 0, w.standing(), map[accord.ID]bool{}
+	voters, cores, ids := 0, w.standing(), map[raft.ID]bool{}
 	for _, core := range cores {
 		ids[core.member.ID] = true
 	}
@@ -101,7 +101,7 @@
 			voters++
 		}
 	}
-	if wanted := min(accord.Voters(w.options.Losses), len(cores)); voters != wanted {
+	if wanted := min(raft.Voters(w.options.Losses), len(cores)); voters != wanted {
 		return fmt.Sprintf("%d vote where %d should", voters, wanted)
 	}
 	for _, core := range cores {
--- a/internal/trial/strike.go
+++ b/internal/trial/strike.go
@@ -9,7 +9,7 @@
 	"math/rand"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 // leaveMost is three quarters of the time that a core has to end.
@@ -75,7 +75,7 @@
 	w := c.world
 	_ = c.disk.Close()
 	w.lives++
-	id, base := accord.ID(fmt.Sprintf("%s-%d", c.host, w.lives)), accord.Snapshot{}
+	id, base := raft.ID(fmt.Sprintf("%s-%d", c.host, w.lives)), raft.Snapshot{}
 	if w.options.Plant == RestartVotes {
 		id, base = c.disk.id, w.founding()
 	}
@@ -88,11 +88,11 @@
 }
 
 // founding is the planted fault's first snapshot, as if all started for the first time.
-func (w *World) founding() (base accord.Snapshot) {
-	base = accord.Snapshot{Index: 1, Term: 1}
+func (w *World) founding() (base raft.Snapshot) {
+	base = raft.Snapshot{Index: 1, Term: 1}
 	for i := range 3 {
 		host := fmt.Sprintf("core-%d", i)
-		base.Members = append(base.Members, accord.Member{ID: accord.ID("founder-" + host), Inner: host, Voter: true})
+		base.Members = append(base.Members, raft.Member{ID: raft.ID("founder-" + host), Inner: host, Voter: true})
 	}
 	return base
 }
@@ -199,7 +199,7 @@
 func (w *World) successor(span time.Duration) (core *Core) {
 	w.lives++
 	host := w.newHost()
-	core = w.addCore(host, accord.ID(fmt.Sprintf("%s-%d", host, w.lives)), accord.Snapshot{})
+	core = w.addCore(host, raft.ID(fmt.Sprintf("%s-%d", host, w.lives)), raft.Snapshot{})
 	core.lostAt = w.agenda.now
 	core.again(span)
 	return core
--- a/internal/trial/witness.go
+++ b/internal/trial/witness.go
@@ -7,38 +7,38 @@
 	"encoding/binary"
 	"hash/fnv"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 type place struct {
-	index accord.Index
-	term  accord.Term
+	index raft.Index
+	term  raft.Term
 }
 
 type voted struct {
-	id   accord.ID
-	term accord.Term
+	id   raft.ID
+	term raft.Term
 }
 
 type written struct {
 	mark   uint64
-	before accord.Term
+	before raft.Term
 }
 
 // Witness of one run.
 type Witness struct {
 	world   *World
-	leaders map[accord.Term]accord.ID
-	votes   map[voted]accord.ID
-	agreed  map[accord.Index]uint64
+	leaders map[raft.Term]raft.ID
+	votes   map[voted]raft.ID
+	agreed  map[raft.Index]uint64
 	logs    map[place]written
 }
 
 func newWitness(world *World) (witness *Witness) {
-	return &Witness{world: world, leaders: map[accord.Term]accord.ID{}, votes: map[voted]accord.ID{}, agreed: map[accord.Index]uint64{}, logs: map[place]written{}}
+	return &Witness{world: world, leaders: map[raft.Term]raft.ID{}, votes: map[voted]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[place]written{}}
 }
 
-func markOf(entry accord.Entry) (mark uint64) {
+func markOf(entry raft.Entry) (mark uint64) {
 	hash := fnv.New64a()
 	var term [8]byte
 	binary.BigEndian.PutUint64(term[:], uint64(entry.Term))
@@ -54,7 +54,7 @@
 }
 
 // Leads notes who leads a term.
-func (t *Witness) Leads(term accord.Term, id accord.ID) {
+func (t *Witness) Leads(term raft.Term, id raft.ID) {
 	other, known := t.leaders[term]
 	if known && other != id {
 		t.world.fail("one leader a term: in term %d lead %s and %s", term, other, id)
@@ -66,7 +66,7 @@
 }
 
 // Applied notes what a core takes as committed.
-func (t *Witness) Applied(host string, entry accord.Entry) {
+func (t *Witness) Applied(host string, entry raft.Entry) {
 	mark := markOf(entry)
 	if other, known := t.agreed[entry.Index]; known && other != mark {
 		t.world.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
@@ -75,17 +75,17 @@
 }
 
 // Restored notes a state that a core takes from a snapshot.
-func (t *Witness) Restored(host string, snapshot accord.Snapshot) {
+func (t *Witness) Restored(host string, snapshot raft.Snapshot) {
 	if _, known := t.agreed[snapshot.Index]; !known && snapshot.Index > 1 {
 		t.world.fail("only what is committed: %s takes a snapshot of %d, which nobody has applied", host, snapshot.Index)
 	}
 }
 
 // Wrote notes the entries that a core has put on its disk.
-func (t *Witness) Wrote(host string, writes []accord.Write) {
+func (t *Witness) Wrote(host string, writes []raft.Write) {
 	for _, write := range writes {
 		for i, entry := range write.Entries {
-			var before accord.Term
+			var before raft.Term
 			if i > 0 {
 				before = write.Entries[i-1].Term
 			}
@@ -95,7 +95,7 @@
 }
 
 // Loaded looks at the whole log that a core starts from.
-func (t *Witness) Loaded(host string, base accord.Snapshot, log []accord.Entry) {
+func (t *Witness) Loaded(host string, base raft.Snapshot, log []raft.Entry) {
 	before := base.Term
 	for _, entry := range log {
 		t.match(host, entry, before)
@@ -105,7 +105,7 @@
 
 // match holds a log to the matching property: a place and a term have one
 // entry, and one entry before it.
-func (t *Witness) match(host string, entry accord.Entry, before accord.Term) {
+func (t *Witness) match(host string, entry raft.Entry, before raft.Term) {
 	at := place{entry.Index, entry.Term}
 	mark := markOf(entry)
 	known, seen := t.logs[at]
@@ -121,25 +121,25 @@
 }
 
 // Sends looks at a message on its way out: what it says must be on disk.
-func (t *Witness) Sends(core *Core, message accord.Message) {
+func (t *Witness) Sends(core *Core, message raft.Message) {
 	switch message.Kind {
-	case accord.TellAppend:
+	case raft.TellAppend:
 		if message.Reject || message.Term != core.raft.Term() {
 			return
 		}
 		if !core.disk.Holds(message.Index, core.raft.TermAt(message.Index)) {
 			t.world.fail("told once it is on disk: %s tells that it holds %d, its disk ends at %d", core.host, message.Index, core.disk.Last())
 		}
-	case accord.TellVote:
+	case raft.TellVote:
 		if !message.Reject {
 			t.vote(core, message.Term, message.To)
 		}
-	case accord.AskVote:
+	case raft.AskVote:
 		t.vote(core, message.Term, core.member.ID)
 	}
 }
 
-func (t *Witness) vote(core *Core, term accord.Term, chosen accord.ID) {
+func (t *Witness) vote(core *Core, term raft.Term, chosen raft.ID) {
 	at := voted{core.member.ID, term}
 	if other, known := t.votes[at]; known && other != chosen {
 		t.world.fail("one vote a term: %s votes for %s and for %s in term %d", core.member.ID, other, chosen, term)
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"tinpin/internal/accord"
+	"tinpin/internal/raft"
 )
 
 const (
@@ -56,18 +56,18 @@
 func newWorld(seed int64, options Options, noted func(line string)) (w *World) {
 	w = &World{options: options, luck: rand.New(rand.NewSource(seed)), counts: map[outcome]int{}, noted: noted}
 	w.network, w.witness = newNetwork(w, w.branch()), newWitness(w)
-	var founders []accord.Member
+	var founders []raft.Member
 	for i := range options.Cores {
 		host := w.newHost()
 		if i < 3 {
-			founders = append(founders, accord.Member{ID: accord.ID("founder-" + host), Inner: host, Voter: true})
+			founders = append(founders, raft.Member{ID: raft.ID("founder-" + host), Inner: host, Voter: true})
 		}
 	}
 	for i := range options.Cores {
 		host := fmt.Sprintf("core-%d", i)
-		id, base := accord.ID(host+"-0"), accord.Snapshot{}
+		id, base := raft.ID(host+"-0"), raft.Snapshot{}
 		if i < 3 {
-			id, base = accord.ID("founder-"+host), accord.Snapshot{Index: 1, Term: 1, Members: founders}
+			id, base = raft.ID("founder-"+host), raft.Snapshot{Index: 1, Term: 1, Members: founders}
 		}
 		w.addCore(host, id, base).start()
 	}
@@ -96,12 +96,12 @@
 	return host
 }
 
-func (w *World) addCore(host string, id accord.ID, base accord.Snapshot) (core *Core) {
+func (w *World) addCore(host string, id raft.ID, base raft.Snapshot) (core *Core) {
 	disk, err := newDisk(id, base, w.options.Plant)
 	if err != nil {
 		w.fail("%v", err)
 	}
-	core = &Core{world: w, host: host, member: accord.Member{ID: id, Inner: host}, disk: disk, luck: w.branch()}
+	core = &Core{world: w, host: host, member: raft.Member{ID: id, Inner: host}, disk: disk, luck: w.branch()}
 	w.cores = append(w.cores, core)
 	return core
 }
