--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -18,7 +18,7 @@
 	"tinpin/internal/controller"
 	"tinpin/internal/diagnostics"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/passage"
+	"tinpin/internal/proxy"
 	"tinpin/internal/settings"
 )
 
@@ -210,7 +210,7 @@
 	log := eventlog.New(p.Name)
 	var running daemon
 	if role == "passage" {
-		running, err = passage.Start(p, log)
+		running, err = proxy.Start(p, log)
 	} else {
 		running, err = controller.Start(p, log)
 	}
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -17,7 +17,7 @@
 	"github.com/zeebo/errs"
 
 	"tinpin/internal/controller"
-	"tinpin/internal/passage"
+	"tinpin/internal/proxy"
 	"tinpin/internal/rpc"
 )
 
@@ -29,7 +29,7 @@
 // Fleet is what the daemons told.
 type Fleet struct {
 	Cores       []controller.CoreAccount `json:"cores"`
-	Fellows     []passage.Account        `json:"passages"`
+	Fellows     []proxy.Account          `json:"passages"`
 	Unreachable []string                 `json:"unreachable"`
 	inners      map[string]string
 }
@@ -98,7 +98,7 @@
 		addresses = append(addresses, fellow.Inner)
 	}
 	each(addresses, "Status.Tell", rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
-		var account passage.Account
+		var account proxy.Account
 		if callErr == nil {
 			callErr = json.Unmarshal(reply.JSON, &account)
 		}
--- a/internal/passage/account_test.go
+++ b/internal/proxy/account_test.go
@@ -1,4 +1,4 @@
-package passage_test
+package proxy_test
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 	"time"
 
 	"tinpin/internal/account"
-	"tinpin/internal/passage"
+	"tinpin/internal/proxy"
 	"tinpin/internal/stage"
 )
 
 // opened is a system whose daemons leave nothing out, and a way to play it.
-func opened(t *testing.T, first int) (play func(lapse passage.Lapse) account.Report) {
+func opened(t *testing.T, first int) (play func(lapse proxy.Lapse) account.Report) {
 	t.Helper()
 	hosts := stage.Hosts()
 	system, err := account.Open(func(n int) string { return hosts(first + n) })
@@ -21,7 +21,7 @@
 	}
 	t.Cleanup(system.Close)
 	options := account.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
-	return func(lapse passage.Lapse) (report account.Report) {
+	return func(lapse proxy.Lapse) (report account.Report) {
 		for _, edge := range system.Stage.Edges {
 			edge.Plant(lapse)
 		}
@@ -47,13 +47,13 @@
 func TestTheAccountFindsWhatIsPlanted(t *testing.T) {
 	play := opened(t, 170)
 	for name, c := range map[string]struct {
-		lapse passage.Lapse
+		lapse proxy.Lapse
 		found func(account.Line) int
 	}{
-		"a rested 421 without an id is proof": {passage.TrustNameless, func(l account.Line) int { return l.Repeats + l.Promises }},
-		"a reset of a rested stream is proof": {passage.RepeatReset, func(l account.Line) int { return l.Repeats + l.Promises }},
-		"a surplus answer is taken":           {passage.TakeSurplus, func(l account.Line) int { return l.Crossed }},
-		"the first of two ids counts":         {passage.FirstID, func(l account.Line) int { return l.Crossed }},
+		"a rested 421 without an id is proof": {proxy.TrustNameless, func(l account.Line) int { return l.Repeats + l.Promises }},
+		"a reset of a rested stream is proof": {proxy.RepeatReset, func(l account.Line) int { return l.Repeats + l.Promises }},
+		"a surplus answer is taken":           {proxy.TakeSurplus, func(l account.Line) int { return l.Crossed }},
+		"the first of two ids counts":         {proxy.FirstID, func(l account.Line) int { return l.Crossed }},
 	} {
 		found, plays := 0, 0
 		for ; plays < 10 && found == 0; plays++ {
--- a/internal/passage/batcher.go
+++ b/internal/proxy/batcher.go
@@ -4,7 +4,7 @@
 // answer did not come. What nobody waits for any more is not sent, and a call
 // says how long somebody waits for it. A reply that has not an answer for each
 // ask answers none: whose is whose would be a guess.
-package passage
+package proxy
 
 import "time"
 
--- a/internal/passage/batcher_test.go
+++ b/internal/proxy/batcher_test.go
@@ -1,4 +1,4 @@
-package passage
+package proxy
 
 import (
 	"testing"
--- a/internal/passage/budget.go
+++ b/internal/proxy/budget.go
@@ -3,7 +3,7 @@
 // fleet's and used only under a lease. A fifth of each is left unused, for
 // daemons that restart and forget what they sent. Where the operator has
 // written a limit on retries, it is asked as well, so the tighter of both holds.
-package passage
+package proxy
 
 import (
 	"sync"
--- a/internal/passage/carry.go
+++ b/internal/proxy/carry.go
@@ -1,7 +1,7 @@
 // Carry makes a request's plan and carries it out: the tenant's limit first,
 // before anything is taken; then the way; for a keyed way the claim, before
 // the request leaves; then the rounds.
-package passage
+package proxy
 
 import (
 	"math/rand"
--- a/internal/passage/choose.go
+++ b/internal/proxy/choose.go
@@ -3,7 +3,7 @@
 // told of its load or else by what this daemon has there, with a handicap for
 // each border crossed, since bytes over borders are dear and slow. A backend
 // that is cold is used only under a leased share of its cold rate.
-package passage
+package proxy
 
 import (
 	"math/rand"
--- a/internal/passage/daemon.go
+++ b/internal/proxy/daemon.go
@@ -2,7 +2,7 @@
 // carries requests to backends, probes what the shard map gives it, and keeps
 // its tie to the leader. This file puts its duties together and takes them
 // down in order.
-package passage
+package proxy
 
 import (
 	"context"
--- a/internal/passage/directions.go
+++ b/internal/proxy/directions.go
@@ -7,7 +7,7 @@
 // client gets a few of its own, which stay the same from answer to answer, since
 // clients drop streams to those an answer lacks; and one of another site among
 // them, since a client that knows its own site only is lost with it.
-package passage
+package proxy
 
 import (
 	"math/rand"
--- a/internal/passage/door.go
+++ b/internal/proxy/door.go
@@ -5,7 +5,7 @@
 // head lines of its own. A request that may not be repeated is taken up only
 // when all before it on the stream are answered, because an answer that closes
 // the stream tells the client that those behind it were not read.
-package passage
+package proxy
 
 import (
 	"bufio"
--- a/internal/passage/door_test.go
+++ b/internal/proxy/door_test.go
@@ -1,5 +1,5 @@
 // What a client's stream may not do to the requests behind it.
-package passage
+package proxy
 
 import (
 	"io"
--- a/internal/passage/habit.go
+++ b/internal/proxy/habit.go
@@ -3,7 +3,7 @@
 // been seen to forget it. A backend that forgets says nothing; whatever goes
 // out next on the stream is reset. So streams are retired before that age, and
 // the age is tried longer again once nothing was forgotten for a while.
-package passage
+package proxy
 
 import (
 	"strconv"
--- a/internal/passage/hollow.go
+++ b/internal/proxy/hollow.go
@@ -1,7 +1,7 @@
 // Hollow is a node without the traffic path: the real world, link and claims,
 // with no door, pools or probes. Many share a process, so that leaders can be
 // measured under more nodes than a machine could run.
-package passage
+package proxy
 
 import (
 	"time"
--- a/internal/passage/lane.go
+++ b/internal/proxy/lane.go
@@ -2,7 +2,7 @@
 // comes is read no faster than a part of the link, so that small answers find
 // their way between; the backend's own stream holds the rest back. All large
 // answers of a daemon share the one lane.
-package passage
+package proxy
 
 import (
 	"io"
--- a/internal/passage/lapse.go
+++ b/internal/proxy/lapse.go
@@ -1,6 +1,6 @@
 // A lapse is a check of a round that is left out. No daemon leaves one out: it
 // is planted by tests, which must find what comes of it.
-package passage
+package proxy
 
 // Lapse is a set of checks that are left out.
 type Lapse uint8
--- a/internal/passage/limits.go
+++ b/internal/proxy/limits.go
@@ -1,6 +1,6 @@
 // Limits admits requests of tenants under the fleet's bounds, with a bucket
 // per tenant that fills at this daemon's leased parts of the limit.
-package passage
+package proxy
 
 import (
 	"sync"
--- a/internal/passage/link.go
+++ b/internal/proxy/link.go
@@ -1,7 +1,7 @@
 // Link is this daemon's tie to the leader: beats out, news back, claims of
 // keys in batches, owners' reports. Without a leader it asks every core it
 // knows in turn and lets the rest of the daemon know that it is on its own.
-package passage
+package proxy
 
 import (
 	"math/rand"
--- a/internal/passage/orders.go
+++ b/internal/proxy/orders.go
@@ -2,7 +2,7 @@
 // comes with the news and is kept here for the request path, which asks it only
 // about backends under an order and hosts or services under a plan. Where no
 // leader is heard, the fellows are asked, since some of them may know more.
-package passage
+package proxy
 
 import (
 	"math/rand"
--- a/internal/passage/patience.go
+++ b/internal/proxy/patience.go
@@ -3,7 +3,7 @@
 // every answer late, and with one short wait it would ask for ever. So the wait
 // is long once nobody answered at all, for the stream to a core as for its answer,
 // and short again once a leader is heard.
-package passage
+package proxy
 
 import "time"
 
--- a/internal/passage/plan.go
+++ b/internal/proxy/plan.go
@@ -2,7 +2,7 @@
 // then carried out. After each round the plan says what comes next: another
 // round, only where the request is idempotent or proven not to have run; the
 // answer; or a problem, which promises that nothing ran only if that is so.
-package passage
+package proxy
 
 import (
 	"slices"
--- a/internal/passage/probe.go
+++ b/internal/proxy/probe.go
@@ -3,7 +3,7 @@
 // that the round was made, so that the cache can tell a stalled owner. Probes
 // go over the same pools as requests and are spread over the interval, which
 // grows with the size of the service for backends that are well.
-package passage
+package proxy
 
 import (
 	"errors"
--- a/internal/passage/round.go
+++ b/internal/proxy/round.go
@@ -6,7 +6,7 @@
 // without an id that the request was not run counts only on a fresh stream, where
 // it cannot belong to a request before. The codec is that of net/http; its
 // transport is not used, because it repeats requests on its own.
-package passage
+package proxy
 
 import (
 	"bufio"
--- a/internal/passage/round_test.go
+++ b/internal/proxy/round_test.go
@@ -1,5 +1,5 @@
 // What a round takes for an answer, for a proof, and for a right to send.
-package passage
+package proxy
 
 import (
 	"bufio"
--- a/internal/passage/server.go
+++ b/internal/proxy/server.go
@@ -2,7 +2,7 @@
 // platform and the state cache say of it, what was seen here, and the pool of
 // streams to it. What is seen here may only take a backend out for a while; it
 // never brings one up against the cache.
-package passage
+package proxy
 
 import (
 	"math"
--- a/internal/passage/sessions.go
+++ b/internal/proxy/sessions.go
@@ -3,7 +3,7 @@
 // what was asked for lately, or by asking the leader, who binds a new session
 // to the backend that its hash gives. While the leader cannot be asked the
 // request is refused, unless it may be repeated and the policy has it served.
-package passage
+package proxy
 
 import (
 	"hash/fnv"
--- a/internal/passage/status.go
+++ b/internal/proxy/status.go
@@ -1,5 +1,5 @@
 // Status is a passage daemon's account of itself for operators' tools.
-package passage
+package proxy
 
 import (
 	"encoding/json"
--- a/internal/passage/subset.go
+++ b/internal/proxy/subset.go
@@ -5,7 +5,7 @@
 // its own site: those that rank highest for it by hash. Every backend is in
 // equally many subsets, all daemons reckon alike, and a daemon more or less
 // moves only its own share. The others remain as a fallback.
-package passage
+package proxy
 
 import (
 	"tinpin/internal/healthcheck"
--- a/internal/passage/throttle.go
+++ b/internal/proxy/throttle.go
@@ -3,7 +3,7 @@
 // of requests that will be late, and sending fewer serves more in time. It
 // knows no capacity; it goes down from what was at work when answers turned
 // slow and feels its way up again. Requests of lower rank find it full sooner.
-package passage
+package proxy
 
 import (
 	"sync"
--- a/internal/passage/verdict.go
+++ b/internal/proxy/verdict.go
@@ -1,7 +1,7 @@
 // Verdict is the small value that says what a client is answered: a status,
 // the head lines and a body, or a problem from the closed table. Write is the
 // one place where it becomes bytes.
-package passage
+package proxy
 
 import (
 	"io"
--- a/internal/passage/world.go
+++ b/internal/proxy/world.go
@@ -1,7 +1,7 @@
 // World is what this daemon knows: the configuration, the backends by service,
 // the evacuated sites, the fellows and its leases. News and the daemon's own
 // reading change it in one place; requests read an unchanging scene of it.
-package passage
+package proxy
 
 import (
 	"maps"
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -16,8 +16,8 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/idempotency"
-	"tinpin/internal/passage"
 	"tinpin/internal/policy"
+	"tinpin/internal/proxy"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
@@ -177,7 +177,7 @@
 	if asked == nil {
 		return nil
 	}
-	addresses := passage.Directions(fellows, absent, nil, asked.weights, string(region), string(region), "")
+	addresses := proxy.Directions(fellows, absent, nil, asked.weights, string(region), string(region), "")
 	front := addresses[d.luck.Intn(len(addresses))]
 	for _, candidate := range d.edges {
 		if candidate.Front == front {
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -24,7 +24,7 @@
 
 	"tinpin/internal/controller"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/passage"
+	"tinpin/internal/proxy"
 	"tinpin/internal/settings"
 )
 
@@ -110,7 +110,7 @@
 // Stage is a running system.
 type Stage struct {
 	Cores     map[string]*controller.Council
-	Edges     map[string]*passage.Daemon
+	Edges     map[string]*proxy.Daemon
 	Backends  []*Backend
 	CoreProps []settings.Props
 	EdgeProps []settings.Props
@@ -175,7 +175,7 @@
 }
 
 func start(folder string, hosts func(n int) string, backends []*Backend, directory bool) (stage *Stage, err error) {
-	stage = &Stage{Cores: map[string]*controller.Council{}, Edges: map[string]*passage.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
+	stage = &Stage{Cores: map[string]*controller.Council{}, Edges: map[string]*proxy.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
 	platform := hosts(30) + ":18169"
 	if stage.platform, err = serve(platform, http.HandlerFunc(stage.list)); err != nil {
 		return nil, err
@@ -221,7 +221,7 @@
 // AddEdge sets up one edge more.
 func (s *Stage) AddEdge() (err error) {
 	p := s.edge(len(s.EdgeProps) + 1)
-	edge, err := passage.Start(p, eventlog.Quiet())
+	edge, err := proxy.Start(p, eventlog.Quiet())
 	if err != nil {
 		return err
 	}
--- a/internal/strain/worker.go
+++ b/internal/strain/worker.go
@@ -16,7 +16,7 @@
 
 	"tinpin/internal/controller"
 	"tinpin/internal/eventlog"
-	"tinpin/internal/passage"
+	"tinpin/internal/proxy"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
@@ -63,13 +63,13 @@
 	if err = task(lines, &t); err != nil {
 		return err
 	}
-	nodes := make([]atomic.Pointer[passage.Hollow], t.Count)
+	nodes := make([]atomic.Pointer[proxy.Hollow], t.Count)
 	begin := func(i int) {
 		p := t.Props
 		p.Name = fmt.Sprintf("node-%05d", t.First+i)
 		p.Site = fmt.Sprint("z", (t.First+i)%3)
 		p.Region = p.Regions[p.Site]
-		nodes[i].Store(passage.StartHollow(p, rpc.Life(rand.Uint64())))
+		nodes[i].Store(proxy.StartHollow(p, rpc.Life(rand.Uint64())))
 	}
 	for i := range nodes {
 		begin(i)
