--- a/cmd/tinpin-account/main.go
+++ b/cmd/tinpin-account/main.go
@@ -14,7 +14,7 @@
 	"syscall"
 
 	"tinpin/internal/account"
-	"tinpin/internal/stage"
+	"tinpin/internal/localcluster"
 )
 
 const usage = `tinpin-account accounts for every run and every answer, on loopback
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	system, err := account.Open(stage.Hosts())
+	system, err := account.Open(localcluster.Hosts())
 	if err != nil {
 		return wrong(err, 1)
 	}
--- a/cmd/tinpin-local/main.go
+++ b/cmd/tinpin-local/main.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"tinpin/internal/stage"
+	"tinpin/internal/localcluster"
 )
 
 func main() {
@@ -33,13 +33,13 @@
 	defer func() { _ = os.RemoveAll(folder) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	system, err := stage.Start(folder, stage.Hosts())
+	system, err := localcluster.Start(folder, localcluster.Hosts())
 	if err != nil {
 		return err
 	}
 	defer system.Close()
 	fmt.Println("3 accord and 2 passage daemons started")
-	if _, _, err = system.Operator(ctx, "POST", "/-/Config.Update", stage.FirstCall); err != nil {
+	if _, _, err = system.Operator(ctx, "POST", "/-/Config.Update", localcluster.FirstCall); err != nil {
 		return err
 	}
 	fmt.Println("configuration acknowledged")
--- a/internal/account/play.go
+++ b/internal/account/play.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"tinpin/internal/stage"
+	"tinpin/internal/localcluster"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // System on loopback.
 type System struct {
-	Stage    *stage.Stage
+	Stage    *localcluster.Stage
 	folder   string
 	backends []*backend
 }
@@ -56,16 +56,16 @@
 	if system.folder, err = os.MkdirTemp("", "tinpin-account-"); err != nil {
 		return system, Class.Wrap(err)
 	}
-	var listed []*stage.Backend
+	var listed []*localcluster.Backend
 	for n := range 6 {
 		b, openErr := open(fmt.Sprint("i-", n+1), hosts(40+n)+":18080")
 		if openErr != nil {
 			return system, openErr
 		}
 		system.backends = append(system.backends, b)
-		listed = append(listed, &stage.Backend{ID: b.id, Service: services[n%2], Address: b.listener.Addr().String(), Site: stage.Site, Server: b})
+		listed = append(listed, &localcluster.Backend{ID: b.id, Service: services[n%2], Address: b.listener.Addr().String(), Site: localcluster.Site, Server: b})
 	}
-	if system.Stage, err = stage.StartWith(system.folder, hosts, listed); err != nil {
+	if system.Stage, err = localcluster.StartWith(system.folder, hosts, listed); err != nil {
 		return system, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
--- a/internal/stage/orders_test.go
+++ b/internal/localcluster/orders_test.go
@@ -1,4 +1,4 @@
-package stage
+package localcluster
 
 import (
 	"bytes"
--- a/internal/stage/stage.go
+++ b/internal/localcluster/stage.go
@@ -2,7 +2,7 @@
 // stand-ins for the platform and the backends, for a first look and for tests
 // from end to end. The daemons are the real ones; only what lies outside
 // tinpin is made up here, after the published protocol.
-package stage
+package localcluster
 
 import (
 	"bytes"
--- a/internal/proxy/account_test.go
+++ b/internal/proxy/account_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"tinpin/internal/account"
+	"tinpin/internal/localcluster"
 	"tinpin/internal/proxy"
-	"tinpin/internal/stage"
 )
 
 // opened is a system whose daemons leave nothing out, and a way to play it.
 func opened(t *testing.T, first int) (play func(lapse proxy.Lapse) account.Report) {
 	t.Helper()
-	hosts := stage.Hosts()
+	hosts := localcluster.Hosts()
 	system, err := account.Open(func(n int) string { return hosts(first + n) })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/strain/path.go
+++ b/internal/strain/path.go
@@ -10,7 +10,7 @@
 	"sort"
 	"time"
 
-	"tinpin/internal/stage"
+	"tinpin/internal/localcluster"
 )
 
 // PathPoint is what requests took, in milliseconds at percentiles.
@@ -43,12 +43,12 @@
 	defer func() { _ = os.RemoveAll(folder) }()
 	ctx, cancel := context.WithTimeout(context.Background(), settleMost)
 	defer cancel()
-	system, err := stage.Start(folder, stage.Hosts())
+	system, err := localcluster.Start(folder, localcluster.Hosts())
 	if err != nil {
 		return point, Class.Wrap(err)
 	}
 	defer system.Close()
-	if _, _, err = system.Operator(ctx, http.MethodPost, "/-/Config.Update", stage.FirstCall); err != nil {
+	if _, _, err = system.Operator(ctx, http.MethodPost, "/-/Config.Update", localcluster.FirstCall); err != nil {
 		return point, Class.Wrap(err)
 	}
 	if err = system.Ready(ctx); err != nil {
@@ -59,7 +59,7 @@
 		var times []time.Duration
 		for n := 0; n < requests+requests/10+1; n++ {
 			begun := time.Now()
-			status, askErr := stage.AskAs(ctx, front, http.MethodGet, "/hello/x", "", "")
+			status, askErr := localcluster.AskAs(ctx, front, http.MethodGet, "/hello/x", "", "")
 			if askErr != nil || status != http.StatusOK {
 				return point, Class.New("%s: %d %v", way, status, askErr)
 			}
