--- a/cmd/tinpin-load/main.go
+++ b/cmd/tinpin-load/main.go
@@ -14,7 +14,7 @@
 	"text/tabwriter"
 	"time"
 
-	"tinpin/internal/strain"
+	"tinpin/internal/loadtest"
 )
 
 const usage = `tinpin-load measures the control side of tinpin on this machine
@@ -35,10 +35,10 @@
 
 // report is what is printed as JSON.
 type report struct {
-	Commit string                `json:"commit"`
-	Points []strain.Point        `json:"points,omitempty"`
-	Fits   map[string]strain.Fit `json:"fits,omitempty"`
-	Path   *strain.PathPoint     `json:"path,omitempty"`
+	Commit string                  `json:"commit"`
+	Points []loadtest.Point        `json:"points,omitempty"`
+	Fits   map[string]loadtest.Fit `json:"fits,omitempty"`
+	Path   *loadtest.PathPoint     `json:"path,omitempty"`
 }
 
 func run(args []string, in io.Reader, out, bad io.Writer) (code int) {
@@ -47,17 +47,17 @@
 		return 2
 	}
 	if len(args) == 1 {
-		if known, err := strain.Work(args[0], in, out); known {
+		if known, err := loadtest.Work(args[0], in, out); known {
 			if err != nil {
 				return wrong(err)
 			}
 			return 0
 		}
 	}
-	size := strain.Usual
+	size := loadtest.Usual
 	set := flag.NewFlagSet("tinpin-load", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
-	for _, name := range strain.Names {
+	for _, name := range loadtest.Names {
 		set.IntVar(size.At(name), name, *size.At(name), "")
 	}
 	span := set.Duration("span", 5*time.Second, "")
@@ -76,16 +76,16 @@
 		return wrong(fmt.Errorf("what is %q? see 'tinpin-load -help'", set.Arg(0)))
 	}
 	if *reckon != "" {
-		sweeps, err := strain.Sweeps(*reckon)
+		sweeps, err := loadtest.Sweeps(*reckon)
 		if err != nil {
 			return wrong(err)
 		}
-		_, _ = io.WriteString(out, strain.Table(sweeps))
+		_, _ = io.WriteString(out, loadtest.Table(sweeps))
 		return 0
 	}
 	told := report{Commit: commit()}
 	if *path != 0 {
-		point, err := strain.MeasurePath(*path)
+		point, err := loadtest.MeasurePath(*path)
 		if err != nil {
 			return wrong(err)
 		}
@@ -107,7 +107,7 @@
 		return wrong(err)
 	}
 	for _, each := range sizes {
-		point, measureErr := strain.Measure(program, each, *span)
+		point, measureErr := loadtest.Measure(program, each, *span)
 		if measureErr != nil {
 			_, _ = fmt.Fprintln(bad, "tinpin-load:", measureErr)
 			return 1
@@ -116,15 +116,15 @@
 		told.Points = append(told.Points, point)
 	}
 	if name != "" && len(told.Points) > 1 {
-		told.Fits = strain.Fits(name, told.Points)
+		told.Fits = loadtest.Fits(name, told.Points)
 	}
 	return tell(told, *asJSON, out)
 }
 
 // varied makes the sizes of a measurement.
-func varied(size strain.Size, text string) (sizes []strain.Size, name string, err error) {
+func varied(size loadtest.Size, text string) (sizes []loadtest.Size, name string, err error) {
 	if text == "" {
-		return []strain.Size{size}, "", nil
+		return []loadtest.Size{size}, "", nil
 	}
 	name, values, _ := strings.Cut(text, "=")
 	if size.At(name) == nil {
@@ -189,15 +189,15 @@
 		}
 	}
 	if len(told.Points) > 0 {
-		_, _ = fmt.Fprintln(table, strings.Join(strain.Names, "\t")+"\tleader cpu\tMB\tfollower cpu\tMB\tnode cpu\tMB\tin B/s\tout B/s\tstart B/node\tchange ms\tdone/s")
+		_, _ = fmt.Fprintln(table, strings.Join(loadtest.Names, "\t")+"\tleader cpu\tMB\tfollower cpu\tMB\tnode cpu\tMB\tin B/s\tout B/s\tstart B/node\tchange ms\tdone/s")
 	}
 	for _, p := range told.Points {
-		for _, name := range strain.Names {
+		for _, name := range loadtest.Names {
 			_, _ = fmt.Fprintf(table, "%d\t", *p.Size.At(name))
 		}
 		_, _ = fmt.Fprintf(table, "%.4f\t%.1f\t%.4f\t%.1f\t%.6f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n", p.LeaderCPU, p.LeaderMB, p.FollowerCPU, p.FollowerMB, p.NodeCPU, p.NodeMB, p.LeaderIn, p.LeaderOut, p.StartOut, p.ChangeMS, p.Done)
 	}
-	for _, figure := range strain.Figures {
+	for _, figure := range loadtest.Figures {
 		if fit, known := told.Fits[figure.Name]; known {
 			_, _ = fmt.Fprintf(table, "%s\t%.6g\t+ %.6g each\toff by %.3g at most\n", figure.Name, fit.Base, fit.Slope, fit.Residual)
 		}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -15,11 +15,11 @@
 	"tinpin/internal/config"
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/loadtest"
 	"tinpin/internal/retry"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 	"tinpin/internal/settings"
-	"tinpin/internal/strain"
 )
 
 func page(t *testing.T, name string) (text string) {
@@ -200,11 +200,11 @@
 
 // The totals of the capacity page are those of the points that are kept.
 func TestCapacityIsReckonedFromItsPoints(t *testing.T) {
-	sweeps, err := strain.Sweeps("../../docs/capacity")
+	sweeps, err := loadtest.Sweeps("../../docs/capacity")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if table := strain.Table(sweeps); !strings.Contains(page(t, "docs/CAPACITY.md"), table) {
+	if table := loadtest.Table(sweeps); !strings.Contains(page(t, "docs/CAPACITY.md"), table) {
 		t.Errorf("docs/CAPACITY.md does not hold what 'tinpin-load -reckon docs/capacity' prints:\n%s", table)
 	}
 }
--- a/internal/strain/measure.go
+++ b/internal/loadtest/measure.go
@@ -1,6 +1,6 @@
 // Measure sets a system of one size up, lets it settle, measures it for a span
 // and takes it down.
-package strain
+package loadtest
 
 import (
 	"context"
--- a/internal/strain/path.go
+++ b/internal/loadtest/path.go
@@ -1,6 +1,6 @@
 // Path measures what the request path adds: the same requests one after the
 // other to a stand-in backend directly and through an edge, on loopback.
-package strain
+package loadtest
 
 import (
 	"context"
--- a/internal/strain/point.go
+++ b/internal/loadtest/point.go
@@ -1,5 +1,5 @@
 // Point is what one measurement gave, Fit a straight line through several.
-package strain
+package loadtest
 
 import "math"
 
--- a/internal/strain/reckon.go
+++ b/internal/loadtest/reckon.go
@@ -2,7 +2,7 @@
 // run: each figure is what it was at the usual size and, for each variable, its
 // slope times what the target has more. Products of two variables are left out,
 // which docs/CAPACITY.md says where they matter.
-package strain
+package loadtest
 
 import (
 	"encoding/json"
--- a/internal/strain/size.go
+++ b/internal/loadtest/size.go
@@ -3,7 +3,7 @@
 // by the real code without carrying traffic, many in a process. It talks to
 // loopback only, is bounded in time, processes and memory, and stops by itself.
 // This file is the size of one measurement and its bounds.
-package strain
+package loadtest
 
 import (
 	"fmt"
--- a/internal/strain/strain_test.go
+++ b/internal/loadtest/strain_test.go
@@ -1,4 +1,4 @@
-package strain
+package loadtest
 
 import (
 	"fmt"
--- a/internal/strain/worker.go
+++ b/internal/loadtest/worker.go
@@ -1,7 +1,7 @@
 // The words of the processes that a measurement starts: "core" runs one core,
 // "nodes" many hollow nodes. Each reads its task as one line, then words, and
 // ends with its input.
-package strain
+package loadtest
 
 import (
 	"bufio"
