--- a/cmd/tinpin-account/main.go
+++ b/cmd/tinpin-account/main.go
@@ -13,7 +13,7 @@
 	"os/signal"
 	"syscall"
 
-	"tinpin/internal/account"
+	"tinpin/internal/faulttest"
 	"tinpin/internal/localcluster"
 )
 
@@ -36,7 +36,7 @@
 		_, _ = fmt.Fprintln(bad, "tinpin-account:", err)
 		return code
 	}
-	options := account.Usual
+	options := faulttest.Usual
 	set := flag.NewFlagSet("tinpin-account", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	set.IntVar(&options.Rounds, "rounds", options.Rounds, "")
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	system, err := account.Open(localcluster.Hosts())
+	system, err := faulttest.Open(localcluster.Hosts())
 	if err != nil {
 		return wrong(err, 1)
 	}
--- a/internal/account/account_test.go
+++ b/internal/faulttest/account_test.go
@@ -1,4 +1,4 @@
-package account
+package faulttest
 
 import (
 	"strings"
--- a/internal/account/backend.go
+++ b/internal/faulttest/backend.go
@@ -1,6 +1,6 @@
 // A stand-in for a backend: it speaks the published protocol but for the troubles
 // that it draws, and notes each run in the ledger before it answers.
-package account
+package faulttest
 
 import (
 	"bufio"
--- a/internal/account/client.go
+++ b/internal/faulttest/client.go
@@ -1,6 +1,6 @@
 // A client sends its rounds over kept streams, tries again as clients do, and
 // notes what it was told.
-package account
+package faulttest
 
 import (
 	"bufio"
--- a/internal/account/ledger.go
+++ b/internal/faulttest/ledger.go
@@ -1,6 +1,6 @@
 // The ledger holds what happened to each request by its id: how often it ran, as
 // its backend knows, and what its client was told.
-package account
+package faulttest
 
 import (
 	"fmt"
--- a/internal/account/options.go
+++ b/internal/faulttest/options.go
@@ -4,7 +4,7 @@
 // client. What does not agree is a mismatch: a repeat of what may not be
 // repeated, a promise that was broken, an answer that is another's, a success
 // without a run, a try that ended without an answer.
-package account
+package faulttest
 
 import (
 	"runtime"
--- a/internal/account/play.go
+++ b/internal/faulttest/play.go
@@ -1,6 +1,6 @@
 // System is the daemons and the stand-ins; a play sends rounds through it and
 // balances its ledger once nothing is at work any more.
-package account
+package faulttest
 
 import (
 	"context"
--- a/internal/proxy/account_test.go
+++ b/internal/proxy/account_test.go
@@ -6,22 +6,22 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/account"
+	"tinpin/internal/faulttest"
 	"tinpin/internal/localcluster"
 	"tinpin/internal/proxy"
 )
 
 // opened is a system whose daemons leave nothing out, and a way to play it.
-func opened(t *testing.T, first int) (play func(lapse proxy.Lapse) account.Report) {
+func opened(t *testing.T, first int) (play func(lapse proxy.Lapse) faulttest.Report) {
 	t.Helper()
 	hosts := localcluster.Hosts()
-	system, err := account.Open(func(n int) string { return hosts(first + n) })
+	system, err := faulttest.Open(func(n int) string { return hosts(first + n) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(system.Close)
-	options := account.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
-	return func(lapse proxy.Lapse) (report account.Report) {
+	options := faulttest.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
+	return func(lapse proxy.Lapse) (report faulttest.Report) {
 		for _, edge := range system.Stage.Edges {
 			edge.Plant(lapse)
 		}
@@ -48,12 +48,12 @@
 	play := opened(t, 170)
 	for name, c := range map[string]struct {
 		lapse proxy.Lapse
-		found func(account.Line) int
+		found func(faulttest.Line) int
 	}{
-		"a rested 421 without an id is proof": {proxy.TrustNameless, func(l account.Line) int { return l.Repeats + l.Promises }},
-		"a reset of a rested stream is proof": {proxy.RepeatReset, func(l account.Line) int { return l.Repeats + l.Promises }},
-		"a surplus answer is taken":           {proxy.TakeSurplus, func(l account.Line) int { return l.Crossed }},
-		"the first of two ids counts":         {proxy.FirstID, func(l account.Line) int { return l.Crossed }},
+		"a rested 421 without an id is proof": {proxy.TrustNameless, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
+		"a reset of a rested stream is proof": {proxy.RepeatReset, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
+		"a surplus answer is taken":           {proxy.TakeSurplus, func(l faulttest.Line) int { return l.Crossed }},
+		"the first of two ids counts":         {proxy.FirstID, func(l faulttest.Line) int { return l.Crossed }},
 	} {
 		found, plays := 0, 0
 		for ; plays < 10 && found == 0; plays++ {
