--- a/cmd/tinpin-trial/main.go
+++ b/cmd/tinpin-trial/main.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"tinpin/internal/trial"
+	"tinpin/internal/simulation"
 )
 
 const usage = `tinpin-trial plays the control side of tinpin by seed, in simulated time, and checks it
@@ -40,8 +40,8 @@
 
 // trialCall is what the command line asks for.
 type trialCall struct {
-	options trial.Options
-	seeds   trial.Range
+	options simulation.Options
+	seeds   simulation.Range
 	kinds   string
 	plant   string
 	replay  string
@@ -52,7 +52,7 @@
 }
 
 func read(args []string, bad io.Writer) (call trialCall, err error) {
-	call.options = trial.Usual()
+	call.options = simulation.Usual()
 	set := flag.NewFlagSet("tinpin-trial", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	set.IntVar(&call.seeds.Seeds, "seeds", 100, "how many seeds are played")
@@ -82,16 +82,19 @@
 		return call, err
 	}
 	if set.NArg() > 0 {
-		return call, trial.Class.New("unexpected %q", set.Arg(0))
+		return call, simulation.Class.New("unexpected %q", set.Arg(0))
 	}
 	var faults []string
 	for _, check := range []func() error{
 		call.options.Check,
 		call.seeds.Check,
-		func() (kindErr error) { call.options.Troubles, kindErr = trial.ReadKinds(call.kinds); return kindErr },
+		func() (kindErr error) {
+			call.options.Troubles, kindErr = simulation.ReadKinds(call.kinds)
+			return kindErr
+		},
 		func() error {
-			if call.plant != "" && call.plant != "all" && !trial.Plant(call.plant).Known() {
-				return trial.Class.New("unknown planted fault %q", call.plant)
+			if call.plant != "" && call.plant != "all" && !simulation.Plant(call.plant).Known() {
+				return simulation.Class.New("unknown planted fault %q", call.plant)
 			}
 			return nil
 		},
@@ -101,7 +104,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		return call, trial.Class.New("%s", strings.Join(faults, "; "))
+		return call, simulation.Class.New("%s", strings.Join(faults, "; "))
 	}
 	return call, nil
 }
@@ -132,19 +135,19 @@
 
 func list(out io.Writer) {
 	_, _ = fmt.Fprintln(out, "troubles:")
-	for _, known := range trial.KindTexts {
+	for _, known := range simulation.KindTexts {
 		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Kind, known.Text)
 	}
 	_, _ = fmt.Fprintln(out, "planted faults:")
-	for _, known := range trial.PlantTexts {
+	for _, known := range simulation.PlantTexts {
 		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Plant, known.Text)
 	}
 }
 
 // progress tells now and then how far a hunt is.
-func (c trialCall) progress(bad io.Writer, what string) (told func(report trial.Report)) {
+func (c trialCall) progress(bad io.Writer, what string) (told func(report simulation.Report)) {
 	last := time.Now()
-	return func(report trial.Report) {
+	return func(report simulation.Report) {
 		if c.quiet || time.Since(last) < 5*time.Second {
 			return
 		}
@@ -154,7 +157,7 @@
 }
 
 func (c trialCall) hunt(out, bad io.Writer) (code int, err error) {
-	report := trial.Hunt(c.options, c.seeds, c.progress(bad, ""))
+	report := simulation.Hunt(c.options, c.seeds, c.progress(bad, ""))
 	if c.json {
 		err = print(out, report)
 	} else {
@@ -168,12 +171,12 @@
 	}
 	kept := map[string]bool{}
 	for _, verdict := range report.Broken {
-		check := trial.CheckOf(verdict.Broken)
+		check := simulation.CheckOf(verdict.Broken)
 		if kept[check] || len(kept) == casesMost {
 			continue
 		}
 		kept[check] = true
-		short := trial.CaseOf(verdict, c.options).Shorten(time.Minute)
+		short := simulation.CaseOf(verdict, c.options).Shorten(time.Minute)
 		path := filepath.Join(c.keep, fmt.Sprintf("trial-%d.json", verdict.Seed))
 		if err = short.Write(path); err != nil {
 			return 1, err
@@ -184,13 +187,13 @@
 }
 
 func (c trialCall) seek(out, bad io.Writer) (code int) {
-	plants := trial.Plants()
+	plants := simulation.Plants()
 	if c.plant != "all" {
-		plants = []trial.Plant{trial.Plant(c.plant)}
+		plants = []simulation.Plant{simulation.Plant(c.plant)}
 	}
-	var finds []trial.Find
+	var finds []simulation.Find
 	for _, plant := range plants {
-		find := trial.Seek(plant, c.options, c.seeds, c.progress(bad, string(plant)+": "))
+		find := simulation.Seek(plant, c.options, c.seeds, c.progress(bad, string(plant)+": "))
 		finds = append(finds, find)
 		if !find.Found {
 			code = 1
@@ -200,12 +203,12 @@
 		_ = print(out, finds)
 		return code
 	}
-	trial.FindTable(out, finds)
+	simulation.FindTable(out, finds)
 	return code
 }
 
 func (c trialCall) again(out io.Writer) (code int, err error) {
-	kept, err := trial.ReadCase(c.replay)
+	kept, err := simulation.ReadCase(c.replay)
 	if err != nil {
 		return 0, err
 	}
@@ -230,8 +233,8 @@
 func print(out io.Writer, what any) (err error) {
 	data, err := json.MarshalIndent(what, "", " ")
 	if err != nil {
-		return trial.Class.Wrap(err)
+		return simulation.Class.Wrap(err)
 	}
 	_, err = fmt.Fprintln(out, string(data))
-	return trial.Class.Wrap(err)
+	return simulation.Class.Wrap(err)
 }
--- a/cmd/tinpin-trial/main_test.go
+++ b/cmd/tinpin-trial/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"tinpin/internal/trial"
+	"tinpin/internal/simulation"
 )
 
 func TestCallsThatCannotBeCarriedOut(t *testing.T) {
@@ -48,7 +48,7 @@
 		t.Error(code, out.String(), bad.String())
 	}
 	out.Reset()
-	var report trial.Report
+	var report simulation.Report
 	if code := run(strings.Fields("-seeds 2 -length 3s -parallel 2 -quiet -json"), &out, &bad); code != 0 || json.Unmarshal(out.Bytes(), &report) != nil || report.Played != 2 || report.Steps == 0 {
 		t.Error(code, out.String(), bad.String())
 	}
@@ -59,11 +59,11 @@
 }
 
 func TestAKeptCaseReplays(t *testing.T) {
-	options := trial.Usual()
-	options.Length, options.Plant = 4_000_000_000, trial.TwoRuns
-	verdict := trial.Play(1, options)
+	options := simulation.Usual()
+	options.Length, options.Plant = 4_000_000_000, simulation.TwoRuns
+	verdict := simulation.Play(1, options)
 	path := filepath.Join(t.TempDir(), "case.json")
-	if err := trial.CaseOf(verdict, options).Write(path); err != nil {
+	if err := simulation.CaseOf(verdict, options).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	var out, bad bytes.Buffer
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, kind := range trial.Kinds() {
+	for _, kind := range simulation.Kinds() {
 		if !strings.Contains(string(data), "`"+string(kind)+"`") {
 			t.Errorf("%s is not on the page", kind)
 		}
--- a/internal/trial/caller.go
+++ b/internal/simulation/caller.go
@@ -1,7 +1,7 @@
 // Caller asks cores as operators and edges do: it follows where it is sent,
 // goes on to another core where it hears nothing or nothing clear, and gives
 // an order up after a time. What it asked and was told is kept as history.
-package trial
+package simulation
 
 import (
 	"math/rand"
--- a/internal/trial/case.go
+++ b/internal/simulation/case.go
@@ -1,6 +1,6 @@
 // Case is a run that broke, as it is kept in a file: it replays step by step,
 // and it is made shorter as far as it still breaks in the same check.
-package trial
+package simulation
 
 import (
 	"encoding/json"
--- a/internal/trial/core.go
+++ b/internal/simulation/core.go
@@ -2,7 +2,7 @@
 // agreement, carries its messages, has its disk write, applies what is
 // committed to the real state, puts wishes together, cuts the log and keeps
 // house. While it is frozen what comes to it waits; its steady clock runs on.
-package trial
+package simulation
 
 import (
 	"math/rand"
--- a/internal/trial/desk.go
+++ b/internal/simulation/desk.go
@@ -1,6 +1,6 @@
 // The desk of a core: what callers ask of it, answered as the council and the
 // forum do.
-package trial
+package simulation
 
 import "tinpin/internal/raft"
 
--- a/internal/trial/disk.go
+++ b/internal/simulation/disk.go
@@ -2,7 +2,7 @@
 // that keeps only what was synced when power is lost, and then perhaps a part
 // of the record that was being written. Beside it stands what the disk must
 // hold, so that what is read back can be held against what was written.
-package trial
+package simulation
 
 import (
 	"io"
--- a/internal/trial/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"math/rand"
--- a/internal/trial/edge.go
+++ b/internal/simulation/edge.go
@@ -1,6 +1,6 @@
 // Edge beats to the leader and follows its term and the place of its news,
 // which only go forward, and claims keys.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/internal/trial/history.go
+++ b/internal/simulation/history.go
@@ -4,7 +4,7 @@
 // call without a clear answer may have been carried out at any time since, or
 // never. A number that was confirmed for one content is confirmed for no other,
 // what was taken is never refused, and a key has one run.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/internal/trial/house.go
+++ b/internal/simulation/house.go
@@ -1,7 +1,7 @@
 // Keeping house in simulated time: the leader asks the real policy which
 // change of members is due; a core that is no member asks to become one, and
 // one that is asked to stop asks to be taken out.
-package trial
+package simulation
 
 import (
 	"slices"
--- a/internal/trial/hunt.go
+++ b/internal/simulation/hunt.go
@@ -1,5 +1,5 @@
 // Hunt plays many seeds side by side and gathers what broke.
-package trial
+package simulation
 
 import (
 	"cmp"
--- a/internal/trial/lease.go
+++ b/internal/simulation/lease.go
@@ -2,7 +2,7 @@
 // kept as a node keeps it: taken back before anything is sent that lets another
 // lead, renewed once all that is committed was applied, and looked at when an
 // answer is made.
-package trial
+package simulation
 
 import (
 	"time"
--- a/internal/trial/network.go
+++ b/internal/simulation/network.go
@@ -1,6 +1,6 @@
 // Network carries messages between cores and calls to them. Links are cut one
 // way or both; what is under way through a cut may come late, once it heals.
-package trial
+package simulation
 
 import (
 	"math/rand"
--- a/internal/trial/operator.go
+++ b/internal/simulation/operator.go
@@ -1,6 +1,6 @@
 // Operator changes items, documents and evacuations, often at one time with
 // others and under one version, sends orders again, and reads back.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/internal/trial/options.go
+++ b/internal/simulation/options.go
@@ -1,5 +1,5 @@
 // Options say what is played, and which sizes are refused.
-package trial
+package simulation
 
 import (
 	"strings"
--- a/internal/trial/order.go
+++ b/internal/simulation/order.go
@@ -1,6 +1,6 @@
 // Order is what an operator wants done to one register, as the command that
 // brings it about in the real state, and how the register is read there.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/internal/trial/plant.go
+++ b/internal/simulation/plant.go
@@ -1,7 +1,7 @@
 // Plant is a fault that the trial puts in on purpose, so as to show that its
 // checks find it. Each is brought about in the trial, on the way between the
 // real machines and what drives them; no daemon can be set to any of them.
-package trial
+package simulation
 
 import "slices"
 
--- a/internal/trial/play.go
+++ b/internal/simulation/play.go
@@ -1,7 +1,7 @@
 // Play is one run from its start to its verdict: troubles and callers for the
 // length of the run, then calm, in which the core has to come back to full
 // strength; at last every register is read and every history explained.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/internal/trial/strike.go
+++ b/internal/simulation/strike.go
@@ -2,7 +2,7 @@
 // core counts as lost while it is down, frozen, slowed or cut off, and for
 // catch_up after it is back. Disks are lost only within the losses that are
 // borne; whatever keeps its disk may go at any time.
-package trial
+package simulation
 
 import (
 	"fmt"
--- a/internal/trial/trouble.go
+++ b/internal/simulation/trouble.go
@@ -1,7 +1,7 @@
 // Trouble is one thing that goes wrong at a time that the seed has chosen. All
 // of a run are drawn before it starts, so that a failing run can be made
 // shorter by leaving some of them out.
-package trial
+package simulation
 
 import (
 	"math/rand"
--- a/internal/trial/witness.go
+++ b/internal/simulation/witness.go
@@ -1,7 +1,7 @@
 // Witness holds every core to what must be true at each step: one leader a
 // term, one vote a core and term, logs that match, one committed entry a
 // place, and nothing told as held that is not on disk.
-package trial
+package simulation
 
 import (
 	"encoding/binary"
--- a/internal/trial/world.go
+++ b/internal/simulation/world.go
@@ -2,7 +2,7 @@
 // agreement, store, state and policy of members in several cores, with
 // operators and edges as callers, under troubles that the seed draws. World is
 // one such run with all that is in it.
-package trial
+package simulation
 
 import (
 	"cmp"
