--- a/internal/parley/fixtures_test.go
+++ b/internal/parley/fixtures_test.go
@@ -8,6 +8,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"go/types"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -218,7 +219,7 @@
 		}
 		root = filepath.Join(root, "..")
 	}
-	methods, services := map[string]bool{}, map[string]bool{}
+	methods, services, answered := map[string]bool{}, map[string]bool{}, map[string][]string{}
 	called := regexp.MustCompile(`^(Accord|Forum|Fellow|Status)\.[A-Z]\w*$`)
 	text := func(node ast.Expr) (text string) {
 		if literal, is := node.(*ast.BasicLit); is && literal.Kind == token.STRING {
@@ -257,10 +258,17 @@
 			return err
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err == nil {
-			ast.Inspect(file, look)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(file, look)
+		for _, declared := range file.Decls {
+			if method, is := declared.(*ast.FuncDecl); is && answersCalls(method) {
+				receiver := filepath.Dir(path) + " " + types.ExprString(method.Recv.List[0].Type)
+				answered[receiver] = append(answered[receiver], method.Name.Name)
+			}
 		}
-		return err
+		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -273,10 +281,12 @@
 		return names
 	}
 	var want, wantServices []string
+	wantAnswered := map[string][]string{}
 	for _, line := range strings.Split(string(readFixture(t, filepath.Join("testdata", "methods.txt"))), "\n") {
 		if name, _, found := strings.Cut(line, " "); found {
 			want = append(want, name)
-			service, _, _ := strings.Cut(name, ".")
+			service, method, _ := strings.Cut(name, ".")
+			wantAnswered[service] = append(wantAnswered[service], method)
 			wantServices = append(wantServices, service)
 		}
 	}
@@ -287,4 +297,28 @@
 	if diff := cmp.Diff(slices.Compact(wantServices), sorted(services)); diff != "" {
 		t.Errorf("services registered (-golden +now):\n%s", diff)
 	}
+	// Both cores and nodes answer for their status; the others have one receiver each.
+	receivers := map[string]int{"Accord": 1, "Forum": 1, "Fellow": 1, "Status": 2}
+	for service, names := range wantAnswered {
+		found := 0
+		for _, has := range answered {
+			slices.Sort(has)
+			if slices.Equal(names, has) {
+				found++
+			}
+		}
+		if found != receivers[service] {
+			t.Errorf("%d receivers answer just the calls %v of %s: %v", found, names, service, answered)
+		}
+	}
+}
+
+// answersCalls tells that net/rpc would offer a method to callers.
+func answersCalls(method *ast.FuncDecl) (answers bool) {
+	kind := method.Type
+	if method.Recv == nil || !method.Name.IsExported() || kind.Params.NumFields() != 2 || kind.Results.NumFields() != 1 {
+		return false
+	}
+	_, pointer := kind.Params.List[len(kind.Params.List)-1].Type.(*ast.StarExpr)
+	return pointer && types.ExprString(kind.Results.List[0].Type) == "error"
 }
