--- a/internal/accord/fixtures_test.go
+++ b/internal/accord/fixtures_test.go
@@ -6,6 +6,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"encoding/json"
 	"errors"
 	"maps"
 	"os"
@@ -17,11 +18,16 @@
 	"github.com/cockroachdb/pebble"
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"tinpin/internal/affinity"
 	"tinpin/internal/canon"
+	"tinpin/internal/dayplan"
+	"tinpin/internal/drain"
 	"tinpin/internal/order"
 	"tinpin/internal/parley"
 	"tinpin/internal/record"
+	"tinpin/internal/retry"
 )
 
 var (
@@ -572,3 +578,52 @@
 		}
 	}
 }
+
+// The operator documents of a stored state are read by their JSON names.
+func TestStoredDocumentsAreReadAsTheyWere(t *testing.T) {
+	text := func(kind order.Kind) []byte { return []byte(storedState.Documents[kind].Body) }
+	policy, err := drain.Read(text("drain-policy"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	plan, err := dayplan.Read(text("day-plan"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	limit, err := retry.Read(text("retry-limit"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	sessions, err := affinity.Read(text("session-affinity"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	second := order.Span(time.Second)
+	want := []any{
+		&drain.Policy{Version: 2, LostTouch: 10 * second, CutOff: "stop", Rules: []drain.Rule{
+			{Service: "*", Notice: 2 * second, Finish: 30 * second, Keyed: "deadline", LeastShare: 0.5},
+			{Service: "pay", Notice: second, Finish: 60 * second, Keyed: "finish", LeastShare: 0.25},
+		}},
+		&dayplan.Plan{Version: 3, Step: 0.1, Every: 30 * second, Room: 0.8, Targets: []dayplan.Target{{
+			Host: "shop.example", TimeZone: "Europe/Berlin",
+			Spans: []dayplan.Span{{From: 390, To: 1080, Weights: map[parley.RegionName]float64{"east": 3, "west": 1}, Ramp: 1800 * second}},
+		}}},
+		&retry.Policy{Version: 1, Rules: []retry.Rule{{Service: "*", Ratio: 0.2, LeastPerSecond: 10, Window: 10 * second}}},
+		&affinity.Policy{Version: 7, Rules: []affinity.Rule{{Service: "pay", Source: "cookie", Name: "sid", Idle: 600 * second, Alone: "serve", Most: 1000}}},
+	}
+	if diff := cmp.Diff(want, []any{policy, plan, limit, sessions}, cmpopts.IgnoreUnexported(dayplan.Target{})); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
+
+// A core's status reply lists the members as JSON under the names of the fields.
+func TestAMemberIsWrittenAsJSONAsItWas(t *testing.T) {
+	got, err := json.Marshal(storedMembers[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := `{"ID":"founder-10.0.2.1","Inner":"10.0.2.1:7100","Control":"10.0.2.1:7200","Site":"east-1","Voter":true}`
+	if diff := cmp.Diff(want, string(got)); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
