--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -37,11 +37,11 @@
 }
 
 // open gives the forum of this core if it leads.
-func (c *Council) open(path string) (open *coordinator.Forum, err error) {
+func (c *Council) open(path string) (open *coordinator.Coordinator, err error) {
 	if err = c.elsewhere(path); err != nil {
 		return nil, err
 	}
-	if open = c.desk.Forum(); open == nil {
+	if open = c.desk.Coordinator(); open == nil {
 		return nil, &httpapi.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
 	return open, nil
@@ -65,7 +65,7 @@
 			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 		})
 		if lookErr == nil && !taken && kind == policy.DayPlan {
-			lookErr = open.CheckPlan(body)
+			lookErr = open.ValidateSchedule(body)
 		}
 		return lookErr
 	}
@@ -116,15 +116,15 @@
 
 // Shown is what reading an order back gives.
 type Shown struct {
-	Kind     policy.Kind                  `json:"kind"`
-	Version  policy.Version               `json:"version"`
-	InForce  bool                         `json:"in_force"`
-	Document json.RawMessage              `json:"document,omitempty"`
-	Retiring []drain.Account              `json:"retiring,omitempty"`
-	Moving   []schedule.Account           `json:"moving,omitempty"`
-	Step     uint64                       `json:"step,omitempty"`
-	Sessions *coordinator.SessionsAccount `json:"sessions,omitempty"`
-	Retrying []coordinator.RetryAccount   `json:"retrying,omitempty"`
+	Kind     policy.Kind                `json:"kind"`
+	Version  policy.Version             `json:"version"`
+	InForce  bool                       `json:"in_force"`
+	Document json.RawMessage            `json:"document,omitempty"`
+	Retiring []drain.Account            `json:"retiring,omitempty"`
+	Moving   []schedule.Account         `json:"moving,omitempty"`
+	Step     uint64                     `json:"step,omitempty"`
+	Sessions *coordinator.SessionStatus `json:"sessions,omitempty"`
+	Retrying []coordinator.RetryStatus  `json:"retrying,omitempty"`
 }
 
 func (c *Council) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
@@ -145,13 +145,13 @@
 	})
 	switch kind {
 	case policy.DayPlan:
-		shown.Moving = open.Moving()
+		shown.Moving = open.ScheduleStatus()
 	case policy.RetryLimit:
-		shown.Retrying = open.Retrying()
+		shown.Retrying = open.RetryStatus()
 	case policy.SessionAffinity:
-		shown.Sessions = open.Sessions()
+		shown.Sessions = open.SessionStatus()
 	case policy.DrainPolicy:
-		shown.Retiring = open.Retiring()
+		shown.Retiring = open.RetirementStatus()
 	}
 	if err = c.proven(open, nil); err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 	if err != nil {
 		return "", err
 	}
-	if !open.Walked() {
+	if !open.EndpointsComplete() {
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &httpapi.Trouble{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
 	}
@@ -185,7 +185,7 @@
 	}
 	look := func() (service rpc.ServiceName, listed bool, refusal error) {
 		agreed()
-		if service, listed, refusal = open.CheckRetire(id); sent.stands || sent.named {
+		if service, listed, refusal = open.ValidateRetirement(id); sent.stands || sent.named {
 			return service, listed, nil
 		}
 		return service, listed, refusal
@@ -210,8 +210,8 @@
 	if err = c.ordered(history.Retirement, string(id), "retired", result, err); err != nil {
 		return "", err
 	}
-	for _, account := range open.Retiring() {
-		if account.Server == string(id) && c.desk.Proven(open) {
+	for _, account := range open.RetirementStatus() {
+		if account.Server == string(id) && c.desk.ConfirmLeadership(open) {
 			return string(account.Phase), nil
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -35,9 +35,9 @@
 	Overtaken int    `json:"overtaken_remembered"`
 	Forgotten uint64 `json:"orders_forgotten"`
 	// BytesIn and BytesOut are those of inner calls since it started.
-	BytesIn  int64                `json:"bytes_in"`
-	BytesOut int64                `json:"bytes_out"`
-	Forum    *coordinator.Account `json:"forum,omitempty"`
+	BytesIn  int64               `json:"bytes_in"`
+	BytesOut int64               `json:"bytes_out"`
+	Forum    *coordinator.Status `json:"forum,omitempty"`
 }
 
 // Tell gives the account.
@@ -55,8 +55,8 @@
 		account.Forgotten = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
 	})
 	account.BytesIn, account.BytesOut = rpc.Traffic()
-	if open := c.desk.Forum(); open != nil {
-		account.Forum = open.Account()
+	if open := c.desk.Coordinator(); open != nil {
+		account.Forum = open.Status()
 	}
 	reply.JSON, err = json.Marshal(account)
 	return err
@@ -97,9 +97,9 @@
 		})
 	default:
 		// Only the leader knows backends and their health.
-		if open := c.desk.Forum(); open != nil {
-			stamp, has := open.Stands(ask.Kind, rpc.ServerID(ask.Name))
-			if c.desk.Proven(open) {
+		if open := c.desk.Coordinator(); open != nil {
+			stamp, has := open.CurrentStamp(ask.Kind, rpc.ServerID(ask.Name))
+			if c.desk.ConfirmLeadership(open) {
 				reply.Stamp, reply.Has = stamp, has
 			}
 		}
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -93,9 +93,9 @@
 	}
 	names := map[string]string{}
 	var addresses []string
-	for _, fellow := range leader.Forum.Fellows {
-		names[fellow.Inner] = fellow.Name
-		addresses = append(addresses, fellow.Inner)
+	for _, fellow := range leader.Forum.Nodes {
+		names[fellow.InternalAddress] = fellow.Name
+		addresses = append(addresses, fellow.InternalAddress)
 	}
 	each(addresses, "Status.Tell", rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
 		var account proxy.Account
@@ -152,17 +152,17 @@
 	} else if leader.Forum != nil {
 		row("")
 		row("PASSAGE", "SITE", "READY", "HEARD", "REV", "AT WORK", "PROBES")
-		for _, fellow := range leader.Forum.Fellows {
+		for _, fellow := range leader.Forum.Nodes {
 			rev, work, probes := any("?"), any("?"), "?"
 			for _, account := range f.Fellows {
 				if account.Name == fellow.Name {
 					rev, work, probes = account.Rev, account.AtWork, strings.Join(account.Probes, ",")
 				}
 			}
-			row(fellow.Name, fellow.Site, fellow.Ready, fellow.Here, rev, work, probes)
+			row(fellow.Name, fellow.Zone, fellow.Ready, fellow.Connected, rev, work, probes)
 		}
 		row("")
-		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Forum.MapCount, len(leader.Forum.Members)))
+		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Forum.ShardMapVersion, len(leader.Forum.ShardMapMembers)))
 		services := make([]string, 0, len(leader.Forum.Owners))
 		for service := range leader.Forum.Owners {
 			services = append(services, service)
@@ -173,8 +173,8 @@
 		}
 		row("")
 		row("BOUND", "LENT")
-		for _, lent := range leader.Forum.Lent {
-			row(lent.Bound, fmt.Sprintf("%.3f", lent.Lent))
+		for _, lent := range leader.Forum.Granted {
+			row(lent.Limit, fmt.Sprintf("%.3f", lent.Granted))
 		}
 		row("")
 		row("BACKENDS", leader.Forum.Backends, "DOWN", leader.Forum.Down)
