--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -93,7 +93,7 @@
 			t.Error(err)
 		}
 	}
-	source := page(t, "internal/props/props.go")
+	source := page(t, "internal/settings/props.go")
 	for _, match := range regexp.MustCompile(`r\.(?:text|number|span|address)\(v, "([a-z_.]+)"`).FindAllStringSubmatch(source, -1) {
 		if !strings.Contains(text, "`"+match[1]+"`") {
 			t.Errorf("setting %s is not in the table", match[1])
