--- a/internal/coordinator/account.go
+++ b/internal/coordinator/account.go
@@ -38,48 +38,48 @@
 }
 
 // Status gives it.
-func (f *Coordinator) Status() (account *Status) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	account = &Status{ShardMapVersion: uint64(f.shards.Count), Owners: map[string]string{}}
-	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
-		account.Nodes = append(account.Nodes, NodeStatus{string(id), string(fellow.Site), fellow.Inner, fellow.Ready && !fellow.Stopping, f.roll.Here(id)})
+func (c *Coordinator) Status() (status *Status) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	status = &Status{ShardMapVersion: uint64(c.shardMap.Count), Owners: map[string]string{}}
+	c.nodes.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+		status.Nodes = append(status.Nodes, NodeStatus{string(id), string(node.Site), node.Inner, node.Ready && !node.Stopping, c.nodes.Here(id)})
 	})
-	sort.Slice(account.Nodes, func(i, j int) bool { return account.Nodes[i].Name < account.Nodes[j].Name })
-	for _, member := range f.shards.Members {
-		account.ShardMapMembers = append(account.ShardMapMembers, string(member))
+	sort.Slice(status.Nodes, func(i, j int) bool { return status.Nodes[i].Name < status.Nodes[j].Name })
+	for _, member := range c.shardMap.Members {
+		status.ShardMapMembers = append(status.ShardMapMembers, string(member))
 	}
-	for name := range f.view.Services {
-		account.Owners[name] = string(f.cache.Owner(rpc.ServiceName(name), f.absent))
+	for name := range c.view.Services {
+		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.absent))
 	}
-	f.list.Servers.Each(func(rpc.ServerID, rpc.Server) { account.Backends++ })
-	f.cache.States.Each(func(_ rpc.ServerID, state rpc.State) {
+	c.endpoints.Servers.Each(func(rpc.ServerID, rpc.Server) { status.Backends++ })
+	c.health.States.Each(func(_ rpc.ServerID, state rpc.State) {
 		if state.Health == rpc.Down {
-			account.Down++
+			status.Down++
 		}
 	})
-	now := f.now()
-	account.Granted = append(account.Granted, GrantStatus{"retry slack", f.book.Lent(now, quota.Key{Kind: rpc.RetrySlack})})
-	for name := range f.view.Services {
-		if rule, written := f.orders.retries.For(rpc.ServiceName(name)); written {
-			account.Granted = append(account.Granted, GrantStatus{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), f.retries.Lent(now, name)})
+	now := c.now()
+	status.Granted = append(status.Granted, GrantStatus{"retry slack", c.leases.Lent(now, quota.Key{Kind: rpc.RetrySlack})})
+	for name := range c.view.Services {
+		if rule, written := c.policies.retryLimit.For(rpc.ServiceName(name)); written {
+			status.Granted = append(status.Granted, GrantStatus{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), c.retryQuota.Lent(now, name)})
 		}
 	}
-	for _, tenant := range f.view.Tenants() {
-		account.Granted = append(account.Granted, GrantStatus{"tenant " + tenant.Name, f.lender.Lent(now, tenant.Name)})
+	for _, tenant := range c.view.Tenants() {
+		status.Granted = append(status.Granted, GrantStatus{"tenant " + tenant.Name, c.tenantQuota.Lent(now, tenant.Name)})
 	}
-	sort.Slice(account.Granted, func(i, j int) bool { return account.Granted[i].Limit < account.Granted[j].Limit })
-	return account
+	sort.Slice(status.Granted, func(i, j int) bool { return status.Granted[i].Limit < status.Granted[j].Limit })
+	return status
 }
 
 // CurrentStamp tells how a backend or its health stands at the leader.
-func (f *Coordinator) CurrentStamp(kind string, id rpc.ServerID) (stamp string, has bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *Coordinator) CurrentStamp(kind string, id rpc.ServerID) (stamp string, has bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if kind == history.Backend {
-		server, known := f.list.Servers.Get(id)
+		server, known := c.endpoints.Servers.Get(id)
 		return server.Stamp(), known
 	}
-	state, known := f.cache.States.Get(id)
-	return f.cache.Remaining(f.now(), state).Stamp(), known
+	state, known := c.health.States.Get(id)
+	return c.health.Remaining(c.now(), state).Stamp(), known
 }
--- a/internal/coordinator/check.go
+++ b/internal/coordinator/check.go
@@ -18,15 +18,15 @@
 var Class = errs.Class("forum")
 
 const (
-	rateMost    = 1e9
-	countMost   = 1 << 20
-	demandsMost = 1 << 16
-	tallyMost   = 1 << 24
-	coldMost    = time.Hour
-	holdMost    = time.Minute
+	maxRate          = 1e9
+	maxCount         = 1 << 20
+	maxDemands       = 1 << 16
+	maxOutcomes      = 1 << 24
+	maxWarmUp        = time.Hour
+	maxRequestedHold = time.Minute
 )
 
-func fits(names ...string) (good bool) {
+func namesFit(names ...string) (good bool) {
 	for _, name := range names {
 		if len(name) > policy.NameMost {
 			return false
@@ -35,15 +35,15 @@
 	return true
 }
 
-func demandFault(what string, demands []rpc.Demand) (fault string) {
-	if len(demands) > demandsMost {
+func demandError(what string, demands []rpc.Demand) (reason string) {
+	if len(demands) > maxDemands {
 		return "too many " + what
 	}
 	for _, demand := range demands {
 		switch {
-		case !fits(demand.Tenant):
+		case !namesFit(demand.Tenant):
 			return what + " of a name that is too long"
-		case !(demand.Rate >= 0 && demand.Rate <= rateMost):
+		case !(demand.Rate >= 0 && demand.Rate <= maxRate):
 			return fmt.Sprintf("%s at a rate of %g", what, demand.Rate)
 		case !(demand.Floor >= 0 && demand.Floor <= 1):
 			return fmt.Sprintf("%s with a floor of %g", what, demand.Floor)
@@ -52,68 +52,68 @@
 	return ""
 }
 
-// beatFault tells what is wrong with a beat.
-func beatFault(ask rpc.BeatAsk) (fault string) {
+// heartbeatError tells what is wrong with a beat.
+func heartbeatError(request rpc.BeatAsk) (reason string) {
 	switch {
-	case ask.ID == "" || !fits(string(ask.ID), string(ask.Site), string(ask.Region), ask.Front, ask.Inner):
+	case request.ID == "" || !namesFit(string(request.ID), string(request.Site), string(request.Region), request.Front, request.Inner):
 		return "a name is missing or too long"
-	case ask.Hold < 0 || ask.Hold > holdMost:
-		return "held for " + ask.Hold.String()
-	case ask.Known < 0 || ask.Known > countMost:
-		return fmt.Sprintf("knows %d fellows", ask.Known)
+	case request.Hold < 0 || request.Hold > maxRequestedHold:
+		return "held for " + request.Hold.String()
+	case request.Known < 0 || request.Known > maxCount:
+		return fmt.Sprintf("knows %d fellows", request.Known)
 	}
-	if fault = demandFault("demand", ask.Demands); fault != "" {
-		return fault
+	if reason = demandError("demand", request.Demands); reason != "" {
+		return reason
 	}
-	if fault = demandFault("retries", ask.Retries); fault != "" {
-		return fault
+	if reason = demandError("retries", request.Retries); reason != "" {
+		return reason
 	}
-	for _, burden := range ask.Burdens {
-		if !fits(string(burden.Service)) || burden.AtWork < 0 || burden.AtWork > countMost {
+	for _, burden := range request.Burdens {
+		if !namesFit(string(burden.Service)) || burden.AtWork < 0 || burden.AtWork > maxCount {
 			return fmt.Sprintf("%d at work", burden.AtWork)
 		}
 	}
-	for _, tally := range ask.Tallies {
-		if !fits(string(tally.Server), string(tally.Service)) || tally.Good > tallyMost || tally.Bad > tallyMost {
+	for _, tally := range request.Tallies {
+		if !namesFit(string(tally.Server), string(tally.Service)) || tally.Good > maxOutcomes || tally.Bad > maxOutcomes {
 			return fmt.Sprintf("outcomes %d and %d", tally.Good, tally.Bad)
 		}
 	}
 	return ""
 }
 
-// reportFault tells what is wrong with an owner's report; the caller holds the lock.
-func (f *Coordinator) reportFault(ask rpc.ReportAsk) (fault string) {
+// reportError tells what is wrong with an owner's report; the caller holds the lock.
+func (c *Coordinator) reportError(request rpc.ReportAsk) (reason string) {
 	switch {
-	case ask.Fellow == "" || !fits(string(ask.Fellow), string(ask.Service)):
+	case request.Fellow == "" || !namesFit(string(request.Fellow), string(request.Service)):
 		return "a name is missing or too long"
-	case ask.Term > f.term || ask.Term == f.term && ask.Count > f.mapAt:
-		return fmt.Sprintf("findings of a map %d of term %d that was never told", ask.Count, ask.Term)
+	case request.Term > c.term || request.Term == c.term && request.Count > c.shardMapEpoch:
+		return fmt.Sprintf("findings of a map %d of term %d that was never told", request.Count, request.Term)
 	}
-	for _, state := range ask.States {
-		server, listed := f.list.Servers.Get(state.Server)
+	for _, state := range request.States {
+		server, listed := c.endpoints.Servers.Get(state.Server)
 		switch {
-		case !fits(string(state.Server), state.Aside):
+		case !namesFit(string(state.Server), state.Aside):
 			return "a name that is too long"
-		case listed && server.Service != ask.Service:
+		case listed && server.Service != request.Service:
 			return fmt.Sprintf("findings of a backend of %q", server.Service)
 		case state.Health > rpc.Down:
 			return fmt.Sprintf("health %d", state.Health)
-		case state.Cold < 0 || state.Cold > coldMost:
+		case state.Cold < 0 || state.Cold > maxWarmUp:
 			return "cold for " + state.Cold.String()
 		}
 	}
 	return ""
 }
 
-// loggedRefusals is how many refused calls of one leadership are logged each;
+// loggedRejections is how many refused calls of one leadership are logged each;
 // beyond, one in so many is.
-const loggedRefusals = 64
+const loggedRejections = 64
 
-// refuse notes a refused call.
-func (f *Coordinator) refuse(call string, by rpc.FellowID, fault string) (err error) {
-	count := f.refusals.Add(1)
-	if count <= loggedRefusals || count%loggedRefusals == 0 {
-		f.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
+// reject notes a refused call.
+func (c *Coordinator) reject(call string, by rpc.FellowID, reason string) (err error) {
+	count := c.rejections.Add(1)
+	if count <= loggedRejections || count%loggedRejections == 0 {
+		c.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", reason, "count", count)
 	}
-	return Class.New("refused: %s", fault)
+	return Class.New("refused: %s", reason)
 }
--- a/internal/coordinator/desk.go
+++ b/internal/coordinator/desk.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// contactPatience is how long an answer waits for the next round where the last
+	// confirmTimeout is how long an answer waits for the next round where the last
 	// one is too old, leadPatience how long the small answer that seekers wait for.
-	contactPatience = 300 * time.Millisecond
-	leadPatience    = 120 * time.Millisecond
-	// claimPatience is a little less than the callers of claims wait, so that none
+	confirmTimeout       = 300 * time.Millisecond
+	seekerConfirmTimeout = 120 * time.Millisecond
+	// claimTimeout is a little less than the callers of claims wait, so that none
 	// is carried out for who has given up; freePatience that of who gives back.
-	claimPatience = 480 * time.Millisecond
-	freePatience  = 800 * time.Millisecond
+	claimTimeout   = 480 * time.Millisecond
+	releaseTimeout = 800 * time.Millisecond
 )
 
 // LeadershipChecker proves that this core leads in a term and that no other can.
@@ -30,55 +30,55 @@
 // Handler answers fellows.
 type Handler struct {
 	node        *raft.Node
-	contact     LeadershipChecker
+	leadership  LeadershipChecker
 	coordinator atomic.Pointer[Coordinator]
 }
 
 // NewHandler is a desk without a forum.
-func NewHandler(node *raft.Node, contact LeadershipChecker) (desk *Handler) {
-	return &Handler{node: node, contact: contact}
+func NewHandler(node *raft.Node, contact LeadershipChecker) (handler *Handler) {
+	return &Handler{node: node, leadership: contact}
 }
 
 // ConfirmLeadership tells that what a forum has answered up to now is a leader's word. It is
 // asked once the answer is made: one made before a freeze is not proven after it.
-func (d *Handler) ConfirmLeadership(forum *Coordinator) (proven bool) {
-	return d.contact.InContact(raft.Term(forum.term), contactPatience)
+func (h *Handler) ConfirmLeadership(coordinator *Coordinator) (proven bool) {
+	return h.leadership.InContact(raft.Term(coordinator.term), confirmTimeout)
 }
 
 // SetCoordinator sets the forum of a leadership, nil when it ended.
-func (d *Handler) SetCoordinator(forum *Coordinator) (old *Coordinator) {
-	return d.coordinator.Swap(forum)
+func (h *Handler) SetCoordinator(coordinator *Coordinator) (old *Coordinator) {
+	return h.coordinator.Swap(coordinator)
 }
 
 // Coordinator gives the open forum, if any.
-func (d *Handler) Coordinator() (forum *Coordinator) { return d.coordinator.Load() }
+func (h *Handler) Coordinator() (coordinator *Coordinator) { return h.coordinator.Load() }
 
 // Beat answers a beat.
-func (d *Handler) Beat(ask rpc.BeatAsk, news *rpc.News) (err error) {
-	if forum := d.coordinator.Load(); forum != nil {
-		if err = forum.Heartbeat(ask, news); err != nil {
+func (h *Handler) Beat(request rpc.BeatAsk, update *rpc.News) (err error) {
+	if coordinator := h.coordinator.Load(); coordinator != nil {
+		if err = coordinator.Heartbeat(request, update); err != nil {
 			return err
 		}
-		if news.Leader && !d.ConfirmLeadership(forum) {
-			*news = rpc.News{}
+		if update.Leader && !h.ConfirmLeadership(coordinator) {
+			*update = rpc.News{}
 		}
 	}
-	if !news.Leader {
-		_, _, _, leader, members := d.node.Standing()
-		news.Hint = leader.Inner
+	if !update.Leader {
+		_, _, _, leader, members := h.node.Standing()
+		update.Hint = leader.Inner
 		for _, member := range members {
-			news.Cores = append(news.Cores, rpc.Core{Inner: member.Inner, Control: member.Control})
+			update.Cores = append(update.Cores, rpc.Core{Inner: member.Inner, Control: member.Control})
 		}
 	}
 	return nil
 }
 
 // Lead tells who leads.
-func (d *Handler) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
-	if forum := d.coordinator.Load(); forum != nil && d.contact.InContact(raft.Term(forum.term), leadPatience) {
-		reply.Leader, reply.Term = true, forum.term
+func (h *Handler) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
+	if coordinator := h.coordinator.Load(); coordinator != nil && h.leadership.InContact(raft.Term(coordinator.term), seekerConfirmTimeout) {
+		reply.Leader, reply.Term = true, coordinator.term
 	}
-	_, _, _, _, members := d.node.Standing()
+	_, _, _, _, members := h.node.Standing()
 	for _, member := range members {
 		reply.Cores = append(reply.Cores, rpc.Core{Inner: member.Inner, Control: member.Control})
 	}
@@ -86,10 +86,10 @@
 }
 
 // Report takes an owner's findings.
-func (d *Handler) Report(ask rpc.ReportAsk, reply *rpc.ReportReply) (err error) {
-	if forum := d.coordinator.Load(); forum != nil {
-		taken := forum.Report(ask)
-		if reply.Leader = d.ConfirmLeadership(forum); reply.Leader {
+func (h *Handler) Report(request rpc.ReportAsk, reply *rpc.ReportReply) (err error) {
+	if coordinator := h.coordinator.Load(); coordinator != nil {
+		taken := coordinator.Report(request)
+		if reply.Leader = h.ConfirmLeadership(coordinator); reply.Leader {
 			reply.Taken = taken
 		}
 	}
@@ -97,11 +97,11 @@
 }
 
 // Bind tells where sessions are bound.
-func (d *Handler) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
-	if forum := d.coordinator.Load(); forum != nil && d.ConfirmLeadership(forum) {
-		found := forum.Bind(ask)
-		if reply.Leader = d.ConfirmLeadership(forum); reply.Leader {
-			reply.Found, reply.Term = found, forum.term
+func (h *Handler) Bind(request rpc.BindAsk, reply *rpc.BindReply) (err error) {
+	if coordinator := h.coordinator.Load(); coordinator != nil && h.ConfirmLeadership(coordinator) {
+		found := coordinator.Bind(request)
+		if reply.Leader = h.ConfirmLeadership(coordinator); reply.Leader {
+			reply.Found, reply.Term = found, coordinator.term
 		}
 	}
 	return nil
@@ -110,32 +110,32 @@
 // Claim puts a batch of key claims before the cores. Out of contact it takes none
 // of them: that is a clear no, where a wish that nobody can commit has no outcome.
 // What comes back is the log's word and needs no further proof.
-func (d *Handler) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
-	forum, begun := d.coordinator.Load(), time.Now()
-	if forum == nil || !d.ConfirmLeadership(forum) {
+func (h *Handler) Claim(request rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
+	coordinator, begun := h.coordinator.Load(), time.Now()
+	if coordinator == nil || !h.ConfirmLeadership(coordinator) {
 		return nil
 	}
 	reply.Leader = true
-	commands := make([]raft.Command, 0, len(ask.Frees)+len(ask.Claims))
-	for _, free := range ask.Frees {
-		commands = append(commands, raft.Command{Kind: raft.CommandFree, Claim: raft.Claim{Key: free.Key, Request: free.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
+	commands := make([]raft.Command, 0, len(request.Frees)+len(request.Claims))
+	for _, free := range request.Frees {
+		commands = append(commands, raft.Command{Kind: raft.CommandFree, Claim: raft.Claim{Key: free.Key, Request: free.Request, Holder: string(request.Holder), Life: uint64(request.Life)}})
 	}
-	for _, claim := range ask.Claims {
-		commands = append(commands, raft.Command{Kind: raft.CommandClaim, Claim: raft.Claim{Key: claim.Key, Request: claim.Request, Holder: string(ask.Holder), Life: uint64(ask.Life)}})
+	for _, claim := range request.Claims {
+		commands = append(commands, raft.Command{Kind: raft.CommandClaim, Claim: raft.Claim{Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Life: uint64(request.Life)}})
 	}
-	patience := freePatience
-	if len(ask.Claims) > 0 {
-		patience = claimPatience
+	patience := releaseTimeout
+	if len(request.Claims) > 0 {
+		patience = claimTimeout
 	}
-	if ask.Left > 0 {
-		patience = min(patience, ask.Left)
+	if request.Left > 0 {
+		patience = min(patience, request.Left)
 	}
-	answers := d.node.Wishes(commands, patience-time.Since(begun))
+	answers := h.node.Wishes(commands, patience-time.Since(begun))
 	reply.Freed = true
-	for _, answer := range answers[:len(ask.Frees)] {
+	for _, answer := range answers[:len(request.Frees)] {
 		reply.Freed = reply.Freed && answer.Clear
 	}
-	for _, answer := range answers[len(ask.Frees):] {
+	for _, answer := range answers[len(request.Frees):] {
 		found := rpc.ClaimFound{}
 		switch {
 		case answer.Refused:
@@ -148,7 +148,7 @@
 			held := answer.Result.Held
 			found.Outcome = rpc.Held
 			found.Holder, found.Life, found.Request = rpc.FellowID(held.Holder), rpc.Life(held.Life), held.Request
-			found.Inner, _ = forum.NodeAddress(found.Holder)
+			found.Inner, _ = coordinator.NodeAddress(found.Holder)
 		}
 		reply.Found = append(reply.Found, found)
 	}
--- a/internal/coordinator/forum_test.go
+++ b/internal/coordinator/forum_test.go
@@ -16,19 +16,19 @@
 	"tinpin/internal/rpc"
 )
 
-// bare is a forum without duties: what it is told in the test is all there is.
-func bare() (f *Coordinator) {
+// newTestCoordinator is a forum without duties: what it is told in the test is all there is.
+func newTestCoordinator() (f *Coordinator) {
 	defer func() {
-		f.balance, f.orders, f.members = healthcheck.NewBalance(), newOrders(), registry.NewLedger[rpc.FellowID, bool](f.clock)
+		f.zoneBalance, f.policies, f.shardMapMembers = healthcheck.NewBalance(), newPolicies(), registry.NewLedger[rpc.FellowID, bool](f.clock)
 	}()
 	clock := &registry.Clock{}
 	clock.Next()
 	return &Coordinator{
-		log: eventlog.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
-		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
-		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
-		view: config.New().View(), near: map[rpc.SiteName][]rpc.FellowID{}, owners: map[rpc.ServiceName]rpc.FellowID{}, tallies: map[rpc.FellowID][]rpc.Tally{}, sites: map[rpc.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
-		chronicle: history.New(eventlog.Quiet()),
+		log: eventlog.Quiet(), term: 7, started: time.Now(), clock: clock, revision: 0,
+		nodes: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), endpoints: registry.NewList(clock),
+		health: healthcheck.NewCache(clock, time.Minute), leases: quota.Unwaited(leaseDuration), tenantQuota: quota.NewLender(0, leaseDuration, true),
+		view: config.New().View(), nearestByZone: map[rpc.SiteName][]rpc.FellowID{}, ownerByService: map[rpc.ServiceName]rpc.FellowID{}, pendingOutcomes: map[rpc.FellowID][]rpc.Tally{}, evacuatedZones: map[rpc.SiteName]bool{}, changed: make(chan struct{}), closed: make(chan struct{}),
+		history: history.New(eventlog.Quiet()),
 	}
 }
 
@@ -36,64 +36,64 @@
 // the list once it is, in parts that a small link can take, and beside them
 // what changes meanwhile.
 func TestAFellowThatCameBeforeTheListGetsAllOfIt(t *testing.T) {
-	f := bare()
+	c := newTestCoordinator()
 	server := func(id string) rpc.Server {
 		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1"}
 	}
-	f.merge([]rpc.Server{server("a"), server("b")}, false)
-	if f.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []rpc.State{{Server: "a", Health: rpc.Up}}}) {
+	c.mergeEndpoints([]rpc.Server{server("a"), server("b")}, false)
+	if c.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []rpc.State{{Server: "a", Health: rpc.Up}}}) {
 		t.Fatal("a report was taken before the list is whole, and would not be told again")
 	}
-	ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}}
+	request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}}
 	// Its first beat made it known; this one brings no change of term.
-	ask.Term, ask.Epoch, ask.ItemAt = 7, f.clock.Now(), rpc.AllItems
+	request.Term, request.Epoch, request.ItemAt = 7, c.clock.Now(), rpc.AllItems
 	var first rpc.News
-	f.tell(ask, &first)
+	c.fillUpdate(request, &first)
 	if first.Part != nil || len(first.Servers) != 0 {
 		t.Fatalf("a list that is not whole was told: %+v", first)
 	}
 	walk := []rpc.Server{server("a"), server("b")}
-	for i := range 3*partRows - 2 {
+	for i := range 3*pageRows - 2 {
 		walk = append(walk, server(fmt.Sprintf("c-%03d", i)))
 	}
-	f.merge(walk, false)
-	f.merge(walk, true)
+	c.mergeEndpoints(walk, false)
+	c.mergeEndpoints(walk, true)
 	known := map[rpc.ServerID]bool{}
-	ask.Term, ask.Epoch = first.Term, first.Epoch
-	for parts := 0; !ask.Listed; parts++ {
-		if !f.due(ask) || parts > 3 {
-			t.Fatalf("after %d parts: due %v", parts, f.due(ask))
+	request.Term, request.Epoch = first.Term, first.Epoch
+	for parts := 0; !request.Listed; parts++ {
+		if !c.updateDue(request) || parts > 3 {
+			t.Fatalf("after %d parts: due %v", parts, c.updateDue(request))
 		}
-		var news rpc.News
-		f.tell(ask, &news)
-		if news.Part == nil {
+		var update rpc.News
+		c.fillUpdate(request, &update)
+		if update.Part == nil {
 			t.Fatalf("part %d is missing", parts)
 		}
 		// A part is made once for all that are as far, so it is unpacked in a copy.
-		part := *news.Part
-		if err := part.Unpack(); err != nil || len(part.Servers) > partRows {
+		part := *update.Part
+		if err := part.Unpack(); err != nil || len(part.Servers) > pageRows {
 			t.Fatalf("part %d has %d rows: %v", parts, len(part.Servers), err)
 		}
-		news.Part = &part
-		for _, row := range news.Part.Servers {
+		update.Part = &part
+		for _, row := range update.Part.Servers {
 			known[row.ID] = true
 		}
-		for _, row := range news.Servers {
+		for _, row := range update.Servers {
 			known[row.ID] = !row.Gone
 		}
-		ask.Epoch, ask.ListAt, ask.Listed = news.Epoch, news.Part.At, news.Part.Done
+		request.Epoch, request.ListAt, request.Listed = update.Epoch, update.Part.At, update.Part.Done
 		if parts == 0 {
 			// One more that sorts before what was told, and one that goes.
-			f.merge([]rpc.Server{server("aa")}, false)
-			f.list.Servers.Drop("a")
+			c.mergeEndpoints([]rpc.Server{server("aa")}, false)
+			c.endpoints.Servers.Drop("a")
 		}
 	}
-	if len(known) != 3*partRows+1 || !known["aa"] || known["a"] {
+	if len(known) != 3*pageRows+1 || !known["aa"] || known["a"] {
 		t.Fatalf("%d backends are known, aa: %v, a: %v", len(known), known["aa"], known["a"])
 	}
-	f.merge([]rpc.Server{server("d")}, false)
+	c.mergeEndpoints([]rpc.Server{server("d")}, false)
 	var last rpc.News
-	f.tell(ask, &last)
+	c.fillUpdate(request, &last)
 	if last.Part != nil || len(last.Servers) != 1 {
 		t.Fatalf("then only what changed: %d told", len(last.Servers))
 	}
@@ -113,19 +113,19 @@
 	}
 	state := raft.NewState()
 	state.Canon, state.Rev = items, 5
-	f := bare()
-	f.rev = 5
+	c := newTestCoordinator()
+	c.revision = 5
 	told := 0
 	known := map[string]bool{}
 	var seen rpc.Seen
-	for parts := 0; f.owesItems(seen); parts++ {
-		var news rpc.News
-		f.tellItems(state, seen, &news)
+	for parts := 0; c.lacksItems(seen); parts++ {
+		var update rpc.News
+		c.addItems(state, seen, &update)
 		size := 0
-		items := news.Items
-		if news.Packed != nil {
+		items := update.Items
+		if update.Packed != nil {
 			var err error
-			if items, err = rpc.Unpack(news.Packed); err != nil {
+			if items, err = rpc.Unpack(update.Packed); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -138,14 +138,14 @@
 				size += len(field.JSON)
 			}
 		}
-		if size > itemsRoom || parts > 100 {
+		if size > itemPartBytes || parts > 100 {
 			t.Fatalf("part %d has %d bytes", parts, size)
 		}
-		seen.Rev, seen.ItemAt = news.Rev, news.ItemAt
+		seen.Rev, seen.ItemAt = update.Rev, update.ItemAt
 		told++
 	}
-	if told < 3 || len(f.parts) != told {
-		t.Fatalf("told in %d parts, %d of them kept for the next fellow", told, len(f.parts))
+	if told < 3 || len(c.itemParts) != told {
+		t.Fatalf("told in %d parts, %d of them kept for the next fellow", told, len(c.itemParts))
 	}
 	if len(known) != 4001 || seen.Rev != 5 {
 		t.Fatalf("%d items told, up to %d", len(known), seen.Rev)
@@ -155,10 +155,10 @@
 // Before anything was configured there is nothing to tell, and the telling of
 // it must not end the leader.
 func TestNothingIsToldOfAnEmptyConfiguration(t *testing.T) {
-	f := bare()
-	var news rpc.News
-	f.tellItems(raft.NewState(), rpc.Seen{}, &news)
-	if news.Rev != 0 || news.ItemAt != rpc.AllItems || len(news.Items) != 0 || news.Packed != nil {
-		t.Fatalf("%+v", news)
+	c := newTestCoordinator()
+	var update rpc.News
+	c.addItems(raft.NewState(), rpc.Seen{}, &update)
+	if update.Rev != 0 || update.ItemAt != rpc.AllItems || len(update.Items) != 0 || update.Packed != nil {
+		t.Fatalf("%+v", update)
 	}
 }
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -21,100 +21,100 @@
 )
 
 const (
-	orderPatience = 800 * time.Millisecond
-	// rememberFellow is how long a fellow that is not heard any more counts when
+	proposeTimeout = 800 * time.Millisecond
+	// rememberNode is how long a fellow that is not heard any more counts when
 	// it is asked whether more than half follow.
-	rememberFellow = 2 * time.Minute
+	rememberNode = 2 * time.Minute
 )
 
-type followed struct {
-	rev   uint64
-	heard time.Duration
+type follower struct {
+	revision  uint64
+	lastHeard time.Duration
 }
 
-// orders is what the leader holds of both.
-type orders struct {
-	policy   *drain.Policy
-	plan     *schedule.Plan
-	retries  *retry.Policy
-	retryRev uint64
-	retired  map[rpc.ServerID]rpc.Retirement
-	move     rpc.Move
-	desk     *drain.Desk
-	stepper  *schedule.Stepper
-	follows  map[rpc.FellowID]followed
-	fleet    int
-	burdens  map[rpc.FellowID][]rpc.Burden
-	busy     bool
-	retiring []drain.Account
-	moving   []schedule.Account
-	wall     func() time.Time
-	said     map[string]string
+// policies is what the leader holds of both.
+type policies struct {
+	drainPolicy    *drain.Policy
+	dayPlan        *schedule.Plan
+	retryLimit     *retry.Policy
+	retryRevision  uint64
+	retired        map[rpc.ServerID]rpc.Retirement
+	move           rpc.Move
+	drainTracker   *drain.Desk
+	stepper        *schedule.Stepper
+	followerByNode map[rpc.FellowID]follower
+	knownNodes     int
+	loadByNode     map[rpc.FellowID][]rpc.Burden
+	proposing      bool
+	retirements    []drain.Account
+	targets        []schedule.Account
+	wallClock      func() time.Time
+	loggedStatus   map[string]string
 }
 
-func newOrders() (o orders) {
-	return orders{
-		retired: map[rpc.ServerID]rpc.Retirement{}, desk: drain.NewDesk(), stepper: &schedule.Stepper{},
-		follows: map[rpc.FellowID]followed{}, burdens: map[rpc.FellowID][]rpc.Burden{}, wall: time.Now, said: map[string]string{},
+func newPolicies() (o policies) {
+	return policies{
+		retired: map[rpc.ServerID]rpc.Retirement{}, drainTracker: drain.NewDesk(), stepper: &schedule.Stepper{},
+		followerByNode: map[rpc.FellowID]follower{}, loadByNode: map[rpc.FellowID][]rpc.Burden{}, wallClock: time.Now, loggedStatus: map[string]string{},
 	}
 }
 
-// take reads what is agreed; the caller holds the forum's lock.
-func (o *orders) take(state *raft.State) {
-	o.policy, o.plan, o.retries = nil, nil, nil
+// load reads what is agreed; the caller holds the forum's lock.
+func (p *policies) load(state *raft.State) {
+	p.drainPolicy, p.dayPlan, p.retryLimit = nil, nil, nil
 	if document := state.Documents[policy.RetryLimit]; document.InForce() {
-		o.retries, _ = retry.Read([]byte(document.Body))
-		o.retryRev = document.Rev
+		p.retryLimit, _ = retry.Read([]byte(document.Body))
+		p.retryRevision = document.Rev
 	}
 	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
-		o.policy, _ = drain.Read([]byte(document.Body))
+		p.drainPolicy, _ = drain.Read([]byte(document.Body))
 	}
 	if document := state.Documents[policy.DayPlan]; document.InForce() {
-		o.plan, _ = schedule.Read([]byte(document.Body))
+		p.dayPlan, _ = schedule.Read([]byte(document.Body))
 	}
-	o.retired = make(map[rpc.ServerID]rpc.Retirement, len(state.Retired))
+	p.retired = make(map[rpc.ServerID]rpc.Retirement, len(state.Retired))
 	for id, retired := range state.Retired {
-		o.retired[id] = retired
+		p.retired[id] = retired
 	}
-	o.move = state.Move
+	p.move = state.Move
 }
 
-// heard notes how far a fellow follows, by its own beat.
-func (o *orders) heard(now time.Duration, ask rpc.BeatAsk) {
-	rev := ask.Rev
-	if ask.ItemAt != rpc.AllItems && rev > 0 {
+// observeHeartbeat notes how far a fellow follows, by its own beat.
+func (p *policies) observeHeartbeat(now time.Duration, request rpc.BeatAsk) {
+	rev := request.Rev
+	if request.ItemAt != rpc.AllItems && rev > 0 {
 		rev--
 	}
-	o.follows[ask.ID] = followed{rev, now}
-	o.fleet = max(o.fleet, ask.Known)
-	if ask.Stopping {
-		delete(o.follows, ask.ID)
+	p.followerByNode[request.ID] = follower{rev, now}
+	p.knownNodes = max(p.knownNodes, request.Known)
+	if request.Stopping {
+		delete(p.followerByNode, request.ID)
 	}
-	if len(ask.Burdens) > 0 || o.burdens[ask.ID] != nil {
-		o.burdens[ask.ID] = ask.Burdens
+	if len(request.Burdens) > 0 || p.loadByNode[request.ID] != nil {
+		p.loadByNode[request.ID] = request.Burdens
 	}
 }
 
 // followers lists the fellows that count; the caller holds the lock.
-func (f *Coordinator) followers(now time.Duration) (followers []drain.Follower) {
-	for id, held := range f.orders.follows {
-		if now-held.heard > rememberFellow {
-			delete(f.orders.follows, id)
-			delete(f.orders.burdens, id)
+func (c *Coordinator) followers(now time.Duration) (followers []drain.Follower) {
+	for id, held := range c.policies.followerByNode {
+		if now-held.lastHeard > rememberNode {
+			delete(c.policies.followerByNode, id)
+			delete(c.policies.loadByNode, id)
 			continue
 		}
-		followers = append(followers, drain.Follower{ID: id, Rev: held.rev, Here: f.roll.Here(id)})
+		followers = append(followers, drain.Follower{ID: id, Rev: held.revision, Here: c.nodes.Here(id)})
 	}
 	// What older leaders knew of and this one has not heard yet.
-	for len(followers) < f.orders.fleet && now < rememberFellow {
+	for len(followers) < c.policies.knownNodes && now < rememberNode {
 		followers = append(followers, drain.Follower{ID: rpc.FellowID(fmt.Sprint("not heard yet ", len(followers)))})
 	}
 	return followers
 }
 
-// stock counts a service's backends.
-func (f *Coordinator) stock(service rpc.ServiceName) (stock drain.Stock) {
-	f.eachBackend(service, func(_ rpc.Server, useful bool) {
+// stockOf counts a service's backends.
+func (c *Coordinator) stockOf(service rpc.ServiceName) (stock drain.Stock) {
+	c.eachBackend(service, func(_ rpc.Server, useful bool) {
 		stock.Listed++
 		if useful {
 			stock.Useful++
@@ -123,39 +123,39 @@
 	return stock
 }
 
-func (f *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Server, useful bool)) {
-	f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+func (c *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Server, useful bool)) {
+	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 		if server.Service != service {
 			return
 		}
-		state, _ := f.cache.States.Get(id)
-		retired := f.orders.retired[id]
+		state, _ := c.health.States.Get(id)
+		retired := c.policies.retired[id]
 		visit(server, !server.Draining && state.Health != rpc.Down && !(retired.Stopped > 0 && !retired.Gone))
 	})
 }
 
-// regions is what a plan's target has in each region.
-func (f *Coordinator) regions(target schedule.Target) (state schedule.State) {
+// regionState is what a plan's target has in each region.
+func (c *Coordinator) regionState(target schedule.Target) (state schedule.State) {
 	state.Stock = map[rpc.RegionName]schedule.Stock{}
 	services := []rpc.ServiceName{target.Service}
 	if target.Host != "" {
 		services = nil
-		for _, named := range f.view.ServicesOf(target.Host) {
+		for _, named := range c.view.ServicesOf(target.Host) {
 			services = append(services, rpc.ServiceName(named))
 		}
 	}
 	for _, service := range services {
-		f.eachBackend(service, func(server rpc.Server, useful bool) {
-			region := rpc.RegionName(f.props.Regions[string(server.Site)])
+		c.eachBackend(service, func(server rpc.Server, useful bool) {
+			region := rpc.RegionName(c.settings.Regions[string(server.Site)])
 			stock := state.Stock[region]
 			stock.Listed++
-			if useful && !f.sites[server.Site] {
+			if useful && !c.evacuatedZones[server.Site] {
 				stock.Useful++
 				stock.Slots += max(1, server.Slots)
 			}
 			state.Stock[region] = stock
 		})
-		for _, burdens := range f.orders.burdens {
+		for _, burdens := range c.policies.loadByNode {
 			for _, burden := range burdens {
 				if burden.Service == service {
 					state.AtWork += burden.AtWork
@@ -163,8 +163,8 @@
 			}
 		}
 	}
-	for site := range f.sites {
-		region := rpc.RegionName(f.props.Regions[string(site)])
+	for site := range c.evacuatedZones {
+		region := rpc.RegionName(c.settings.Regions[string(site)])
 		stock := state.Stock[region]
 		stock.Evacuated = stock.Useful == 0
 		state.Stock[region] = stock
@@ -172,151 +172,151 @@
 	return state
 }
 
-// carryOn looks at both and commits what they ask for; the caller holds the lock.
-func (f *Coordinator) carryOn(now time.Duration) {
-	o := &f.orders
+// reconcilePolicies looks at both and commits what they ask for; the caller holds the lock.
+func (c *Coordinator) reconcilePolicies(now time.Duration) {
+	o := &c.policies
 	var commands []raft.Command
 	if len(o.retired) > 0 {
 		list := make([]rpc.Retirement, 0, len(o.retired))
 		for id, retired := range o.retired {
-			if _, listed := f.list.Servers.Get(id); !retired.Gone && !listed && f.list.Walked {
+			if _, listed := c.endpoints.Servers.Get(id); !retired.Gone && !listed && c.endpoints.Walked {
 				commands = append(commands, raft.Command{Kind: raft.CommandRestore, Site: string(id)})
 			}
 			list = append(list, retired)
 		}
 		var stops []rpc.ServerID
-		stops, o.retiring = o.desk.Step(now, o.policy, list, f.followers(now), f.stock)
+		stops, o.retirements = o.drainTracker.Step(now, o.drainPolicy, list, c.followers(now), c.stockOf)
 		for _, id := range stops {
 			commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 		}
-		for _, account := range o.retiring {
-			f.say(eventlog.RetireStands, account.Server, string(account.Phase), "why", account.Why)
+		for _, status := range o.retirements {
+			c.logStatusChange(eventlog.RetireStands, status.Server, string(status.Phase), "why", status.Why)
 		}
 	} else {
-		o.retiring = nil
+		o.retirements = nil
 	}
-	if o.policy != nil {
-		f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+	if o.drainPolicy != nil {
+		c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 			if _, ordered := o.retired[id]; server.Draining && !ordered {
 				commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
 			}
 		})
 	}
 	var move *rpc.Move
-	o.moving = nil
-	if o.plan != nil && f.list.Walked {
-		move, o.moving = o.stepper.Step(now, o.wall(), o.plan, o.move, f.regions)
+	o.targets = nil
+	if o.dayPlan != nil && c.endpoints.Walked {
+		move, o.targets = o.stepper.Step(now, o.wallClock(), o.dayPlan, o.move, c.regionState)
 		if move != nil {
 			body, err := json.Marshal(move)
 			if err == nil {
 				commands = append(commands, raft.Command{Kind: raft.CommandMove, Body: body})
 			}
 		}
-		for _, account := range o.moving {
-			f.say(eventlog.MoveStands, account.Target, account.Waiting, "wanted", account.Wanted)
+		for _, status := range o.targets {
+			c.logStatusChange(eventlog.MoveStands, status.Target, status.Waiting, "wanted", status.Wanted)
 		}
 	}
-	if len(commands) == 0 || o.busy {
+	if len(commands) == 0 || o.proposing {
 		return
 	}
-	o.busy = true
+	o.proposing = true
 	go func() {
-		answers := f.node.Wishes(commands, orderPatience)
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.orders.busy = false
+		answers := c.node.Wishes(commands, proposeTimeout)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.policies.proposing = false
 		last := len(commands) - 1
 		if move != nil && answers[last].Clear && answers[last].Result.Problem == "" {
-			f.orders.stepper.Committed(f.now())
+			c.policies.stepper.Committed(c.now())
 		}
 	}()
 }
 
-// say logs how an order stands, once for each change.
-func (f *Coordinator) say(event eventlog.Event, subject, stands string, pairs ...any) {
+// logStatusChange logs how an order stands, once for each change.
+func (c *Coordinator) logStatusChange(event eventlog.Event, subject, stands string, pairs ...any) {
 	key := fmt.Sprint(int(event), subject)
-	if f.orders.said[key] == stands {
+	if c.policies.loggedStatus[key] == stands {
 		return
 	}
-	if len(f.orders.said) > 4096 {
-		f.orders.said = map[string]string{}
+	if len(c.policies.loggedStatus) > 4096 {
+		c.policies.loggedStatus = map[string]string{}
 	}
-	f.orders.said[key] = stands
-	f.log.Say(event, append([]any{"subject", subject, "stands", stands}, pairs...)...)
+	c.policies.loggedStatus[key] = stands
+	c.log.Say(event, append([]any{"subject", subject, "stands", stands}, pairs...)...)
 }
 
 // EndpointsComplete tells that the platform's list is known whole.
-func (f *Coordinator) EndpointsComplete() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.list.Walked
+func (c *Coordinator) EndpointsComplete() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.endpoints.Walked
 }
 
 // ValidateRetirement tells why a backend that is not retired may not be, and whether it
 // is on the list.
-func (f *Coordinator) ValidateRetirement(id rpc.ServerID) (service rpc.ServiceName, listed bool, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	server, listed := f.list.Servers.Get(id)
+func (c *Coordinator) ValidateRetirement(id rpc.ServerID) (service rpc.ServiceName, listed bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	server, listed := c.endpoints.Servers.Get(id)
 	if !listed {
 		return "", false, policy.Class.New("backend %q is not on the platform's list", id)
 	}
-	if stock := f.stock(server.Service); stock.Useful <= 1 {
+	if stock := c.stockOf(server.Service); stock.Useful <= 1 {
 		return "", true, policy.Class.New("backend %q is the last of service %q that is of use", id, server.Service)
 	}
 	return server.Service, true, nil
 }
 
 // ValidateSchedule tells what regions a plan names that no site is in.
-func (f *Coordinator) ValidateSchedule(body []byte) (err error) {
+func (c *Coordinator) ValidateSchedule(body []byte) (err error) {
 	plan, err := schedule.Read(body)
 	if err != nil {
 		return err
 	}
 	known := map[rpc.RegionName]bool{}
-	for _, region := range f.props.Regions {
+	for _, region := range c.settings.Regions {
 		known[rpc.RegionName(region)] = true
 	}
 	return plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return known[region] })
 }
 
 // RetirementStatus gives the standing of each order to retire.
-func (f *Coordinator) RetirementStatus() (accounts []drain.Account) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]drain.Account{}, f.orders.retiring...)
+func (c *Coordinator) RetirementStatus() (statuses []drain.Account) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]drain.Account{}, c.policies.retirements...)
 }
 
 // ScheduleStatus gives the standing of each target of the plan.
-func (f *Coordinator) ScheduleStatus() (accounts []schedule.Account) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]schedule.Account{}, f.orders.moving...)
+func (c *Coordinator) ScheduleStatus() (statuses []schedule.Account) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]schedule.Account{}, c.policies.targets...)
 }
 
-// level reckons what sites should send to each other.
-func (f *Coordinator) level(now time.Duration) {
+// balanceZones reckons what sites should send to each other.
+func (c *Coordinator) balanceZones(now time.Duration) {
 	atWork, slots := map[healthcheck.Place]float64{}, map[healthcheck.Place]float64{}
-	for id, burdens := range f.orders.burdens {
-		fellow, known := f.roll.Fellows.Get(id)
-		if !known || !f.roll.Here(id) {
+	for id, burdens := range c.policies.loadByNode {
+		node, known := c.nodes.Fellows.Get(id)
+		if !known || !c.nodes.Here(id) {
 			continue
 		}
 		for _, burden := range burdens {
 			if burden.AtWork > 0 {
-				atWork[healthcheck.Place{Service: burden.Service, Site: fellow.Site}] += float64(burden.AtWork)
+				atWork[healthcheck.Place{Service: burden.Service, Site: node.Site}] += float64(burden.AtWork)
 			}
 		}
 	}
-	f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 		place := healthcheck.Place{Service: server.Service, Site: server.Site}
-		state, _ := f.cache.States.Get(id)
-		retired := f.orders.retired[id]
-		if server.Draining || f.sites[server.Site] || state.Health == rpc.Down || state.Aside != "" || f.cache.ColdUntil(id) > now || retired.Stopped > 0 && !retired.Gone {
+		state, _ := c.health.States.Get(id)
+		retired := c.policies.retired[id]
+		if server.Draining || c.evacuatedZones[server.Site] || state.Health == rpc.Down || state.Aside != "" || c.health.ColdUntil(id) > now || retired.Stopped > 0 && !retired.Gone {
 			slots[place] += 0
 			return
 		}
 		slots[place] += float64(max(1, server.Slots))
 	})
-	f.balance.Turn(now, atWork, slots, func(site rpc.SiteName) string { return f.props.Regions[string(site)] })
+	c.zoneBalance.Turn(now, atWork, slots, func(site rpc.SiteName) string { return c.settings.Regions[string(site)] })
 }
--- a/internal/coordinator/retries.go
+++ b/internal/coordinator/retries.go
@@ -28,14 +28,14 @@
 }
 
 // RetryStatus gives the standing of each service under the limit.
-func (f *Coordinator) RetryStatus() (accounts []RetryStatus) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.now()
+func (c *Coordinator) RetryStatus() (statuses []RetryStatus) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
 	follow, missing, holds := 0, []string{}, true
-	followers := f.followers(now)
+	followers := c.followers(now)
 	for _, follower := range followers {
-		if follower.Rev >= f.orders.retryRev {
+		if follower.Rev >= c.policies.retryRevision {
 			follow++
 			continue
 		}
@@ -43,21 +43,21 @@
 		// A node that has not been heard for longer than floors last makes no
 		// retries at all; until then it may keep to what it knew. One that only
 		// older leaders heard counts from when this one began.
-		if now-f.orders.follows[follower.ID].heard <= quota.RetryFloorSpan+time.Second {
+		if now-c.policies.followerByNode[follower.ID].lastHeard <= quota.RetryFloorSpan+time.Second {
 			holds = false
 		}
 	}
 	sort.Strings(missing)
-	for name := range f.view.Services {
-		rule, written := f.orders.retries.For(rpc.ServiceName(name))
+	for name := range c.view.Services {
+		rule, written := c.policies.retryLimit.For(rpc.ServiceName(name))
 		if !written {
 			continue
 		}
-		accounts = append(accounts, RetryStatus{
+		statuses = append(statuses, RetryStatus{
 			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
-			Granted: f.retries.Lent(now, name), Followers: follow, Nodes: len(followers), Missing: missing, InForceEverywhere: holds,
+			Granted: c.retryQuota.Lent(now, name), Followers: follow, Nodes: len(followers), Missing: missing, InForceEverywhere: holds,
 		})
 	}
-	sort.Slice(accounts, func(i, j int) bool { return accounts[i].Service < accounts[j].Service })
-	return accounts
+	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
+	return statuses
 }
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -18,76 +18,76 @@
 )
 
 const (
-	bindPatience = 800 * time.Millisecond
-	bindsMost    = 256
-	// unbindsAtOnce sessions go in one turn.
-	unbindsAtOnce = 512
-	idleMost      = 24 * time.Hour
-	// scanSpan is how often bindings that are on no desk are looked for.
-	scanSpan = 30 * time.Second
+	bindTimeout = 800 * time.Millisecond
+	maxBinds    = 256
+	// maxUnbinds sessions go in one turn.
+	maxUnbinds = 512
+	maxIdle    = 24 * time.Hour
+	// scanInterval is how often bindings that are on no desk are looked for.
+	scanInterval = 30 * time.Second
 )
 
-// sessions is what the leader holds of them.
-type sessions struct {
+// sessionTable is what the leader holds of them.
+type sessionTable struct {
 	policy *affinity.Policy
-	desk   *affinity.Desk
+	expiry *affinity.Desk
 	built  bool
-	// unbinds are not known to be carried out yet; busy while a call is under way.
-	unbinds []raft.Command
-	busy    bool
-	scanned time.Duration
-	moved   uint64
-	refused uint64
-	// stopped is when a retired backend was first found to have been stopped.
-	stopped map[rpc.ServerID]time.Duration
+	// pendingUnbinds are not known to be carried out yet; busy while a call is under way.
+	pendingUnbinds []raft.Command
+	proposing      bool
+	lastScan       time.Duration
+	moved          uint64
+	rejected       uint64
+	// stoppedSince is when a retired backend was first found to have been stopped.
+	stoppedSince map[rpc.ServerID]time.Duration
 }
 
-func newSessions() (s sessions) {
-	return sessions{desk: affinity.NewDesk(), stopped: map[rpc.ServerID]time.Duration{}}
+func newSessionTable() (s sessionTable) {
+	return sessionTable{expiry: affinity.NewDesk(), stoppedSince: map[rpc.ServerID]time.Duration{}}
 }
 
-// take reads what is agreed; the caller holds the forum's lock.
-func (s *sessions) take(state *raft.State) {
+// load reads what is agreed; the caller holds the forum's lock.
+func (s *sessionTable) load(state *raft.State) {
 	s.policy = nil
 	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
 		s.policy, _ = affinity.Read([]byte(document.Body))
 	}
 }
 
-// scanSessions puts on the desk what is bound and not there: what older leaders
+// scanBindings puts on the desk what is bound and not there: what older leaders
 // have bound, or a call whose answer got lost. The caller holds the lock.
-func (f *Coordinator) scanSessions() {
-	now, s := f.now(), &f.sessions
-	s.built, s.scanned = true, now
-	f.node.Read(func(state *raft.State) {
+func (c *Coordinator) scanBindings() {
+	now, s := c.now(), &c.sessions
+	s.built, s.lastScan = true, now
+	c.node.Read(func(state *raft.State) {
 		state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
-			if !s.desk.Known(binding.Service, session) {
-				s.desk.Put(now, binding.Service, session, binding.Idle, binding.Seq)
+			if !s.expiry.Known(binding.Service, session) {
+				s.expiry.Put(now, binding.Service, session, binding.Idle, binding.Seq)
 			}
 		})
 	})
 }
 
-// settleSessions builds the desk once the leader is settled: only then has it all
+// buildSessionTable builds the desk once the leader is settled: only then has it all
 // that older ones bound. The caller holds the lock.
-func (f *Coordinator) settleSessions() {
-	if _, settled, _, _, _ := f.node.Standing(); settled && !f.sessions.built {
-		f.scanSessions()
+func (c *Coordinator) buildSessionTable() {
+	if _, settled, _, _, _ := c.node.Standing(); settled && !c.sessions.built {
+		c.scanBindings()
 	}
 }
 
-// bindFault tells what is wrong with an ask.
-func (f *Coordinator) bindFault(bind rpc.Bind) (fault string) {
-	server, listed := f.list.Servers.Get(bind.Server)
-	_, ruled := f.sessions.policy.For(bind.Service)
+// bindError tells what is wrong with an ask.
+func (c *Coordinator) bindError(bind rpc.Bind) (reason string) {
+	server, listed := c.endpoints.Servers.Get(bind.Server)
+	_, ruled := c.sessions.policy.For(bind.Service)
 	switch {
 	case !affinity.GoodID(bind.Session):
 		return "the session is no session's id"
-	case bind.Idle <= 0 || bind.Idle > idleMost:
+	case bind.Idle <= 0 || bind.Idle > maxIdle:
 		return "the idle time is out of bounds"
 	case len(bind.From) > policy.NameMost:
 		return "the name of the backend is too long"
-	case f.view.Services[string(bind.Service)] == nil || !ruled:
+	case c.view.Services[string(bind.Service)] == nil || !ruled:
 		return "no rule for the service"
 	case !listed || server.Service != bind.Service || server.Draining:
 		return "the backend is none that may be bound"
@@ -95,57 +95,57 @@
 	return ""
 }
 
-// ended tells that a session may not stay on a backend; the caller holds the lock.
-func (f *Coordinator) ended(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
-	server, listed := f.list.Servers.Get(id)
+// backendEnded tells that a session may not stay on a backend; the caller holds the lock.
+func (c *Coordinator) backendEnded(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
+	server, listed := c.endpoints.Servers.Get(id)
 	if !listed {
-		return f.list.Walked, "gone"
+		return c.endpoints.Walked, "gone"
 	}
 	if server.Draining {
 		return true, "leaving"
 	}
-	if f.sites[server.Site] {
+	if c.evacuatedZones[server.Site] {
 		return true, "evacuated"
 	}
-	retired := f.orders.retired[id]
+	retired := c.policies.retired[id]
 	if retired.Stopped == 0 || retired.Gone {
-		delete(f.sessions.stopped, id)
+		delete(c.sessions.stoppedSince, id)
 		return false, ""
 	}
-	since, known := f.sessions.stopped[id]
+	since, known := c.sessions.stoppedSince[id]
 	if !known {
-		f.sessions.stopped[id], since = now, now
+		c.sessions.stoppedSince[id], since = now, now
 	}
-	return now-since >= time.Duration(f.orders.policy.For(service).Finish), "retired"
+	return now-since >= time.Duration(c.policies.drainPolicy.For(service).Finish), "retired"
 }
 
 // Bind answers a batch of asks.
-func (f *Coordinator) Bind(ask rpc.BindAsk) (found []rpc.BindFound) {
-	found = make([]rpc.BindFound, len(ask.Binds))
-	if _, settled, _, _, _ := f.node.Standing(); !settled {
+func (c *Coordinator) Bind(request rpc.BindAsk) (found []rpc.BindFound) {
+	found = make([]rpc.BindFound, len(request.Binds))
+	if _, settled, _, _, _ := c.node.Standing(); !settled {
 		return found
 	}
-	f.mu.Lock()
-	if f.settleSessions(); !f.sessions.built {
-		f.mu.Unlock()
+	c.mu.Lock()
+	if c.buildSessionTable(); !c.sessions.built {
+		c.mu.Unlock()
 		return found
 	}
-	now := f.now()
+	now := c.now()
 	var commands []raft.Command
 	var places []int
 	why := map[int]string{}
-	for i, bind := range ask.Binds[:min(len(ask.Binds), bindsMost)] {
-		if fault := f.bindFault(bind); fault != "" {
-			f.sessions.refused++
-			_ = f.refuse("bind", "", fault)
+	for i, bind := range request.Binds[:min(len(request.Binds), maxBinds)] {
+		if reason := c.bindError(bind); reason != "" {
+			c.sessions.rejected++
+			_ = c.reject("bind", "", reason)
 			found[i].Outcome = rpc.BindRefused
 			continue
 		}
 		var standing raft.Binding
 		var bound bool
-		f.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := f.sessions.desk.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
-			ended, why[i] = f.ended(now, id, bind.Service)
+		c.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
+		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
+			ended, why[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
 		if answered {
@@ -155,70 +155,70 @@
 		places = append(places, i)
 		commands = append(commands, raft.BindCommand(bind))
 	}
-	f.mu.Unlock()
+	c.mu.Unlock()
 	if len(commands) == 0 {
 		return found
 	}
-	answers := f.node.Wishes(commands, bindPatience)
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	answers := c.node.Wishes(commands, bindTimeout)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for k, i := range places {
-		bind, answer := ask.Binds[i], answers[k]
+		bind, answer := request.Binds[i], answers[k]
 		switch {
 		case answer.Refused || !answer.Clear:
 		case answer.Result.Problem != "":
 			found[i].Outcome = rpc.BindFull
 		default:
 			binding := answer.Result.Binding
-			f.sessions.desk.Put(f.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
+			c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
 			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
 			if answer.Result.Moved {
-				f.sessions.moved++
-				f.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
-				f.chronicle.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
+				c.sessions.moved++
+				c.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
+				c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 			}
 		}
 	}
 	return found
 }
 
-// mostSessions is how many a service may have.
-func (f *Coordinator) mostSessions(service rpc.ServiceName) (most int) {
-	if rule, ruled := f.sessions.policy.For(service); ruled && f.view.Services[string(service)] != nil {
+// sessionLimit is how many a service may have.
+func (c *Coordinator) sessionLimit(service rpc.ServiceName) (most int) {
+	if rule, ruled := c.sessions.policy.For(service); ruled && c.view.Services[string(service)] != nil {
 		return rule.Most
 	}
 	return 0
 }
 
-// endSessions unbinds what is past its time; the caller holds the lock.
-func (f *Coordinator) endSessions(now time.Duration) {
-	s := &f.sessions
-	if s.busy {
+// expireSessions unbinds what is past its time; the caller holds the lock.
+func (c *Coordinator) expireSessions(now time.Duration) {
+	s := &c.sessions
+	if s.proposing {
 		return
 	}
-	if f.settleSessions(); !s.built {
+	if c.buildSessionTable(); !s.built {
 		return
 	}
-	if len(s.unbinds) == 0 && now-s.scanned > scanSpan {
+	if len(s.pendingUnbinds) == 0 && now-s.lastScan > scanInterval {
 		// None is on its way to be unbound here.
-		f.scanSessions()
+		c.scanBindings()
 	}
-	for _, over := range s.desk.Over(now, f.mostSessions, unbindsAtOnce-len(s.unbinds)) {
-		s.unbinds = append(s.unbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
+	for _, over := range s.expiry.Over(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
+		s.pendingUnbinds = append(s.pendingUnbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
 	}
-	if len(s.unbinds) == 0 {
+	if len(s.pendingUnbinds) == 0 {
 		return
 	}
-	s.busy = true
-	commands := s.unbinds
+	s.proposing = true
+	commands := s.pendingUnbinds
 	go func() {
-		answers := f.node.Wishes(commands, bindPatience)
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.sessions.busy, f.sessions.unbinds = false, nil
+		answers := c.node.Wishes(commands, bindTimeout)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.sessions.proposing, c.sessions.pendingUnbinds = false, nil
 		for i, answer := range answers {
 			if !answer.Clear {
-				f.sessions.unbinds = append(f.sessions.unbinds, commands[i])
+				c.sessions.pendingUnbinds = append(c.sessions.pendingUnbinds, commands[i])
 			}
 		}
 	}()
@@ -242,17 +242,17 @@
 }
 
 // SessionStatus gives it, nil where there is no policy.
-func (f *Coordinator) SessionStatus() (account *SessionStatus) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.sessions.policy == nil {
+func (c *Coordinator) SessionStatus() (status *SessionStatus) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.sessions.policy == nil {
 		return nil
 	}
 	// One who asks a leader that has just begun is told of all as well.
-	f.settleSessions()
-	account = &SessionStatus{Moved: f.sessions.moved, Evicted: f.sessions.desk.Crowded, Rejected: f.sessions.refused}
-	for name := range f.view.Services {
-		rule, ruled := f.sessions.policy.For(rpc.ServiceName(name))
+	c.buildSessionTable()
+	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Crowded, Rejected: c.sessions.rejected}
+	for name := range c.view.Services {
+		rule, ruled := c.sessions.policy.For(rpc.ServiceName(name))
 		if !ruled {
 			continue
 		}
@@ -260,8 +260,8 @@
 		if rule.Name != "" {
 			from += " " + rule.Name
 		}
-		account.Services = append(account.Services, ServiceSessions{Service: name, Source: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: f.sessions.desk.Count(rpc.ServiceName(name)), Limit: rule.Most})
+		status.Services = append(status.Services, ServiceSessions{Service: name, Source: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.Most})
 	}
-	sort.Slice(account.Services, func(i, j int) bool { return account.Services[i].Service < account.Services[j].Service })
-	return account
+	sort.Slice(status.Services, func(i, j int) bool { return status.Services[i].Service < status.Services[j].Service })
+	return status
 }
