--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/url"
 
@@ -183,23 +184,23 @@
 			sent.named, _ = state.TakenByName(command)
 		})
 	}
-	look := func() (service rpc.ServiceName, listed bool, refusal error) {
+	look := func() (service rpc.ServiceName, refusal error) {
 		agreed()
-		if service, listed, refusal = open.ValidateRetirement(id); sent.stands || sent.named {
-			return service, listed, nil
+		if service, refusal = open.ValidateRetirement(id); sent.stands || sent.named {
+			return service, nil
 		}
-		return service, listed, refusal
+		return service, refusal
 	}
-	service, listed, refusal := look()
+	service, refusal := look()
 	if refusal != nil {
 		if err = c.barrier(); err != nil {
 			return "", err
 		}
-		if service, listed, refusal = look(); refusal != nil {
+		if service, refusal = look(); refusal != nil {
 			if err = c.proven(open, nil); err != nil {
 				return "", err
 			}
-			if phase, err = sent.answer(listed, refusal); err != nil {
+			if phase, err = sent.answer(refusal); err != nil {
 				c.log.Say(eventlog.OrderRefused, "kind", history.Retirement, "name", string(id), "why", err.Error())
 			}
 			return phase, err
@@ -228,9 +229,9 @@
 // answer confirms an order that was taken and whose backend has left the list.
 // One that was taken back since cannot be told from a new one: it has no effect
 // and gets neither a yes nor a no.
-func (s sentAgain) answer(listed bool, refusal error) (phase string, err error) {
+func (s sentAgain) answer(refusal error) (phase string, err error) {
 	switch {
-	case s.taken && !listed:
+	case s.taken && errors.Is(refusal, coordinator.ErrUnknownBackend):
 		return string(drain.Left), nil
 	case s.taken:
 		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"tinpin/internal/apierror"
+	"tinpin/internal/coordinator"
 	"tinpin/internal/drain"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
@@ -41,21 +42,22 @@
 }
 
 func TestARetirementSentAgainIsNeverRefused(t *testing.T) {
-	refusal := policy.Class.New("no")
+	last := policy.Class.New("the last one")
+	unlisted := policy.Class.Wrap(fmt.Errorf("backend %q is %w", "one", coordinator.ErrUnknownBackend))
 	for _, c := range []struct {
-		sent   sentAgain
-		listed bool
-		status int
-		phase  string
+		sent    sentAgain
+		refusal error
+		status  int
+		phase   string
 	}{
-		{sentAgain{}, false, 422, ""},
-		{sentAgain{}, true, 422, ""},
-		{sentAgain{taken: true}, false, 200, "left"},
-		{sentAgain{taken: true}, true, 503, ""},
+		{sentAgain{}, unlisted, 422, ""},
+		{sentAgain{}, last, 422, ""},
+		{sentAgain{taken: true}, unlisted, 200, "left"},
+		{sentAgain{taken: true}, last, 503, ""},
 	} {
-		phase, err := c.sent.answer(c.listed, refusal)
+		phase, err := c.sent.answer(c.refusal)
 		if status := statusOf(t, err); status != c.status || phase != c.phase {
-			t.Errorf("%+v listed %v: %d %q", c.sent, c.listed, status, phase)
+			t.Errorf("%+v, %v: %d %q", c.sent, c.refusal, status, phase)
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordinator/drain.go
@@ -0,0 +1,120 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"tinpin/internal/drain"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/policy"
+	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
+)
+
+// drainState is what the leader holds of the drain policy and of retirements.
+type drainState struct {
+	// policy is nil where none is in force.
+	policy   *drain.Policy
+	retired  map[rpc.ServerID]rpc.Retirement
+	tracker  *drain.Desk
+	statuses []drain.Account
+}
+
+func newDrainState() (d drainState) {
+	return drainState{retired: map[rpc.ServerID]rpc.Retirement{}, tracker: drain.NewDesk()}
+}
+
+func (d *drainState) load(state *raft.State) {
+	d.policy = nil
+	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
+		d.policy, _ = drain.Read([]byte(document.Body))
+	}
+	d.retired = make(map[rpc.ServerID]rpc.Retirement, len(state.Retired))
+	for id, retired := range state.Retired {
+		d.retired[id] = retired
+	}
+}
+
+// stopped tells that a backend was retired and its stop is agreed.
+func (d *drainState) stopped(id rpc.ServerID) bool {
+	retired := d.retired[id]
+	return retired.Stopped > 0 && !retired.Gone
+}
+
+// stepDrain gives the commands that retirements ask for now; the caller holds mu.
+func (c *Coordinator) stepDrain(now time.Duration) (commands []raft.Command) {
+	d := &c.policies.drain
+	commands = c.stepRetirements(now)
+	if d.policy == nil {
+		return commands
+	}
+	// Under a policy, backends that the platform drains are retired as well.
+	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+		if _, retired := d.retired[id]; server.Draining && !retired {
+			commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
+		}
+	})
+	return commands
+}
+
+func (c *Coordinator) stepRetirements(now time.Duration) (commands []raft.Command) {
+	d := &c.policies.drain
+	if len(d.retired) == 0 {
+		d.statuses = nil
+		return nil
+	}
+	list := make([]rpc.Retirement, 0, len(d.retired))
+	for id, retired := range d.retired {
+		if _, listed := c.endpoints.Servers.Get(id); !retired.Gone && !listed && c.endpoints.Walked {
+			// It has left the platform's list: the retirement is over.
+			commands = append(commands, raft.Command{Kind: raft.CommandRestore, Site: string(id)})
+		}
+		list = append(list, retired)
+	}
+	var stops []rpc.ServerID
+	stops, d.statuses = d.tracker.Step(now, d.policy, list, c.listFollowers(now), c.stockOf)
+	for _, id := range stops {
+		commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
+	}
+	for _, status := range d.statuses {
+		c.policies.logged.record(c.log, eventlog.RetireStands, status.Server, string(status.Phase), "why", status.Why)
+	}
+	return commands
+}
+
+// stockOf counts a service's backends.
+func (c *Coordinator) stockOf(service rpc.ServiceName) (stock drain.Stock) {
+	c.eachBackend(service, func(_ rpc.Server, useful bool) {
+		stock.Listed++
+		if useful {
+			stock.Useful++
+		}
+	})
+	return stock
+}
+
+// ErrUnknownBackend is that of a backend which is not on the platform's list.
+var ErrUnknownBackend = errors.New("not on the platform's list")
+
+// ValidateRetirement gives the service of a backend, or tells why it may not be
+// retired. It does not look at whether the backend is retired already.
+func (c *Coordinator) ValidateRetirement(id rpc.ServerID) (service rpc.ServiceName, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	server, listed := c.endpoints.Servers.Get(id)
+	if !listed {
+		return "", policy.Class.Wrap(fmt.Errorf("backend %q is %w", id, ErrUnknownBackend))
+	}
+	if stock := c.stockOf(server.Service); stock.Useful <= 1 {
+		return "", policy.Class.New("backend %q is the last of service %q that is useful", id, server.Service)
+	}
+	return server.Service, nil
+}
+
+// RetirementStatus gives how each retirement stands.
+func (c *Coordinator) RetirementStatus() (statuses []drain.Account) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]drain.Account{}, c.policies.drain.statuses...)
+}
--- /dev/null
+++ b/internal/coordinator/endpoints.go
@@ -0,0 +1,140 @@
+package coordinator
+
+import (
+	"time"
+
+	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
+	"tinpin/internal/quota"
+	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
+)
+
+const (
+	// leaderRateShare is the part of the platform's call rate that the leader
+	// uses; the rest is for nodes without a leader.
+	leaderRateShare = 0.5
+	// minPlatformRate, in calls a second, keeps the pause between calls finite.
+	minPlatformRate = 0.1
+	// maxPagePause and minListPause bound the waits between the pages of a walk
+	// and between walks.
+	maxPagePause = 100 * time.Millisecond
+	minListPause = 20 * time.Millisecond
+)
+
+// listLoop reads the platform's list of backends again and again until Close.
+func (c *Coordinator) listLoop() {
+	platform := registry.NewPlatform(c.settings.PlatformAddress)
+	pause := time.Duration(float64(time.Second) / max(c.settings.PlatformRate*leaderRateShare, minPlatformRate))
+	for {
+		begun := time.Now()
+		servers, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Server) { c.mergeEndpoints(page, false) })
+		interval := listInterval(c.settings.ListInterval, pause, pages)
+		if err != nil {
+			c.log.Say(eventlog.ListFailed, "problem", err.Error())
+			interval = max(interval/2, time.Duration(pages)*pause)
+		} else {
+			c.mergeEndpoints(servers, true)
+		}
+		select {
+		case <-c.closed:
+			return
+		case <-time.After(max(interval-time.Since(begun), minListPause)):
+		}
+	}
+}
+
+// listInterval is how long after the start of one walk the next one starts. A
+// long list is read no more often than twice the time that a walk of it takes,
+// since each page is a call that counts against the platform's rate.
+func listInterval(usual, pause time.Duration, pages int) (interval time.Duration) {
+	return max(usual, 2*time.Duration(pages)*pause)
+}
+
+// mergeEndpoints takes up one page of the list, or all of a complete walk. Only
+// a complete walk can tell that a backend is gone.
+func (c *Coordinator) mergeEndpoints(servers []rpc.Server, complete bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	before, first := c.clock.Now(), !c.endpoints.Walked
+	var changed bool
+	var added []rpc.Server
+	if complete {
+		changed = c.endpoints.Whole(servers)
+	} else {
+		changed, added = c.endpoints.Page(servers)
+	}
+	c.endpoints.Servers.Since(before, func(id rpc.ServerID, server rpc.Server, gone bool) {
+		stamp := server.Stamp()
+		if gone {
+			stamp = "gone"
+		}
+		c.history.Note(history.Backend, string(id), "listed", stamp, 0, first)
+	})
+	now := c.now()
+	for _, server := range added {
+		if server.Cold > 0 {
+			c.health.Suspect(now, server.ID, server.Service, server.Cold)
+		}
+	}
+	if changed {
+		c.forgetUnlisted()
+		c.wakeHeartbeats()
+	}
+}
+
+// forgetUnlisted drops health and leases of backends that left the list.
+func (c *Coordinator) forgetUnlisted() {
+	var gone []rpc.ServerID
+	c.health.States.Each(func(id rpc.ServerID, _ rpc.State) {
+		if _, listed := c.endpoints.Servers.Get(id); !listed {
+			gone = append(gone, id)
+		}
+	})
+	for _, id := range gone {
+		c.health.Drop(id)
+		c.leases.rates.Forget(quota.Key{Kind: rpc.ColdRate, Name: string(id)})
+	}
+}
+
+// EndpointsComplete tells that the platform's list was read to its end.
+func (c *Coordinator) EndpointsComplete() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.endpoints.Walked
+}
+
+// Report takes up an owner's findings on the health of its backends, and tells
+// whether it did. Before the list is complete it takes none, since findings on
+// backends not listed yet would be lost.
+func (c *Coordinator) Report(request rpc.ReportAsk) (taken bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.endpoints.Walked {
+		return false
+	}
+	if err := c.validateReport(request); err != nil {
+		_ = c.rejections.reject(c.log, "report", request.Fellow, err)
+		return false
+	}
+	absent := map[rpc.FellowID]bool{}
+	for _, id := range c.nodes.absent {
+		absent[id] = true
+	}
+	listed := request.States[:0:0]
+	for _, state := range request.States {
+		if _, known := c.endpoints.Servers.Get(state.Server); known {
+			listed = append(listed, state)
+		}
+	}
+	request.States = listed
+	before := c.clock.Now()
+	taken, changed := c.health.Report(c.now(), request, absent)
+	c.health.States.Since(before, func(id rpc.ServerID, state rpc.State, _ bool) {
+		c.history.Note(history.Health, string(id), "reported by "+string(request.Fellow), state.Stamp(), uint64(c.clock.Now()), true)
+	})
+	if changed {
+		c.wakeHeartbeats()
+	}
+	return taken
+}
--- /dev/null
+++ b/internal/coordinator/followers.go
@@ -0,0 +1,72 @@
+package coordinator
+
+import (
+	"fmt"
+	"time"
+
+	"tinpin/internal/drain"
+	"tinpin/internal/rpc"
+)
+
+// rememberNode is how long a node that is no longer heard counts when it is
+// asked whether more than half follow the agreed state.
+const rememberNode = 2 * time.Minute
+
+// follower is how far one node follows the agreed state, by its last heartbeat.
+type follower struct {
+	revision  uint64
+	lastHeard time.Duration
+}
+
+// followerTable is what heartbeats prove of how far the nodes follow, and the
+// load that they report.
+type followerTable struct {
+	byNode     map[rpc.FellowID]follower
+	loadByNode map[rpc.FellowID][]rpc.Burden
+	// knownNodes is the largest number of nodes that any node knew of, which a
+	// new leader has not all heard yet.
+	knownNodes int
+}
+
+func newFollowerTable() (t followerTable) {
+	return followerTable{byNode: map[rpc.FellowID]follower{}, loadByNode: map[rpc.FellowID][]rpc.Burden{}}
+}
+
+// observe notes how far a node follows, by its own heartbeat.
+func (t *followerTable) observe(now time.Duration, request rpc.BeatAsk) {
+	revision := request.Rev
+	if request.ItemAt != rpc.AllItems && revision > 0 {
+		// It has the items of that revision only in part.
+		revision--
+	}
+	t.byNode[request.ID] = follower{revision, now}
+	t.knownNodes = max(t.knownNodes, request.Known)
+	if request.Stopping {
+		delete(t.byNode, request.ID)
+	}
+	if len(request.Burdens) > 0 || t.loadByNode[request.ID] != nil {
+		t.loadByNode[request.ID] = request.Burdens
+	}
+}
+
+// list gives the nodes that count, and forgets those not heard for long.
+func (t *followerTable) list(now time.Duration, connected func(id rpc.FellowID) bool) (followers []drain.Follower) {
+	for id, known := range t.byNode {
+		if now-known.lastHeard > rememberNode {
+			delete(t.byNode, id)
+			delete(t.loadByNode, id)
+			continue
+		}
+		followers = append(followers, drain.Follower{ID: id, Rev: known.revision, Here: connected(id)})
+	}
+	// Those that older leaders knew of and this one has not heard yet.
+	for len(followers) < t.knownNodes && now < rememberNode {
+		followers = append(followers, drain.Follower{ID: rpc.FellowID(fmt.Sprint("not heard yet ", len(followers)))})
+	}
+	return followers
+}
+
+// listFollowers gives the nodes that count; the caller holds mu.
+func (c *Coordinator) listFollowers(now time.Duration) (followers []drain.Follower) {
+	return c.followers.list(now, c.nodes.registry.Here)
+}
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -10,7 +10,7 @@
 	"tinpin/internal/rpc"
 )
 
-// fakeLeadership is a contact that holds or not, and counts who asked.
+// fakeLeadership is confirmed or not, and counts the checks.
 type fakeLeadership struct {
 	lost   atomic.Bool
 	checks atomic.Int64
@@ -21,8 +21,8 @@
 	return term == 7 && !s.lost.Load()
 }
 
-// A desk out of contact says of nothing that it is a leader's word.
-func TestADeskOutOfContactDoesNotLead(t *testing.T) {
+// A handler out of contact says of nothing that it is the leader's word.
+func TestHandlerOutOfContactDoesNotLead(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		leadership := &fakeLeadership{}
 		leadership.lost.Store(lost)
@@ -48,7 +48,7 @@
 		if err := handler.Bind(rpc.BindAsk{Binds: []rpc.Bind{{Session: "x"}}}, &bind); err != nil || bind.Leader == lost || lost && len(bind.Found) > 0 {
 			t.Errorf("lost %v: bind %+v, %v", lost, bind, err)
 		}
-		// A claim that is not taken is a clear no: it has entered no log.
+		// A claim that is not taken is a clear no: it is in no log.
 		var claim rpc.ClaimReply
 		if err := handler.Claim(rpc.ClaimAsk{Holder: "e", Claims: []rpc.KeyClaim{{Key: "k", Request: "r"}}}, &claim); err != nil || claim.Leader == lost || lost && len(claim.Found) > 0 {
 			t.Errorf("lost %v: claim %+v, %v", lost, claim, err)
@@ -56,8 +56,8 @@
 	}
 }
 
-// A beat that was held open is proven when it is answered, not when it came.
-func TestABeatThatWasHeldIsProvenWhenItIsAnswered(t *testing.T) {
+// A heartbeat that was held open is confirmed when it is answered, not when it came.
+func TestHeldHeartbeatIsConfirmedWhenItIsAnswered(t *testing.T) {
 	leadership := &fakeLeadership{}
 	handler := NewHandler(&raft.Node{}, leadership)
 	c := newTestCoordinator()
@@ -71,7 +71,7 @@
 		_ = handler.Beat(request, &update)
 		done <- update
 	}()
-	// The beat lets go of the lock only where it waits.
+	// The heartbeat releases the lock only where it waits.
 	for inner := ""; inner == ""; inner, _ = c.NodeAddress("e") {
 		runtime.Gosched()
 	}
@@ -86,6 +86,6 @@
 		t.Fatalf("after contact was lost: %+v", update)
 	}
 	if leadership.checks.Load() == 0 {
-		t.Fatal("contact was not asked for")
+		t.Fatal("leadership was not checked")
 	}
 }
--- /dev/null
+++ b/internal/coordinator/leases.go
@@ -0,0 +1,104 @@
+package coordinator
+
+import (
+	"time"
+
+	"tinpin/internal/config"
+	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
+)
+
+const (
+	leaseDuration = 1600 * time.Millisecond
+	// warmUpWindow is the window that the rate of a backend that is warming up
+	// is counted in.
+	warmUpWindow = 1200 * time.Millisecond
+	// retrySlackShare is the part of the configured slack that is granted.
+	retrySlackShare = 0.7
+	// ratePerSharer is how much of a warming backend's rate, in requests a
+	// second, is worth one more node to share it.
+	ratePerSharer = 3
+)
+
+// leaseTable is what is granted of each fleet-wide limit.
+type leaseTable struct {
+	// rates holds the retry slack and the rates of backends that are warming up.
+	rates *quota.Book
+	// tenants and retries hold the tenants' limits and the limit on retries.
+	tenants, retries *quota.Lender
+	// warmingUp lists the backends whose rate is granted now.
+	warmingUp []rpc.ServerID
+}
+
+// newLeaseTable is empty. Unless this is the first term of all, nothing is
+// granted until the leases of older leaders have run out.
+func newLeaseTable(first bool) (t leaseTable) {
+	t = leaseTable{
+		rates:   quota.NewBook(0, leaseDuration),
+		tenants: quota.NewLender(0, leaseDuration, first),
+		retries: quota.NewLenderOf(quota.RetryKinds, 0, leaseDuration, first),
+	}
+	if first {
+		t.rates = quota.Unwaited(leaseDuration)
+	}
+	return t
+}
+
+// grantLeases gives a node its share of every limit; the caller holds mu.
+func (c *Coordinator) grantLeases(now time.Duration, request rpc.BeatAsk) (leases []rpc.Lease) {
+	nodes := c.nodes.available
+	if request.Stopping || nodes == 0 {
+		return nil
+	}
+	slack := c.settings.Bounds.RetrySlack * retrySlackShare
+	lease, granted := c.leases.rates.Lend(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow, request.ID, slack/float64(nodes))
+	if granted {
+		leases = append(leases, lease)
+	}
+	for _, demand := range request.Demands {
+		if tenant := c.view.TenantNamed(demand.Tenant); tenant != nil {
+			leases = append(leases, c.leases.tenants.Lend(now, quota.BoundOf(tenant), request.ID, nodes, demand)...)
+		}
+	}
+	for _, demand := range request.Retries {
+		service := rpc.ServiceName(demand.Tenant)
+		rule, limited := c.policies.retry.limit.For(service)
+		if limited && rule.LeastPerSecond > 0 && c.view.Services[demand.Tenant] != nil {
+			leases = append(leases, c.leases.retries.Lend(now, rule.Bound(service), request.ID, nodes, demand)...)
+		}
+	}
+	for _, id := range c.leases.warmingUp {
+		if lease, granted = c.grantWarmUp(now, request.ID, id); granted {
+			leases = append(leases, lease)
+		}
+	}
+	return leases
+}
+
+// grantWarmUp gives a node its share of the rate of a backend that is warming up.
+func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.FellowID, id rpc.ServerID) (lease rpc.Lease, granted bool) {
+	server, listed := c.endpoints.Servers.Get(id)
+	if !listed || server.Draining || c.health.ColdUntil(id)+time.Second < now {
+		return lease, false
+	}
+	service := c.warmUpLimited(server)
+	if service == nil {
+		return lease, false
+	}
+	shares, sharers := c.nodes.sharesWarmUp(node, server, service.ColdRate, c.settings.Regions)
+	if !shares {
+		return lease, false
+	}
+	key := quota.Key{Kind: rpc.ColdRate, Name: string(id)}
+	return c.leases.rates.Lend(now, key, service.ColdRate, warmUpWindow, node, service.ColdRate/float64(sharers))
+}
+
+// warmUpLimited gives a backend's service where that limits the rate of backends
+// that are warming up, else nil.
+func (c *Coordinator) warmUpLimited(server rpc.Server) (service *config.Service) {
+	service = c.view.Services[string(server.Service)]
+	if service == nil || service.ColdRate <= 0 {
+		return nil
+	}
+	return service
+}
--- /dev/null
+++ b/internal/coordinator/nodes.go
@@ -0,0 +1,184 @@
+package coordinator
+
+import (
+	"slices"
+	"time"
+
+	"tinpin/internal/eventlog"
+	"tinpin/internal/healthcheck"
+	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
+)
+
+// removeNodeAfter is how long after its last heartbeat a node leaves the shard
+// map. Another stands in for what it owned much earlier (healthcheck.StandIn).
+const removeNodeAfter = 6 * time.Second
+
+// nodeTable is the registry of nodes and what follows from it. The latter is
+// computed once a change, so that a heartbeat costs nothing that grows with the
+// fleet.
+type nodeTable struct {
+	clock    *registry.Clock
+	registry *registry.Roll
+	// pending tells that a heartbeat changed the registry since the last refresh.
+	pending bool
+
+	shardMap      rpc.ShardMap
+	shardMapEpoch rpc.Epoch
+	// members holds those of the shard map, for updates by difference.
+	members *registry.Ledger[rpc.FellowID, bool]
+	// absent lists nodes in the shard map that are not heard, or are stopping.
+	absent []rpc.FellowID
+	// available counts nodes that are heard and not stopping.
+	available int
+	// nearestByZone caches nearest.
+	nearestByZone map[rpc.SiteName][]rpc.FellowID
+}
+
+func newNodeTable(clock *registry.Clock, bounds registry.RollBounds) (t nodeTable) {
+	return nodeTable{
+		clock: clock, registry: registry.NewRoll(clock, bounds),
+		members:       registry.NewLedger[rpc.FellowID, bool](clock),
+		nearestByZone: map[rpc.SiteName][]rpc.FellowID{},
+	}
+}
+
+// reconcileNodes removes nodes that are no longer heard and tells whether
+// anything changed; the caller holds mu.
+func (c *Coordinator) reconcileNodes(now time.Duration) (changed bool) {
+	lost, changed := c.nodes.registry.Tick(now)
+	changed, c.nodes.pending = changed || c.nodes.pending, false
+	for _, id := range lost {
+		c.log.Say(eventlog.FellowLost, "fellow", string(id))
+	}
+	if changed {
+		c.refreshNodes()
+	}
+	return changed
+}
+
+// refreshNodes recomputes what follows from the registry; the caller holds mu.
+func (c *Coordinator) refreshNodes() {
+	if c.nodes.refresh(c.term) {
+		c.health.Shards(c.nodes.shardMap)
+		c.log.Say(eventlog.MapChanged, "count", uint64(c.nodes.shardMapEpoch), "members", len(c.nodes.shardMap.Members))
+	}
+	c.outcomes.forgetOwners()
+}
+
+// refresh recomputes all that follows from the registry and tells whether the
+// shard map changed.
+func (t *nodeTable) refresh(term rpc.Term) (mapChanged bool) {
+	t.nearestByZone, t.available = map[rpc.SiteName][]rpc.FellowID{}, 0
+	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+		if t.registry.Here(id) && !node.Stopping {
+			t.available++
+		}
+	})
+	if members := t.registry.Members(); !slices.Equal(members, t.shardMap.Members) {
+		t.replaceShardMap(term, members)
+		mapChanged = true
+	}
+	if absent := t.registry.Absent(); !slices.Equal(absent, t.absent) {
+		t.absent = absent
+		// A new epoch, so that all open heartbeats are told.
+		t.clock.Next()
+	}
+	return mapChanged
+}
+
+func (t *nodeTable) replaceShardMap(term rpc.Term, members []rpc.FellowID) {
+	remaining := make(map[rpc.FellowID]bool, len(members))
+	for _, member := range members {
+		remaining[member] = true
+		t.members.Set(member, true)
+	}
+	for _, member := range t.shardMap.Members {
+		if !remaining[member] {
+			t.members.Drop(member)
+		}
+	}
+	// The epochs of all changes that made this map lie after the last map's
+	// epoch and before this one's.
+	t.shardMapEpoch = t.clock.Next()
+	t.shardMap = rpc.ShardMap{Term: term, Count: t.shardMapEpoch, Members: members}
+}
+
+// addShardMap adds to an update what changed of the shard map, or all of it for
+// a node that knows none.
+func (t *nodeTable) addShardMap(seen rpc.Seen, update *rpc.News) {
+	if update.Full || seen.MapAt == 0 {
+		shardMap := t.shardMap
+		update.Map = &shardMap
+		return
+	}
+	if t.shardMapEpoch <= seen.MapAt {
+		return
+	}
+	delta := &rpc.MapDelta{Base: seen.MapAt, Count: t.shardMapEpoch}
+	t.members.Since(seen.MapAt, func(id rpc.FellowID, _ bool, gone bool) {
+		if gone {
+			delta.Removed = append(delta.Removed, id)
+		} else {
+			delta.Added = append(delta.Added, id)
+		}
+	})
+	update.MapDelta = delta
+}
+
+// nearest lists the ready nodes heard in a zone, or else in its region, or else
+// all. regions gives the region of each zone.
+func (t *nodeTable) nearest(zone rpc.SiteName, regions map[string]string) (ids []rpc.FellowID) {
+	if ids, known := t.nearestByZone[zone]; known {
+		return ids
+	}
+	region := regions[string(zone)]
+	var inZone, inRegion, all []rpc.FellowID
+	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+		if !t.registry.Here(id) || node.Stopping || !node.Ready {
+			return
+		}
+		all = append(all, id)
+		if node.Site == zone {
+			inZone = append(inZone, id)
+		}
+		if string(node.Region) == region {
+			inRegion = append(inRegion, id)
+		}
+	})
+	for _, ids = range [][]rpc.FellowID{inZone, inRegion, all} {
+		if len(ids) > 0 {
+			break
+		}
+	}
+	t.nearestByZone[zone] = ids
+	return ids
+}
+
+// sharesWarmUp tells whether a node is among the few that the rate of a backend
+// that is warming up is split between, and how many they are: those of the
+// nearest nodes that rank highest for it, as they do for its ordinary use, so
+// that the load of many such backends is spread.
+func (t *nodeTable) sharesWarmUp(node rpc.FellowID, server rpc.Server, rate float64, regions map[string]string) (shares bool, sharers int) {
+	nearest := t.nearest(server.Site, regions)
+	sharers = min(len(nearest), max(1, int(rate/ratePerSharer)))
+	rank := healthcheck.Rank(string(node), string(server.ID))
+	isNear, before := false, 0
+	for _, id := range nearest {
+		if id == node {
+			isNear = true
+		} else if healthcheck.Rank(string(id), string(server.ID)) < rank {
+			before++
+		}
+	}
+	return isNear && before < sharers, max(1, sharers)
+}
+
+// NodeAddress gives a node's internal address and the incarnation it was last
+// heard with, zero where it is not known.
+func (c *Coordinator) NodeAddress(id rpc.FellowID) (address string, incarnation rpc.Life) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	node, _ := c.nodes.registry.Fellows.Get(id)
+	return node.Inner, node.Life
+}
--- /dev/null
+++ b/internal/coordinator/retry.go
@@ -0,0 +1,62 @@
+package coordinator
+
+import (
+	"sort"
+	"time"
+
+	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
+)
+
+// RetryStatus is how the limit on retries to one service stands.
+type RetryStatus struct {
+	Service        string  `json:"service"`
+	Ratio          float64 `json:"ratio"`
+	LeastPerSecond float64 `json:"least_per_s"`
+	Window         string  `json:"window"`
+	// Granted is the part of the least rate that nodes hold now.
+	Granted float64 `json:"lent"`
+	// Followers of Nodes keep the limit; InForceEverywhere tells that no node can
+	// be left that keeps to an older one.
+	Followers         int      `json:"followers"`
+	Nodes             int      `json:"of"`
+	Missing           []string `json:"missing,omitempty"`
+	InForceEverywhere bool     `json:"holds"`
+}
+
+// retryLimitMemory is how long a node that is not heard may keep to an older
+// limit: when its guaranteed minimum has run out, it makes no retries at all.
+const retryLimitMemory = quota.RetryFloorSpan + time.Second
+
+// RetryStatus gives how the limit on retries to each service stands.
+func (c *Coordinator) RetryStatus() (statuses []RetryStatus) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	followers, missing, everywhere := 0, []string{}, true
+	nodes := c.listFollowers(now)
+	for _, node := range nodes {
+		if node.Rev >= c.policies.retry.revision {
+			followers++
+			continue
+		}
+		missing = append(missing, string(node.ID))
+		// One that only older leaders heard counts from the start of this term.
+		if now-c.followers.byNode[node.ID].lastHeard <= retryLimitMemory {
+			everywhere = false
+		}
+	}
+	sort.Strings(missing)
+	for name := range c.view.Services {
+		rule, limited := c.policies.retry.limit.For(rpc.ServiceName(name))
+		if !limited {
+			continue
+		}
+		statuses = append(statuses, RetryStatus{
+			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
+			Granted: c.leases.retries.Lent(now, name), Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
+		})
+	}
+	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
+	return statuses
+}
--- /dev/null
+++ b/internal/coordinator/schedule.go
@@ -0,0 +1,126 @@
+package coordinator
+
+import (
+	"encoding/json"
+	"time"
+
+	"tinpin/internal/eventlog"
+	"tinpin/internal/policy"
+	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
+	"tinpin/internal/schedule"
+)
+
+// scheduleState is what the leader holds of the day's plan.
+type scheduleState struct {
+	// plan is nil where none is in force, step the last agreed change of weights.
+	plan     *schedule.Plan
+	step     rpc.Move
+	stepper  *schedule.Stepper
+	statuses []schedule.Account
+	// wallClock tells the time of day.
+	wallClock func() time.Time
+}
+
+func newScheduleState() (s scheduleState) {
+	return scheduleState{stepper: &schedule.Stepper{}, wallClock: time.Now}
+}
+
+func (s *scheduleState) load(state *raft.State) {
+	s.plan = nil
+	if document := state.Documents[policy.DayPlan]; document.InForce() {
+		s.plan, _ = schedule.Read([]byte(document.Body))
+	}
+	s.step = state.Move
+}
+
+// stepSchedule gives the command for the next step of the plan, if one is due;
+// the caller holds mu.
+func (c *Coordinator) stepSchedule(now time.Duration) (command raft.Command, due bool) {
+	s := &c.policies.schedule
+	s.statuses = nil
+	if s.plan == nil || !c.endpoints.Walked {
+		return command, false
+	}
+	var next *rpc.Move
+	next, s.statuses = s.stepper.Step(now, s.wallClock(), s.plan, s.step, c.targetState)
+	for _, status := range s.statuses {
+		c.policies.logged.record(c.log, eventlog.MoveStands, status.Target, status.Waiting, "wanted", status.Wanted)
+	}
+	if next == nil {
+		return command, false
+	}
+	body, err := json.Marshal(next)
+	if err != nil {
+		return command, false
+	}
+	return raft.Command{Kind: raft.CommandMove, Body: body}, true
+}
+
+// targetState is what a target of the plan has in each region.
+func (c *Coordinator) targetState(target schedule.Target) (state schedule.State) {
+	state.Stock = map[rpc.RegionName]schedule.Stock{}
+	services := []rpc.ServiceName{target.Service}
+	if target.Host != "" {
+		services = nil
+		for _, named := range c.view.ServicesOf(target.Host) {
+			services = append(services, rpc.ServiceName(named))
+		}
+	}
+	for _, service := range services {
+		c.addStock(service, &state)
+		for _, loads := range c.followers.loadByNode {
+			for _, load := range loads {
+				if load.Service == service {
+					state.AtWork += load.AtWork
+				}
+			}
+		}
+	}
+	for zone := range c.evacuatedZones {
+		region := c.regionOf(zone)
+		stock := state.Stock[region]
+		stock.Evacuated = stock.Useful == 0
+		state.Stock[region] = stock
+	}
+	return state
+}
+
+// addStock adds the backends of a service to those of their regions.
+func (c *Coordinator) addStock(service rpc.ServiceName, state *schedule.State) {
+	c.eachBackend(service, func(server rpc.Server, useful bool) {
+		region := c.regionOf(server.Site)
+		stock := state.Stock[region]
+		stock.Listed++
+		if useful && !c.evacuatedZones[server.Site] {
+			stock.Useful++
+			stock.Slots += max(1, server.Slots)
+		}
+		state.Stock[region] = stock
+	})
+}
+
+func (c *Coordinator) regionOf(zone rpc.SiteName) (region rpc.RegionName) {
+	return rpc.RegionName(c.settings.Regions[string(zone)])
+}
+
+// ValidateSchedule tells whether a plan can be read and names only regions that
+// some zone is in.
+func (c *Coordinator) ValidateSchedule(body []byte) (err error) {
+	plan, err := schedule.Read(body)
+	if err != nil {
+		return err
+	}
+	known := map[rpc.RegionName]bool{}
+	for _, region := range c.settings.Regions {
+		known[rpc.RegionName(region)] = true
+	}
+	return plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return known[region] })
+}
+
+// ScheduleStatus gives how each target of the plan stands.
+func (c *Coordinator) ScheduleStatus() (statuses []schedule.Account) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]schedule.Account{}, c.policies.schedule.statuses...)
+}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -1,11 +1,7 @@
-// Sessions is the part of the leader's desk that binds sessions to backends. A
-// session that is on the desk is answered from what is agreed; any other goes
-// through the log. A backend that has ended, leaves, or lies in an evacuated
-// site is the one reason for which a session is bound anew, and it is told.
 package coordinator
 
 import (
-	"fmt"
+	"errors"
 	"sort"
 	"time"
 
@@ -19,26 +15,34 @@
 
 const (
 	bindTimeout = 800 * time.Millisecond
-	maxBinds    = 256
-	// maxUnbinds sessions go in one turn.
+	// maxBinds is how many sessions one call may bind, maxUnbinds how many
+	// bindings are ended in one proposal.
+	maxBinds   = 256
 	maxUnbinds = 512
 	maxIdle    = 24 * time.Hour
-	// scanInterval is how often bindings that are on no desk are looked for.
+	// scanInterval is how often bindings missing from the table are looked for.
 	scanInterval = 30 * time.Second
 )
 
-// sessionTable is what the leader holds of them.
+// sessionTable is what the leader holds of sessions. Bindings are agreed between
+// the controllers; the table knows when each was used last. A session in the
+// table is answered from what is agreed, any other goes through the log. A
+// session is bound anew for one reason only, that its backend has ended, and
+// that is logged.
 type sessionTable struct {
+	// policy is nil where none is in force.
 	policy *affinity.Policy
 	expiry *affinity.Desk
-	built  bool
-	// pendingUnbinds are not known to be carried out yet; busy while a call is under way.
+	// built tells that the agreed bindings were read once in this term.
+	built    bool
+	lastScan time.Duration
+	// pendingUnbinds are not known to be carried out yet; proposing tells that a
+	// proposal of them is on its way.
 	pendingUnbinds []raft.Command
 	proposing      bool
-	lastScan       time.Duration
 	moved          uint64
 	rejected       uint64
-	// stoppedSince is when a retired backend was first found to have been stopped.
+	// stoppedSince is when a retired backend was first found to be stopped.
 	stoppedSince map[rpc.ServerID]time.Duration
 }
 
@@ -46,7 +50,7 @@
 	return sessionTable{expiry: affinity.NewDesk(), stoppedSince: map[rpc.ServerID]time.Duration{}}
 }
 
-// load reads what is agreed; the caller holds the forum's lock.
+// load reads what is agreed; the caller holds the Coordinator's mu.
 func (s *sessionTable) load(state *raft.State) {
 	s.policy = nil
 	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
@@ -54,48 +58,53 @@
 	}
 }
 
-// scanBindings puts on the desk what is bound and not there: what older leaders
-// have bound, or a call whose answer got lost. The caller holds the lock.
-func (c *Coordinator) scanBindings() {
-	now, s := c.now(), &c.sessions
-	s.built, s.lastScan = true, now
-	c.node.Read(func(state *raft.State) {
-		state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
-			if !s.expiry.Known(binding.Service, session) {
-				s.expiry.Put(now, binding.Service, session, binding.Idle, binding.Seq)
-			}
-		})
+// scan takes up bindings that are agreed and not in the table: those of older
+// leaders, and of calls whose outcome was lost.
+func (s *sessionTable) scan(now time.Duration, state *raft.State) {
+	state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
+		if !s.expiry.Known(binding.Service, session) {
+			s.expiry.Put(now, binding.Service, session, binding.Idle, binding.Seq)
+		}
 	})
 }
 
-// buildSessionTable builds the desk once the leader is settled: only then has it all
-// that older ones bound. The caller holds the lock.
-func (c *Coordinator) buildSessionTable() {
+func (c *Coordinator) scanBindings() {
+	now := c.now()
+	c.sessions.built, c.sessions.lastScan = true, now
+	c.node.Read(func(state *raft.State) { c.sessions.scan(now, state) })
+}
+
+// buildSessionTable builds the table once the leader is settled, as only then it
+// has all that older leaders bound. It tells whether the table stands; the
+// caller holds mu.
+func (c *Coordinator) buildSessionTable() (built bool) {
 	if _, settled, _, _, _ := c.node.Standing(); settled && !c.sessions.built {
 		c.scanBindings()
 	}
+	return c.sessions.built
 }
 
-// bindError tells what is wrong with an ask.
-func (c *Coordinator) bindError(bind rpc.Bind) (reason string) {
+// validateBind checks one request for a binding; the caller holds mu.
+func (c *Coordinator) validateBind(bind rpc.Bind) (err error) {
 	server, listed := c.endpoints.Servers.Get(bind.Server)
 	_, ruled := c.sessions.policy.For(bind.Service)
 	switch {
 	case !affinity.GoodID(bind.Session):
-		return "the session is no session's id"
+		return errors.New("invalid session id")
 	case bind.Idle <= 0 || bind.Idle > maxIdle:
-		return "the idle time is out of bounds"
+		return errors.New("the idle time is out of bounds")
 	case len(bind.From) > policy.NameMost:
-		return "the name of the backend is too long"
+		return errLongName
 	case c.view.Services[string(bind.Service)] == nil || !ruled:
-		return "no rule for the service"
+		return errors.New("no affinity rule for the service")
 	case !listed || server.Service != bind.Service || server.Draining:
-		return "the backend is none that may be bound"
+		return errors.New("the backend is not one that may be bound")
 	}
-	return ""
+	return nil
 }
 
-// backendEnded tells that a session may not stay on a backend; the caller holds the lock.
+// backendEnded tells whether and why a session may not stay on a backend; the
+// caller holds mu.
 func (c *Coordinator) backendEnded(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
 	server, listed := c.endpoints.Servers.Get(id)
 	if !listed {
@@ -107,8 +116,7 @@
 	if c.evacuatedZones[server.Site] {
 		return true, "evacuated"
 	}
-	retired := c.policies.retired[id]
-	if retired.Stopped == 0 || retired.Gone {
+	if !c.policies.drain.stopped(id) {
 		delete(c.sessions.stoppedSince, id)
 		return false, ""
 	}
@@ -116,28 +124,50 @@
 	if !known {
 		c.sessions.stoppedSince[id], since = now, now
 	}
-	return now-since >= time.Duration(c.policies.drainPolicy.For(service).Finish), "retired"
+	return now-since >= time.Duration(c.policies.drain.policy.For(service).Finish), "retired"
 }
 
-// Bind answers a batch of asks.
+// bindProposals are the binds of one call that go through the log.
+type bindProposals struct {
+	commands []raft.Command
+	// indexes are those in the call, reasons why a session is bound anew.
+	indexes []int
+	reasons map[int]string
+}
+
+// Bind answers a batch of requests for bindings. Those it cannot answer for now
+// keep the zero outcome.
 func (c *Coordinator) Bind(request rpc.BindAsk) (found []rpc.BindFound) {
 	found = make([]rpc.BindFound, len(request.Binds))
 	if _, settled, _, _, _ := c.node.Standing(); !settled {
 		return found
 	}
-	c.mu.Lock()
-	if c.buildSessionTable(); !c.sessions.built {
-		c.mu.Unlock()
+	proposals := c.answerBinds(request, found)
+	if len(proposals.commands) == 0 {
 		return found
 	}
+	answers := c.node.Wishes(proposals.commands, bindTimeout)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for k, i := range proposals.indexes {
+		found[i] = c.bindOutcome(request.Binds[i], answers[k], proposals.reasons[i])
+	}
+	return found
+}
+
+// answerBinds answers what it can from the agreed state, and gives the rest.
+func (c *Coordinator) answerBinds(request rpc.BindAsk, found []rpc.BindFound) (proposals bindProposals) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.buildSessionTable() {
+		return proposals
+	}
 	now := c.now()
-	var commands []raft.Command
-	var places []int
-	why := map[int]string{}
+	proposals.reasons = map[int]string{}
 	for i, bind := range request.Binds[:min(len(request.Binds), maxBinds)] {
-		if reason := c.bindError(bind); reason != "" {
+		if err := c.validateBind(bind); err != nil {
 			c.sessions.rejected++
-			_ = c.reject("bind", "", reason)
+			_ = c.rejections.reject(c.log, "bind", "", err)
 			found[i].Outcome = rpc.BindRefused
 			continue
 		}
@@ -145,62 +175,54 @@
 		var bound bool
 		c.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
 		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
-			ended, why[i] = c.backendEnded(now, id, bind.Service)
+			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
 		if answered {
 			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: server}
 			continue
 		}
-		places = append(places, i)
-		commands = append(commands, raft.BindCommand(bind))
+		proposals.indexes = append(proposals.indexes, i)
+		proposals.commands = append(proposals.commands, raft.BindCommand(bind))
 	}
-	c.mu.Unlock()
-	if len(commands) == 0 {
-		return found
+	return proposals
+}
+
+// bindOutcome takes up what became of a proposed bind; the caller holds mu.
+func (c *Coordinator) bindOutcome(bind rpc.Bind, answer raft.Answer, reason string) (found rpc.BindFound) {
+	switch {
+	case answer.Refused || !answer.Clear:
+		return rpc.BindFound{}
+	case answer.Result.Problem != "":
+		return rpc.BindFound{Outcome: rpc.BindFull}
 	}
-	answers := c.node.Wishes(commands, bindTimeout)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for k, i := range places {
-		bind, answer := request.Binds[i], answers[k]
-		switch {
-		case answer.Refused || !answer.Clear:
-		case answer.Result.Problem != "":
-			found[i].Outcome = rpc.BindFull
-		default:
-			binding := answer.Result.Binding
-			c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
-			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
-			if answer.Result.Moved {
-				c.sessions.moved++
-				c.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
-				c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
-			}
-		}
+	binding := answer.Result.Binding
+	c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
+	if answer.Result.Moved {
+		c.sessions.moved++
+		c.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", reason)
+		c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
-	return found
+	return rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
 }
 
-// sessionLimit is how many a service may have.
-func (c *Coordinator) sessionLimit(service rpc.ServiceName) (most int) {
+// sessionLimit is how many sessions a service may have.
+func (c *Coordinator) sessionLimit(service rpc.ServiceName) (limit int) {
 	if rule, ruled := c.sessions.policy.For(service); ruled && c.view.Services[string(service)] != nil {
 		return rule.Most
 	}
 	return 0
 }
 
-// expireSessions unbinds what is past its time; the caller holds the lock.
+// expireSessions ends the bindings that were idle too long or are too many; the
+// caller holds mu.
 func (c *Coordinator) expireSessions(now time.Duration) {
 	s := &c.sessions
-	if s.proposing {
-		return
-	}
-	if c.buildSessionTable(); !s.built {
+	if s.proposing || !c.buildSessionTable() {
 		return
 	}
 	if len(s.pendingUnbinds) == 0 && now-s.lastScan > scanInterval {
-		// None is on its way to be unbound here.
+		// None that is being unbound could come back by this.
 		c.scanBindings()
 	}
 	for _, over := range s.expiry.Over(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
@@ -226,14 +248,16 @@
 
 // ServiceSessions is how the sessions of one service stand.
 type ServiceSessions struct {
-	Service  string `json:"service"`
+	Service string `json:"service"`
+	// Source is where requests carry their session: a kind and a name.
 	Source   string `json:"from"`
 	Idle     string `json:"idle"`
 	Sessions int    `json:"sessions"`
 	Limit    int    `json:"most"`
 }
 
-// SessionStatus is how all stand.
+// SessionStatus is how the sessions of all services stand. Moved, Evicted and
+// Rejected count since the start of the term.
 type SessionStatus struct {
 	Services []ServiceSessions `json:"services"`
 	Moved    uint64            `json:"moved"`
@@ -241,14 +265,14 @@
 	Rejected uint64            `json:"refused"`
 }
 
-// SessionStatus gives it, nil where there is no policy.
+// SessionStatus gives how sessions stand, nil where no policy is in force.
 func (c *Coordinator) SessionStatus() (status *SessionStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sessions.policy == nil {
 		return nil
 	}
-	// One who asks a leader that has just begun is told of all as well.
+	// So that a leader whose term has just begun counts all of them as well.
 	c.buildSessionTable()
 	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Crowded, Rejected: c.sessions.rejected}
 	for name := range c.view.Services {
@@ -256,11 +280,14 @@
 		if !ruled {
 			continue
 		}
-		from := string(rule.Source)
+		source := string(rule.Source)
 		if rule.Name != "" {
-			from += " " + rule.Name
+			source += " " + rule.Name
 		}
-		status.Services = append(status.Services, ServiceSessions{Service: name, Source: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.Most})
+		status.Services = append(status.Services, ServiceSessions{
+			Service: name, Source: source, Idle: time.Duration(rule.Idle).String(),
+			Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.Most,
+		})
 	}
 	sort.Slice(status.Services, func(i, j int) bool { return status.Services[i].Service < status.Services[j].Service })
 	return status
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -1,5 +1,3 @@
-// Account is what the leader tells operators: the fellows, the shard map with
-// the owner of each service, and what is lent of each bound.
 package coordinator
 
 import (
@@ -11,7 +9,8 @@
 	"tinpin/internal/rpc"
 )
 
-// NodeStatus is one fellow.
+// NodeStatus is how one node stands. Ready tells that it takes requests, Connected
+// that its heartbeats come.
 type NodeStatus struct {
 	Name            string `json:"name"`
 	Zone            string `json:"site"`
@@ -20,13 +19,14 @@
 	Connected       bool   `json:"here"`
 }
 
-// GrantStatus is what is lent of one bound.
+// GrantStatus is what nodes hold of one fleet-wide limit.
 type GrantStatus struct {
 	Limit   string  `json:"bound"`
 	Granted float64 `json:"lent"`
 }
 
-// Status is the leader's.
+// Status is what the leader tells operators: the nodes, the shard map with the
+// owner of each service, and what is granted of each limit.
 type Status struct {
 	Nodes           []NodeStatus      `json:"fellows"`
 	ShardMapVersion uint64            `json:"map_count"`
@@ -37,20 +37,19 @@
 	Granted         []GrantStatus     `json:"lent"`
 }
 
-// Status gives it.
+// Status gives how the leader sees the fleet.
 func (c *Coordinator) Status() (status *Status) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	status = &Status{ShardMapVersion: uint64(c.shardMap.Count), Owners: map[string]string{}}
-	c.nodes.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
-		status.Nodes = append(status.Nodes, NodeStatus{string(id), string(node.Site), node.Inner, node.Ready && !node.Stopping, c.nodes.Here(id)})
-	})
-	sort.Slice(status.Nodes, func(i, j int) bool { return status.Nodes[i].Name < status.Nodes[j].Name })
-	for _, member := range c.shardMap.Members {
+	status = &Status{
+		Nodes: c.nodes.status(), ShardMapVersion: uint64(c.nodes.shardMap.Count),
+		Owners: map[string]string{}, Granted: c.grantStatus(),
+	}
+	for _, member := range c.nodes.shardMap.Members {
 		status.ShardMapMembers = append(status.ShardMapMembers, string(member))
 	}
 	for name := range c.view.Services {
-		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.absent))
+		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.nodes.absent))
 	}
 	c.endpoints.Servers.Each(func(rpc.ServerID, rpc.Server) { status.Backends++ })
 	c.health.States.Each(func(_ rpc.ServerID, state rpc.State) {
@@ -58,21 +57,43 @@
 			status.Down++
 		}
 	})
+	return status
+}
+
+// status lists the nodes by name.
+func (t *nodeTable) status() (nodes []NodeStatus) {
+	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+		nodes = append(nodes, NodeStatus{
+			Name: string(id), Zone: string(node.Site), InternalAddress: node.Inner,
+			Ready: node.Ready && !node.Stopping, Connected: t.registry.Here(id),
+		})
+	})
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
+	return nodes
+}
+
+// grantStatus lists what is granted of each limit; the caller holds mu.
+func (c *Coordinator) grantStatus() (grants []GrantStatus) {
 	now := c.now()
-	status.Granted = append(status.Granted, GrantStatus{"retry slack", c.leases.Lent(now, quota.Key{Kind: rpc.RetrySlack})})
+	add := func(limit string, granted float64) {
+		grants = append(grants, GrantStatus{Limit: limit, Granted: granted})
+	}
+	add("retry slack", c.leases.rates.Lent(now, quota.Key{Kind: rpc.RetrySlack}))
 	for name := range c.view.Services {
-		if rule, written := c.policies.retryLimit.For(rpc.ServiceName(name)); written {
-			status.Granted = append(status.Granted, GrantStatus{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), c.retryQuota.Lent(now, name)})
+		if rule, limited := c.policies.retry.limit.For(rpc.ServiceName(name)); limited {
+			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
+			add(limit, c.leases.retries.Lent(now, name))
 		}
 	}
 	for _, tenant := range c.view.Tenants() {
-		status.Granted = append(status.Granted, GrantStatus{"tenant " + tenant.Name, c.tenantQuota.Lent(now, tenant.Name)})
+		add("tenant "+tenant.Name, c.leases.tenants.Lent(now, tenant.Name))
 	}
-	sort.Slice(status.Granted, func(i, j int) bool { return status.Granted[i].Limit < status.Granted[j].Limit })
-	return status
+	sort.Slice(grants, func(i, j int) bool { return grants[i].Limit < grants[j].Limit })
+	return grants
 }
 
-// CurrentStamp tells how a backend or its health stands at the leader.
+// CurrentStamp gives the stamp of a backend or of its health, by the kind of
+// subject, and whether the leader knows it.
 func (c *Coordinator) CurrentStamp(kind string, id rpc.ServerID) (stamp string, has bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- /dev/null
+++ b/internal/coordinator/update.go
@@ -0,0 +1,237 @@
+package coordinator
+
+import (
+	"slices"
+	"time"
+
+	"tinpin/internal/config"
+	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
+)
+
+const (
+	// pageRows and itemPartBytes bound what one update has of the endpoint list
+	// and of the configuration, so that a narrow link can take it in time.
+	pageRows      = 64
+	itemPartBytes = 160 << 10
+	// packThreshold is how many rows are worth compressing.
+	packThreshold = 8
+	// maxCachedParts is how many parts are kept of one version.
+	maxCachedParts = 256
+)
+
+// partCache keeps parts of one version of a table: nodes that are as far as
+// each other are sent the same part, made once.
+type partCache[Version, Position comparable, Part any] struct {
+	version Version
+	parts   map[Position]Part
+}
+
+// use forgets the parts of any other version.
+func (p *partCache[Version, Position, Part]) use(version Version) {
+	if p.parts == nil || p.version != version {
+		p.version, p.parts = version, map[Position]Part{}
+	}
+}
+
+func (p *partCache[Version, Position, Part]) full() bool { return len(p.parts) >= maxCachedParts }
+
+// encodedParts are the parts of updates that many nodes are sent.
+type encodedParts struct {
+	// items are parts of the configuration, by where they begin.
+	items partCache[uint64, itemPosition, itemPart]
+	// nodes are compressed rows of the node registry, by the epoch known.
+	nodes partCache[rpc.Epoch, rpc.Epoch, []byte]
+	// endpoints are pages of the endpoint list, by the id before them.
+	endpoints partCache[rpc.Epoch, rpc.ServerID, *rpc.ListPart]
+}
+
+// itemPosition is a position among the items in the order of their revisions
+// and paths.
+type itemPosition struct {
+	revision uint64
+	path     string
+}
+
+// itemPart is what follows a position; of items and packed one is set.
+type itemPart struct {
+	items  []config.Item
+	packed []byte
+	next   itemPosition
+}
+
+// fillUpdate writes all that a node lacks; the caller holds mu.
+func (c *Coordinator) fillUpdate(request rpc.BeatAsk, update *rpc.News) {
+	now := c.now()
+	since := request.Epoch
+	update.Leader, update.Term, update.Epoch = true, c.term, c.clock.Now()
+	if request.Term != c.term {
+		// Epochs of another leader mean nothing here.
+		since, update.Full = 0, true
+		update.Cores = controllersOf(c.node)
+	}
+	update.Rev, update.ItemAt = request.Rev, request.ItemAt
+	if c.lacksItems(request.Seen) {
+		c.node.Read(func(state *raft.State) { c.addItems(state, request.Seen, update) })
+	}
+	c.addEndpoints(now, request, update)
+	c.addNodes(since, update)
+	c.nodes.addShardMap(request.Seen, update)
+	update.Absent = c.nodes.absent
+	update.Spills = c.zoneBalance.Spills(request.Site)
+	update.Tallies = c.outcomes.take(request.ID)
+	update.Leases = c.grantLeases(now, request)
+}
+
+// controllersOf lists the addresses of all controllers.
+func controllersOf(node *raft.Node) (controllers []rpc.Core) {
+	_, _, _, _, members := node.Standing()
+	for _, member := range members {
+		controllers = append(controllers, rpc.Core{Inner: member.Inner, Control: member.Control})
+	}
+	return controllers
+}
+
+// lacksItems tells whether a node lacks some of the configuration.
+func (c *Coordinator) lacksItems(seen rpc.Seen) bool {
+	return seen.Rev < c.revision || seen.ItemAt != rpc.AllItems
+}
+
+// addItems adds the next part of what a node lacks of the configuration, and of
+// the other replicated state what is newer than the node knows.
+func (c *Coordinator) addItems(state *raft.State, seen rpc.Seen, update *rpc.News) {
+	part := c.itemPart(state, itemPosition{seen.Rev, seen.ItemAt})
+	update.Items, update.Packed, update.Rev, update.ItemAt = part.items, part.packed, part.next.revision, part.next.path
+	for _, document := range state.Documents {
+		if document.Rev >= seen.Rev {
+			update.Documents = append(update.Documents, document)
+		}
+	}
+	for _, retired := range state.Retired {
+		if retired.Rev >= seen.Rev {
+			update.Retired = append(update.Retired, retired)
+		}
+	}
+	if move := state.Move; move.Rev >= seen.Rev && move.Rev > 0 {
+		update.Move = &move
+	}
+	for _, evacuation := range state.Evacuations {
+		if evacuation.Rev >= seen.Rev {
+			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Site: rpc.SiteName(evacuation.Site), Active: evacuation.Active, Rev: evacuation.Rev})
+		}
+	}
+}
+
+func (c *Coordinator) itemPart(state *raft.State, position itemPosition) (part itemPart) {
+	cache := &c.encoded.items
+	cache.use(state.Rev)
+	part, known := cache.parts[position]
+	if !known {
+		part = buildItemPart(state, position)
+		if !cache.full() {
+			cache.parts[position] = part
+		}
+	}
+	return part
+}
+
+func buildItemPart(state *raft.State, position itemPosition) (part itemPart) {
+	items, done := state.Canon.After(position.revision, position.path, itemPartBytes)
+	part = itemPart{items: items, next: position}
+	if done {
+		part.next = itemPosition{max(position.revision, state.Rev), rpc.AllItems}
+	} else if last := len(items) - 1; last >= 0 {
+		part.next = itemPosition{items[last].Rev, items[last].Path()}
+	}
+	if len(items) > packThreshold {
+		if packed, err := rpc.Pack(items); err == nil {
+			part.items, part.packed = nil, packed
+		}
+	}
+	return part
+}
+
+// addEndpoints adds the endpoint list once it is complete, in pages for a node
+// that lacks it, and what changed of it and of the health states since the node
+// first got a page. The caller holds mu.
+func (c *Coordinator) addEndpoints(now time.Duration, request rpc.BeatAsk, update *rpc.News) {
+	if !request.Listed && c.endpoints.Walked {
+		update.Part = c.nextEndpointPage(now, request)
+	}
+	if request.Term != c.term || !request.Listed && !c.endpoints.Walked {
+		return
+	}
+	c.endpoints.Servers.Since(request.Epoch, func(_ rpc.ServerID, server rpc.Server, gone bool) {
+		update.Servers = append(update.Servers, rpc.ServerChange{Server: server, Gone: gone})
+	})
+	c.health.States.Since(request.Epoch, func(_ rpc.ServerID, state rpc.State, gone bool) {
+		state = c.health.Remaining(now, state)
+		state.Gone = gone
+		update.States = append(update.States, state)
+	})
+}
+
+// nextEndpointPage gives the first page that a node lacks. Pages of another
+// leader's list are no part of this one's.
+func (c *Coordinator) nextEndpointPage(now time.Duration, request rpc.BeatAsk) (page *rpc.ListPart) {
+	if request.Term != c.term {
+		return c.endpointPage(now, "")
+	}
+	return c.endpointPage(now, request.ListAt)
+}
+
+// endpointPage gives the page after an id.
+func (c *Coordinator) endpointPage(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
+	cache := &c.encoded.endpoints
+	cache.use(c.clock.Now())
+	if page = cache.parts[after]; page != nil {
+		return page
+	}
+	page = c.buildEndpointPage(now, after)
+	warmingUp := slices.ContainsFunc(page.States, func(state rpc.State) bool { return state.Cold > 0 })
+	// The remaining time of a warm-up is different a moment later.
+	if len(page.Servers) > packThreshold && page.Pack() == nil && !warmingUp && !cache.full() {
+		cache.parts[after] = page
+	}
+	return page
+}
+
+func (c *Coordinator) buildEndpointPage(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
+	var ids []rpc.ServerID
+	c.endpoints.Servers.Each(func(id rpc.ServerID, _ rpc.Server) {
+		if id > after {
+			ids = append(ids, id)
+		}
+	})
+	slices.Sort(ids)
+	page = &rpc.ListPart{From: after, At: after, Done: len(ids) <= pageRows}
+	for _, id := range ids[:min(len(ids), pageRows)] {
+		server, _ := c.endpoints.Servers.Get(id)
+		page.Servers = append(page.Servers, server)
+		if state, known := c.health.States.Get(id); known {
+			page.States = append(page.States, c.health.Remaining(now, state))
+		}
+		page.At = id
+	}
+	return page
+}
+
+// addNodes adds what changed of the node registry; many rows are compressed.
+func (c *Coordinator) addNodes(since rpc.Epoch, update *rpc.News) {
+	cache := &c.encoded.nodes
+	cache.use(c.clock.Now())
+	if packed, known := cache.parts[since]; known {
+		update.Crowd = packed
+		return
+	}
+	c.nodes.registry.Fellows.Since(since, func(_ rpc.FellowID, node rpc.Fellow, gone bool) {
+		update.Fellows = append(update.Fellows, rpc.FellowChange{Fellow: node, Gone: gone})
+	})
+	if len(update.Fellows) <= packThreshold {
+		return
+	}
+	if packed, err := rpc.Pack(update.Fellows); err == nil {
+		update.Fellows, update.Crowd = nil, packed
+		cache.parts[since] = packed
+	}
+}
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -10,47 +10,42 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
-	"tinpin/internal/quota"
 	"tinpin/internal/raft"
 	"tinpin/internal/registry"
 	"tinpin/internal/rpc"
+	"tinpin/internal/settings"
 )
 
-// newTestCoordinator is a forum without duties: what it is told in the test is all there is.
-func newTestCoordinator() (f *Coordinator) {
-	defer func() {
-		f.zoneBalance, f.policies, f.shardMapMembers = healthcheck.NewBalance(), newPolicies(), registry.NewLedger[rpc.FellowID, bool](f.clock)
-	}()
-	clock := &registry.Clock{}
-	clock.Next()
-	return &Coordinator{
-		log: eventlog.Quiet(), term: 7, started: time.Now(), clock: clock, revision: 0,
-		nodes: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), endpoints: registry.NewList(clock),
-		health: healthcheck.NewCache(clock, time.Minute), leases: quota.Unwaited(leaseDuration), tenantQuota: quota.NewLender(0, leaseDuration, true),
-		view: config.New().View(), nearestByZone: map[rpc.SiteName][]rpc.FellowID{}, ownerByService: map[rpc.ServiceName]rpc.FellowID{}, pendingOutcomes: map[rpc.FellowID][]rpc.Tally{}, evacuatedZones: map[rpc.SiteName]bool{}, changed: make(chan struct{}), closed: make(chan struct{}),
-		history: history.New(eventlog.Quiet()),
-	}
+// newTestCoordinator is a coordinator of term 7 without loops: what it is told in
+// the test is all there is.
+func newTestCoordinator() (c *Coordinator) {
+	c = newCoordinator(settings.Props{}, eventlog.Quiet(), 7)
+	c.history = history.New(eventlog.Quiet())
+	c.nodes = newNodeTable(c.clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour})
+	c.health = healthcheck.NewCache(c.clock, time.Minute)
+	c.leases = newLeaseTable(true)
+	return c
 }
 
-// A fellow that finds a new leader before its list is whole must get all of
-// the list once it is, in parts that a small link can take, and beside them
-// what changes meanwhile.
-func TestAFellowThatCameBeforeTheListGetsAllOfIt(t *testing.T) {
+// A node that finds a new leader before its list is complete must get all of the
+// list once it is, in pages that a narrow link can take, and beside them what
+// changes meanwhile.
+func TestNodeThatJoinedBeforeTheListIsCompleteGetsAllOfIt(t *testing.T) {
 	c := newTestCoordinator()
 	server := func(id string) rpc.Server {
 		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1"}
 	}
 	c.mergeEndpoints([]rpc.Server{server("a"), server("b")}, false)
 	if c.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []rpc.State{{Server: "a", Health: rpc.Up}}}) {
-		t.Fatal("a report was taken before the list is whole, and would not be told again")
+		t.Fatal("a report was taken before the list is complete, and would not be sent again")
 	}
 	request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}}
-	// Its first beat made it known; this one brings no change of term.
+	// Its first heartbeat made it known; this one brings no change of term.
 	request.Term, request.Epoch, request.ItemAt = 7, c.clock.Now(), rpc.AllItems
 	var first rpc.News
 	c.fillUpdate(request, &first)
 	if first.Part != nil || len(first.Servers) != 0 {
-		t.Fatalf("a list that is not whole was told: %+v", first)
+		t.Fatalf("an incomplete list was sent: %+v", first)
 	}
 	walk := []rpc.Server{server("a"), server("b")}
 	for i := range 3*pageRows - 2 {
@@ -69,7 +64,7 @@
 		if update.Part == nil {
 			t.Fatalf("part %d is missing", parts)
 		}
-		// A part is made once for all that are as far, so it is unpacked in a copy.
+		// A page is made once for all nodes that are as far, so it is unpacked in a copy.
 		part := *update.Part
 		if err := part.Unpack(); err != nil || len(part.Servers) > pageRows {
 			t.Fatalf("part %d has %d rows: %v", parts, len(part.Servers), err)
@@ -83,7 +78,7 @@
 		}
 		request.Epoch, request.ListAt, request.Listed = update.Epoch, update.Part.At, update.Part.Done
 		if parts == 0 {
-			// One more that sorts before what was told, and one that goes.
+			// One more that sorts before what was sent, and one that goes.
 			c.mergeEndpoints([]rpc.Server{server("aa")}, false)
 			c.endpoints.Servers.Drop("a")
 		}
@@ -95,13 +90,13 @@
 	var last rpc.News
 	c.fillUpdate(request, &last)
 	if last.Part != nil || len(last.Servers) != 1 {
-		t.Fatalf("then only what changed: %d told", len(last.Servers))
+		t.Fatalf("then only what changed: %d sent", len(last.Servers))
 	}
 }
 
-// A great many items come in parts, each once, and a fellow that has only some
-// of them is told the rest however the leader changes in between.
-func TestItemsComeInParts(t *testing.T) {
+// A great many items are sent in parts, each once, and a node that has only some
+// of them is sent the rest however the leader changes in between.
+func TestItemsAreSentInParts(t *testing.T) {
 	items := config.New()
 	rows := make([]string, 4000)
 	for i := range rows {
@@ -115,7 +110,7 @@
 	state.Canon, state.Rev = items, 5
 	c := newTestCoordinator()
 	c.revision = 5
-	told := 0
+	sent := 0
 	known := map[string]bool{}
 	var seen rpc.Seen
 	for parts := 0; c.lacksItems(seen); parts++ {
@@ -131,7 +126,7 @@
 		}
 		for _, item := range items {
 			if known[item.Path()] {
-				t.Fatalf("%s is told twice", item.Path())
+				t.Fatalf("%s is sent twice", item.Path())
 			}
 			known[item.Path()] = true
 			for _, field := range item.Fields {
@@ -142,19 +137,19 @@
 			t.Fatalf("part %d has %d bytes", parts, size)
 		}
 		seen.Rev, seen.ItemAt = update.Rev, update.ItemAt
-		told++
+		sent++
 	}
-	if told < 3 || len(c.itemParts) != told {
-		t.Fatalf("told in %d parts, %d of them kept for the next fellow", told, len(c.itemParts))
+	if sent < 3 || len(c.encoded.items.parts) != sent {
+		t.Fatalf("sent in %d parts, %d of them kept for the next node", sent, len(c.encoded.items.parts))
 	}
 	if len(known) != 4001 || seen.Rev != 5 {
-		t.Fatalf("%d items told, up to %d", len(known), seen.Rev)
+		t.Fatalf("%d items sent, up to %d", len(known), seen.Rev)
 	}
 }
 
-// Before anything was configured there is nothing to tell, and the telling of
-// it must not end the leader.
-func TestNothingIsToldOfAnEmptyConfiguration(t *testing.T) {
+// Before anything was configured there is nothing to send, and sending it must
+// not end the leader.
+func TestEmptyConfigurationSendsNoItems(t *testing.T) {
 	c := newTestCoordinator()
 	var update rpc.News
 	c.addItems(raft.NewState(), rpc.Seen{}, &update)
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -1,22 +1,19 @@
-// Check looks over what fellows bring before any of it is taken. A call with a
-// number that cannot be, a name that is too long, or findings of another map or
-// service is refused whole: it changes nothing, and is logged.
 package coordinator
 
 import (
+	"errors"
 	"fmt"
+	"sync/atomic"
 	"time"
 
-	"github.com/zeebo/errs"
-
 	"tinpin/internal/eventlog"
 	"tinpin/internal/policy"
 	"tinpin/internal/rpc"
 )
 
-// Class marks refused calls.
-var Class = errs.Class("forum")
-
+// What one call of a node may bring. A call with a number that cannot be, a name
+// that is too long, or findings of another shard map or service is rejected as a
+// whole: it changes nothing, and is logged.
 const (
 	maxRate          = 1e9
 	maxCount         = 1 << 20
@@ -26,6 +23,23 @@
 	maxRequestedHold = time.Minute
 )
 
+// InvalidCallError is a call of a node that was rejected.
+type InvalidCallError struct {
+	// Call is the kind of call, Reason what is wrong with it.
+	Call   string
+	Reason error
+}
+
+func (e *InvalidCallError) Error() string { return "rejected " + e.Call + ": " + e.Reason.Error() }
+
+// Unwrap gives the reason.
+func (e *InvalidCallError) Unwrap() error { return e.Reason }
+
+var (
+	errBadName  = errors.New("a name is missing or too long")
+	errLongName = errors.New("a name is too long")
+)
+
 func namesFit(names ...string) (good bool) {
 	for _, name := range names {
 		if len(name) > policy.NameMost {
@@ -35,85 +49,87 @@
 	return true
 }
 
-func demandError(what string, demands []rpc.Demand) (reason string) {
+func validateDemands(what string, demands []rpc.Demand) (err error) {
 	if len(demands) > maxDemands {
-		return "too many " + what
+		return fmt.Errorf("too many rows of %s", what)
 	}
 	for _, demand := range demands {
 		switch {
 		case !namesFit(demand.Tenant):
-			return what + " of a name that is too long"
+			return fmt.Errorf("%s: %w", what, errLongName)
 		case !(demand.Rate >= 0 && demand.Rate <= maxRate):
-			return fmt.Sprintf("%s at a rate of %g", what, demand.Rate)
+			return fmt.Errorf("%s at a rate of %g", what, demand.Rate)
 		case !(demand.Floor >= 0 && demand.Floor <= 1):
-			return fmt.Sprintf("%s with a floor of %g", what, demand.Floor)
+			return fmt.Errorf("%s with a guaranteed minimum of %g", what, demand.Floor)
 		}
 	}
-	return ""
+	return nil
 }
 
-// heartbeatError tells what is wrong with a beat.
-func heartbeatError(request rpc.BeatAsk) (reason string) {
+func validateHeartbeat(request rpc.BeatAsk) (err error) {
 	switch {
 	case request.ID == "" || !namesFit(string(request.ID), string(request.Site), string(request.Region), request.Front, request.Inner):
-		return "a name is missing or too long"
+		return errBadName
 	case request.Hold < 0 || request.Hold > maxRequestedHold:
-		return "held for " + request.Hold.String()
+		return fmt.Errorf("hold time of %s", request.Hold)
 	case request.Known < 0 || request.Known > maxCount:
-		return fmt.Sprintf("knows %d fellows", request.Known)
+		return fmt.Errorf("knows %d nodes", request.Known)
 	}
-	if reason = demandError("demand", request.Demands); reason != "" {
-		return reason
+	if err = validateDemands("demand", request.Demands); err != nil {
+		return err
 	}
-	if reason = demandError("retries", request.Retries); reason != "" {
-		return reason
+	if err = validateDemands("retries", request.Retries); err != nil {
+		return err
 	}
-	for _, burden := range request.Burdens {
-		if !namesFit(string(burden.Service)) || burden.AtWork < 0 || burden.AtWork > maxCount {
-			return fmt.Sprintf("%d at work", burden.AtWork)
+	for _, load := range request.Burdens {
+		if !namesFit(string(load.Service)) || load.AtWork < 0 || load.AtWork > maxCount {
+			return fmt.Errorf("%d requests in flight", load.AtWork)
 		}
 	}
-	for _, tally := range request.Tallies {
-		if !namesFit(string(tally.Server), string(tally.Service)) || tally.Good > maxOutcomes || tally.Bad > maxOutcomes {
-			return fmt.Sprintf("outcomes %d and %d", tally.Good, tally.Bad)
+	for _, row := range request.Tallies {
+		if !namesFit(string(row.Server), string(row.Service)) || row.Good > maxOutcomes || row.Bad > maxOutcomes {
+			return fmt.Errorf("outcomes of %d good and %d bad requests", row.Good, row.Bad)
 		}
 	}
-	return ""
+	return nil
 }
 
-// reportError tells what is wrong with an owner's report; the caller holds the lock.
-func (c *Coordinator) reportError(request rpc.ReportAsk) (reason string) {
+// validateReport checks an owner's findings; the caller holds mu.
+func (c *Coordinator) validateReport(request rpc.ReportAsk) (err error) {
 	switch {
 	case request.Fellow == "" || !namesFit(string(request.Fellow), string(request.Service)):
-		return "a name is missing or too long"
-	case request.Term > c.term || request.Term == c.term && request.Count > c.shardMapEpoch:
-		return fmt.Sprintf("findings of a map %d of term %d that was never told", request.Count, request.Term)
+		return errBadName
+	case request.Term > c.term || request.Term == c.term && request.Count > c.nodes.shardMapEpoch:
+		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.Count, request.Term)
 	}
 	for _, state := range request.States {
 		server, listed := c.endpoints.Servers.Get(state.Server)
 		switch {
 		case !namesFit(string(state.Server), state.Aside):
-			return "a name that is too long"
+			return errLongName
 		case listed && server.Service != request.Service:
-			return fmt.Sprintf("findings of a backend of %q", server.Service)
+			return fmt.Errorf("findings on a backend of service %q", server.Service)
 		case state.Health > rpc.Down:
-			return fmt.Sprintf("health %d", state.Health)
+			return fmt.Errorf("unknown health state %d", state.Health)
 		case state.Cold < 0 || state.Cold > maxWarmUp:
-			return "cold for " + state.Cold.String()
+			return fmt.Errorf("warm-up of %s", state.Cold)
 		}
 	}
-	return ""
+	return nil
 }
 
-// loggedRejections is how many refused calls of one leadership are logged each;
+// loggedRejections is how many rejected calls of one term are logged each;
 // beyond, one in so many is.
 const loggedRejections = 64
 
-// reject notes a refused call.
-func (c *Coordinator) reject(call string, by rpc.FellowID, reason string) (err error) {
-	count := c.rejections.Add(1)
+// rejectionLog counts rejected calls. It may be used from any goroutine.
+type rejectionLog struct{ count atomic.Int64 }
+
+// reject logs a rejected call and gives the error for its caller.
+func (r *rejectionLog) reject(log *eventlog.Log, call string, by rpc.FellowID, reason error) (err error) {
+	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
-		c.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", reason, "count", count)
+		log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", reason.Error(), "count", count)
 	}
-	return Class.New("refused: %s", reason)
+	return &InvalidCallError{Call: call, Reason: reason}
 }
--- a/internal/coordinator/validate_test.go
+++ b/internal/coordinator/validate_test.go
@@ -1,6 +1,7 @@
 package coordinator
 
 import (
+	"errors"
 	"math"
 	"reflect"
 	"strings"
@@ -12,7 +13,7 @@
 
 var longName = strings.Repeat("x", 300)
 
-func TestMalformedBeatsAreRefusedAndChangeNothing(t *testing.T) {
+func TestMalformedHeartbeatsAreRejectedAndChangeNothing(t *testing.T) {
 	good := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Site: "z", Ready: true}, Seen: rpc.Seen{Term: 7, ItemAt: rpc.AllItems, Listed: true}}
 	for name, spoil := range map[string]func(request *rpc.BeatAsk){
 		"no name":            func(request *rpc.BeatAsk) { request.ID = "" },
@@ -20,16 +21,16 @@
 		"long address":       func(request *rpc.BeatAsk) { request.Front = longName },
 		"negative hold":      func(request *rpc.BeatAsk) { request.Hold = -time.Second },
 		"endless hold":       func(request *rpc.BeatAsk) { request.Hold = time.Hour },
-		"negative fellows":   func(request *rpc.BeatAsk) { request.Known = -1 },
-		"absurd fellows":     func(request *rpc.BeatAsk) { request.Known = math.MaxInt },
+		"negative nodes":     func(request *rpc.BeatAsk) { request.Known = -1 },
+		"absurd nodes":       func(request *rpc.BeatAsk) { request.Known = math.MaxInt },
 		"negative demand":    func(request *rpc.BeatAsk) { request.Demands = []rpc.Demand{{Tenant: "t", Rate: -1}} },
 		"no number":          func(request *rpc.BeatAsk) { request.Demands = []rpc.Demand{{Tenant: "t", Rate: math.NaN()}} },
 		"absurd demand":      func(request *rpc.BeatAsk) { request.Demands = []rpc.Demand{{Tenant: "t", Rate: math.Inf(1)}} },
 		"floor beyond all":   func(request *rpc.BeatAsk) { request.Demands = []rpc.Demand{{Tenant: "t", Floor: 1.5}} },
 		"negative floor":     func(request *rpc.BeatAsk) { request.Retries = []rpc.Demand{{Tenant: "s", Floor: -0.1}} },
 		"absurd retries":     func(request *rpc.BeatAsk) { request.Retries = []rpc.Demand{{Tenant: "s", Rate: 1e12}} },
-		"negative work":      func(request *rpc.BeatAsk) { request.Burdens = []rpc.Burden{{Service: "s", AtWork: -5}} },
-		"absurd work":        func(request *rpc.BeatAsk) { request.Burdens = []rpc.Burden{{Service: "s", AtWork: math.MaxInt}} },
+		"negative load":      func(request *rpc.BeatAsk) { request.Burdens = []rpc.Burden{{Service: "s", AtWork: -5}} },
+		"absurd load":        func(request *rpc.BeatAsk) { request.Burdens = []rpc.Burden{{Service: "s", AtWork: math.MaxInt}} },
 		"absurd outcomes":    func(request *rpc.BeatAsk) { request.Tallies = []rpc.Tally{{Service: "s", Bad: math.MaxUint32}} },
 		"long service":       func(request *rpc.BeatAsk) { request.Tallies = []rpc.Tally{{Service: rpc.ServiceName(longName)}} },
 		"too many demands":   func(request *rpc.BeatAsk) { request.Demands = make([]rpc.Demand, maxDemands+1) },
@@ -40,37 +41,37 @@
 		spoil(&request)
 		epoch := c.clock.Now()
 		var update rpc.News
-		if err := c.Heartbeat(request, &update); err == nil || !Class.Has(err) {
+		if err := c.Heartbeat(request, &update); !errors.As(err, new(*InvalidCallError)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if c.nodes.Count() != 0 || c.clock.Now() != epoch || len(c.pendingOutcomes) != 0 || len(c.policies.followerByNode) != 0 || !reflect.DeepEqual(update, rpc.News{}) {
+		if c.nodes.registry.Count() != 0 || c.clock.Now() != epoch || len(c.outcomes.pendingByOwner) != 0 || len(c.followers.byNode) != 0 || !reflect.DeepEqual(update, rpc.News{}) {
 			t.Errorf("%s has changed something", name)
 		}
 	}
 	c := newTestCoordinator()
 	var update rpc.News
-	if err := c.Heartbeat(good, &update); err != nil || c.nodes.Count() != 1 {
-		t.Errorf("a good beat: %v", err)
+	if err := c.Heartbeat(good, &update); err != nil || c.nodes.registry.Count() != 1 {
+		t.Errorf("a good heartbeat: %v", err)
 	}
 }
 
-func TestMalformedReportsAreRefusedAndChangeNothing(t *testing.T) {
+func TestMalformedReportsAreRejectedAndChangeNothing(t *testing.T) {
 	report := func() rpc.ReportAsk {
 		return rpc.ReportAsk{Fellow: "e", Term: 7, Service: "s", States: []rpc.State{{Server: "a", Health: rpc.Up}}}
 	}
 	for name, spoil := range map[string]func(request *rpc.ReportAsk){
-		"no name":           func(request *rpc.ReportAsk) { request.Fellow = "" },
-		"later term":        func(request *rpc.ReportAsk) { request.Term = 8 },
-		"map never told":    func(request *rpc.ReportAsk) { request.Count = 99 },
-		"another's backend": func(request *rpc.ReportAsk) { request.Service = "t" },
-		"no health":         func(request *rpc.ReportAsk) { request.States[0].Health = 9 },
-		"negative cold":     func(request *rpc.ReportAsk) { request.States[0].Cold = -1 },
-		"absurd cold":       func(request *rpc.ReportAsk) { request.States[0].Cold = 1000 * time.Hour },
-		"long aside":        func(request *rpc.ReportAsk) { request.States[0].Aside = longName },
+		"no name":            func(request *rpc.ReportAsk) { request.Fellow = "" },
+		"later term":         func(request *rpc.ReportAsk) { request.Term = 8 },
+		"map never sent":     func(request *rpc.ReportAsk) { request.Count = 99 },
+		"another's backend":  func(request *rpc.ReportAsk) { request.Service = "t" },
+		"no health":          func(request *rpc.ReportAsk) { request.States[0].Health = 9 },
+		"negative cold":      func(request *rpc.ReportAsk) { request.States[0].Cold = -1 },
+		"absurd cold":        func(request *rpc.ReportAsk) { request.States[0].Cold = 1000 * time.Hour },
+		"long ejecting zone": func(request *rpc.ReportAsk) { request.States[0].Aside = longName },
 	} {
 		c := newTestCoordinator()
-		for _, whole := range []bool{false, true} {
-			c.mergeEndpoints([]rpc.Server{{ID: "a", Service: "s", Address: "x:1"}}, whole)
+		for _, complete := range []bool{false, true} {
+			c.mergeEndpoints([]rpc.Server{{ID: "a", Service: "s", Address: "x:1"}}, complete)
 		}
 		request := report()
 		spoil(&request)
@@ -79,7 +80,7 @@
 			t.Errorf("%s was taken", name)
 		}
 		if !c.Report(report()) {
-			t.Errorf("after %s a good report is refused", name)
+			t.Errorf("after %s a good report is rejected", name)
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordinator/zonebalance.go
@@ -0,0 +1,57 @@
+package coordinator
+
+import (
+	"time"
+
+	"tinpin/internal/healthcheck"
+	"tinpin/internal/rpc"
+)
+
+// balanceZones recomputes which part of their requests zones should send to the
+// backends of others; the caller holds mu.
+func (c *Coordinator) balanceZones(now time.Duration) {
+	c.zoneBalance.Turn(now, c.loadByZone(), c.slotsByZone(now), func(zone rpc.SiteName) string { return string(c.regionOf(zone)) })
+}
+
+// loadByZone sums the requests in flight that connected nodes report.
+func (c *Coordinator) loadByZone() (inFlight map[healthcheck.Place]float64) {
+	inFlight = map[healthcheck.Place]float64{}
+	for id, loads := range c.followers.loadByNode {
+		node, known := c.nodes.registry.Fellows.Get(id)
+		if !known || !c.nodes.registry.Here(id) {
+			continue
+		}
+		for _, load := range loads {
+			if load.AtWork > 0 {
+				inFlight[healthcheck.Place{Service: load.Service, Site: node.Site}] += float64(load.AtWork)
+			}
+		}
+	}
+	return inFlight
+}
+
+// slotsByZone sums the slots of the backends that can take their full load; a
+// zone that has only others is there with none.
+func (c *Coordinator) slotsByZone(now time.Duration) (slots map[healthcheck.Place]float64) {
+	slots = map[healthcheck.Place]float64{}
+	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+		place := healthcheck.Place{Service: server.Service, Site: server.Site}
+		if c.takesFullLoad(now, id, server) {
+			slots[place] += float64(max(1, server.Slots))
+		} else {
+			slots[place] += 0
+		}
+	})
+	return slots
+}
+
+func (c *Coordinator) takesFullLoad(now time.Duration, id rpc.ServerID, server rpc.Server) bool {
+	state, _ := c.health.States.Get(id)
+	switch {
+	case server.Draining, c.evacuatedZones[server.Site], c.policies.drain.stopped(id):
+		return false
+	case state.Health == rpc.Down, state.Aside != "", c.health.ColdUntil(id) > now:
+		return false
+	}
+	return true
+}
