--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -19,7 +19,7 @@
 
 // Coordinator works while this controller leads in one term.
 type Coordinator struct {
-	settings settings.Props
+	settings settings.Settings
 	log      *eventlog.Log
 	node     *raft.Node
 	history  *history.Chronicle
@@ -57,7 +57,7 @@
 
 // Start begins a leader's term. The first term of all grants leases at once;
 // later ones wait until those of older leaders have run out.
-func Start(p settings.Props, log *eventlog.Log, node *raft.Node, term raft.Term) (c *Coordinator) {
+func Start(p settings.Settings, log *eventlog.Log, node *raft.Node, term raft.Term) (c *Coordinator) {
 	c = newCoordinator(p, log, rpc.Term(term))
 	c.node, c.history = node, node.Chronicle
 	go c.reconcileLoop()
@@ -68,7 +68,7 @@
 }
 
 // newCoordinator is one whose loops do not run.
-func newCoordinator(p settings.Props, log *eventlog.Log, term rpc.Term) (c *Coordinator) {
+func newCoordinator(p settings.Settings, log *eventlog.Log, term rpc.Term) (c *Coordinator) {
 	clock := &registry.Clock{}
 	clock.Next()
 	return &Coordinator{
@@ -77,7 +77,7 @@
 		clock:          clock,
 		nodes:          newNodeTable(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: removeNodeAfter}),
 		endpoints:      registry.NewList(clock),
-		health:         healthcheck.NewCache(clock, 3*p.ProbeInterval+time.Second),
+		health:         healthcheck.NewCache(clock, 3*p.HealthCheckInterval+time.Second),
 		view:           config.New().View(),
 		evacuatedZones: map[rpc.SiteName]bool{},
 		outcomes:       newOutcomeRelay(),
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -29,7 +29,7 @@
 	for {
 		begun := time.Now()
 		servers, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Server) { c.mergeEndpoints(page, false) })
-		interval := listInterval(c.settings.ListInterval, pause, pages)
+		interval := listInterval(c.settings.EndpointListInterval, pause, pages)
 		if err != nil {
 			c.log.Say(eventlog.ListFailed, "problem", err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -50,7 +50,7 @@
 	if request.Stopping || nodes == 0 {
 		return nil
 	}
-	slack := c.settings.Bounds.RetrySlack * retrySlackShare
+	slack := c.settings.Bounds.RetryBudgetSlack * retrySlackShare
 	lease, granted := c.leases.rates.Lend(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow, request.ID, slack/float64(nodes))
 	if granted {
 		leases = append(leases, lease)
@@ -85,7 +85,7 @@
 	if service == nil {
 		return lease, false
 	}
-	shares, sharers := c.nodes.sharesWarmUp(node, server, service.ColdRate, c.settings.Regions)
+	shares, sharers := c.nodes.sharesWarmUp(node, server, service.ColdRate, c.settings.ZoneRegions)
 	if !shares {
 		return lease, false
 	}
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -101,7 +101,7 @@
 }
 
 func (c *Coordinator) regionOf(zone rpc.SiteName) (region rpc.RegionName) {
-	return rpc.RegionName(c.settings.Regions[string(zone)])
+	return rpc.RegionName(c.settings.ZoneRegions[string(zone)])
 }
 
 // ValidateSchedule tells whether a plan can be read and names only regions that
@@ -112,7 +112,7 @@
 		return err
 	}
 	known := map[rpc.RegionName]bool{}
-	for _, region := range c.settings.Regions {
+	for _, region := range c.settings.ZoneRegions {
 		known[rpc.RegionName(region)] = true
 	}
 	return plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return known[region] })
