--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -20,7 +20,7 @@
 // Coordinator works while this controller leads in one term.
 type Coordinator struct {
 	settings settings.Settings
-	log      *eventlog.Log
+	log      *eventlog.Logger
 	node     *raft.Node
 	history  *history.Chronicle
 	term     rpc.Term
@@ -57,7 +57,7 @@
 
 // Start begins a leader's term. The first term of all grants leases at once;
 // later ones wait until those of older leaders have run out.
-func Start(p settings.Settings, log *eventlog.Log, node *raft.Node, term raft.Term) (c *Coordinator) {
+func Start(p settings.Settings, log *eventlog.Logger, node *raft.Node, term raft.Term) (c *Coordinator) {
 	c = newCoordinator(p, log, rpc.Term(term))
 	c.node, c.history = node, node.Chronicle
 	go c.reconcileLoop()
@@ -68,7 +68,7 @@
 }
 
 // newCoordinator is one whose loops do not run.
-func newCoordinator(p settings.Settings, log *eventlog.Log, term rpc.Term) (c *Coordinator) {
+func newCoordinator(p settings.Settings, log *eventlog.Logger, term rpc.Term) (c *Coordinator) {
 	clock := &registry.Clock{}
 	clock.Next()
 	return &Coordinator{
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -78,7 +78,7 @@
 		commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 	}
 	for _, status := range d.statuses {
-		c.policies.logged.record(c.log, eventlog.RetireStands, status.Server, string(status.Phase), "why", status.Why)
+		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Server, string(status.Phase), "why", status.Why)
 	}
 	return commands
 }
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -31,7 +31,7 @@
 		servers, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Server) { c.mergeEndpoints(page, false) })
 		interval := listInterval(c.settings.EndpointListInterval, pause, pages)
 		if err != nil {
-			c.log.Say(eventlog.ListFailed, "problem", err.Error())
+			c.log.Emit(eventlog.EndpointListFailed, "problem", err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
 		} else {
 			c.mergeEndpoints(servers, true)
--- a/internal/coordinator/heartbeat.go
+++ b/internal/coordinator/heartbeat.go
@@ -58,7 +58,7 @@
 func (c *Coordinator) observe(request rpc.BeatAsk) {
 	joined, changed := c.nodes.registry.Beat(c.now(), request.Fellow)
 	if joined {
-		c.log.Say(eventlog.FellowJoined, "fellow", string(request.ID), "life", uint64(request.Life))
+		c.log.Emit(eventlog.NodeJoined, "fellow", string(request.ID), "life", uint64(request.Life))
 	}
 	// Other nodes are told with the next reconciliation: after a change of
 	// leader all nodes come at once, and each would wake all the others.
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -49,7 +49,7 @@
 	lost, changed := c.nodes.registry.Tick(now)
 	changed, c.nodes.pending = changed || c.nodes.pending, false
 	for _, id := range lost {
-		c.log.Say(eventlog.FellowLost, "fellow", string(id))
+		c.log.Emit(eventlog.NodeExpired, "fellow", string(id))
 	}
 	if changed {
 		c.refreshNodes()
@@ -61,7 +61,7 @@
 func (c *Coordinator) refreshNodes() {
 	if c.nodes.refresh(c.term) {
 		c.health.Shards(c.nodes.shardMap)
-		c.log.Say(eventlog.MapChanged, "count", uint64(c.nodes.shardMapEpoch), "members", len(c.nodes.shardMap.Members))
+		c.log.Emit(eventlog.ShardMapChanged, "count", uint64(c.nodes.shardMapEpoch), "members", len(c.nodes.shardMap.Members))
 	}
 	c.outcomes.forgetOwners()
 }
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -85,7 +85,7 @@
 // statusLog logs how a subject stands, once a change.
 type statusLog struct{ last map[string]string }
 
-func (l *statusLog) record(log *eventlog.Log, event eventlog.Event, subject, status string, pairs ...any) {
+func (l *statusLog) record(log *eventlog.Logger, event eventlog.Event, subject, status string, pairs ...any) {
 	key := fmt.Sprint(int(event), subject)
 	if l.last[key] == status {
 		return
@@ -94,7 +94,7 @@
 		l.last = map[string]string{}
 	}
 	l.last[key] = status
-	log.Say(event, append([]any{"subject", subject, "stands", status}, pairs...)...)
+	log.Emit(event, append([]any{"subject", subject, "stands", status}, pairs...)...)
 }
 
 // eachBackend visits the listed backends of a service. Useful ones are neither
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -200,7 +200,7 @@
 	c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
 	if answer.Result.Moved {
 		c.sessions.moved++
-		c.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", reason)
+		c.log.Emit(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", reason)
 		c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
 	return rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -19,8 +19,8 @@
 // newTestCoordinator is a coordinator of term 7 without loops: what it is told in
 // the test is all there is.
 func newTestCoordinator() (c *Coordinator) {
-	c = newCoordinator(settings.Settings{}, eventlog.Quiet(), 7)
-	c.history = history.New(eventlog.Quiet())
+	c = newCoordinator(settings.Settings{}, eventlog.Discard(), 7)
+	c.history = history.New(eventlog.Discard())
 	c.nodes = newNodeTable(c.clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour})
 	c.health = healthcheck.NewCache(c.clock, time.Minute)
 	c.leases = newLeaseTable(true)
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -126,10 +126,10 @@
 type rejectionLog struct{ count atomic.Int64 }
 
 // reject logs a rejected call and gives the error for its caller.
-func (r *rejectionLog) reject(log *eventlog.Log, call string, by rpc.FellowID, reason error) (err error) {
+func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.FellowID, reason error) (err error) {
 	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
-		log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", reason.Error(), "count", count)
+		log.Emit(eventlog.NodeRequestRejected, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", reason.Error(), "count", count)
 	}
 	return &InvalidCallError{Call: call, Reason: reason}
 }
