--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -218,7 +218,7 @@
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
 		return 1
 	}
-	log.Emit(eventlog.Started, "role", role, "version", Version)
+	log.Emit(eventlog.Started, "role", role, eventlog.KeyVersion, Version)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
@@ -248,7 +248,7 @@
 		last = stamp(path)
 		fresh, loadErr := settings.Load(path)
 		if loadErr != nil {
-			log.Emit(eventlog.SettingsRejected, "problem", loadErr.Error())
+			log.Emit(eventlog.SettingsRejected, eventlog.KeyError, loadErr.Error())
 			continue
 		}
 		running.Reload(fresh)
--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -60,7 +60,7 @@
 
 func TestTraceFromLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	lines := `{"level":"info","ts":"2026-01-01T00:00:02.000Z","msg":"change seen on this daemon","daemon":"edge-1","event":120,"kind":"item","name":"routes/r1","what":"applied","stamp":"7","rev":12}
+	lines := `{"level":"info","ts":"2026-01-01T00:00:02.000Z","msg":"change observed","daemon":"edge-1","event":120,"kind":"item","name":"routes/r1","change":"applied","state":"7","revision":12}
 12.5 edge-2 {"level":"info","ts":"2026-01-01T00:00:01.000Z","daemon":"core-1","event":120,"kind":"item","name":"routes/r1","what":"applied","stamp":"7","rev":12}
 {"ts":"2026-01-01T00:00:03.000Z","daemon":"edge-1","event":120,"kind":"item","name":"routes/r2","what":"applied","stamp":"1","rev":13}
 `
@@ -74,6 +74,10 @@
 	if first, second := strings.Index(out.String(), "core-1"), strings.Index(out.String(), "edge-1"); first < 0 || second < first || strings.Contains(out.String(), "r2") {
 		t.Fatal(out.String())
 	}
+	// The lines of this release and of the one before are read alike.
+	if rows := strings.Count(strings.Join(strings.Fields(out.String()), " "), "applied 7 12"); rows != 2 {
+		t.Fatalf("%d rows: %s", rows, out.String())
+	}
 }
 
 type recorder struct{ did chan string }
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -141,7 +141,7 @@
 	if result.Problem != "" {
 		return c.refuse(history.Item, refusedAs(apierror.BadConfig, result))
 	}
-	c.log.Emit(eventlog.ConfigAccepted, "bytes", len(body))
+	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
 	for _, path := range call.Paths() {
 		c.node.Chronicle.Note(history.Item, path, "acknowledged", "", 0, true)
 	}
@@ -158,7 +158,7 @@
 
 // refuse logs what the caller is told.
 func (c *Controller) refuse(subject string, trouble *httpapi.Error) (err error) {
-	c.log.Emit(eventlog.OperatorRequestRejected, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
+	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject, eventlog.KeyStatus, trouble.Kind.Answer().Status, eventlog.KeyReason, trouble.Error())
 	return trouble
 }
 
@@ -200,7 +200,7 @@
 	if result.Problem != "" {
 		return c.refuse(history.Evacuation, refusedAs(apierror.BadOrder, result))
 	}
-	c.log.Emit(eventlog.EvacuationAccepted, "site", site, "start", start)
+	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, site, "active", start)
 	c.node.Chronicle.Note(history.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
 }
--- a/internal/coordinator/check.go
+++ b/internal/coordinator/check.go
@@ -113,7 +113,7 @@
 func (f *Coordinator) refuse(call string, by rpc.FellowID, fault string) (err error) {
 	count := f.refusals.Add(1)
 	if count <= loggedRefusals || count%loggedRefusals == 0 {
-		f.log.Emit(eventlog.NodeRequestRejected, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
+		f.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.NameMost)], eventlog.KeyReason, fault, eventlog.KeyCount, count)
 	}
 	return Class.New("refused: %s", fault)
 }
--- a/internal/coordinator/forum.go
+++ b/internal/coordinator/forum.go
@@ -186,7 +186,7 @@
 		lost, changed := f.roll.Tick(now)
 		changed, f.moved = changed || f.moved, false
 		for _, id := range lost {
-			f.log.Emit(eventlog.NodeExpired, "fellow", string(id))
+			f.log.Emit(eventlog.NodeExpired, eventlog.KeyNode, string(id))
 		}
 		if changed {
 			f.refreshMembers()
@@ -235,7 +235,7 @@
 		f.mapAt = f.clock.Next()
 		f.shards = rpc.ShardMap{Term: f.term, Count: f.mapAt, Members: members}
 		f.cache.Shards(f.shards)
-		f.log.Emit(eventlog.ShardMapChanged, "count", uint64(f.mapAt), "members", len(members))
+		f.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(f.mapAt), eventlog.KeyMembers, len(members))
 	}
 	absent := f.roll.Absent()
 	same = len(absent) == len(f.absent)
@@ -257,7 +257,7 @@
 		servers, pages, err := platform.Walk(min(pause, 100*time.Millisecond), func(page []rpc.Server) { f.merge(page, false) })
 		interval := listInterval(f.props.EndpointListInterval, pause, pages)
 		if err != nil {
-			f.log.Emit(eventlog.EndpointListFailed, "problem", err.Error())
+			f.log.Emit(eventlog.EndpointListFailed, eventlog.KeyError, err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
 		} else {
 			f.merge(servers, true)
@@ -330,7 +330,7 @@
 	f.mu.Lock()
 	joined, changed := f.roll.Beat(f.now(), ask.Fellow)
 	if joined {
-		f.log.Emit(eventlog.NodeJoined, "fellow", string(ask.ID), "life", uint64(ask.Life))
+		f.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(ask.ID), eventlog.KeyIncarnation, uint64(ask.Life))
 	}
 	// Who came or changed is told with the next turn of tend: after a change of
 	// leader all come at once, and each would wake all the others.
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -190,7 +190,7 @@
 			commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 		}
 		for _, account := range o.retiring {
-			f.say(eventlog.RetirementProgress, account.Server, string(account.Phase), "why", account.Why)
+			f.say(eventlog.RetirementProgress, account.Server, string(account.Phase), eventlog.KeyReason, account.Why)
 		}
 	} else {
 		o.retiring = nil
@@ -242,7 +242,7 @@
 		f.orders.said = map[string]string{}
 	}
 	f.orders.said[key] = stands
-	f.log.Emit(event, append([]any{"subject", subject, "stands", stands}, pairs...)...)
+	f.log.Emit(event, append([]any{"subject", subject, eventlog.KeyState, stands}, pairs...)...)
 }
 
 // EndpointsComplete tells that the platform's list is known whole.
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -6,6 +6,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -108,19 +109,25 @@
 	return reply.Stamp
 }
 
+// logLine is the part of a log line that the tracer reads. The earlier names
+// are those of the release before, whose logs are read as well.
+type logLine struct {
+	TS              string `json:"ts"`
+	Daemon          string `json:"daemon"`
+	Event           int    `json:"event"`
+	Kind            string `json:"kind"`
+	Name            string `json:"name"`
+	Change          string `json:"change"`
+	State           string `json:"state"`
+	Revision        uint64 `json:"revision"`
+	EarlierChange   string `json:"what"`
+	EarlierState    string `json:"stamp"`
+	EarlierRevision uint64 `json:"rev"`
+}
+
 // TraceLogs prints what logs say of a subject.
 func TraceLogs(out io.Writer, files []string, kind, name string) (err error) {
-	type line struct {
-		TS     string `json:"ts"`
-		Daemon string `json:"daemon"`
-		Event  int    `json:"event"`
-		Kind   string `json:"kind"`
-		Name   string `json:"name"`
-		What   string `json:"what"`
-		Stamp  string `json:"stamp"`
-		Rev    uint64 `json:"rev"`
-	}
-	var found []line
+	var found []logLine
 	for _, path := range files {
 		file, openErr := os.Open(path)
 		if openErr != nil {
@@ -134,7 +141,7 @@
 			if brace < 0 {
 				continue
 			}
-			var read line
+			var read logLine
 			if json.Unmarshal([]byte(text[brace:]), &read) == nil && read.Event == int(eventlog.ChangeObserved) && read.Kind == kind && read.Name == name {
 				found = append(found, read)
 			}
@@ -152,7 +159,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "%s %s, by the daemons' times of day, which may differ\n\nAT\tDAEMON\tWHAT\tSTAMP\tREV\n", kind, name)
 	for _, read := range found {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\n", read.TS, read.Daemon, read.What, read.Stamp, read.Rev)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\n", read.TS, read.Daemon, cmp.Or(read.Change, read.EarlierChange), cmp.Or(read.State, read.EarlierState), cmp.Or(read.Revision, read.EarlierRevision))
 	}
 	return Class.Wrap(table.Flush())
 }
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -40,12 +40,13 @@
 
 func TestEventsCatalogue(t *testing.T) {
 	text := page(t, "docs/events.md")
-	if rows := strings.Count(text, "\n| 1"); rows != len(eventlog.Texts) {
-		t.Errorf("%d rows for %d events", rows, len(eventlog.Texts))
+	if rows := strings.Count(text, "\n| 1"); rows != len(eventlog.Catalogue) {
+		t.Errorf("%d rows for %d events", rows, len(eventlog.Catalogue))
 	}
-	for event, said := range eventlog.Texts {
-		if !strings.Contains(text, fmt.Sprintf("| %d | %s |", event, said)) {
-			t.Errorf("event %d %q is not in the catalogue", event, said)
+	for event, entry := range eventlog.Catalogue {
+		row := regexp.MustCompile(fmt.Sprintf(`(?m)^\| %d \| %s \| [^|]*\| %s \|( [^|]+ \|){3}$`, event, regexp.QuoteMeta(entry.Text), entry.Level))
+		if !row.MatchString(text) {
+			t.Errorf("event %d %q at level %s is not in the catalogue", event, entry.Text, entry.Level)
 		}
 	}
 }
--- a/internal/history/chronicle.go
+++ b/internal/history/chronicle.go
@@ -69,7 +69,7 @@
 	c.next++
 	c.mu.Unlock()
 	if !quiet {
-		c.log.Emit(eventlog.ChangeObserved, "kind", kind, "name", name, "what", what, "stamp", stamp, "rev", rev)
+		c.log.Emit(eventlog.ChangeObserved, eventlog.KeyKind, kind, eventlog.KeyName, name, eventlog.KeyChange, what, eventlog.KeyState, stamp, eventlog.KeyRevision, rev)
 		c.OnMark(mark)
 	}
 }
--- a/internal/notify/herald.go
+++ b/internal/notify/herald.go
@@ -90,7 +90,7 @@
 		}
 		if err != nil {
 			h.dropped.Add(1)
-			h.log.Emit(eventlog.NotificationsDropped, "dropped", h.dropped.Load(), "problem", err.Error())
+			h.log.Emit(eventlog.NotificationsDropped, "dropped", h.dropped.Load(), eventlog.KeyError, err.Error())
 		}
 	}
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -56,7 +56,7 @@
 	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(rpc.RetrySlack, "") })
 	d.budget.written = d.world.Orders.Retries
 	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
-		log.Emit(eventlog.RetriesSuppressed, "service", string(service), "open", open)
+		log.Emit(eventlog.RetriesSuppressed, eventlog.KeyService, string(service), "suppressed", open)
 	}
 	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -194,7 +194,7 @@
 		return false
 	}
 	if old := *l.leader.Load(); !l.Led() || old != target {
-		l.log.Emit(eventlog.LeaderFound, "leader", target, "term", uint64(term))
+		l.log.Emit(eventlog.LeaderFound, "leader", target, eventlog.KeyTerm, uint64(term))
 	}
 	l.term = term
 	l.heard.Store(int64(l.clock.Now()))
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -125,21 +125,21 @@
 	if news.Packed != nil {
 		items, err := rpc.Unpack(news.Packed)
 		if err != nil {
-			w.log.Emit(eventlog.SettingsRejected, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
 		}
 		news.Items = items
 	}
 	if news.Part != nil {
 		if err := news.Part.Unpack(); err != nil {
-			w.log.Emit(eventlog.SettingsRejected, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
 		}
 	}
 	if news.Crowd != nil {
 		fellows, err := rpc.UnpackRows[rpc.FellowChange](news.Crowd)
 		if err != nil {
-			w.log.Emit(eventlog.SettingsRejected, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
 		}
 		news.Fellows = append(news.Fellows, fellows...)
@@ -157,7 +157,7 @@
 	w.lend(asked, news.Leases)
 	if part := news.Part; part != nil && !w.follows(news.Term, part) {
 		// Only the part is refused: the rest says where to go on from.
-		w.log.Emit(eventlog.NodeRequestRejected, "call", "news", "why", "a part of the list that does not follow", "from", string(part.From), "at", string(part.At))
+		w.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, "news", eventlog.KeyReason, "a part of the list that does not follow", eventlog.KeyFrom, string(part.From), "position", string(part.At))
 		news.Part = nil
 	}
 	first := w.seen.Rev == 0
@@ -183,7 +183,7 @@
 	}
 	for _, item := range news.Items {
 		if err := w.canon.Put(item); err != nil {
-			w.log.Emit(eventlog.SettingsRejected, "item", item.Name, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, "item", item.Name, eventlog.KeyError, err.Error())
 		}
 	}
 	for _, item := range news.Items {
@@ -466,7 +466,7 @@
 	w.watch.Led(now, led)
 	applied, headless := w.watch.Tick(now)
 	if applied {
-		w.log.Emit(eventlog.ShardMapChanged, "count", uint64(w.watch.Applied().Count), "members", len(w.watch.Applied().Members))
+		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.watch.Applied().Count), eventlog.KeyMembers, len(w.watch.Applied().Members))
 	}
 	if headless {
 		w.log.Emit(eventlog.Headless)
--- a/internal/raft/refusals.go
+++ b/internal/raft/refusals.go
@@ -15,5 +15,5 @@
 		return
 	}
 	r.saidAt = max(ticks, 1)
-	log.Emit(eventlog.PeerMessageRejected, "from", string(refusal.From), "kind", int(refusal.Kind), "why", refusal.Why, "refused", r.count)
+	log.Emit(eventlog.PeerMessageRejected, eventlog.KeyFrom, string(refusal.From), eventlog.KeyKind, int(refusal.Kind), eventlog.KeyReason, refusal.Why, eventlog.KeyCount, r.count)
 }
--- a/internal/raft/room.go
+++ b/internal/raft/room.go
@@ -55,6 +55,6 @@
 // full leaves the write where it waits.
 func roomFor(folder string, log *eventlog.Logger) (fs vfs.FS) {
 	return Room{
-		Folder: folder, Full: func(waits bool) { log.Emit(eventlog.DiskFull, "waits", waits) }, Pause: func() { time.Sleep(roomPause) },
+		Folder: folder, Full: func(waits bool) { log.Emit(eventlog.DiskFull, "paused", waits) }, Pause: func() { time.Sleep(roomPause) },
 	}.On(vfs.Default)
 }
