--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -63,7 +63,7 @@
 		for _, address := range wave {
 			asked[address] = true
 		}
-		each(wave, "Status.Tell", rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
+		each(wave, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
 			var account controller.CoreAccount
 			if callErr == nil {
 				callErr = json.Unmarshal(reply.JSON, &account)
@@ -97,7 +97,7 @@
 		names[fellow.Inner] = fellow.Name
 		addresses = append(addresses, fellow.Inner)
 	}
-	each(addresses, "Status.Tell", rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
+	each(addresses, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
 		var account proxy.Account
 		if callErr == nil {
 			callErr = json.Unmarshal(reply.JSON, &account)
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -41,7 +41,7 @@
 	for _, address := range f.inners {
 		addresses = append(addresses, address)
 	}
-	each(addresses, "Status.Trace", rpc.TraceAsk{Kind: kind, Name: name}, func(address string, reply rpc.TraceReply, callErr error) {
+	each(addresses, rpc.MethodTrace, rpc.TraceAsk{Kind: kind, Name: name}, func(address string, reply rpc.TraceReply, callErr error) {
 		if callErr != nil {
 			f.Unreachable = append(f.Unreachable, address)
 			return
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -301,7 +301,7 @@
 	for i, p := range s.props {
 		caller := rpc.NewCaller(p.Inner("accord"))
 		var reply rpc.StatusReply
-		callErr := caller.Call("Status.Tell", rpc.StatusAsk{}, &reply, 5*time.Second)
+		callErr := caller.Call(rpc.MethodStatus, rpc.StatusAsk{}, &reply, 5*time.Second)
 		caller.Close()
 		if callErr != nil {
 			continue
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -163,7 +163,7 @@
 		ask.Burdens = l.Burdens()
 	}
 	news = new(rpc.News)
-	if err = l.core(target).Call("Forum.Beat", ask, news, limit); err != nil {
+	if err = l.core(target).Call(rpc.MethodHeartbeat, &ask, news, limit); err != nil {
 		return nil, err
 	}
 	if !news.Leader {
@@ -238,7 +238,7 @@
 		asked++
 		go func() {
 			var reply rpc.LeadReply
-			err := l.core(inner).Call("Forum.Lead", rpc.LeadAsk{}, &reply, wait)
+			err := l.core(inner).Call(rpc.MethodLeader, rpc.LeadAsk{}, &reply, wait)
 			answers <- leadAnswer{inner, reply, err}
 		}()
 	}
@@ -419,7 +419,7 @@
 func (l *Link) putClaims(claims []rpc.KeyClaim, left time.Duration) (found []rpc.ClaimFound) {
 	ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.props.Name), Life: l.life, Claims: claims, Left: left}
 	var reply rpc.ClaimReply
-	err := l.core(*l.leader.Load()).Call("Forum.Claim", ask, &reply, 2*claimCall)
+	err := l.core(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, 2*claimCall)
 	if err == nil && reply.Leader {
 		return reply.Found
 	}
@@ -434,7 +434,7 @@
 
 func (l *Link) putBinds(binds []rpc.Bind, _ time.Duration) (found []rpc.BindFound) {
 	var reply rpc.BindReply
-	if err := l.core(*l.leader.Load()).Call("Forum.Bind", rpc.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
+	if err := l.core(*l.leader.Load()).Call(rpc.MethodBind, rpc.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
 		return nil
 	}
 	if reply.Term > 0 && reply.Term < l.world.Seen().Term {
@@ -468,7 +468,7 @@
 			}
 			ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.props.Name), Life: l.life, Frees: frees}
 			var reply rpc.ClaimReply
-			err := l.core(*l.leader.Load()).Call("Forum.Claim", ask, &reply, time.Second)
+			err := l.core(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, time.Second)
 			if err != nil || !reply.Leader || !reply.Freed {
 				time.Sleep(freesPause)
 				continue
@@ -488,7 +488,7 @@
 		return reply
 	}
 	ask := rpc.RecallAsk{Key: key, Request: found.Request, Life: found.Life}
-	if err := l.caller(found.Inner).Call("Fellow.Recall", ask, &reply, 600*time.Millisecond); err != nil {
+	if err := l.caller(found.Inner).Call(rpc.MethodStoredResponse, ask, &reply, 600*time.Millisecond); err != nil {
 		return rpc.RecallReply{Standing: rpc.Lost}
 	}
 	return l.Fetch(reply, key, found.Request)
@@ -499,7 +499,7 @@
 	if reply.Standing != rpc.Moved {
 		return reply
 	}
-	if err := l.caller(reply.Inner).Call("Fellow.Kept", rpc.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
+	if err := l.caller(reply.Inner).Call(rpc.MethodMovedResponse, rpc.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
 		return rpc.RecallReply{Standing: rpc.Lost}
 	}
 	return fetched
@@ -508,7 +508,7 @@
 // Keep hands an answer to a fellow that may keep it.
 func (l *Link) Keep(inner string, ask rpc.KeepAsk) (kept bool) {
 	var reply rpc.KeepReply
-	err := l.caller(inner).Call("Fellow.Keep", ask, &reply, time.Second)
+	err := l.caller(inner).Call(rpc.MethodStoreResponse, ask, &reply, time.Second)
 	return err == nil && reply.Kept
 }
 
@@ -518,6 +518,6 @@
 		return false
 	}
 	var reply rpc.ReportReply
-	err := l.core(*l.leader.Load()).Call("Forum.Report", ask, &reply, 500*time.Millisecond)
+	err := l.core(*l.leader.Load()).Call(rpc.MethodHealthReport, ask, &reply, 500*time.Millisecond)
 	return err == nil && reply.Leader && reply.Taken
 }
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -310,7 +310,7 @@
 		go func() {
 			defer func() { <-places; asked.Done() }()
 			var reply rpc.OrdersReply
-			if err := d.link.caller(inner).Call("Fellow.Orders", rpc.OrdersAsk{From: rpc.FellowID(d.props.Name)}, &reply, lonelyCall); err != nil {
+			if err := d.link.caller(inner).Call(rpc.MethodRetirements, rpc.OrdersAsk{From: rpc.FellowID(d.props.Name)}, &reply, lonelyCall); err != nil {
 				return
 			}
 			answers.Add(1)
--- a/internal/raft/courier.go
+++ b/internal/raft/courier.go
@@ -108,7 +108,7 @@
 		if batch.Messages, kept, size, open = s.gather(message); !open {
 			return
 		}
-		if err := s.caller.Call("Accord.Step", batch, &Empty{}, callTime(size)); err != nil {
+		if err := s.caller.Call(rpc.MethodStep, &batch, &Empty{}, callTime(size)); err != nil {
 			n.lost(message)
 			select {
 			case <-time.After(20 * time.Millisecond):
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -180,7 +180,7 @@
 	caller := rpc.NewCaller(target)
 	defer caller.Close()
 	var reply JoinReply
-	if err := caller.Call("Accord.Join", JoinAsk{n.self}, &reply, 300*time.Millisecond); err != nil {
+	if err := caller.Call(rpc.MethodJoin, JoinAsk{n.self}, &reply, 300*time.Millisecond); err != nil {
 		return
 	}
 	n.mu.Lock()
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -176,7 +176,7 @@
 			caller := rpc.NewCaller(member.Inner)
 			defer caller.Close()
 			var reply LeaveReply
-			err := caller.Call("Accord.Leave", LeaveAsk{n.self.ID}, &reply, leaveWait)
+			err := caller.Call(rpc.MethodLeave, LeaveAsk{n.self.ID}, &reply, leaveWait)
 			answers <- answer{reply.Parting, err == nil}
 		}()
 	}
--- a/internal/rpc/caller.go
+++ b/internal/rpc/caller.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, Unsent.Wrap(err)
 	}
-	c.client = rpc.NewClient(countedConn{conn})
+	c.client = rpc.NewClientWithCodec(newClientCodec(countedConn{conn}))
 	return c.client, nil
 }
 
@@ -211,7 +211,7 @@
 			return
 		}
 		go func() {
-			server.ServeConn(countedConn{conn})
+			server.ServeCodec(newServerCodec(countedConn{conn}))
 			s.keep(conn, false)
 		}()
 	}
--- /dev/null
+++ b/internal/rpc/codec.go
@@ -0,0 +1,93 @@
+package rpc
+
+import (
+	"bufio"
+	"encoding/gob"
+	"io"
+	"log"
+	"net/rpc"
+
+	"tinpin/internal/rpc/wire"
+)
+
+// The codecs send what those of net/rpc send: the gob of a header and that of a
+// body, flushed together. They differ in that the fields of bodies go under their
+// names on the wire, see package wire.
+
+// clientCodec is one connection as a client uses it. net/rpc lets one goroutine
+// write and another read at a time.
+type clientCodec struct {
+	conn    io.ReadWriteCloser
+	decoder *gob.Decoder
+	encoder *gob.Encoder
+	buffer  *bufio.Writer
+}
+
+func newClientCodec(conn io.ReadWriteCloser) (codec *clientCodec) {
+	buffer := bufio.NewWriter(conn)
+	return &clientCodec{conn: conn, decoder: gob.NewDecoder(conn), encoder: gob.NewEncoder(buffer), buffer: buffer}
+}
+
+func (c *clientCodec) WriteRequest(header *rpc.Request, body any) (err error) {
+	if err = c.encoder.Encode(header); err != nil {
+		return err
+	}
+	if err = wire.Encode(c.encoder, body); err != nil {
+		return err
+	}
+	return c.buffer.Flush()
+}
+
+func (c *clientCodec) ReadResponseHeader(header *rpc.Response) (err error) {
+	return c.decoder.Decode(header)
+}
+
+func (c *clientCodec) ReadResponseBody(body any) (err error) { return wire.Decode(c.decoder, body) }
+
+func (c *clientCodec) Close() (err error) { return c.conn.Close() }
+
+// serverCodec is one connection as a server uses it. net/rpc lets one goroutine
+// write and another read at a time.
+type serverCodec struct {
+	conn    io.ReadWriteCloser
+	decoder *gob.Decoder
+	encoder *gob.Encoder
+	buffer  *bufio.Writer
+	closed  bool
+}
+
+func newServerCodec(conn io.ReadWriteCloser) (codec *serverCodec) {
+	buffer := bufio.NewWriter(conn)
+	return &serverCodec{conn: conn, decoder: gob.NewDecoder(conn), encoder: gob.NewEncoder(buffer), buffer: buffer}
+}
+
+func (c *serverCodec) ReadRequestHeader(header *rpc.Request) (err error) {
+	return c.decoder.Decode(header)
+}
+
+func (c *serverCodec) ReadRequestBody(body any) (err error) { return wire.Decode(c.decoder, body) }
+
+func (c *serverCodec) WriteResponse(header *rpc.Response, body any) (err error) {
+	if err = c.encoder.Encode(header); err == nil {
+		err = wire.Encode(c.encoder, body)
+	}
+	if err != nil {
+		// Half a response is in the buffer, and what came after it could not be read:
+		// the connection ends, unless it has already.
+		if c.buffer.Flush() == nil {
+			log.Println("rpc: encoding a response:", err)
+			_ = c.Close()
+		}
+		return err
+	}
+	return c.buffer.Flush()
+}
+
+// Close ends the connection, once.
+func (c *serverCodec) Close() (err error) {
+	if c.closed {
+		return nil
+	}
+	c.closed = true
+	return c.conn.Close()
+}
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -152,9 +152,9 @@
 	}
 	golden := filepath.Join("testdata", "packed", "backends.txt")
 	if missing(golden) {
-		writeFixture(t, golden, []byte(wireShape(reflect.TypeFor[listRows]())))
+		writeFixture(t, golden, []byte(wireShape(t, reflect.TypeFor[listRows]())))
 	}
-	if diff := cmp.Diff(string(readFixture(t, golden)), wireShape(reflect.TypeFor[listRows]())); diff != "" {
+	if diff := cmp.Diff(string(readFixture(t, golden)), wireShape(t, reflect.TypeFor[listRows]())); diff != "" {
 		t.Errorf("field names of the packed part of the list (-golden +now):\n%s", diff)
 	}
 }
--- a/internal/rpc/pack.go
+++ b/internal/rpc/pack.go
@@ -10,6 +10,7 @@
 	"io"
 
 	"tinpin/internal/config"
+	"tinpin/internal/rpc/wire"
 )
 
 // unpackedMost bounds what a packed part may grow to.
@@ -22,7 +23,7 @@
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	if err = gob.NewEncoder(writer).Encode(items); err != nil {
+	if err = wire.Encode(gob.NewEncoder(writer), items); err != nil {
 		return nil, Class.Wrap(err)
 	}
 	if err = writer.Close(); err != nil {
@@ -37,6 +38,6 @@
 // UnpackRows gives rows back.
 func UnpackRows[Row any](packed []byte) (items []Row, err error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
-	err = gob.NewDecoder(io.LimitReader(reader, unpackedMost)).Decode(&items)
+	err = wire.Read(io.LimitReader(reader, unpackedMost), &items)
 	return items, Class.Wrap(err)
 }
--- a/internal/rpc/wire_test.go
+++ b/internal/rpc/wire_test.go
@@ -18,6 +18,8 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"tinpin/internal/rpc/wire"
 )
 
 // update writes the fixtures that are missing. A fixture stands for bytes that
@@ -47,7 +49,7 @@
 func gobBytes(t *testing.T, value any) (data []byte) {
 	t.Helper()
 	var buffer bytes.Buffer
-	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
+	if err := wire.Encode(gob.NewEncoder(&buffer), value); err != nil {
 		t.Fatal(err)
 	}
 	return buffer.Bytes()
@@ -57,7 +59,7 @@
 func gobValue(t *testing.T, data []byte, sample any) (value any) {
 	t.Helper()
 	into := reflect.New(reflect.TypeOf(sample))
-	if err := gob.NewDecoder(bytes.NewReader(data)).DecodeValue(into); err != nil {
+	if err := wire.Unmarshal(data, into.Interface()); err != nil {
 		t.Fatal(err)
 	}
 	return into.Elem().Interface()
@@ -98,12 +100,12 @@
 				writeFixture(t, fixture.path(".gob"), gobBytes(t, fixture.value))
 			}
 			if missing(fixture.path(".txt")) {
-				writeFixture(t, fixture.path(".txt"), []byte(wireShape(reflect.TypeOf(fixture.value))))
+				writeFixture(t, fixture.path(".txt"), []byte(wireShape(t, reflect.TypeOf(fixture.value))))
 			}
 			if diff := cmp.Diff(fixture.value, gobValue(t, readFixture(t, fixture.path(".gob")), fixture.value)); diff != "" {
 				t.Errorf("decoded value (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(string(readFixture(t, fixture.path(".txt"))), wireShape(reflect.TypeOf(fixture.value))); diff != "" {
+			if diff := cmp.Diff(string(readFixture(t, fixture.path(".txt"))), wireShape(t, reflect.TypeOf(fixture.value))); diff != "" {
 				t.Errorf("field names on the wire (-golden +now):\n%s", diff)
 			}
 			filled, count := reflect.New(reflect.TypeOf(fixture.value)).Elem(), 0
@@ -129,9 +131,14 @@
 
 // wireShape writes the fields that gob sends of a type, one a line, those of an
 // inner struct indented below it.
-func wireShape(of reflect.Type) (shape string) {
+func wireShape(t *testing.T, of reflect.Type) (shape string) {
+	t.Helper()
+	sent, err := wire.TypeOf(of)
+	if err != nil {
+		t.Fatal(err)
+	}
 	var text strings.Builder
-	name, inner := wireKind(of)
+	name, inner := wireKind(sent)
 	text.WriteString(name + "\n")
 	wireFields(&text, inner, "  ")
 	return text.String()
