--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -155,8 +155,8 @@
 		}
 		controls = p.Seeds
 	}
-	desk := &adminclient.Clerk{Controls: controls, Wait: *wait, Order: *name}
-	good, err := desk.Carry(context.Background(), out, word, verb, set.Args())
+	desk := &adminclient.Client{Addresses: controls, Wait: *wait, RequestName: *name}
+	good, err := desk.Run(context.Background(), out, word, verb, set.Args())
 	if err != nil {
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
 	}
@@ -193,7 +193,7 @@
 }
 
 type daemon interface {
-	Renew(settings.Props)
+	Reload(settings.Props)
 	Stop()
 }
 
@@ -251,7 +251,7 @@
 			log.Say(eventlog.PropsRefused, "problem", loadErr.Error())
 			continue
 		}
-		running.Renew(fresh)
+		running.Reload(fresh)
 		log.Say(eventlog.PropsTaken)
 	}
 }
--- a/internal/adminclient/clerk.go
+++ b/internal/adminclient/clerk.go
@@ -34,12 +34,12 @@
 	pollPause    = 200 * time.Millisecond
 )
 
-// Clerk knows where the accord daemons are.
-type Clerk struct {
-	Controls []string
-	// Order names an order that has no version, so that it takes effect once however
+// Client knows where the accord daemons are.
+type Client struct {
+	Addresses []string
+	// RequestName names an order that has no version, so that it takes effect once however
 	// often it is sent; empty: a name drawn for this call.
-	Order string
+	RequestName string
 	// Wait is how long to wait for a retired backend to be let go by all.
 	Wait   time.Duration
 	client http.Client
@@ -55,9 +55,9 @@
 
 var kinds = map[string]policy.Kind{"drain": policy.DrainPolicy, "plan": policy.DayPlan, "retry": policy.RetryLimit, "affinity": policy.SessionAffinity}
 
-// Carry carries one order out and prints what came of it; good tells that it
+// Run carries one order out and prints what came of it; good tells that it
 // stands as asked.
-func (c *Clerk) Carry(ctx context.Context, out io.Writer, subject, verb string, words []string) (good bool, err error) {
+func (c *Client) Run(ctx context.Context, out io.Writer, subject, verb string, words []string) (good bool, err error) {
 	kind := kinds[subject]
 	switch verb {
 	case "set", "check":
@@ -88,20 +88,20 @@
 }
 
 // named adds the order's name, the same for each control address that is tried.
-func (c *Clerk) named(path string) (whole string) {
-	name := c.Order
+func (c *Client) named(path string) (whole string) {
+	name := c.RequestName
 	if name == "" {
 		name = rand.Text()
 	}
 	return path + "?order=" + url.QueryEscape(name)
 }
 
-func (c *Clerk) tell(ctx context.Context, out io.Writer, path string, body []byte) (good bool, err error) {
+func (c *Client) tell(ctx context.Context, out io.Writer, path string, body []byte) (good bool, err error) {
 	_, err = c.status(ctx, out, path, body)
 	return err == nil, err
 }
 
-func (c *Clerk) status(ctx context.Context, out io.Writer, path string, body []byte) (status string, err error) {
+func (c *Client) status(ctx context.Context, out io.Writer, path string, body []byte) (status string, err error) {
 	answer, err := c.call(ctx, http.MethodPost, path, body)
 	if err != nil {
 		return "", err
@@ -115,7 +115,7 @@
 }
 
 // retire orders it and, where asked to, waits until all daemons in touch follow.
-func (c *Clerk) retire(ctx context.Context, out io.Writer, id string) (good bool, err error) {
+func (c *Client) retire(ctx context.Context, out io.Writer, id string) (good bool, err error) {
 	status, err := c.status(ctx, out, c.named("/-/Backends.Retire/"+url.PathEscape(id)), nil)
 	if gone := drain.Phase(status); err != nil || c.Wait <= 0 || gone == drain.Left || gone == drain.TakenBack {
 		return err == nil && gone != drain.TakenBack, err
@@ -125,7 +125,7 @@
 	for last := ""; ; {
 		shown, showErr := c.show(ctx, policy.DrainPolicy)
 		if showErr == nil {
-			for _, account := range shown.Retiring {
+			for _, account := range shown.Retirements {
 				if account.Server != id {
 					continue
 				}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *Clerk) show(ctx context.Context, kind policy.Kind) (shown controller.Shown, err error) {
+func (c *Client) show(ctx context.Context, kind policy.Kind) (shown controller.DocumentStatus, err error) {
 	answer, err := c.call(ctx, http.MethodGet, "/-/Orders.Show/"+string(kind), nil)
 	if err != nil {
 		return shown, err
@@ -156,9 +156,9 @@
 
 // call tries each control address; an answer below 500 is the answer. Where none
 // has one, nobody can say whether the order stands, and it may be sent again.
-func (c *Clerk) call(ctx context.Context, method, path string, body []byte) (answer []byte, err error) {
+func (c *Client) call(ctx context.Context, method, path string, body []byte) (answer []byte, err error) {
 	err = Class.New("no control address is given")
-	for _, control := range c.Controls {
+	for _, control := range c.Addresses {
 		if answer, err = c.ask(ctx, method, "http://"+control+path, body); err == nil || refusal.Has(err) {
 			return answer, err
 		}
@@ -178,7 +178,7 @@
 // refusal marks answers that no other daemon would give otherwise.
 var refusal = errs.Class("refused")
 
-func (c *Clerk) ask(ctx context.Context, method, target string, body []byte) (answer []byte, err error) {
+func (c *Client) ask(ctx context.Context, method, target string, body []byte) (answer []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callPatience)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
@@ -210,14 +210,14 @@
 	return nil, Class.New("%d %s", response.StatusCode, told.Text)
 }
 
-func print(out io.Writer, shown controller.Shown) (err error) {
+func print(out io.Writer, shown controller.DocumentStatus) (err error) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	state := "in force"
 	if !shown.InForce {
 		state = "not in force"
 	}
 	_, _ = fmt.Fprintf(table, "%s\tversion %d\t%s\n", shown.Kind, shown.Version, state)
-	for _, account := range shown.Retiring {
+	for _, account := range shown.Retirements {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d of %d follow\t%s %s\n", account.Server, account.Service, account.Phase, account.Follow, account.Of, account.Why, strings.Join(account.Missing, ","))
 	}
 	if sessions := shown.Sessions; sessions != nil {
@@ -226,7 +226,7 @@
 		}
 		_, _ = fmt.Fprintf(table, "moved %d\tdropped for want of room %d\trefused %d\n", sessions.Moved, sessions.Crowded, sessions.Refused)
 	}
-	for _, account := range shown.Retrying {
+	for _, account := range shown.Retries {
 		holds := "holds"
 		if !account.Holds {
 			holds = "does not hold everywhere yet"
@@ -236,7 +236,7 @@
 	if shown.Step > 0 {
 		_, _ = fmt.Fprintf(table, "step\t%d\n", shown.Step)
 	}
-	for _, account := range shown.Moving {
+	for _, account := range shown.Targets {
 		_, _ = fmt.Fprintf(table, "%s\tnow %v\twanted %v\t%s\n", account.Target, account.Now, account.Wanted, account.Waiting)
 	}
 	if err = table.Flush(); err != nil || !shown.InForce {
--- a/internal/adminclient/clerk_test.go
+++ b/internal/adminclient/clerk_test.go
@@ -24,7 +24,7 @@
 		{[]int{503, 422}, false, "refused: version 5 stands"},
 		{[]int{503, 503}, false, "no clear answer, the same may be sent again"},
 	} {
-		desk, names := &Clerk{}, []string(nil)
+		desk, names := &Client{}, []string(nil)
 		for _, status := range c.statuses {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				names = append(names, r.URL.Query().Get("order"))
@@ -32,10 +32,10 @@
 				_, _ = w.Write([]byte(`{"status":"acknowledged","error_message":"version 5 stands"}`))
 			}))
 			defer server.Close()
-			desk.Controls = append(desk.Controls, strings.TrimPrefix(server.URL, "http://"))
+			desk.Addresses = append(desk.Addresses, strings.TrimPrefix(server.URL, "http://"))
 		}
 		var out bytes.Buffer
-		good, err := desk.Carry(context.Background(), &out, "drain", "withdraw", []string{"5"})
+		good, err := desk.Run(context.Background(), &out, "drain", "withdraw", []string{"5"})
 		if slices.ContainsFunc(names, func(name string) bool { return name != "" }) {
 			t.Errorf("an order with a version got the names %q", names)
 		}
@@ -56,10 +56,10 @@
 		}))
 		defer server.Close()
 		control := strings.TrimPrefix(server.URL, "http://")
-		desk := &Clerk{Controls: []string{control, control}, Order: given}
+		desk := &Client{Addresses: []string{control, control}, RequestName: given}
 		for _, verb := range []string{"retire", "restore"} {
 			names = nil
-			_, err := desk.Carry(context.Background(), &bytes.Buffer{}, "drain", verb, []string{"i-1"})
+			_, err := desk.Run(context.Background(), &bytes.Buffer{}, "drain", verb, []string{"i-1"})
 			if len(names) != 2 || names[0] != names[1] || names[0] == "" || given != "" && names[0] != given {
 				t.Errorf("%s: names %q", verb, names)
 			}
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -24,8 +24,8 @@
 // callers give up after a second.
 const patience = 900 * time.Millisecond
 
-// Council is a running accord daemon.
-type Council struct {
+// Controller is a running accord daemon.
+type Controller struct {
 	props settings.Props
 	log   *eventlog.Log
 	node  *raft.Node
@@ -38,12 +38,12 @@
 }
 
 // Start opens the disk and the listeners and takes up the work.
-func Start(p settings.Props, log *eventlog.Log) (council *Council, err error) {
+func Start(p settings.Props, log *eventlog.Log) (council *Controller, err error) {
 	node, err := raft.OpenNode(p, log)
 	if err != nil {
 		return nil, err
 	}
-	council = &Council{props: p, log: log, node: node, patience: patience, desk: coordinator.NewDesk(node, node)}
+	council = &Controller{props: p, log: log, node: node, patience: patience, desk: coordinator.NewDesk(node, node)}
 	node.OnRole = func(leads bool, term raft.Term) {
 		var opened *coordinator.Forum
 		if leads {
@@ -70,12 +70,12 @@
 			}
 		}
 	}
-	if council.inner, err = rpc.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &Status{council}}); err != nil {
+	if council.inner, err = rpc.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
 		return nil, err
 	}
-	if council.office, err = httpapi.Serve(p.Control, httpapi.Duties{
-		Update: council.update, Describe: council.describe, Evacuate: council.evacuate,
-		Order: council.order, Withdraw: council.withdraw, Show: council.show, Retire: council.retire,
+	if council.office, err = httpapi.Serve(p.Control, httpapi.Handlers{
+		UpdateConfig: council.update, DescribeConfig: council.describe, Evacuate: council.evacuate,
+		SetDocument: council.order, WithdrawDocument: council.withdraw, ShowDocument: council.show, RetireBackend: council.retire,
 	}); err != nil {
 		return nil, err
 	}
@@ -83,11 +83,11 @@
 	return council, nil
 }
 
-// Renew takes changed settings up.
-func (c *Council) Renew(p settings.Props) { c.node.SetSeeds(p.Seeds) }
+// Reload takes changed settings up.
+func (c *Controller) Reload(p settings.Props) { c.node.SetSeeds(p.Seeds) }
 
 // Stop hands leadership over and ends.
-func (c *Council) Stop() {
+func (c *Controller) Stop() {
 	c.node.Close()
 	_ = c.office.Close()
 	c.inner.Close()
@@ -97,42 +97,42 @@
 }
 
 // elsewhere sends the caller to the leader, or tells that there is none.
-func (c *Council) elsewhere(path string) (err error) {
+func (c *Controller) elsewhere(path string) (err error) {
 	leads, settled, _, leader, _ := c.node.Standing()
 	if leads && settled {
 		return nil
 	}
 	if leads || leader.Control == "" {
-		return &httpapi.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
+		return &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
-	return &httpapi.Trouble{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
+	return &httpapi.Error{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
 }
 
 // proven gives a verdict that was made from the state of this core only where it
 // is proven that it still leads, and leaves the caller without a clear answer else.
-func (c *Council) proven(open *coordinator.Forum, verdict error) (err error) {
+func (c *Controller) proven(open *coordinator.Forum, verdict error) (err error) {
 	if !c.desk.Proven(open) {
-		return &httpapi.Trouble{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
+		return &httpapi.Error{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
 	}
 	return verdict
 }
 
-func (c *Council) wish(command raft.Command) (result raft.Result, err error) {
+func (c *Controller) wish(command raft.Command) (result raft.Result, err error) {
 	answer := c.node.Wish(command, c.patience)
 	if !answer.Clear {
-		return result, &httpapi.Trouble{Kind: apierror.Unclear}
+		return result, &httpapi.Error{Kind: apierror.Unclear}
 	}
 	return answer.Result, nil
 }
 
-func (c *Council) update(_ context.Context, body []byte) (err error) {
+func (c *Controller) update(_ context.Context, body []byte) (err error) {
 	if err = c.elsewhere("/-/Config.Update"); err != nil {
 		return err
 	}
 	// What cannot be read is refused whatever stands.
 	call, err := config.ReadCall(body)
 	if err != nil {
-		return c.refuse(history.Item, &httpapi.Trouble{Kind: apierror.BadConfig, Text: err.Error()})
+		return c.refuse(history.Item, &httpapi.Error{Kind: apierror.BadConfig, Text: err.Error()})
 	}
 	result, err := c.wish(raft.Command{Kind: raft.CommandConfig, Body: body})
 	if err != nil {
@@ -149,20 +149,20 @@
 }
 
 // refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind apierror.Kind, result raft.Result) (trouble *httpapi.Trouble) {
+func refusedAs(kind apierror.Kind, result raft.Result) (trouble *httpapi.Error) {
 	if result.Conflict {
 		kind = apierror.VersionTaken
 	}
-	return &httpapi.Trouble{Kind: kind, Text: result.Problem}
+	return &httpapi.Error{Kind: kind, Text: result.Problem}
 }
 
 // refuse logs what the caller is told.
-func (c *Council) refuse(subject string, trouble *httpapi.Trouble) (err error) {
+func (c *Controller) refuse(subject string, trouble *httpapi.Error) (err error) {
 	c.log.Say(eventlog.OrderRefused, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
 	return trouble
 }
 
-func (c *Council) describe(context.Context) (text []byte, err error) {
+func (c *Controller) describe(context.Context) (text []byte, err error) {
 	open, err := c.open("/-/Config.Describe")
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	return path + "?order=" + url.QueryEscape(id)
 }
 
-func (c *Council) evacuate(_ context.Context, site string, start bool, id string) (err error) {
+func (c *Controller) evacuate(_ context.Context, site string, start bool, id string) (err error) {
 	kind, verb := raft.CommandReturn, "Stop"
 	if start {
 		kind, verb = raft.CommandEvacuate, "Start"
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -27,7 +27,7 @@
 func (s *scripted) InContact(raft.Term, time.Duration) (proven bool) { return !s.lost.Load() }
 
 // alone is a council of one core that leads, with a contact of the test's own.
-func alone(t *testing.T) (c *Council, contact *scripted) {
+func alone(t *testing.T) (c *Controller, contact *scripted) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","0ms","one",3]]},"next_page_token":null}`)
 	}))
@@ -42,7 +42,7 @@
 	}
 	contact = &scripted{}
 	// What is asked here has an outcome, however slow this machine is.
-	c = &Council{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewDesk(node, contact)}
+	c = &Controller{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewDesk(node, contact)}
 	led := make(chan bool, 1)
 	node.OnRole = func(leads bool, term raft.Term) {
 		if !leads {
@@ -66,7 +66,7 @@
 }
 
 func kind(err error) (found apierror.Kind) {
-	var trouble *httpapi.Trouble
+	var trouble *httpapi.Error
 	if errors.As(err, &trouble) {
 		return trouble.Kind
 	}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -22,32 +22,32 @@
 	"tinpin/internal/schedule"
 )
 
-func refused(err error) (trouble *httpapi.Trouble) {
+func refused(err error) (trouble *httpapi.Error) {
 	if dedup.Conflict.Has(err) {
-		return &httpapi.Trouble{Kind: apierror.VersionTaken, Text: err.Error()}
+		return &httpapi.Error{Kind: apierror.VersionTaken, Text: err.Error()}
 	}
-	return &httpapi.Trouble{Kind: apierror.BadOrder, Text: err.Error()}
+	return &httpapi.Error{Kind: apierror.BadOrder, Text: err.Error()}
 }
 
 // barrier waits until all that this core put before the cores is applied. Only
 // behind it is a refusal from this core's own look at the state a proven one.
-func (c *Council) barrier() (err error) {
+func (c *Controller) barrier() (err error) {
 	_, err = c.wish(raft.Command{Kind: raft.CommandBarrier})
 	return err
 }
 
 // open gives the forum of this core if it leads.
-func (c *Council) open(path string) (open *coordinator.Forum, err error) {
+func (c *Controller) open(path string) (open *coordinator.Forum, err error) {
 	if err = c.elsewhere(path); err != nil {
 		return nil, err
 	}
 	if open = c.desk.Forum(); open == nil {
-		return nil, &httpapi.Trouble{Kind: apierror.Unclear, Text: "no leader is settled now"}
+		return nil, &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
 	return open, nil
 }
 
-func (c *Council) order(_ context.Context, kind policy.Kind, body []byte, check bool) (err error) {
+func (c *Controller) order(_ context.Context, kind policy.Kind, body []byte, check bool) (err error) {
 	path := "/-/Orders.Set/" + string(kind)
 	if check {
 		path += "?check=true"
@@ -91,7 +91,7 @@
 	return c.ordered(history.Document, string(kind), "set", result, err)
 }
 
-func (c *Council) withdraw(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
+func (c *Controller) withdraw(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
 	if !kind.Known() {
 		return refused(policy.Class.New("unknown kind of document %q", kind))
 	}
@@ -102,7 +102,7 @@
 	return c.ordered(history.Document, string(kind), "withdrawn", result, err)
 }
 
-func (c *Council) ordered(kind, name, what string, result raft.Result, err error) error {
+func (c *Controller) ordered(kind, name, what string, result raft.Result, err error) error {
 	if err != nil {
 		return err
 	}
@@ -114,20 +114,20 @@
 	return nil
 }
 
-// Shown is what reading an order back gives.
-type Shown struct {
-	Kind     policy.Kind                  `json:"kind"`
-	Version  policy.Version               `json:"version"`
-	InForce  bool                         `json:"in_force"`
-	Document json.RawMessage              `json:"document,omitempty"`
-	Retiring []drain.Account              `json:"retiring,omitempty"`
-	Moving   []schedule.Account           `json:"moving,omitempty"`
-	Step     uint64                       `json:"step,omitempty"`
-	Sessions *coordinator.SessionsAccount `json:"sessions,omitempty"`
-	Retrying []coordinator.RetryAccount   `json:"retrying,omitempty"`
+// DocumentStatus is what reading an order back gives.
+type DocumentStatus struct {
+	Kind        policy.Kind                  `json:"kind"`
+	Version     policy.Version               `json:"version"`
+	InForce     bool                         `json:"in_force"`
+	Document    json.RawMessage              `json:"document,omitempty"`
+	Retirements []drain.Account              `json:"retiring,omitempty"`
+	Targets     []schedule.Account           `json:"moving,omitempty"`
+	Step        uint64                       `json:"step,omitempty"`
+	Sessions    *coordinator.SessionsAccount `json:"sessions,omitempty"`
+	Retries     []coordinator.RetryAccount   `json:"retrying,omitempty"`
 }
 
-func (c *Council) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
+func (c *Controller) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
 	if !kind.Known() {
 		return nil, refused(policy.Class.New("unknown kind of document %q", kind))
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	shown := Shown{Kind: kind}
+	shown := DocumentStatus{Kind: kind}
 	c.node.Read(func(state *raft.State) {
 		document := state.Documents[kind]
 		shown.Version, shown.InForce, shown.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
@@ -145,13 +145,13 @@
 	})
 	switch kind {
 	case policy.DayPlan:
-		shown.Moving = open.Moving()
+		shown.Targets = open.Moving()
 	case policy.RetryLimit:
-		shown.Retrying = open.Retrying()
+		shown.Retries = open.Retrying()
 	case policy.SessionAffinity:
 		shown.Sessions = open.Sessions()
 	case policy.DrainPolicy:
-		shown.Retiring = open.Retiring()
+		shown.Retirements = open.Retiring()
 	}
 	if err = c.proven(open, nil); err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 	return json.Marshal(shown)
 }
 
-func (c *Council) retire(_ context.Context, id rpc.ServerID, back bool, named string) (phase string, err error) {
+func (c *Controller) retire(_ context.Context, id rpc.ServerID, back bool, named string) (phase string, err error) {
 	if back {
 		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
 			return "", err
@@ -173,7 +173,7 @@
 	}
 	if !open.Walked() {
 		// A new leader has not read the list yet: that is no reason to refuse.
-		return "", &httpapi.Trouble{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
+		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
 	}
 	command := raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
@@ -233,7 +233,7 @@
 	case s.taken && !listed:
 		return string(drain.Left), nil
 	case s.taken:
-		return "", &httpapi.Trouble{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
+		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
 	}
 	return "", refused(refusal)
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -21,7 +21,7 @@
 	if err == nil {
 		return 200
 	}
-	var trouble *httpapi.Trouble
+	var trouble *httpapi.Error
 	if !errors.As(err, &trouble) {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 	}
 }
 
-func put(c *Council, command raft.Command) func() error {
+func put(c *Controller, command raft.Command) func() error {
 	return func() (err error) {
 		_, err = c.wish(command)
 		return err
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,58 +12,58 @@
 	"tinpin/internal/rpc"
 )
 
-// Status answers calls about this daemon.
-type Status struct{ council *Council }
+// StatusHandler answers calls about this daemon.
+type StatusHandler struct{ council *Controller }
 
-// CoreAccount is what an accord daemon tells of itself.
-type CoreAccount struct {
-	Role    string `json:"role"`
-	Name    string `json:"name"`
-	ID      string `json:"id"`
-	Leads   bool   `json:"leads"`
-	Settled bool   `json:"settled"`
-	// Contact tells that it leads by a proof that holds now.
-	Contact bool          `json:"contact"`
-	Term    uint64        `json:"term"`
-	Leader  string        `json:"leader"`
-	Members []raft.Member `json:"members"`
-	Rev     uint64        `json:"rev"`
-	Claims  int           `json:"claims"`
-	// Orders and Overtaken count what the record of orders and of overtaken
+// Status is what an accord daemon tells of itself.
+type Status struct {
+	Role     string `json:"role"`
+	Name     string `json:"name"`
+	ID       string `json:"id"`
+	IsLeader bool   `json:"leads"`
+	Settled  bool   `json:"settled"`
+	// InContact tells that it leads by a proof that holds now.
+	InContact bool          `json:"contact"`
+	Term      uint64        `json:"term"`
+	Leader    string        `json:"leader"`
+	Members   []raft.Member `json:"members"`
+	Revision  uint64        `json:"rev"`
+	Claims    int           `json:"claims"`
+	// AcceptedRequests and Overtaken count what the record of orders and of overtaken
 	// versions holds; Forgotten what fell out of either for want of room.
-	Orders    int    `json:"orders_remembered"`
-	Overtaken int    `json:"overtaken_remembered"`
-	Forgotten uint64 `json:"orders_forgotten"`
+	AcceptedRequests  int    `json:"orders_remembered"`
+	OvertakenVersions int    `json:"overtaken_remembered"`
+	ForgottenRequests uint64 `json:"orders_forgotten"`
 	// BytesIn and BytesOut are those of inner calls since it started.
-	BytesIn  int64                `json:"bytes_in"`
-	BytesOut int64                `json:"bytes_out"`
-	Forum    *coordinator.Account `json:"forum,omitempty"`
+	BytesIn     int64                `json:"bytes_in"`
+	BytesOut    int64                `json:"bytes_out"`
+	Coordinator *coordinator.Account `json:"forum,omitempty"`
 }
 
 // Tell gives the account.
-func (s *Status) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
+func (s *StatusHandler) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
 	c := s.council
-	account := CoreAccount{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
+	account := Status{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
 	var leader raft.Member
 	var term raft.Term
-	account.Leads, account.Settled, term, leader, account.Members = c.node.Standing()
-	account.Contact = c.node.InContact(term, 0)
+	account.IsLeader, account.Settled, term, leader, account.Members = c.node.Standing()
+	account.InContact = c.node.InContact(term, 0)
 	account.Term, account.Leader = uint64(term), leader.Control
 	c.node.Read(func(state *raft.State) {
-		account.Rev, account.Claims = state.Rev, state.Claims()
-		account.Orders, account.Overtaken = state.Orders.Len(), state.Canon.Overtaken.Len()
-		account.Forgotten = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
+		account.Revision, account.Claims = state.Rev, state.Claims()
+		account.AcceptedRequests, account.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
+		account.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
 	})
 	account.BytesIn, account.BytesOut = rpc.Traffic()
 	if open := c.desk.Forum(); open != nil {
-		account.Forum = open.Account()
+		account.Coordinator = open.Account()
 	}
 	reply.JSON, err = json.Marshal(account)
 	return err
 }
 
 // Trace tells what this daemon knows of a subject.
-func (s *Status) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
+func (s *StatusHandler) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
 	c := s.council
 	reply.Name = c.props.Name
 	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -28,9 +28,9 @@
 
 // Fleet is what the daemons told.
 type Fleet struct {
-	Cores       []controller.CoreAccount `json:"cores"`
-	Fellows     []proxy.Account          `json:"passages"`
-	Unreachable []string                 `json:"unreachable"`
+	Cores       []controller.Status `json:"cores"`
+	Fellows     []proxy.Account     `json:"passages"`
+	Unreachable []string            `json:"unreachable"`
 	inners      map[string]string
 }
 
@@ -64,7 +64,7 @@
 			asked[address] = true
 		}
 		each(wave, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
-			var account controller.CoreAccount
+			var account controller.Status
 			if callErr == nil {
 				callErr = json.Unmarshal(reply.JSON, &account)
 			}
@@ -88,12 +88,12 @@
 	}
 	sort.Slice(fleet.Cores, func(i, j int) bool { return fleet.Cores[i].Name < fleet.Cores[j].Name })
 	leader := fleet.Leader()
-	if leader == nil || leader.Forum == nil {
+	if leader == nil || leader.Coordinator == nil {
 		return fleet, nil
 	}
 	names := map[string]string{}
 	var addresses []string
-	for _, fellow := range leader.Forum.Fellows {
+	for _, fellow := range leader.Coordinator.Fellows {
 		names[fellow.Inner] = fellow.Name
 		addresses = append(addresses, fellow.Inner)
 	}
@@ -115,9 +115,9 @@
 }
 
 // Leader is the core that leads in the highest term.
-func (f *Fleet) Leader() (leader *controller.CoreAccount) {
+func (f *Fleet) Leader() (leader *controller.Status) {
 	for i := range f.Cores {
-		if core := &f.Cores[i]; core.Leads && core.Settled && (leader == nil || core.Term > leader.Term) {
+		if core := &f.Cores[i]; core.IsLeader && core.Settled && (leader == nil || core.Term > leader.Term) {
 			leader = core
 		}
 	}
@@ -145,14 +145,14 @@
 				voters++
 			}
 		}
-		row(core.Name, core.Leads, core.Term, core.Rev, core.Claims, voters)
+		row(core.Name, core.IsLeader, core.Term, core.Revision, core.Claims, voters)
 	}
 	if leader == nil {
 		row("no leader")
-	} else if leader.Forum != nil {
+	} else if leader.Coordinator != nil {
 		row("")
 		row("PASSAGE", "SITE", "READY", "HEARD", "REV", "AT WORK", "PROBES")
-		for _, fellow := range leader.Forum.Fellows {
+		for _, fellow := range leader.Coordinator.Fellows {
 			rev, work, probes := any("?"), any("?"), "?"
 			for _, account := range f.Fellows {
 				if account.Name == fellow.Name {
@@ -162,22 +162,22 @@
 			row(fellow.Name, fellow.Site, fellow.Ready, fellow.Here, rev, work, probes)
 		}
 		row("")
-		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Forum.MapCount, len(leader.Forum.Members)))
-		services := make([]string, 0, len(leader.Forum.Owners))
-		for service := range leader.Forum.Owners {
+		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Coordinator.MapCount, len(leader.Coordinator.Members)))
+		services := make([]string, 0, len(leader.Coordinator.Owners))
+		for service := range leader.Coordinator.Owners {
 			services = append(services, service)
 		}
 		sort.Strings(services)
 		for _, service := range services {
-			row(service, leader.Forum.Owners[service])
+			row(service, leader.Coordinator.Owners[service])
 		}
 		row("")
 		row("BOUND", "LENT")
-		for _, lent := range leader.Forum.Lent {
+		for _, lent := range leader.Coordinator.Lent {
 			row(lent.Bound, fmt.Sprintf("%.3f", lent.Lent))
 		}
 		row("")
-		row("BACKENDS", leader.Forum.Backends, "DOWN", leader.Forum.Down)
+		row("BACKENDS", leader.Coordinator.Backends, "DOWN", leader.Coordinator.Down)
 	}
 	for _, address := range f.Unreachable {
 		row("unreachable: " + address)
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -77,7 +77,7 @@
 	sort.Strings(names)
 	for _, daemon := range names {
 		reply := replies[daemon]
-		core := slices.ContainsFunc(f.Cores, func(account controller.CoreAccount) bool { return account.Name == daemon })
+		core := slices.ContainsFunc(f.Cores, func(account controller.Status) bool { return account.Name == daemon })
 		if daemon == leader.Name || core && (kind == history.Backend || kind == history.Health) {
 			continue
 		}
--- a/internal/httpapi/office.go
+++ b/internal/httpapi/office.go
@@ -20,55 +20,55 @@
 	"tinpin/internal/rpc"
 )
 
-// Trouble is a problem with the words for the one who called.
-type Trouble struct {
+// Error is a problem with the words for the one who called.
+type Error struct {
 	Kind     apierror.Kind
 	Text     string
 	Location string
 }
 
-func (t *Trouble) Error() string {
+func (t *Error) Error() string {
 	if t.Text != "" {
 		return t.Text
 	}
 	return t.Kind.Answer().Text
 }
 
-// Duties are what a daemon answers for; nil ones it does not.
-type Duties struct {
-	Update   func(ctx context.Context, body []byte) error
-	Describe func(ctx context.Context) ([]byte, error)
+// Handlers are what a daemon answers for; nil ones it does not.
+type Handlers struct {
+	UpdateConfig   func(ctx context.Context, body []byte) error
+	DescribeConfig func(ctx context.Context) ([]byte, error)
 	// Evacuate orders it or takes it back; id may name the order.
 	Evacuate func(ctx context.Context, site string, start bool, id string) error
 	Resolve  func(ctx context.Context, host, region, site string) ([]string, time.Duration, error)
 	Ready    func() bool
-	// Order sets a document or, with check, only looks it over.
-	Order    func(ctx context.Context, kind policy.Kind, body []byte, check bool) error
-	Withdraw func(ctx context.Context, kind policy.Kind, version policy.Version) error
-	Show     func(ctx context.Context, kind policy.Kind) ([]byte, error)
-	// Retire orders that a backend be retired, or takes that back; id may name the order.
-	Retire func(ctx context.Context, server rpc.ServerID, back bool, id string) (phase string, err error)
+	// SetDocument sets a document or, with check, only looks it over.
+	SetDocument      func(ctx context.Context, kind policy.Kind, body []byte, check bool) error
+	WithdrawDocument func(ctx context.Context, kind policy.Kind, version policy.Version) error
+	ShowDocument     func(ctx context.Context, kind policy.Kind) ([]byte, error)
+	// RetireBackend orders that a backend be retired, or takes that back; id may name the order.
+	RetireBackend func(ctx context.Context, server rpc.ServerID, back bool, id string) (phase string, err error)
 }
 
-type office struct{ duties Duties }
+type office struct{ duties Handlers }
 
-var errElsewhere = &Trouble{Kind: apierror.NoWay, Text: "this daemon does not answer that"}
+var errElsewhere = &Error{Kind: apierror.NoWay, Text: "this daemon does not answer that"}
 
 func (o office) ConfigUpdate(ctx context.Context, body jx.Raw) (done *oas.Done, err error) {
-	if o.duties.Update == nil {
+	if o.duties.UpdateConfig == nil {
 		return nil, errElsewhere
 	}
-	if err = o.duties.Update(ctx, body); err != nil {
+	if err = o.duties.UpdateConfig(ctx, body); err != nil {
 		return nil, err
 	}
 	return &oas.Done{Status: "acknowledged"}, nil
 }
 
 func (o office) ConfigDescribe(ctx context.Context) (text jx.Raw, err error) {
-	if o.duties.Describe == nil {
+	if o.duties.DescribeConfig == nil {
 		return nil, errElsewhere
 	}
-	return o.duties.Describe(ctx)
+	return o.duties.DescribeConfig(ctx)
 }
 
 func (o office) evacuate(ctx context.Context, site string, start bool, id string) (done *oas.Done, err error) {
@@ -105,17 +105,17 @@
 		return nil, errElsewhere
 	}
 	if !o.duties.Ready() {
-		return nil, &Trouble{Kind: apierror.NotReady}
+		return nil, &Error{Kind: apierror.NotReady}
 	}
 	return &oas.Done{Status: "ready"}, nil
 }
 
 func (o office) OrderSet(ctx context.Context, body jx.Raw, params oas.OrderSetParams) (done *oas.Done, err error) {
-	if o.duties.Order == nil {
+	if o.duties.SetDocument == nil {
 		return nil, errElsewhere
 	}
 	check := params.Check.Or(false)
-	if err = o.duties.Order(ctx, policy.Kind(params.Kind), body, check); err != nil {
+	if err = o.duties.SetDocument(ctx, policy.Kind(params.Kind), body, check); err != nil {
 		return nil, err
 	}
 	if check {
@@ -125,27 +125,27 @@
 }
 
 func (o office) OrderWithdraw(ctx context.Context, params oas.OrderWithdrawParams) (done *oas.Done, err error) {
-	if o.duties.Withdraw == nil {
+	if o.duties.WithdrawDocument == nil {
 		return nil, errElsewhere
 	}
-	if err = o.duties.Withdraw(ctx, policy.Kind(params.Kind), policy.Version(params.Version)); err != nil {
+	if err = o.duties.WithdrawDocument(ctx, policy.Kind(params.Kind), policy.Version(params.Version)); err != nil {
 		return nil, err
 	}
 	return &oas.Done{Status: "acknowledged"}, nil
 }
 
 func (o office) OrderShow(ctx context.Context, params oas.OrderShowParams) (text jx.Raw, err error) {
-	if o.duties.Show == nil {
+	if o.duties.ShowDocument == nil {
 		return nil, errElsewhere
 	}
-	return o.duties.Show(ctx, policy.Kind(params.Kind))
+	return o.duties.ShowDocument(ctx, policy.Kind(params.Kind))
 }
 
 func (o office) retire(ctx context.Context, server string, back bool, id string) (done *oas.Done, err error) {
-	if o.duties.Retire == nil {
+	if o.duties.RetireBackend == nil {
 		return nil, errElsewhere
 	}
-	phase, err := o.duties.Retire(ctx, rpc.ServerID(server), back, id)
+	phase, err := o.duties.RetireBackend(ctx, rpc.ServerID(server), back, id)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 }
 
 func (o office) NewError(_ context.Context, err error) (other *oas.OtherStatusCodeWithHeaders) {
-	trouble := &Trouble{Kind: apierror.Unclear, Text: err.Error()}
+	trouble := &Error{Kind: apierror.Unclear, Text: err.Error()}
 	if !errors.As(err, &trouble) {
 		var coded ogenerrors.Error
 		if errors.As(err, &coded) {
@@ -183,19 +183,19 @@
 	return other
 }
 
-// MaxCall bounds the body of a call.
-const MaxCall = 32 << 20
+// MaxBodyBytes bounds the body of a call.
+const MaxBodyBytes = 32 << 20
 
 type callerKey struct{}
 
-// Caller is the address of who asks, empty where it is not known.
-func Caller(ctx context.Context) (address string) {
+// CallerAddress is the address of who asks, empty where it is not known.
+func CallerAddress(ctx context.Context) (address string) {
 	address, _ = ctx.Value(callerKey{}).(string)
 	return address
 }
 
 // Handler makes the generated server for some duties.
-func Handler(duties Duties) (handler http.Handler, err error) {
+func Handler(duties Handlers) (handler http.Handler, err error) {
 	mine := office{duties}
 	server, err := oas.NewServer(mine, oas.WithErrorHandler(func(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 		other := mine.NewError(ctx, err)
@@ -209,7 +209,7 @@
 		return nil, err
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, MaxCall)
+		r.Body = http.MaxBytesReader(w, r.Body, MaxBodyBytes)
 		if duties.Resolve != nil {
 			if host, _, splitErr := net.SplitHostPort(r.RemoteAddr); splitErr == nil {
 				r = r.WithContext(context.WithValue(r.Context(), callerKey{}, host))
@@ -220,7 +220,7 @@
 }
 
 // Serve answers on an address until the returned server is closed.
-func Serve(address string, duties Duties) (server *http.Server, err error) {
+func Serve(address string, duties Handlers) (server *http.Server, err error) {
 	handler, err := Handler(duties)
 	if err != nil {
 		return nil, err
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err = s.await(ctx, "rev "+strconv.FormatUint(account.Rev, 10)); err != nil {
+	if _, err = s.await(ctx, "rev "+strconv.FormatUint(account.Revision, 10)); err != nil {
 		return 0, err
 	}
 	return float64(time.Since(begun)) / float64(time.Millisecond), nil
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -297,7 +297,7 @@
 }
 
 // leader asks the cores how they stand and gives the one that leads.
-func (s *system) leader() (at int, account controller.CoreAccount, err error) {
+func (s *system) leader() (at int, account controller.Status, err error) {
 	for i, p := range s.props {
 		caller := rpc.NewCaller(p.Inner("accord"))
 		var reply rpc.StatusReply
@@ -306,8 +306,8 @@
 		if callErr != nil {
 			continue
 		}
-		var told controller.CoreAccount
-		if json.Unmarshal(reply.JSON, &told) == nil && told.Leads && told.Settled {
+		var told controller.Status
+		if json.Unmarshal(reply.JSON, &told) == nil && told.IsLeader && told.Settled {
 			return i, told, nil
 		}
 	}
--- a/internal/localcluster/orders_test.go
+++ b/internal/localcluster/orders_test.go
@@ -41,9 +41,9 @@
 	if err = stage.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	desk := &adminclient.Clerk{Wait: 30 * time.Second}
+	desk := &adminclient.Client{Wait: 30 * time.Second}
 	for _, p := range stage.CoreProps {
-		desk.Controls = append(desk.Controls, p.Control)
+		desk.Addresses = append(desk.Addresses, p.Control)
 	}
 	var out bytes.Buffer
 	carry := func(subject, verb string, words ...string) (said string, err error) {
@@ -52,7 +52,7 @@
 		for range 2 {
 			if untilErr := Until(ctx, func() bool {
 				out.Reset()
-				_, err = desk.Carry(ctx, &out, subject, verb, words)
+				_, err = desk.Run(ctx, &out, subject, verb, words)
 				return err == nil || strings.Contains(err.Error(), "refused")
 			}); untilErr != nil {
 				return out.String(), untilErr
--- a/internal/localcluster/sessions_test.go
+++ b/internal/localcluster/sessions_test.go
@@ -29,15 +29,15 @@
 	if err = stage.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	desk := &adminclient.Clerk{}
+	desk := &adminclient.Client{}
 	for _, p := range stage.CoreProps {
-		desk.Controls = append(desk.Controls, p.Control)
+		desk.Addresses = append(desk.Addresses, p.Control)
 	}
 	return ctx, stage, func(subject, verb string, words ...string) (said string, err error) {
 		var out bytes.Buffer
 		_ = Until(ctx, func() bool {
 			out.Reset()
-			_, err = desk.Carry(ctx, &out, subject, verb, words)
+			_, err = desk.Run(ctx, &out, subject, verb, words)
 			return err == nil || strings.Contains(err.Error(), "refused")
 		})
 		return out.String(), err
--- a/internal/localcluster/stage.go
+++ b/internal/localcluster/stage.go
@@ -109,7 +109,7 @@
 
 // Stage is a running system.
 type Stage struct {
-	Cores     map[string]*controller.Council
+	Cores     map[string]*controller.Controller
 	Edges     map[string]*proxy.Daemon
 	Backends  []*Backend
 	CoreProps []settings.Props
@@ -175,7 +175,7 @@
 }
 
 func start(folder string, hosts func(n int) string, backends []*Backend, directory bool) (stage *Stage, err error) {
-	stage = &Stage{Cores: map[string]*controller.Council{}, Edges: map[string]*proxy.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
+	stage = &Stage{Cores: map[string]*controller.Controller{}, Edges: map[string]*proxy.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
 	platform := hosts(30) + ":18169"
 	if stage.platform, err = serve(platform, http.HandlerFunc(stage.list)); err != nil {
 		return nil, err
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -72,7 +72,7 @@
 		if address == "" {
 			continue
 		}
-		server, serveErr := httpapi.Serve(address, httpapi.Duties{Ready: d.isReady, Resolve: d.resolve})
+		server, serveErr := httpapi.Serve(address, httpapi.Handlers{Ready: d.isReady, Resolve: d.resolve})
 		if serveErr != nil {
 			return nil, serveErr
 		}
@@ -131,8 +131,8 @@
 	}
 }
 
-// Renew takes changed settings up.
-func (d *Daemon) Renew(p settings.Props) { d.link.SetSeeds(p.Seeds) }
+// Reload takes changed settings up.
+func (d *Daemon) Reload(p settings.Props) { d.link.SetSeeds(p.Seeds) }
 
 // Stop ends in order: told to the leader first, so that no directory names
 // this daemon any more; then each answer closes its stream; then, when the
@@ -214,12 +214,12 @@
 // resolve tells a client where to go.
 func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
 	scene := d.world.Scene()
-	addresses = Directions(scene.Fellows, d.world.Absent(), scene.View.Homes(host), d.planned(scene, host), region, site, httpapi.Caller(ctx))
+	addresses = Directions(scene.Fellows, d.world.Absent(), scene.View.Homes(host), d.planned(scene, host), region, site, httpapi.CallerAddress(ctx))
 	if len(addresses) == 0 && d.isReady() {
 		addresses = []string{d.props.Front}
 	}
 	if len(addresses) == 0 {
-		return nil, 0, &httpapi.Trouble{Kind: apierror.NotReady}
+		return nil, 0, &httpapi.Error{Kind: apierror.NotReady}
 	}
 	return addresses, min(directionsTTL, d.props.Bounds.TTLMax), nil
 }
