--- a/internal/adminclient/clerk.go
+++ b/internal/adminclient/clerk.go
@@ -222,16 +222,16 @@
 	}
 	if sessions := shown.Sessions; sessions != nil {
 		for _, account := range sessions.Services {
-			_, _ = fmt.Fprintf(table, "%s\tby %s\tidle %s\t%d of %d sessions\n", account.Service, account.From, account.Idle, account.Sessions, account.Most)
+			_, _ = fmt.Fprintf(table, "%s\tby %s\tidle %s\t%d of %d sessions\n", account.Service, account.Source, account.Idle, account.Sessions, account.Limit)
 		}
-		_, _ = fmt.Fprintf(table, "moved %d\tdropped for want of room %d\trefused %d\n", sessions.Moved, sessions.Crowded, sessions.Refused)
+		_, _ = fmt.Fprintf(table, "moved %d\tdropped for want of room %d\trefused %d\n", sessions.Moved, sessions.Evicted, sessions.Rejected)
 	}
 	for _, account := range shown.Retries {
 		holds := "holds"
-		if !account.Holds {
+		if !account.InForceEverywhere {
 			holds = "does not hold everywhere yet"
 		}
-		_, _ = fmt.Fprintf(table, "%s\tratio %g\tleast %g/s in %s\tlent %.3f\t%d of %d follow\t%s %s\n", account.Service, account.Ratio, account.Least, account.Window, account.Lent, account.Follow, account.Of, holds, strings.Join(account.Missing, ","))
+		_, _ = fmt.Fprintf(table, "%s\tratio %g\tleast %g/s in %s\tlent %.3f\t%d of %d follow\t%s %s\n", account.Service, account.Ratio, account.LeastPerSecond, account.Window, account.Granted, account.Followers, account.Nodes, holds, strings.Join(account.Missing, ","))
 	}
 	if shown.Step > 0 {
 		_, _ = fmt.Fprintf(table, "step\t%d\n", shown.Step)
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -29,7 +29,7 @@
 	props settings.Props
 	log   *eventlog.Log
 	node  *raft.Node
-	desk  *coordinator.Desk
+	desk  *coordinator.Handler
 	// patience is how long a call waits for its outcome.
 	patience time.Duration
 
@@ -43,19 +43,19 @@
 	if err != nil {
 		return nil, err
 	}
-	council = &Controller{props: p, log: log, node: node, patience: patience, desk: coordinator.NewDesk(node, node)}
+	council = &Controller{props: p, log: log, node: node, patience: patience, desk: coordinator.NewHandler(node, node)}
 	node.OnRole = func(leads bool, term raft.Term) {
-		var opened *coordinator.Forum
+		var opened *coordinator.Coordinator
 		if leads {
-			opened = coordinator.Open(p, log, node, term)
+			opened = coordinator.Start(p, log, node, term)
 		}
-		if old := council.desk.Use(opened); old != nil {
+		if old := council.desk.SetCoordinator(opened); old != nil {
 			old.Close()
 		}
 	}
 	node.OnChange = func() {
-		if open := council.desk.Forum(); open != nil {
-			open.Stir()
+		if open := council.desk.Coordinator(); open != nil {
+			open.StateChanged()
 		}
 	}
 	if p.EventsTo != "" {
@@ -65,7 +65,7 @@
 			return nil, heraldErr
 		}
 		node.Chronicle.OnMark = func(mark history.Mark) {
-			if mark.What != "acknowledged" && council.desk.Forum() != nil {
+			if mark.What != "acknowledged" && council.desk.Coordinator() != nil {
 				teller.Tell(mark)
 			}
 		}
@@ -91,7 +91,7 @@
 	c.node.Close()
 	_ = c.office.Close()
 	c.inner.Close()
-	if old := c.desk.Use(nil); old != nil {
+	if old := c.desk.SetCoordinator(nil); old != nil {
 		old.Close()
 	}
 }
@@ -110,8 +110,8 @@
 
 // proven gives a verdict that was made from the state of this core only where it
 // is proven that it still leads, and leaves the caller without a clear answer else.
-func (c *Controller) proven(open *coordinator.Forum, verdict error) (err error) {
-	if !c.desk.Proven(open) {
+func (c *Controller) proven(open *coordinator.Coordinator, verdict error) (err error) {
+	if !c.desk.ConfirmLeadership(open) {
 		return &httpapi.Error{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
 	}
 	return verdict
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -42,24 +42,24 @@
 	}
 	contact = &scripted{}
 	// What is asked here has an outcome, however slow this machine is.
-	c = &Controller{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewDesk(node, contact)}
+	c = &Controller{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewHandler(node, contact)}
 	led := make(chan bool, 1)
 	node.OnRole = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
-		c.desk.Use(coordinator.Open(p, eventlog.Quiet(), node, term))
+		c.desk.SetCoordinator(coordinator.Start(p, eventlog.Quiet(), node, term))
 		led <- true
 	}
 	node.Run()
 	t.Cleanup(func() {
-		if old := c.desk.Use(nil); old != nil {
+		if old := c.desk.SetCoordinator(nil); old != nil {
 			old.Close()
 		}
 		node.Close()
 	})
 	<-led
-	for !c.desk.Forum().Walked() {
+	for !c.desk.Coordinator().EndpointsComplete() {
 		runtime.Gosched()
 	}
 	return c, contact
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -37,11 +37,11 @@
 }
 
 // open gives the forum of this core if it leads.
-func (c *Controller) open(path string) (open *coordinator.Forum, err error) {
+func (c *Controller) open(path string) (open *coordinator.Coordinator, err error) {
 	if err = c.elsewhere(path); err != nil {
 		return nil, err
 	}
-	if open = c.desk.Forum(); open == nil {
+	if open = c.desk.Coordinator(); open == nil {
 		return nil, &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
 	}
 	return open, nil
@@ -65,7 +65,7 @@
 			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 		})
 		if lookErr == nil && !taken && kind == policy.DayPlan {
-			lookErr = open.CheckPlan(body)
+			lookErr = open.ValidateSchedule(body)
 		}
 		return lookErr
 	}
@@ -116,15 +116,15 @@
 
 // DocumentStatus is what reading an order back gives.
 type DocumentStatus struct {
-	Kind        policy.Kind                  `json:"kind"`
-	Version     policy.Version               `json:"version"`
-	InForce     bool                         `json:"in_force"`
-	Document    json.RawMessage              `json:"document,omitempty"`
-	Retirements []drain.Account              `json:"retiring,omitempty"`
-	Targets     []schedule.Account           `json:"moving,omitempty"`
-	Step        uint64                       `json:"step,omitempty"`
-	Sessions    *coordinator.SessionsAccount `json:"sessions,omitempty"`
-	Retries     []coordinator.RetryAccount   `json:"retrying,omitempty"`
+	Kind        policy.Kind                `json:"kind"`
+	Version     policy.Version             `json:"version"`
+	InForce     bool                       `json:"in_force"`
+	Document    json.RawMessage            `json:"document,omitempty"`
+	Retirements []drain.Account            `json:"retiring,omitempty"`
+	Targets     []schedule.Account         `json:"moving,omitempty"`
+	Step        uint64                     `json:"step,omitempty"`
+	Sessions    *coordinator.SessionStatus `json:"sessions,omitempty"`
+	Retries     []coordinator.RetryStatus  `json:"retrying,omitempty"`
 }
 
 func (c *Controller) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
@@ -145,13 +145,13 @@
 	})
 	switch kind {
 	case policy.DayPlan:
-		shown.Targets = open.Moving()
+		shown.Targets = open.ScheduleStatus()
 	case policy.RetryLimit:
-		shown.Retries = open.Retrying()
+		shown.Retries = open.RetryStatus()
 	case policy.SessionAffinity:
-		shown.Sessions = open.Sessions()
+		shown.Sessions = open.SessionStatus()
 	case policy.DrainPolicy:
-		shown.Retirements = open.Retiring()
+		shown.Retirements = open.RetirementStatus()
 	}
 	if err = c.proven(open, nil); err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 	if err != nil {
 		return "", err
 	}
-	if !open.Walked() {
+	if !open.EndpointsComplete() {
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
 	}
@@ -185,7 +185,7 @@
 	}
 	look := func() (service rpc.ServiceName, listed bool, refusal error) {
 		agreed()
-		if service, listed, refusal = open.CheckRetire(id); sent.stands || sent.named {
+		if service, listed, refusal = open.ValidateRetirement(id); sent.stands || sent.named {
 			return service, listed, nil
 		}
 		return service, listed, refusal
@@ -210,8 +210,8 @@
 	if err = c.ordered(history.Retirement, string(id), "retired", result, err); err != nil {
 		return "", err
 	}
-	for _, account := range open.Retiring() {
-		if account.Server == string(id) && c.desk.Proven(open) {
+	for _, account := range open.RetirementStatus() {
+		if account.Server == string(id) && c.desk.ConfirmLeadership(open) {
 			return string(account.Phase), nil
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -35,9 +35,9 @@
 	OvertakenVersions int    `json:"overtaken_remembered"`
 	ForgottenRequests uint64 `json:"orders_forgotten"`
 	// BytesIn and BytesOut are those of inner calls since it started.
-	BytesIn     int64                `json:"bytes_in"`
-	BytesOut    int64                `json:"bytes_out"`
-	Coordinator *coordinator.Account `json:"forum,omitempty"`
+	BytesIn     int64               `json:"bytes_in"`
+	BytesOut    int64               `json:"bytes_out"`
+	Coordinator *coordinator.Status `json:"forum,omitempty"`
 }
 
 // Tell gives the account.
@@ -55,8 +55,8 @@
 		account.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
 	})
 	account.BytesIn, account.BytesOut = rpc.Traffic()
-	if open := c.desk.Forum(); open != nil {
-		account.Coordinator = open.Account()
+	if open := c.desk.Coordinator(); open != nil {
+		account.Coordinator = open.Status()
 	}
 	reply.JSON, err = json.Marshal(account)
 	return err
@@ -97,9 +97,9 @@
 		})
 	default:
 		// Only the leader knows backends and their health.
-		if open := c.desk.Forum(); open != nil {
-			stamp, has := open.Stands(ask.Kind, rpc.ServerID(ask.Name))
-			if c.desk.Proven(open) {
+		if open := c.desk.Coordinator(); open != nil {
+			stamp, has := open.CurrentStamp(ask.Kind, rpc.ServerID(ask.Name))
+			if c.desk.ConfirmLeadership(open) {
 				reply.Stamp, reply.Has = stamp, has
 			}
 		}
--- a/internal/coordinator/account.go
+++ b/internal/coordinator/account.go
@@ -11,43 +11,43 @@
 	"tinpin/internal/rpc"
 )
 
-// FellowAccount is one fellow.
-type FellowAccount struct {
-	Name  string `json:"name"`
-	Site  string `json:"site"`
-	Inner string `json:"inner"`
-	Ready bool   `json:"ready"`
-	Here  bool   `json:"here"`
+// NodeStatus is one fellow.
+type NodeStatus struct {
+	Name            string `json:"name"`
+	Zone            string `json:"site"`
+	InternalAddress string `json:"inner"`
+	Ready           bool   `json:"ready"`
+	Connected       bool   `json:"here"`
 }
 
-// LentAccount is what is lent of one bound.
-type LentAccount struct {
-	Bound string  `json:"bound"`
-	Lent  float64 `json:"lent"`
+// GrantStatus is what is lent of one bound.
+type GrantStatus struct {
+	Limit   string  `json:"bound"`
+	Granted float64 `json:"lent"`
 }
 
-// Account is the leader's.
-type Account struct {
-	Fellows  []FellowAccount   `json:"fellows"`
-	MapCount uint64            `json:"map_count"`
-	Members  []string          `json:"map_members"`
-	Owners   map[string]string `json:"owners"`
-	Backends int               `json:"backends"`
-	Down     int               `json:"backends_down"`
-	Lent     []LentAccount     `json:"lent"`
+// Status is the leader's.
+type Status struct {
+	Nodes           []NodeStatus      `json:"fellows"`
+	ShardMapVersion uint64            `json:"map_count"`
+	ShardMapMembers []string          `json:"map_members"`
+	Owners          map[string]string `json:"owners"`
+	Backends        int               `json:"backends"`
+	Down            int               `json:"backends_down"`
+	Granted         []GrantStatus     `json:"lent"`
 }
 
-// Account gives it.
-func (f *Forum) Account() (account *Account) {
+// Status gives it.
+func (f *Coordinator) Status() (account *Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	account = &Account{MapCount: uint64(f.shards.Count), Owners: map[string]string{}}
+	account = &Status{ShardMapVersion: uint64(f.shards.Count), Owners: map[string]string{}}
 	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
-		account.Fellows = append(account.Fellows, FellowAccount{string(id), string(fellow.Site), fellow.Inner, fellow.Ready && !fellow.Stopping, f.roll.Here(id)})
+		account.Nodes = append(account.Nodes, NodeStatus{string(id), string(fellow.Site), fellow.Inner, fellow.Ready && !fellow.Stopping, f.roll.Here(id)})
 	})
-	sort.Slice(account.Fellows, func(i, j int) bool { return account.Fellows[i].Name < account.Fellows[j].Name })
+	sort.Slice(account.Nodes, func(i, j int) bool { return account.Nodes[i].Name < account.Nodes[j].Name })
 	for _, member := range f.shards.Members {
-		account.Members = append(account.Members, string(member))
+		account.ShardMapMembers = append(account.ShardMapMembers, string(member))
 	}
 	for name := range f.view.Services {
 		account.Owners[name] = string(f.cache.Owner(rpc.ServiceName(name), f.absent))
@@ -59,21 +59,21 @@
 		}
 	})
 	now := f.now()
-	account.Lent = append(account.Lent, LentAccount{"retry slack", f.book.Lent(now, quota.Key{Kind: rpc.RetrySlack})})
+	account.Granted = append(account.Granted, GrantStatus{"retry slack", f.book.Lent(now, quota.Key{Kind: rpc.RetrySlack})})
 	for name := range f.view.Services {
 		if rule, written := f.orders.retries.For(rpc.ServiceName(name)); written {
-			account.Lent = append(account.Lent, LentAccount{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), f.retries.Lent(now, name)})
+			account.Granted = append(account.Granted, GrantStatus{"retries of " + name + fmt.Sprintf(" (ratio %g, least %g/s)", rule.Ratio, rule.LeastPerSecond), f.retries.Lent(now, name)})
 		}
 	}
 	for _, tenant := range f.view.Tenants() {
-		account.Lent = append(account.Lent, LentAccount{"tenant " + tenant.Name, f.lender.Lent(now, tenant.Name)})
+		account.Granted = append(account.Granted, GrantStatus{"tenant " + tenant.Name, f.lender.Lent(now, tenant.Name)})
 	}
-	sort.Slice(account.Lent, func(i, j int) bool { return account.Lent[i].Bound < account.Lent[j].Bound })
+	sort.Slice(account.Granted, func(i, j int) bool { return account.Granted[i].Limit < account.Granted[j].Limit })
 	return account
 }
 
-// Stands tells how a backend or its health stands at the leader.
-func (f *Forum) Stands(kind string, id rpc.ServerID) (stamp string, has bool) {
+// CurrentStamp tells how a backend or its health stands at the leader.
+func (f *Coordinator) CurrentStamp(kind string, id rpc.ServerID) (stamp string, has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if kind == history.Backend {
--- a/internal/coordinator/check.go
+++ b/internal/coordinator/check.go
@@ -82,7 +82,7 @@
 }
 
 // reportFault tells what is wrong with an owner's report; the caller holds the lock.
-func (f *Forum) reportFault(ask rpc.ReportAsk) (fault string) {
+func (f *Coordinator) reportFault(ask rpc.ReportAsk) (fault string) {
 	switch {
 	case ask.Fellow == "" || !fits(string(ask.Fellow), string(ask.Service)):
 		return "a name is missing or too long"
@@ -110,7 +110,7 @@
 const loggedRefusals = 64
 
 // refuse notes a refused call.
-func (f *Forum) refuse(call string, by rpc.FellowID, fault string) (err error) {
+func (f *Coordinator) refuse(call string, by rpc.FellowID, fault string) (err error) {
 	count := f.refusals.Add(1)
 	if count <= loggedRefusals || count%loggedRefusals == 0 {
 		f.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
--- a/internal/coordinator/check_test.go
+++ b/internal/coordinator/check_test.go
@@ -40,7 +40,7 @@
 		spoil(&ask)
 		epoch := f.clock.Now()
 		var news rpc.News
-		if err := f.Beat(ask, &news); err == nil || !Class.Has(err) {
+		if err := f.Heartbeat(ask, &news); err == nil || !Class.Has(err) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if f.roll.Count() != 0 || f.clock.Now() != epoch || len(f.tallies) != 0 || len(f.orders.follows) != 0 || !reflect.DeepEqual(news, rpc.News{}) {
@@ -49,7 +49,7 @@
 	}
 	f := bare()
 	var news rpc.News
-	if err := f.Beat(good, &news); err != nil || f.roll.Count() != 1 {
+	if err := f.Heartbeat(good, &news); err != nil || f.roll.Count() != 1 {
 		t.Errorf("a good beat: %v", err)
 	}
 }
--- a/internal/coordinator/desk.go
+++ b/internal/coordinator/desk.go
@@ -22,42 +22,44 @@
 	freePatience  = 800 * time.Millisecond
 )
 
-// Contact proves that this core leads in a term and that no other can.
-type Contact interface {
+// LeadershipChecker proves that this core leads in a term and that no other can.
+type LeadershipChecker interface {
 	InContact(term raft.Term, patience time.Duration) (proven bool)
 }
 
-// Desk answers fellows.
-type Desk struct {
-	node    *raft.Node
-	contact Contact
-	forum   atomic.Pointer[Forum]
+// Handler answers fellows.
+type Handler struct {
+	node        *raft.Node
+	contact     LeadershipChecker
+	coordinator atomic.Pointer[Coordinator]
 }
 
-// NewDesk is a desk without a forum.
-func NewDesk(node *raft.Node, contact Contact) (desk *Desk) {
-	return &Desk{node: node, contact: contact}
+// NewHandler is a desk without a forum.
+func NewHandler(node *raft.Node, contact LeadershipChecker) (desk *Handler) {
+	return &Handler{node: node, contact: contact}
 }
 
-// Proven tells that what a forum has answered up to now is a leader's word. It is
+// ConfirmLeadership tells that what a forum has answered up to now is a leader's word. It is
 // asked once the answer is made: one made before a freeze is not proven after it.
-func (d *Desk) Proven(forum *Forum) (proven bool) {
+func (d *Handler) ConfirmLeadership(forum *Coordinator) (proven bool) {
 	return d.contact.InContact(raft.Term(forum.term), contactPatience)
 }
 
-// Use sets the forum of a leadership, nil when it ended.
-func (d *Desk) Use(forum *Forum) (old *Forum) { return d.forum.Swap(forum) }
+// SetCoordinator sets the forum of a leadership, nil when it ended.
+func (d *Handler) SetCoordinator(forum *Coordinator) (old *Coordinator) {
+	return d.coordinator.Swap(forum)
+}
 
-// Forum gives the open forum, if any.
-func (d *Desk) Forum() (forum *Forum) { return d.forum.Load() }
+// Coordinator gives the open forum, if any.
+func (d *Handler) Coordinator() (forum *Coordinator) { return d.coordinator.Load() }
 
 // Beat answers a beat.
-func (d *Desk) Beat(ask rpc.BeatAsk, news *rpc.News) (err error) {
-	if forum := d.forum.Load(); forum != nil {
-		if err = forum.Beat(ask, news); err != nil {
+func (d *Handler) Beat(ask rpc.BeatAsk, news *rpc.News) (err error) {
+	if forum := d.coordinator.Load(); forum != nil {
+		if err = forum.Heartbeat(ask, news); err != nil {
 			return err
 		}
-		if news.Leader && !d.Proven(forum) {
+		if news.Leader && !d.ConfirmLeadership(forum) {
 			*news = rpc.News{}
 		}
 	}
@@ -72,8 +74,8 @@
 }
 
 // Lead tells who leads.
-func (d *Desk) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
-	if forum := d.forum.Load(); forum != nil && d.contact.InContact(raft.Term(forum.term), leadPatience) {
+func (d *Handler) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
+	if forum := d.coordinator.Load(); forum != nil && d.contact.InContact(raft.Term(forum.term), leadPatience) {
 		reply.Leader, reply.Term = true, forum.term
 	}
 	_, _, _, _, members := d.node.Standing()
@@ -84,10 +86,10 @@
 }
 
 // Report takes an owner's findings.
-func (d *Desk) Report(ask rpc.ReportAsk, reply *rpc.ReportReply) (err error) {
-	if forum := d.forum.Load(); forum != nil {
+func (d *Handler) Report(ask rpc.ReportAsk, reply *rpc.ReportReply) (err error) {
+	if forum := d.coordinator.Load(); forum != nil {
 		taken := forum.Report(ask)
-		if reply.Leader = d.Proven(forum); reply.Leader {
+		if reply.Leader = d.ConfirmLeadership(forum); reply.Leader {
 			reply.Taken = taken
 		}
 	}
@@ -95,10 +97,10 @@
 }
 
 // Bind tells where sessions are bound.
-func (d *Desk) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
-	if forum := d.forum.Load(); forum != nil && d.Proven(forum) {
+func (d *Handler) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
+	if forum := d.coordinator.Load(); forum != nil && d.ConfirmLeadership(forum) {
 		found := forum.Bind(ask)
-		if reply.Leader = d.Proven(forum); reply.Leader {
+		if reply.Leader = d.ConfirmLeadership(forum); reply.Leader {
 			reply.Found, reply.Term = found, forum.term
 		}
 	}
@@ -108,9 +110,9 @@
 // Claim puts a batch of key claims before the cores. Out of contact it takes none
 // of them: that is a clear no, where a wish that nobody can commit has no outcome.
 // What comes back is the log's word and needs no further proof.
-func (d *Desk) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
-	forum, begun := d.forum.Load(), time.Now()
-	if forum == nil || !d.Proven(forum) {
+func (d *Handler) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
+	forum, begun := d.coordinator.Load(), time.Now()
+	if forum == nil || !d.ConfirmLeadership(forum) {
 		return nil
 	}
 	reply.Leader = true
@@ -146,7 +148,7 @@
 			held := answer.Result.Held
 			found.Outcome = rpc.Held
 			found.Holder, found.Life, found.Request = rpc.FellowID(held.Holder), rpc.Life(held.Life), held.Request
-			found.Inner, _ = forum.Inner(found.Holder)
+			found.Inner, _ = forum.NodeAddress(found.Holder)
 		}
 		reply.Found = append(reply.Found, found)
 	}
--- a/internal/coordinator/desk_test.go
+++ b/internal/coordinator/desk_test.go
@@ -26,10 +26,10 @@
 	for _, lost := range []bool{false, true} {
 		contact := &scripted{}
 		contact.lost.Store(lost)
-		desk := NewDesk(&raft.Node{}, contact)
+		desk := NewHandler(&raft.Node{}, contact)
 		f := bare()
 		f.node, f.list.Walked = &raft.Node{}, true
-		desk.Use(f)
+		desk.SetCoordinator(f)
 
 		var news rpc.News
 		ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}, Seen: rpc.Seen{ItemAt: rpc.AllItems}}
@@ -59,10 +59,10 @@
 // A beat that was held open is proven when it is answered, not when it came.
 func TestABeatThatWasHeldIsProvenWhenItIsAnswered(t *testing.T) {
 	contact := &scripted{}
-	desk := NewDesk(&raft.Node{}, contact)
+	desk := NewHandler(&raft.Node{}, contact)
 	f := bare()
 	f.node, f.list.Walked = &raft.Node{}, true
-	desk.Use(f)
+	desk.SetCoordinator(f)
 	ask := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Inner: "e:1", Ready: true}, Hold: time.Minute}
 	ask.Term, ask.Epoch, ask.ItemAt, ask.Listed = 7, f.clock.Now()+8, rpc.AllItems, true
 	done := make(chan rpc.News)
@@ -72,7 +72,7 @@
 		done <- news
 	}()
 	// The beat lets go of the lock only where it waits.
-	for inner := ""; inner == ""; inner, _ = f.Inner("e") {
+	for inner := ""; inner == ""; inner, _ = f.NodeAddress("e") {
 		runtime.Gosched()
 	}
 	contact.lost.Store(true)
--- a/internal/coordinator/forum.go
+++ b/internal/coordinator/forum.go
@@ -43,8 +43,8 @@
 	tallyRows = 256
 )
 
-// Forum is open while this core leads.
-type Forum struct {
+// Coordinator is open while this core leads.
+type Coordinator struct {
 	props settings.Props
 	log   *eventlog.Log
 	node  *raft.Node
@@ -96,11 +96,11 @@
 	chronicle *history.Chronicle
 }
 
-// Open starts a leadership's forum.
-func Open(p settings.Props, log *eventlog.Log, node *raft.Node, term raft.Term) (forum *Forum) {
+// Start starts a leadership's forum.
+func Start(p settings.Props, log *eventlog.Log, node *raft.Node, term raft.Term) (forum *Coordinator) {
 	clock := &registry.Clock{}
 	clock.Next()
-	forum = &Forum{
+	forum = &Coordinator{
 		props: p, log: log, node: node, term: rpc.Term(term), birth: time.Now(),
 		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: struckAfter}),
 		list: registry.NewList(clock), cache: healthcheck.NewCache(clock, 3*p.ProbeInterval+time.Second),
@@ -122,18 +122,18 @@
 }
 
 // Close ends it.
-func (f *Forum) Close() { close(f.stop) }
+func (f *Coordinator) Close() { close(f.stop) }
 
-func (f *Forum) now() time.Duration { return time.Since(f.birth) }
+func (f *Coordinator) now() time.Duration { return time.Since(f.birth) }
 
 // stir wakes the beats that are held open.
-func (f *Forum) stir() {
+func (f *Coordinator) stir() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// Stir is called when the agreed state changed.
-func (f *Forum) Stir() {
+// StateChanged is called when the agreed state changed.
+func (f *Coordinator) StateChanged() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var view *config.View
@@ -171,8 +171,8 @@
 }
 
 // tend is the duty that moves the state machines' time on.
-func (f *Forum) tend() {
-	f.Stir()
+func (f *Coordinator) tend() {
+	f.StateChanged()
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -208,7 +208,7 @@
 }
 
 // refreshMembers derives the shard map and the absent from the roll.
-func (f *Forum) refreshMembers() {
+func (f *Coordinator) refreshMembers() {
 	f.near, f.present = map[rpc.SiteName][]rpc.FellowID{}, 0
 	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
 		if f.roll.Here(id) && !fellow.Stopping {
@@ -249,7 +249,7 @@
 }
 
 // walk is the duty that reads the platform's list.
-func (f *Forum) walk() {
+func (f *Coordinator) walk() {
 	platform := registry.NewPlatform(f.props.PlatformAddress)
 	pause := time.Duration(float64(time.Second) / max(f.props.PlatformRate*listPart, 0.1))
 	for {
@@ -278,7 +278,7 @@
 }
 
 // merge takes a page of the list, or the whole of a walk.
-func (f *Forum) merge(servers []rpc.Server, whole bool) {
+func (f *Coordinator) merge(servers []rpc.Server, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.clock.Now()
@@ -319,9 +319,9 @@
 	f.stir()
 }
 
-// Beat notes a fellow's beat and answers it once there is news, or when it
+// Heartbeat notes a fellow's beat and answers it once there is news, or when it
 // has been held long enough.
-func (f *Forum) Beat(ask rpc.BeatAsk, news *rpc.News) (err error) {
+func (f *Coordinator) Heartbeat(ask rpc.BeatAsk, news *rpc.News) (err error) {
 	if fault := beatFault(ask); fault != "" {
 		return f.refuse("beat", ask.ID, fault)
 	}
@@ -369,7 +369,7 @@
 
 // relay keeps what a fellow told of its outcomes for those that own the
 // services, who get it with their next beats.
-func (f *Forum) relay(ask rpc.BeatAsk) {
+func (f *Coordinator) relay(ask rpc.BeatAsk) {
 	for _, tally := range ask.Tallies[:min(len(ask.Tallies), tallyRows)] {
 		if f.view.Services[string(tally.Service)] == nil {
 			continue
@@ -388,7 +388,7 @@
 }
 
 // owner names who watches a service; it is reckoned once a change of the roll.
-func (f *Forum) owner(service rpc.ServiceName) (owner rpc.FellowID) {
+func (f *Coordinator) owner(service rpc.ServiceName) (owner rpc.FellowID) {
 	owner, known := f.owners[service]
 	if !known {
 		owner = f.cache.Owner(service, f.absent)
@@ -398,7 +398,7 @@
 }
 
 // due tells whether there is something to tell.
-func (f *Forum) due(ask rpc.BeatAsk) bool {
+func (f *Coordinator) due(ask rpc.BeatAsk) bool {
 	if ask.Term != f.term {
 		return true
 	}
@@ -406,12 +406,12 @@
 }
 
 // owesItems tells whether there are items that a fellow lacks.
-func (f *Forum) owesItems(seen rpc.Seen) bool {
+func (f *Coordinator) owesItems(seen rpc.Seen) bool {
 	return seen.Rev < f.rev || seen.ItemAt != rpc.AllItems
 }
 
 // tellItems tells a part of what a fellow lacks.
-func (f *Forum) tellItems(state *raft.State, seen rpc.Seen, news *rpc.News) {
+func (f *Coordinator) tellItems(state *raft.State, seen rpc.Seen, news *rpc.News) {
 	if f.parts == nil || f.partsOf != state.Rev {
 		f.partsOf, f.parts = state.Rev, map[itemPlace]itemPart{}
 	}
@@ -475,7 +475,7 @@
 
 // nextPart gives the part of the list that a fellow lacks first. What another
 // leader told of its list is no part of this one's.
-func (f *Forum) nextPart(ask rpc.BeatAsk) (part *rpc.ListPart) {
+func (f *Coordinator) nextPart(ask rpc.BeatAsk) (part *rpc.ListPart) {
 	if ask.Term != f.term {
 		return f.page(f.now(), "")
 	}
@@ -484,7 +484,7 @@
 
 // page gives the part of the list behind an id, made once for all that are as
 // far while nothing changes.
-func (f *Forum) page(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
+func (f *Coordinator) page(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
 	if f.pages == nil || f.pagesOf != f.clock.Now() {
 		f.pagesOf, f.pages = f.clock.Now(), map[rpc.ServerID]*rpc.ListPart{}
 	}
@@ -505,7 +505,7 @@
 }
 
 // part gives the part of the list behind an id.
-func (f *Forum) part(now time.Duration, after rpc.ServerID) (part *rpc.ListPart) {
+func (f *Coordinator) part(now time.Duration, after rpc.ServerID) (part *rpc.ListPart) {
 	var ids []rpc.ServerID
 	f.list.Servers.Each(func(id rpc.ServerID, _ rpc.Server) {
 		if id > after {
@@ -525,7 +525,7 @@
 	return part
 }
 
-func (f *Forum) tell(ask rpc.BeatAsk, news *rpc.News) {
+func (f *Coordinator) tell(ask rpc.BeatAsk, news *rpc.News) {
 	now := f.now()
 	since := ask.Epoch
 	news.Leader, news.Term, news.Epoch = true, f.term, f.clock.Now()
@@ -566,7 +566,7 @@
 
 // tellFellows tells what changed of the roll; many rows are packed, once for
 // all that know as much.
-func (f *Forum) tellFellows(since rpc.Epoch, news *rpc.News) {
+func (f *Coordinator) tellFellows(since rpc.Epoch, news *rpc.News) {
 	if f.crowdsOf != f.clock.Now() {
 		f.crowdsOf, f.crowds = f.clock.Now(), map[rpc.Epoch][]byte{}
 	}
@@ -587,7 +587,7 @@
 }
 
 // tellMap tells what changed of the map, or all of it to who knows none.
-func (f *Forum) tellMap(seen rpc.Seen, news *rpc.News) {
+func (f *Coordinator) tellMap(seen rpc.Seen, news *rpc.News) {
 	if news.Full || seen.MapAt == 0 {
 		shards := f.shards
 		news.Map = &shards
@@ -608,7 +608,7 @@
 }
 
 // lend gives a fellow its shares of every bound.
-func (f *Forum) lend(now time.Duration, ask rpc.BeatAsk) (leases []rpc.Lease) {
+func (f *Coordinator) lend(now time.Duration, ask rpc.BeatAsk) (leases []rpc.Lease) {
 	if ask.Stopping {
 		return nil
 	}
@@ -653,7 +653,7 @@
 // uses tells whether a fellow is among the few that a cold backend's rate is
 // split between: those of the nearest fellows heard that rank highest for it,
 // as they do for its ordinary use, so that many cold backends are spread.
-func (f *Forum) uses(to rpc.Fellow, server rpc.Server, rate float64) (user bool, users int) {
+func (f *Coordinator) uses(to rpc.Fellow, server rpc.Server, rate float64) (user bool, users int) {
 	nearest := f.nearest(server.Site)
 	users = min(len(nearest), max(1, int(rate/3)))
 	own := healthcheck.Rank(string(to.ID), string(server.ID))
@@ -670,7 +670,7 @@
 
 // nearest lists the fellows heard in a site, or else in its region, or else
 // all. It is reckoned once a change of the roll, not once a beat.
-func (f *Forum) nearest(site rpc.SiteName) (ids []rpc.FellowID) {
+func (f *Coordinator) nearest(site rpc.SiteName) (ids []rpc.FellowID) {
 	if ids, known := f.near[site]; known {
 		return ids
 	}
@@ -698,7 +698,7 @@
 }
 
 // Report takes an owner's findings.
-func (f *Forum) Report(ask rpc.ReportAsk) (taken bool) {
+func (f *Coordinator) Report(ask rpc.ReportAsk) (taken bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.list.Walked {
@@ -730,8 +730,8 @@
 	return taken
 }
 
-// Inner gives a fellow's inner address and the life it was last heard with.
-func (f *Forum) Inner(id rpc.FellowID) (inner string, life rpc.Life) {
+// NodeAddress gives a fellow's inner address and the life it was last heard with.
+func (f *Coordinator) NodeAddress(id rpc.FellowID) (inner string, life rpc.Life) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fellow, _ := f.roll.Fellows.Get(id)
--- a/internal/coordinator/forum_test.go
+++ b/internal/coordinator/forum_test.go
@@ -17,13 +17,13 @@
 )
 
 // bare is a forum without duties: what it is told in the test is all there is.
-func bare() (f *Forum) {
+func bare() (f *Coordinator) {
 	defer func() {
 		f.balance, f.orders, f.members = healthcheck.NewBalance(), newOrders(), registry.NewLedger[rpc.FellowID, bool](f.clock)
 	}()
 	clock := &registry.Clock{}
 	clock.Next()
-	return &Forum{
+	return &Coordinator{
 		log: eventlog.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
 		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -96,7 +96,7 @@
 }
 
 // followers lists the fellows that count; the caller holds the lock.
-func (f *Forum) followers(now time.Duration) (followers []drain.Follower) {
+func (f *Coordinator) followers(now time.Duration) (followers []drain.Follower) {
 	for id, held := range f.orders.follows {
 		if now-held.heard > rememberFellow {
 			delete(f.orders.follows, id)
@@ -113,7 +113,7 @@
 }
 
 // stock counts a service's backends.
-func (f *Forum) stock(service rpc.ServiceName) (stock drain.Stock) {
+func (f *Coordinator) stock(service rpc.ServiceName) (stock drain.Stock) {
 	f.eachBackend(service, func(_ rpc.Server, useful bool) {
 		stock.Listed++
 		if useful {
@@ -123,7 +123,7 @@
 	return stock
 }
 
-func (f *Forum) eachBackend(service rpc.ServiceName, visit func(server rpc.Server, useful bool)) {
+func (f *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Server, useful bool)) {
 	f.list.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
 		if server.Service != service {
 			return
@@ -135,7 +135,7 @@
 }
 
 // regions is what a plan's target has in each region.
-func (f *Forum) regions(target schedule.Target) (state schedule.State) {
+func (f *Coordinator) regions(target schedule.Target) (state schedule.State) {
 	state.Stock = map[rpc.RegionName]schedule.Stock{}
 	services := []rpc.ServiceName{target.Service}
 	if target.Host != "" {
@@ -173,7 +173,7 @@
 }
 
 // carryOn looks at both and commits what they ask for; the caller holds the lock.
-func (f *Forum) carryOn(now time.Duration) {
+func (f *Coordinator) carryOn(now time.Duration) {
 	o := &f.orders
 	var commands []raft.Command
 	if len(o.retired) > 0 {
@@ -233,7 +233,7 @@
 }
 
 // say logs how an order stands, once for each change.
-func (f *Forum) say(event eventlog.Event, subject, stands string, pairs ...any) {
+func (f *Coordinator) say(event eventlog.Event, subject, stands string, pairs ...any) {
 	key := fmt.Sprint(int(event), subject)
 	if f.orders.said[key] == stands {
 		return
@@ -245,16 +245,16 @@
 	f.log.Say(event, append([]any{"subject", subject, "stands", stands}, pairs...)...)
 }
 
-// Walked tells that the platform's list is known whole.
-func (f *Forum) Walked() bool {
+// EndpointsComplete tells that the platform's list is known whole.
+func (f *Coordinator) EndpointsComplete() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.list.Walked
 }
 
-// CheckRetire tells why a backend that is not retired may not be, and whether it
+// ValidateRetirement tells why a backend that is not retired may not be, and whether it
 // is on the list.
-func (f *Forum) CheckRetire(id rpc.ServerID) (service rpc.ServiceName, listed bool, err error) {
+func (f *Coordinator) ValidateRetirement(id rpc.ServerID) (service rpc.ServiceName, listed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	server, listed := f.list.Servers.Get(id)
@@ -267,8 +267,8 @@
 	return server.Service, true, nil
 }
 
-// CheckPlan tells what regions a plan names that no site is in.
-func (f *Forum) CheckPlan(body []byte) (err error) {
+// ValidateSchedule tells what regions a plan names that no site is in.
+func (f *Coordinator) ValidateSchedule(body []byte) (err error) {
 	plan, err := schedule.Read(body)
 	if err != nil {
 		return err
@@ -280,22 +280,22 @@
 	return plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return known[region] })
 }
 
-// Retiring gives the standing of each order to retire.
-func (f *Forum) Retiring() (accounts []drain.Account) {
+// RetirementStatus gives the standing of each order to retire.
+func (f *Coordinator) RetirementStatus() (accounts []drain.Account) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]drain.Account{}, f.orders.retiring...)
 }
 
-// Moving gives the standing of each target of the plan.
-func (f *Forum) Moving() (accounts []schedule.Account) {
+// ScheduleStatus gives the standing of each target of the plan.
+func (f *Coordinator) ScheduleStatus() (accounts []schedule.Account) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]schedule.Account{}, f.orders.moving...)
 }
 
 // level reckons what sites should send to each other.
-func (f *Forum) level(now time.Duration) {
+func (f *Coordinator) level(now time.Duration) {
 	atWork, slots := map[healthcheck.Place]float64{}, map[healthcheck.Place]float64{}
 	for id, burdens := range f.orders.burdens {
 		fellow, known := f.roll.Fellows.Get(id)
--- a/internal/coordinator/retries.go
+++ b/internal/coordinator/retries.go
@@ -11,24 +11,24 @@
 	"tinpin/internal/rpc"
 )
 
-// RetryAccount is how the limit of one service stands.
-type RetryAccount struct {
-	Service string  `json:"service"`
-	Ratio   float64 `json:"ratio"`
-	Least   float64 `json:"least_per_s"`
-	Window  string  `json:"window"`
-	// Lent is the part of the least rate that nodes hold now.
-	Lent float64 `json:"lent"`
-	// Follow of Of nodes keep the limit; Holds tells that no node can be left
+// RetryStatus is how the limit of one service stands.
+type RetryStatus struct {
+	Service        string  `json:"service"`
+	Ratio          float64 `json:"ratio"`
+	LeastPerSecond float64 `json:"least_per_s"`
+	Window         string  `json:"window"`
+	// Granted is the part of the least rate that nodes hold now.
+	Granted float64 `json:"lent"`
+	// Followers of Of nodes keep the limit; Holds tells that no node can be left
 	// that keeps to an older one.
-	Follow  int      `json:"followers"`
-	Of      int      `json:"of"`
-	Missing []string `json:"missing,omitempty"`
-	Holds   bool     `json:"holds"`
+	Followers         int      `json:"followers"`
+	Nodes             int      `json:"of"`
+	Missing           []string `json:"missing,omitempty"`
+	InForceEverywhere bool     `json:"holds"`
 }
 
-// Retrying gives the standing of each service under the limit.
-func (f *Forum) Retrying() (accounts []RetryAccount) {
+// RetryStatus gives the standing of each service under the limit.
+func (f *Coordinator) RetryStatus() (accounts []RetryStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -53,9 +53,9 @@
 		if !written {
 			continue
 		}
-		accounts = append(accounts, RetryAccount{
-			Service: name, Ratio: rule.Ratio, Least: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
-			Lent: f.retries.Lent(now, name), Follow: follow, Of: len(followers), Missing: missing, Holds: holds,
+		accounts = append(accounts, RetryStatus{
+			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
+			Granted: f.retries.Lent(now, name), Followers: follow, Nodes: len(followers), Missing: missing, InForceEverywhere: holds,
 		})
 	}
 	sort.Slice(accounts, func(i, j int) bool { return accounts[i].Service < accounts[j].Service })
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -56,7 +56,7 @@
 
 // scanSessions puts on the desk what is bound and not there: what older leaders
 // have bound, or a call whose answer got lost. The caller holds the lock.
-func (f *Forum) scanSessions() {
+func (f *Coordinator) scanSessions() {
 	now, s := f.now(), &f.sessions
 	s.built, s.scanned = true, now
 	f.node.Read(func(state *raft.State) {
@@ -70,14 +70,14 @@
 
 // settleSessions builds the desk once the leader is settled: only then has it all
 // that older ones bound. The caller holds the lock.
-func (f *Forum) settleSessions() {
+func (f *Coordinator) settleSessions() {
 	if _, settled, _, _, _ := f.node.Standing(); settled && !f.sessions.built {
 		f.scanSessions()
 	}
 }
 
 // bindFault tells what is wrong with an ask.
-func (f *Forum) bindFault(bind rpc.Bind) (fault string) {
+func (f *Coordinator) bindFault(bind rpc.Bind) (fault string) {
 	server, listed := f.list.Servers.Get(bind.Server)
 	_, ruled := f.sessions.policy.For(bind.Service)
 	switch {
@@ -96,7 +96,7 @@
 }
 
 // ended tells that a session may not stay on a backend; the caller holds the lock.
-func (f *Forum) ended(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
+func (f *Coordinator) ended(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
 	server, listed := f.list.Servers.Get(id)
 	if !listed {
 		return f.list.Walked, "gone"
@@ -120,7 +120,7 @@
 }
 
 // Bind answers a batch of asks.
-func (f *Forum) Bind(ask rpc.BindAsk) (found []rpc.BindFound) {
+func (f *Coordinator) Bind(ask rpc.BindAsk) (found []rpc.BindFound) {
 	found = make([]rpc.BindFound, len(ask.Binds))
 	if _, settled, _, _, _ := f.node.Standing(); !settled {
 		return found
@@ -183,7 +183,7 @@
 }
 
 // mostSessions is how many a service may have.
-func (f *Forum) mostSessions(service rpc.ServiceName) (most int) {
+func (f *Coordinator) mostSessions(service rpc.ServiceName) (most int) {
 	if rule, ruled := f.sessions.policy.For(service); ruled && f.view.Services[string(service)] != nil {
 		return rule.Most
 	}
@@ -191,7 +191,7 @@
 }
 
 // endSessions unbinds what is past its time; the caller holds the lock.
-func (f *Forum) endSessions(now time.Duration) {
+func (f *Coordinator) endSessions(now time.Duration) {
 	s := &f.sessions
 	if s.busy {
 		return
@@ -224,25 +224,25 @@
 	}()
 }
 
-// SessionAccount is how the sessions of one service stand.
-type SessionAccount struct {
+// ServiceSessions is how the sessions of one service stand.
+type ServiceSessions struct {
 	Service  string `json:"service"`
-	From     string `json:"from"`
+	Source   string `json:"from"`
 	Idle     string `json:"idle"`
 	Sessions int    `json:"sessions"`
-	Most     int    `json:"most"`
+	Limit    int    `json:"most"`
 }
 
-// SessionsAccount is how all stand.
-type SessionsAccount struct {
-	Services []SessionAccount `json:"services"`
-	Moved    uint64           `json:"moved"`
-	Crowded  uint64           `json:"crowded"`
-	Refused  uint64           `json:"refused"`
+// SessionStatus is how all stand.
+type SessionStatus struct {
+	Services []ServiceSessions `json:"services"`
+	Moved    uint64            `json:"moved"`
+	Evicted  uint64            `json:"crowded"`
+	Rejected uint64            `json:"refused"`
 }
 
-// Sessions gives it, nil where there is no policy.
-func (f *Forum) Sessions() (account *SessionsAccount) {
+// SessionStatus gives it, nil where there is no policy.
+func (f *Coordinator) SessionStatus() (account *SessionStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.sessions.policy == nil {
@@ -250,7 +250,7 @@
 	}
 	// One who asks a leader that has just begun is told of all as well.
 	f.settleSessions()
-	account = &SessionsAccount{Moved: f.sessions.moved, Crowded: f.sessions.desk.Crowded, Refused: f.sessions.refused}
+	account = &SessionStatus{Moved: f.sessions.moved, Evicted: f.sessions.desk.Crowded, Rejected: f.sessions.refused}
 	for name := range f.view.Services {
 		rule, ruled := f.sessions.policy.For(rpc.ServiceName(name))
 		if !ruled {
@@ -260,7 +260,7 @@
 		if rule.Name != "" {
 			from += " " + rule.Name
 		}
-		account.Services = append(account.Services, SessionAccount{Service: name, From: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: f.sessions.desk.Count(rpc.ServiceName(name)), Most: rule.Most})
+		account.Services = append(account.Services, ServiceSessions{Service: name, Source: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: f.sessions.desk.Count(rpc.ServiceName(name)), Limit: rule.Most})
 	}
 	sort.Slice(account.Services, func(i, j int) bool { return account.Services[i].Service < account.Services[j].Service })
 	return account
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -93,9 +93,9 @@
 	}
 	names := map[string]string{}
 	var addresses []string
-	for _, fellow := range leader.Coordinator.Fellows {
-		names[fellow.Inner] = fellow.Name
-		addresses = append(addresses, fellow.Inner)
+	for _, fellow := range leader.Coordinator.Nodes {
+		names[fellow.InternalAddress] = fellow.Name
+		addresses = append(addresses, fellow.InternalAddress)
 	}
 	each(addresses, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
 		var account proxy.Account
@@ -152,17 +152,17 @@
 	} else if leader.Coordinator != nil {
 		row("")
 		row("PASSAGE", "SITE", "READY", "HEARD", "REV", "AT WORK", "PROBES")
-		for _, fellow := range leader.Coordinator.Fellows {
+		for _, fellow := range leader.Coordinator.Nodes {
 			rev, work, probes := any("?"), any("?"), "?"
 			for _, account := range f.Fellows {
 				if account.Name == fellow.Name {
 					rev, work, probes = account.Rev, account.AtWork, strings.Join(account.Probes, ",")
 				}
 			}
-			row(fellow.Name, fellow.Site, fellow.Ready, fellow.Here, rev, work, probes)
+			row(fellow.Name, fellow.Zone, fellow.Ready, fellow.Connected, rev, work, probes)
 		}
 		row("")
-		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Coordinator.MapCount, len(leader.Coordinator.Members)))
+		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Coordinator.ShardMapVersion, len(leader.Coordinator.ShardMapMembers)))
 		services := make([]string, 0, len(leader.Coordinator.Owners))
 		for service := range leader.Coordinator.Owners {
 			services = append(services, service)
@@ -173,8 +173,8 @@
 		}
 		row("")
 		row("BOUND", "LENT")
-		for _, lent := range leader.Coordinator.Lent {
-			row(lent.Bound, fmt.Sprintf("%.3f", lent.Lent))
+		for _, lent := range leader.Coordinator.Granted {
+			row(lent.Limit, fmt.Sprintf("%.3f", lent.Granted))
 		}
 		row("")
 		row("BACKENDS", leader.Coordinator.Backends, "DOWN", leader.Coordinator.Down)
