--- a/cmd/tinpin-local/main.go
+++ b/cmd/tinpin-local/main.go
@@ -54,7 +54,7 @@
 	if !stay {
 		return nil
 	}
-	fmt.Printf("\nfront       http://%s (Host: shop.example, a Tinpin-Request-Id each)\noperator    http://%s\ntools       target/tinpin status -at %s\n", system.EdgeProps[0].Front, system.CoreProps[0].Control, strings.Join(system.Inner(), ","))
+	fmt.Printf("\nfront       http://%s (Host: shop.example, a Tinpin-Request-Id each)\noperator    http://%s\ntools       target/tinpin status -at %s\n", system.EdgeProps[0].FrontendAddress, system.CoreProps[0].ControlAddress, strings.Join(system.Inner(), ","))
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
 	<-interrupted
--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -179,7 +179,7 @@
 		}
 		starts = nil
 		for _, seed := range p.Seeds {
-			starts = append(starts, p.Accord(seed))
+			starts = append(starts, p.SeedInternalAddress(seed))
 		}
 	}
 	fleet, err := diagnostics.Look(starts)
@@ -193,7 +193,7 @@
 }
 
 type daemon interface {
-	Reload(settings.Props)
+	Reload(settings.Settings)
 	Stop()
 }
 
--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -78,8 +78,8 @@
 
 type recorder struct{ did chan string }
 
-func (r recorder) Reload(p settings.Props) { r.did <- strings.Join(p.Seeds, ",") }
-func (r recorder) Stop()                   { r.did <- "stop" }
+func (r recorder) Reload(p settings.Settings) { r.did <- strings.Join(p.Seeds, ",") }
+func (r recorder) Stop()                      { r.did <- "stop" }
 
 func TestSettingsAreTakenUpBySignalAndSilently(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -26,7 +26,7 @@
 
 // Controller is a running accord daemon.
 type Controller struct {
-	props settings.Props
+	props settings.Settings
 	log   *eventlog.Log
 	node  *raft.Node
 	desk  *coordinator.Handler
@@ -38,7 +38,7 @@
 }
 
 // Start opens the disk and the listeners and takes up the work.
-func Start(p settings.Props, log *eventlog.Log) (council *Controller, err error) {
+func Start(p settings.Settings, log *eventlog.Log) (council *Controller, err error) {
 	node, err := raft.OpenNode(p, log)
 	if err != nil {
 		return nil, err
@@ -58,9 +58,9 @@
 			open.StateChanged()
 		}
 	}
-	if p.EventsTo != "" {
+	if p.EventsURL != "" {
 		// Each change is told once, by the core that leads when it is applied.
-		teller, heraldErr := notify.New(p.EventsTo, p.Name, log)
+		teller, heraldErr := notify.New(p.EventsURL, p.Name, log)
 		if heraldErr != nil {
 			return nil, heraldErr
 		}
@@ -73,7 +73,7 @@
 	if council.inner, err = rpc.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
 		return nil, err
 	}
-	if council.office, err = httpapi.Serve(p.Control, httpapi.Handlers{
+	if council.office, err = httpapi.Serve(p.ControlAddress, httpapi.Handlers{
 		UpdateConfig: council.update, DescribeConfig: council.describe, Evacuate: council.evacuate,
 		SetDocument: council.order, WithdrawDocument: council.withdraw, ShowDocument: council.show, RetireBackend: council.retire,
 	}); err != nil {
@@ -84,7 +84,7 @@
 }
 
 // Reload takes changed settings up.
-func (c *Controller) Reload(p settings.Props) { c.node.SetSeeds(p.Seeds) }
+func (c *Controller) Reload(p settings.Settings) { c.node.SetSeeds(p.Seeds) }
 
 // Stop hands leadership over and ends.
 func (c *Controller) Stop() {
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -32,9 +32,9 @@
 		fmt.Fprint(w, `{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","0ms","one",3]]},"next_page_token":null}`)
 	}))
 	t.Cleanup(platform.Close)
-	p := settings.Props{
-		Name: "core", Address: "127.0.0.1", Control: "127.0.0.1:1", InnerLow: 2, Seeds: []string{"127.0.0.1:1"}, Data: t.TempDir(), FirstStart: true,
-		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, ListInterval: time.Second, ProbeInterval: time.Second, SendInterval: time.Second,
+	p := settings.Settings{
+		Name: "core", Address: "127.0.0.1", ControlAddress: "127.0.0.1:1", InternalPortLow: 2, Seeds: []string{"127.0.0.1:1"}, DataDirectory: t.TempDir(), FirstStart: true,
+		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, EndpointListInterval: time.Second, HealthCheckInterval: time.Second, SendInterval: time.Second,
 	}
 	node, err := raft.OpenNode(p, eventlog.Quiet())
 	if err != nil {
--- a/internal/coordinator/forum.go
+++ b/internal/coordinator/forum.go
@@ -45,7 +45,7 @@
 
 // Coordinator is open while this core leads.
 type Coordinator struct {
-	props settings.Props
+	props settings.Settings
 	log   *eventlog.Log
 	node  *raft.Node
 	term  rpc.Term
@@ -97,13 +97,13 @@
 }
 
 // Start starts a leadership's forum.
-func Start(p settings.Props, log *eventlog.Log, node *raft.Node, term raft.Term) (forum *Coordinator) {
+func Start(p settings.Settings, log *eventlog.Log, node *raft.Node, term raft.Term) (forum *Coordinator) {
 	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Coordinator{
 		props: p, log: log, node: node, term: rpc.Term(term), birth: time.Now(),
 		clock: clock, roll: registry.NewRoll(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: struckAfter}),
-		list: registry.NewList(clock), cache: healthcheck.NewCache(clock, 3*p.ProbeInterval+time.Second),
+		list: registry.NewList(clock), cache: healthcheck.NewCache(clock, 3*p.HealthCheckInterval+time.Second),
 		book: quota.NewBook(0, leaseSpan), near: map[rpc.SiteName][]rpc.FellowID{}, owners: map[rpc.ServiceName]rpc.FellowID{}, tallies: map[rpc.FellowID][]rpc.Tally{}, view: config.New().View(), sites: map[rpc.SiteName]bool{},
 		changed: make(chan struct{}), stop: make(chan struct{}), chronicle: node.Chronicle, orders: newOrders(), sessions: newSessions(), balance: healthcheck.NewBalance(),
 	}
@@ -255,7 +255,7 @@
 	for {
 		begun := time.Now()
 		servers, pages, err := platform.Walk(min(pause, 100*time.Millisecond), func(page []rpc.Server) { f.merge(page, false) })
-		interval := listInterval(f.props.ListInterval, pause, pages)
+		interval := listInterval(f.props.EndpointListInterval, pause, pages)
 		if err != nil {
 			f.log.Say(eventlog.ListFailed, "problem", err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
@@ -621,7 +621,7 @@
 			leases = append(leases, lease)
 		}
 	}
-	slack := f.props.Bounds.RetrySlack * 0.7
+	slack := f.props.Bounds.RetryBudgetSlack * 0.7
 	give(quota.Key{Kind: rpc.RetrySlack}, slack, f.props.Bounds.RetryWindow, slack/float64(present))
 	for _, demand := range ask.Demands {
 		if tenant := f.view.TenantNamed(demand.Tenant); tenant != nil {
@@ -674,7 +674,7 @@
 	if ids, known := f.near[site]; known {
 		return ids
 	}
-	region := f.props.Regions[string(site)]
+	region := f.props.ZoneRegions[string(site)]
 	var there, around, all []rpc.FellowID
 	f.roll.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
 		if !f.roll.Here(id) || fellow.Stopping || !fellow.Ready {
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -146,7 +146,7 @@
 	}
 	for _, service := range services {
 		f.eachBackend(service, func(server rpc.Server, useful bool) {
-			region := rpc.RegionName(f.props.Regions[string(server.Site)])
+			region := rpc.RegionName(f.props.ZoneRegions[string(server.Site)])
 			stock := state.Stock[region]
 			stock.Listed++
 			if useful && !f.sites[server.Site] {
@@ -164,7 +164,7 @@
 		}
 	}
 	for site := range f.sites {
-		region := rpc.RegionName(f.props.Regions[string(site)])
+		region := rpc.RegionName(f.props.ZoneRegions[string(site)])
 		stock := state.Stock[region]
 		stock.Evacuated = stock.Useful == 0
 		state.Stock[region] = stock
@@ -274,7 +274,7 @@
 		return err
 	}
 	known := map[rpc.RegionName]bool{}
-	for _, region := range f.props.Regions {
+	for _, region := range f.props.ZoneRegions {
 		known[rpc.RegionName(region)] = true
 	}
 	return plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return known[region] })
@@ -318,5 +318,5 @@
 		}
 		slots[place] += float64(max(1, server.Slots))
 	})
-	f.balance.Turn(now, atWork, slots, func(site rpc.SiteName) string { return f.props.Regions[string(site)] })
+	f.balance.Turn(now, atWork, slots, func(site rpc.SiteName) string { return f.props.ZoneRegions[string(site)] })
 }
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -119,7 +119,7 @@
 	}
 	var fronts []string
 	for _, p := range s.Stage.EdgeProps {
-		fronts = append(fronts, p.Front)
+		fronts = append(fronts, p.FrontendAddress)
 	}
 	begun := time.Now()
 	var next, played atomic.Int64
--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -55,7 +55,7 @@
 		return point, Class.Wrap(err)
 	}
 	point.Requests = requests
-	for way, front := range map[string]string{"direct": system.Backends[0].Address, "through": system.EdgeProps[0].Front} {
+	for way, front := range map[string]string{"direct": system.Backends[0].Address, "through": system.EdgeProps[0].FrontendAddress} {
 		var times []time.Duration
 		for n := 0; n < requests+requests/10+1; n++ {
 			begun := time.Now()
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -41,20 +41,20 @@
 
 // nodesTask is what a process of hollow nodes is given.
 type nodesTask struct {
-	Props   settings.Props `json:"props"`
-	First   int            `json:"first"`
-	Count   int            `json:"count"`
-	Size    Size           `json:"size"`
-	Members float64        `json:"members"`
-	Claims  float64        `json:"claims"`
-	Reports float64        `json:"reports"`
+	Props   settings.Settings `json:"props"`
+	First   int               `json:"first"`
+	Count   int               `json:"count"`
+	Size    Size              `json:"size"`
+	Members float64           `json:"members"`
+	Claims  float64           `json:"claims"`
+	Reports float64           `json:"reports"`
 }
 
 type system struct {
 	size     Size
 	hosts    func(n int) string
 	cores    []*worker
-	props    []settings.Props
+	props    []settings.Settings
 	nodes    []*worker
 	platform *http.Server
 	version  int
@@ -116,14 +116,14 @@
 }
 
 // common are the settings of every daemon.
-func (s *system) common(name, address string, seeds []string) (p settings.Props) {
-	p = settings.Props{
-		Name: name, Address: address, Site: "z0", Region: "r0", Regions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}, FirstStart: true,
-		InnerLow: innerLow, InnerHigh: innerLow + 15, Seeds: seeds, MemoryMB: 4096, Descriptors: 8192,
-		PlatformAddress: net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)), PlatformRate: 44, Sharers: 3, RestOnce: 250 * time.Millisecond, CPUShare: 1,
-		SendInterval: 4 * time.Second, ProbeInterval: time.Second, ListInterval: 700 * time.Millisecond, MachineLosses: 1,
+func (s *system) common(name, address string, seeds []string) (p settings.Settings) {
+	p = settings.Settings{
+		Name: name, Address: address, Zone: "z0", Region: "r0", ZoneRegions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}, FirstStart: true,
+		InternalPortLow: innerLow, InternalPortHigh: innerLow + 15, Seeds: seeds, MemoryMB: 4096, MaxFileDescriptors: 8192,
+		PlatformAddress: net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)), PlatformRate: 44, SubsetSize: 3, MaxIdleNonIdempotent: 250 * time.Millisecond, CPUShare: 1,
+		SendInterval: 4 * time.Second, HealthCheckInterval: time.Second, EndpointListInterval: 700 * time.Millisecond, ToleratedMachineLosses: 1,
 	}
-	p.Bounds = settings.Bounds{Grace: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 600, TTLMax: 5 * time.Second}
+	p.Bounds = settings.Bounds{GracePeriod: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 600, MaxTTL: 5 * time.Second}
 	return p
 }
 
@@ -142,7 +142,7 @@
 	}
 	for i := 1; i <= coreCount; i++ {
 		p := s.common(fmt.Sprint("core-", i), s.hosts(i), seeds)
-		p.Control, p.Data = seeds[i-1], filepath.Join(folder, p.Name)
+		p.ControlAddress, p.DataDirectory = seeds[i-1], filepath.Join(folder, p.Name)
 		core, startErr := start(program, "core", p)
 		if startErr != nil {
 			return s, startErr
@@ -270,7 +270,7 @@
 func (s *system) operator(ctx context.Context, body []byte) (err error) {
 	for {
 		for _, p := range s.props {
-			request, requestErr := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Control+"/-/Config.Update", bytes.NewReader(body))
+			request, requestErr := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.ControlAddress+"/-/Config.Update", bytes.NewReader(body))
 			if requestErr != nil {
 				return Class.Wrap(requestErr)
 			}
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -44,7 +44,7 @@
 }
 
 func workCore(lines *bufio.Scanner) (err error) {
-	var p settings.Props
+	var p settings.Settings
 	if err = task(lines, &p); err != nil {
 		return err
 	}
@@ -67,8 +67,8 @@
 	begin := func(i int) {
 		p := t.Props
 		p.Name = fmt.Sprintf("node-%05d", t.First+i)
-		p.Site = fmt.Sprint("z", (t.First+i)%3)
-		p.Region = p.Regions[p.Site]
+		p.Zone = fmt.Sprint("z", (t.First+i)%3)
+		p.Region = p.ZoneRegions[p.Zone]
 		nodes[i].Store(proxy.StartHollow(p, rpc.Life(rand.Uint64())))
 	}
 	for i := range nodes {
--- a/internal/localcluster/members_test.go
+++ b/internal/localcluster/members_test.go
@@ -36,7 +36,7 @@
 func startCore(ctx context.Context, t *testing.T, stage *Stage, n int) {
 	t.Helper()
 	p := stage.CoreProps[n]
-	p.FirstStart, p.Bounds.Grace, p.Bounds.CatchUp = false, slow, slow
+	p.FirstStart, p.Bounds.GracePeriod, p.Bounds.CatchUp = false, slow, slow
 	var err error
 	if untilErr := Until(ctx, func() bool {
 		stage.Cores[p.Name], err = controller.Start(p, eventlog.Quiet())
@@ -86,7 +86,7 @@
 	}
 	p := stage.CoreProps[0]
 	p.Name, p.Address, p.FirstStart = "core-4", hosts(4), false
-	p.Control, p.Data = hosts(4)+":18166", filepath.Join(folder, "core-4")
+	p.ControlAddress, p.DataDirectory = hosts(4)+":18166", filepath.Join(folder, "core-4")
 	stage.CoreProps = append(stage.CoreProps, p)
 	startCore(ctx, t, stage, 3)
 	for n := range stage.CoreProps {
--- a/internal/localcluster/orders_test.go
+++ b/internal/localcluster/orders_test.go
@@ -43,7 +43,7 @@
 	}
 	desk := &adminclient.Client{Wait: 30 * time.Second}
 	for _, p := range stage.CoreProps {
-		desk.Addresses = append(desk.Addresses, p.Control)
+		desk.Addresses = append(desk.Addresses, p.ControlAddress)
 	}
 	var out bytes.Buffer
 	carry := func(subject, verb string, words ...string) (said string, err error) {
--- a/internal/localcluster/sessions_test.go
+++ b/internal/localcluster/sessions_test.go
@@ -31,7 +31,7 @@
 	}
 	desk := &adminclient.Client{}
 	for _, p := range stage.CoreProps {
-		desk.Addresses = append(desk.Addresses, p.Control)
+		desk.Addresses = append(desk.Addresses, p.ControlAddress)
 	}
 	return ctx, stage, func(subject, verb string, words ...string) (said string, err error) {
 		var out bytes.Buffer
@@ -107,7 +107,7 @@
 		backend.Work.Store(int64(5 * time.Millisecond))
 	}
 	press := &clients{}
-	press.use(stage.EdgeProps[0].Front, stage.EdgeProps[1].Front)
+	press.use(stage.EdgeProps[0].FrontendAddress, stage.EdgeProps[1].FrontendAddress)
 	press.start(ctx, 12)
 	more := func(by int64) {
 		t.Helper()
@@ -124,13 +124,13 @@
 	if err := Until(ctx, func() bool { return stage.IsReady(2) }); err != nil {
 		t.Fatal(err)
 	}
-	press.use(stage.EdgeProps[0].Front, stage.EdgeProps[1].Front, stage.EdgeProps[2].Front)
+	press.use(stage.EdgeProps[0].FrontendAddress, stage.EdgeProps[1].FrontendAddress, stage.EdgeProps[2].FrontendAddress)
 	more(60)
 	fleet, err := diagnostics.Look(stage.Inner())
 	if err != nil {
 		t.Fatal(err)
 	}
-	press.use(stage.EdgeProps[1].Front, stage.EdgeProps[2].Front)
+	press.use(stage.EdgeProps[1].FrontendAddress, stage.EdgeProps[2].FrontendAddress)
 	stopped := stage.StopEdge("edge-1")
 	more(60)
 	stage.StopCore(fleet.Leader().Name)
@@ -204,7 +204,7 @@
 		go func() {
 			defer press.Done()
 			for n := 0; n < 60; n++ {
-				_, _ = AskAs(ctx, stage.EdgeProps[client%2].Front, "GET", "/hello/x", "", "")
+				_, _ = AskAs(ctx, stage.EdgeProps[client%2].FrontendAddress, "GET", "/hello/x", "", "")
 			}
 		}()
 	}
--- a/internal/localcluster/stage.go
+++ b/internal/localcluster/stage.go
@@ -112,10 +112,10 @@
 	Cores     map[string]*controller.Controller
 	Edges     map[string]*proxy.Daemon
 	Backends  []*Backend
-	CoreProps []settings.Props
-	EdgeProps []settings.Props
+	CoreProps []settings.Settings
+	EdgeProps []settings.Settings
 	hosts     func(n int) string
-	edge      func(n int) settings.Props
+	edge      func(n int) settings.Settings
 	platform  *http.Server
 	mu        sync.Mutex
 	draining  map[string]bool
@@ -184,29 +184,29 @@
 	for i := 1; i <= 3; i++ {
 		seeds = append(seeds, hosts(i)+":18166")
 	}
-	common := func(name string, n int) (p settings.Props) {
-		p = settings.Props{
-			Name: name, Address: hosts(n), Site: Site, Region: "coast", Regions: map[string]string{Site: "coast"}, FirstStart: true,
-			InnerLow: 17720, InnerHigh: 17735, Seeds: seeds, MemoryMB: 256, Descriptors: 1024, PlatformAddress: platform, PlatformRate: 100,
-			Sharers: 3, RestOnce: 250 * time.Millisecond, CPUShare: 1,
-			SendInterval: time.Second, ProbeInterval: 500 * time.Millisecond, ListInterval: 200 * time.Millisecond,
+	common := func(name string, n int) (p settings.Settings) {
+		p = settings.Settings{
+			Name: name, Address: hosts(n), Zone: Site, Region: "coast", ZoneRegions: map[string]string{Site: "coast"}, FirstStart: true,
+			InternalPortLow: 17720, InternalPortHigh: 17735, Seeds: seeds, MemoryMB: 256, MaxFileDescriptors: 1024, PlatformAddress: platform, PlatformRate: 100,
+			SubsetSize: 3, MaxIdleNonIdempotent: 250 * time.Millisecond, CPUShare: 1,
+			SendInterval: time.Second, HealthCheckInterval: 500 * time.Millisecond, EndpointListInterval: 200 * time.Millisecond,
 		}
-		p.Bounds = settings.Bounds{Grace: 2 * time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 20, TTLMax: 5 * time.Second}
+		p.Bounds = settings.Bounds{GracePeriod: 2 * time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 20, MaxTTL: 5 * time.Second}
 		return p
 	}
 	for i := 1; i <= 3; i++ {
 		p := common(fmt.Sprint("core-", i), i)
-		p.Control, p.Data = hosts(i)+":18166", filepath.Join(folder, p.Name)
+		p.ControlAddress, p.DataDirectory = hosts(i)+":18166", filepath.Join(folder, p.Name)
 		stage.CoreProps = append(stage.CoreProps, p)
 		if stage.Cores[p.Name], err = controller.Start(p, eventlog.Quiet()); err != nil {
 			return nil, err
 		}
 	}
-	stage.edge = func(n int) (p settings.Props) {
+	stage.edge = func(n int) (p settings.Settings) {
 		p = common(fmt.Sprint("edge-", n), 20+n)
-		p.Front, p.Readiness = p.Address+":18161", p.Address+":18167"
+		p.FrontendAddress, p.ReadinessAddress = p.Address+":18161", p.Address+":18167"
 		if directory {
-			p.Direct = p.Address + ":18164"
+			p.DirectoryAddress = p.Address + ":18164"
 		}
 		return p
 	}
@@ -275,7 +275,7 @@
 func (s *Stage) Operator(ctx context.Context, method, path, body string) (status int, answer string, err error) {
 	for {
 		for _, p := range s.CoreProps {
-			request, requestErr := http.NewRequestWithContext(ctx, method, "http://"+p.Control+path, bytes.NewReader([]byte(body)))
+			request, requestErr := http.NewRequestWithContext(ctx, method, "http://"+p.ControlAddress+path, bytes.NewReader([]byte(body)))
 			if requestErr != nil {
 				return 0, "", Class.Wrap(requestErr)
 			}
@@ -319,7 +319,7 @@
 
 // Ask sends one client request to an edge.
 func (s *Stage) Ask(ctx context.Context, edge int, method, path, key string) (status int, stamp, body string, err error) {
-	return ask(ctx, s.EdgeProps[edge].Front, method, path, key, "")
+	return ask(ctx, s.EdgeProps[edge].FrontendAddress, method, path, key, "")
 }
 
 // AskAs sends one client request of a caller to an edge's address.
@@ -365,7 +365,7 @@
 
 // IsReady tells what an edge answers the platform.
 func (s *Stage) IsReady(edge int) (ready bool) {
-	response, err := http.Get("http://" + s.EdgeProps[edge].Readiness + "/-/readiness")
+	response, err := http.Get("http://" + s.EdgeProps[edge].ReadinessAddress + "/-/readiness")
 	if err != nil {
 		return false
 	}
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -265,7 +265,7 @@
 		}
 	}
 	if !plan.Way.Repeat.Repeatable() {
-		sending.Rest = d.props.RestOnce
+		sending.Rest = d.props.MaxIdleNonIdempotent
 	}
 	if plan.Bound != "" && plan.asked(plan.Bound) && !d.lapse.has(SameStream) {
 		// The backend has had this id before: what it may say to that a second
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -222,7 +222,7 @@
 			cost += handicapAway * c.calm
 		}
 	case near:
-	case string(server.Site) == w.props.Site:
+	case string(server.Site) == w.props.Zone:
 		cost += handicapBeyond * c.calm
 	case string(server.Region) == w.props.Region:
 		cost += handicapSite * c.calm * c.border
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -24,7 +24,7 @@
 
 // Daemon is a running passage daemon.
 type Daemon struct {
-	props     settings.Props
+	props     settings.Settings
 	log       *eventlog.Log
 	clock     Clock
 	life      rpc.Life
@@ -46,14 +46,14 @@
 }
 
 // Start takes up the work.
-func Start(p settings.Props, log *eventlog.Log) (daemon *Daemon, err error) {
+func Start(p settings.Settings, log *eventlog.Log) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
 	d := &Daemon{props: p, log: log, clock: NewClock(), life: rpc.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
 	d.world = NewWorld(p, log, d.clock)
 	d.keys = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.link = NewLink(p, log, d.clock, d.world, d.keys, d.life, d.fellow)
-	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(rpc.RetrySlack, "") })
+	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(rpc.RetrySlack, "") })
 	d.budget.written = d.world.Orders.Retries
 	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
 		log.Say(eventlog.RetriesHeld, "service", string(service), "open", open)
@@ -61,14 +61,14 @@
 	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
-	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, max(64, (p.Descriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
+	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
 	if d.inner, err = rpc.Serve(p.Inner("passage"), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
 		return nil, err
 	}
-	if err = d.door.Open(p.Front); err != nil {
+	if err = d.door.Open(p.FrontendAddress); err != nil {
 		return nil, err
 	}
-	for _, address := range []string{p.Readiness, p.Direct} {
+	for _, address := range []string{p.ReadinessAddress, p.DirectoryAddress} {
 		if address == "" {
 			continue
 		}
@@ -98,8 +98,8 @@
 // fellow is this daemon as it tells of itself.
 func (d *Daemon) fellow() rpc.Fellow {
 	return rpc.Fellow{
-		ID: rpc.FellowID(d.props.Name), Life: d.life, Site: rpc.SiteName(d.props.Site), Region: rpc.RegionName(d.props.Region),
-		Front: d.props.Front, Inner: d.props.Inner("passage"), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
+		ID: rpc.FellowID(d.props.Name), Life: d.life, Site: rpc.SiteName(d.props.Zone), Region: rpc.RegionName(d.props.Region),
+		Front: d.props.FrontendAddress, Inner: d.props.Inner("passage"), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
 	}
 }
 
@@ -132,7 +132,7 @@
 }
 
 // Reload takes changed settings up.
-func (d *Daemon) Reload(p settings.Props) { d.link.SetSeeds(p.Seeds) }
+func (d *Daemon) Reload(p settings.Settings) { d.link.SetSeeds(p.Seeds) }
 
 // Stop ends in order: told to the leader first, so that no directory names
 // this daemon any more; then each answer closes its stream; then, when the
@@ -142,7 +142,7 @@
 	d.door.Stop()
 	go d.link.Stir()
 	begun := d.clock.Now()
-	grace := d.props.Bounds.Grace
+	grace := d.props.Bounds.GracePeriod
 	linger := min(grace/2, directionsTTL+time.Second)
 	for {
 		time.Sleep(20 * time.Millisecond)
@@ -216,10 +216,10 @@
 	scene := d.world.Scene()
 	addresses = Directions(scene.Fellows, d.world.Absent(), scene.View.Homes(host), d.planned(scene, host), region, site, httpapi.CallerAddress(ctx))
 	if len(addresses) == 0 && d.isReady() {
-		addresses = []string{d.props.Front}
+		addresses = []string{d.props.FrontendAddress}
 	}
 	if len(addresses) == 0 {
 		return nil, 0, &httpapi.Error{Kind: apierror.NotReady}
 	}
-	return addresses, min(directionsTTL, d.props.Bounds.TTLMax), nil
+	return addresses, min(directionsTTL, d.props.Bounds.MaxTTL), nil
 }
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -14,14 +14,14 @@
 
 // Hollow node.
 type Hollow struct {
-	props settings.Props
+	props settings.Settings
 	link  *Link
 	world *World
 	life  rpc.Life
 }
 
 // StartHollow takes up the beats.
-func StartHollow(p settings.Props, life rpc.Life) (hollow *Hollow) {
+func StartHollow(p settings.Settings, life rpc.Life) (hollow *Hollow) {
 	log, clock := eventlog.Quiet(), NewClock()
 	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
@@ -35,7 +35,7 @@
 
 func (h *Hollow) fellow() rpc.Fellow {
 	return rpc.Fellow{
-		ID: rpc.FellowID(h.props.Name), Life: h.life, Site: rpc.SiteName(h.props.Site), Region: rpc.RegionName(h.props.Region),
+		ID: rpc.FellowID(h.props.Name), Life: h.life, Site: rpc.SiteName(h.props.Zone), Region: rpc.RegionName(h.props.Region),
 		Front: h.props.Address + ":1", Inner: h.props.Inner("passage"), Ready: true,
 	}
 }
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -40,7 +40,7 @@
 
 // Link ties the daemon to its leader.
 type Link struct {
-	props  settings.Props
+	props  settings.Settings
 	log    *eventlog.Log
 	clock  Clock
 	world  *World
@@ -72,7 +72,7 @@
 }
 
 // NewLink is a link that has not found a leader yet.
-func NewLink(p settings.Props, log *eventlog.Log, clock Clock, world *World, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *Link) {
+func NewLink(p settings.Settings, log *eventlog.Log, clock Clock, world *World, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *Link) {
 	link = &Link{
 		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
 		stir:  make(chan struct{}, 1),
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, seed := range *l.seeds.Load() {
-		add(l.props.Accord(seed))
+		add(l.props.SeedInternalAddress(seed))
 	}
 	for _, inner := range l.world.Known() {
 		add(inner)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -65,7 +65,7 @@
 
 // Run is the duty that probes.
 func (p *Prober) Run() {
-	ticker := time.NewTicker(p.daemon.props.ProbeInterval / probePhases)
+	ticker := time.NewTicker(p.daemon.props.HealthCheckInterval / probePhases)
 	defer ticker.Stop()
 	for {
 		select {
@@ -174,7 +174,7 @@
 // daemons probe, each takes a span that grows with the fleet, so that together
 // they do not flood the backends.
 func (p *Prober) pace(backends int, alone bool, fellows int) (pace Pace) {
-	interval := p.daemon.props.ProbeInterval
+	interval := p.daemon.props.HealthCheckInterval
 	rate := max(probesLeast, probesPerCPU*p.daemon.props.CPUShare)
 	pace.well = max(interval, time.Duration(float64(backends)/rate*float64(time.Second)))
 	pace.doubt = interval
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -109,14 +109,14 @@
 // and has three ways: /safe/, /once/ and /key/.
 func daemonOf(t testing.TB, backends ...*standIn) (d *Daemon) {
 	t.Helper()
-	p := settings.Props{Name: "edge-1", Site: "here", Region: "land", Regions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, Descriptors: 1024, SendInterval: time.Second, ProbeInterval: time.Second, Sharers: 3, RestOnce: time.Minute, CPUShare: 1}
-	p.Bounds = settings.Bounds{RetryRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, TTLMax: 5 * time.Second, Grace: time.Second}
+	p := settings.Settings{Name: "edge-1", Zone: "here", Region: "land", ZoneRegions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, MaxFileDescriptors: 1024, SendInterval: time.Second, HealthCheckInterval: time.Second, SubsetSize: 3, MaxIdleNonIdempotent: time.Minute, CPUShare: 1}
+	p.Bounds = settings.Bounds{RetryBudgetRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, MaxTTL: 5 * time.Second, GracePeriod: time.Second}
 	clock := NewClock()
 	d = &Daemon{props: p, log: eventlog.Quiet(), clock: clock, life: 1}
 	d.world = NewWorld(p, d.log, clock)
 	d.keys = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
 	d.link = NewLink(p, d.log, clock, d.world, d.keys, 1, d.fellow)
-	d.budget = NewBudget(p.Bounds.RetryRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
+	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
 	d.limits = NewLimits(d.world.Share, nil)
 	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, 100, 1<<20)
 	items := config.New()
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -51,7 +51,7 @@
 
 // World keeps it.
 type World struct {
-	props settings.Props
+	props settings.Settings
 	log   *eventlog.Log
 	clock Clock
 	// Chronicle remembers what became of changes here.
@@ -80,7 +80,7 @@
 }
 
 // NewWorld knows nothing yet.
-func NewWorld(p settings.Props, log *eventlog.Log, clock Clock) (world *World) {
+func NewWorld(p settings.Settings, log *eventlog.Log, clock Clock) (world *World) {
 	world = &World{
 		props: p, log: log, clock: clock, Chronicle: history.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[rpc.ServerID]*Server{},
 		evac: map[rpc.SiteName]rpc.Evacuation{}, fellows: map[rpc.FellowID]rpc.Fellow{}, cores: map[string]bool{},
@@ -349,7 +349,7 @@
 			w.named[change.ID] = true
 		}
 		if server == nil {
-			server = newServer(change.Server, rpc.RegionName(w.props.Regions[string(change.Site)]), w.props.Site, w.habit(change.Service))
+			server = newServer(change.Server, rpc.RegionName(w.props.ZoneRegions[string(change.Site)]), w.props.Zone, w.habit(change.Service))
 			if change.Cold > 0 {
 				server.chill(now, change.Cold)
 			}
@@ -397,18 +397,18 @@
 			scene.Sharers++
 		}
 	}
-	subset := NewSubset(rpc.FellowID(w.props.Name), rpc.SiteName(w.props.Site), w.fellows, w.props.Sharers)
+	subset := NewSubset(rpc.FellowID(w.props.Name), rpc.SiteName(w.props.Zone), w.fellows, w.props.SubsetSize)
 	scene.Share = map[rpc.ServiceName]int{}
 	for service, servers := range scene.Services {
 		here := 0
 		for _, server := range servers {
-			if string(server.Site) == w.props.Site {
+			if string(server.Site) == w.props.Zone {
 				here++
 			}
 		}
 		scene.Share[service] = subset.Sharers(here)
 		for _, server := range servers {
-			if string(server.Site) == w.props.Site && subset.Holds(server.ID, scene.Share[service]) {
+			if string(server.Site) == w.props.Zone && subset.Holds(server.ID, scene.Share[service]) {
 				scene.Near[service] = append(scene.Near[service], server)
 			} else {
 				scene.Beyond[service] = append(scene.Beyond[service], server)
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -164,7 +164,7 @@
 	n.mu.RLock()
 	targets := map[string]bool{}
 	for _, seed := range n.seeds {
-		targets[n.props.Accord(seed)] = true
+		targets[n.props.SeedInternalAddress(seed)] = true
 	}
 	for _, inner := range n.book {
 		targets[inner] = true
@@ -193,7 +193,7 @@
 // Identity decides who a core with an empty disk is: a founder where the
 // whole system starts for the first time and it is among the seeds, else a
 // newcomer that has to be taken in.
-func Identity(p settings.Props) (id ID, base Snapshot) {
+func Identity(p settings.Settings) (id ID, base Snapshot) {
 	var founders []Member
 	founder := false
 	for _, seed := range p.Seeds {
@@ -201,7 +201,7 @@
 		if err != nil {
 			continue
 		}
-		member := Member{ID: ID("founder-" + host), Inner: p.Accord(seed), Control: seed, Voter: true}
+		member := Member{ID: ID("founder-" + host), Inner: p.SeedInternalAddress(seed), Control: seed, Voter: true}
 		founders = append(founders, member)
 		founder = founder || host == p.Address
 	}
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -79,7 +79,7 @@
 // Where no leader answers it goes on asking for a third of that time if a
 // successor is known, and only shortly if too few are left to elect one.
 func (n *Node) leave() {
-	grace := n.props.Bounds.Grace
+	grace := n.props.Bounds.GracePeriod
 	end := time.Now().Add(grace * 3 / 4)
 	ask, near := n.part()
 	heard, reached := time.Now(), time.Now()
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -34,7 +34,7 @@
 
 // Node is one core.
 type Node struct {
-	props   settings.Props
+	props   settings.Settings
 	log     *eventlog.Log
 	self    Member
 	raft    *Raft
@@ -85,14 +85,14 @@
 }
 
 // OpenNode opens the disk and makes the core ready to run.
-func OpenNode(p settings.Props, log *eventlog.Log) (node *Node, err error) {
-	if p.Data == "" {
+func OpenNode(p settings.Settings, log *eventlog.Log) (node *Node, err error) {
+	if p.DataDirectory == "" {
 		return nil, Class.New("data is empty: an accord daemon needs a folder")
 	}
-	if err = os.MkdirAll(p.Data, 0o755); err != nil {
+	if err = os.MkdirAll(p.DataDirectory, 0o755); err != nil {
 		return nil, Class.Wrap(err)
 	}
-	store, err := OpenStore(p.Data, roomFor(p.Data, log))
+	store, err := OpenStore(p.DataDirectory, roomFor(p.DataDirectory, log))
 	if err != nil {
 		log.Say(eventlog.RecordSpoiled, "problem", err.Error())
 		return nil, err
@@ -107,7 +107,7 @@
 		inbox: make(chan []Message, 256), wishes: make(chan wish, maxWishes), synced: make(chan int, 256),
 		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
 		book: map[ID]string{}, senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
-		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewMembership(p.MachineLosses, p.ZoneLosses, p.Bounds.CatchUp),
+		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewMembership(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, Chronicle: history.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	inner := p.Inner("accord")
@@ -117,7 +117,7 @@
 			return nil, err
 		}
 	}
-	node.self = Member{ID: id, Inner: inner, Control: p.Control, Site: p.Site}
+	node.self = Member{ID: id, Inner: inner, Control: p.ControlAddress, Site: p.Zone}
 	if node.state, err = Thaw(base.Data, node.Now()); err != nil {
 		return nil, err
 	}
--- a/internal/settings/props.go
+++ b/internal/settings/props.go
@@ -22,34 +22,34 @@
 
 // Bounds are the figures of the rules in force; zero where not given.
 type Bounds struct {
-	AddressReuse, Contact, CatchUp, Drain, Grace, ConfigApply, RetryWindow, KeyWindow, TTLMax time.Duration
-	RetryRatio, RetrySlack, ColdOverage, ColdSlack                                            float64
+	AddressReuse, Contact, CatchUp, Drain, GracePeriod, ConfigApply, RetryWindow, KeyWindow, MaxTTL time.Duration
+	RetryBudgetRatio, RetryBudgetSlack, ColdOverage, ColdSlack                                      float64
 }
 
-// Props are the checked settings of one daemon.
-type Props struct {
-	Name, Address, Site, Region, Data string
-	Regions                           map[string]string
-	FirstStart                        bool
-	Front, Readiness, Control, Direct string
-	InnerLow, InnerHigh               int
-	Seeds                             []string
-	MemoryMB, Descriptors             int
-	PlatformAddress                   string
-	PlatformRate                      float64
-	EventsTo                          string
-	Bounds                            Bounds
-	SendInterval, ProbeInterval       time.Duration
-	ListInterval                      time.Duration
-	// Sharers is how many daemons of a site use each backend first.
-	Sharers int
-	// RestOnce is how long a stream may have rested that carries a request
+// Settings are the checked settings of one daemon.
+type Settings struct {
+	Name, Address, Zone, Region, DataDirectory                          string
+	ZoneRegions                                                         map[string]string
+	FirstStart                                                          bool
+	FrontendAddress, ReadinessAddress, ControlAddress, DirectoryAddress string
+	InternalPortLow, InternalPortHigh                                   int
+	Seeds                                                               []string
+	MemoryMB, MaxFileDescriptors                                        int
+	PlatformAddress                                                     string
+	PlatformRate                                                        float64
+	EventsURL                                                           string
+	Bounds                                                              Bounds
+	SendInterval, HealthCheckInterval                                   time.Duration
+	EndpointListInterval                                                time.Duration
+	// SubsetSize is how many daemons of a site use each backend first.
+	SubsetSize int
+	// MaxIdleNonIdempotent is how long a stream may have rested that carries a request
 	// which may not run twice.
-	RestOnce time.Duration
-	// MachineLosses is how many cores may be lost at once.
-	MachineLosses int
-	// ZoneLosses is how many zones may be lost at once.
-	ZoneLosses int
+	MaxIdleNonIdempotent time.Duration
+	// ToleratedMachineLosses is how many cores may be lost at once.
+	ToleratedMachineLosses int
+	// ToleratedZoneLosses is how many zones may be lost at once.
+	ToleratedZoneLosses int
 	// LinkMbps is the daemon's own bandwidth, 0 for no bound.
 	LinkMbps float64
 	// CPUShare is the part of a processor this daemon has.
@@ -118,7 +118,7 @@
 }
 
 // Load reads and checks the file at path.
-func Load(path string) (props Props, err error) {
+func Load(path string) (props Settings, err error) {
 	if path == "" {
 		return props, Class.New("TINPIN_CONFIG names no settings file")
 	}
@@ -130,7 +130,7 @@
 }
 
 // Parse checks the bytes of a settings file.
-func Parse(raw []byte) (props Props, err error) {
+func Parse(raw []byte) (props Settings, err error) {
 	v, err := fastjson.ParseBytes(raw)
 	if err != nil {
 		return props, Class.New("the file is not JSON: %v", err)
@@ -144,25 +144,25 @@
 	if props.Address != "" && net.ParseIP(props.Address) == nil {
 		r.fail("address", "must be an IP number")
 	}
-	props.Site = r.text(v, "site", true)
+	props.Zone = r.text(v, "site", true)
 	props.Region = r.text(v, "region", true)
-	props.Data = r.text(v, "data", false)
+	props.DataDirectory = r.text(v, "data", false)
 	props.FirstStart = v.GetBool("first_start")
-	props.Regions = map[string]string{}
+	props.ZoneRegions = map[string]string{}
 	if regions := v.GetObject("regions"); regions != nil {
 		regions.Visit(func(site []byte, region *fastjson.Value) {
-			props.Regions[string(site)] = string(region.GetStringBytes())
+			props.ZoneRegions[string(site)] = string(region.GetStringBytes())
 		})
 	}
-	props.Front = r.address(v, "listen.frontend")
-	props.Readiness = r.address(v, "listen.readiness")
-	props.Control = r.address(v, "listen.control_plane")
-	props.Direct = r.address(v, "listen.directory_endpoint")
+	props.FrontendAddress = r.address(v, "listen.frontend")
+	props.ReadinessAddress = r.address(v, "listen.readiness")
+	props.ControlAddress = r.address(v, "listen.control_plane")
+	props.DirectoryAddress = r.address(v, "listen.directory_endpoint")
 	ports := v.GetArray("inner_ports")
 	if len(ports) != 2 || ports[0].GetInt() < 1 || ports[1].GetInt() < ports[0].GetInt()+1 || ports[1].GetInt() > 65535 {
 		r.fail("inner_ports", "must be two ports, the second higher")
 	} else {
-		props.InnerLow, props.InnerHigh = ports[0].GetInt(), ports[1].GetInt()
+		props.InternalPortLow, props.InternalPortHigh = ports[0].GetInt(), ports[1].GetInt()
 	}
 	for i, seed := range v.GetArray("seeds") {
 		text := string(seed.GetStringBytes())
@@ -176,11 +176,11 @@
 		r.fail("seeds", "must name one daemon or more")
 	}
 	props.MemoryMB = int(r.number(v, "memory_mb", 16, 256))
-	props.Descriptors = int(r.number(v, "descriptors", 64, 1024))
+	props.MaxFileDescriptors = int(r.number(v, "descriptors", 64, 1024))
 	props.PlatformAddress = r.address(v, "platform.address")
 	props.PlatformRate = r.number(v, "platform.rate_per_s", 0.01, 10)
-	if props.EventsTo = r.text(v, "events_to", false); props.EventsTo != "" {
-		if target, urlErr := url.Parse(props.EventsTo); urlErr != nil || target.Scheme != "http" || target.Host == "" {
+	if props.EventsURL = r.text(v, "events_to", false); props.EventsURL != "" {
+		if target, urlErr := url.Parse(props.EventsURL); urlErr != nil || target.Scheme != "http" || target.Host == "" {
 			r.fail("events_to", "must be an http address")
 		}
 	}
@@ -189,28 +189,28 @@
 	b.Contact = r.span(v, "bounds.contact", 3*time.Second)
 	b.CatchUp = r.span(v, "bounds.catch_up", 4*time.Second)
 	b.Drain = r.span(v, "bounds.drain", 2500*time.Millisecond)
-	b.Grace = r.span(v, "bounds.grace_period", 6*time.Second)
+	b.GracePeriod = r.span(v, "bounds.grace_period", 6*time.Second)
 	b.ConfigApply = r.span(v, "bounds.config_apply", 2500*time.Millisecond)
 	b.RetryWindow = r.span(v, "bounds.retry_window", 10*time.Second)
 	b.KeyWindow = r.span(v, "bounds.key_window", 60*time.Second)
-	b.TTLMax = r.span(v, "bounds.ttl_max", 5*time.Second)
-	b.RetryRatio = r.number(v, "bounds.retry_budget_ratio", 0, 0.1)
-	b.RetrySlack = r.number(v, "bounds.retry_budget_slack", 0, 0)
+	b.MaxTTL = r.span(v, "bounds.ttl_max", 5*time.Second)
+	b.RetryBudgetRatio = r.number(v, "bounds.retry_budget_ratio", 0, 0.1)
+	b.RetryBudgetSlack = r.number(v, "bounds.retry_budget_slack", 0, 0)
 	b.ColdOverage = r.number(v, "bounds.cold_overage", 0, 1)
 	b.ColdSlack = r.number(v, "bounds.cold_slack", 0, 0)
 	props.SendInterval = r.span(v, "send_interval", 15*time.Second)
-	props.ProbeInterval = r.span(v, "probe_interval", time.Second)
-	props.ListInterval = r.span(v, "list_interval", time.Second)
-	props.Sharers = int(r.number(v, "backend_sharers", 1, 3))
-	props.RestOnce = r.span(v, "rest_once", 250*time.Millisecond)
-	props.MachineLosses = int(r.number(v, "machine_losses", 0, 1))
-	props.ZoneLosses = int(r.number(v, "zone_losses", 0, 0))
+	props.HealthCheckInterval = r.span(v, "probe_interval", time.Second)
+	props.EndpointListInterval = r.span(v, "list_interval", time.Second)
+	props.SubsetSize = int(r.number(v, "backend_sharers", 1, 3))
+	props.MaxIdleNonIdempotent = r.span(v, "rest_once", 250*time.Millisecond)
+	props.ToleratedMachineLosses = int(r.number(v, "machine_losses", 0, 1))
+	props.ToleratedZoneLosses = int(r.number(v, "zone_losses", 0, 0))
 	props.LinkMbps = r.number(v, "link_mbps", 0, 0)
 	props.CPUShare = r.number(v, "cpu_share", 0.001, 1)
-	if props.ProbeInterval < 10*time.Millisecond {
+	if props.HealthCheckInterval < 10*time.Millisecond {
 		r.fail("probe_interval", "must be 10ms or more")
 	}
-	if props.ListInterval < 10*time.Millisecond {
+	if props.EndpointListInterval < 10*time.Millisecond {
 		r.fail("list_interval", "must be 10ms or more")
 	}
 	if len(r.problems) > 0 {
@@ -223,19 +223,19 @@
 // Inner gives the address of this daemon's own inner listener: accord takes
 // the first port of the range and passage the second, so that both may share
 // a machine.
-func (p Props) Inner(role string) (address string) {
-	port := p.InnerLow
+func (p Settings) Inner(role string) (address string) {
+	port := p.InternalPortLow
 	if role == "passage" {
 		port++
 	}
 	return net.JoinHostPort(p.Address, strconv.Itoa(port))
 }
 
-// Accord gives the inner address of the accord daemon behind a seed.
-func (p Props) Accord(seed string) (address string) {
+// SeedInternalAddress gives the inner address of the accord daemon behind a seed.
+func (p Settings) SeedInternalAddress(seed string) (address string) {
 	host, _, err := net.SplitHostPort(seed)
 	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, strconv.Itoa(p.InnerLow))
+	return net.JoinHostPort(host, strconv.Itoa(p.InternalPortLow))
 }
--- a/internal/settings/props_test.go
+++ b/internal/settings/props_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Bounds.Drain != 2500*time.Millisecond || p.Bounds.CatchUp != 6*time.Second || p.SendInterval != 4*time.Second || p.ProbeInterval != time.Second || p.Inner("accord") != "10.1.0.13:7720" || p.Inner("passage") != "10.1.0.13:7721" || p.Accord(p.Seeds[0]) != "10.1.0.15:7720" {
+	if p.Bounds.Drain != 2500*time.Millisecond || p.Bounds.CatchUp != 6*time.Second || p.SendInterval != 4*time.Second || p.HealthCheckInterval != time.Second || p.Inner("accord") != "10.1.0.13:7720" || p.Inner("passage") != "10.1.0.13:7721" || p.SeedInternalAddress(p.Seeds[0]) != "10.1.0.15:7720" {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -95,10 +95,10 @@
 		if parseErr != nil {
 			t.Fatal(parseErr)
 		}
-		if p.ZoneLosses != 1 || p.Bounds.CatchUp != 6*time.Second {
+		if p.ToleratedZoneLosses != 1 || p.Bounds.CatchUp != 6*time.Second {
 			t.Fatalf("%+v", p)
 		}
-		if with && (p.Data != "/data" || p.PlatformAddress != "10.9.0.1:80") || !with && (p.Data != "" || p.PlatformAddress != "") {
+		if with && (p.DataDirectory != "/data" || p.PlatformAddress != "10.9.0.1:80") || !with && (p.DataDirectory != "" || p.PlatformAddress != "") {
 			t.Fatalf("%+v", p)
 		}
 	}
