--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -218,7 +218,7 @@
 		_, _ = fmt.Fprintln(bad, "tinpin:", err)
 		return 1
 	}
-	log.Say(eventlog.Started, "role", role, "version", Version)
+	log.Emit(eventlog.Started, "role", role, "version", Version)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
@@ -228,15 +228,15 @@
 }
 
 // attend heeds signals and changes of the settings file until told to stop.
-func attend(running daemon, path string, signals <-chan os.Signal, renew <-chan time.Time, log *eventlog.Log) (code int) {
+func attend(running daemon, path string, signals <-chan os.Signal, renew <-chan time.Time, log *eventlog.Logger) (code int) {
 	last := stamp(path)
 	for {
 		select {
 		case got := <-signals:
 			if got != syscall.SIGHUP {
-				log.Say(eventlog.Stopping)
+				log.Emit(eventlog.Stopping)
 				running.Stop()
-				log.Say(eventlog.Stopped)
+				log.Emit(eventlog.Stopped)
 				return 0
 			}
 		case <-renew:
@@ -248,11 +248,11 @@
 		last = stamp(path)
 		fresh, loadErr := settings.Load(path)
 		if loadErr != nil {
-			log.Say(eventlog.PropsRefused, "problem", loadErr.Error())
+			log.Emit(eventlog.SettingsRejected, "problem", loadErr.Error())
 			continue
 		}
 		running.Reload(fresh)
-		log.Say(eventlog.PropsTaken)
+		log.Emit(eventlog.SettingsReloaded)
 	}
 }
 
--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -92,7 +92,7 @@
 	write("10.0.0.2:1")
 	signals, renew, ended := make(chan os.Signal), make(chan time.Time), make(chan int)
 	running := recorder{make(chan string, 4)}
-	go func() { ended <- attend(running, path, signals, renew, eventlog.Quiet()) }()
+	go func() { ended <- attend(running, path, signals, renew, eventlog.Discard()) }()
 	renew <- time.Time{} // nothing changed
 	signals <- syscall.SIGHUP
 	if did := <-running.did; did != "10.0.0.2:1" {
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -27,7 +27,7 @@
 // Controller is a running accord daemon.
 type Controller struct {
 	props settings.Settings
-	log   *eventlog.Log
+	log   *eventlog.Logger
 	node  *raft.Node
 	desk  *coordinator.Handler
 	// patience is how long a call waits for its outcome.
@@ -38,7 +38,7 @@
 }
 
 // Start opens the disk and the listeners and takes up the work.
-func Start(p settings.Settings, log *eventlog.Log) (council *Controller, err error) {
+func Start(p settings.Settings, log *eventlog.Logger) (council *Controller, err error) {
 	node, err := raft.OpenNode(p, log)
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 	if result.Problem != "" {
 		return c.refuse(history.Item, refusedAs(apierror.BadConfig, result))
 	}
-	c.log.Say(eventlog.ConfigTaken, "bytes", len(body))
+	c.log.Emit(eventlog.ConfigAccepted, "bytes", len(body))
 	for _, path := range call.Paths() {
 		c.node.Chronicle.Note(history.Item, path, "acknowledged", "", 0, true)
 	}
@@ -158,7 +158,7 @@
 
 // refuse logs what the caller is told.
 func (c *Controller) refuse(subject string, trouble *httpapi.Error) (err error) {
-	c.log.Say(eventlog.OrderRefused, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
+	c.log.Emit(eventlog.OperatorRequestRejected, "kind", subject, "status", trouble.Kind.Answer().Status, "why", trouble.Error())
 	return trouble
 }
 
@@ -200,7 +200,7 @@
 	if result.Problem != "" {
 		return c.refuse(history.Evacuation, refusedAs(apierror.BadOrder, result))
 	}
-	c.log.Say(eventlog.EvacuationTaken, "site", site, "start", start)
+	c.log.Emit(eventlog.EvacuationAccepted, "site", site, "start", start)
 	c.node.Chronicle.Note(history.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
 }
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -36,19 +36,19 @@
 		Name: "core", Address: "127.0.0.1", ControlAddress: "127.0.0.1:1", InternalPortLow: 2, Seeds: []string{"127.0.0.1:1"}, DataDirectory: t.TempDir(), FirstStart: true,
 		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, EndpointListInterval: time.Second, HealthCheckInterval: time.Second, SendInterval: time.Second,
 	}
-	node, err := raft.OpenNode(p, eventlog.Quiet())
+	node, err := raft.OpenNode(p, eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
 	contact = &scripted{}
 	// What is asked here has an outcome, however slow this machine is.
-	c = &Controller{props: p, log: eventlog.Quiet(), node: node, patience: time.Minute, desk: coordinator.NewHandler(node, contact)}
+	c = &Controller{props: p, log: eventlog.Discard(), node: node, patience: time.Minute, desk: coordinator.NewHandler(node, contact)}
 	led := make(chan bool, 1)
 	node.OnRole = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
-		c.desk.SetCoordinator(coordinator.Start(p, eventlog.Quiet(), node, term))
+		c.desk.SetCoordinator(coordinator.Start(p, eventlog.Discard(), node, term))
 		led <- true
 	}
 	node.Run()
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -109,7 +109,7 @@
 	if result.Problem != "" {
 		return c.refuse(kind, refusedAs(apierror.BadOrder, result))
 	}
-	c.log.Say(eventlog.OrderTaken, "kind", kind, "name", name, "what", what)
+	c.log.Emit(eventlog.OperatorRequestAccepted, "kind", kind, "name", name, "what", what)
 	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
 	return nil
 }
@@ -200,7 +200,7 @@
 				return "", err
 			}
 			if phase, err = sent.answer(listed, refusal); err != nil {
-				c.log.Say(eventlog.OrderRefused, "kind", history.Retirement, "name", string(id), "why", err.Error())
+				c.log.Emit(eventlog.OperatorRequestRejected, "kind", history.Retirement, "name", string(id), "why", err.Error())
 			}
 			return phase, err
 		}
--- a/internal/coordinator/check.go
+++ b/internal/coordinator/check.go
@@ -113,7 +113,7 @@
 func (f *Coordinator) refuse(call string, by rpc.FellowID, fault string) (err error) {
 	count := f.refusals.Add(1)
 	if count <= loggedRefusals || count%loggedRefusals == 0 {
-		f.log.Say(eventlog.AskRefused, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
+		f.log.Emit(eventlog.NodeRequestRejected, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", fault, "count", count)
 	}
 	return Class.New("refused: %s", fault)
 }
--- a/internal/coordinator/forum.go
+++ b/internal/coordinator/forum.go
@@ -46,7 +46,7 @@
 // Coordinator is open while this core leads.
 type Coordinator struct {
 	props settings.Settings
-	log   *eventlog.Log
+	log   *eventlog.Logger
 	node  *raft.Node
 	term  rpc.Term
 	birth time.Time
@@ -97,7 +97,7 @@
 }
 
 // Start starts a leadership's forum.
-func Start(p settings.Settings, log *eventlog.Log, node *raft.Node, term raft.Term) (forum *Coordinator) {
+func Start(p settings.Settings, log *eventlog.Logger, node *raft.Node, term raft.Term) (forum *Coordinator) {
 	clock := &registry.Clock{}
 	clock.Next()
 	forum = &Coordinator{
@@ -186,7 +186,7 @@
 		lost, changed := f.roll.Tick(now)
 		changed, f.moved = changed || f.moved, false
 		for _, id := range lost {
-			f.log.Say(eventlog.FellowLost, "fellow", string(id))
+			f.log.Emit(eventlog.NodeExpired, "fellow", string(id))
 		}
 		if changed {
 			f.refreshMembers()
@@ -235,7 +235,7 @@
 		f.mapAt = f.clock.Next()
 		f.shards = rpc.ShardMap{Term: f.term, Count: f.mapAt, Members: members}
 		f.cache.Shards(f.shards)
-		f.log.Say(eventlog.MapChanged, "count", uint64(f.mapAt), "members", len(members))
+		f.log.Emit(eventlog.ShardMapChanged, "count", uint64(f.mapAt), "members", len(members))
 	}
 	absent := f.roll.Absent()
 	same = len(absent) == len(f.absent)
@@ -257,7 +257,7 @@
 		servers, pages, err := platform.Walk(min(pause, 100*time.Millisecond), func(page []rpc.Server) { f.merge(page, false) })
 		interval := listInterval(f.props.EndpointListInterval, pause, pages)
 		if err != nil {
-			f.log.Say(eventlog.ListFailed, "problem", err.Error())
+			f.log.Emit(eventlog.EndpointListFailed, "problem", err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
 		} else {
 			f.merge(servers, true)
@@ -330,7 +330,7 @@
 	f.mu.Lock()
 	joined, changed := f.roll.Beat(f.now(), ask.Fellow)
 	if joined {
-		f.log.Say(eventlog.FellowJoined, "fellow", string(ask.ID), "life", uint64(ask.Life))
+		f.log.Emit(eventlog.NodeJoined, "fellow", string(ask.ID), "life", uint64(ask.Life))
 	}
 	// Who came or changed is told with the next turn of tend: after a change of
 	// leader all come at once, and each would wake all the others.
--- a/internal/coordinator/forum_test.go
+++ b/internal/coordinator/forum_test.go
@@ -24,11 +24,11 @@
 	clock := &registry.Clock{}
 	clock.Next()
 	return &Coordinator{
-		log: eventlog.Quiet(), term: 7, birth: time.Now(), clock: clock, rev: 0,
+		log: eventlog.Discard(), term: 7, birth: time.Now(), clock: clock, rev: 0,
 		roll: registry.NewRoll(clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour}), list: registry.NewList(clock),
 		cache: healthcheck.NewCache(clock, time.Minute), book: quota.Unwaited(leaseSpan), lender: quota.NewLender(0, leaseSpan, true),
 		view: config.New().View(), near: map[rpc.SiteName][]rpc.FellowID{}, owners: map[rpc.ServiceName]rpc.FellowID{}, tallies: map[rpc.FellowID][]rpc.Tally{}, sites: map[rpc.SiteName]bool{}, changed: make(chan struct{}), stop: make(chan struct{}),
-		chronicle: history.New(eventlog.Quiet()),
+		chronicle: history.New(eventlog.Discard()),
 	}
 }
 
--- a/internal/coordinator/orders.go
+++ b/internal/coordinator/orders.go
@@ -190,7 +190,7 @@
 			commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 		}
 		for _, account := range o.retiring {
-			f.say(eventlog.RetireStands, account.Server, string(account.Phase), "why", account.Why)
+			f.say(eventlog.RetirementProgress, account.Server, string(account.Phase), "why", account.Why)
 		}
 	} else {
 		o.retiring = nil
@@ -213,7 +213,7 @@
 			}
 		}
 		for _, account := range o.moving {
-			f.say(eventlog.MoveStands, account.Target, account.Waiting, "wanted", account.Wanted)
+			f.say(eventlog.ScheduleProgress, account.Target, account.Waiting, "wanted", account.Wanted)
 		}
 	}
 	if len(commands) == 0 || o.busy {
@@ -242,7 +242,7 @@
 		f.orders.said = map[string]string{}
 	}
 	f.orders.said[key] = stands
-	f.log.Say(event, append([]any{"subject", subject, "stands", stands}, pairs...)...)
+	f.log.Emit(event, append([]any{"subject", subject, "stands", stands}, pairs...)...)
 }
 
 // EndpointsComplete tells that the platform's list is known whole.
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -174,7 +174,7 @@
 			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
 			if answer.Result.Moved {
 				f.sessions.moved++
-				f.log.Say(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
+				f.log.Emit(eventlog.SessionMoved, "session", string(bind.Session), "service", string(bind.Service), "from", string(bind.From), "to", string(binding.Server), "why", why[i])
 				f.chronicle.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 			}
 		}
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -135,7 +135,7 @@
 				continue
 			}
 			var read line
-			if json.Unmarshal([]byte(text[brace:]), &read) == nil && read.Event == int(eventlog.ChangeSeen) && read.Kind == kind && read.Name == name {
+			if json.Unmarshal([]byte(text[brace:]), &read) == nil && read.Event == int(eventlog.ChangeObserved) && read.Kind == kind && read.Name == name {
 				found = append(found, read)
 			}
 		}
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -19,82 +19,82 @@
 	Started Event = iota + 101
 	Stopping
 	Stopped
-	PropsTaken
-	PropsRefused
-	LeaderWon
-	LeaderLost
-	MemberChanged
-	SnapshotTaken
-	DiskFailed
-	ListFailed
-	FellowJoined
-	FellowLost
-	MapChanged
+	SettingsReloaded
+	SettingsRejected
+	LeaderElected
+	LeadershipLost
+	MembershipChanged
+	SnapshotWritten
+	DiskWriteFailed
+	EndpointListFailed
+	NodeJoined
+	NodeExpired
+	ShardMapChanged
 	Headless
 	LeaderFound
-	ConfigTaken
-	EvacuationTaken
-	HealthChanged
-	ChangeSeen
-	EventsDropped
-	AsideChanged
-	RetireStands
-	MoveStands
-	CutOff
-	OrderTaken
+	ConfigAccepted
+	EvacuationAccepted
+	EndpointHealthChanged
+	ChangeObserved
+	NotificationsDropped
+	EjectionChanged
+	RetirementProgress
+	ScheduleProgress
+	IsolationChanged
+	OperatorRequestAccepted
 	SessionMoved
-	AskRefused
-	RetriesHeld
-	JoinRefused
-	MessageRefused
-	RecordSpoiled
-	OrderRefused
+	NodeRequestRejected
+	RetriesSuppressed
+	JoinRejected
+	PeerMessageRejected
+	RecordCorrupt
+	OperatorRequestRejected
 	DiskFull
 )
 
 // Texts is the catalogue.
 var Texts = map[Event]string{
-	Started:         "daemon started",
-	Stopping:        "stop asked for, work in hand is finished",
-	Stopped:         "daemon stopped",
-	PropsTaken:      "changed settings taken up",
-	PropsRefused:    "changed settings refused, the old ones stay",
-	LeaderWon:       "leadership won",
-	LeaderLost:      "leadership lost",
-	MemberChanged:   "core membership changed",
-	SnapshotTaken:   "snapshot written, log cut",
-	DiskFailed:      "disk refused a write",
-	ListFailed:      "platform's list could not be read",
-	FellowJoined:    "fellow joined",
-	FellowLost:      "fellow not heard any more",
-	MapChanged:      "shard map changed",
-	Headless:        "no leader, every service is probed here",
-	LeaderFound:     "leader found",
-	ConfigTaken:     "configuration acknowledged",
-	EvacuationTaken: "evacuation acknowledged",
-	HealthChanged:   "health of a backend changed",
-	ChangeSeen:      "change seen on this daemon",
-	EventsDropped:   "events not delivered to their receiver",
-	AsideChanged:    "backend set aside or let back",
-	RetireStands:    "order to retire a backend goes on",
-	MoveStands:      "target of the day's plan goes on or waits",
-	CutOff:          "cut off from leader and fellows, or back in touch",
-	OrderTaken:      "operator's order acknowledged",
-	OrderRefused:    "operator's order refused",
-	SessionMoved:    "session moved to another backend",
-	AskRefused:      "malformed call of a daemon refused",
-	MessageRefused:  "message of another core refused",
-	DiskFull:        "disk is full, writes wait, or go on",
-	RecordSpoiled:   "disk cannot be read, the core does not start",
-	RetriesHeld:     "retries to a slow service held back, or let again",
-	JoinRefused:     "core refused as a member",
+	Started:                 "daemon started",
+	Stopping:                "stop asked for, work in hand is finished",
+	Stopped:                 "daemon stopped",
+	SettingsReloaded:        "changed settings taken up",
+	SettingsRejected:        "changed settings refused, the old ones stay",
+	LeaderElected:           "leadership won",
+	LeadershipLost:          "leadership lost",
+	MembershipChanged:       "core membership changed",
+	SnapshotWritten:         "snapshot written, log cut",
+	DiskWriteFailed:         "disk refused a write",
+	EndpointListFailed:      "platform's list could not be read",
+	NodeJoined:              "fellow joined",
+	NodeExpired:             "fellow not heard any more",
+	ShardMapChanged:         "shard map changed",
+	Headless:                "no leader, every service is probed here",
+	LeaderFound:             "leader found",
+	ConfigAccepted:          "configuration acknowledged",
+	EvacuationAccepted:      "evacuation acknowledged",
+	EndpointHealthChanged:   "health of a backend changed",
+	ChangeObserved:          "change seen on this daemon",
+	NotificationsDropped:    "events not delivered to their receiver",
+	EjectionChanged:         "backend set aside or let back",
+	RetirementProgress:      "order to retire a backend goes on",
+	ScheduleProgress:        "target of the day's plan goes on or waits",
+	IsolationChanged:        "cut off from leader and fellows, or back in touch",
+	OperatorRequestAccepted: "operator's order acknowledged",
+	OperatorRequestRejected: "operator's order refused",
+	SessionMoved:            "session moved to another backend",
+	NodeRequestRejected:     "malformed call of a daemon refused",
+	PeerMessageRejected:     "message of another core refused",
+	DiskFull:                "disk is full, writes wait, or go on",
+	RecordCorrupt:           "disk cannot be read, the core does not start",
+	RetriesSuppressed:       "retries to a slow service held back, or let again",
+	JoinRejected:            "core refused as a member",
 }
 
-// Log writes numbered events.
-type Log struct{ zap *zap.Logger }
+// Logger writes numbered events.
+type Logger struct{ zap *zap.Logger }
 
 // New makes a log that names the daemon on each line.
-func New(daemon string) (log *Log) {
+func New(daemon string) (log *Logger) {
 	config := zap.NewProductionConfig()
 	config.Sampling = nil
 	config.DisableCaller = true
@@ -105,14 +105,14 @@
 	if err != nil {
 		built = zap.NewNop()
 	}
-	return &Log{zap: built.With(zap.String("daemon", daemon))}
+	return &Logger{zap: built.With(zap.String("daemon", daemon))}
 }
 
-// Quiet makes a log that drops everything.
-func Quiet() (log *Log) { return &Log{zap: zap.NewNop()} }
+// Discard makes a log that drops everything.
+func Discard() (log *Logger) { return &Logger{zap: zap.NewNop()} }
 
-// Say writes one event with its fields as key and value in turn.
-func (l *Log) Say(event Event, pairs ...any) {
+// Emit writes one event with its fields as key and value in turn.
+func (l *Logger) Emit(event Event, pairs ...any) {
 	fields := make([]zap.Field, 0, len(pairs)/2+1)
 	fields = append(fields, zap.Int("event", int(event)))
 	for i := 0; i+1 < len(pairs); i += 2 {
--- a/internal/history/chronicle.go
+++ b/internal/history/chronicle.go
@@ -43,7 +43,7 @@
 
 // Chronicle is a ring of marks.
 type Chronicle struct {
-	log   *eventlog.Log
+	log   *eventlog.Logger
 	birth time.Time
 	mu    sync.Mutex
 	marks []Mark
@@ -53,7 +53,7 @@
 }
 
 // New is an empty chronicle.
-func New(log *eventlog.Log) (c *Chronicle) {
+func New(log *eventlog.Logger) (c *Chronicle) {
 	return &Chronicle{log: log, birth: time.Now(), OnMark: func(Mark) {}}
 }
 
@@ -69,7 +69,7 @@
 	c.next++
 	c.mu.Unlock()
 	if !quiet {
-		c.log.Say(eventlog.ChangeSeen, "kind", kind, "name", name, "what", what, "stamp", stamp, "rev", rev)
+		c.log.Emit(eventlog.ChangeObserved, "kind", kind, "name", name, "what", what, "stamp", stamp, "rev", rev)
 		c.OnMark(mark)
 	}
 }
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -48,7 +48,7 @@
 	if err = task(lines, &p); err != nil {
 		return err
 	}
-	core, err := controller.Start(p, eventlog.Quiet())
+	core, err := controller.Start(p, eventlog.Discard())
 	if err != nil {
 		return err
 	}
--- a/internal/localcluster/members_test.go
+++ b/internal/localcluster/members_test.go
@@ -39,7 +39,7 @@
 	p.FirstStart, p.Bounds.GracePeriod, p.Bounds.CatchUp = false, slow, slow
 	var err error
 	if untilErr := Until(ctx, func() bool {
-		stage.Cores[p.Name], err = controller.Start(p, eventlog.Quiet())
+		stage.Cores[p.Name], err = controller.Start(p, eventlog.Discard())
 		return err == nil
 	}); untilErr != nil {
 		t.Fatal(err)
--- a/internal/localcluster/stage.go
+++ b/internal/localcluster/stage.go
@@ -198,7 +198,7 @@
 		p := common(fmt.Sprint("core-", i), i)
 		p.ControlAddress, p.DataDirectory = hosts(i)+":18166", filepath.Join(folder, p.Name)
 		stage.CoreProps = append(stage.CoreProps, p)
-		if stage.Cores[p.Name], err = controller.Start(p, eventlog.Quiet()); err != nil {
+		if stage.Cores[p.Name], err = controller.Start(p, eventlog.Discard()); err != nil {
 			return nil, err
 		}
 	}
@@ -221,7 +221,7 @@
 // AddEdge sets up one edge more.
 func (s *Stage) AddEdge() (err error) {
 	p := s.edge(len(s.EdgeProps) + 1)
-	edge, err := proxy.Start(p, eventlog.Quiet())
+	edge, err := proxy.Start(p, eventlog.Discard())
 	if err != nil {
 		return err
 	}
--- a/internal/notify/herald.go
+++ b/internal/notify/herald.go
@@ -32,14 +32,14 @@
 type Herald struct {
 	client  cloudevents.Client
 	source  string
-	log     *eventlog.Log
+	log     *eventlog.Logger
 	ring    chan history.Mark
 	count   uint64
 	dropped atomic.Uint64
 }
 
 // New tells a receiver at an http address, in the name of a daemon.
-func New(target, daemon string, log *eventlog.Log) (herald *Herald, err error) {
+func New(target, daemon string, log *eventlog.Logger) (herald *Herald, err error) {
 	protocol, err := cloudevents.NewHTTP(cloudevents.WithTarget(target), cehttp.WithClient(http.Client{Timeout: patience}))
 	if err != nil {
 		return nil, Class.Wrap(err)
@@ -90,7 +90,7 @@
 		}
 		if err != nil {
 			h.dropped.Add(1)
-			h.log.Say(eventlog.EventsDropped, "dropped", h.dropped.Load(), "problem", err.Error())
+			h.log.Emit(eventlog.NotificationsDropped, "dropped", h.dropped.Load(), "problem", err.Error())
 		}
 	}
 }
--- a/internal/notify/herald_test.go
+++ b/internal/notify/herald_test.go
@@ -21,7 +21,7 @@
 		w.WriteHeader(http.StatusAccepted)
 	}))
 	defer receiver.Close()
-	herald, err := New(receiver.URL, "core-1", eventlog.Quiet())
+	herald, err := New(receiver.URL, "core-1", eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	receiver := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-gate }))
 	defer receiver.Close()
 	defer close(gate)
-	herald, err := New(receiver.URL, "core-1", eventlog.Quiet())
+	herald, err := New(receiver.URL, "core-1", eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -25,7 +25,7 @@
 // Daemon is a running passage daemon.
 type Daemon struct {
 	props     settings.Settings
-	log       *eventlog.Log
+	log       *eventlog.Logger
 	clock     Clock
 	life      rpc.Life
 	nap       time.Duration
@@ -46,7 +46,7 @@
 }
 
 // Start takes up the work.
-func Start(p settings.Settings, log *eventlog.Log) (daemon *Daemon, err error) {
+func Start(p settings.Settings, log *eventlog.Logger) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
 	d := &Daemon{props: p, log: log, clock: NewClock(), life: rpc.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
@@ -56,7 +56,7 @@
 	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(rpc.RetrySlack, "") })
 	d.budget.written = d.world.Orders.Retries
 	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
-		log.Say(eventlog.RetriesHeld, "service", string(service), "open", open)
+		log.Emit(eventlog.RetriesSuppressed, "service", string(service), "open", open)
 	}
 	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -22,7 +22,7 @@
 
 // StartHollow takes up the beats.
 func StartHollow(p settings.Settings, life rpc.Life) (hollow *Hollow) {
-	log, clock := eventlog.Quiet(), NewClock()
+	log, clock := eventlog.Discard(), NewClock()
 	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
 	h.link = NewLink(p, log, clock, h.world, book, life, h.fellow)
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -41,7 +41,7 @@
 // Link ties the daemon to its leader.
 type Link struct {
 	props  settings.Settings
-	log    *eventlog.Log
+	log    *eventlog.Logger
 	clock  Clock
 	world  *World
 	keys   *idempotency.Book
@@ -72,7 +72,7 @@
 }
 
 // NewLink is a link that has not found a leader yet.
-func NewLink(p settings.Settings, log *eventlog.Log, clock Clock, world *World, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *Link) {
+func NewLink(p settings.Settings, log *eventlog.Logger, clock Clock, world *World, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *Link) {
 	link = &Link{
 		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
 		stir:  make(chan struct{}, 1),
@@ -194,7 +194,7 @@
 		return false
 	}
 	if old := *l.leader.Load(); !l.Led() || old != target {
-		l.log.Say(eventlog.LeaderFound, "leader", target, "term", uint64(term))
+		l.log.Emit(eventlog.LeaderFound, "leader", target, "term", uint64(term))
 	}
 	l.term = term
 	l.heard.Store(int64(l.clock.Now()))
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -284,7 +284,7 @@
 		cut := o.permit.CutOff(d.clock.Now())
 		o.mu.Unlock()
 		if o.cutOff.Swap(cut) != cut {
-			d.log.Say(eventlog.CutOff, "cut_off", cut)
+			d.log.Emit(eventlog.IsolationChanged, "cut_off", cut)
 		}
 	}
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -140,7 +140,7 @@
 			state := held.state
 			p.mu.Unlock()
 			server.note(d.clock.Now(), nil, &state)
-			d.log.Say(eventlog.AsideChanged, "backend", string(server.ID), "aside", aside)
+			d.log.Emit(eventlog.EjectionChanged, "backend", string(server.ID), "aside", aside)
 			d.world.Chronicle.Note(history.Health, string(server.ID), "judged", state.Stamp(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
@@ -273,7 +273,7 @@
 	}
 	if before.Health != state.Health {
 		if before.Health != rpc.Unknown || state.Health == rpc.Down {
-			d.log.Say(eventlog.HealthChanged, "backend", string(server.ID), "health", int(state.Health))
+			d.log.Emit(eventlog.EndpointHealthChanged, "backend", string(server.ID), "health", int(state.Health))
 		}
 	}
 	if turned && d.link.Led() {
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -112,7 +112,7 @@
 	p := settings.Settings{Name: "edge-1", Zone: "here", Region: "land", ZoneRegions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, MaxFileDescriptors: 1024, SendInterval: time.Second, HealthCheckInterval: time.Second, SubsetSize: 3, MaxIdleNonIdempotent: time.Minute, CPUShare: 1}
 	p.Bounds = settings.Bounds{RetryBudgetRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, MaxTTL: 5 * time.Second, GracePeriod: time.Second}
 	clock := NewClock()
-	d = &Daemon{props: p, log: eventlog.Quiet(), clock: clock, life: 1}
+	d = &Daemon{props: p, log: eventlog.Discard(), clock: clock, life: 1}
 	d.world = NewWorld(p, d.log, clock)
 	d.keys = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
 	d.link = NewLink(p, d.log, clock, d.world, d.keys, 1, d.fellow)
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -52,7 +52,7 @@
 // World keeps it.
 type World struct {
 	props settings.Settings
-	log   *eventlog.Log
+	log   *eventlog.Logger
 	clock Clock
 	// Chronicle remembers what became of changes here.
 	Chronicle *history.Chronicle
@@ -80,7 +80,7 @@
 }
 
 // NewWorld knows nothing yet.
-func NewWorld(p settings.Settings, log *eventlog.Log, clock Clock) (world *World) {
+func NewWorld(p settings.Settings, log *eventlog.Logger, clock Clock) (world *World) {
 	world = &World{
 		props: p, log: log, clock: clock, Chronicle: history.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[rpc.ServerID]*Server{},
 		evac: map[rpc.SiteName]rpc.Evacuation{}, fellows: map[rpc.FellowID]rpc.Fellow{}, cores: map[string]bool{},
@@ -125,21 +125,21 @@
 	if news.Packed != nil {
 		items, err := rpc.Unpack(news.Packed)
 		if err != nil {
-			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, "problem", err.Error())
 			return false
 		}
 		news.Items = items
 	}
 	if news.Part != nil {
 		if err := news.Part.Unpack(); err != nil {
-			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, "problem", err.Error())
 			return false
 		}
 	}
 	if news.Crowd != nil {
 		fellows, err := rpc.UnpackRows[rpc.FellowChange](news.Crowd)
 		if err != nil {
-			w.log.Say(eventlog.PropsRefused, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, "problem", err.Error())
 			return false
 		}
 		news.Fellows = append(news.Fellows, fellows...)
@@ -157,7 +157,7 @@
 	w.lend(asked, news.Leases)
 	if part := news.Part; part != nil && !w.follows(news.Term, part) {
 		// Only the part is refused: the rest says where to go on from.
-		w.log.Say(eventlog.AskRefused, "call", "news", "why", "a part of the list that does not follow", "from", string(part.From), "at", string(part.At))
+		w.log.Emit(eventlog.NodeRequestRejected, "call", "news", "why", "a part of the list that does not follow", "from", string(part.From), "at", string(part.At))
 		news.Part = nil
 	}
 	first := w.seen.Rev == 0
@@ -183,7 +183,7 @@
 	}
 	for _, item := range news.Items {
 		if err := w.canon.Put(item); err != nil {
-			w.log.Say(eventlog.PropsRefused, "item", item.Name, "problem", err.Error())
+			w.log.Emit(eventlog.SettingsRejected, "item", item.Name, "problem", err.Error())
 		}
 	}
 	for _, item := range news.Items {
@@ -466,10 +466,10 @@
 	w.watch.Led(now, led)
 	applied, headless := w.watch.Tick(now)
 	if applied {
-		w.log.Say(eventlog.MapChanged, "count", uint64(w.watch.Applied().Count), "members", len(w.watch.Applied().Members))
+		w.log.Emit(eventlog.ShardMapChanged, "count", uint64(w.watch.Applied().Count), "members", len(w.watch.Applied().Members))
 	}
 	if headless {
-		w.log.Say(eventlog.Headless)
+		w.log.Emit(eventlog.Headless)
 	}
 	shards := w.watch.Applied()
 	return w.watch.Duties(), shards.Term, shards.Count
--- a/internal/raft/cutoff_test.go
+++ b/internal/raft/cutoff_test.go
@@ -48,7 +48,7 @@
 	won := make(chan winner, 16)
 	for i := 1; i <= 3; i++ {
 		address := fmt.Sprintf("127.0.0.%d", i)
-		node, err := OpenNode(settings.Settings{Name: address, Address: address, ControlAddress: seeds[i-1], InternalPortLow: port, Seeds: seeds, DataDirectory: t.TempDir(), FirstStart: true, ToleratedMachineLosses: 1}, eventlog.Quiet())
+		node, err := OpenNode(settings.Settings{Name: address, Address: address, ControlAddress: seeds[i-1], InternalPortLow: port, Seeds: seeds, DataDirectory: t.TempDir(), FirstStart: true, ToleratedMachineLosses: 1}, eventlog.Discard())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -30,7 +30,7 @@
 			if err == nil {
 				break
 			}
-			n.log.Say(eventlog.DiskFailed, "problem", err.Error())
+			n.log.Emit(eventlog.DiskWriteFailed, "problem", err.Error())
 			select {
 			case n.tells <- func() { n.carry(n.raft.Resign()) }:
 			default:
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -75,7 +75,7 @@
 		n.refused = map[ID]int{}
 	}
 	n.refused[newcomer.ID] = n.ticks
-	n.log.Say(eventlog.JoinRefused, "id", string(newcomer.ID), "inner", newcomer.Inner, "problem", why)
+	n.log.Emit(eventlog.JoinRejected, "id", string(newcomer.ID), "inner", newcomer.Inner, "problem", why)
 }
 
 // takeJoiner keeps the newest life at an address.
@@ -156,7 +156,7 @@
 	n.changed = true
 	n.membership.Took(roll, decision)
 	delete(n.joiners, decision.Member.ID)
-	n.log.Say(eventlog.MemberChanged, "move", decision.Move.String(), "id", string(decision.Member.ID), "members", len(decision.Next))
+	n.log.Emit(eventlog.MembershipChanged, "move", decision.Move.String(), "id", string(decision.Member.ID), "members", len(decision.Next))
 	n.carry(out)
 }
 
--- a/internal/raft/house_test.go
+++ b/internal/raft/house_test.go
@@ -12,7 +12,7 @@
 func housed(members []Member) (n *Node) {
 	raft := NewRaft(members[0].ID, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
-		log: eventlog.Quiet(), raft: raft, self: members[0], membership: NewMembership(1, 0, 0),
+		log: eventlog.Discard(), raft: raft, self: members[0], membership: NewMembership(1, 0, 0),
 		joiners: map[ID]joiner{}, leaving: map[ID]int{}, refused: map[ID]int{},
 	}
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -35,7 +35,7 @@
 // Node is one core.
 type Node struct {
 	props   settings.Settings
-	log     *eventlog.Log
+	log     *eventlog.Logger
 	self    Member
 	raft    *Raft
 	store   *Store
@@ -85,7 +85,7 @@
 }
 
 // OpenNode opens the disk and makes the core ready to run.
-func OpenNode(p settings.Settings, log *eventlog.Log) (node *Node, err error) {
+func OpenNode(p settings.Settings, log *eventlog.Logger) (node *Node, err error) {
 	if p.DataDirectory == "" {
 		return nil, Class.New("data is empty: an accord daemon needs a folder")
 	}
@@ -94,12 +94,12 @@
 	}
 	store, err := OpenStore(p.DataDirectory, roomFor(p.DataDirectory, log))
 	if err != nil {
-		log.Say(eventlog.RecordSpoiled, "problem", err.Error())
+		log.Emit(eventlog.RecordCorrupt, "problem", err.Error())
 		return nil, err
 	}
 	id, hard, base, entries, err := store.Load()
 	if err != nil {
-		log.Say(eventlog.RecordSpoiled, "problem", err.Error())
+		log.Emit(eventlog.RecordCorrupt, "problem", err.Error())
 		return nil, errors.Join(err, store.Close())
 	}
 	node = &Node{
@@ -254,7 +254,7 @@
 	if out.Restore != nil {
 		state, err := Thaw(out.Restore.Data, n.Now())
 		if err != nil {
-			n.log.Say(eventlog.DiskFailed, "problem", err.Error())
+			n.log.Emit(eventlog.DiskWriteFailed, "problem", err.Error())
 			os.Exit(1)
 		}
 		n.mu.Lock()
@@ -295,7 +295,7 @@
 func (n *Node) apply(entry Entry) (changed bool) {
 	commands, err := Decipher(entry.Data)
 	if err != nil {
-		n.log.Say(eventlog.DiskFailed, "index", uint64(entry.Index), "problem", err.Error())
+		n.log.Emit(eventlog.DiskWriteFailed, "index", uint64(entry.Index), "problem", err.Error())
 		os.Exit(1)
 	}
 	now := n.Now()
@@ -337,7 +337,7 @@
 	data, err := n.state.Freeze()
 	n.mu.RUnlock()
 	if err != nil {
-		n.log.Say(eventlog.DiskFailed, "problem", err.Error())
+		n.log.Emit(eventlog.DiskWriteFailed, "problem", err.Error())
 		return
 	}
 	done, out := n.raft.Compact(n.raft.Commit(), data)
@@ -346,7 +346,7 @@
 	}
 	n.logSize = 0
 	n.carry(out)
-	n.log.Say(eventlog.SnapshotTaken, "index", uint64(n.raft.Base()), "bytes", len(data))
+	n.log.Emit(eventlog.SnapshotWritten, "index", uint64(n.raft.Base()), "bytes", len(data))
 }
 
 // publish makes the standing of the agreement known to other duties.
@@ -370,11 +370,11 @@
 	}
 	after := role == Leader && settled
 	if before && (!after || was != term) {
-		n.log.Say(eventlog.LeaderLost, "term", uint64(was))
+		n.log.Emit(eventlog.LeadershipLost, "term", uint64(was))
 		n.OnRole(false, was)
 	}
 	if after && (!before || was != term) {
-		n.log.Say(eventlog.LeaderWon, "term", uint64(term))
+		n.log.Emit(eventlog.LeaderElected, "term", uint64(term))
 		n.OnRole(true, term)
 	}
 	if role != Leader && len(n.pending) > 0 {
--- a/internal/raft/refusals.go
+++ b/internal/raft/refusals.go
@@ -9,11 +9,11 @@
 	saidAt int
 }
 
-func (r *refusals) say(log *eventlog.Log, ticks int, refusal Refusal) {
+func (r *refusals) say(log *eventlog.Logger, ticks int, refusal Refusal) {
 	r.count++
 	if r.saidAt > 0 && ticks-r.saidAt < refusalTicks {
 		return
 	}
 	r.saidAt = max(ticks, 1)
-	log.Say(eventlog.MessageRefused, "from", string(refusal.From), "kind", int(refusal.Kind), "why", refusal.Why, "refused", r.count)
+	log.Emit(eventlog.PeerMessageRejected, "from", string(refusal.From), "kind", int(refusal.Kind), "why", refusal.Why, "refused", r.count)
 }
--- a/internal/raft/room.go
+++ b/internal/raft/room.go
@@ -53,8 +53,8 @@
 
 // roomFor is the file system of a daemon. A daemon that ends while its disk is
 // full leaves the write where it waits.
-func roomFor(folder string, log *eventlog.Log) (fs vfs.FS) {
+func roomFor(folder string, log *eventlog.Logger) (fs vfs.FS) {
 	return Room{
-		Folder: folder, Full: func(waits bool) { log.Say(eventlog.DiskFull, "waits", waits) }, Pause: func() { time.Sleep(roomPause) },
+		Folder: folder, Full: func(waits bool) { log.Emit(eventlog.DiskFull, "waits", waits) }, Pause: func() { time.Sleep(roomPause) },
 	}.On(vfs.Default)
 }
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -17,8 +17,8 @@
 		base.Members = append(base.Members, Member{ID: id, Voter: true})
 	}
 	n = &Node{
-		log: eventlog.Quiet(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
-		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: history.New(eventlog.Quiet()), OnChange: func() {}, OnRole: func(bool, Term) {},
+		log: eventlog.Discard(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
+		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: history.New(eventlog.Discard()), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	n.raft = NewRaft("a", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, base, nil)
 	for range 2 * electTicks {
