--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	if council.inner, err = rpc.Serve(p.Inner("accord"), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
+	if council.inner, err = rpc.Serve(p.ControllerInternalAddress(), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
 		return nil, err
 	}
 	if council.office, err = httpapi.Serve(p.ControlAddress, httpapi.Handlers{
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -62,7 +62,7 @@
 	d.lane = NewLane(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
 	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
-	if d.inner, err = rpc.Serve(p.Inner("passage"), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
+	if d.inner, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
 		return nil, err
 	}
 	if err = d.door.Open(p.FrontendAddress); err != nil {
@@ -99,7 +99,7 @@
 func (d *Daemon) fellow() rpc.Fellow {
 	return rpc.Fellow{
 		ID: rpc.FellowID(d.props.Name), Life: d.life, Site: rpc.SiteName(d.props.Zone), Region: rpc.RegionName(d.props.Region),
-		Front: d.props.FrontendAddress, Inner: d.props.Inner("passage"), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
+		Front: d.props.FrontendAddress, Inner: d.props.ProxyInternalAddress(), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
 	}
 }
 
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -110,7 +110,7 @@
 		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewMembership(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, Chronicle: history.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
-	inner := p.Inner("accord")
+	inner := p.ControllerInternalAddress()
 	if id == "" {
 		id, base = Identity(p)
 		if err = store.Found(id, base); err != nil {
--- a/internal/settings/props.go
+++ b/internal/settings/props.go
@@ -220,22 +220,24 @@
 	return props, nil
 }
 
-// Inner gives the address of this daemon's own inner listener: accord takes
-// the first port of the range and passage the second, so that both may share
-// a machine.
-func (p Settings) Inner(role string) (address string) {
-	port := p.InternalPortLow
-	if role == "passage" {
-		port++
-	}
-	return net.JoinHostPort(p.Address, strconv.Itoa(port))
+// ControllerInternalAddress is the address of the controller's internal
+// listener: the first port of the range, so that a proxy may share the machine.
+func (s Settings) ControllerInternalAddress() (address string) {
+	return net.JoinHostPort(s.Address, strconv.Itoa(s.InternalPortLow))
 }
 
-// SeedInternalAddress gives the inner address of the accord daemon behind a seed.
-func (p Settings) SeedInternalAddress(seed string) (address string) {
+// ProxyInternalAddress is the address of the proxy's internal listener: the
+// second port of the range.
+func (s Settings) ProxyInternalAddress() (address string) {
+	return net.JoinHostPort(s.Address, strconv.Itoa(s.InternalPortLow+1))
+}
+
+// SeedInternalAddress is the internal address of the controller behind a seed,
+// which names its control address; empty if the seed is no host and port.
+func (s Settings) SeedInternalAddress(seed string) (address string) {
 	host, _, err := net.SplitHostPort(seed)
 	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, strconv.Itoa(p.InternalPortLow))
+	return net.JoinHostPort(host, strconv.Itoa(s.InternalPortLow))
 }
