--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -49,7 +49,7 @@
 	lost, changed := c.nodes.registry.Tick(now)
 	changed, c.nodes.pending = changed || c.nodes.pending, false
 	for _, id := range lost {
-		c.log.Emit(eventlog.NodeExpired, "fellow", string(id))
+		c.log.Emit(eventlog.NodeExpired, eventlog.KeyNode, string(id))
 	}
 	if changed {
 		c.refreshNodes()
@@ -61,7 +61,7 @@
 func (c *Coordinator) refreshNodes() {
 	if c.nodes.refresh(c.term) {
 		c.health.Shards(c.nodes.shardMap)
-		c.log.Emit(eventlog.ShardMapChanged, "count", uint64(c.nodes.shardMapEpoch), "members", len(c.nodes.shardMap.Members))
+		c.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(c.nodes.shardMapEpoch), eventlog.KeyMembers, len(c.nodes.shardMap.Members))
 	}
 	c.outcomes.forgetOwners()
 }
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -94,7 +94,7 @@
 		l.last = map[string]string{}
 	}
 	l.last[key] = status
-	log.Emit(event, append([]any{"subject", subject, "stands", status}, pairs...)...)
+	log.Emit(event, append([]any{"subject", subject, eventlog.KeyState, status}, pairs...)...)
 }
 
 // eachBackend visits the listed backends of a service. Useful ones are neither
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -129,7 +129,7 @@
 func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.FellowID, reason error) (err error) {
 	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
-		log.Emit(eventlog.NodeRequestRejected, "call", call, "by", string(by)[:min(len(by), policy.NameMost)], "why", reason.Error(), "count", count)
+		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.NameMost)], eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
 	}
 	return &InvalidCallError{Call: call, Reason: reason}
 }
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -299,9 +299,9 @@
 // leader asks the cores how they stand and gives the one that leads.
 func (s *system) leader() (at int, account controller.Status, err error) {
 	for i, p := range s.props {
-		caller := rpc.NewCaller(p.Inner("accord"))
+		caller := rpc.NewCaller(p.ControllerInternalAddress())
 		var reply rpc.StatusReply
-		callErr := caller.Call("Status.Tell", rpc.StatusAsk{}, &reply, 5*time.Second)
+		callErr := caller.Call(rpc.MethodStatus, rpc.StatusAsk{}, &reply, 5*time.Second)
 		caller.Close()
 		if callErr != nil {
 			continue
--- a/internal/localcluster/members_test.go
+++ b/internal/localcluster/members_test.go
@@ -90,7 +90,7 @@
 	stage.CoreProps = append(stage.CoreProps, p)
 	startCore(ctx, t, stage, 3)
 	for n := range stage.CoreProps {
-		inner := stage.CoreProps[n].Inner("accord")
+		inner := stage.CoreProps[n].ControllerInternalAddress()
 		var before raft.Member
 		if err = Until(ctx, func() bool {
 			members, voters := membersOf(stage)
--- a/internal/localcluster/stage.go
+++ b/internal/localcluster/stage.go
@@ -258,7 +258,7 @@
 // Inner lists the cores' inner addresses, as the tools want them.
 func (s *Stage) Inner() (inners []string) {
 	for _, p := range s.CoreProps {
-		inners = append(inners, p.Inner("accord"))
+		inners = append(inners, p.ControllerInternalAddress())
 	}
 	return inners
 }
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -36,7 +36,7 @@
 func (h *Hollow) fellow() rpc.Fellow {
 	return rpc.Fellow{
 		ID: rpc.FellowID(h.props.Name), Life: h.life, Site: rpc.SiteName(h.props.Zone), Region: rpc.RegionName(h.props.Region),
-		Front: h.props.Address + ":1", Inner: h.props.Inner("passage"), Ready: true,
+		Front: h.props.Address + ":1", Inner: h.props.ProxyInternalAddress(), Ready: true,
 	}
 }
 
