--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -88,7 +88,7 @@
 func TestSettingsAreTakenUpBySignalAndSilently(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
 	write := func(seed string) {
-		text := `{"name":"x","address":"10.0.0.1","site":"a","region":"n","inner_ports":[7720,7735],"seeds":["` + seed + `"]}`
+		text := `{"name":"x","address":"10.0.0.1","zone":"a","region":"n","internal_ports":[7720,7735],"seeds":["` + seed + `"]}`
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -94,8 +94,12 @@
 			t.Error(err)
 		}
 	}
-	source := page(t, "internal/settings/props.go")
-	for _, match := range regexp.MustCompile(`r\.(?:text|number|span|address)\(v, "([a-z_.]+)"`).FindAllStringSubmatch(source, -1) {
+	source := page(t, "internal/settings/parse.go")
+	fields := regexp.MustCompile(`r\.(?:requiredText|text|flag|table|number|duration|addresses|address|portRange)\("([a-z_.]+)"`).FindAllStringSubmatch(source, -1)
+	if len(fields) < 40 {
+		t.Fatalf("only %d settings found in the source", len(fields))
+	}
+	for _, match := range fields {
 		if !strings.Contains(text, "`"+match[1]+"`") {
 			t.Errorf("setting %s is not in the table", match[1])
 		}
--- a/internal/settings/props_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,8 @@
 package settings
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -10,15 +12,17 @@
 	"github.com/valyala/fastjson"
 )
 
-const good = `{"name":"edge-1","address":"10.1.0.13","site":"a","region":"north","regions":{"a":"north"},"first_start":true,"data":"",
-"listen":{"frontend":"10.1.0.13:8161"},"inner_ports":[7720,7735],"seeds":["10.1.0.15:8166"],"memory_mb":284,"bounds":{"drain":"2500ms","catch_up":"6s","retry_budget_ratio":0.2},"send_interval":"4s","something_new":[1,{"x":2}]}`
+const good = `{"name":"edge-1","address":"10.1.0.13","zone":"a","region":"north","zone_regions":{"a":"north"},
+"first_start":true,"data_directory":"","listen":{"frontend":"10.1.0.13:8161"},"internal_ports":[7720,7735],"seeds":["10.1.0.15:8166"],"memory_mb":284,
+"bounds":{"drain":"2500ms","catch_up":"6s","retry_budget_ratio":0.2},"send_interval":"4s","something_new":[1,{"x":2}]}`
 
 func TestParse(t *testing.T) {
 	p, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Bounds.Drain != 2500*time.Millisecond || p.Bounds.CatchUp != 6*time.Second || p.SendInterval != 4*time.Second || p.HealthCheckInterval != time.Second || p.ControllerInternalAddress() != "10.1.0.13:7720" || p.ProxyInternalAddress() != "10.1.0.13:7721" || p.SeedInternalAddress(p.Seeds[0]) != "10.1.0.15:7720" {
+	if p.Bounds.Drain != 2500*time.Millisecond || p.Bounds.CatchUp != 6*time.Second || p.SendInterval != 4*time.Second ||
+		p.HealthCheckInterval != time.Second || p.ControllerInternalAddress() != "10.1.0.13:7720" || p.ProxyInternalAddress() != "10.1.0.13:7721" || p.SeedInternalAddress(p.Seeds[0]) != "10.1.0.15:7720" {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -27,9 +31,9 @@
 func TestBadFieldsAreNamed(t *testing.T) {
 	bad := map[string][2]string{
 		"name":                {`"edge-1"`, `""`},
-		"address":             {`"10.1.0.13","site"`, `"here","site"`},
+		"address":             {`"10.1.0.13","zone"`, `"here","zone"`},
 		"listen.frontend":     {`"10.1.0.13:8161"`, `"10.1.0.13"`},
-		"inner_ports":         {`[7720,7735]`, `[7735,7720]`},
+		"internal_ports":      {`[7720,7735]`, `[7735,7720]`},
 		"seeds":               {`["10.1.0.15:8166"]`, `[]`},
 		"seeds.0":             {`["10.1.0.15:8166"]`, `["10.1.0.15"]`},
 		"memory_mb":           {`284`, `"much"`},
@@ -57,9 +61,50 @@
 	}
 }
 
+// A field under an earlier name is refused in words that give the new one, and
+// nothing else is said of it.
+func TestEarlierFieldNamesAreRefused(t *testing.T) {
+	for earlier, name := range renamedFields {
+		text := strings.Replace(good, "{", `{"`+earlier+`":"x",`, 1)
+		_, err := Parse([]byte(text))
+		want := "settings: " + earlier + " is now called " + name
+		if err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+	}
+	text := strings.NewReplacer(`"zone"`, `"site"`, `"internal_ports"`, `"inner_ports"`).Replace(good)
+	_, err := Parse([]byte(text))
+	var invalid *InvalidError
+	if !errors.As(err, &invalid) || len(invalid.Fields) != 2 {
+		t.Fatalf("%v", err)
+	}
+	if want := (FieldError{"inner_ports", "is now called internal_ports"}); invalid.Fields[0] != want {
+		t.Errorf("%v, want %v", invalid.Fields[0], want)
+	}
+	if want := (FieldError{"site", "is now called zone"}); invalid.Fields[1] != want {
+		t.Errorf("%v, want %v", invalid.Fields[1], want)
+	}
+}
+
+func TestErrorsAreTyped(t *testing.T) {
+	if _, err := Load(""); !errors.Is(err, ErrNoFile) {
+		t.Error(err)
+	}
+	if _, err := Load(filepath.Join(t.TempDir(), "absent")); !errors.Is(err, fs.ErrNotExist) {
+		t.Error(err)
+	}
+	if _, err := Parse([]byte("[]")); !errors.Is(err, ErrNotObject) {
+		t.Error(err)
+	}
+	var syntax *SyntaxError
+	if _, err := Parse([]byte("{")); !errors.As(err, &syntax) {
+		t.Error(err)
+	}
+}
+
 // The template of the deploy file, filled by hand, is a good settings file.
 func TestDeployTemplate(t *testing.T) {
-	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "props.tmpl"))
+	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "settings.tmpl"))
 	if err != nil {
 		t.Fatal(err)
 	}
