--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -29,7 +29,7 @@
 // Fleet is what the daemons told.
 type Fleet struct {
 	Cores       []controller.Status `json:"cores"`
-	Fellows     []proxy.Account     `json:"passages"`
+	Fellows     []proxy.NodeStatus  `json:"passages"`
 	Unreachable []string            `json:"unreachable"`
 	inners      map[string]string
 }
@@ -98,7 +98,7 @@
 		addresses = append(addresses, fellow.InternalAddress)
 	}
 	each(addresses, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
-		var account proxy.Account
+		var account proxy.NodeStatus
 		if callErr == nil {
 			callErr = json.Unmarshal(reply.JSON, &account)
 		}
@@ -156,7 +156,7 @@
 			rev, work, probes := any("?"), any("?"), "?"
 			for _, account := range f.Fellows {
 				if account.Name == fellow.Name {
-					rev, work, probes = account.Rev, account.AtWork, strings.Join(account.Probes, ",")
+					rev, work, probes = account.Revision, account.InFlight, strings.Join(account.Probes, ",")
 				}
 			}
 			row(fellow.Name, fellow.Zone, fellow.Ready, fellow.Connected, rev, work, probes)
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -63,13 +63,13 @@
 	if err = task(lines, &t); err != nil {
 		return err
 	}
-	nodes := make([]atomic.Pointer[proxy.Hollow], t.Count)
+	nodes := make([]atomic.Pointer[proxy.StubNode], t.Count)
 	begin := func(i int) {
 		p := t.Props
 		p.Name = fmt.Sprintf("node-%05d", t.First+i)
 		p.Zone = fmt.Sprint("z", (t.First+i)%3)
 		p.Region = p.ZoneRegions[p.Zone]
-		nodes[i].Store(proxy.StartHollow(p, rpc.Life(rand.Uint64())))
+		nodes[i].Store(proxy.StartStubNode(p, rpc.Life(rand.Uint64())))
 	}
 	for i := range nodes {
 		begin(i)
@@ -104,7 +104,7 @@
 		switch word {
 		case "listed":
 			for i := range nodes {
-				for !nodes[i].Load().Seen().Listed {
+				for !nodes[i].Load().Known().Listed {
 					time.Sleep(pollPause)
 				}
 			}
@@ -139,7 +139,7 @@
 			rev, _ := strconv.ParseUint(value, 10, 64)
 			begun := time.Now()
 			for i := range nodes {
-				for nodes[i].Load().Seen().Rev < rev {
+				for nodes[i].Load().Known().Rev < rev {
 					time.Sleep(pollPause)
 				}
 			}
--- a/internal/proxy/batcher.go
+++ b/internal/proxy/batcher.go
@@ -8,56 +8,56 @@
 
 import "time"
 
-type asked[A, R any] struct {
-	ask  A
-	till time.Time
-	done chan R
+type pendingRequest[A, R any] struct {
+	request  A
+	deadline time.Time
+	reply    chan R
 }
 
 // Batcher of one kind of ask.
 type Batcher[A, R any] struct {
-	ring   chan asked[A, R]
-	places chan struct{}
-	most   int
-	send   func(asks []A, left time.Duration) []R
+	queue    chan pendingRequest[A, R]
+	slots    chan struct{}
+	maxBatch int
+	send     func(asks []A, left time.Duration) []R
 }
 
 // NewBatcher holds so many asks, has so many calls under way, each with so many.
 func NewBatcher[A, R any](ring, calls, most int, send func(asks []A, left time.Duration) []R) (batcher *Batcher[A, R]) {
-	return &Batcher[A, R]{ring: make(chan asked[A, R], ring), places: make(chan struct{}, calls), most: most, send: send}
+	return &Batcher[A, R]{queue: make(chan pendingRequest[A, R], ring), slots: make(chan struct{}, calls), maxBatch: most, send: send}
 }
 
 // Run is the duty that sends, until it is ended.
 func (b *Batcher[A, R]) Run(ended <-chan struct{}) {
 	for {
-		var batch []asked[A, R]
+		var batch []pendingRequest[A, R]
 		select {
-		case first := <-b.ring:
+		case first := <-b.queue:
 			batch = append(batch, first)
 		case <-ended:
 			return
 		}
-		b.places <- struct{}{}
-		for more := true; more && len(batch) < b.most; {
+		b.slots <- struct{}{}
+		for more := true; more && len(batch) < b.maxBatch; {
 			select {
-			case next := <-b.ring:
+			case next := <-b.queue:
 				batch = append(batch, next)
 			default:
 				more = false
 			}
 		}
-		go b.call(batch)
+		go b.sendBatch(batch)
 	}
 }
 
-func (b *Batcher[A, R]) call(batch []asked[A, R]) {
-	defer func() { <-b.places }()
+func (b *Batcher[A, R]) sendBatch(batch []pendingRequest[A, R]) {
+	defer func() { <-b.slots }()
 	now := time.Now()
 	var left time.Duration
 	asks, waiting := make([]A, 0, len(batch)), batch[:0]
 	for _, wish := range batch {
-		if rest := wish.till.Sub(now); rest > 0 {
-			asks, waiting, left = append(asks, wish.ask), append(waiting, wish), max(left, rest)
+		if rest := wish.deadline.Sub(now); rest > 0 {
+			asks, waiting, left = append(asks, wish.request), append(waiting, wish), max(left, rest)
 		}
 	}
 	if len(asks) == 0 {
@@ -68,23 +68,23 @@
 		replies = make([]R, len(asks))
 	}
 	for i := range waiting {
-		waiting[i].done <- replies[i]
+		waiting[i].reply <- replies[i]
 	}
 }
 
-// Ask asks and waits no longer than limit; taken tells that it may have been
+// Call asks and waits no longer than limit; taken tells that it may have been
 // sent, answered that the reply is one.
-func (b *Batcher[A, R]) Ask(ask A, limit time.Duration) (reply R, taken, answered bool) {
-	wish := asked[A, R]{ask, time.Now().Add(limit), make(chan R, 1)}
+func (b *Batcher[A, R]) Call(ask A, limit time.Duration) (reply R, taken, answered bool) {
+	wish := pendingRequest[A, R]{ask, time.Now().Add(limit), make(chan R, 1)}
 	select {
-	case b.ring <- wish:
+	case b.queue <- wish:
 	default:
 		return reply, false, false
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case reply = <-wish.done:
+	case reply = <-wish.reply:
 		return reply, true, true
 	case <-timer.C:
 		return reply, true, false
--- a/internal/proxy/batcher_test.go
+++ b/internal/proxy/batcher_test.go
@@ -16,14 +16,14 @@
 			}
 			return replies
 		})
-		batch := make([]asked[int, rpc.ClaimFound], 2)
+		batch := make([]pendingRequest[int, rpc.ClaimFound], 2)
 		for i := range batch {
-			batch[i] = asked[int, rpc.ClaimFound]{i, time.Now().Add(time.Hour), make(chan rpc.ClaimFound, 1)}
+			batch[i] = pendingRequest[int, rpc.ClaimFound]{i, time.Now().Add(time.Hour), make(chan rpc.ClaimFound, 1)}
 		}
-		batcher.places <- struct{}{}
-		batcher.call(batch)
+		batcher.slots <- struct{}{}
+		batcher.sendBatch(batch)
 		for i := range batch {
-			if found := <-batch[i].done; found.Outcome != rpc.Unclear {
+			if found := <-batch[i].reply; found.Outcome != rpc.Unclear {
 				t.Errorf("%d answers to 2 claims: the one at %d is %+v", size, i, found)
 			}
 		}
@@ -39,16 +39,16 @@
 		sent, told = append(sent, asks...), left
 		return asks
 	})
-	batch := []asked[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}, {2, time.Now().Add(time.Hour), make(chan int, 1)}, {3, time.Now().Add(time.Minute), make(chan int, 1)}}
-	second := batch[1].done
-	batcher.places <- struct{}{}
-	batcher.call(batch)
+	batch := []pendingRequest[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}, {2, time.Now().Add(time.Hour), make(chan int, 1)}, {3, time.Now().Add(time.Minute), make(chan int, 1)}}
+	second := batch[1].reply
+	batcher.slots <- struct{}{}
+	batcher.sendBatch(batch)
 	if len(sent) != 2 || sent[0] != 2 || sent[1] != 3 || <-second != 2 || told <= 59*time.Minute || told > time.Hour {
 		t.Fatalf("sent %v, left %v", sent, told)
 	}
 	sent = nil
-	batcher.places <- struct{}{}
-	batcher.call([]asked[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}})
+	batcher.slots <- struct{}{}
+	batcher.sendBatch([]pendingRequest[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}})
 	if sent != nil {
 		t.Fatalf("sent %v", sent)
 	}
@@ -71,15 +71,15 @@
 func TestAShortReplyOfALeaderLeavesItOpen(t *testing.T) {
 	d := daemonOf(t)
 	inner := serveInner(t, map[string]any{"Forum": shortForum{}})
-	d.link.leader.Store(&inner)
-	d.link.heard.Store(int64(d.clock.Now() + time.Hour))
-	go d.link.Claims()
-	go d.link.Binds()
-	t.Cleanup(func() { close(d.link.Ended) })
-	if found := d.link.claim(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != rpc.Unclear {
+	d.leader.leader.Store(&inner)
+	d.leader.lastHeard.Store(int64(d.clock.Now() + time.Hour))
+	go d.leader.RunClaims()
+	go d.leader.RunBinds()
+	t.Cleanup(func() { close(d.leader.Done) })
+	if found := d.leader.claimOnce(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != rpc.Unclear {
 		t.Errorf("%+v", found)
 	}
-	if found, taken, answered := d.link.binds.Ask(rpc.Bind{Session: "s"}, time.Second); !taken || !answered || found.Outcome != rpc.BindUnclear {
+	if found, taken, answered := d.leader.binds.Call(rpc.Bind{Session: "s"}, time.Second); !taken || !answered || found.Outcome != rpc.BindUnclear {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -29,12 +29,12 @@
 
 // plan makes the plan of a request, or says why there is none.
 func (d *Daemon) plan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, back time.Duration) {
-	scene := d.world.Scene()
+	scene := d.state.Snapshot()
 	now := d.clock.Now()
-	if d.world.Orders.CutOff() {
+	if d.state.Policies.CutOff() {
 		return nil, apierror.CutOff, 0
 	}
-	if !scene.Started {
+	if !scene.Configured {
 		return nil, apierror.NotStarted, 0
 	}
 	path := request.Target
@@ -70,11 +70,11 @@
 	if left <= 0 {
 		return nil, apierror.TooLate, 0
 	}
-	plan = &Plan{Way: way, Service: target(way, rand.Float64()), Request: request, Started: now, Till: now + left, Rounds: way.Rounds}
+	plan = &Plan{Way: way, Service: pickTarget(way, rand.Float64()), Request: request, Started: now, Till: now + left, Rounds: way.Rounds}
 	request.Stream = way.Repeat == config.Download
-	d.world.Orders.Sessions.aim(plan, tenant)
+	d.state.Policies.Sessions.assignSession(plan, tenant)
 	if way.Repeat == config.Keyed {
-		plan.Key = request.key()
+		plan.Key = request.operationKey()
 		if plan.Key == "" {
 			return nil, apierror.NoKey, 0
 		}
@@ -143,8 +143,8 @@
 		if now >= plan.Till {
 			return verdict, plan.refusal(apierror.TooLate)
 		}
-		scene := d.world.Scene()
-		server, any := d.world.choose(scene, d.wanted(plan, plan.Tried))
+		scene := d.state.Snapshot()
+		server, any := d.state.chooseEndpoint(scene, d.wanted(plan, plan.Tried))
 		if server == nil {
 			if any && d.mayWait(plan) {
 				time.Sleep(roomPause)
@@ -245,7 +245,7 @@
 				continue
 			}
 			tried := append([]rpc.ServerID{server.ID}, plan.Tried...)
-			second, _ := d.world.choose(d.world.Scene(), d.wanted(plan, tried))
+			second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.wanted(plan, tried))
 			if second == nil || !d.retry(now, plan, second) {
 				continue
 			}
@@ -261,11 +261,11 @@
 	sending = Sending{Chosen: chosen, Till: plan.Till, Rest: restFull, Keyed: plan.Key != "", Lane: d.lane, May: d.may, Lapse: d.lapse}
 	if plan.Bound != "" {
 		sending.May = func(server *Server) bool {
-			return !server.leaving() && d.leased(server) && d.world.Orders.Keeps(d.clock.Now(), server.ID, plan.Service)
+			return !server.leaving() && d.leased(server) && d.state.Policies.KeepsSessions(d.clock.Now(), server.ID, plan.Service)
 		}
 	}
 	if !plan.Way.Repeat.Repeatable() {
-		sending.Rest = d.props.MaxIdleNonIdempotent
+		sending.Rest = d.settings.MaxIdleNonIdempotent
 	}
 	if plan.Bound != "" && plan.asked(plan.Bound) && !d.lapse.has(SameStream) {
 		// The backend has had this id before: what it may say to that a second
@@ -276,29 +276,29 @@
 }
 
 // wanted says what backend a plan's next round is for.
-func (d *Daemon) wanted(plan *Plan, tried []rpc.ServerID) (wanted Wanted) {
-	wanted = Wanted{
-		Service: plan.Service, Aim: plan.Way.Aim, Homes: plan.Way.Homes, Tried: tried, Repeatable: plan.Way.Repeat.Repeatable(), Large: plan.Way.Repeat == config.Download,
-		Weights: d.world.Orders.Weights(plan.Request.Host, plan.Service),
+func (d *Daemon) wanted(plan *Plan, tried []rpc.ServerID) (wanted Criteria) {
+	wanted = Criteria{
+		Service: plan.Service, TargetLatency: plan.Way.Aim, Homes: plan.Way.Homes, Tried: tried, Idempotent: plan.Way.Repeat.Repeatable(), Large: plan.Way.Repeat == config.Download,
+		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
 	}
 	if plan.Bound != "" {
-		wanted.Only, wanted.Tried, wanted.Weights = plan.Bound, nil, nil
+		wanted.Bound, wanted.Tried, wanted.PlanWeights = plan.Bound, nil, nil
 		return wanted
 	}
 	if !wanted.Large {
-		wanted.Away = d.world.Orders.Away(plan.Service)
+		wanted.OverflowZone = d.state.Policies.OverflowZone(plan.Service)
 	}
 	return wanted
 }
 
 // may tells whether a backend may still be sent a new caller.
 func (d *Daemon) may(server *Server) bool {
-	return !server.leaving() && d.leased(server) && d.world.Orders.Sends(d.clock.Now(), server.ID)
+	return !server.leaving() && d.leased(server) && d.state.Policies.AcceptsNew(d.clock.Now(), server.ID)
 }
 
 // leased tells that a lease stands for a backend that is cold.
 func (d *Daemon) leased(server *Server) bool {
-	return !server.isCold(d.clock.Now()) || d.world.Share(rpc.ColdRate, string(server.ID)) > 0
+	return !server.isCold(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(server.ID)) > 0
 }
 
 // letGo takes an answer that is not needed any more.
@@ -311,48 +311,48 @@
 // carryKeyed claims the key first.
 func (d *Daemon) carryKeyed(plan *Plan) (verdict Verdict) {
 	request := plan.Request
-	if d.keys.Freed(plan.Key, request.ID) {
+	if d.operations.Freed(plan.Key, request.ID) {
 		// The word that gave this claim back may still be under way, and would
 		// give back a new one of the same name.
 		return Deny(apierror.KeyUnknown, request.ID)
 	}
-	op, old := d.keys.Open(plan.Key, request.ID)
+	op, old := d.operations.Open(plan.Key, request.ID)
 	if old != nil {
-		return d.recount(d.link.Fetch(old.Recall(), plan.Key, old.Request()), request.ID)
+		return d.recount(d.leader.Fetch(old.Recall(), plan.Key, old.Request()), request.ID)
 	}
 	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
 	for tries := 0; ; tries++ {
 		claimed := d.clock.Now()
 		// A new leader may be there in a moment; the wait for one stays inside
 		// the time in which a refusal still lets the client come back in time.
-		found := d.link.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Way.Aim/4, limit)
+		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Way.Aim/4, limit)
 		switch found.Outcome {
 		case rpc.Granted:
 			// The claim is worth its window from when it was asked for.
-			plan.Till = min(plan.Till, claimed+d.props.Bounds.KeyWindow)
+			plan.Till = min(plan.Till, claimed+d.settings.Bounds.KeyWindow)
 		case rpc.Held:
 			var reply rpc.RecallReply
-			if found.Holder == rpc.FellowID(d.props.Name) {
-				if found.Life == d.life && d.keys.Freed(plan.Key, found.Request) {
+			if found.Holder == rpc.FellowID(d.settings.Name) {
+				if found.Life == d.incarnation && d.operations.Freed(plan.Key, found.Request) {
 					reply.Standing = rpc.Freed
-					d.link.Free(rpc.KeyClaim{Key: plan.Key, Request: found.Request})
+					d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: found.Request})
 				}
 			} else {
-				reply = d.link.Recall(found, plan.Key)
+				reply = d.leader.Recall(found, plan.Key)
 			}
 			if reply.Standing == rpc.Freed && tries < 3 && d.clock.Now()+limit/2 < plan.Till {
-				time.Sleep(d.nap)
+				time.Sleep(d.recallPause)
 				continue
 			}
-			d.keys.Abandon(op)
+			d.operations.Abandon(op)
 			return d.recount(reply, request.ID)
 		case rpc.Unclear:
 			// The claim may stand, but nothing will ever be sent under it.
-			d.keys.Free(op)
-			d.link.Free(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
+			d.operations.Free(op)
+			d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 			return Deny(apierror.NoLeader, request.ID)
 		default:
-			d.keys.Abandon(op)
+			d.operations.Abandon(op)
 			return Deny(apierror.NoLeader, request.ID)
 		}
 		break
@@ -363,10 +363,10 @@
 		d.store(op, plan, verdict)
 		return verdict
 	case plan.MayHaveRun && !(kind == apierror.Broken && d.dedupes(plan.Service)):
-		d.keys.Lose(op)
+		d.operations.Lose(op)
 	default:
-		d.keys.Free(op)
-		d.link.Free(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
+		d.operations.Free(op)
+		d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 	}
 	return Deny(kind, request.ID)
 }
@@ -374,7 +374,7 @@
 // dedupes tells that a service keeps its own record of keys, so that a run that
 // broke off may be followed by another under the same key.
 func (d *Daemon) dedupes(name rpc.ServiceName) bool {
-	service := d.world.Scene().View.Services[string(name)]
+	service := d.state.Snapshot().View.Services[string(name)]
 	return service != nil && service.Dedupes
 }
 
@@ -384,9 +384,9 @@
 	homes := plan.Way.Homes
 	switch {
 	case verdict.Rest != nil:
-		d.keys.Lose(op)
-	case allowed(homes, rpc.RegionName(d.props.Region)):
-		d.keys.Answer(op, verdict.Status, verdict.Lines, verdict.Body)
+		d.operations.Lose(op)
+	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
+		d.operations.Answer(op, verdict.Status, verdict.Lines, verdict.Body)
 	default:
 		go d.handOver(op, plan, verdict)
 	}
@@ -394,11 +394,11 @@
 
 // handOver lets a fellow within the homes of a way keep an answer.
 func (d *Daemon) handOver(op *idempotency.Held, plan *Plan, verdict Verdict) {
-	scene, absent := d.world.Scene(), d.world.Absent()
+	scene, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var chosenInner string
 	var best uint64
-	for id, fellow := range scene.Fellows {
-		if !fellow.Ready || fellow.Stopping || absent[id] || !allowed(plan.Way.Homes, fellow.Region) {
+	for id, fellow := range scene.Nodes {
+		if !fellow.Ready || fellow.Stopping || absent[id] || !regionAllowed(plan.Way.Homes, fellow.Region) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
@@ -406,11 +406,11 @@
 		}
 	}
 	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Lines, Body: verdict.Body}
-	if chosenInner == "" || !d.link.Keep(chosenInner, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
-		d.keys.Lose(op)
+	if chosenInner == "" || !d.leader.StoreAt(chosenInner, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
+		d.operations.Lose(op)
 		return
 	}
-	d.keys.Move(op, chosenInner)
+	d.operations.Move(op, chosenInner)
 }
 
 // recount answers a repeat from what its holder told.
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -17,61 +17,61 @@
 // Handicaps, in parts of what an answer takes when its service is calm, or in
 // milliseconds.
 const (
-	handicapBeyond = 0.1
-	handicapSite   = 0.5
-	handicapAway   = 1.5
-	handicapRegion = 0.5
-	handicapFar    = 100
-	handicapDoubt  = 500
-	handicapAsleep = 5000
-	usualPace      = 120
-	// aimPart of a way's aim is what an answer is taken to need while nothing is
+	penaltyOutsideSubset   = 0.1
+	penaltyOtherZone       = 0.5
+	penaltyNotOverflowZone = 1.5
+	penaltyOtherRegion     = 0.5
+	penaltyOtherRegionMS   = 100
+	penaltySuspectMS       = 500
+	penaltyNotInPlanMS     = 5000
+	defaultLatencyMS       = 120
+	// targetLatencyPart of a way's aim is what an answer is taken to need while nothing is
 	// known of its service.
-	aimPart = 0.28
-	// goodCost is how many calm times an answer may be expected to take before
+	targetLatencyPart = 0.28
+	// goodCostFactor is how many calm times an answer may be expected to take before
 	// others than a daemon's own few are looked at.
-	goodCost = 1.6
-	// largeBorder makes borders dearer for large answers.
-	largeBorder = 3
-	// badWeight is how much what failed here lately weighs.
-	badWeight = 3
-	// trialPart of the requests that may be repeated try a backend that is set
+	goodCostFactor = 1.6
+	// largeBorderFactor makes borders dearer for large answers.
+	largeBorderFactor = 3
+	// failureWeight is how much what failed here lately weighs.
+	failureWeight = 3
+	// trialProbability of the requests that may be repeated try a backend that is set
 	// aside, each at most once in trialPause.
-	trialPart  = 0.1
-	trialPause = time.Second
+	trialProbability = 0.1
+	trialInterval    = time.Second
 )
 
-// Wanted says what a backend is wanted for.
-type Wanted struct {
+// Criteria says what a backend is wanted for.
+type Criteria struct {
 	Service rpc.ServiceName
-	// Aim is the time within which the answer is wanted, 0 where none is set.
-	Aim   time.Duration
-	Homes []string
-	Tried []rpc.ServerID
-	// Repeatable tells that the request may run twice.
-	Repeatable bool
-	// Weights are the day's plan, nil where there is none: regions that it gives
+	// TargetLatency is the time within which the answer is wanted, 0 where none is set.
+	TargetLatency time.Duration
+	Homes         []string
+	Tried         []rpc.ServerID
+	// Idempotent tells that the request may run twice.
+	Idempotent bool
+	// PlanWeights are the day's plan, nil where there is none: regions that it gives
 	// nothing are asleep and used only where no other can serve.
-	Weights schedule.Weights
-	// Away is another site that this request should go to, so that sites of a
+	PlanWeights schedule.Weights
+	// OverflowZone is another site that this request should go to, so that sites of a
 	// region are pressed alike.
-	Away rpc.SiteName
-	// Only is the one backend that it may be, where the request's session is bound.
-	Only rpc.ServerID
+	OverflowZone rpc.SiteName
+	// Bound is the one backend that it may be, where the request's session is bound.
+	Bound rpc.ServerID
 	// Large tells that the answer may be a large one.
 	Large bool
 }
 
-// pace is what an answer is taken to need, in milliseconds, while nothing is
+// expectedLatencyMS is what an answer is taken to need, in milliseconds, while nothing is
 // known: a part of what its operator aims at.
-func (w Wanted) pace() (pace float64) {
-	if w.Aim <= 0 {
-		return usualPace
+func (w Criteria) expectedLatencyMS() (pace float64) {
+	if w.TargetLatency <= 0 {
+		return defaultLatencyMS
 	}
-	return aimPart * float64(w.Aim) / float64(time.Millisecond)
+	return targetLatencyPart * float64(w.TargetLatency) / float64(time.Millisecond)
 }
 
-func (w Wanted) tried(id rpc.ServerID) bool {
+func (w Criteria) wasTried(id rpc.ServerID) bool {
 	for _, tried := range w.Tried {
 		if tried == id {
 			return true
@@ -80,7 +80,7 @@
 	return false
 }
 
-func allowed(homes []string, region rpc.RegionName) bool {
+func regionAllowed(homes []string, region rpc.RegionName) bool {
 	if len(homes) == 0 {
 		return true
 	}
@@ -92,99 +92,99 @@
 	return false
 }
 
-// chooser weighs backends for one round.
-type chooser struct {
-	world   *World
-	scene   *Scene
-	wanted  Wanted
-	now     time.Duration
-	streams int
-	calm    float64
-	border  float64
+// selection weighs backends for one round.
+type selection struct {
+	state          *ClusterState
+	snapshot       *Snapshot
+	criteria       Criteria
+	now            time.Duration
+	maxConnections int
+	calmLatencyMS  float64
+	borderFactor   float64
 
-	best, out         *Server
-	bestCost, outCost float64
-	any               bool
-	trial             *Server
+	best, fallback         *Server
+	bestCost, fallbackCost float64
+	anyUsable              bool
+	trial                  *Server
 }
 
-// choose names the backend, or tells whether there is any at all. The daemon's
+// chooseEndpoint names the backend, or tells whether there is any at all. The daemon's
 // own few are looked at first, the rest only where those have nothing good.
-func (w *World) choose(scene *Scene, wanted Wanted) (chosenServer *Server, any bool) {
-	c := &chooser{world: w, scene: scene, wanted: wanted, now: w.clock.Now(), calm: wanted.pace(), border: 1}
+func (w *ClusterState) chooseEndpoint(scene *Snapshot, wanted Criteria) (chosenServer *Server, any bool) {
+	c := &selection{state: w, snapshot: scene, criteria: wanted, now: w.clock.Now(), calmLatencyMS: wanted.expectedLatencyMS(), borderFactor: 1}
 	if service := scene.View.Services[string(wanted.Service)]; service != nil {
-		c.streams = service.Streams
+		c.maxConnections = service.Streams
 	}
 	if wanted.Large {
-		c.border = largeBorder
+		c.borderFactor = largeBorderFactor
 	}
-	if wanted.Only != "" {
-		server := scene.server(wanted.Service, wanted.Only)
+	if wanted.Bound != "" {
+		server := scene.server(wanted.Service, wanted.Bound)
 		if server == nil {
 			return nil, false
 		}
-		c.calm = server.habit.Calm(c.calm)
-		if c.weigh(server, true); c.best == nil {
-			c.best = c.out
+		c.calmLatencyMS = server.habit.Calm(c.calmLatencyMS)
+		if c.consider(server, true); c.best == nil {
+			c.best = c.fallback
 		}
-		return c.best, c.any
+		return c.best, c.anyUsable
 	}
-	near, beyond := scene.Near[wanted.Service], scene.Beyond[wanted.Service]
+	near, beyond := scene.Preferred[wanted.Service], scene.Others[wanted.Service]
 	if len(near) > 0 {
-		c.calm = near[0].habit.Calm(c.calm)
+		c.calmLatencyMS = near[0].habit.Calm(c.calmLatencyMS)
 	} else if len(beyond) > 0 {
-		c.calm = beyond[0].habit.Calm(c.calm)
+		c.calmLatencyMS = beyond[0].habit.Calm(c.calmLatencyMS)
 	}
 	for _, server := range near {
-		c.weigh(server, true)
+		c.consider(server, true)
 	}
-	if wanted.Away != "" || c.best == nil || c.bestCost > goodCost*c.calm {
+	if wanted.OverflowZone != "" || c.best == nil || c.bestCost > goodCostFactor*c.calmLatencyMS {
 		// A region that is asleep costs so much that this looks further too.
 		for _, server := range beyond {
-			c.weigh(server, false)
+			c.consider(server, false)
 		}
 	}
-	if c.trial != nil && rand.Float64() < trialPart {
-		c.trial.try(c.now)
-		return c.trial, c.any
+	if c.trial != nil && rand.Float64() < trialProbability {
+		c.trial.noteTrial(c.now)
+		return c.trial, c.anyUsable
 	}
 	if c.best == nil {
-		c.best = c.out
+		c.best = c.fallback
 	}
-	return c.best, c.any
+	return c.best, c.anyUsable
 }
 
-// weigh takes one backend into account.
-func (c *chooser) weigh(server *Server, near bool) {
-	w, now := c.world, c.now
-	if c.scene.Evacuate[server.Site] || !allowed(c.wanted.Homes, server.Region) || c.wanted.tried(server.ID) {
+// consider takes one backend into account.
+func (c *selection) consider(server *Server, near bool) {
+	w, now := c.state, c.now
+	if c.snapshot.Evacuated[server.Site] || !regionAllowed(c.criteria.Homes, server.Region) || c.criteria.wasTried(server.ID) {
 		return
 	}
-	if !w.Orders.Sends(now, server.ID) && (c.wanted.Only == "" || !w.Orders.Keeps(now, server.ID, c.wanted.Service)) {
-		c.any = true
+	if !w.Policies.AcceptsNew(now, server.ID) && (c.criteria.Bound == "" || !w.Policies.KeepsSessions(now, server.ID, c.criteria.Service)) {
+		c.anyUsable = true
 		return
 	}
-	share := max(1, c.scene.Sharers)
+	share := max(1, c.snapshot.ReadyNodes)
 	if near {
-		share = min(share, max(1, c.scene.Share[c.wanted.Service]))
+		share = min(share, max(1, c.snapshot.NodesPerBackend[c.criteria.Service]))
 	}
 	server.mu.Lock()
 	if server.Draining {
 		server.mu.Unlock()
 		return
 	}
-	c.any = true
+	c.anyUsable = true
 	slots := max(1, server.Slots)
 	room := max(2, (3*slots+share-1)/share)
-	if c.streams > 0 {
-		room = min(room, max(1, c.streams/share))
+	if c.maxConnections > 0 {
+		room = min(room, max(1, c.maxConnections/share))
 	}
 	cold := now < server.coldTill
 	pace := server.pace
 	if server.paceAt == 0 {
-		pace = c.calm
+		pace = c.calmLatencyMS
 	} else if age := now - server.paceAt; age > 5*time.Second {
-		pace = min(pace, c.calm)
+		pace = min(pace, c.calmLatencyMS)
 	}
 	jobs, told := server.jobs(now, share)
 	queue := jobs / float64(slots)
@@ -192,10 +192,10 @@
 		queue = min(queue, float64(server.burden))
 	}
 	cost := pace * (1 + queue)
-	if server.doubted(now, c.calm) {
-		cost += handicapDoubt
+	if server.doubted(now, c.calmLatencyMS) {
+		cost += penaltySuspectMS
 	}
-	cost *= 1 + badWeight*server.badness(now)
+	cost *= 1 + failureWeight*server.badness(now)
 	aside, trialDue := server.aside, now >= server.trialAt
 	out, down, burden := now < server.outTill, server.health == rpc.Down, server.burden
 	allowance := 0
@@ -207,35 +207,35 @@
 		return
 	}
 	if cold {
-		if float64(allowance)+1 > w.Share(rpc.ColdRate, string(server.ID)) || burden > 0 {
+		if float64(allowance)+1 > w.Leased(rpc.ColdRate, string(server.ID)) || burden > 0 {
 			return
 		}
 		cost = 2*cost + 100
 	}
-	asleep := c.wanted.Weights != nil && c.wanted.Weights[server.Region] == 0
+	asleep := c.criteria.PlanWeights != nil && c.criteria.PlanWeights[server.Region] == 0
 	if asleep {
-		cost += handicapAsleep
+		cost += penaltyNotInPlanMS
 	}
 	switch {
-	case c.wanted.Away != "":
-		if server.Site != c.wanted.Away {
-			cost += handicapAway * c.calm
+	case c.criteria.OverflowZone != "":
+		if server.Site != c.criteria.OverflowZone {
+			cost += penaltyNotOverflowZone * c.calmLatencyMS
 		}
 	case near:
-	case string(server.Site) == w.props.Zone:
-		cost += handicapBeyond * c.calm
-	case string(server.Region) == w.props.Region:
-		cost += handicapSite * c.calm * c.border
+	case string(server.Site) == w.settings.Zone:
+		cost += penaltyOutsideSubset * c.calmLatencyMS
+	case string(server.Region) == w.settings.Region:
+		cost += penaltyOtherZone * c.calmLatencyMS * c.borderFactor
 	default:
-		cost += (handicapFar + handicapRegion*c.calm) * c.border
+		cost += (penaltyOtherRegionMS + penaltyOtherRegion*c.calmLatencyMS) * c.borderFactor
 	}
 	cost *= 0.85 + 0.3*rand.Float64()
-	if aside && !down && !out && near && trialDue && c.wanted.Repeatable {
+	if aside && !down && !out && near && trialDue && c.criteria.Idempotent {
 		c.trial = server
 	}
 	if out || down || aside {
-		if !(down && out) && (c.out == nil || cost < c.outCost) {
-			c.out, c.outCost = server, cost
+		if !(down && out) && (c.fallback == nil || cost < c.fallbackCost) {
+			c.fallback, c.fallbackCost = server, cost
 		}
 		return
 	}
@@ -244,15 +244,15 @@
 	}
 }
 
-// try notes that a backend that is set aside gets a request.
-func (s *Server) try(now time.Duration) {
+// noteTrial notes that a backend that is set aside gets a request.
+func (s *Server) noteTrial(now time.Duration) {
 	s.mu.Lock()
-	s.trialAt = now + trialPause
+	s.trialAt = now + trialInterval
 	s.mu.Unlock()
 }
 
-// target picks a way's service by weight, with a number from 0 to 1.
-func target(way *config.Way, draw float64) (service rpc.ServiceName) {
+// pickTarget picks a way's service by weight, with a number from 0 to 1.
+func pickTarget(way *config.Way, draw float64) (service rpc.ServiceName) {
 	if len(way.Targets) == 1 {
 		return rpc.ServiceName(way.Targets[0].Service)
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -24,45 +24,45 @@
 
 // Daemon is a running passage daemon.
 type Daemon struct {
-	props     settings.Settings
-	log       *eventlog.Logger
-	clock     Clock
-	life      rpc.Life
-	nap       time.Duration
-	world     *World
-	link      *Link
-	keys      *idempotency.Book
-	budget    *Budget
-	limits    *Limits
-	throttles throttles
-	lane      *Lane
-	door      *Door
-	prober    *Prober
-	ready     atomic.Bool
-	stopping  atomic.Bool
-	offices   []*http.Server
-	inner     *rpc.Listener
-	lapse     Lapse
+	settings    settings.Settings
+	log         *eventlog.Logger
+	clock       Clock
+	incarnation rpc.Life
+	recallPause time.Duration
+	state       *ClusterState
+	leader      *LeaderClient
+	operations  *idempotency.Book
+	budget      *Budget
+	limits      *Limits
+	throttles   throttles
+	lane        *Lane
+	door        *Door
+	prober      *Prober
+	ready       atomic.Bool
+	stopping    atomic.Bool
+	httpServers []*http.Server
+	rpcListener *rpc.Listener
+	lapse       Lapse
 }
 
 // Start takes up the work.
 func Start(p settings.Settings, log *eventlog.Logger) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
-	d := &Daemon{props: p, log: log, clock: NewClock(), life: rpc.Life(binary.LittleEndian.Uint64(luck[:])), nap: 60 * time.Millisecond}
-	d.world = NewWorld(p, log, d.clock)
-	d.keys = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
-	d.link = NewLink(p, log, d.clock, d.world, d.keys, d.life, d.fellow)
-	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.world.Share(rpc.RetrySlack, "") })
-	d.budget.written = d.world.Orders.Retries
+	d := &Daemon{settings: p, log: log, clock: NewClock(), incarnation: rpc.Life(binary.LittleEndian.Uint64(luck[:])), recallPause: 60 * time.Millisecond}
+	d.state = NewClusterState(p, log, d.clock)
+	d.operations = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
+	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
+	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
+	d.budget.written = d.state.Policies.Retries
 	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
 		log.Emit(eventlog.RetriesSuppressed, eventlog.KeyService, string(service), "suppressed", open)
 	}
-	d.limits = NewLimits(d.world.Share, func() { go d.link.Stir() })
+	d.limits = NewLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
 	d.lane = NewLane(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
-	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
-	if d.inner, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &Desk{d}, "Status": &Status{d}}); err != nil {
+	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
+	if d.rpcListener, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &PeerService{d}, "Status": &StatusService{d}}); err != nil {
 		return nil, err
 	}
 	if err = d.door.Open(p.FrontendAddress); err != nil {
@@ -76,63 +76,63 @@
 		if serveErr != nil {
 			return nil, serveErr
 		}
-		d.offices = append(d.offices, server)
-	}
-	d.link.Taken = d.wake
-	d.link.Limits, d.link.Burdens = d.limits, d.throttles.burdens
-	go d.link.Beat()
-	go d.link.Claims()
-	go d.link.Binds()
-	go d.link.Frees()
-	go d.link.Alone()
+		d.httpServers = append(d.httpServers, server)
+	}
+	d.leader.OnUpdate = d.becomeReady
+	d.leader.Limits, d.leader.Loads = d.limits, d.throttles.burdens
+	go d.leader.RunHeartbeats()
+	go d.leader.RunClaims()
+	go d.leader.RunBinds()
+	go d.leader.RunReleases()
+	go d.leader.RunStandalone()
 	go d.prober.Run()
-	go d.tend()
-	go d.attend()
+	go d.reconcile()
+	go d.enforcePolicies()
 	return d, nil
 }
 
 func (d *Daemon) isReady() bool {
-	return d.ready.Load() && !d.stopping.Load() && !d.world.Orders.CutOff()
+	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.CutOff()
 }
 
-// fellow is this daemon as it tells of itself.
-func (d *Daemon) fellow() rpc.Fellow {
+// self is this daemon as it tells of itself.
+func (d *Daemon) self() rpc.Fellow {
 	return rpc.Fellow{
-		ID: rpc.FellowID(d.props.Name), Life: d.life, Site: rpc.SiteName(d.props.Zone), Region: rpc.RegionName(d.props.Region),
-		Front: d.props.FrontendAddress, Inner: d.props.ProxyInternalAddress(), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
+		ID: rpc.FellowID(d.settings.Name), Life: d.incarnation, Site: rpc.SiteName(d.settings.Zone), Region: rpc.RegionName(d.settings.Region),
+		Front: d.settings.FrontendAddress, Inner: d.settings.ProxyInternalAddress(), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
 	}
 }
 
-// tend is the duty for what comes round slowly.
-func (d *Daemon) tend() {
+// reconcile is the duty for what comes round slowly.
+func (d *Daemon) reconcile() {
 	ticker := time.NewTicker(250 * time.Millisecond)
 	defer ticker.Stop()
 	for turn := 0; ; turn++ {
 		select {
 		case <-ticker.C:
-		case <-d.link.Ended:
+		case <-d.leader.Done:
 			return
 		}
-		d.wake()
+		d.becomeReady()
 		if turn%4 == 0 {
-			d.world.Sweep()
-			d.world.Orders.stay(d.clock.Now(), d.world.Scene().Fellows)
+			d.state.CloseIdle()
+			d.state.Policies.refreshNodes(d.clock.Now(), d.state.Snapshot().Nodes)
 		}
 	}
 }
 
-// wake makes the daemon ready once it knows what it needs to carry requests.
-func (d *Daemon) wake() {
+// becomeReady makes the daemon ready once it knows what it needs to carry requests.
+func (d *Daemon) becomeReady() {
 	if d.ready.Load() {
 		return
 	}
-	if scene := d.world.Scene(); scene.Started && scene.Listed && d.ready.CompareAndSwap(false, true) {
-		go d.link.Stir()
+	if scene := d.state.Snapshot(); scene.Configured && scene.ListComplete && d.ready.CompareAndSwap(false, true) {
+		go d.leader.HeartbeatNow()
 	}
 }
 
 // Reload takes changed settings up.
-func (d *Daemon) Reload(p settings.Settings) { d.link.SetSeeds(p.Seeds) }
+func (d *Daemon) Reload(p settings.Settings) { d.leader.SetSeeds(p.Seeds) }
 
 // Stop ends in order: told to the leader first, so that no directory names
 // this daemon any more; then each answer closes its stream; then, when the
@@ -140,10 +140,10 @@
 func (d *Daemon) Stop() {
 	d.stopping.Store(true)
 	d.door.Stop()
-	go d.link.Stir()
+	go d.leader.HeartbeatNow()
 	begun := d.clock.Now()
-	grace := d.props.Bounds.GracePeriod
-	linger := min(grace/2, directionsTTL+time.Second)
+	grace := d.settings.Bounds.GracePeriod
+	linger := min(grace/2, directoryTTL+time.Second)
 	for {
 		time.Sleep(20 * time.Millisecond)
 		spent := d.clock.Now() - begun
@@ -155,56 +155,56 @@
 	for spent := time.Duration(0); d.door.AtWork() > 0 && d.clock.Now()-begun < grace-150*time.Millisecond; spent++ {
 		time.Sleep(10 * time.Millisecond)
 	}
-	for _, server := range d.offices {
+	for _, server := range d.httpServers {
 		_ = server.Close()
 	}
 	d.door.Close()
-	d.inner.Close()
-	close(d.link.Ended)
+	d.rpcListener.Close()
+	close(d.leader.Done)
 }
 
-// Desk takes inner calls of fellows.
-type Desk struct{ daemon *Daemon }
+// PeerService takes inner calls of fellows.
+type PeerService struct{ daemon *Daemon }
 
 // Recall tells how an operation held here stands.
-func (k *Desk) Recall(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
-	if ask.Life != k.daemon.life {
+func (k *PeerService) Recall(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
+	if ask.Life != k.daemon.incarnation {
 		reply.Standing = rpc.Lost
 		return nil
 	}
-	*reply = k.daemon.keys.Find(ask.Key, ask.Request)
+	*reply = k.daemon.operations.Find(ask.Key, ask.Request)
 	if reply.Standing == rpc.Freed {
 		// The one who asks was told that the claim stands: it may have been
 		// carried out behind the word that gave it back, which is said again.
-		k.daemon.link.Free(rpc.KeyClaim{Key: ask.Key, Request: ask.Request})
+		k.daemon.leader.Release(rpc.KeyClaim{Key: ask.Key, Request: ask.Request})
 	}
 	return nil
 }
 
 // Keep stores an answer for a fellow that may not keep it itself.
-func (k *Desk) Keep(ask rpc.KeepAsk, reply *rpc.KeepReply) (err error) {
-	k.daemon.keys.Keep(ask.Key, ask.Request, ask.Answer)
+func (k *PeerService) Keep(ask rpc.KeepAsk, reply *rpc.KeepReply) (err error) {
+	k.daemon.operations.Keep(ask.Key, ask.Request, ask.Answer)
 	reply.Kept = true
 	return nil
 }
 
 // Kept gives such an answer back.
-func (k *Desk) Kept(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
-	*reply = k.daemon.keys.Kept(ask.Key, ask.Request)
+func (k *PeerService) Kept(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
+	*reply = k.daemon.operations.Kept(ask.Key, ask.Request)
 	return nil
 }
 
-// planned gives the plan's weights for a host: its own, or those of the first
+// planWeights gives the plan's weights for a host: its own, or those of the first
 // service under a plan that it goes to.
-func (d *Daemon) planned(scene *Scene, host string) (weights schedule.Weights) {
-	if !d.world.Orders.planned() {
+func (d *Daemon) planWeights(scene *Snapshot, host string) (weights schedule.Weights) {
+	if !d.state.Policies.hasPlan() {
 		return nil
 	}
-	if weights = d.world.Orders.Weights(host, ""); weights != nil {
+	if weights = d.state.Policies.PlanWeights(host, ""); weights != nil {
 		return weights
 	}
 	for _, service := range scene.View.ServicesOf(host) {
-		if weights = d.world.Orders.Weights("", rpc.ServiceName(service)); weights != nil {
+		if weights = d.state.Policies.PlanWeights("", rpc.ServiceName(service)); weights != nil {
 			return weights
 		}
 	}
@@ -213,13 +213,13 @@
 
 // resolve tells a client where to go.
 func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
-	scene := d.world.Scene()
-	addresses = Directions(scene.Fellows, d.world.Absent(), scene.View.Homes(host), d.planned(scene, host), region, site, httpapi.CallerAddress(ctx))
+	scene := d.state.Snapshot()
+	addresses = DirectoryAnswer(scene.Nodes, d.state.AbsentNodes(), scene.View.Homes(host), d.planWeights(scene, host), region, site, httpapi.CallerAddress(ctx))
 	if len(addresses) == 0 && d.isReady() {
-		addresses = []string{d.props.FrontendAddress}
+		addresses = []string{d.settings.FrontendAddress}
 	}
 	if len(addresses) == 0 {
 		return nil, 0, &httpapi.Error{Kind: apierror.NotReady}
 	}
-	return addresses, min(directionsTTL, d.props.Bounds.MaxTTL), nil
+	return addresses, min(directoryTTL, d.settings.Bounds.MaxTTL), nil
 }
--- a/internal/proxy/directions.go
+++ b/internal/proxy/directions.go
@@ -20,54 +20,54 @@
 )
 
 const (
-	directionsTTL = 2 * time.Second
-	directionsFew = 2
-	// directionsOwn is how many of its own site a client gets where there are so
+	directoryTTL        = 2 * time.Second
+	minDirectoryAnswers = 2
+	// maxOwnZoneAnswers is how many of its own site a client gets where there are so
 	// many, and directionsAway how many of others beside them.
-	directionsOwn  = 6
-	directionsAway = 1
+	maxOwnZoneAnswers   = 6
+	maxOtherZoneAnswers = 1
 )
 
-// Directions lists front addresses for a client of a site and a host's homes.
+// DirectoryAnswer lists front addresses for a client of a site and a host's homes.
 // Under a day's plan a region is drawn by the weights, within the homes, and
 // takes the place of the client's own; where nobody is ready there, the answer
 // is as it is without a plan.
-func Directions(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
-	if drawn := draw(fellows, absent, homes, weights, region); drawn != "" && drawn != region {
+func DirectoryAnswer(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
+	if drawn := drawRegion(fellows, absent, homes, weights, region); drawn != "" && drawn != region {
 		region, site = drawn, ""
 	}
-	away := !allowed(homes, rpc.RegionName(region))
+	away := !regionAllowed(homes, rpc.RegionName(region))
 	distance := func(fellow rpc.Fellow) (far int) {
 		switch {
-		case away && allowed(homes, fellow.Region) || !away && string(fellow.Site) == site:
+		case away && regionAllowed(homes, fellow.Region) || !away && string(fellow.Site) == site:
 			return 0
 		case string(fellow.Region) == region:
 			return 1
 		}
 		return 2
 	}
-	pick := func(unheard bool) (near [3][]direction) {
+	pick := func(unheard bool) (near [3][]directoryCandidate) {
 		for id, fellow := range fellows {
 			if !fellow.Ready || fellow.Stopping || fellow.Front == "" || absent[id] != unheard {
 				continue
 			}
 			far := distance(fellow)
-			near[far] = append(near[far], direction{fellow.Front, id})
+			near[far] = append(near[far], directoryCandidate{fellow.Front, id})
 		}
 		return near
 	}
 	for _, unheard := range []bool{false, true} {
 		near := pick(unheard)
-		addresses = append(addresses, few(near[0], client, directionsOwn)...)
-		if len(addresses) < directionsFew {
-			addresses = append(addresses, few(near[1], client, directionsOwn)...)
+		addresses = append(addresses, pickForClient(near[0], client, maxOwnZoneAnswers)...)
+		if len(addresses) < minDirectoryAnswers {
+			addresses = append(addresses, pickForClient(near[1], client, maxOwnZoneAnswers)...)
 		}
-		if len(addresses) < directionsFew {
-			addresses = append(addresses, few(near[2], client, directionsOwn)...)
+		if len(addresses) < minDirectoryAnswers {
+			addresses = append(addresses, pickForClient(near[2], client, maxOwnZoneAnswers)...)
 		}
-		if len(addresses) == directionsOwn && !away {
-			if others := append(few(near[1], client, directionsAway), few(near[2], client, directionsAway)...); len(others) > 0 {
-				addresses = append(addresses, others[:directionsAway]...)
+		if len(addresses) == maxOwnZoneAnswers && !away {
+			if others := append(pickForClient(near[1], client, maxOtherZoneAnswers), pickForClient(near[2], client, maxOtherZoneAnswers)...); len(others) > 0 {
+				addresses = append(addresses, others[:maxOtherZoneAnswers]...)
 			}
 		}
 		if len(addresses) > 0 {
@@ -77,15 +77,15 @@
 	return addresses
 }
 
-// direction is one daemon that an answer may name.
-type direction struct {
-	front string
-	id    rpc.FellowID
+// directoryCandidate is one daemon that an answer may name.
+type directoryCandidate struct {
+	address string
+	id      rpc.FellowID
 }
 
-// few picks a client's own of many: those that rank highest for it, so that a
+// pickForClient picks a client's own of many: those that rank highest for it, so that a
 // daemon more or less changes the answers of its own clients only.
-func few(all []direction, client string, most int) (fronts []string) {
+func pickForClient(all []directoryCandidate, client string, most int) (fronts []string) {
 	if len(all) > most {
 		ranks := make(map[rpc.FellowID]uint64, len(all))
 		for _, one := range all {
@@ -100,15 +100,15 @@
 		all = all[:most]
 	}
 	for _, one := range all {
-		fronts = append(fronts, one.front)
+		fronts = append(fronts, one.address)
 	}
 	sort.Strings(fronts)
 	return fronts
 }
 
-// draw picks a region by weight, of those that are homes and have a daemon that
+// drawRegion picks a region by weight, of those that are homes and have a daemon that
 // is ready; a client's own region is kept where it has its part.
-func draw(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, own string) (region string) {
+func drawRegion(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, own string) (region string) {
 	if weights == nil {
 		return ""
 	}
@@ -121,7 +121,7 @@
 	sum := 0
 	var names []rpc.RegionName
 	for name, weight := range weights {
-		if weight > 0 && serving[name] && allowed(homes, name) {
+		if weight > 0 && serving[name] && regionAllowed(homes, name) {
 			names = append(names, name)
 			sum += weight
 		}
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -12,53 +12,53 @@
 	"tinpin/internal/settings"
 )
 
-// Hollow node.
-type Hollow struct {
-	props settings.Settings
-	link  *Link
-	world *World
-	life  rpc.Life
+// StubNode node.
+type StubNode struct {
+	settings    settings.Settings
+	leader      *LeaderClient
+	state       *ClusterState
+	incarnation rpc.Life
 }
 
-// StartHollow takes up the beats.
-func StartHollow(p settings.Settings, life rpc.Life) (hollow *Hollow) {
+// StartStubNode takes up the beats.
+func StartStubNode(p settings.Settings, life rpc.Life) (hollow *StubNode) {
 	log, clock := eventlog.Discard(), NewClock()
-	h := &Hollow{props: p, life: life, world: NewWorld(p, log, clock)}
+	h := &StubNode{settings: p, incarnation: life, state: NewClusterState(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
-	h.link = NewLink(p, log, clock, h.world, book, life, h.fellow)
-	h.link.Taken = func() {}
-	h.link.Limits = NewLimits(h.world.Share, nil)
-	go h.link.Beat()
-	go h.link.Claims()
+	h.leader = NewLeaderClient(p, log, clock, h.state, book, life, h.self)
+	h.leader.OnUpdate = func() {}
+	h.leader.Limits = NewLimits(h.state.Leased, nil)
+	go h.leader.RunHeartbeats()
+	go h.leader.RunClaims()
 	return h
 }
 
-func (h *Hollow) fellow() rpc.Fellow {
+func (h *StubNode) self() rpc.Fellow {
 	return rpc.Fellow{
-		ID: rpc.FellowID(h.props.Name), Life: h.life, Site: rpc.SiteName(h.props.Zone), Region: rpc.RegionName(h.props.Region),
-		Front: h.props.Address + ":1", Inner: h.props.ProxyInternalAddress(), Ready: true,
+		ID: rpc.FellowID(h.settings.Name), Life: h.incarnation, Site: rpc.SiteName(h.settings.Zone), Region: rpc.RegionName(h.settings.Region),
+		Front: h.settings.Address + ":1", Inner: h.settings.ProxyInternalAddress(), Ready: true,
 	}
 }
 
-// Seen tells how far it has come.
-func (h *Hollow) Seen() (seen rpc.Seen) { return h.world.Seen() }
+// Known tells how far it has come.
+func (h *StubNode) Known() (seen rpc.Seen) { return h.state.Known() }
 
 // Claim claims one key.
-func (h *Hollow) Claim(key string) (granted bool) {
-	return h.link.Claim(rpc.KeyClaim{Key: key, Request: key}, time.Second, time.Second).Outcome == rpc.Granted
+func (h *StubNode) Claim(key string) (granted bool) {
+	return h.leader.Claim(rpc.KeyClaim{Key: key, Request: key}, time.Second, time.Second).Outcome == rpc.Granted
 }
 
 // Report tells of one backend's health as an owner would.
-func (h *Hollow) Report(service rpc.ServiceName, server rpc.ServerID, health rpc.Health) (taken bool) {
-	shards := h.world.shards()
-	return h.link.Report(rpc.ReportAsk{Fellow: rpc.FellowID(h.props.Name), Term: shards.Term, Count: shards.Count, Service: service, States: []rpc.State{{Server: server, Health: health}}})
+func (h *StubNode) Report(service rpc.ServiceName, server rpc.ServerID, health rpc.Health) (taken bool) {
+	shards := h.state.appliedShards()
+	return h.leader.Report(rpc.ReportAsk{Fellow: rpc.FellowID(h.settings.Name), Term: shards.Term, Count: shards.Count, Service: service, States: []rpc.State{{Server: server, Health: health}}})
 }
 
 // Stop ends it without a word, as a loss would.
-func (h *Hollow) Stop() { close(h.link.Ended) }
+func (h *StubNode) Stop() { close(h.leader.Done) }
 
-func (w *World) shards() (shards rpc.ShardMap) {
+func (w *ClusterState) appliedShards() (shards rpc.ShardMap) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.watch.Applied()
+	return w.assignment.Applied()
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -61,12 +61,12 @@
 func led(t *testing.T, d *Daemon, forum *standInForum) (inner string) {
 	t.Helper()
 	inner = serveInner(t, map[string]any{"Forum": forum, "Fellow": forum})
-	d.link.leader.Store(&inner)
-	d.link.heard.Store(int64(d.clock.Now() + time.Hour))
-	d.nap = time.Millisecond
-	go d.link.Claims()
-	go d.link.Frees()
-	t.Cleanup(func() { close(d.link.Ended) })
+	d.leader.leader.Store(&inner)
+	d.leader.lastHeard.Store(int64(d.clock.Now() + time.Hour))
+	d.recallPause = time.Millisecond
+	go d.leader.RunClaims()
+	go d.leader.RunReleases()
+	t.Cleanup(func() { close(d.leader.Done) })
 	return inner
 }
 
@@ -117,11 +117,11 @@
 		backend := newStandIn(t, "i-1", c.script)
 		d := daemonOf(t, backend)
 		led(t, d, &standInForum{script: grant})
-		d.world.Scene().View.Services["s"].Dedupes = c.dedupes
+		d.state.Snapshot().View.Services["s"].Dedupes = c.dedupes
 		if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != c.status {
 			t.Errorf("%s: status %d", name, verdict.Status)
 		}
-		if standing := d.keys.Find("k", "a").Standing; standing != c.standing {
+		if standing := d.operations.Find("k", "a").Standing; standing != c.standing {
 			t.Errorf("%s: standing %d, want %d", name, standing, c.standing)
 		}
 		runs := backend.count()
@@ -173,18 +173,18 @@
 	if verdict := d.Answer(keyed("a", "k"), "300"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if d.keys.Find("k", "a").Standing != rpc.Freed {
+	if d.operations.Find("k", "a").Standing != rpc.Freed {
 		t.Fatal("a fellow that asks must be told that the key is free")
 	}
 	for freed := false; !freed; {
-		_ = d.link.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
+		_ = d.leader.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 		forum.mu.Lock()
 		freed = len(forum.freed) > 0 && forum.freed[0] == rpc.KeyClaim{Key: "k", Request: "a"}
 		forum.mu.Unlock()
 	}
 	// Once, not with every claim that follows.
 	for range 5 {
-		_ = d.link.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
+		_ = d.leader.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 	}
 	forum.mu.Lock()
 	defer forum.mu.Unlock()
@@ -199,14 +199,14 @@
 	d := daemonOf(t, newStandIn(t, "i-1", good))
 	forum := &standInForum{script: grant}
 	led(t, d, forum)
-	op, _ := d.keys.Open("k", "a")
-	d.keys.Free(op)
+	op, _ := d.operations.Open("k", "a")
+	d.operations.Free(op)
 	var reply rpc.RecallReply
-	if err := (&Desk{d}).Recall(rpc.RecallAsk{Key: "k", Request: "a", Life: d.life}, &reply); err != nil || reply.Standing != rpc.Freed {
+	if err := (&PeerService{d}).Recall(rpc.RecallAsk{Key: "k", Request: "a", Life: d.incarnation}, &reply); err != nil || reply.Standing != rpc.Freed {
 		t.Fatal(reply, err)
 	}
 	for freed := false; !freed; {
-		_ = d.link.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
+		_ = d.leader.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 		forum.mu.Lock()
 		freed = len(forum.freed) == 1 && forum.freed[0] == rpc.KeyClaim{Key: "k", Request: "a"}
 		forum.mu.Unlock()
@@ -252,22 +252,22 @@
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
 	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimFound {
-		return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-1", Life: d.life + 1, Request: "z"}
+		return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-1", Life: d.incarnation + 1, Request: "z"}
 	}}
 	led(t, d, forum)
 	if verdict := d.Answer(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	for _, standing := range []func(op *idempotency.Held){func(*idempotency.Held) {}, d.keys.Free, func(op *idempotency.Held) { d.keys.Answer(op, 200, nil, nil) }} {
-		op, _ := d.keys.Open("other", "z")
+	for _, standing := range []func(op *idempotency.Held){func(*idempotency.Held) {}, d.operations.Free, func(op *idempotency.Held) { d.operations.Answer(op, 200, nil, nil) }} {
+		op, _ := d.operations.Open("other", "z")
 		if op == nil {
 			break
 		}
 		standing(op)
 		var reply rpc.RecallReply
-		if err := (&Desk{d}).Recall(rpc.RecallAsk{Key: "other", Request: "z", Life: d.life + 1}, &reply); err != nil || reply.Standing != rpc.Lost {
+		if err := (&PeerService{d}).Recall(rpc.RecallAsk{Key: "other", Request: "z", Life: d.incarnation + 1}, &reply); err != nil || reply.Standing != rpc.Lost {
 			t.Fatal(reply, err)
 		}
-		d.keys.Free(op)
+		d.operations.Free(op)
 	}
 }
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -17,70 +17,70 @@
 )
 
 const (
-	beatHold    = 500 * time.Millisecond
-	beatPatient = 600 * time.Millisecond
-	newsPatient = 2 * time.Second
-	claimCall   = 260 * time.Millisecond
-	scoutPause  = 40 * time.Millisecond
-	scoutSpan   = 2 * time.Second
-	leaderless  = 1300 * time.Millisecond
-	claimRing   = 1024
-	claimCalls  = 16
-	claimsMost  = 128
-	claimPause  = 25 * time.Millisecond
-	freesMost   = 128
-	freesHeld   = 8192
-	freesPause  = 250 * time.Millisecond
-	alonePause  = 500 * time.Millisecond
-	// lonelyFirst is the time within which a daemon without a list reads it first;
+	heartbeatHold      = 500 * time.Millisecond
+	heartbeatTimeout   = 600 * time.Millisecond
+	updateTimeout      = 2 * time.Second
+	claimCallTimeout   = 260 * time.Millisecond
+	leaderSearchPause  = 40 * time.Millisecond
+	leaderSearchLimit  = 2 * time.Second
+	leaderTimeout      = 1300 * time.Millisecond
+	claimQueueLength   = 1024
+	claimCallsInFlight = 16
+	maxClaimBatch      = 128
+	claimRetryPause    = 25 * time.Millisecond
+	maxReleaseBatch    = 128
+	maxPendingReleases = 8192
+	releaseRetryPause  = 250 * time.Millisecond
+	standalonePoll     = 500 * time.Millisecond
+	// firstListWithin is the time within which a daemon without a list reads it first;
 	// listPage is about how many backends a page of the platform's holds.
-	lonelyFirst = 4 * time.Second
-	listPage    = 50
+	firstListWithin = 4 * time.Second
+	listPageSize    = 50
 )
 
-// Link ties the daemon to its leader.
-type Link struct {
-	props  settings.Settings
-	log    *eventlog.Logger
-	clock  Clock
-	world  *World
-	keys   *idempotency.Book
-	life   rpc.Life
-	self   func() rpc.Fellow
-	seeds  atomic.Pointer[[]string]
-	heard  atomic.Int64
-	leader atomic.Pointer[string]
-	claims *Batcher[rpc.KeyClaim, rpc.ClaimFound]
-	binds  *Batcher[rpc.Bind, rpc.BindFound]
-	stir   chan struct{}
-	scouts atomic.Bool
-
-	// Taken is called when news was taken.
-	Taken func()
-	// Ended is closed when the daemon ends; all duties end with it.
-	Ended chan struct{}
-	// Burdens tells what is at work.
-	Burdens func() []rpc.Burden
+// LeaderClient ties the daemon to its leader.
+type LeaderClient struct {
+	settings     settings.Settings
+	log          *eventlog.Logger
+	clock        Clock
+	state        *ClusterState
+	operations   *idempotency.Book
+	incarnation  rpc.Life
+	self         func() rpc.Fellow
+	seeds        atomic.Pointer[[]string]
+	lastHeard    atomic.Int64
+	leader       atomic.Pointer[string]
+	claims       *Batcher[rpc.KeyClaim, rpc.ClaimFound]
+	binds        *Batcher[rpc.Bind, rpc.BindFound]
+	wakeReleases chan struct{}
+	searching    atomic.Bool
+
+	// OnUpdate is called when news was taken.
+	OnUpdate func()
+	// Done is closed when the daemon ends; all duties end with it.
+	Done chan struct{}
+	// Loads tells what is at work.
+	Loads func() []rpc.Burden
 	// Limits tells the demand of tenants, where there are any.
 	Limits *Limits
 
-	mu       sync.Mutex
-	callers  map[string]*rpc.Caller
-	frees    map[rpc.KeyClaim]bool
-	patience Patience
-	term     rpc.Term
+	mu              sync.Mutex
+	clients         map[string]*rpc.Caller
+	pendingReleases map[rpc.KeyClaim]bool
+	patience        Patience
+	term            rpc.Term
 }
 
-// NewLink is a link that has not found a leader yet.
-func NewLink(p settings.Settings, log *eventlog.Logger, clock Clock, world *World, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *Link) {
-	link = &Link{
-		props: p, log: log, clock: clock, world: world, keys: book, life: life, self: self,
-		stir:  make(chan struct{}, 1),
-		Ended: make(chan struct{}), callers: map[string]*rpc.Caller{}, frees: map[rpc.KeyClaim]bool{},
+// NewLeaderClient is a link that has not found a leader yet.
+func NewLeaderClient(p settings.Settings, log *eventlog.Logger, clock Clock, world *ClusterState, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *LeaderClient) {
+	link = &LeaderClient{
+		settings: p, log: log, clock: clock, state: world, operations: book, incarnation: life, self: self,
+		wakeReleases: make(chan struct{}, 1),
+		Done:         make(chan struct{}), clients: map[string]*rpc.Caller{}, pendingReleases: map[rpc.KeyClaim]bool{},
 	}
-	link.claims = NewBatcher(claimRing, claimCalls, claimsMost, link.putClaims)
-	link.binds = NewBatcher(claimRing, claimCalls, claimsMost, link.putBinds)
-	link.heard.Store(int64(-time.Hour))
+	link.claims = NewBatcher(claimQueueLength, claimCallsInFlight, maxClaimBatch, link.sendClaims)
+	link.binds = NewBatcher(claimQueueLength, claimCallsInFlight, maxClaimBatch, link.sendBinds)
+	link.lastHeard.Store(int64(-time.Hour))
 	nobody := ""
 	link.leader.Store(&nobody)
 	link.SetSeeds(p.Seeds)
@@ -88,42 +88,46 @@
 }
 
 // SetSeeds takes changed seeds up.
-func (l *Link) SetSeeds(seeds []string) { l.seeds.Store(&seeds) }
+func (l *LeaderClient) SetSeeds(seeds []string) { l.seeds.Store(&seeds) }
 
-// Led tells whether a leader was heard lately.
-func (l *Link) Led() bool { return l.clock.Now()-time.Duration(l.heard.Load()) < leaderless }
+// HasLeader tells whether a leader was heard lately.
+func (l *LeaderClient) HasLeader() bool {
+	return l.clock.Now()-time.Duration(l.lastHeard.Load()) < leaderTimeout
+}
 
-func (l *Link) caller(inner string) (caller *rpc.Caller) { return l.callerOf(inner, 0) }
+func (l *LeaderClient) peerClient(inner string) (caller *rpc.Caller) { return l.client(inner, 0) }
 
-// core gives the caller of a core. A call may wait as long for its stream as the
+// controllerClient gives the caller of a core. A call may wait as long for its stream as the
 // patience of now allows: where the way there takes half a second, none would
 // ever come up otherwise.
-func (l *Link) core(inner string) (caller *rpc.Caller) { return l.callerOf(inner, patienceMost) }
+func (l *LeaderClient) controllerClient(inner string) (caller *rpc.Caller) {
+	return l.client(inner, patienceMost)
+}
 
-func (l *Link) callerOf(inner string, dial time.Duration) (caller *rpc.Caller) {
+func (l *LeaderClient) client(inner string, dial time.Duration) (caller *rpc.Caller) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	caller = l.callers[inner]
+	caller = l.clients[inner]
 	if caller == nil {
 		caller = rpc.NewCaller(inner)
 		if dial > 0 {
 			caller.DialWait = dial
 		}
-		l.callers[inner] = caller
+		l.clients[inner] = caller
 	}
 	return caller
 }
 
-// Stir sends a beat at once, for news of one's own.
-func (l *Link) Stir() {
+// HeartbeatNow sends a beat at once, for news of one's own.
+func (l *LeaderClient) HeartbeatNow() {
 	if inner := *l.leader.Load(); inner != "" {
-		_, _ = l.beat(inner, 0, beatPatient)
+		_, _ = l.heartbeat(inner, 0, heartbeatTimeout)
 	}
 }
 
-func (l *Link) ended() bool {
+func (l *LeaderClient) isDone() bool {
 	select {
-	case <-l.Ended:
+	case <-l.Done:
 		return true
 	default:
 		return false
@@ -131,7 +135,7 @@
 }
 
 // candidates lists the cores that may lead.
-func (l *Link) candidates() (inners []string) {
+func (l *LeaderClient) candidates() (inners []string) {
 	seen := map[string]bool{"": true}
 	add := func(inner string) {
 		if !seen[inner] {
@@ -140,97 +144,97 @@
 		}
 	}
 	for _, seed := range *l.seeds.Load() {
-		add(l.props.SeedInternalAddress(seed))
+		add(l.settings.SeedInternalAddress(seed))
 	}
-	for _, inner := range l.world.Known() {
+	for _, inner := range l.state.ControllerAddresses() {
 		add(inner)
 	}
 	return inners
 }
 
-// beat asks one core for news and takes them if it leads.
-func (l *Link) beat(target string, hold, limit time.Duration) (news *rpc.News, err error) {
+// heartbeat asks one core for news and takes them if it leads.
+func (l *LeaderClient) heartbeat(target string, hold, limit time.Duration) (news *rpc.News, err error) {
 	asked := l.clock.Now()
-	ask := rpc.BeatAsk{Fellow: l.self(), Seen: l.world.Seen(), Hold: hold}
-	tenants := l.world.Scene().View.Tenants()
+	ask := rpc.BeatAsk{Fellow: l.self(), Seen: l.state.Known(), Hold: hold}
+	tenants := l.state.Snapshot().View.Tenants()
 	if l.Limits != nil {
 		ask.Demands = l.Limits.Demands(tenants)
 	}
-	ask.Retries = l.world.Orders.Retries.Demands()
-	ask.Tallies = l.world.Tallies()
-	ask.Known = l.world.Orders.Known(asked)
-	if l.Burdens != nil {
-		ask.Burdens = l.Burdens()
+	ask.Retries = l.state.Policies.Retries.Demands()
+	ask.Tallies = l.state.OutcomeCounts()
+	ask.Known = l.state.Policies.RecentNodes(asked)
+	if l.Loads != nil {
+		ask.Burdens = l.Loads()
 	}
 	news = new(rpc.News)
-	if err = l.core(target).Call(rpc.MethodHeartbeat, &ask, news, limit); err != nil {
+	if err = l.controllerClient(target).Call(rpc.MethodHeartbeat, &ask, news, limit); err != nil {
 		return nil, err
 	}
 	if !news.Leader {
-		l.world.Learn(news.Cores)
+		l.state.AddControllers(news.Cores)
 		return news, nil
 	}
-	if news.Term < l.world.Seen().Term {
+	if news.Term < l.state.Known().Term {
 		news.Leader = false
 		return news, nil
 	}
 	if l.Limits != nil {
 		l.Limits.Fill(l.clock.Now(), tenants)
 	}
-	l.world.Orders.Retries.Fill(l.clock.Now())
-	if !l.world.Take(asked, news) || !l.found(target, news.Term) {
+	l.state.Policies.Retries.Fill(l.clock.Now())
+	if !l.state.Apply(asked, news) || !l.noteLeader(target, news.Term) {
 		news.Leader = false
 		return news, nil
 	}
-	l.Taken()
+	l.OnUpdate()
 	return news, nil
 }
 
-// found notes who leads; an older leader than the one that is known does not.
-func (l *Link) found(target string, term rpc.Term) (newest bool) {
+// noteLeader notes who leads; an older leader than the one that is known does not.
+func (l *LeaderClient) noteLeader(target string, term rpc.Term) (newest bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if term < l.term {
 		return false
 	}
-	if old := *l.leader.Load(); !l.Led() || old != target {
+	if old := *l.leader.Load(); !l.HasLeader() || old != target {
 		l.log.Emit(eventlog.LeaderFound, "leader", target, eventlog.KeyTerm, uint64(term))
 	}
 	l.term = term
-	l.heard.Store(int64(l.clock.Now()))
+	l.lastHeard.Store(int64(l.clock.Now()))
 	l.leader.Store(&target)
 	l.patience.Heard()
 	return true
 }
 
-// Beat is the duty that keeps the tie.
-func (l *Link) Beat() {
-	for !l.ended() {
+// RunHeartbeats is the duty that keeps the tie.
+func (l *LeaderClient) RunHeartbeats() {
+	for !l.isDone() {
 		target := *l.leader.Load()
-		if target == "" || !l.Led() {
-			l.seek("", 0)
+		if target == "" || !l.HasLeader() {
+			l.findLeader("", 0)
 			continue
 		}
-		news, err := l.beat(target, beatHold, beatHold+beatPatient)
+		news, err := l.heartbeat(target, heartbeatHold, heartbeatHold+heartbeatTimeout)
 		if err != nil || !news.Leader {
 			// The scout may have found another leader meanwhile.
 			if leader := *l.leader.Load(); leader == target {
-				l.seek(target, 0)
+				l.findLeader(target, 0)
 			}
 		}
 	}
 }
 
-// seek asks all cores but one at once who leads, until one leads in a later
+// findLeader asks all cores but one at once who leads, until one leads in a later
 // term than given or they have all answered or are overdue. The question is a
 // small one: the news that a new leader owes may take a small link longer than
 // a core that is gone may be waited for.
-func (l *Link) seek(but string, after rpc.Term) (found bool) {
+func (l *LeaderClient) findLeader(but string, after rpc.Term) (found bool) {
 	l.mu.Lock()
 	wait := l.patience.Wait()
 	l.mu.Unlock()
 	asked, answered, leader := 0, 0, ""
-	answers := make(chan leadAnswer, len(l.candidates())+1)
+	answers := make(chan leaderReply, len(l.candidates())+1)
 	for _, inner := range l.candidates() {
 		if inner == but || asked == cap(answers) {
 			continue
@@ -238,8 +242,8 @@
 		asked++
 		go func() {
 			var reply rpc.LeadReply
-			err := l.core(inner).Call(rpc.MethodLeader, rpc.LeadAsk{}, &reply, wait)
-			answers <- leadAnswer{inner, reply, err}
+			err := l.controllerClient(inner).Call(rpc.MethodLeader, rpc.LeadAsk{}, &reply, wait)
+			answers <- leaderReply{inner, reply, err}
 		}()
 	}
 	for ; asked > 0 && leader == ""; asked-- {
@@ -248,13 +252,13 @@
 			continue
 		}
 		answered++
-		l.world.Learn(answer.reply.Cores)
-		if answer.reply.Leader && answer.reply.Term > after && answer.reply.Term >= l.world.Seen().Term {
-			leader = answer.inner
+		l.state.AddControllers(answer.reply.Cores)
+		if answer.reply.Leader && answer.reply.Term > after && answer.reply.Term >= l.state.Known().Term {
+			leader = answer.address
 		}
 	}
 	if leader != "" {
-		news, err := l.beat(leader, 0, newsPatient)
+		news, err := l.heartbeat(leader, 0, updateTimeout)
 		if err == nil && news.Leader {
 			return true
 		}
@@ -264,58 +268,58 @@
 		l.patience.InVain()
 		l.mu.Unlock()
 	}
-	time.Sleep(scoutPause + time.Duration(rand.Int63n(int64(scoutPause))))
+	time.Sleep(leaderSearchPause + time.Duration(rand.Int63n(int64(leaderSearchPause))))
 	return false
 }
 
-// leadAnswer is one core's answer to the question who leads.
-type leadAnswer struct {
-	inner string
-	reply rpc.LeadReply
-	err   error
+// leaderReply is one core's answer to the question who leads.
+type leaderReply struct {
+	address string
+	reply   rpc.LeadReply
+	err     error
 }
 
-// scout looks for a new leader beside the beat, which may be held open by one
+// searchForLeader looks for a new leader beside the beat, which may be held open by one
 // that is gone without a word. It ends when the old one is heard again.
-func (l *Link) scout() {
-	if !l.scouts.CompareAndSwap(false, true) {
+func (l *LeaderClient) searchForLeader() {
+	if !l.searching.CompareAndSwap(false, true) {
 		return
 	}
-	defer l.scouts.Store(false)
+	defer l.searching.Store(false)
 	old := *l.leader.Load()
 	begun := l.clock.Now()
-	term := l.world.Seen().Term
-	for l.clock.Now()-begun < scoutSpan && time.Duration(l.heard.Load()) <= begun {
-		if l.seek(old, term) {
-			l.core(old).Close()
+	term := l.state.Known().Term
+	for l.clock.Now()-begun < leaderSearchLimit && time.Duration(l.lastHeard.Load()) <= begun {
+		if l.findLeader(old, term) {
+			l.controllerClient(old).Close()
 			return
 		}
 	}
 }
 
-// Alone is the duty that reads the platform's list while there is no leader,
+// RunStandalone is the duty that reads the platform's list while there is no leader,
 // at a pace the whole fleet together may keep.
-func (l *Link) Alone() {
-	if l.props.PlatformAddress == "" {
+func (l *LeaderClient) RunStandalone() {
+	if l.settings.PlatformAddress == "" {
 		return
 	}
-	platform := registry.NewPlatform(l.props.PlatformAddress)
+	platform := registry.NewPlatform(l.settings.PlatformAddress)
 	var due time.Duration
-	for alone := false; !l.ended(); {
-		time.Sleep(alonePause)
-		if l.Led() {
+	for alone := false; !l.isDone(); {
+		time.Sleep(standalonePoll)
+		if l.HasLeader() {
 			alone = false
 			continue
 		}
-		scene := l.world.Scene()
+		scene := l.state.Snapshot()
 		now := l.clock.Now()
 		if !alone {
 			// All lose a leader in the same moment, so the first reading of each lies
 			// anywhere within the pace that all together may keep. Who has no list at
 			// all cannot serve and comes sooner.
-			spread := l.lonePace(len(scene.Fellows), scene.backends())
-			if !scene.Listed {
-				spread = min(spread, lonelyFirst)
+			spread := l.standaloneInterval(len(scene.Nodes), scene.backendCount())
+			if !scene.ListComplete {
+				spread = min(spread, firstListWithin)
 			}
 			alone, due = true, now+time.Duration(rand.Float64()*float64(spread))
 		}
@@ -323,35 +327,35 @@
 			continue
 		}
 		walk, pages, err := platform.Walk(100*time.Millisecond, func([]rpc.Server) {})
-		if err == nil && !l.Led() {
-			l.world.TakeList(walk)
+		if err == nil && !l.HasLeader() {
+			l.state.ApplyOwnList(walk)
 		}
-		due = l.clock.Now() + max(l.lonePace(len(scene.Fellows), pages*listPage), time.Second)
+		due = l.clock.Now() + max(l.standaloneInterval(len(scene.Nodes), pages*listPageSize), time.Second)
 	}
 }
 
-// lonePace is how often each of so many daemons may read a list of so many
+// standaloneInterval is how often each of so many daemons may read a list of so many
 // backends by itself.
-func (l *Link) lonePace(fellows, backends int) (pace time.Duration) {
-	pages := max(1, (backends+listPage-1)/listPage)
-	return time.Duration(float64(2*max(4, fellows)*pages) / max(l.props.PlatformRate, 0.1) * float64(time.Second))
+func (l *LeaderClient) standaloneInterval(fellows, backends int) (pace time.Duration) {
+	pages := max(1, (backends+listPageSize-1)/listPageSize)
+	return time.Duration(float64(2*max(4, fellows)*pages) / max(l.settings.PlatformRate, 0.1) * float64(time.Second))
 }
 
 // Claim asks the cores for a key, again where a try had no clear outcome: to
 // claim twice for one request is the same as once. It waits for a leader no
 // longer than patience.
-func (l *Link) Claim(claim rpc.KeyClaim, patience, limit time.Duration) (found rpc.ClaimFound) {
+func (l *LeaderClient) Claim(claim rpc.KeyClaim, patience, limit time.Duration) (found rpc.ClaimFound) {
 	begun := l.clock.Now()
 	unclear := false
-	for pause := claimPause; ; pause *= 2 {
-		found = l.claim(claim, min(claimCall, limit-(l.clock.Now()-begun)))
+	for pause := claimRetryPause; ; pause *= 2 {
+		found = l.claimOnce(claim, min(claimCallTimeout, limit-(l.clock.Now()-begun)))
 		switch found.Outcome {
 		case rpc.Granted, rpc.Held:
 			return found
 		case rpc.Unclear:
 			unclear = true
 		}
-		go l.scout()
+		go l.searchForLeader()
 		spent := l.clock.Now() - begun
 		if spent+pause > limit || !unclear && spent+pause > patience {
 			break
@@ -364,11 +368,11 @@
 	return found
 }
 
-func (l *Link) claim(claim rpc.KeyClaim, limit time.Duration) (found rpc.ClaimFound) {
-	if limit <= 0 || !l.Led() {
+func (l *LeaderClient) claimOnce(claim rpc.KeyClaim, limit time.Duration) (found rpc.ClaimFound) {
+	if limit <= 0 || !l.HasLeader() {
 		return rpc.ClaimFound{Outcome: rpc.Refused}
 	}
-	found, taken, answered := l.claims.Ask(claim, limit)
+	found, taken, answered := l.claims.Call(claim, limit)
 	switch {
 	case !taken:
 		found.Outcome = rpc.Refused
@@ -380,16 +384,16 @@
 
 // Bind asks where a session is bound, again where there was no clear outcome: to
 // ask twice is the same as once. It waits no longer than patience for a leader.
-func (l *Link) Bind(bind rpc.Bind, patience, limit time.Duration) (found rpc.BindFound) {
+func (l *LeaderClient) Bind(bind rpc.Bind, patience, limit time.Duration) (found rpc.BindFound) {
 	begun := l.clock.Now()
-	for pause := claimPause; ; pause *= 2 {
-		if wait := min(claimCall, limit-(l.clock.Now()-begun)); wait > 0 && l.Led() {
-			found, _, _ = l.binds.Ask(bind, wait)
+	for pause := claimRetryPause; ; pause *= 2 {
+		if wait := min(claimCallTimeout, limit-(l.clock.Now()-begun)); wait > 0 && l.HasLeader() {
+			found, _, _ = l.binds.Call(bind, wait)
 		}
 		if found.Outcome != rpc.BindUnclear {
 			return found
 		}
-		go l.scout()
+		go l.searchForLeader()
 		if l.clock.Now()-begun+pause > min(patience, limit) {
 			return found
 		}
@@ -397,29 +401,29 @@
 	}
 }
 
-// Free gives a key back; it is told to the cores until they have it.
-func (l *Link) Free(claim rpc.KeyClaim) {
+// Release gives a key back; it is told to the cores until they have it.
+func (l *LeaderClient) Release(claim rpc.KeyClaim) {
 	l.mu.Lock()
-	if len(l.frees) < freesHeld {
-		l.frees[claim] = true
+	if len(l.pendingReleases) < maxPendingReleases {
+		l.pendingReleases[claim] = true
 	}
 	l.mu.Unlock()
 	select {
-	case l.stir <- struct{}{}:
+	case l.wakeReleases <- struct{}{}:
 	default:
 	}
 }
 
-// Claims is the duty that sends claims, Binds the one that asks for bindings.
-func (l *Link) Claims() { l.claims.Run(l.Ended) }
+// RunClaims is the duty that sends claims, Binds the one that asks for bindings.
+func (l *LeaderClient) RunClaims() { l.claims.Run(l.Done) }
 
-// Binds sends what asks where sessions are bound.
-func (l *Link) Binds() { l.binds.Run(l.Ended) }
+// RunBinds sends what asks where sessions are bound.
+func (l *LeaderClient) RunBinds() { l.binds.Run(l.Done) }
 
-func (l *Link) putClaims(claims []rpc.KeyClaim, left time.Duration) (found []rpc.ClaimFound) {
-	ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.props.Name), Life: l.life, Claims: claims, Left: left}
+func (l *LeaderClient) sendClaims(claims []rpc.KeyClaim, left time.Duration) (found []rpc.ClaimFound) {
+	ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.settings.Name), Life: l.incarnation, Claims: claims, Left: left}
 	var reply rpc.ClaimReply
-	err := l.core(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, 2*claimCall)
+	err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, 2*claimCallTimeout)
 	if err == nil && reply.Leader {
 		return reply.Found
 	}
@@ -432,12 +436,12 @@
 	return found
 }
 
-func (l *Link) putBinds(binds []rpc.Bind, _ time.Duration) (found []rpc.BindFound) {
+func (l *LeaderClient) sendBinds(binds []rpc.Bind, _ time.Duration) (found []rpc.BindFound) {
 	var reply rpc.BindReply
-	if err := l.core(*l.leader.Load()).Call(rpc.MethodBind, rpc.BindAsk{Binds: binds}, &reply, 2*claimCall); err != nil {
+	if err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodBind, rpc.BindAsk{Binds: binds}, &reply, 2*claimCallTimeout); err != nil {
 		return nil
 	}
-	if reply.Term > 0 && reply.Term < l.world.Seen().Term {
+	if reply.Term > 0 && reply.Term < l.state.Known().Term {
 		// An older leader's answer came late; a newer one may have bound it anew. A
 		// core of an earlier build names no term.
 		return nil
@@ -445,20 +449,20 @@
 	return reply.Found
 }
 
-// Frees is the duty that gives keys back, in one call at a time: told again
+// RunReleases is the duty that gives keys back, in one call at a time: told again
 // with every claim they would bury a leader that is only slow.
-func (l *Link) Frees() {
+func (l *LeaderClient) RunReleases() {
 	for {
 		select {
-		case <-l.stir:
-		case <-l.Ended:
+		case <-l.wakeReleases:
+		case <-l.Done:
 			return
 		}
-		for !l.ended() {
+		for !l.isDone() {
 			l.mu.Lock()
 			var frees []rpc.KeyClaim
-			for claim := range l.frees {
-				if frees = append(frees, claim); len(frees) == freesMost {
+			for claim := range l.pendingReleases {
+				if frees = append(frees, claim); len(frees) == maxReleaseBatch {
 					break
 				}
 			}
@@ -466,16 +470,16 @@
 			if len(frees) == 0 {
 				break
 			}
-			ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.props.Name), Life: l.life, Frees: frees}
+			ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.settings.Name), Life: l.incarnation, Frees: frees}
 			var reply rpc.ClaimReply
-			err := l.core(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, time.Second)
+			err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, time.Second)
 			if err != nil || !reply.Leader || !reply.Freed {
-				time.Sleep(freesPause)
+				time.Sleep(releaseRetryPause)
 				continue
 			}
 			l.mu.Lock()
 			for _, claim := range frees {
-				delete(l.frees, claim)
+				delete(l.pendingReleases, claim)
 			}
 			l.mu.Unlock()
 		}
@@ -483,41 +487,41 @@
 }
 
 // Recall asks the holder of a key how the operation stands.
-func (l *Link) Recall(found rpc.ClaimFound, key string) (reply rpc.RecallReply) {
+func (l *LeaderClient) Recall(found rpc.ClaimFound, key string) (reply rpc.RecallReply) {
 	if found.Inner == "" {
 		return reply
 	}
 	ask := rpc.RecallAsk{Key: key, Request: found.Request, Life: found.Life}
-	if err := l.caller(found.Inner).Call(rpc.MethodStoredResponse, ask, &reply, 600*time.Millisecond); err != nil {
+	if err := l.peerClient(found.Inner).Call(rpc.MethodStoredResponse, ask, &reply, 600*time.Millisecond); err != nil {
 		return rpc.RecallReply{Standing: rpc.Lost}
 	}
 	return l.Fetch(reply, key, found.Request)
 }
 
 // Fetch gets an answer that was moved from the fellow that keeps it.
-func (l *Link) Fetch(reply rpc.RecallReply, key, request string) (fetched rpc.RecallReply) {
+func (l *LeaderClient) Fetch(reply rpc.RecallReply, key, request string) (fetched rpc.RecallReply) {
 	if reply.Standing != rpc.Moved {
 		return reply
 	}
-	if err := l.caller(reply.Inner).Call(rpc.MethodMovedResponse, rpc.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
+	if err := l.peerClient(reply.Inner).Call(rpc.MethodMovedResponse, rpc.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
 		return rpc.RecallReply{Standing: rpc.Lost}
 	}
 	return fetched
 }
 
-// Keep hands an answer to a fellow that may keep it.
-func (l *Link) Keep(inner string, ask rpc.KeepAsk) (kept bool) {
+// StoreAt hands an answer to a fellow that may keep it.
+func (l *LeaderClient) StoreAt(inner string, ask rpc.KeepAsk) (kept bool) {
 	var reply rpc.KeepReply
-	err := l.caller(inner).Call(rpc.MethodStoreResponse, ask, &reply, time.Second)
+	err := l.peerClient(inner).Call(rpc.MethodStoreResponse, ask, &reply, time.Second)
 	return err == nil && reply.Kept
 }
 
 // Report brings an owner's findings to the state cache.
-func (l *Link) Report(ask rpc.ReportAsk) (taken bool) {
-	if !l.Led() {
+func (l *LeaderClient) Report(ask rpc.ReportAsk) (taken bool) {
+	if !l.HasLeader() {
 		return false
 	}
 	var reply rpc.ReportReply
-	err := l.core(*l.leader.Load()).Call(rpc.MethodHealthReport, ask, &reply, 500*time.Millisecond)
+	err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodHealthReport, ask, &reply, 500*time.Millisecond)
 	return err == nil && reply.Leader && reply.Taken
 }
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -22,78 +22,78 @@
 )
 
 const (
-	fleetMemory  = 2 * time.Minute
-	lonelyCall   = 300 * time.Millisecond
-	lonelyAtOnce = 16
-	lonelyTurn   = 250 * time.Millisecond
+	nodeMemory        = 2 * time.Minute
+	peerCallTimeout   = 300 * time.Millisecond
+	peerCallsInFlight = 16
+	policyInterval    = 250 * time.Millisecond
 )
 
-type metFellow struct {
+type metNode struct {
 	rpc.Fellow
-	at time.Duration
+	lastSeen time.Duration
 }
 
-// Moves is the plan's step in force, by host and by service.
-type Moves struct {
+// PlanWeights is the plan's step in force, by host and by service.
+type PlanWeights struct {
 	Hosts    map[string]schedule.Weights
 	Services map[rpc.ServiceName]schedule.Weights
 }
 
-// Orders of one daemon.
-type Orders struct {
-	mu     sync.Mutex
-	policy *drain.Policy
-	permit *drain.Permit
-	agreed map[rpc.ServerID]rpc.Retirement
-	kinds  map[policy.Kind]policy.Document
-	move   rpc.Move
-	moves  atomic.Pointer[Moves]
-	spills atomic.Pointer[map[rpc.ServiceName]rpc.Spill]
-	fleet  map[rpc.FellowID]metFellow
+// Policies of one daemon.
+type Policies struct {
+	mu          sync.Mutex
+	drainPolicy *drain.Policy
+	drainPermit *drain.Permit
+	retirements map[rpc.ServerID]rpc.Retirement
+	documents   map[policy.Kind]policy.Document
+	planStep    rpc.Move
+	planWeights atomic.Pointer[PlanWeights]
+	overflow    atomic.Pointer[map[rpc.ServiceName]rpc.Spill]
+	recentNodes map[rpc.FellowID]metNode
 	// Retries keeps the written limit on retries.
 	Retries *retry.Limiter
 	// Sessions keeps callers where they began.
-	Sessions *Sessions
-	cutOff   atomic.Bool
-	any      atomic.Bool
+	Sessions       *Sessions
+	cutOff         atomic.Bool
+	hasRetirements atomic.Bool
 }
 
-// NewOrders follows nothing yet.
-func NewOrders(now time.Duration) (orders *Orders) {
-	orders = &Orders{permit: drain.NewPermit(now), agreed: map[rpc.ServerID]rpc.Retirement{}, kinds: map[policy.Kind]policy.Document{}, fleet: map[rpc.FellowID]metFellow{}, Sessions: NewSessions()}
-	orders.moves.Store(&Moves{})
-	orders.spills.Store(&map[rpc.ServiceName]rpc.Spill{})
+// NewPolicies follows nothing yet.
+func NewPolicies(now time.Duration) (orders *Policies) {
+	orders = &Policies{drainPermit: drain.NewPermit(now), retirements: map[rpc.ServerID]rpc.Retirement{}, documents: map[policy.Kind]policy.Document{}, recentNodes: map[rpc.FellowID]metNode{}, Sessions: NewSessions()}
+	orders.planWeights.Store(&PlanWeights{})
+	orders.overflow.Store(&map[rpc.ServiceName]rpc.Spill{})
 	return orders
 }
 
-// take takes news that were asked for at a time.
-func (o *Orders) take(now, asked time.Duration, news *rpc.News, memory *history.Chronicle, quiet bool) {
+// apply takes news that were asked for at a time.
+func (o *Policies) apply(now, asked time.Duration, news *rpc.News, memory *history.Chronicle, quiet bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.permit.Led(asked)
+	o.drainPermit.Led(asked)
 	o.Retries.Touch(asked)
 	spills := make(map[rpc.ServiceName]rpc.Spill, len(news.Spills))
 	for _, spill := range news.Spills {
 		spills[spill.Service] = spill
 	}
-	o.spills.Store(&spills)
+	o.overflow.Store(&spills)
 	for _, change := range news.Fellows {
 		if !change.Gone {
-			o.fleet[change.ID] = metFellow{change.Fellow, now}
+			o.recentNodes[change.ID] = metNode{change.Fellow, now}
 		}
 	}
 	for _, document := range news.Documents {
-		if old := o.kinds[document.Kind]; document.Rev <= old.Rev {
+		if old := o.documents[document.Kind]; document.Rev <= old.Rev {
 			continue
 		}
-		o.kinds[document.Kind] = document
+		o.documents[document.Kind] = document
 		memory.Note(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
 		if document.Kind == policy.DrainPolicy {
-			o.policy = nil
+			o.drainPolicy = nil
 			if document.InForce() {
-				o.policy, _ = drain.Read([]byte(document.Body))
+				o.drainPolicy, _ = drain.Read([]byte(document.Body))
 			}
-			o.permit.Policy(o.policy)
+			o.drainPermit.Policy(o.drainPolicy)
 		}
 		if document.Kind == policy.SessionAffinity {
 			var drainPolicy *affinity.Policy
@@ -110,29 +110,29 @@
 			o.Retries.Set(limit)
 		}
 	}
-	o.follow(now, news.Retired, memory, quiet)
-	if move := news.Move; move != nil && move.Rev > o.move.Rev {
-		o.move = *move
+	o.applyRetirements(now, news.Retired, memory, quiet)
+	if move := news.Move; move != nil && move.Rev > o.planStep.Rev {
+		o.planStep = *move
 		memory.Note(history.Move, string(policy.DayPlan), "applied", move.Stamp(), move.Rev, quiet)
-		o.moves.Store(movesOf(*move))
+		o.planWeights.Store(newPlanWeights(*move))
 	}
 }
 
-// follow takes agreed orders to retire; the caller holds the lock.
-func (o *Orders) follow(now time.Duration, retired []rpc.Retirement, memory *history.Chronicle, quiet bool) {
+// applyRetirements takes agreed orders to retire; the caller holds the lock.
+func (o *Policies) applyRetirements(now time.Duration, retired []rpc.Retirement, memory *history.Chronicle, quiet bool) {
 	for _, order := range retired {
-		if order.Rev <= o.agreed[order.Server].Rev {
+		if order.Rev <= o.retirements[order.Server].Rev {
 			continue
 		}
-		o.agreed[order.Server] = order
-		o.permit.Take(now, order)
-		o.any.Store(true)
+		o.retirements[order.Server] = order
+		o.drainPermit.Take(now, order)
+		o.hasRetirements.Store(true)
 		memory.Note(history.Retirement, string(order.Server), "applied", order.Stamp(), order.Rev, quiet)
 	}
 }
 
-func movesOf(move rpc.Move) (moves *Moves) {
-	moves = &Moves{Hosts: map[string]schedule.Weights{}, Services: map[rpc.ServiceName]schedule.Weights{}}
+func newPlanWeights(move rpc.Move) (moves *PlanWeights) {
+	moves = &PlanWeights{Hosts: map[string]schedule.Weights{}, Services: map[rpc.ServiceName]schedule.Weights{}}
 	for _, target := range move.Targets {
 		weights := schedule.Weights{}
 		for _, part := range target.Weights {
@@ -147,54 +147,54 @@
 	return moves
 }
 
-// Sends tells whether a new caller may be sent to a backend.
-func (o *Orders) Sends(now time.Duration, server rpc.ServerID) (sends bool) {
-	if !o.any.Load() {
+// AcceptsNew tells whether a new caller may be sent to a backend.
+func (o *Policies) AcceptsNew(now time.Duration, server rpc.ServerID) (sends bool) {
+	if !o.hasRetirements.Load() {
 		return true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.permit.Sends(now, server)
+	return o.drainPermit.Sends(now, server)
 }
 
-// Keeps tells whether a session that is there may stay on a backend: one that
+// KeepsSessions tells whether a session that is there may stay on a backend: one that
 // was retired keeps its sessions as long as the policy lets requests finish.
-func (o *Orders) Keeps(now time.Duration, server rpc.ServerID, service rpc.ServiceName) (keeps bool) {
-	if !o.any.Load() {
+func (o *Policies) KeepsSessions(now time.Duration, server rpc.ServerID, service rpc.ServiceName) (keeps bool) {
+	if !o.hasRetirements.Load() {
 		return true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.permit.Sends(now, server) || o.permit.Finishing(now, server, time.Duration(o.policy.For(service).Finish))
+	return o.drainPermit.Sends(now, server) || o.drainPermit.Finishing(now, server, time.Duration(o.drainPolicy.For(service).Finish))
 }
 
 // CutOff tells that nothing new may be taken.
-func (o *Orders) CutOff() bool { return o.cutOff.Load() }
+func (o *Policies) CutOff() bool { return o.cutOff.Load() }
 
-// Known counts the fellows met lately.
-func (o *Orders) Known(now time.Duration) (known int) {
+// RecentNodes counts the fellows met lately.
+func (o *Policies) RecentNodes(now time.Duration) (known int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, met := range o.fleet {
-		if now-met.at > fleetMemory {
-			delete(o.fleet, id)
+	for id, met := range o.recentNodes {
+		if now-met.lastSeen > nodeMemory {
+			delete(o.recentNodes, id)
 		}
 	}
-	return len(o.fleet)
+	return len(o.recentNodes)
 }
 
-// stay keeps fellows that still stand from being forgotten.
-func (o *Orders) stay(now time.Duration, fellows map[rpc.FellowID]rpc.Fellow) {
+// refreshNodes keeps fellows that still stand from being forgotten.
+func (o *Policies) refreshNodes(now time.Duration, fellows map[rpc.FellowID]rpc.Fellow) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, fellow := range fellows {
-		o.fleet[id] = metFellow{fellow, now}
+		o.recentNodes[id] = metNode{fellow, now}
 	}
 }
 
-// Weights gives the plan's weights for a request, nil where there are none.
-func (o *Orders) Weights(host string, service rpc.ServiceName) (weights schedule.Weights) {
-	moves := o.moves.Load()
+// PlanWeights gives the plan's weights for a request, nil where there are none.
+func (o *Policies) PlanWeights(host string, service rpc.ServiceName) (weights schedule.Weights) {
+	moves := o.planWeights.Load()
 	if len(moves.Hosts) > 0 {
 		if weights = moves.Hosts[config.PlainHost(host)]; weights != nil {
 			return weights
@@ -203,9 +203,9 @@
 	return moves.Services[service]
 }
 
-// Away draws the site that a request should be sent to, empty for one's own.
-func (o *Orders) Away(service rpc.ServiceName) (site rpc.SiteName) {
-	spills := *o.spills.Load()
+// OverflowZone draws the site that a request should be sent to, empty for one's own.
+func (o *Policies) OverflowZone(service rpc.ServiceName) (site rpc.SiteName) {
+	spills := *o.overflow.Load()
 	if len(spills) == 0 {
 		return ""
 	}
@@ -218,59 +218,59 @@
 	return ""
 }
 
-// planned tells that a plan is in force.
-func (o *Orders) planned() bool {
-	moves := o.moves.Load()
+// hasPlan tells that a plan is in force.
+func (o *Policies) hasPlan() bool {
+	moves := o.planWeights.Load()
 	return len(moves.Hosts)+len(moves.Services) > 0
 }
 
-// Retired lists the orders this daemon follows, for a fellow that asks.
-func (o *Orders) Retired() (retired []rpc.Retirement) {
+// Retirements lists the orders this daemon follows, for a fellow that asks.
+func (o *Policies) Retirements() (retired []rpc.Retirement) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, order := range o.agreed {
+	for _, order := range o.retirements {
 		retired = append(retired, order)
 	}
 	return retired
 }
 
-// stands tells how an order stands on this daemon.
-func (o *Orders) stands(kind, name string) (stamp string, rev uint64, has bool) {
+// stateOf tells how an order stands on this daemon.
+func (o *Policies) stateOf(kind, name string) (stamp string, rev uint64, has bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch kind {
 	case history.Document:
-		document, known := o.kinds[policy.Kind(name)]
+		document, known := o.documents[policy.Kind(name)]
 		return document.Stamp(), document.Rev, known
 	case history.Retirement:
-		retired, known := o.agreed[rpc.ServerID(name)]
+		retired, known := o.retirements[rpc.ServerID(name)]
 		return retired.Stamp(), retired.Rev, known
 	}
-	return o.move.Stamp(), o.move.Rev, o.move.Rev > 0
+	return o.planStep.Stamp(), o.planStep.Rev, o.planStep.Rev > 0
 }
 
-// attend is the duty that keeps to the policy by time: it asks fellows where
+// enforcePolicies is the duty that keeps to the policy by time: it asks fellows where
 // no leader is heard, notes when the daemon is cut off, and ends requests that
 // have had their time at a backend that was stopped.
-func (d *Daemon) attend() {
-	ticker := time.NewTicker(lonelyTurn)
+func (d *Daemon) enforcePolicies() {
+	ticker := time.NewTicker(policyInterval)
 	defer ticker.Stop()
 	for asked := time.Duration(0); ; {
 		select {
 		case <-ticker.C:
-		case <-d.link.Ended:
+		case <-d.leader.Done:
 			return
 		}
 		now := d.clock.Now()
-		o := d.world.Orders
+		o := d.state.Policies
 		o.mu.Lock()
-		lonely, sessionPolicy := o.permit.Lonely(now), o.policy
-		over := o.permit.Over(now, func(service rpc.ServiceName) time.Duration {
+		lonely, sessionPolicy := o.drainPermit.Lonely(now), o.drainPolicy
+		over := o.drainPermit.Over(now, func(service rpc.ServiceName) time.Duration {
 			return time.Duration(sessionPolicy.For(service).Finish)
 		})
 		o.mu.Unlock()
 		for _, retired := range over {
-			d.world.end(retired.Server, sessionPolicy.For(retired.Service).Keyed == drain.KeyedDeadline)
+			d.state.abortRequests(retired.Server, sessionPolicy.For(retired.Service).Keyed == drain.KeyedDeadline)
 		}
 		if sessionPolicy == nil {
 			o.cutOff.Store(false)
@@ -278,10 +278,10 @@
 		}
 		if lonely && now-asked > time.Duration(sessionPolicy.LostTouch)/4 {
 			asked = now
-			d.askFellows(now)
+			d.askPeers(now)
 		}
 		o.mu.Lock()
-		cut := o.permit.CutOff(d.clock.Now())
+		cut := o.drainPermit.CutOff(d.clock.Now())
 		o.mu.Unlock()
 		if o.cutOff.Swap(cut) != cut {
 			d.log.Emit(eventlog.IsolationChanged, "isolated", cut)
@@ -289,46 +289,46 @@
 	}
 }
 
-// askFellows asks all fellows what they follow; more than half of the fleet,
+// askPeers asks all fellows what they follow; more than half of the fleet,
 // this daemon counted, must answer for it to have heard them.
-func (d *Daemon) askFellows(now time.Duration) {
-	o := d.world.Orders
+func (d *Daemon) askPeers(now time.Duration) {
+	o := d.state.Policies
 	o.mu.Lock()
 	var inners []string
-	for id, met := range o.fleet {
-		if string(id) != d.props.Name {
+	for id, met := range o.recentNodes {
+		if string(id) != d.settings.Name {
 			inners = append(inners, met.Inner)
 		}
 	}
 	o.mu.Unlock()
 	var asked sync.WaitGroup
 	var answers atomic.Int64
-	places := make(chan struct{}, lonelyAtOnce)
+	places := make(chan struct{}, peerCallsInFlight)
 	for _, inner := range inners {
 		asked.Add(1)
 		places <- struct{}{}
 		go func() {
 			defer func() { <-places; asked.Done() }()
 			var reply rpc.OrdersReply
-			if err := d.link.caller(inner).Call(rpc.MethodRetirements, rpc.OrdersAsk{From: rpc.FellowID(d.props.Name)}, &reply, lonelyCall); err != nil {
+			if err := d.leader.peerClient(inner).Call(rpc.MethodRetirements, rpc.OrdersAsk{From: rpc.FellowID(d.settings.Name)}, &reply, peerCallTimeout); err != nil {
 				return
 			}
 			answers.Add(1)
 			o.mu.Lock()
-			o.follow(d.clock.Now(), reply.Retired, d.world.Chronicle, true)
+			o.applyRetirements(d.clock.Now(), reply.Retired, d.state.History, true)
 			o.mu.Unlock()
 		}()
 	}
 	asked.Wait()
 	if 2*(int(answers.Load())+1) > len(inners)+1 {
 		o.mu.Lock()
-		o.permit.Heard(now)
+		o.drainPermit.Heard(now)
 		o.mu.Unlock()
 	}
 }
 
 // Orders tells a fellow what this daemon follows.
-func (k *Desk) Orders(_ rpc.OrdersAsk, reply *rpc.OrdersReply) (err error) {
-	reply.Retired = k.daemon.world.Orders.Retired()
+func (k *PeerService) Orders(_ rpc.OrdersAsk, reply *rpc.OrdersReply) (err error) {
+	reply.Retired = k.daemon.state.Policies.Retirements()
 	return nil
 }
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -52,7 +52,7 @@
 			troubled := newStandIn(t, "i-1", c.script)
 			sound := newStandIn(t, "i-2", good)
 			d := daemonOf(t, troubled, sound)
-			d.world.servers["i-2"].pace, d.world.servers["i-2"].paceAt = 1e6, 1
+			d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
 			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
 			want := c.safe
 			if way == "/once/" {
@@ -271,40 +271,40 @@
 func TestChooseKeepsToTheRules(t *testing.T) {
 	backends := []*standIn{newStandIn(t, "i-1", good), newStandIn(t, "i-2", good), newStandIn(t, "i-3", good)}
 	d := daemonOf(t, backends...)
-	pick := func(wanted Wanted) (id rpc.ServerID) {
+	pick := func(wanted Criteria) (id rpc.ServerID) {
 		wanted.Service = "s"
-		if server, _ := d.world.choose(d.world.Scene(), wanted); server != nil {
+		if server, _ := d.state.chooseEndpoint(d.state.Snapshot(), wanted); server != nil {
 			id = server.ID
 		}
 		return id
 	}
 	now := d.clock.Now()
-	one, two, three := d.world.servers["i-1"], d.world.servers["i-2"], d.world.servers["i-3"]
+	one, two, three := d.state.servers["i-1"], d.state.servers["i-2"], d.state.servers["i-3"]
 	one.Draining = true
 	two.coldTill = now + time.Hour
 	for i := 0; i < 20; i++ {
-		if pick(Wanted{}) != "i-3" {
+		if pick(Criteria{}) != "i-3" {
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
 		}
 	}
-	if pick(Wanted{Tried: []rpc.ServerID{"i-3"}}) != "" {
+	if pick(Criteria{Tried: []rpc.ServerID{"i-3"}}) != "" {
 		t.Fatal("a backend was chosen twice")
 	}
-	if pick(Wanted{Homes: []string{"far"}}) != "" {
+	if pick(Criteria{Homes: []string{"far"}}) != "" {
 		t.Fatal("a backend outside the homes was chosen")
 	}
 	three.health = rpc.Down
-	if pick(Wanted{}) != "i-3" {
+	if pick(Criteria{}) != "i-3" {
 		t.Fatal("the only one is taken even if it is held to be down")
 	}
-	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Evacuations: []rpc.Evacuation{{Site: "here", Active: true, Rev: 2}}})
-	if pick(Wanted{}) != "" {
+	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Evacuations: []rpc.Evacuation{{Site: "here", Active: true, Rev: 2}}})
+	if pick(Criteria{}) != "" {
 		t.Fatal("a backend of an evacuated site was chosen")
 	}
-	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 3, Evacuations: []rpc.Evacuation{{Site: "here", Rev: 3}}})
+	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 3, Evacuations: []rpc.Evacuation{{Site: "here", Rev: 3}}})
 	one.Draining = false
 	three.health = rpc.Up
-	if got := pick(Wanted{}); got == "" {
+	if got := pick(Criteria{}); got == "" {
 		t.Fatal("none after the evacuation was taken back")
 	}
 }
@@ -316,8 +316,8 @@
 		arrivals = append(arrivals, clock.Now())
 		return good(n, r, conn)
 	}))
-	d.world.servers["i-1"].coldTill = d.clock.Now() + time.Hour
-	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
+	d.state.servers["i-1"].coldTill = d.clock.Now() + time.Hour
+	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
 	for range 12 {
 		d.Answer(request("GET", "/safe/q", "c"), "2500")
 	}
@@ -374,7 +374,7 @@
 		for _, id := range absent {
 			away[id] = true
 		}
-		if got := strings.Join(Directions(fellows, away, homes, nil, region, site, "client"), " "); got != want {
+		if got := strings.Join(DirectoryAnswer(fellows, away, homes, nil, region, site, "client"), " "); got != want {
 			t.Errorf("%s %s: %q, want %q", region, site, got, want)
 		}
 	}
@@ -403,7 +403,7 @@
 	changed := 0
 	for c := 0; c < 300; c++ {
 		client := fmt.Sprint("10.0.0.", c)
-		answer := Directions(fellows, nil, nil, nil, "north", "site-0", client)
+		answer := DirectoryAnswer(fellows, nil, nil, nil, "north", "site-0", client)
 		own := 0
 		for _, address := range answer {
 			named[address]++
@@ -411,13 +411,13 @@
 				own++
 			}
 		}
-		if len(answer) != directionsOwn+directionsAway || own != directionsOwn {
+		if len(answer) != maxOwnZoneAnswers+maxOtherZoneAnswers || own != maxOwnZoneAnswers {
 			t.Fatalf("%v", answer)
 		}
-		if again := Directions(fellows, nil, nil, nil, "north", "site-0", client); strings.Join(again, " ") != strings.Join(answer, " ") {
+		if again := DirectoryAnswer(fellows, nil, nil, nil, "north", "site-0", client); strings.Join(again, " ") != strings.Join(answer, " ") {
 			t.Fatalf("%v, then %v", answer, again)
 		}
-		lost := Directions(fellows, map[rpc.FellowID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
+		lost := DirectoryAnswer(fellows, map[rpc.FellowID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
 		if strings.Join(lost, " ") != strings.Join(answer, " ") {
 			changed++
 		}
@@ -430,7 +430,7 @@
 			t.Errorf("site-0-%d is named to %d of 300 clients, the mean is 45", n, count)
 		}
 	}
-	if far := Directions(fellows, nil, []string{"north"}, nil, "south", "elsewhere", "c"); len(far) != directionsOwn {
+	if far := DirectoryAnswer(fellows, nil, []string{"north"}, nil, "south", "elsewhere", "c"); len(far) != maxOwnZoneAnswers {
 		t.Errorf("a client from elsewhere gets %v", far)
 	}
 }
@@ -444,7 +444,7 @@
 	if err := items.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
 	}
-	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
+	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
 	conn, in := client(t, d)
 	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", headKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
 	for range 2 {
@@ -453,7 +453,7 @@
 			t.Fatalf("%v %v", response, err)
 		}
 	}
-	if reply := d.keys.Find("t/k", "x"); reply.Standing != rpc.Lost || backend.count() != 0 {
+	if reply := d.operations.Find("t/k", "x"); reply.Standing != rpc.Lost || backend.count() != 0 {
 		t.Fatal("a refused request left something behind")
 	}
 }
@@ -462,14 +462,14 @@
 func TestOvertakenNewsChangeNothing(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.world.servers["i-1"].Server
+	server := d.state.servers["i-1"].Server
 	server.Draining = true
-	d.world.Take(0, &rpc.News{Leader: true, Term: 3, Epoch: 9, Servers: []rpc.ServerChange{{Server: server}}})
+	d.state.Apply(0, &rpc.News{Leader: true, Term: 3, Epoch: 9, Servers: []rpc.ServerChange{{Server: server}}})
 	server.Draining = false
 	for _, old := range []rpc.News{{Term: 3, Epoch: 8}, {Term: 2, Epoch: 50, Full: true}} {
 		old.Leader, old.Servers = true, []rpc.ServerChange{{Server: server}}
-		d.world.Take(0, &old)
-		if !d.world.servers["i-1"].Draining {
+		d.state.Apply(0, &old)
+		if !d.state.servers["i-1"].Draining {
 			t.Fatalf("news of term %d, epoch %d undid a later one", old.Term, old.Epoch)
 		}
 	}
@@ -484,7 +484,7 @@
 		dark := newStandIn(t, "i-1", func(int, seen, net.Conn) bool { <-gate; return false })
 		sound := newStandIn(t, "i-2", good)
 		d := daemonOf(t, dark, sound)
-		d.world.servers["i-2"].pace, d.world.servers["i-2"].paceAt = 1e6, 1
+		d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
 		verdict := d.Answer(request("GET", way+"q", "ab"), "800")
 		if way == "/safe/" && verdict.Status != 200 || way == "/once/" && verdict.Status != 504 {
 			t.Errorf("%s: status %d", way, verdict.Status)
--- a/internal/proxy/patience_test.go
+++ b/internal/proxy/patience_test.go
@@ -42,25 +42,25 @@
 // core that says nothing does not hold it up once another leads.
 func TestALeaderIsFoundBehindASlowLink(t *testing.T) {
 	d := daemonOf(t)
-	d.link.Taken = func() {}
+	d.leader.OnUpdate = func() {}
 	slow, mute := &slowForum{let: make(chan struct{}), lead: true}, &slowForum{let: make(chan struct{})}
 	t.Cleanup(func() { close(mute.let) })
 	var cores []rpc.Core
 	for _, forum := range []*slowForum{slow, mute} {
 		cores = append(cores, rpc.Core{Inner: serveInner(t, map[string]any{"Forum": forum})})
 	}
-	d.world.Learn(cores)
-	if d.link.seek("", 0) {
+	d.state.AddControllers(cores)
+	if d.leader.findLeader("", 0) {
 		t.Fatal("found a leader that has not answered")
 	}
-	if wait := d.link.patience.Wait(); wait <= patienceLeast {
+	if wait := d.leader.patience.Wait(); wait <= patienceLeast {
 		t.Fatalf("the next question may take only %s", wait)
 	}
 	close(slow.let)
-	if !d.link.seek("", 0) || *d.link.leader.Load() != cores[0].Inner {
+	if !d.leader.findLeader("", 0) || *d.leader.leader.Load() != cores[0].Inner {
 		t.Fatal("the leader was not found")
 	}
-	if wait := d.link.patience.Wait(); wait != patienceLeast {
+	if wait := d.leader.patience.Wait(); wait != patienceLeast {
 		t.Fatalf("after a leader was found: %s", wait)
 	}
 }
@@ -72,7 +72,7 @@
 		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1", Site: "here"}
 	}
 	tell := func(term rpc.Term, epoch rpc.Epoch, part *rpc.ListPart) {
-		d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: term, Epoch: epoch, Rev: 1, ItemAt: rpc.AllItems, Part: part})
+		d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: term, Epoch: epoch, Rev: 1, ItemAt: rpc.AllItems, Part: part})
 	}
 	tell(2, 1, &rpc.ListPart{At: "b", Servers: []rpc.Server{server("a"), server("b")}})
 	for i, bad := range []*rpc.ListPart{
@@ -80,22 +80,22 @@
 		{From: "b", At: "c", Servers: []rpc.Server{server("a"), server("c")}},
 	} {
 		tell(2, rpc.Epoch(2+i), bad)
-		if seen := d.world.Seen(); seen.Listed || seen.ListAt != "b" || len(d.world.Scene().Services["s"]) != 2 {
+		if seen := d.state.Known(); seen.Listed || seen.ListAt != "b" || len(d.state.Snapshot().Services["s"]) != 2 {
 			t.Fatalf("%+v was taken: %+v", bad, seen)
 		}
 		// The rest of the news is, or a daemon would ask for the same for ever.
-		if d.world.Seen().Epoch != rpc.Epoch(2+i) {
+		if d.state.Known().Epoch != rpc.Epoch(2+i) {
 			t.Fatal("the rest of the news was refused too")
 		}
 	}
 	tell(2, 4, &rpc.ListPart{From: "b", At: "c", Servers: []rpc.Server{server("c")}, Done: true})
-	if !d.world.Seen().Listed || len(d.world.Scene().Services["s"]) != 3 {
+	if !d.state.Known().Listed || len(d.state.Snapshot().Services["s"]) != 3 {
 		t.Fatal("the part that follows was not taken")
 	}
 	// A new leader's list begins anew, also for one in the middle of the last's.
 	tell(3, 1, &rpc.ListPart{At: "a", Servers: []rpc.Server{server("a")}})
 	tell(4, 1, &rpc.ListPart{From: "a", At: "c", Servers: []rpc.Server{server("c")}, Done: true})
-	if seen := d.world.Seen(); seen.Term != 4 || seen.Listed || seen.ListAt != "" || len(d.world.Scene().Services["s"]) != 3 {
+	if seen := d.state.Known(); seen.Term != 4 || seen.Listed || seen.ListAt != "" || len(d.state.Snapshot().Services["s"]) != 3 {
 		t.Fatalf("a later leader's part was taken for the first one: %+v", seen)
 	}
 }
@@ -104,12 +104,12 @@
 // platform's rate: a list of 600 backends is 12 calls.
 func TestDaemonsAloneKeepTogetherToThePlatformsRate(t *testing.T) {
 	d := daemonOf(t)
-	d.link.props.PlatformRate = 44
-	pace := d.link.lonePace(295, 594)
+	d.leader.settings.PlatformRate = 44
+	pace := d.leader.standaloneInterval(295, 594)
 	if calls := 295 * 12 / pace.Seconds(); calls > 22.1 || calls < 20 {
 		t.Fatalf("295 daemons make %.1f calls a second at a pace of %s", calls, pace)
 	}
-	if small := d.link.lonePace(0, 20); small > time.Second {
+	if small := d.leader.standaloneInterval(0, 20); small > time.Second {
 		t.Fatalf("a daemon that knows no other waits %s", small)
 	}
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -20,67 +20,67 @@
 
 const (
 	probePhases  = 4
-	probePatient = time.Second
+	probeTimeout = time.Second
 	// probesPerCPU is how many probes a second a whole processor is given to.
-	probesPerCPU = 600
-	probesLeast  = 20
-	// probersEach is how many daemons may probe a backend in one interval.
-	probersEach = 2
-	pruneSpan   = 10 * time.Second
+	probesPerCPU       = 600
+	minProbesPerSecond = 20
+	// probersPerBackend is how many daemons may probe a backend in one interval.
+	probersPerBackend = 2
+	pruneInterval     = 10 * time.Second
 )
 
-// Finding is what one probe found.
-type Finding uint8
+// ProbeResult is what one probe found.
+type ProbeResult uint8
 
 // The findings.
 const (
-	FoundUp Finding = iota
-	FoundDown
-	FoundBusy
-	FoundSilent
-	FoundGarbled
+	ProbeUp ProbeResult = iota
+	ProbeDown
+	ProbeBusy
+	ProbeTimedOut
+	ProbeInvalid
 )
 
-type watchedServer struct {
-	state   rpc.State
-	silent  int
-	changed bool
-	due     time.Duration
+type probedServer struct {
+	state     rpc.State
+	timeouts  int
+	changed   bool
+	nextProbe time.Duration
 }
 
 // Prober probes.
 type Prober struct {
-	daemon *Daemon
-	mu     sync.Mutex
-	found  map[rpc.ServerID]*watchedServer
-	told   map[rpc.ServiceName]rpc.Term
-	phase  int
-	pruned time.Duration
+	daemon         *Daemon
+	mu             sync.Mutex
+	probed         map[rpc.ServerID]*probedServer
+	fullReportTerm map[rpc.ServiceName]rpc.Term
+	phase          int
+	pruned         time.Duration
 }
 
 // NewProber has found nothing yet.
 func NewProber(d *Daemon) (prober *Prober) {
-	return &Prober{daemon: d, found: map[rpc.ServerID]*watchedServer{}, told: map[rpc.ServiceName]rpc.Term{}}
+	return &Prober{daemon: d, probed: map[rpc.ServerID]*probedServer{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
 }
 
 // Run is the duty that probes.
 func (p *Prober) Run() {
-	ticker := time.NewTicker(p.daemon.props.HealthCheckInterval / probePhases)
+	ticker := time.NewTicker(p.daemon.settings.HealthCheckInterval / probePhases)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			p.turn()
-		case <-p.daemon.link.Ended:
+			p.tick()
+		case <-p.daemon.leader.Done:
 			return
 		}
 	}
 }
 
-func (p *Prober) turn() {
+func (p *Prober) tick() {
 	d := p.daemon
-	duties, term, count := d.world.Tick(d.link.Led())
-	scene := d.world.Scene()
+	duties, term, count := d.state.Tick(d.leader.HasLeader())
+	scene := d.state.Snapshot()
 	p.phase = (p.phase + 1) % probePhases
 	mine := map[rpc.ServiceName]bool{}
 	backends := 0
@@ -88,17 +88,17 @@
 		mine[service] = true
 		backends += len(scene.Services[service])
 	}
-	p.judge(scene, duties, term, count)
-	pace := p.pace(backends, d.world.Alone(), len(scene.Fellows))
+	p.applyOutliers(scene, duties, term, count)
+	pace := p.schedule(backends, d.state.ProbesOnlyOwn(), len(scene.Nodes))
 	now := d.clock.Now()
-	room := pace.most
+	room := pace.maxPerTick
 	for _, service := range duties {
 		way := scene.View.Services[string(service)]
 		if way == nil {
 			continue
 		}
 		for _, server := range scene.Services[service] {
-			if room > 0 && !server.leaving() && p.owed(now, server, pace) {
+			if room > 0 && !server.leaving() && p.isDue(now, server, pace) {
 				room--
 				go p.probe(server, way.HealthPath, term, count)
 			}
@@ -108,22 +108,22 @@
 		}
 	}
 	p.mu.Lock()
-	for service := range p.told {
+	for service := range p.fullReportTerm {
 		if !mine[service] {
-			delete(p.told, service)
+			delete(p.fullReportTerm, service)
 		}
 	}
 	p.mu.Unlock()
-	if now-p.pruned > pruneSpan {
+	if now-p.pruned > pruneInterval {
 		p.pruned = now
 		p.prune(scene)
 	}
 }
 
-// judge brings what the sums of all daemons tell into the states.
-func (p *Prober) judge(scene *Scene, duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
+// applyOutliers brings what the sums of all daemons tell into the states.
+func (p *Prober) applyOutliers(scene *Snapshot, duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
-	changed := d.world.Judge(duties)
+	changed := d.state.DetectOutliers(duties)
 	if len(changed) == 0 {
 		return
 	}
@@ -135,127 +135,127 @@
 				continue
 			}
 			p.mu.Lock()
-			held := p.held(server.ID)
+			held := p.record(server.ID)
 			held.state.Aside = aside
 			state := held.state
 			p.mu.Unlock()
 			server.note(d.clock.Now(), nil, &state)
 			d.log.Emit(eventlog.EjectionChanged, eventlog.KeyEndpoint, string(server.ID), "ejected_in", aside)
-			d.world.Chronicle.Note(history.Health, string(server.ID), "judged", state.Stamp(), 0, true)
+			d.state.History.Note(history.Health, string(server.ID), "judged", state.Stamp(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
 	}
 	for service, states := range reports {
-		if d.link.Led() {
-			go d.link.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.props.Name), Term: term, Count: count, Service: service, States: states})
+		if d.leader.HasLeader() {
+			go d.leader.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: service, States: states})
 		}
 	}
 }
 
-// held gives what was found of a backend; the caller holds the lock.
-func (p *Prober) held(id rpc.ServerID) (held *watchedServer) {
-	held = p.found[id]
+// record gives what was found of a backend; the caller holds the lock.
+func (p *Prober) record(id rpc.ServerID) (held *probedServer) {
+	held = p.probed[id]
 	if held == nil {
-		held = &watchedServer{state: rpc.State{Server: id}}
-		p.found[id] = held
+		held = &probedServer{state: rpc.State{Server: id}}
+		p.probed[id] = held
 	}
 	return held
 }
 
-// Pace is how often a daemon probes: backends that are well at one interval,
+// probeSchedule is how often a daemon probes: backends that are well at one interval,
 // those in doubt at another, and never more at once than most.
-type Pace struct {
-	well, doubt time.Duration
-	most        int
+type probeSchedule struct {
+	healthyInterval, suspectInterval time.Duration
+	maxPerTick                       int
 }
 
-// pace follows the number of backends to probe and the daemon's share of a
+// schedule follows the number of backends to probe and the daemon's share of a
 // processor, so that a large service does not use its owner up. Where all
 // daemons probe, each takes a span that grows with the fleet, so that together
 // they do not flood the backends.
-func (p *Prober) pace(backends int, alone bool, fellows int) (pace Pace) {
-	interval := p.daemon.props.HealthCheckInterval
-	rate := max(probesLeast, probesPerCPU*p.daemon.props.CPUShare)
-	pace.well = max(interval, time.Duration(float64(backends)/rate*float64(time.Second)))
-	pace.doubt = interval
+func (p *Prober) schedule(backends int, alone bool, fellows int) (pace probeSchedule) {
+	interval := p.daemon.settings.HealthCheckInterval
+	rate := max(minProbesPerSecond, probesPerCPU*p.daemon.settings.CPUShare)
+	pace.healthyInterval = max(interval, time.Duration(float64(backends)/rate*float64(time.Second)))
+	pace.suspectInterval = interval
 	if !alone {
-		together := interval * time.Duration(max(1, fellows/probersEach))
-		pace.well, pace.doubt = max(pace.well, together), max(pace.doubt, together)
+		together := interval * time.Duration(max(1, fellows/probersPerBackend))
+		pace.healthyInterval, pace.suspectInterval = max(pace.healthyInterval, together), max(pace.suspectInterval, together)
 	}
-	pace.most = max(4, int(2*rate*interval.Seconds()/probePhases))
+	pace.maxPerTick = max(4, int(2*rate*interval.Seconds()/probePhases))
 	return pace
 }
 
-// owed tells whether a backend's next probe is due, and sets the one after it.
-func (p *Prober) owed(now time.Duration, server *Server, pace Pace) (owed bool) {
+// isDue tells whether a backend's next probe is due, and sets the one after it.
+func (p *Prober) isDue(now time.Duration, server *Server, pace probeSchedule) (owed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held := p.found[server.ID]
+	held := p.probed[server.ID]
 	if held == nil {
-		held = &watchedServer{state: rpc.State{Server: server.ID}}
-		held.due = now + time.Duration(rand.Float64()*float64(pace.doubt))
-		p.found[server.ID] = held
+		held = &probedServer{state: rpc.State{Server: server.ID}}
+		held.nextProbe = now + time.Duration(rand.Float64()*float64(pace.suspectInterval))
+		p.probed[server.ID] = held
 	}
-	interval := pace.well
+	interval := pace.healthyInterval
 	if held.state.Health != rpc.Up || held.state.Cold > 0 || server.doubtful(now) {
-		interval = pace.doubt
+		interval = pace.suspectInterval
 	}
 	// What is due later than the pace has it was set at another pace.
-	held.due = min(held.due, now+interval)
-	if now < held.due {
+	held.nextProbe = min(held.nextProbe, now+interval)
+	if now < held.nextProbe {
 		return false
 	}
-	held.due = now + time.Duration((0.9+0.2*rand.Float64())*float64(interval))
+	held.nextProbe = now + time.Duration((0.9+0.2*rand.Float64())*float64(interval))
 	return true
 }
 
 // prune forgets backends that are gone.
-func (p *Prober) prune(scene *Scene) {
+func (p *Prober) prune(scene *Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	listed := make(map[rpc.ServerID]bool, len(p.found))
+	listed := make(map[rpc.ServerID]bool, len(p.probed))
 	for _, servers := range scene.Services {
 		for _, server := range servers {
 			listed[server.ID] = true
 		}
 	}
-	for id := range p.found {
+	for id := range p.probed {
 		if !listed[id] {
-			delete(p.found, id)
+			delete(p.probed, id)
 		}
 	}
 }
 
 func (p *Prober) probe(server *Server, path string, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
-	finding, cold := probe(d.clock, server, path, false)
-	if finding == FoundSilent {
+	finding, cold := probeEndpoint(d.clock, server, path, false)
+	if finding == ProbeTimedOut {
 		// Asked again at once over a stream of its own: two silences are enough.
-		finding, cold = probe(d.clock, server, path, true)
-		if finding == FoundSilent {
+		finding, cold = probeEndpoint(d.clock, server, path, true)
+		if finding == ProbeTimedOut {
 			p.mu.Lock()
-			if held := p.found[server.ID]; held != nil {
-				held.silent++
+			if held := p.probed[server.ID]; held != nil {
+				held.timeouts++
 			}
 			p.mu.Unlock()
 		}
 	}
 	p.mu.Lock()
-	held := p.held(server.ID)
+	held := p.record(server.ID)
 	before := held.state
 	switch finding {
-	case FoundUp:
-		held.silent = 0
+	case ProbeUp:
+		held.timeouts = 0
 		held.state.Health, held.state.Cold = rpc.Up, cold
-	case FoundDown:
-		held.silent = 0
+	case ProbeDown:
+		held.timeouts = 0
 		held.state.Health = rpc.Down
-	case FoundSilent:
-		if held.silent++; held.silent >= 2 {
+	case ProbeTimedOut:
+		if held.timeouts++; held.timeouts >= 2 {
 			held.state.Health = rpc.Down
 		}
-	case FoundBusy:
-		held.silent = 0
+	case ProbeBusy:
+		held.timeouts = 0
 		if held.state.Health != rpc.Up {
 			held.state.Health = rpc.Up
 		}
@@ -264,48 +264,48 @@
 	turned := before.Health != state.Health || (before.Cold > 0) != (state.Cold > 0) || state.Cold > 0
 	held.changed = held.changed || turned
 	p.mu.Unlock()
-	if finding == FoundGarbled || finding == FoundSilent && state.Health != rpc.Down {
+	if finding == ProbeInvalid || finding == ProbeTimedOut && state.Health != rpc.Down {
 		return
 	}
 	server.note(d.clock.Now(), nil, &state)
 	if turned {
-		d.world.Chronicle.Note(history.Health, string(server.ID), "probed", state.Stamp(), 0, true)
+		d.state.History.Note(history.Health, string(server.ID), "probed", state.Stamp(), 0, true)
 	}
 	if before.Health != state.Health {
 		if before.Health != rpc.Unknown || state.Health == rpc.Down {
 			d.log.Emit(eventlog.EndpointHealthChanged, eventlog.KeyEndpoint, string(server.ID), "health", int(state.Health))
 		}
 	}
-	if turned && d.link.Led() {
-		d.link.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.props.Name), Term: term, Count: count, Service: server.Service, States: []rpc.State{state}})
+	if turned && d.leader.HasLeader() {
+		d.leader.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: server.Service, States: []rpc.State{state}})
 	}
 }
 
 // report tells the cache that a round was made; the first to a leader is full.
 func (p *Prober) report(service rpc.ServiceName, servers []*Server, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
-	leader := d.world.Seen().Term
-	ask := rpc.ReportAsk{Fellow: rpc.FellowID(d.props.Name), Term: term, Count: count, Service: service}
+	leader := d.state.Known().Term
+	ask := rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: service}
 	p.mu.Lock()
-	ask.Full = p.told[service] != leader
+	ask.Full = p.fullReportTerm[service] != leader
 	if ask.Full {
 		for _, server := range servers {
-			if held := p.found[server.ID]; held != nil && held.state.Health != rpc.Unknown {
+			if held := p.probed[server.ID]; held != nil && held.state.Health != rpc.Unknown {
 				ask.States = append(ask.States, held.state)
 			}
 		}
 		ask.Full = len(ask.States) == len(servers)
 	}
 	p.mu.Unlock()
-	if d.link.Report(ask) && ask.Full {
+	if d.leader.Report(ask) && ask.Full {
 		p.mu.Lock()
-		p.told[service] = leader
+		p.fullReportTerm[service] = leader
 		p.mu.Unlock()
 	}
 }
 
-// probe asks a backend how it is.
-func probe(clock Clock, server *Server, path string, anew bool) (finding Finding, cold time.Duration) {
+// probeEndpoint asks a backend how it is.
+func probeEndpoint(clock Clock, server *Server, path string, anew bool) (finding ProbeResult, cold time.Duration) {
 	now := clock.Now()
 	var stream *Stream
 	if !anew {
@@ -313,32 +313,32 @@
 	}
 	if stream == nil {
 		var err error
-		if stream, err = server.dial(probePatient); err != nil {
+		if stream, err = server.dial(probeTimeout); err != nil {
 			if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
-				return FoundSilent, 0
+				return ProbeTimedOut, 0
 			}
-			return FoundDown, 0
+			return ProbeDown, 0
 		}
 	}
-	_ = stream.conn.SetDeadline(time.Now().Add(probePatient))
+	_ = stream.conn.SetDeadline(time.Now().Add(probeTimeout))
 	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + headTarget + ": " + string(server.ID) + "\r\n\r\n"
 	if _, err := stream.conn.Write([]byte(text)); err != nil {
 		server.drop(stream)
-		return FoundGarbled, 0
+		return ProbeInvalid, 0
 	}
 	for skipped := 0; skipped <= skipMost; skipped++ {
 		response, err := http.ReadResponse(stream.in, &http.Request{Method: http.MethodGet})
 		if err != nil {
 			server.drop(stream)
 			if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
-				return FoundSilent, 0
+				return ProbeTimedOut, 0
 			}
-			return FoundGarbled, 0
+			return ProbeInvalid, 0
 		}
 		_, whole, _ := readBody(response, wholeMost)
 		if !whole {
 			server.drop(stream)
-			return FoundGarbled, 0
+			return ProbeInvalid, 0
 		}
 		if response.Header.Get(headRequest) != "" || response.StatusCode < 200 {
 			continue
@@ -354,14 +354,14 @@
 		}
 		switch {
 		case response.StatusCode == http.StatusOK && response.Header.Get(headInstance) == string(server.ID):
-			return FoundUp, cold
+			return ProbeUp, cold
 		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusMisdirectedRequest:
-			return FoundDown, 0
+			return ProbeDown, 0
 		case response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusTooManyRequests:
-			return FoundBusy, 0
+			return ProbeBusy, 0
 		}
-		return FoundDown, 0
+		return ProbeDown, 0
 	}
 	server.drop(stream)
-	return FoundGarbled, 0
+	return ProbeInvalid, 0
 }
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -91,13 +91,13 @@
 			}
 			d, backend := rested(t, bad)
 			if isFresh {
-				d.world.servers["i-1"].sweep(d.clock.Now(), true)
-				d.world.servers["i-1"].closed = false
+				d.state.servers["i-1"].sweep(d.clock.Now(), true)
+				d.state.servers["i-1"].closed = false
 			}
 			sound := newStandIn(t, "i-2", good)
 			server := rpc.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
-			d.world.Take(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
-			d.world.servers["i-2"].pace, d.world.servers["i-2"].paceAt = 1e6, 1
+			d.state.Apply(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
+			d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
 			verdict := d.Answer(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
 				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
@@ -184,7 +184,7 @@
 func TestNothingLeavesOutsideItsSpan(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.world.servers["i-1"]
+	server := d.state.servers["i-1"]
 	now := d.clock.Now()
 	for name, c := range map[string]struct {
 		sending Sending
@@ -212,13 +212,13 @@
 func TestALeaseThatHasRunOutIsNotUsed(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.world.servers["i-1"]
+	server := d.state.servers["i-1"]
 	server.coldTill = d.clock.Now() + time.Hour
-	way := d.world.Scene().View.Find("a.example", "/once/x")
+	way := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.ServerID{"", "i-1"} {
 		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: Withheld, time.Minute: Whole} {
 			now := d.clock.Now()
-			d.world.Take(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
+			d.state.Apply(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
 			plan := &Plan{Way: way, Service: "s", Till: now + time.Second, Bound: bound}
 			if round := run(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
@@ -234,16 +234,16 @@
 func TestAClaimThatHasRunOutIsNotUsed(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	d.props.Bounds.KeyWindow = time.Nanosecond
+	d.settings.Bounds.KeyWindow = time.Nanosecond
 	led(t, d, &standInForum{script: grant})
 	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if d.keys.Find("k", "a").Standing != rpc.Freed {
+	if d.operations.Find("k", "a").Standing != rpc.Freed {
 		t.Fatal("the key is not given back")
 	}
 	// The same request again must not run under the claim that is given back.
-	d.props.Bounds.KeyWindow = time.Minute
+	d.settings.Bounds.KeyWindow = time.Minute
 	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
@@ -271,7 +271,7 @@
 		d := daemonOf(t, backend)
 		d.lapse = lapse
 		d.budget.Earn(d.clock.Now(), "s")
-		view := d.world.Scene().View
+		view := d.state.Snapshot().View
 		plan := &Plan{Way: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Till: d.clock.Now() + 2*time.Second, Rounds: 3, Bound: "i-1"}
 		if _, kind := d.search(plan, d.throttles.of("s")); kind != 0 || backend.count() != want {
 			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", lapse, kind, backend.count(), want)
@@ -288,7 +288,7 @@
 		return good(n, r, conn)
 	})
 	d := daemonOf(t, backend)
-	server := d.world.servers["i-1"]
+	server := d.state.servers["i-1"]
 	now := d.clock.Now()
 	sending := Sending{Chosen: now, Till: now + time.Second, Rest: time.Minute}
 	if round := run(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Whole {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -314,7 +314,7 @@
 func (s *Server) doubtful(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now < s.outTill || now < s.coldTill || s.doubted(now, s.habit.Calm(usualPace))
+	return now < s.outTill || now < s.coldTill || s.doubted(now, s.habit.Calm(defaultLatencyMS))
 }
 
 // isCold tells that the backend bears little.
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -18,8 +18,8 @@
 	"tinpin/internal/rpc"
 )
 
-// rememberedMost is how many sessions a node remembers.
-const rememberedMost = 20_000
+// maxRememberedSessions is how many sessions a node remembers.
+const maxRememberedSessions = 20_000
 
 // Sessions of one node.
 type Sessions struct {
@@ -27,14 +27,14 @@
 
 	binder *affinity.Binder
 
-	mu      sync.Mutex
-	found   [affinity.TooLong + 1]uint64
-	unkept  uint64
-	refused uint64
+	mu       sync.Mutex
+	findings [affinity.TooLong + 1]uint64
+	unkept   uint64
+	refused  uint64
 }
 
-// SessionsAccount is how sessions stand at one node.
-type SessionsAccount struct {
+// SessionsStatus is how sessions stand at one node.
+type SessionsStatus struct {
 	Remembered int    `json:"remembered"`
 	Dropped    uint64 `json:"dropped"`
 	Named      uint64 `json:"named"`
@@ -54,66 +54,66 @@
 
 // NewSessions knows no policy.
 func NewSessions() (sessions *Sessions) {
-	return &Sessions{binder: affinity.NewBinder(rememberedMost)}
+	return &Sessions{binder: affinity.NewBinder(maxRememberedSessions)}
 }
 
 // Set takes the policy in force, nil for none.
 func (s *Sessions) Set(policy *affinity.Policy) { s.policy.Store(policy) }
 
-// Account tells how they stand, nil where there is no policy.
-func (s *Sessions) Account() (account *SessionsAccount) {
+// Status tells how they stand, nil where there is no policy.
+func (s *Sessions) Status() (account *SessionsStatus) {
 	if s.policy.Load() == nil {
 		return nil
 	}
 	remembered, dropped, moved := s.binder.Standing()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &SessionsAccount{
-		Remembered: remembered, Dropped: dropped, Moved: moved, Named: s.found[affinity.Named], Missing: s.found[affinity.Missing], Repeated: s.found[affinity.Repeated],
-		Malformed: s.found[affinity.Malformed], TooLong: s.found[affinity.TooLong], Unkept: s.unkept, Refused: s.refused,
+	return &SessionsStatus{
+		Remembered: remembered, Dropped: dropped, Moved: moved, Named: s.findings[affinity.Named], Missing: s.findings[affinity.Missing], Repeated: s.findings[affinity.Repeated],
+		Malformed: s.findings[affinity.Malformed], TooLong: s.findings[affinity.TooLong], Unkept: s.unkept, Refused: s.refused,
 	}
 }
 
-// find names the session of a request at a service.
-func (s *Sessions) find(policy *affinity.Policy, service rpc.ServiceName, asked affinity.Asked) (rule affinity.Rule, name string, named bool) {
+// findSession names the session of a request at a service.
+func (s *Sessions) findSession(policy *affinity.Policy, service rpc.ServiceName, asked affinity.Asked) (rule affinity.Rule, name string, named bool) {
 	rule, ruled := policy.For(service)
 	if !ruled {
 		return rule, "", false
 	}
 	name, finding := rule.Find(asked)
 	s.mu.Lock()
-	s.found[finding]++
+	s.findings[finding]++
 	s.mu.Unlock()
 	return rule, name, finding == affinity.Named
 }
 
-// lotOf gives a number from 0 to 1 that is the same for a name at all nodes.
-func lotOf(name string) (at float64) {
+// unitHash gives a number from 0 to 1 that is the same for a name at all nodes.
+func unitHash(name string) (at float64) {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	return float64(hash.Sum64()>>11) / (1 << 53)
 }
 
-// aim gives a plan its session, where its request names one. Of a split way the
+// assignSession gives a plan its session, where its request names one. Of a split way the
 // name decides which service it goes to, so that the session stays there too.
-func (s *Sessions) aim(plan *Plan, tenant *config.Tenant) {
+func (s *Sessions) assignSession(plan *Plan, tenant *config.Tenant) {
 	policy := s.policy.Load()
 	if policy == nil {
 		return
 	}
-	asked := plan.Request.asked(tenant)
+	asked := plan.Request.affinityInput(tenant)
 	if len(plan.Way.Targets) > 1 {
 		for _, part := range plan.Way.Targets {
 			if _, ruled := policy.For(rpc.ServiceName(part.Service)); !ruled {
 				continue
 			}
-			if _, name, named := s.find(policy, rpc.ServiceName(part.Service), asked); named {
-				plan.Service = target(plan.Way, lotOf(name))
+			if _, name, named := s.findSession(policy, rpc.ServiceName(part.Service), asked); named {
+				plan.Service = pickTarget(plan.Way, unitHash(name))
 			}
 			break
 		}
 	}
-	if rule, name, named := s.find(policy, plan.Service, asked); named {
+	if rule, name, named := s.findSession(policy, plan.Service, asked); named {
 		plan.Rule = rule
 		plan.Session = affinity.SessionOf(plan.Service, plan.Way.Homes, name)
 	}
@@ -121,14 +121,14 @@
 
 // bind gives a plan with a session its backend, or tells why there is none.
 func (d *Daemon) bind(plan *Plan) (kind apierror.Kind) {
-	s, idle := d.world.Orders.Sessions, time.Duration(plan.Rule.Idle)
+	s, idle := d.state.Policies.Sessions, time.Duration(plan.Rule.Idle)
 	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
 	server, outcome := s.binder.Bind(plan.Session, idle, affinity.View{
 		Now:   d.clock.Now,
-		Over:  func(server rpc.ServerID) bool { return d.over(d.world.Scene(), plan, server) },
-		Begin: func() rpc.ServerID { return d.begin(d.world.Scene(), plan) },
+		Over:  func(server rpc.ServerID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
+		Begin: func() rpc.ServerID { return d.placeSession(d.state.Snapshot(), plan) },
 		Ask: func(from, choice rpc.ServerID) rpc.BindFound {
-			return d.link.Bind(rpc.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Way.Aim/4, limit)
+			return d.leader.Bind(rpc.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Way.Aim/4, limit)
 		},
 	})
 	plan.Bound = server
@@ -152,27 +152,27 @@
 	s.mu.Unlock()
 }
 
-// over tells that a session may not stay on a backend: it has ended or is about
+// mustMove tells that a session may not stay on a backend: it has ended or is about
 // to, its site is evacuated, or it was retired and has had its time.
-func (d *Daemon) over(scene *Scene, plan *Plan, id rpc.ServerID) (over bool) {
+func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.ServerID) (over bool) {
 	server := scene.server(plan.Service, id)
-	return server == nil || server.leaving() || scene.Evacuate[server.Site] || !allowed(plan.Way.Homes, server.Region) || !d.world.Orders.Keeps(d.clock.Now(), id, plan.Service)
+	return server == nil || server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
-// begin chooses where a new session begins: among the backends of the region
+// placeSession chooses where a new session begins: among the backends of the region
 // that are well and warm, else among those elsewhere, else among what there is.
-func (d *Daemon) begin(scene *Scene, plan *Plan) (chosen rpc.ServerID) {
+func (d *Daemon) placeSession(scene *Snapshot, plan *Plan) (chosen rpc.ServerID) {
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
-		if server.leaving() || scene.Evacuate[server.Site] || !allowed(plan.Way.Homes, server.Region) || !d.world.Orders.Sends(now, server.ID) {
+		if server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
 			continue
 		}
 		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
 		switch {
-		case !server.wellAndWarm(now):
+		case !server.healthyAndWarm(now):
 			rest = append(rest, candidate)
-		case string(server.Region) == d.props.Region:
+		case string(server.Region) == d.settings.Region:
 			here = append(here, candidate)
 		default:
 			away = append(away, candidate)
@@ -187,7 +187,7 @@
 }
 
 // server looks a backend of a service up; they are sorted by id.
-func (s *Scene) server(service rpc.ServiceName, id rpc.ServerID) (server *Server) {
+func (s *Snapshot) server(service rpc.ServiceName, id rpc.ServerID) (server *Server) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
@@ -196,15 +196,15 @@
 	return nil
 }
 
-// wellAndWarm tells that a backend may be begun with.
-func (s *Server) wellAndWarm(now time.Duration) (well bool) {
+// healthyAndWarm tells that a backend may be begun with.
+func (s *Server) healthyAndWarm(now time.Duration) (well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.health != rpc.Down && now >= s.coldTill && now >= s.outTill && !s.aside
 }
 
-// key is the request's operation key.
-func (r *Request) key() (key string) {
+// operationKey is the request's operation key.
+func (r *Request) operationKey() (key string) {
 	for _, line := range r.Lines {
 		if line[0] == headKey {
 			key = line[1]
@@ -213,9 +213,9 @@
 	return key
 }
 
-// asked is the part of a request that may name its session.
-func (r *Request) asked(tenant *config.Tenant) (asked affinity.Asked) {
-	asked = affinity.Asked{Lines: r.Lines, Key: r.key()}
+// affinityInput is the part of a request that may name its session.
+func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.Asked) {
+	asked = affinity.Asked{Lines: r.Lines, Key: r.operationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -42,7 +42,7 @@
 
 // written sets a document at a node.
 func written(d *Daemon, rev uint64, kind policy.Kind, body string) {
-	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: rpc.Epoch(rev), Rev: rev, ItemAt: rpc.AllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
+	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: rpc.Epoch(rev), Rev: rev, ItemAt: rpc.AllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
 }
 
 const byCaller = `{"version":2,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
@@ -61,12 +61,12 @@
 	inner := serveInner(t, map[string]any{"Forum": forum, "Fellow": forum})
 	for _, view := range views {
 		d := daemonOf(t, view...)
-		d.link.leader.Store(&inner)
-		d.link.heard.Store(int64(d.clock.Now() + time.Hour))
-		go d.link.Claims()
-		go d.link.Binds()
-		go d.link.Frees()
-		t.Cleanup(func() { close(d.link.Ended) })
+		d.leader.leader.Store(&inner)
+		d.leader.lastHeard.Store(int64(d.clock.Now() + time.Hour))
+		go d.leader.RunClaims()
+		go d.leader.RunBinds()
+		go d.leader.RunReleases()
+		t.Cleanup(func() { close(d.leader.Done) })
 		written(d, 2, policy.SessionAffinity, byCaller)
 		nodes = append(nodes, d)
 	}
@@ -82,7 +82,7 @@
 	}
 	forum := &agreedForum{}
 	nodes := nodesOf(t, forum, backends, []*standIn{backends[3], backends[2], backends[1], backends[0]})
-	nodes[1].world.Take(nodes[1].clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 2, ItemAt: rpc.AllItems, Fellows: []rpc.FellowChange{{Fellow: rpc.Fellow{ID: "edge-9", Site: "here", Ready: true}}}})
+	nodes[1].state.Apply(nodes[1].clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 2, ItemAt: rpc.AllItems, Fellows: []rpc.FellowChange{{Fellow: rpc.Fellow{ID: "edge-9", Site: "here", Ready: true}}}})
 	where := map[string]string{}
 	run := 0
 	visit := func(caller string, n int) (status int, server string) {
@@ -121,7 +121,7 @@
 	// One leaves: its sessions move, once, and the others stay.
 	gone := where["caller-0"]
 	for _, d := range nodes {
-		d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 4, Rev: 2, ItemAt: rpc.AllItems, Servers: []rpc.ServerChange{{Server: rpc.Server{ID: rpc.ServerID(gone), Service: "s"}, Gone: true}}})
+		d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 4, Rev: 2, ItemAt: rpc.AllItems, Servers: []rpc.ServerChange{{Server: rpc.Server{ID: rpc.ServerID(gone), Service: "s"}, Gone: true}}})
 	}
 	for step := 0; step < 4; step++ {
 		for c := 0; c < 12; c++ {
@@ -157,7 +157,7 @@
 	if verdict = d.Answer(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
-	if standing := d.keys.Find("k", "b").Standing; standing != rpc.Freed {
+	if standing := d.operations.Find("k", "b").Standing; standing != rpc.Freed {
 		t.Fatalf("the key of an operation that was not sent stands at %d", standing)
 	}
 	written(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
@@ -169,8 +169,8 @@
 	}
 	r := ofCaller("GET", "/safe/x", "e", "anna")
 	r.Lines = append(r.Lines, Line{"X-Caller", "ben"})
-	if verdict = d.Answer(r, "2500"); verdict.Status != 200 || d.world.Orders.Sessions.Account().Repeated != 1 {
-		t.Fatalf("a name that is there twice: %d, %+v", verdict.Status, d.world.Orders.Sessions.Account())
+	if verdict = d.Answer(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
+		t.Fatalf("a name that is there twice: %d, %+v", verdict.Status, d.state.Policies.Sessions.Status())
 	}
 }
 
@@ -212,7 +212,7 @@
 	arrivals := func(limit string) (count int) {
 		backends := []*standIn{newStandIn(t, "i-1", failing), newStandIn(t, "i-2", failing)}
 		d := daemonOf(t, backends...)
-		d.budget.written = d.world.Orders.Retries
+		d.budget.written = d.state.Policies.Retries
 		if limit != "" {
 			written(d, 2, policy.RetryLimit, limit)
 		}
@@ -220,7 +220,7 @@
 			d.Answer(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
 		}
 		if limit != "" {
-			account := d.world.Orders.Retries.Accounts(d.clock.Now())
+			account := d.state.Policies.Retries.Accounts(d.clock.Now())
 			if len(account) != 1 || account[0].Refused+account[0].Slow == 0 {
 				t.Errorf("%+v", account)
 			}
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -112,13 +112,13 @@
 	p := settings.Settings{Name: "edge-1", Zone: "here", Region: "land", ZoneRegions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, MaxFileDescriptors: 1024, SendInterval: time.Second, HealthCheckInterval: time.Second, SubsetSize: 3, MaxIdleNonIdempotent: time.Minute, CPUShare: 1}
 	p.Bounds = settings.Bounds{RetryBudgetRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, MaxTTL: 5 * time.Second, GracePeriod: time.Second}
 	clock := NewClock()
-	d = &Daemon{props: p, log: eventlog.Discard(), clock: clock, life: 1}
-	d.world = NewWorld(p, d.log, clock)
-	d.keys = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
-	d.link = NewLink(p, d.log, clock, d.world, d.keys, 1, d.fellow)
+	d = &Daemon{settings: p, log: eventlog.Discard(), clock: clock, incarnation: 1}
+	d.state = NewClusterState(p, d.log, clock)
+	d.operations = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
+	d.leader = NewLeaderClient(p, d.log, clock, d.state, d.operations, 1, d.self)
 	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
-	d.limits = NewLimits(d.world.Share, nil)
-	d.door = NewDoor(d.Answer, func() *config.View { return d.world.Scene().View }, 100, 1<<20)
+	d.limits = NewLimits(d.state.Leased, nil)
+	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
 	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
@@ -131,7 +131,7 @@
 	for _, backend := range backends {
 		news.Part.Servers = append(news.Part.Servers, rpc.Server{ID: rpc.ServerID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Site: "here", Slots: 4})
 	}
-	d.world.Take(0, news)
+	d.state.Apply(0, news)
 	return d
 }
 
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -9,39 +9,39 @@
 	"tinpin/internal/rpc"
 )
 
-// Status answers calls about this daemon.
-type Status struct{ daemon *Daemon }
+// StatusService answers calls about this daemon.
+type StatusService struct{ daemon *Daemon }
 
-// Account is what a passage daemon tells of itself.
-type Account struct {
-	Role    string   `json:"role"`
-	Name    string   `json:"name"`
-	Ready   bool     `json:"ready"`
-	Led     bool     `json:"led"`
-	Leader  string   `json:"leader"`
-	Term    uint64   `json:"term"`
-	Epoch   uint64   `json:"epoch"`
-	Rev     uint64   `json:"rev"`
-	Fellows int      `json:"fellows"`
-	AtWork  int64    `json:"at_work"`
-	Probes  []string `json:"probes"`
+// NodeStatus is what a passage daemon tells of itself.
+type NodeStatus struct {
+	Role      string   `json:"role"`
+	Name      string   `json:"name"`
+	Ready     bool     `json:"ready"`
+	HasLeader bool     `json:"led"`
+	Leader    string   `json:"leader"`
+	Term      uint64   `json:"term"`
+	Epoch     uint64   `json:"epoch"`
+	Revision  uint64   `json:"rev"`
+	Nodes     int      `json:"fellows"`
+	InFlight  int64    `json:"at_work"`
+	Probes    []string `json:"probes"`
 	// Retries is how each service under the written limit stands here.
 	Retries []retry.Account `json:"retries,omitempty"`
 	// Sessions is how sessions stand, where there is a policy.
-	Sessions *SessionsAccount `json:"sessions,omitempty"`
+	Sessions *SessionsStatus `json:"sessions,omitempty"`
 }
 
 // Tell gives the account.
-func (s *Status) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
+func (s *StatusService) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
 	d := s.daemon
-	seen := d.world.Seen()
-	account := Account{
-		Role: "passage", Name: d.props.Name, Ready: d.isReady(), Led: d.link.Led(), Leader: *d.link.leader.Load(),
-		Term: uint64(seen.Term), Epoch: uint64(seen.Epoch), Rev: seen.Rev, Fellows: len(d.world.Scene().Fellows), AtWork: d.door.AtWork(),
+	seen := d.state.Known()
+	account := NodeStatus{
+		Role: "passage", Name: d.settings.Name, Ready: d.isReady(), HasLeader: d.leader.HasLeader(), Leader: *d.leader.leader.Load(),
+		Term: uint64(seen.Term), Epoch: uint64(seen.Epoch), Revision: seen.Rev, Nodes: len(d.state.Snapshot().Nodes), InFlight: d.door.AtWork(),
 	}
-	account.Sessions = d.world.Orders.Sessions.Account()
-	account.Retries = d.world.Orders.Retries.Accounts(d.clock.Now())
-	for _, service := range d.world.Duties() {
+	account.Sessions = d.state.Policies.Sessions.Status()
+	account.Retries = d.state.Policies.Retries.Accounts(d.clock.Now())
+	for _, service := range d.state.ProbedServices() {
 		account.Probes = append(account.Probes, string(service))
 	}
 	reply.JSON, err = json.Marshal(account)
@@ -49,12 +49,12 @@
 }
 
 // Trace tells what this daemon knows of a subject.
-func (s *Status) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
-	w := s.daemon.world
-	reply.Name = s.daemon.props.Name
-	for _, told := range w.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
+func (s *StatusService) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
+	w := s.daemon.state
+	reply.Name = s.daemon.settings.Name
+	for _, told := range w.History.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
 		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
-	reply.Stamp, reply.Rev, reply.Has = w.Stands(ask.Kind, ask.Name)
+	reply.Stamp, reply.Rev, reply.Has = w.StateOf(ask.Kind, ask.Name)
 	return nil
 }
--- a/internal/proxy/subset.go
+++ b/internal/proxy/subset.go
@@ -14,42 +14,42 @@
 
 // Subset tells which backends of a site a daemon uses first.
 type Subset struct {
-	self    rpc.FellowID
-	fellows []rpc.FellowID
-	sharers int
+	self            rpc.FellowID
+	nodes           []rpc.FellowID
+	nodesPerBackend int
 }
 
-// subsetLeast is how many backends of a service a daemon should have to choose
+// minSubsetSize is how many backends of a service a daemon should have to choose
 // among; where a site has few, more daemons share each.
-const subsetLeast = 6
+const minSubsetSize = 6
 
 // NewSubset reckons with the ready daemons of self's site, self among them.
 func NewSubset(self rpc.FellowID, site rpc.SiteName, fellows map[rpc.FellowID]rpc.Fellow, sharers int) (subset Subset) {
-	subset = Subset{self: self, fellows: []rpc.FellowID{self}}
+	subset = Subset{self: self, nodes: []rpc.FellowID{self}}
 	for id, fellow := range fellows {
 		if id != self && fellow.Site == site && fellow.Ready && !fellow.Stopping {
-			subset.fellows = append(subset.fellows, id)
+			subset.nodes = append(subset.nodes, id)
 		}
 	}
-	subset.sharers = max(1, sharers)
+	subset.nodesPerBackend = max(1, sharers)
 	return subset
 }
 
-// Sharers is how many daemons use each backend of a service first that has so
+// NodesPerBackend is how many daemons use each backend of a service first that has so
 // many at the site.
-func (s Subset) Sharers(backends int) (sharers int) {
-	least := (subsetLeast*len(s.fellows) + max(1, backends) - 1) / max(1, backends)
-	return min(max(s.sharers, least), len(s.fellows))
+func (s Subset) NodesPerBackend(backends int) (sharers int) {
+	least := (minSubsetSize*len(s.nodes) + max(1, backends) - 1) / max(1, backends)
+	return min(max(s.nodesPerBackend, least), len(s.nodes))
 }
 
-// Holds tells whether self is among so many that use the backend first.
-func (s Subset) Holds(server rpc.ServerID, sharers int) (holds bool) {
-	if sharers >= len(s.fellows) {
+// Contains tells whether self is among so many that use the backend first.
+func (s Subset) Contains(server rpc.ServerID, sharers int) (holds bool) {
+	if sharers >= len(s.nodes) {
 		return true
 	}
 	own := healthcheck.Rank(string(s.self), string(server))
 	before := 0
-	for _, id := range s.fellows {
+	for _, id := range s.nodes {
 		if id == s.self {
 			continue
 		}
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -29,7 +29,7 @@
 		self := rpc.FellowID(fmt.Sprint("edge-", i))
 		subset := NewSubset(self, "harbour", fellows, sharers)
 		for j := range backends {
-			if id := rpc.ServerID(fmt.Sprint("i-", j)); subset.Holds(id, subset.Sharers(backends)) {
+			if id := rpc.ServerID(fmt.Sprint("i-", j)); subset.Contains(id, subset.NodesPerBackend(backends)) {
 				users[id]++
 				sizes[self]++
 			}
@@ -60,7 +60,7 @@
 		old, now := NewSubset(self, "harbour", before, sharers), NewSubset(self, "harbour", after, sharers)
 		for j := range backends {
 			id := rpc.ServerID(fmt.Sprint("i-", j))
-			if old.Holds(id, sharers) != now.Holds(id, sharers) && (now.Holds(id, sharers) || !taken.Holds(id, sharers)) {
+			if old.Contains(id, sharers) != now.Contains(id, sharers) && (now.Contains(id, sharers) || !taken.Contains(id, sharers)) {
 				t.Errorf("%s moved at %s though the new daemon did not take it", id, self)
 			}
 		}
@@ -73,7 +73,7 @@
 	fellows := siteOf(14)
 	subset := NewSubset("edge-0", "harbour", fellows, 3)
 	for backends, want := range map[int]int{54: 3, 9: 10, 5: 14, 1: 14, 0: 14} {
-		if got := subset.Sharers(backends); got != want {
+		if got := subset.NodesPerBackend(backends); got != want {
 			t.Errorf("%d backends: %d sharers, want %d", backends, got, want)
 		}
 	}
@@ -88,11 +88,11 @@
 	for n := 0; n < 12; n++ {
 		rows = append(rows, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("near-%d", n)), Service: "s", Address: "x:1", Site: "here", Slots: 6}, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("far-%d", n)), Service: "s", Address: "x:1", Site: "there", Slots: 6})
 	}
-	d.world.Take(d.clock.Now(), &rpc.News{Leader: true, Term: 2, Epoch: 2, Full: true, Rev: 1, ItemAt: rpc.AllItems, Part: &rpc.ListPart{Done: true, Servers: rows}})
-	scene := d.world.Scene()
-	wanted := Wanted{Service: "s", Aim: 2 * time.Second, Repeatable: true}
+	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 2, Epoch: 2, Full: true, Rev: 1, ItemAt: rpc.AllItems, Part: &rpc.ListPart{Done: true, Servers: rows}})
+	scene := d.state.Snapshot()
+	wanted := Criteria{Service: "s", TargetLatency: 2 * time.Second, Idempotent: true}
 	for n := 0; n < 24; n++ {
-		server, _ := d.world.choose(scene, wanted)
+		server, _ := d.state.chooseEndpoint(scene, wanted)
 		if server == nil || server.Site != "here" {
 			t.Fatalf("request %d goes to %+v", n, server)
 		}
--- a/internal/proxy/throttle_test.go
+++ b/internal/proxy/throttle_test.go
@@ -83,21 +83,21 @@
 func TestOnlyBackendsInTroubleAreTold(t *testing.T) {
 	d := daemonOf(t, newStandIn(t, "i-1", good), newStandIn(t, "i-2", good))
 	now := d.clock.Now()
-	servers := d.world.Scene().Services["s"]
+	servers := d.state.Snapshot().Services["s"]
 	for n := 0; n < 5; n++ {
 		for _, server := range servers {
 			server.begin(now)
 			server.end(now, time.Millisecond, Whole)
 		}
 	}
-	if tallies := d.world.Tallies(); len(tallies) != 0 || len(servers[0].habit.watched()) != 0 {
+	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].habit.watched()) != 0 {
 		t.Fatalf("%v", tallies)
 	}
 	servers[0].begin(now)
 	servers[0].end(now, time.Millisecond, Failed)
 	servers[0].begin(now)
 	servers[0].end(now, time.Millisecond, Whole)
-	tallies := d.world.Tallies()
+	tallies := d.state.OutcomeCounts()
 	if len(tallies) != 2 || tallies[0].Server != "i-1" || tallies[0].Bad != 1 || tallies[0].Good != 1 || tallies[1].Server != "" || tallies[1].Good != 11 || tallies[1].Bad != 1 {
 		t.Fatalf("%+v", tallies)
 	}
@@ -107,7 +107,7 @@
 	servers[1].note(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
 	servers[1].begin(now)
 	servers[1].end(now, time.Millisecond, Whole)
-	if tallies = d.world.Tallies(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
+	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
 		t.Fatalf("%+v", tallies)
 	}
 }
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -21,107 +21,107 @@
 	"tinpin/internal/settings"
 )
 
-// loggedItems is how many items of one telling are logged each.
-const loggedItems = 64
+// maxLoggedItems is how many items of one telling are logged each.
+const maxLoggedItems = 64
 
-// Scene is one state of the world, read-only but for the servers' own marks.
-type Scene struct {
+// Snapshot is one state of the world, read-only but for the servers' own marks.
+type Snapshot struct {
 	View     *config.View
 	Services map[rpc.ServiceName][]*Server
-	// Near are the backends of a service that this daemon uses first, Beyond
+	// Preferred are the backends of a service that this daemon uses first, Beyond
 	// all others; Share is how many daemons use each of the near ones.
-	Near, Beyond map[rpc.ServiceName][]*Server
-	Share        map[rpc.ServiceName]int
-	Evacuate     map[rpc.SiteName]bool
-	Fellows      map[rpc.FellowID]rpc.Fellow
-	// Sharers counts the daemons that share the backends now.
-	Sharers int
-	Started bool
-	Listed  bool
-	Rev     uint64
+	Preferred, Others map[rpc.ServiceName][]*Server
+	NodesPerBackend   map[rpc.ServiceName]int
+	Evacuated         map[rpc.SiteName]bool
+	Nodes             map[rpc.FellowID]rpc.Fellow
+	// ReadyNodes counts the daemons that share the backends now.
+	ReadyNodes   int
+	Configured   bool
+	ListComplete bool
+	Revision     uint64
 }
 
-// backends counts all.
-func (s *Scene) backends() (count int) {
+// backendCount counts all.
+func (s *Snapshot) backendCount() (count int) {
 	for _, servers := range s.Services {
 		count += len(servers)
 	}
 	return count
 }
 
-// World keeps it.
-type World struct {
-	props settings.Settings
-	log   *eventlog.Logger
-	clock Clock
-	// Chronicle remembers what became of changes here.
-	Chronicle *history.Chronicle
-	// Orders are the drain policy, the retired backends and the day's plan.
-	Orders *Orders
+// ClusterState keeps it.
+type ClusterState struct {
+	settings settings.Settings
+	log      *eventlog.Logger
+	clock    Clock
+	// History remembers what became of changes here.
+	History *history.Chronicle
+	// Policies are the drain policy, the retired backends and the day's plan.
+	Policies *Policies
 
-	mu       sync.Mutex
-	canon    *config.Canon
-	seen     rpc.Seen
-	whole    bool
-	named    map[rpc.ServerID]bool
-	servers  map[rpc.ServerID]*Server
-	evac     map[rpc.SiteName]rpc.Evacuation
-	fellows  map[rpc.FellowID]rpc.Fellow
-	cores    map[string]bool
-	watch    *healthcheck.Watch
-	told     rpc.ShardMap
-	judge    *healthcheck.Judge
-	listed   bool
-	viewed   *config.View
-	shares   *quota.Shares
-	scene    atomic.Pointer[Scene]
-	sharesMu sync.Mutex
-	habits   map[rpc.ServiceName]*Habit
+	mu           sync.Mutex
+	config       *config.Canon
+	known        rpc.Seen
+	configured   bool
+	namedInList  map[rpc.ServerID]bool
+	servers      map[rpc.ServerID]*Server
+	evacuations  map[rpc.SiteName]rpc.Evacuation
+	nodes        map[rpc.FellowID]rpc.Fellow
+	controllers  map[string]bool
+	assignment   *healthcheck.Watch
+	leaderMap    rpc.ShardMap
+	outliers     *healthcheck.Judge
+	listComplete bool
+	view         *config.View
+	leases       *quota.Shares
+	snapshot     atomic.Pointer[Snapshot]
+	leasesMu     sync.Mutex
+	stats        map[rpc.ServiceName]*Habit
 }
 
-// NewWorld knows nothing yet.
-func NewWorld(p settings.Settings, log *eventlog.Logger, clock Clock) (world *World) {
-	world = &World{
-		props: p, log: log, clock: clock, Chronicle: history.New(log), Orders: NewOrders(clock.Now()), canon: config.New(), servers: map[rpc.ServerID]*Server{},
-		evac: map[rpc.SiteName]rpc.Evacuation{}, fellows: map[rpc.FellowID]rpc.Fellow{}, cores: map[string]bool{},
-		watch: healthcheck.NewWatch(rpc.FellowID(p.Name), p.SendInterval, clock.Now()),
-		judge: healthcheck.NewJudge(), shares: quota.NewShares(), habits: map[rpc.ServiceName]*Habit{},
-	}
-	world.Orders.Retries = retry.NewLimiter(world.Share)
-	world.viewed = world.canon.View()
-	world.refresh()
+// NewClusterState knows nothing yet.
+func NewClusterState(p settings.Settings, log *eventlog.Logger, clock Clock) (world *ClusterState) {
+	world = &ClusterState{
+		settings: p, log: log, clock: clock, History: history.New(log), Policies: NewPolicies(clock.Now()), config: config.New(), servers: map[rpc.ServerID]*Server{},
+		evacuations: map[rpc.SiteName]rpc.Evacuation{}, nodes: map[rpc.FellowID]rpc.Fellow{}, controllers: map[string]bool{},
+		assignment: healthcheck.NewWatch(rpc.FellowID(p.Name), p.SendInterval, clock.Now()),
+		outliers:   healthcheck.NewJudge(), leases: quota.NewShares(), stats: map[rpc.ServiceName]*Habit{},
+	}
+	world.Policies.Retries = retry.NewLimiter(world.Leased)
+	world.view = world.config.View()
+	world.publishSnapshot()
 	return world
 }
 
-// Scene gives the newest state.
-func (w *World) Scene() (scene *Scene) { return w.scene.Load() }
+// Snapshot gives the newest state.
+func (w *ClusterState) Snapshot() (scene *Snapshot) { return w.snapshot.Load() }
 
-// Share is what may be used of a leased bound now.
-func (w *World) Share(kind rpc.LeaseKind, key string) (amount float64) {
-	w.sharesMu.Lock()
-	defer w.sharesMu.Unlock()
-	return w.shares.Amount(w.clock.Now(), quota.Key{Kind: kind, Name: key})
+// Leased is what may be used of a leased bound now.
+func (w *ClusterState) Leased(kind rpc.LeaseKind, key string) (amount float64) {
+	w.leasesMu.Lock()
+	defer w.leasesMu.Unlock()
+	return w.leases.Amount(w.clock.Now(), quota.Key{Kind: kind, Name: key})
 }
 
-// Seen is what a beat names.
-func (w *World) Seen() (seen rpc.Seen) {
+// Known is what a beat names.
+func (w *ClusterState) Known() (seen rpc.Seen) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.seen
+	return w.known
 }
 
-// lend takes the leases of news that is not overtaken.
-func (w *World) lend(asked time.Duration, leases []rpc.Lease) {
-	w.sharesMu.Lock()
-	defer w.sharesMu.Unlock()
+// takeLeases takes the leases of news that is not overtaken.
+func (w *ClusterState) takeLeases(asked time.Duration, leases []rpc.Lease) {
+	w.leasesMu.Lock()
+	defer w.leasesMu.Unlock()
 	for _, lease := range leases {
-		w.shares.Take(asked, lease)
+		w.leases.Take(asked, lease)
 	}
 }
 
-// Take takes the news that was asked for at a time, and tells whether it is the
+// Apply takes the news that was asked for at a time, and tells whether it is the
 // newest leader's: of an older one nothing is taken, however late its answer comes.
-func (w *World) Take(asked time.Duration, news *rpc.News) (led bool) {
+func (w *ClusterState) Apply(asked time.Duration, news *rpc.News) (led bool) {
 	if news.Packed != nil {
 		items, err := rpc.Unpack(news.Packed)
 		if err != nil {
@@ -148,70 +148,70 @@
 	defer w.mu.Unlock()
 	now := w.clock.Now()
 	// What an older leader, or the same one earlier, told is overtaken.
-	if news.Term < w.seen.Term {
+	if news.Term < w.known.Term {
 		return false
 	}
-	if news.Term == w.seen.Term && news.Epoch < w.seen.Epoch {
+	if news.Term == w.known.Term && news.Epoch < w.known.Epoch {
 		return true
 	}
-	w.lend(asked, news.Leases)
-	if part := news.Part; part != nil && !w.follows(news.Term, part) {
+	w.takeLeases(asked, news.Leases)
+	if part := news.Part; part != nil && !w.continuesList(news.Term, part) {
 		// Only the part is refused: the rest says where to go on from.
 		w.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, "news", eventlog.KeyReason, "a part of the list that does not follow", eventlog.KeyFrom, string(part.From), "position", string(part.At))
 		news.Part = nil
 	}
-	first := w.seen.Rev == 0
-	if news.Term != w.seen.Term {
-		w.seen.Listed, w.seen.ListAt, w.seen.MapAt, w.named = false, "", 0, map[rpc.ServerID]bool{}
+	first := w.known.Rev == 0
+	if news.Term != w.known.Term {
+		w.known.Listed, w.known.ListAt, w.known.MapAt, w.namedInList = false, "", 0, map[rpc.ServerID]bool{}
 	}
 	changed := news.Full || news.Part != nil || len(news.Servers) > 0 || len(news.Fellows) > 0 || len(news.Items) > 0 || len(news.Evacuations) > 0
 	for _, core := range news.Cores {
-		w.cores[core.Inner] = true
+		w.controllers[core.Inner] = true
 	}
 	if news.Full {
-		w.fellows = map[rpc.FellowID]rpc.Fellow{}
+		w.nodes = map[rpc.FellowID]rpc.Fellow{}
 	}
-	w.seen.Term, w.seen.Epoch = news.Term, news.Epoch
-	w.Orders.take(now, asked, news, w.Chronicle, first)
+	w.known.Term, w.known.Epoch = news.Term, news.Epoch
+	w.Policies.apply(now, asked, news, w.History, first)
 	back := map[rpc.SiteName]bool{}
 	for _, evacuation := range news.Evacuations {
-		if old := w.evac[evacuation.Site]; old.Rev < evacuation.Rev {
-			w.evac[evacuation.Site] = evacuation
-			w.Chronicle.Note(history.Evacuation, string(evacuation.Site), "applied", evacuation.Stamp(), evacuation.Rev, first)
+		if old := w.evacuations[evacuation.Site]; old.Rev < evacuation.Rev {
+			w.evacuations[evacuation.Site] = evacuation
+			w.History.Note(history.Evacuation, string(evacuation.Site), "applied", evacuation.Stamp(), evacuation.Rev, first)
 			back[evacuation.Site] = old.Active && !evacuation.Active
 		}
 	}
 	for _, item := range news.Items {
-		if err := w.canon.Put(item); err != nil {
+		if err := w.config.Put(item); err != nil {
 			w.log.Emit(eventlog.SettingsRejected, "item", item.Name, eventlog.KeyError, err.Error())
 		}
 	}
 	for _, item := range news.Items {
-		w.Chronicle.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > loggedItems)
+		w.History.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > maxLoggedItems)
 	}
-	if news.Rev > w.seen.Rev || news.Rev == w.seen.Rev && news.ItemAt > w.seen.ItemAt {
-		w.seen.Rev, w.seen.ItemAt = news.Rev, news.ItemAt
+	if news.Rev > w.known.Rev || news.Rev == w.known.Rev && news.ItemAt > w.known.ItemAt {
+		w.known.Rev, w.known.ItemAt = news.Rev, news.ItemAt
 	}
 	if len(news.Items) > 0 {
-		w.viewed = w.canon.View()
-		names := make([]rpc.ServiceName, 0, len(w.viewed.Services))
-		for name := range w.viewed.Services {
+		w.view = w.config.View()
+		names := make([]rpc.ServiceName, 0, len(w.view.Services))
+		for name := range w.view.Services {
 			names = append(names, rpc.ServiceName(name))
 		}
-		w.watch.Services(names)
-		w.watch.Settle(now)
+		w.assignment.Services(names)
+		w.assignment.Settle(now)
 	}
-	if news.Part != nil && !w.seen.Listed {
-		w.part(now, news.Part)
+	if news.Part != nil && !w.known.Listed {
+		w.applyListPart(now, news.Part)
 	}
-	w.list(now, news.Servers, false)
+	w.applyListChanges(now, news.Servers, false)
 	for site, returned := range back {
 		if !returned {
 			continue
 		}
 		for _, server := range w.servers {
 			if server.Site == site {
-				if service := w.viewed.Services[string(server.Service)]; service != nil {
+				if service := w.view.Services[string(server.Service)]; service != nil {
 					server.chill(now, service.Cold)
 				}
 			}
@@ -219,43 +219,43 @@
 	}
 	for _, state := range news.States {
 		if server := w.servers[state.Server]; server != nil && !state.Gone {
-			w.Chronicle.Note(history.Health, string(state.Server), "heard", state.Stamp(), uint64(news.Epoch), true)
+			w.History.Note(history.Health, string(state.Server), "heard", state.Stamp(), uint64(news.Epoch), true)
 			server.note(now, nil, &state)
 		}
 	}
 	for _, change := range news.Fellows {
 		if change.Gone {
-			delete(w.fellows, change.ID)
+			delete(w.nodes, change.ID)
 		} else {
-			w.fellows[change.ID] = change.Fellow
+			w.nodes[change.ID] = change.Fellow
 		}
 	}
-	if delta := news.MapDelta; delta != nil && w.seen.MapAt > 0 && delta.Base <= w.seen.MapAt && delta.Count > w.seen.MapAt {
-		next := w.told.Apply(*delta)
+	if delta := news.MapDelta; delta != nil && w.known.MapAt > 0 && delta.Base <= w.known.MapAt && delta.Count > w.known.MapAt {
+		next := w.leaderMap.Apply(*delta)
 		news.Map = &next
 	}
 	if news.Map != nil {
-		w.told, w.seen.MapAt = *news.Map, news.Map.Count
-		w.watch.Map(now, *news.Map)
+		w.leaderMap, w.known.MapAt = *news.Map, news.Map.Count
+		w.assignment.Map(now, *news.Map)
 	}
 	for _, tally := range news.Tallies {
-		w.judge.Add(now, tally)
+		w.outliers.Add(now, tally)
 	}
-	w.watch.Absent(news.Absent)
-	w.watch.Led(now, true)
+	w.assignment.Absent(news.Absent)
+	w.assignment.Led(now, true)
 	if changed {
-		w.refresh()
+		w.publishSnapshot()
 	}
 	return true
 }
 
-// Tallies gives what is to be told of the backends' outcomes: nothing at all
+// OutcomeCounts gives what is to be told of the backends' outcomes: nothing at all
 // while none fails. Only those are looked at of which there may be something to
 // tell, so that a beat costs no more where there are more backends.
-func (w *World) Tallies() (tallies []rpc.Tally) {
+func (w *ClusterState) OutcomeCounts() (tallies []rpc.Tally) {
 	now := w.clock.Now()
 	w.mu.Lock()
-	habits := maps.Clone(w.habits)
+	habits := maps.Clone(w.stats)
 	w.mu.Unlock()
 	for service, habit := range habits {
 		before := len(tallies)
@@ -273,30 +273,30 @@
 	return tallies
 }
 
-// Learn notes cores that were heard of.
-func (w *World) Learn(cores []rpc.Core) {
+// AddControllers notes cores that were heard of.
+func (w *ClusterState) AddControllers(cores []rpc.Core) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, core := range cores {
-		w.cores[core.Inner] = true
+		w.controllers[core.Inner] = true
 	}
 }
 
-// habit gives what is known of a service as a whole; the caller holds the lock.
-func (w *World) habit(service rpc.ServiceName) (habit *Habit) {
-	habit = w.habits[service]
+// statsOf gives what is known of a service as a whole; the caller holds the lock.
+func (w *ClusterState) statsOf(service rpc.ServiceName) (habit *Habit) {
+	habit = w.stats[service]
 	if habit == nil {
 		habit = &Habit{}
-		w.habits[service] = habit
+		w.stats[service] = habit
 	}
 	return habit
 }
 
-// follows tells that a part of the list follows what was told of it: a gap would
+// continuesList tells that a part of the list follows what was told of it: a gap would
 // be taken for backends that are gone.
-func (w *World) follows(term rpc.Term, part *rpc.ListPart) (follows bool) {
-	told := w.seen.ListAt
-	if term != w.seen.Term {
+func (w *ClusterState) continuesList(term rpc.Term, part *rpc.ListPart) (follows bool) {
+	told := w.known.ListAt
+	if term != w.known.Term {
 		told = ""
 	}
 	for _, server := range part.Servers {
@@ -304,52 +304,52 @@
 			return false
 		}
 	}
-	return w.seen.Listed && term == w.seen.Term || part.From <= told
+	return w.known.Listed && term == w.known.Term || part.From <= told
 }
 
-// part takes a part of the whole list; the last one drops what none named.
-func (w *World) part(now time.Duration, part *rpc.ListPart) {
+// applyListPart takes a part of the whole list; the last one drops what none named.
+func (w *ClusterState) applyListPart(now time.Duration, part *rpc.ListPart) {
 	changes := make([]rpc.ServerChange, len(part.Servers))
 	for i, server := range part.Servers {
 		changes[i].Server = server
 	}
-	w.list(now, changes, true)
+	w.applyListChanges(now, changes, true)
 	for i := range part.States {
 		if server := w.servers[part.States[i].Server]; server != nil {
 			server.note(now, nil, &part.States[i])
 		}
 	}
-	w.seen.ListAt = max(w.seen.ListAt, part.At)
+	w.known.ListAt = max(w.known.ListAt, part.At)
 	if !part.Done {
 		return
 	}
 	for id, server := range w.servers {
-		if !w.named[id] {
+		if !w.namedInList[id] {
 			server.sweep(now, true)
 			delete(w.servers, id)
 		}
 	}
-	w.seen.Listed, w.listed, w.named = true, true, nil
+	w.known.Listed, w.listComplete, w.namedInList = true, true, nil
 }
 
-// list takes changes of the list; those of a whole telling are not logged.
-func (w *World) list(now time.Duration, changes []rpc.ServerChange, quiet bool) {
+// applyListChanges takes changes of the list; those of a whole telling are not logged.
+func (w *ClusterState) applyListChanges(now time.Duration, changes []rpc.ServerChange, quiet bool) {
 	for i := range changes {
 		change := &changes[i]
 		server := w.servers[change.ID]
 		if change.Gone {
 			if server != nil {
-				w.Chronicle.Note(history.Backend, string(change.ID), "applied", "gone", 0, false)
+				w.History.Note(history.Backend, string(change.ID), "applied", "gone", 0, false)
 				server.sweep(now, true)
 				delete(w.servers, change.ID)
 			}
 			continue
 		}
-		if w.named != nil {
-			w.named[change.ID] = true
+		if w.namedInList != nil {
+			w.namedInList[change.ID] = true
 		}
 		if server == nil {
-			server = newServer(change.Server, rpc.RegionName(w.props.ZoneRegions[string(change.Site)]), w.props.Zone, w.habit(change.Service))
+			server = newServer(change.Server, rpc.RegionName(w.settings.ZoneRegions[string(change.Site)]), w.settings.Zone, w.statsOf(change.Service))
 			if change.Cold > 0 {
 				server.chill(now, change.Cold)
 			}
@@ -357,14 +357,14 @@
 		}
 		if stamp := change.Stamp(); server.told != stamp {
 			server.told = stamp
-			w.Chronicle.Note(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
+			w.History.Note(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
 		}
 		server.note(now, &change.Server, nil)
 	}
 }
 
-// TakeList takes a walk that this daemon made itself for want of a leader.
-func (w *World) TakeList(walk []rpc.Server) {
+// ApplyOwnList takes a walk that this daemon made itself for want of a leader.
+func (w *ClusterState) ApplyOwnList(walk []rpc.Server) {
 	changes := make([]rpc.ServerChange, len(walk))
 	for i := range walk {
 		changes[i] = rpc.ServerChange{Server: walk[i]}
@@ -372,57 +372,57 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
-	w.list(now, changes, false)
-	w.listed = true
-	w.refresh()
+	w.applyListChanges(now, changes, false)
+	w.listComplete = true
+	w.publishSnapshot()
 }
 
-// refresh builds the scene anew.
-func (w *World) refresh() {
-	scene := &Scene{View: w.viewed, Services: map[rpc.ServiceName][]*Server{}, Near: map[rpc.ServiceName][]*Server{}, Beyond: map[rpc.ServiceName][]*Server{}, Evacuate: map[rpc.SiteName]bool{}, Fellows: map[rpc.FellowID]rpc.Fellow{}, Listed: w.listed, Rev: w.seen.Rev}
+// publishSnapshot builds the scene anew.
+func (w *ClusterState) publishSnapshot() {
+	scene := &Snapshot{View: w.view, Services: map[rpc.ServiceName][]*Server{}, Preferred: map[rpc.ServiceName][]*Server{}, Others: map[rpc.ServiceName][]*Server{}, Evacuated: map[rpc.SiteName]bool{}, Nodes: map[rpc.FellowID]rpc.Fellow{}, ListComplete: w.listComplete, Revision: w.known.Rev}
 	for _, server := range w.servers {
 		scene.Services[server.Service] = append(scene.Services[server.Service], server)
 	}
 	for _, servers := range scene.Services {
 		sort.Slice(servers, func(i, j int) bool { return servers[i].ID < servers[j].ID })
 	}
-	for site, evacuation := range w.evac {
+	for site, evacuation := range w.evacuations {
 		if evacuation.Active {
-			scene.Evacuate[site] = true
+			scene.Evacuated[site] = true
 		}
 	}
-	for id, fellow := range w.fellows {
-		scene.Fellows[id] = fellow
+	for id, fellow := range w.nodes {
+		scene.Nodes[id] = fellow
 		if fellow.Ready && !fellow.Stopping {
-			scene.Sharers++
+			scene.ReadyNodes++
 		}
 	}
-	subset := NewSubset(rpc.FellowID(w.props.Name), rpc.SiteName(w.props.Zone), w.fellows, w.props.SubsetSize)
-	scene.Share = map[rpc.ServiceName]int{}
+	subset := NewSubset(rpc.FellowID(w.settings.Name), rpc.SiteName(w.settings.Zone), w.nodes, w.settings.SubsetSize)
+	scene.NodesPerBackend = map[rpc.ServiceName]int{}
 	for service, servers := range scene.Services {
 		here := 0
 		for _, server := range servers {
-			if string(server.Site) == w.props.Zone {
+			if string(server.Site) == w.settings.Zone {
 				here++
 			}
 		}
-		scene.Share[service] = subset.Sharers(here)
+		scene.NodesPerBackend[service] = subset.NodesPerBackend(here)
 		for _, server := range servers {
-			if string(server.Site) == w.props.Zone && subset.Holds(server.ID, scene.Share[service]) {
-				scene.Near[service] = append(scene.Near[service], server)
+			if string(server.Site) == w.settings.Zone && subset.Contains(server.ID, scene.NodesPerBackend[service]) {
+				scene.Preferred[service] = append(scene.Preferred[service], server)
 			} else {
-				scene.Beyond[service] = append(scene.Beyond[service], server)
+				scene.Others[service] = append(scene.Others[service], server)
 			}
 		}
 	}
 	// Until all items are here, a way that is missing proves nothing.
-	w.whole = w.whole || w.seen.ItemAt == rpc.AllItems && !w.canon.Empty()
-	scene.Started = w.whole
-	w.scene.Store(scene)
+	w.configured = w.configured || w.known.ItemAt == rpc.AllItems && !w.config.Empty()
+	scene.Configured = w.configured
+	w.snapshot.Store(scene)
 }
 
-// Sweep closes streams that lay idle too long.
-func (w *World) Sweep() {
+// CloseIdle closes streams that lay idle too long.
+func (w *ClusterState) CloseIdle() {
 	w.mu.Lock()
 	servers := make([]*Server, 0, len(w.servers))
 	for _, server := range w.servers {
@@ -435,9 +435,9 @@
 	}
 }
 
-// end breaks off what is still at work at a backend; with but, keyed requests
+// abortRequests breaks off what is still at work at a backend; with but, keyed requests
 // may go on.
-func (w *World) end(id rpc.ServerID, but bool) {
+func (w *ClusterState) abortRequests(id rpc.ServerID, but bool) {
 	w.mu.Lock()
 	server := w.servers[id]
 	w.mu.Unlock()
@@ -446,11 +446,11 @@
 	}
 }
 
-// Known lists the inner addresses of cores this daemon has heard of.
-func (w *World) Known() (inners []string) {
+// ControllerAddresses lists the inner addresses of cores this daemon has heard of.
+func (w *ClusterState) ControllerAddresses() (inners []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for inner := range w.cores {
+	for inner := range w.controllers {
 		inners = append(inners, inner)
 	}
 	sort.Strings(inners)
@@ -459,67 +459,67 @@
 }
 
 // Tick moves the watch on and lists the services to probe.
-func (w *World) Tick(led bool) (duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
+func (w *ClusterState) Tick(led bool) (duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
-	w.watch.Led(now, led)
-	applied, headless := w.watch.Tick(now)
+	w.assignment.Led(now, led)
+	applied, headless := w.assignment.Tick(now)
 	if applied {
-		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.watch.Applied().Count), eventlog.KeyMembers, len(w.watch.Applied().Members))
+		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.assignment.Applied().Count), eventlog.KeyMembers, len(w.assignment.Applied().Members))
 	}
 	if headless {
 		w.log.Emit(eventlog.Headless)
 	}
-	shards := w.watch.Applied()
-	return w.watch.Duties(), shards.Term, shards.Count
+	shards := w.assignment.Applied()
+	return w.assignment.Duties(), shards.Term, shards.Count
 }
 
-// Judge moves the judge's time on and gives the backends whose standing changed.
-func (w *World) Judge(duties []rpc.ServiceName) (changed map[rpc.ServerID]string) {
-	scene := w.Scene()
+// DetectOutliers moves the judge's time on and gives the backends whose standing changed.
+func (w *ClusterState) DetectOutliers(duties []rpc.ServiceName) (changed map[rpc.ServerID]string) {
+	scene := w.Snapshot()
 	sizes := make(map[rpc.ServiceName]int, len(duties))
 	for _, service := range duties {
 		sizes[service] = len(scene.Services[service])
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.judge.Tick(w.clock.Now(), sizes)
+	return w.outliers.Tick(w.clock.Now(), sizes)
 }
 
-// Alone tells that this daemon probes only what it owns, not with all others.
-func (w *World) Alone() bool {
+// ProbesOnlyOwn tells that this daemon probes only what it owns, not with all others.
+func (w *ClusterState) ProbesOnlyOwn() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.watch.Headless() && !w.watch.Unsettled()
+	return !w.assignment.Headless() && !w.assignment.Unsettled()
 }
 
-// Duties lists the services this daemon probes now.
-func (w *World) Duties() (duties []rpc.ServiceName) {
+// ProbedServices lists the services this daemon probes now.
+func (w *ClusterState) ProbedServices() (duties []rpc.ServiceName) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.watch.Duties()
+	return w.assignment.Duties()
 }
 
-// Absent lists the fellows the leader does not hear.
-func (w *World) Absent() (absent map[rpc.FellowID]bool) {
+// AbsentNodes lists the fellows the leader does not hear.
+func (w *ClusterState) AbsentNodes() (absent map[rpc.FellowID]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.watch.AbsentNow()
+	return w.assignment.AbsentNow()
 }
 
-// Stands tells how a subject stands on this daemon.
-func (w *World) Stands(kind, name string) (stamp string, rev uint64, has bool) {
+// StateOf tells how a subject stands on this daemon.
+func (w *ClusterState) StateOf(kind, name string) (stamp string, rev uint64, has bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch kind {
 	case history.Item:
-		item, known := w.canon.Find(name)
+		item, known := w.config.Find(name)
 		return item.Stamp(), item.Rev, known
 	case history.Document, history.Retirement, history.Move:
-		return w.Orders.stands(kind, name)
+		return w.Policies.stateOf(kind, name)
 	case history.Evacuation:
-		evacuation, known := w.evac[rpc.SiteName(name)]
+		evacuation, known := w.evacuations[rpc.SiteName(name)]
 		return evacuation.Stamp(), evacuation.Rev, known
 	}
 	server := w.servers[rpc.ServerID(name)]
--- a/internal/proxy/world_test.go
+++ b/internal/proxy/world_test.go
@@ -21,16 +21,16 @@
 		led    bool
 		share  float64
 	}{{3, 9, 5, true, 5}, {2, 50, 8, false, 5}, {3, 8, 7, true, 5}, {3, 9, 6, true, 6}, {4, 1, 2, true, 2}, {3, 10, 9, false, 2}} {
-		if led := d.world.Take(d.clock.Now(), news(step.term, step.epoch, step.amount)); led != step.led {
+		if led := d.state.Apply(d.clock.Now(), news(step.term, step.epoch, step.amount)); led != step.led {
 			t.Errorf("%+v: led %v", step, led)
 		}
-		if share := d.world.Share(rpc.RetrySlack, ""); share != step.share {
+		if share := d.state.Leased(rpc.RetrySlack, ""); share != step.share {
 			t.Errorf("%+v: share %g", step, share)
 		}
 	}
 	// A lease runs from when it was asked for, however late its answer is.
-	d.world.Take(d.clock.Now()-time.Minute, news(5, 1, 4))
-	if share := d.world.Share(rpc.RetrySlack, ""); share != 0 {
+	d.state.Apply(d.clock.Now()-time.Minute, news(5, 1, 4))
+	if share := d.state.Leased(rpc.RetrySlack, ""); share != 0 {
 		t.Errorf("a lease that was asked for a minute ago: share %g", share)
 	}
 }
@@ -38,11 +38,11 @@
 // A leader of an older term does not become the one that is asked again.
 func TestAnOlderLeaderIsNotFoundAgain(t *testing.T) {
 	d := daemonOf(t)
-	if !d.link.found("new:1", 4) || d.link.found("old:1", 3) || *d.link.leader.Load() != "new:1" {
-		t.Fatalf("the leader is %s", *d.link.leader.Load())
+	if !d.leader.noteLeader("new:1", 4) || d.leader.noteLeader("old:1", 3) || *d.leader.leader.Load() != "new:1" {
+		t.Fatalf("the leader is %s", *d.leader.leader.Load())
 	}
-	if !d.link.found("next:1", 5) || *d.link.leader.Load() != "next:1" {
-		t.Fatalf("the leader is %s", *d.link.leader.Load())
+	if !d.leader.noteLeader("next:1", 5) || *d.leader.leader.Load() != "next:1" {
+		t.Fatalf("the leader is %s", *d.leader.leader.Load())
 	}
 }
 
@@ -57,11 +57,11 @@
 // What an older leader says of a session is no answer any more.
 func TestALateBindingIsNoAnswer(t *testing.T) {
 	d := daemonOf(t)
-	d.world.Take(0, &rpc.News{Leader: true, Term: 6, Epoch: 1})
+	d.state.Apply(0, &rpc.News{Leader: true, Term: 6, Epoch: 1})
 	for term, answers := range map[rpc.Term]int{5: 0, 6: 1, 7: 1} {
 		inner := serveInner(t, map[string]any{"Forum": &lateForum{term}})
-		d.link.leader.Store(&inner)
-		if found := d.link.putBinds([]rpc.Bind{{Session: "x"}}, claimCall); len(found) != answers {
+		d.leader.leader.Store(&inner)
+		if found := d.leader.sendBinds([]rpc.Bind{{Session: "x"}}, claimCallTimeout); len(found) != answers {
 			t.Errorf("term %d: %+v", term, found)
 		}
 	}
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -177,7 +177,7 @@
 	if asked == nil {
 		return nil
 	}
-	addresses := proxy.Directions(fellows, absent, nil, asked.weights, string(region), string(region), "")
+	addresses := proxy.DirectoryAnswer(fellows, absent, nil, asked.weights, string(region), string(region), "")
 	front := addresses[d.luck.Intn(len(addresses))]
 	for _, candidate := range d.edges {
 		if candidate.Front == front {
