--- a/internal/proxy/round_bench_test.go
+++ b/internal/proxy/round_bench_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"testing"
+	"time"
 )
 
 func BenchmarkAnswer(b *testing.B) {
@@ -26,3 +27,28 @@
 		})
 	}
 }
+
+// BenchmarkWholeRequest sends requests over one client connection, so that reading, planning, the
+// exchange with the backend and the writing of the answer are all counted.
+func BenchmarkWholeRequest(b *testing.B) {
+	for _, route := range []string{"/safe/", "/once/"} {
+		b.Run(route[1:len(route)-1], func(b *testing.B) {
+			backend := newStandIn(b, "i-1", func(_ int, r seen, conn net.Conn) bool {
+				_, err := io.WriteString(conn, answer(200, r.ID, "body"))
+				return err == nil
+			})
+			conn, in := client(b, daemonOf(b, backend))
+			_ = conn.SetDeadline(time.Time{})
+			text := []byte(ask("GET", route+"x", "a"))
+			b.ReportAllocs()
+			for b.Loop() {
+				if _, err := conn.Write(text); err != nil {
+					b.Fatal(err)
+				}
+				if response, _, err := receiveOne(b, in, "GET"); err != nil || response.StatusCode != 200 {
+					b.Fatal(response, err)
+				}
+			}
+		})
+	}
+}
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -136,7 +136,7 @@
 }
 
 // client opens a stream to the daemon's door.
-func client(t *testing.T, d *Daemon) (conn net.Conn, in *bufio.Reader) {
+func client(t testing.TB, d *Daemon) (conn net.Conn, in *bufio.Reader) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -160,7 +160,7 @@
 	return text + "\r\n"
 }
 
-func receiveOne(t *testing.T, in *bufio.Reader, method string) (response *http.Response, body string, err error) {
+func receiveOne(t testing.TB, in *bufio.Reader, method string) (response *http.Response, body string, err error) {
 	t.Helper()
 	response, err = http.ReadResponse(in, &http.Request{Method: method})
 	if err != nil {
