--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -48,7 +48,7 @@
 	if request.ID == "" {
 		return nil, apierror.BadRequest, 0
 	}
-	if request.Ahead && !way.Repeat.Repeatable() {
+	if request.Pipelined && !way.Repeat.Repeatable() {
 		// The way has changed since the door looked.
 		return nil, apierror.NoRoom, 0
 	}
@@ -71,7 +71,7 @@
 		return nil, apierror.TooLate, 0
 	}
 	plan = &Plan{Way: way, Service: pickTarget(way, rand.Float64()), Request: request, Started: now, Till: now + left, Rounds: way.Rounds}
-	request.Stream = way.Repeat == config.Download
+	request.StreamBody = way.Repeat == config.Download
 	d.state.Policies.Sessions.assignSession(plan, tenant)
 	if way.Repeat == config.Keyed {
 		plan.Key = request.operationKey()
@@ -87,23 +87,23 @@
 }
 
 // Answer plans a request and carries the plan out.
-func (d *Daemon) Answer(request *Request, deadline string) (verdict Verdict) {
+func (d *Daemon) Answer(request *Request, deadline string) (verdict Response) {
 	plan, kind, back := d.plan(request, deadline)
 	if kind != apierror.None {
-		return DenyFor(kind, request.ID, back)
+		return ErrorResponseAfter(kind, request.ID, back)
 	}
 	if plan.Key != "" {
 		return d.carryKeyed(plan)
 	}
 	verdict, kind = d.carry(plan)
 	if kind != apierror.None {
-		return Deny(kind, request.ID)
+		return ErrorResponse(kind, request.ID)
 	}
 	return verdict
 }
 
 // carry goes through the rounds of a plan, once the throttle lets it.
-func (d *Daemon) carry(plan *Plan) (verdict Verdict, kind apierror.Kind) {
+func (d *Daemon) carry(plan *Plan) (verdict Response, kind apierror.Kind) {
 	if plan.Session != "" {
 		if kind = d.bind(plan); kind != apierror.None {
 			return verdict, plan.refusal(kind)
@@ -128,7 +128,7 @@
 
 // rounds sends a plan's request until there is an answer or a problem. Where a
 // backend told of its own failure and no other gave an answer, its word is it.
-func (d *Daemon) rounds(plan *Plan, throttle *Throttle) (verdict Verdict, kind apierror.Kind) {
+func (d *Daemon) rounds(plan *Plan, throttle *Throttle) (verdict Response, kind apierror.Kind) {
 	verdict, kind = d.search(plan, throttle)
 	if kind != apierror.None && plan.Failure != nil {
 		return *plan.Failure, apierror.None
@@ -136,7 +136,7 @@
 	return verdict, kind
 }
 
-func (d *Daemon) search(plan *Plan, throttle *Throttle) (verdict Verdict, kind apierror.Kind) {
+func (d *Daemon) search(plan *Plan, throttle *Throttle) (verdict Response, kind apierror.Kind) {
 	arrived := 0
 	for {
 		now := d.clock.Now()
@@ -168,7 +168,7 @@
 		}
 		step, problemKind := plan.Learn(d.clock.Now(), answering.ID, round)
 		if round.Outcome == Failed {
-			if round.Verdict.Rest != nil {
+			if round.Verdict.BodyRest != nil {
 				return round.Verdict, apierror.None
 			}
 			plan.Failure = &round.Verdict
@@ -309,12 +309,12 @@
 }
 
 // carryKeyed claims the key first.
-func (d *Daemon) carryKeyed(plan *Plan) (verdict Verdict) {
+func (d *Daemon) carryKeyed(plan *Plan) (verdict Response) {
 	request := plan.Request
 	if d.operations.Freed(plan.Key, request.ID) {
 		// The word that gave this claim back may still be under way, and would
 		// give back a new one of the same name.
-		return Deny(apierror.KeyUnknown, request.ID)
+		return ErrorResponse(apierror.KeyUnknown, request.ID)
 	}
 	op, old := d.operations.Open(plan.Key, request.ID)
 	if old != nil {
@@ -350,10 +350,10 @@
 			// The claim may stand, but nothing will ever be sent under it.
 			d.operations.Free(op)
 			d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
-			return Deny(apierror.NoLeader, request.ID)
+			return ErrorResponse(apierror.NoLeader, request.ID)
 		default:
 			d.operations.Abandon(op)
-			return Deny(apierror.NoLeader, request.ID)
+			return ErrorResponse(apierror.NoLeader, request.ID)
 		}
 		break
 	}
@@ -368,7 +368,7 @@
 		d.operations.Free(op)
 		d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 	}
-	return Deny(kind, request.ID)
+	return ErrorResponse(kind, request.ID)
 }
 
 // dedupes tells that a service keeps its own record of keys, so that a run that
@@ -380,20 +380,20 @@
 
 // store keeps the answer of an operation for repeats. Only the homes of a way
 // may store its answers; elsewhere the answer is handed to a fellow there.
-func (d *Daemon) store(op *idempotency.Held, plan *Plan, verdict Verdict) {
+func (d *Daemon) store(op *idempotency.Held, plan *Plan, verdict Response) {
 	homes := plan.Way.Homes
 	switch {
-	case verdict.Rest != nil:
+	case verdict.BodyRest != nil:
 		d.operations.Lose(op)
 	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
-		d.operations.Answer(op, verdict.Status, verdict.Lines, verdict.Body)
+		d.operations.Answer(op, verdict.Status, verdict.Headers, verdict.Body)
 	default:
 		go d.handOver(op, plan, verdict)
 	}
 }
 
 // handOver lets a fellow within the homes of a way keep an answer.
-func (d *Daemon) handOver(op *idempotency.Held, plan *Plan, verdict Verdict) {
+func (d *Daemon) handOver(op *idempotency.Held, plan *Plan, verdict Response) {
 	scene, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var chosenInner string
 	var best uint64
@@ -405,7 +405,7 @@
 			chosenInner, best = fellow.Inner, rank
 		}
 	}
-	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Lines, Body: verdict.Body}
+	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Headers, Body: verdict.Body}
 	if chosenInner == "" || !d.leader.StoreAt(chosenInner, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
 		d.operations.Lose(op)
 		return
@@ -414,19 +414,19 @@
 }
 
 // recount answers a repeat from what its holder told.
-func (d *Daemon) recount(reply rpc.RecallReply, request string) (verdict Verdict) {
+func (d *Daemon) recount(reply rpc.RecallReply, request string) (verdict Response) {
 	switch reply.Standing {
 	case rpc.Running:
-		return Deny(apierror.KeyAtWork, request)
+		return ErrorResponse(apierror.KeyAtWork, request)
 	case rpc.Answered:
-		verdict = Verdict{Status: reply.Status, Body: reply.Body, Length: int64(len(reply.Body))}
+		verdict = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
 		for _, line := range reply.Header {
-			if line[0] == headRequest {
+			if line[0] == headerRequestID {
 				line[1] = request
 			}
-			verdict.Lines = append(verdict.Lines, line)
+			verdict.Headers = append(verdict.Headers, line)
 		}
 		return verdict
 	}
-	return Deny(apierror.KeyUnknown, request)
+	return ErrorResponse(apierror.KeyUnknown, request)
 }
--- a/internal/proxy/door.go
+++ b/internal/proxy/door.go
@@ -36,7 +36,7 @@
 
 // Door takes in clients.
 type Door struct {
-	answer   func(request *Request, deadline string) Verdict
+	answer   func(request *Request, deadline string) Response
 	view     func() *config.View
 	stopping atomic.Bool
 	open     atomic.Int64
@@ -60,7 +60,7 @@
 }
 
 // NewDoor answers with a function; most streams and bytes of bodies at once.
-func NewDoor(answer func(*Request, string) Verdict, view func() *config.View, most int, room int64) (door *Door) {
+func NewDoor(answer func(*Request, string) Response, view func() *config.View, most int, room int64) (door *Door) {
 	door = &Door{answer: answer, view: view, most: int64(most), visits: map[*visit]time.Time{}}
 	door.room.Store(room)
 	return door
@@ -144,8 +144,8 @@
 }
 
 type turn struct {
-	verdict chan Verdict
-	ready   Verdict
+	verdict chan Response
+	ready   Response
 	old     bool
 	last    bool
 	// head tells that the answer has no body.
@@ -210,7 +210,7 @@
 		turns <- t
 	}
 	deny := func(kind apierror.Kind, id string) {
-		verdict := Deny(kind, id)
+		verdict := ErrorResponse(kind, id)
 		verdict.Close = true
 		put(&turn{ready: verdict, last: true})
 	}
@@ -257,7 +257,7 @@
 			}
 			return
 		}
-		id := parsed.Header.Get(headRequest)
+		id := parsed.Header.Get(headerRequestID)
 		if size > int64(limits.HeadBytes) {
 			deny(apierror.HeadTooLarge, id)
 			return
@@ -271,18 +271,18 @@
 			deny(kind, id)
 			return
 		}
-		t := &turn{verdict: make(chan Verdict, 1), old: parsed.ProtoMinor == 0, last: parsed.Close, head: parsed.Method == http.MethodHead}
+		t := &turn{verdict: make(chan Response, 1), old: parsed.ProtoMinor == 0, last: parsed.Close, head: parsed.Method == http.MethodHead}
 		path, _, _ := strings.Cut(request.Target, "?")
 		way := d.view().Find(request.Host, path)
 		if way != nil && !way.Repeat.Repeatable() {
 			v.pending.Wait()
 		}
-		request.Ahead = v.working.Load() > 0
+		request.Pipelined = v.working.Load() > 0
 		if v.broken.Load() || v.closing.Load() {
 			return
 		}
 		put(t)
-		deadline := parsed.Header.Get(headDeadline)
+		deadline := parsed.Header.Get(headerRequestDeadline)
 		go func() {
 			verdict := d.answer(request, deadline)
 			d.room.Add(int64(len(request.Body)))
@@ -312,7 +312,7 @@
 	if parsed.Host == "" {
 		return nil, apierror.BadRequest
 	}
-	request = &Request{Method: parsed.Method, Target: target, Host: parsed.Host, ID: parsed.Header.Get(headRequest), Lines: carried(parsed.Header)}
+	request = &Request{Method: parsed.Method, Target: target, Host: parsed.Host, ID: parsed.Header.Get(headerRequestID), Headers: forwardedHeaders(parsed.Header)}
 	if parsed.ContentLength == 0 {
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
 		return request, apierror.None
@@ -382,7 +382,7 @@
 		if verdict.Close {
 			v.closing.Store(true)
 		}
-		verdict.Keep = d.view().Limits.IdleTime - idleMargin
+		verdict.KeepAlive = d.view().Limits.IdleTime - idleMargin
 		_ = conn.SetWriteDeadline(time.Now().Add(30 * time.Second))
 		var whole bool
 		buffer, whole = verdict.Write(conn, buffer, t.old)
--- a/internal/proxy/door_test.go
+++ b/internal/proxy/door_test.go
@@ -28,7 +28,7 @@
 	d := daemonOf(t, backend)
 	for way, status := range map[string]int{"/once/": 503, "/safe/": 200} {
 		ahead := request("GET", way+"x", "a")
-		ahead.Ahead = true
+		ahead.Pipelined = true
 		if verdict := d.Answer(ahead, "2500"); verdict.Status != status {
 			t.Errorf("%s: status %d", way, verdict.Status)
 		}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -39,11 +39,11 @@
 	if err != nil || response.StatusCode != 200 || body != "body of late" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
-	told := string(Verdict{Status: 200, Keep: 13500 * time.Millisecond}.head(nil, false))
+	told := string(Response{Status: 200, KeepAlive: 13500 * time.Millisecond}.appendHead(nil, false))
 	if !strings.Contains(told, "\r\nKeep-Alive: timeout=13\r\n") {
 		t.Errorf("clients are not told when the stream ends: %q", told)
 	}
-	if told = string(Verdict{Status: 200, Close: true, Keep: time.Minute}.head(nil, false)); strings.Contains(told, "Keep-Alive") {
+	if told = string(Response{Status: 200, Close: true, KeepAlive: time.Minute}.appendHead(nil, false)); strings.Contains(told, "Keep-Alive") {
 		t.Errorf("a stream that closes is promised: %q", told)
 	}
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -72,7 +72,7 @@
 
 func keyed(id, key string) *Request {
 	r := request("POST", "/key/x", id)
-	r.Lines = append(r.Lines, Line{headKey, key})
+	r.Headers = append(r.Headers, HeaderField{headerOperationKey, key})
 	return r
 }
 
@@ -89,8 +89,8 @@
 	if first.Status != 200 || again.Status != 200 || string(again.Body) != "body of a" || backend.count() != 1 {
 		t.Fatalf("%d %d %q, %d runs", first.Status, again.Status, again.Body, backend.count())
 	}
-	for _, line := range again.Lines {
-		if line[0] == headRequest && line[1] != "b" || line[0] == headStamp && line[1] != "stamp-a" {
+	for _, line := range again.Headers {
+		if line[0] == headerRequestID && line[1] != "b" || line[0] == headerResponseSignature && line[1] != "stamp-a" {
 			t.Fatalf("the repeat carries %v", line)
 		}
 	}
@@ -101,7 +101,7 @@
 func TestWhatBecomesOfAKeyWhoseRunFailed(t *testing.T) {
 	broken := func(int, seen, net.Conn) bool { return false }
 	turned := func(_ int, r seen, conn net.Conn) bool {
-		_, err := conn.Write([]byte(answer(503, r.ID, "", headNotRun+": 1")))
+		_, err := conn.Write([]byte(answer(503, r.ID, "", headerNotExecuted+": 1")))
 		return err == nil
 	}
 	for name, c := range map[string]struct {
@@ -132,7 +132,7 @@
 }
 
 func TestAKeyHeldElsewhere(t *testing.T) {
-	stored := rpc.RecallReply{Standing: rpc.Answered, Status: 200, Header: [][2]string{{headStamp, "first"}}, Body: []byte("first body")}
+	stored := rpc.RecallReply{Standing: rpc.Answered, Status: 200, Header: [][2]string{{headerResponseSignature, "first"}}, Body: []byte("first body")}
 	for name, c := range map[string]struct {
 		recall func(int) rpc.RecallReply
 		status int
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -27,7 +27,7 @@
 	// MayHaveRun is set once a round ended without proof that nothing ran.
 	MayHaveRun bool
 	// Failure is the last answer in which a backend told of its own failure.
-	Failure *Verdict
+	Failure *Response
 	dials   int
 	// Session is what the request belongs to, under Rule; Bound is the backend
 	// that it may go to and no other.
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -321,7 +321,7 @@
 		}
 	}
 	_ = stream.conn.SetDeadline(time.Now().Add(probeTimeout))
-	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + headTarget + ": " + string(server.ID) + "\r\n\r\n"
+	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + headerTargetInstance + ": " + string(server.ID) + "\r\n\r\n"
 	if _, err := stream.conn.Write([]byte(text)); err != nil {
 		server.drop(stream)
 		return ProbeInvalid, 0
@@ -340,7 +340,7 @@
 			server.drop(stream)
 			return ProbeInvalid, 0
 		}
-		if response.Header.Get(headRequest) != "" || response.StatusCode < 200 {
+		if response.Header.Get(headerRequestID) != "" || response.StatusCode < 200 {
 			continue
 		}
 		if keep := keepFor(response); !response.Close && stream.in.Buffered() == 0 && keep > 0 {
@@ -349,15 +349,15 @@
 		} else {
 			server.drop(stream)
 		}
-		if span, ok := coldSpan(response.Header.Get(headCold)); ok {
+		if span, ok := coldSpan(response.Header.Get(headerColdRemaining)); ok {
 			cold = span
 		}
 		switch {
-		case response.StatusCode == http.StatusOK && response.Header.Get(headInstance) == string(server.ID):
+		case response.StatusCode == http.StatusOK && response.Header.Get(headerInstanceID) == string(server.ID):
 			return ProbeUp, cold
 		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusMisdirectedRequest:
 			return ProbeDown, 0
-		case response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusTooManyRequests:
+		case response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusTooManyRequests:
 			return ProbeBusy, 0
 		}
 		return ProbeDown, 0
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -27,15 +27,15 @@
 
 // Head lines of the protocol.
 const (
-	headRequest  = "Tinpin-Request-Id"
-	headDeadline = "Tinpin-Request-Deadline"
-	headKey      = "Tinpin-Operation-Key"
-	headStamp    = "Tinpin-Response-Signature"
-	headTarget   = "Tinpin-Target-Instance"
-	headNotRun   = "Tinpin-Not-Executed"
-	headInstance = "Tinpin-Instance-Id"
-	headCold     = "Tinpin-Cold-Remaining"
-	headLoad     = "Tinpin-Instance-Load"
+	headerRequestID         = "Tinpin-Request-Id"
+	headerRequestDeadline   = "Tinpin-Request-Deadline"
+	headerOperationKey      = "Tinpin-Operation-Key"
+	headerResponseSignature = "Tinpin-Response-Signature"
+	headerTargetInstance    = "Tinpin-Target-Instance"
+	headerNotExecuted       = "Tinpin-Not-Executed"
+	headerInstanceID        = "Tinpin-Instance-Id"
+	headerColdRemaining     = "Tinpin-Cold-Remaining"
+	headerInstanceLoad      = "Tinpin-Instance-Load"
 )
 
 const (
@@ -84,53 +84,53 @@
 type Request struct {
 	Method, Target, Host string
 	ID                   string
-	Lines                []Line
+	Headers              []HeaderField
 	Body                 []byte
 	HasBody              bool
-	// Stream passes the answer on as it comes but for its beginning.
-	Stream bool
-	// Ahead tells that it was taken up while others before it on the client's
+	// StreamBody passes the answer on as it comes but for its beginning.
+	StreamBody bool
+	// Pipelined tells that it was taken up while others before it on the client's
 	// stream were not answered, so that it may yet count as not read.
-	Ahead bool
+	Pipelined bool
 	// head is the part of the head that is the same in every round; rounds may
 	// run beside each other.
-	once sync.Once
-	head []byte
+	headOnce   sync.Once
+	commonHead []byte
 }
 
-func dropped(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
-	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", headDeadline, headTarget, "Expect":
+	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", headerRequestDeadline, headerTargetInstance, "Expect":
 		return true
 	}
 	return false
 }
 
-// carried lists the head lines that are passed on.
-func carried(header http.Header) (lines []Line) {
+// forwardedHeaders lists the head lines that are passed on.
+func forwardedHeaders(header http.Header) (lines []HeaderField) {
 	named := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
 			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	lines = make([]Line, 0, len(header))
+	lines = make([]HeaderField, 0, len(header))
 	for name, values := range header {
-		if dropped(name) || named[name] && name != headRequest && name != headKey {
+		if isHopByHop(name) || named[name] && name != headerRequestID && name != headerOperationKey {
 			continue
 		}
 		for _, value := range values {
-			lines = append(lines, Line{name, value})
+			lines = append(lines, HeaderField{name, value})
 		}
 	}
 	return lines
 }
 
-// prepare writes the part of the head that is the same in every round.
-func (r *Request) prepare() {
+// buildCommonHead writes the part of the head that is the same in every round.
+func (r *Request) buildCommonHead() {
 	head := make([]byte, 0, 512)
 	head = append(head, r.Method+" "+r.Target+" HTTP/1.1\r\nHost: "+r.Host+"\r\n"...)
-	for _, line := range r.Lines {
+	for _, line := range r.Headers {
 		head = append(head, line[0]...)
 		head = append(head, ": "...)
 		head = append(head, line[1]...)
@@ -141,26 +141,26 @@
 		head = strconv.AppendInt(head, int64(len(r.Body)), 10)
 		head = append(head, "\r\n"...)
 	}
-	r.head = head
+	r.commonHead = head
 }
 
-// most is how much of an answer is taken in before it is passed on: one that
+// bufferLimit is how much of an answer is taken in before it is passed on: one that
 // is here whole can still be replaced by another backend's.
-func (r *Request) most() (most int64) {
-	if r.Stream {
+func (r *Request) bufferLimit() (most int64) {
+	if r.StreamBody {
 		return streamMost
 	}
 	return wholeMost
 }
 
-// bytes writes the request for one backend.
-func (r *Request) bytes(left time.Duration, target rpc.ServerID) (data []byte) {
-	r.once.Do(r.prepare)
-	data = make([]byte, 0, len(r.head)+len(r.Body)+96)
-	data = append(data, r.head...)
-	data = append(data, headDeadline+": "...)
+// encode writes the request for one backend.
+func (r *Request) encode(left time.Duration, target rpc.ServerID) (data []byte) {
+	r.headOnce.Do(r.buildCommonHead)
+	data = make([]byte, 0, len(r.commonHead)+len(r.Body)+96)
+	data = append(data, r.commonHead...)
+	data = append(data, headerRequestDeadline+": "...)
 	data = strconv.AppendInt(data, max(1, left.Milliseconds()), 10)
-	data = append(data, "\r\n"+headTarget+": "...)
+	data = append(data, "\r\n"+headerTargetInstance+": "...)
 	data = append(data, target...)
 	data = append(data, "\r\n\r\n"...)
 	return append(data, r.Body...)
@@ -169,7 +169,7 @@
 // Round is what came of one sending.
 type Round struct {
 	Outcome Outcome
-	Verdict Verdict
+	Verdict Response
 	// Sent tells that the request has left, so that it counts as an arrival.
 	Sent bool
 }
@@ -190,7 +190,7 @@
 	begun := clock.Now()
 	server.begin(begun)
 	defer func() {
-		if round.Verdict.Rest == nil {
+		if round.Verdict.BodyRest == nil {
 			now := clock.Now()
 			server.end(now, now-begun, round.Outcome)
 		}
@@ -209,7 +209,7 @@
 	}
 	server.hold(stream, sending.Keyed)
 	defer server.release(stream)
-	data := request.bytes(sending.Till-now, server.ID)
+	data := request.encode(sending.Till-now, server.ID)
 	_ = stream.conn.SetDeadline(time.Now().Add(sending.Till - now))
 	if !sending.holds(clock, server) {
 		_ = stream.conn.SetDeadline(time.Time{})
@@ -230,8 +230,8 @@
 	// answered before.
 	reading := reading{clock: clock, stream: stream, request: request, begun: begun, cut: err != nil, lapse: sending.Lapse}
 	round = reading.receive()
-	if round.Verdict.Rest != nil {
-		round.Verdict.Rest = sending.Lane.Through(round.Verdict.Rest)
+	if round.Verdict.BodyRest != nil {
+		round.Verdict.BodyRest = sending.Lane.Through(round.Verdict.BodyRest)
 	}
 	if round.Outcome == Forgotten {
 		server.habit.Forgot(clock.Now(), begun-stream.restAt)
@@ -263,7 +263,7 @@
 )
 
 func whose(response *http.Response, id string) (belongs belonging) {
-	ids := response.Header[headRequest]
+	ids := response.Header[headerRequestID]
 	switch {
 	case len(ids) > 1:
 		return garbled
@@ -277,7 +277,7 @@
 
 // notRun tells that a response says that its request was not run.
 func notRun(response *http.Response) bool {
-	return response.StatusCode >= 400 && (response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest)
+	return response.StatusCode >= 400 && (response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
 }
 
 // reading is the reading of the answer to one request.
@@ -362,7 +362,7 @@
 			continue
 		}
 		belongs := r.whose(response)
-		body, whole, rest := readBody(response, request.most())
+		body, whole, rest := readBody(response, request.bufferLimit())
 		if !whole && rest == nil {
 			server.drop(stream)
 			if belongs == own && notRun(response) {
@@ -391,12 +391,12 @@
 // take makes the round of the request's own answer.
 func (r *reading) take(response *http.Response, body []byte, whole bool, rest io.Reader) (round Round) {
 	stream, server := r.stream, r.stream.server
-	if cold := response.Header.Get(headCold); cold != "" {
+	if cold := response.Header.Get(headerColdRemaining); cold != "" {
 		if left, ok := coldSpan(cold); ok && left > 0 {
 			server.chill(r.clock.Now(), left)
 		}
 	}
-	if load := response.Header.Get(headLoad); load != "" {
+	if load := response.Header.Get(headerInstanceLoad); load != "" {
 		server.hear(r.clock.Now(), load)
 	}
 	keep := keepFor(response)
@@ -409,7 +409,7 @@
 	}
 	// An answer that says of a success that it was not run says nothing, and one
 	// whose status would be a promise to the client makes none without that word.
-	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" || apierror.Promises(response.StatusCode) {
+	if response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" || response.Header.Get(headerNotExecuted) != "" || apierror.Promises(response.StatusCode) {
 		server.drop(stream)
 		return Round{Outcome: Broken}
 	}
@@ -417,13 +417,13 @@
 	if response.StatusCode >= 500 {
 		outcome = Failed
 	}
-	verdict := Verdict{Status: response.StatusCode, Lines: returned(response.Header), Body: body, Length: int64(len(body))}
+	verdict := Response{Status: response.StatusCode, Headers: returnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
 	if r.request.Method == http.MethodHead {
 		verdict.NoBody = true
-		verdict.Length = max(0, response.ContentLength)
+		verdict.ContentLength = max(0, response.ContentLength)
 	}
 	if rest != nil {
-		verdict.Rest, verdict.Length, verdict.Chunked = rest, response.ContentLength, response.ContentLength < 0
+		verdict.BodyRest, verdict.ContentLength, verdict.Chunked = rest, response.ContentLength, response.ContentLength < 0
 		verdict.Finish = func(good bool) {
 			r.settle(response, keep, good)
 			now := r.clock.Now()
@@ -463,16 +463,16 @@
 	return body, true, nil
 }
 
-// returned lists the head lines that go back to the client.
-func returned(header http.Header) (lines []Line) {
-	lines = make([]Line, 0, len(header))
+// returnedHeaders lists the head lines that go back to the client.
+func returnedHeaders(header http.Header) (lines []HeaderField) {
+	lines = make([]HeaderField, 0, len(header))
 	for name, values := range header {
 		switch name {
 		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length":
 			continue
 		}
 		for _, value := range values {
-			lines = append(lines, Line{name, value})
+			lines = append(lines, HeaderField{name, value})
 		}
 	}
 	return lines
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -205,8 +205,8 @@
 
 // operationKey is the request's operation key.
 func (r *Request) operationKey() (key string) {
-	for _, line := range r.Lines {
-		if line[0] == headKey {
+	for _, line := range r.Headers {
+		if line[0] == headerOperationKey {
 			key = line[1]
 		}
 	}
@@ -215,7 +215,7 @@
 
 // affinityInput is the part of a request that may name its session.
 func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.Asked) {
-	asked = affinity.Asked{Lines: r.Lines, Key: r.operationKey()}
+	asked = affinity.Asked{Lines: r.Headers, Key: r.operationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -49,7 +49,7 @@
 
 func ofCaller(method, path, id, caller string) (r *Request) {
 	r = request(method, path, id)
-	r.Lines = append(r.Lines, Line{"X-Caller", caller})
+	r.Headers = append(r.Headers, HeaderField{"X-Caller", caller})
 	return r
 }
 
@@ -91,7 +91,7 @@
 		r := ofCaller(method, path, fmt.Sprint("r", run), caller)
 		if run%3 == 0 {
 			r = ofCaller("POST", "/key/x", fmt.Sprint("r", run), caller)
-			r.Lines = append(r.Lines, Line{headKey, fmt.Sprint("k", run)})
+			r.Headers = append(r.Headers, HeaderField{headerOperationKey, fmt.Sprint("k", run)})
 		}
 		before := map[string]int{}
 		for _, backend := range backends {
@@ -144,7 +144,7 @@
 		t.Fatalf("%d, %d runs", verdict.Status, backend.count())
 	}
 	again := ""
-	for _, line := range verdict.Lines {
+	for _, line := range verdict.Headers {
 		if line[0] == "Retry-After" {
 			again = line[1]
 		}
@@ -153,7 +153,7 @@
 		t.Fatal("the refusal does not say when to come back")
 	}
 	keyed := ofCaller("POST", "/key/x", "b", "anna")
-	keyed.Lines = append(keyed.Lines, Line{headKey, "k"})
+	keyed.Headers = append(keyed.Headers, HeaderField{headerOperationKey, "k"})
 	if verdict = d.Answer(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
@@ -168,7 +168,7 @@
 		t.Fatalf("under \"serve\" what may run once gets %d", verdict.Status)
 	}
 	r := ofCaller("GET", "/safe/x", "e", "anna")
-	r.Lines = append(r.Lines, Line{"X-Caller", "ben"})
+	r.Headers = append(r.Headers, HeaderField{"X-Caller", "ben"})
 	if verdict = d.Answer(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
 		t.Fatalf("a name that is there twice: %d, %+v", verdict.Status, d.state.Policies.Sessions.Status())
 	}
@@ -179,7 +179,7 @@
 	busy := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
 		text := answer(200, r.ID, "body of "+r.ID)
 		if n == 1 {
-			text = answer(503, r.ID, "", headNotRun+": 1")
+			text = answer(503, r.ID, "", headerNotExecuted+": 1")
 		}
 		_, err := io.WriteString(conn, text)
 		return err == nil
