--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -161,17 +161,17 @@
 		round, answering := d.round(plan, server, now, &arrived)
 		if round.Sent {
 			ended := d.clock.Now()
-			d.budget.Learn(ended, plan.Service, round.Outcome == Whole && (plan.Way.Aim <= 0 || ended-now <= plan.Way.Aim))
+			d.budget.Learn(ended, plan.Service, round.Outcome == Complete && (plan.Way.Aim <= 0 || ended-now <= plan.Way.Aim))
 		}
-		if round.Outcome == Whole {
+		if round.Outcome == Complete {
 			throttle.Learn(d.clock.Now()-now, plan.Way.Aim)
 		}
 		step, problemKind := plan.Learn(d.clock.Now(), answering.ID, round)
-		if round.Outcome == Failed {
-			if round.Verdict.BodyRest != nil {
-				return round.Verdict, apierror.None
+		if round.Outcome == ServerError {
+			if round.Response.BodyRest != nil {
+				return round.Response, apierror.None
 			}
-			plan.Failure = &round.Verdict
+			plan.Failure = &round.Response
 		}
 		switch step {
 		case TryAgain:
@@ -180,7 +180,7 @@
 				time.Sleep(roomPause)
 			}
 		case GiveAnswer:
-			return round.Verdict, apierror.None
+			return round.Response, apierror.None
 		case GiveProblem:
 			return verdict, problemKind
 		}
@@ -196,7 +196,7 @@
 
 // finished is a round that has ended, and with whom.
 type finished struct {
-	round  Round
+	round  Attempt
 	server *Server
 }
 
@@ -204,10 +204,10 @@
 // backend says nothing for a good part of the aim, neither to this request nor
 // to any other, a second one is asked beside it and the first whole answer is
 // taken; what comes later is let go.
-func (d *Daemon) round(plan *Plan, server *Server, chosen time.Duration, arrived *int) (round Round, answering *Server) {
+func (d *Daemon) round(plan *Plan, server *Server, chosen time.Duration, arrived *int) (round Attempt, answering *Server) {
 	wait := max(time.Duration(float64(plan.Way.Aim)*hedgePart), time.Duration(hedgeTimes*server.habit.Usual())*time.Millisecond)
 	if !plan.Way.Repeat.Repeatable() || plan.Rounds < 2 || wait <= 0 || plan.Bound != "" {
-		round = run(d.clock, server, plan.Request, d.sending(plan, chosen))
+		round = runAttempt(d.clock, server, plan.Request, d.sending(plan, chosen))
 		if round.Sent {
 			*arrived++
 		}
@@ -216,7 +216,7 @@
 	ends := make(chan finished, 2)
 	start := func(with *Server, chosen time.Duration) {
 		go func() {
-			ends <- finished{run(d.clock, with, plan.Request, d.sending(plan, chosen)), with}
+			ends <- finished{runAttempt(d.clock, with, plan.Request, d.sending(plan, chosen)), with}
 		}()
 	}
 	sentAt := d.clock.Now()
@@ -231,7 +231,7 @@
 			if end.round.Sent {
 				*arrived++
 			}
-			if end.round.Outcome == Whole || running == 0 {
+			if end.round.Outcome == Complete || running == 0 {
 				if running > 0 {
 					go letGo(ends)
 				}
@@ -257,20 +257,20 @@
 
 // sending says how a plan's request goes out. What may not run twice is lost
 // to a stream that its backend has forgotten, so its stream must be fresh.
-func (d *Daemon) sending(plan *Plan, chosen time.Duration) (sending Sending) {
-	sending = Sending{Chosen: chosen, Till: plan.Till, Rest: restFull, Keyed: plan.Key != "", Lane: d.lane, May: d.may, Lapse: d.lapse}
+func (d *Daemon) sending(plan *Plan, chosen time.Duration) (sending AttemptOptions) {
+	sending = AttemptOptions{ChosenAt: chosen, Deadline: plan.Till, MaxIdle: restFull, Keyed: plan.Key != "", Bandwidth: d.lane, Permitted: d.may, DisabledChecks: d.disabledChecks}
 	if plan.Bound != "" {
-		sending.May = func(server *Server) bool {
+		sending.Permitted = func(server *Server) bool {
 			return !server.leaving() && d.leased(server) && d.state.Policies.KeepsSessions(d.clock.Now(), server.ID, plan.Service)
 		}
 	}
 	if !plan.Way.Repeat.Repeatable() {
-		sending.Rest = d.settings.MaxIdleNonIdempotent
+		sending.MaxIdle = d.settings.MaxIdleNonIdempotent
 	}
-	if plan.Bound != "" && plan.asked(plan.Bound) && !d.lapse.has(SameStream) {
+	if plan.Bound != "" && plan.asked(plan.Bound) && !d.disabledChecks.has(ReuseRejectingConn) {
 		// The backend has had this id before: what it may say to that a second
 		// time must not be taken for what it says now.
-		sending.Rest = restNone
+		sending.MaxIdle = freshConnOnly
 	}
 	return sending
 }
@@ -303,8 +303,8 @@
 
 // letGo takes an answer that is not needed any more.
 func letGo(ends <-chan finished) {
-	if end := <-ends; end.round.Verdict.Finish != nil {
-		end.round.Verdict.Finish(false)
+	if end := <-ends; end.round.Response.Finish != nil {
+		end.round.Response.Finish(false)
 	}
 }
 
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -24,25 +24,25 @@
 
 // Daemon is a running passage daemon.
 type Daemon struct {
-	settings    settings.Settings
-	log         *eventlog.Logger
-	clock       Clock
-	incarnation rpc.Life
-	recallPause time.Duration
-	state       *ClusterState
-	leader      *LeaderClient
-	operations  *idempotency.Book
-	budget      *Budget
-	limits      *Limits
-	throttles   throttles
-	lane        *Lane
-	door        *Door
-	prober      *Prober
-	ready       atomic.Bool
-	stopping    atomic.Bool
-	httpServers []*http.Server
-	rpcListener *rpc.Listener
-	lapse       Lapse
+	settings       settings.Settings
+	log            *eventlog.Logger
+	clock          Clock
+	incarnation    rpc.Life
+	recallPause    time.Duration
+	state          *ClusterState
+	leader         *LeaderClient
+	operations     *idempotency.Book
+	budget         *Budget
+	limits         *Limits
+	throttles      throttles
+	lane           *Lane
+	door           *Door
+	prober         *Prober
+	ready          atomic.Bool
+	stopping       atomic.Bool
+	httpServers    []*http.Server
+	rpcListener    *rpc.Listener
+	disabledChecks DisabledChecks
 }
 
 // Start takes up the work.
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -224,18 +224,18 @@
 // again only what is idempotent or proven not to have run.
 func TestPlanTable(t *testing.T) {
 	for _, repeat := range []config.Repeat{config.Idempotent, config.NonIdempotent, config.Keyed} {
-		for first := NotSent; first <= Silent; first++ {
-			for second := NotSent; second <= Silent; second++ {
+		for first := NotSent; first <= TimedOut; first++ {
+			for second := NotSent; second <= TimedOut; second++ {
 				for rounds := 1; rounds <= 3; rounds++ {
 					plan := &Plan{Way: &config.Way{Repeat: repeat}, Till: time.Second, Rounds: rounds}
 					mayHaveRun, arrivals := false, 0
-					for i, outcome := range []Outcome{first, second, Turned, Turned, Turned} {
+					for i, outcome := range []Outcome{first, second, Rejected, Rejected, Rejected} {
 						sent := outcome != NotSent
 						if sent {
 							arrivals++
 						}
-						mayHaveRun = mayHaveRun || outcome == Broken || outcome == Silent
-						step, kind := plan.Learn(0, "b", Round{Outcome: outcome, Sent: sent})
+						mayHaveRun = mayHaveRun || outcome == ConnectionFailed || outcome == TimedOut
+						step, kind := plan.Learn(0, "b", Attempt{Outcome: outcome, Sent: sent})
 						if step == TryAgain && mayHaveRun && repeat != config.Idempotent {
 							t.Fatalf("%s %d %d: sent again though it may have run", repeat, first, second)
 						}
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -50,32 +50,32 @@
 )
 
 // Learn takes the outcome of a round and tells what comes next.
-func (p *Plan) Learn(now time.Duration, server rpc.ServerID, round Round) (step Step, kind apierror.Kind) {
+func (p *Plan) Learn(now time.Duration, server rpc.ServerID, round Attempt) (step Step, kind apierror.Kind) {
 	if round.Sent {
 		p.Rounds--
 	}
 	p.Tried = append(p.Tried, server)
 	switch round.Outcome {
-	case Whole:
+	case Complete:
 		return GiveAnswer, apierror.None
 	case NotSent:
 		if p.dials++; p.dials > 4 {
 			return GiveProblem, p.refusal(apierror.NoBackend)
 		}
-	case Turned, Withheld:
-	case Failed:
+	case Rejected, SendCancelled:
+	case ServerError:
 		// The backend's own failure is its answer, unless another may be asked.
 		p.MayHaveRun = true
 		if !p.Way.Repeat.Repeatable() || p.Rounds <= 0 || now >= p.Till {
 			return GiveAnswer, apierror.None
 		}
 		return TryAgain, apierror.None
-	case Broken, Forgotten:
+	case ConnectionFailed, StaleConnection:
 		p.MayHaveRun = true
 		if !p.Way.Repeat.Repeatable() {
 			return GiveProblem, apierror.Broken
 		}
-	case Silent:
+	case TimedOut:
 		p.MayHaveRun = true
 		return GiveProblem, apierror.DeadlineOver
 	}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -326,7 +326,7 @@
 		server.drop(stream)
 		return ProbeInvalid, 0
 	}
-	for skipped := 0; skipped <= skipMost; skipped++ {
+	for skipped := 0; skipped <= maxSkippedResponses; skipped++ {
 		response, err := http.ReadResponse(stream.in, &http.Request{Method: http.MethodGet})
 		if err != nil {
 			server.drop(stream)
@@ -335,7 +335,7 @@
 			}
 			return ProbeInvalid, 0
 		}
-		_, whole, _ := readBody(response, wholeMost)
+		_, whole, _ := readBody(response, maxBufferedBody)
 		if !whole {
 			server.drop(stream)
 			return ProbeInvalid, 0
@@ -343,13 +343,13 @@
 		if response.Header.Get(headerRequestID) != "" || response.StatusCode < 200 {
 			continue
 		}
-		if keep := keepFor(response); !response.Close && stream.in.Buffered() == 0 && keep > 0 {
+		if keep := keepAliveOf(response); !response.Close && stream.in.Buffered() == 0 && keep > 0 {
 			_ = stream.conn.SetDeadline(time.Time{})
 			server.give(clock.Now(), stream, keep)
 		} else {
 			server.drop(stream)
 		}
-		if span, ok := coldSpan(response.Header.Get(headerColdRemaining)); ok {
+		if span, ok := parseWarmUp(response.Header.Get(headerColdRemaining)); ok {
 			cold = span
 		}
 		switch {
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -187,19 +187,19 @@
 	server := d.state.servers["i-1"]
 	now := d.clock.Now()
 	for name, c := range map[string]struct {
-		sending Sending
+		sending AttemptOptions
 		outcome Outcome
 	}{
-		"chosen long ago": {Sending{Chosen: now - sendSpan - time.Hour, Till: now + time.Hour}, Withheld},
-		"over while it was looked at": {Sending{Chosen: now, Till: now + 50*time.Millisecond, May: func(*Server) bool {
+		"chosen long ago": {AttemptOptions{ChosenAt: now - choiceLifetime - time.Hour, Deadline: now + time.Hour}, SendCancelled},
+		"over while it was looked at": {AttemptOptions{ChosenAt: now, Deadline: now + 50*time.Millisecond, Permitted: func(*Server) bool {
 			for d.clock.Now() < now+50*time.Millisecond {
 			}
 			return true
-		}}, Withheld},
-		"retired":        {Sending{Chosen: now, Till: now + time.Hour, May: func(*Server) bool { return false }}, Withheld},
-		"over before it": {Sending{Chosen: now, Till: now}, NotSent},
+		}}, SendCancelled},
+		"retired":        {AttemptOptions{ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Server) bool { return false }}, SendCancelled},
+		"over before it": {AttemptOptions{ChosenAt: now, Deadline: now}, NotSent},
 	} {
-		if round := run(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
+		if round := runAttempt(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
 			t.Errorf("%s: %+v", name, round)
 		}
 	}
@@ -216,11 +216,11 @@
 	server.coldTill = d.clock.Now() + time.Hour
 	way := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.ServerID{"", "i-1"} {
-		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: Withheld, time.Minute: Whole} {
+		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
 			now := d.clock.Now()
 			d.state.Apply(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
 			plan := &Plan{Way: way, Service: "s", Till: now + time.Second, Bound: bound}
-			if round := run(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
+			if round := runAttempt(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
 			}
 		}
@@ -255,7 +255,7 @@
 // A backend that a session is bound to is asked again over a fresh stream: on the
 // old one a second copy of its refusal would prove the wrong thing.
 func TestARefusalThatComesTwice(t *testing.T) {
-	for lapse, want := range map[Lapse]int{0: 2, SameStream: 3} {
+	for lapse, want := range map[DisabledChecks]int{0: 2, ReuseRejectingConn: 3} {
 		var told sync.Map
 		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
 			no := answer(503, r.ID, "", headerNotExecuted+": 1")
@@ -269,7 +269,7 @@
 			return good(n, r, conn)
 		})
 		d := daemonOf(t, backend)
-		d.lapse = lapse
+		d.disabledChecks = lapse
 		d.budget.Earn(d.clock.Now(), "s")
 		view := d.state.Snapshot().View
 		plan := &Plan{Way: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Till: d.clock.Now() + 2*time.Second, Rounds: 3, Bound: "i-1"}
@@ -290,11 +290,11 @@
 	d := daemonOf(t, backend)
 	server := d.state.servers["i-1"]
 	now := d.clock.Now()
-	sending := Sending{Chosen: now, Till: now + time.Second, Rest: time.Minute}
-	if round := run(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Whole {
+	sending := AttemptOptions{ChosenAt: now, Deadline: now + time.Second, MaxIdle: time.Minute}
+	if round := runAttempt(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Complete {
 		t.Fatalf("%+v", round)
 	}
-	sending.May = func(server *Server) bool {
+	sending.Permitted = func(server *Server) bool {
 		reset(<-conns)
 		for stream := range server.active {
 			for stream.quiet() {
@@ -302,7 +302,7 @@
 		}
 		return true
 	}
-	if round := run(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
+	if round := runAttempt(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
 		t.Fatalf("%+v after %d arrivals", round, backend.count())
 	}
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -232,28 +232,28 @@
 	defer s.mu.Unlock()
 	s.burden--
 	switch outcome {
-	case Whole:
+	case Complete:
 		s.count(now, true)
-	case Failed, Broken, NotSent, Silent:
+	case ServerError, ConnectionFailed, NotSent, TimedOut:
 		s.count(now, false)
 		s.bad = s.badness(now)
 		s.bad += (1 - s.bad) * badStep
 		s.badAt = now
 	}
-	if outcome == Whole || outcome == Turned || outcome == Failed {
+	if outcome == Complete || outcome == Rejected || outcome == ServerError {
 		s.heardAt = now
 	}
 	switch outcome {
-	case Whole:
+	case Complete:
 		s.outSpan = 0
 		s.learn(now, float64(took)/float64(time.Millisecond))
 		s.habit.Took(now, took)
-	case Forgotten:
-	case NotSent, Broken:
+	case StaleConnection:
+	case NotSent, ConnectionFailed:
 		s.out(now)
-	case Turned:
+	case Rejected:
 		s.learn(now, s.pace*1.5+20)
-	case Silent:
+	case TimedOut:
 		s.learn(now, float64(took)/float64(time.Millisecond))
 	}
 }
--- a/internal/proxy/throttle_test.go
+++ b/internal/proxy/throttle_test.go
@@ -87,16 +87,16 @@
 	for n := 0; n < 5; n++ {
 		for _, server := range servers {
 			server.begin(now)
-			server.end(now, time.Millisecond, Whole)
+			server.end(now, time.Millisecond, Complete)
 		}
 	}
 	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].habit.watched()) != 0 {
 		t.Fatalf("%v", tallies)
 	}
 	servers[0].begin(now)
-	servers[0].end(now, time.Millisecond, Failed)
+	servers[0].end(now, time.Millisecond, ServerError)
 	servers[0].begin(now)
-	servers[0].end(now, time.Millisecond, Whole)
+	servers[0].end(now, time.Millisecond, Complete)
 	tallies := d.state.OutcomeCounts()
 	if len(tallies) != 2 || tallies[0].Server != "i-1" || tallies[0].Bad != 1 || tallies[0].Good != 1 || tallies[1].Server != "" || tallies[1].Good != 11 || tallies[1].Bad != 1 {
 		t.Fatalf("%+v", tallies)
@@ -106,7 +106,7 @@
 	}
 	servers[1].note(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
 	servers[1].begin(now)
-	servers[1].end(now, time.Millisecond, Whole)
+	servers[1].end(now, time.Millisecond, Complete)
 	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
 		t.Fatalf("%+v", tallies)
 	}
