--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -189,23 +189,23 @@
 
 // retry tells whether a plan may be sent once more, to a backend that answers
 // as the service usually does now.
-func (d *Daemon) retry(now time.Duration, plan *Plan, server *Server) (granted bool) {
-	usual := time.Duration(server.habit.Usual() * float64(time.Millisecond))
+func (d *Daemon) retry(now time.Duration, plan *Plan, server *Backend) (granted bool) {
+	usual := time.Duration(server.stats.MeanLatency() * float64(time.Millisecond))
 	return d.budget.Retry(now, now+usual, plan.Till, plan.Service)
 }
 
 // finished is a round that has ended, and with whom.
 type finished struct {
 	round  Attempt
-	server *Server
+	server *Backend
 }
 
 // round sends to one backend. Where the request may be repeated and the
 // backend says nothing for a good part of the aim, neither to this request nor
 // to any other, a second one is asked beside it and the first whole answer is
 // taken; what comes later is let go.
-func (d *Daemon) round(plan *Plan, server *Server, chosen time.Duration, arrived *int) (round Attempt, answering *Server) {
-	wait := max(time.Duration(float64(plan.Way.Aim)*hedgePart), time.Duration(hedgeTimes*server.habit.Usual())*time.Millisecond)
+func (d *Daemon) round(plan *Plan, server *Backend, chosen time.Duration, arrived *int) (round Attempt, answering *Backend) {
+	wait := max(time.Duration(float64(plan.Way.Aim)*hedgePart), time.Duration(hedgeTimes*server.stats.MeanLatency())*time.Millisecond)
 	if !plan.Way.Repeat.Repeatable() || plan.Rounds < 2 || wait <= 0 || plan.Bound != "" {
 		round = runAttempt(d.clock, server, plan.Request, d.sending(plan, chosen))
 		if round.Sent {
@@ -214,7 +214,7 @@
 		return round, server
 	}
 	ends := make(chan finished, 2)
-	start := func(with *Server, chosen time.Duration) {
+	start := func(with *Backend, chosen time.Duration) {
 		go func() {
 			ends <- finished{runAttempt(d.clock, with, plan.Request, d.sending(plan, chosen)), with}
 		}()
@@ -258,10 +258,10 @@
 // sending says how a plan's request goes out. What may not run twice is lost
 // to a stream that its backend has forgotten, so its stream must be fresh.
 func (d *Daemon) sending(plan *Plan, chosen time.Duration) (sending AttemptOptions) {
-	sending = AttemptOptions{ChosenAt: chosen, Deadline: plan.Till, MaxIdle: restFull, Keyed: plan.Key != "", Bandwidth: d.lane, Permitted: d.may, DisabledChecks: d.disabledChecks}
+	sending = AttemptOptions{ChosenAt: chosen, Deadline: plan.Till, MaxIdle: defaultMaxIdle, Keyed: plan.Key != "", Bandwidth: d.bandwidth, Permitted: d.may, DisabledChecks: d.disabledChecks}
 	if plan.Bound != "" {
-		sending.Permitted = func(server *Server) bool {
-			return !server.leaving() && d.leased(server) && d.state.Policies.KeepsSessions(d.clock.Now(), server.ID, plan.Service)
+		sending.Permitted = func(server *Backend) bool {
+			return !server.isDraining() && d.leased(server) && d.state.Policies.KeepsSessions(d.clock.Now(), server.ID, plan.Service)
 		}
 	}
 	if !plan.Way.Repeat.Repeatable() {
@@ -292,13 +292,13 @@
 }
 
 // may tells whether a backend may still be sent a new caller.
-func (d *Daemon) may(server *Server) bool {
-	return !server.leaving() && d.leased(server) && d.state.Policies.AcceptsNew(d.clock.Now(), server.ID)
+func (d *Daemon) may(server *Backend) bool {
+	return !server.isDraining() && d.leased(server) && d.state.Policies.AcceptsNew(d.clock.Now(), server.ID)
 }
 
 // leased tells that a lease stands for a backend that is cold.
-func (d *Daemon) leased(server *Server) bool {
-	return !server.isCold(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(server.ID)) > 0
+func (d *Daemon) leased(server *Backend) bool {
+	return !server.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(server.ID)) > 0
 }
 
 // letGo takes an answer that is not needed any more.
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -35,7 +35,7 @@
 	budget         *Budget
 	limits         *Limits
 	throttles      throttles
-	lane           *Lane
+	bandwidth      *BandwidthLimiter
 	door           *Door
 	prober         *Prober
 	ready          atomic.Bool
@@ -59,7 +59,7 @@
 		log.Emit(eventlog.RetriesSuppressed, eventlog.KeyService, string(service), "suppressed", open)
 	}
 	d.limits = NewLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
-	d.lane = NewLane(d.clock, p.LinkMbps)
+	d.bandwidth = NewBandwidthLimiter(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
 	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
 	if d.rpcListener, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &PeerService{d}, "Status": &StatusService{d}}); err != nil {
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -52,7 +52,7 @@
 			troubled := newStandIn(t, "i-1", c.script)
 			sound := newStandIn(t, "i-2", good)
 			d := daemonOf(t, troubled, sound)
-			d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
+			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
 			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
 			want := c.safe
 			if way == "/once/" {
@@ -281,7 +281,7 @@
 	now := d.clock.Now()
 	one, two, three := d.state.servers["i-1"], d.state.servers["i-2"], d.state.servers["i-3"]
 	one.Draining = true
-	two.coldTill = now + time.Hour
+	two.warmUpUntil = now + time.Hour
 	for i := 0; i < 20; i++ {
 		if pick(Criteria{}) != "i-3" {
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
@@ -316,7 +316,7 @@
 		arrivals = append(arrivals, clock.Now())
 		return good(n, r, conn)
 	}))
-	d.state.servers["i-1"].coldTill = d.clock.Now() + time.Hour
+	d.state.servers["i-1"].warmUpUntil = d.clock.Now() + time.Hour
 	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
 	for range 12 {
 		d.Answer(request("GET", "/safe/q", "c"), "2500")
@@ -484,7 +484,7 @@
 		dark := newStandIn(t, "i-1", func(int, seen, net.Conn) bool { <-gate; return false })
 		sound := newStandIn(t, "i-2", good)
 		d := daemonOf(t, dark, sound)
-		d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
+		d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
 		verdict := d.Answer(request("GET", way+"q", "ab"), "800")
 		if way == "/safe/" && verdict.Status != 200 || way == "/once/" && verdict.Status != 504 {
 			t.Errorf("%s: status %d", way, verdict.Status)
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -180,22 +180,22 @@
 type AttemptOptions struct {
 	ChosenAt, Deadline, MaxIdle time.Duration
 	Keyed                       bool
-	Bandwidth                   *Lane
-	Permitted                   func(server *Server) bool
+	Bandwidth                   *BandwidthLimiter
+	Permitted                   func(server *Backend) bool
 	DisabledChecks              DisabledChecks
 }
 
 // runAttempt sends the request to the server and reads the answer.
-func runAttempt(clock Clock, server *Server, request *Request, sending AttemptOptions) (round Attempt) {
+func runAttempt(clock Clock, server *Backend, request *Request, sending AttemptOptions) (round Attempt) {
 	begun := clock.Now()
-	server.begin(begun)
+	server.attemptStarted(begun)
 	defer func() {
 		if round.Response.BodyRest == nil {
 			now := clock.Now()
-			server.end(now, now-begun, round.Outcome)
+			server.attemptEnded(now, now-begun, round.Outcome)
 		}
 	}()
-	stream := server.take(begun, sending.MaxIdle)
+	stream := server.takeIdle(begun, sending.MaxIdle)
 	if stream == nil {
 		var err error
 		if stream, err = server.dial(sending.Deadline - begun); err != nil {
@@ -204,26 +204,26 @@
 	}
 	now := clock.Now()
 	if now >= sending.Deadline {
-		server.give(now, stream, 4*time.Second)
+		server.putIdle(now, stream, 4*time.Second)
 		return Attempt{Outcome: NotSent}
 	}
-	server.hold(stream, sending.Keyed)
-	defer server.release(stream)
+	server.markActive(stream, sending.Keyed)
+	defer server.unmarkActive(stream)
 	data := request.encode(sending.Deadline-now, server.ID)
-	_ = stream.conn.SetDeadline(time.Now().Add(sending.Deadline - now))
+	_ = stream.netConn.SetDeadline(time.Now().Add(sending.Deadline - now))
 	if !sending.stillAllowed(clock, server) {
-		_ = stream.conn.SetDeadline(time.Time{})
-		server.give(clock.Now(), stream, 4*time.Second)
+		_ = stream.netConn.SetDeadline(time.Time{})
+		server.putIdle(clock.Now(), stream, 4*time.Second)
 		return Attempt{Outcome: SendCancelled}
 	}
-	sent, err := stream.conn.Write(data)
+	sent, err := stream.netConn.Write(data)
 	if err != nil && sent == 0 {
 		// The kernel has taken nothing, so nothing has left.
-		server.drop(stream)
+		server.closeConn(stream)
 		return Attempt{Outcome: NotSent}
 	}
 	if err != nil && isTimeout(err) {
-		server.drop(stream)
+		server.closeConn(stream)
 		return Attempt{Outcome: ConnectionFailed, Sent: true}
 	}
 	// A backend that resets the stream while the request is written may have
@@ -231,10 +231,10 @@
 	reading := responseReader{clock: clock, conn: stream, request: request, startedAt: begun, writeFailed: err != nil, disabledChecks: sending.DisabledChecks}
 	round = reading.readResponse()
 	if round.Response.BodyRest != nil {
-		round.Response.BodyRest = sending.Bandwidth.Through(round.Response.BodyRest)
+		round.Response.BodyRest = sending.Bandwidth.Limit(round.Response.BodyRest)
 	}
 	if round.Outcome == StaleConnection {
-		server.habit.Forgot(clock.Now(), begun-stream.restAt)
+		server.stats.ObserveStaleConn(clock.Now(), begun-stream.idleSince)
 	}
 	round.Sent = true
 	return round
@@ -243,7 +243,7 @@
 // stillAllowed tells, right before the sending, that it may still go. A daemon may have
 // stood still since it looked, and no timer needs to have fired yet: so the clock
 // is read last.
-func (s AttemptOptions) stillAllowed(clock Clock, server *Server) bool {
+func (s AttemptOptions) stillAllowed(clock Clock, server *Backend) bool {
 	if s.Permitted != nil && !s.Permitted(server) {
 		return false
 	}
@@ -283,7 +283,7 @@
 // responseReader is the reading of the answer to one request.
 type responseReader struct {
 	clock     Clock
-	conn      *Stream
+	conn      *Conn
 	request   *Request
 	startedAt time.Duration
 	// writeFailed tells that the stream broke while the request was written.
@@ -316,7 +316,7 @@
 
 // readFailed is what a stream that brings no further answer means.
 func (r *responseReader) readFailed(err error) (round Attempt) {
-	r.conn.server.drop(r.conn)
+	r.conn.backend.closeConn(r.conn)
 	switch {
 	case isTimeout(err):
 		return Attempt{Outcome: TimedOut}
@@ -331,31 +331,31 @@
 
 // releaseConn puts the stream back if it is in step and may be used again.
 func (r *responseReader) releaseConn(response *http.Response, keep time.Duration, good bool) {
-	server := r.conn.server
-	if good && !response.Close && !r.writeFailed && r.skipped == 0 && r.conn.in.Buffered() == 0 && keep > 0 {
-		_ = r.conn.conn.SetDeadline(time.Time{})
-		server.give(r.clock.Now(), r.conn, keep)
+	server := r.conn.backend
+	if good && !response.Close && !r.writeFailed && r.skipped == 0 && r.conn.reader.Buffered() == 0 && keep > 0 {
+		_ = r.conn.netConn.SetDeadline(time.Time{})
+		server.putIdle(r.clock.Now(), r.conn, keep)
 		return
 	}
-	server.drop(r.conn)
+	server.closeConn(r.conn)
 }
 
 // readResponse reads the answer to the request and puts the stream back if it may
 // be used again.
 func (r *responseReader) readResponse() (round Attempt) {
-	stream, server, request := r.conn, r.conn.server, r.request
+	stream, server, request := r.conn, r.conn.backend, r.request
 	for {
-		response, err := http.ReadResponse(stream.in, &http.Request{Method: request.Method})
+		response, err := http.ReadResponse(stream.reader, &http.Request{Method: request.Method})
 		if err != nil {
 			return r.readFailed(err)
 		}
 		if response.StatusCode < 100 || response.StatusCode >= 600 {
-			server.drop(stream)
+			server.closeConn(stream)
 			return Attempt{Outcome: ConnectionFailed}
 		}
 		if response.StatusCode < 200 {
 			if response.StatusCode == http.StatusSwitchingProtocols || r.interim >= maxSkippedResponses {
-				server.drop(stream)
+				server.closeConn(stream)
 				return Attempt{Outcome: ConnectionFailed}
 			}
 			r.interim++
@@ -364,7 +364,7 @@
 		belongs := r.owner(response)
 		body, whole, rest := readBody(response, request.bufferLimit())
 		if !whole && rest == nil {
-			server.drop(stream)
+			server.closeConn(stream)
 			if belongs == ownerThisRequest && notExecuted(response) {
 				return Attempt{Outcome: Rejected}
 			}
@@ -376,12 +376,12 @@
 			continue
 		case belongs == ownerUnnamed && whole && notExecuted(response) && r.unnamedIsOurs():
 			if response.StatusCode == http.StatusMisdirectedRequest {
-				server.moved(r.clock.Now())
+				server.markReplaced(r.clock.Now())
 			}
-			server.drop(stream)
+			server.closeConn(stream)
 			return Attempt{Outcome: Rejected}
 		case belongs != ownerThisRequest:
-			server.drop(stream)
+			server.closeConn(stream)
 			return Attempt{Outcome: ConnectionFailed}
 		}
 		return r.accept(response, body, whole, rest)
@@ -390,19 +390,19 @@
 
 // accept makes the round of the request's own answer.
 func (r *responseReader) accept(response *http.Response, body []byte, whole bool, rest io.Reader) (round Attempt) {
-	stream, server := r.conn, r.conn.server
+	stream, server := r.conn, r.conn.backend
 	if cold := response.Header.Get(headerColdRemaining); cold != "" {
 		if left, ok := parseWarmUp(cold); ok && left > 0 {
-			server.chill(r.clock.Now(), left)
+			server.startWarmUp(r.clock.Now(), left)
 		}
 	}
 	if load := response.Header.Get(headerInstanceLoad); load != "" {
-		server.hear(r.clock.Now(), load)
+		server.observeLoad(r.clock.Now(), load)
 	}
 	keep := keepAliveOf(response)
 	if notExecuted(response) {
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			server.moved(r.clock.Now())
+			server.markReplaced(r.clock.Now())
 		}
 		r.releaseConn(response, keep, whole)
 		return Attempt{Outcome: Rejected}
@@ -410,7 +410,7 @@
 	// An answer that says of a success that it was not run says nothing, and one
 	// whose status would be a promise to the client makes none without that word.
 	if response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" || response.Header.Get(headerNotExecuted) != "" || apierror.Promises(response.StatusCode) {
-		server.drop(stream)
+		server.closeConn(stream)
 		return Attempt{Outcome: ConnectionFailed}
 	}
 	outcome := Complete
@@ -427,7 +427,7 @@
 		verdict.Finish = func(good bool) {
 			r.releaseConn(response, keep, good)
 			now := r.clock.Now()
-			server.end(now, now-r.startedAt, outcome)
+			server.attemptEnded(now, now-r.startedAt, outcome)
 		}
 		return Attempt{Outcome: outcome, Response: verdict}
 	}
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -91,13 +91,13 @@
 			}
 			d, backend := rested(t, bad)
 			if isFresh {
-				d.state.servers["i-1"].sweep(d.clock.Now(), true)
+				d.state.servers["i-1"].closeIdle(d.clock.Now(), true)
 				d.state.servers["i-1"].closed = false
 			}
 			sound := newStandIn(t, "i-2", good)
 			server := rpc.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
 			d.state.Apply(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
-			d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
+			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
 			verdict := d.Answer(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
 				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
@@ -191,12 +191,12 @@
 		outcome Outcome
 	}{
 		"chosen long ago": {AttemptOptions{ChosenAt: now - choiceLifetime - time.Hour, Deadline: now + time.Hour}, SendCancelled},
-		"over while it was looked at": {AttemptOptions{ChosenAt: now, Deadline: now + 50*time.Millisecond, Permitted: func(*Server) bool {
+		"over while it was looked at": {AttemptOptions{ChosenAt: now, Deadline: now + 50*time.Millisecond, Permitted: func(*Backend) bool {
 			for d.clock.Now() < now+50*time.Millisecond {
 			}
 			return true
 		}}, SendCancelled},
-		"retired":        {AttemptOptions{ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Server) bool { return false }}, SendCancelled},
+		"retired":        {AttemptOptions{ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Backend) bool { return false }}, SendCancelled},
 		"over before it": {AttemptOptions{ChosenAt: now, Deadline: now}, NotSent},
 	} {
 		if round := runAttempt(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
@@ -213,7 +213,7 @@
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
 	server := d.state.servers["i-1"]
-	server.coldTill = d.clock.Now() + time.Hour
+	server.warmUpUntil = d.clock.Now() + time.Hour
 	way := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.ServerID{"", "i-1"} {
 		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
@@ -294,10 +294,10 @@
 	if round := runAttempt(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Complete {
 		t.Fatalf("%+v", round)
 	}
-	sending.Permitted = func(server *Server) bool {
+	sending.Permitted = func(server *Backend) bool {
 		reset(<-conns)
-		for stream := range server.active {
-			for stream.quiet() {
+		for stream := range server.activeConns {
+			for stream.isQuiet() {
 			}
 		}
 		return true
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -156,7 +156,7 @@
 // to, its site is evacuated, or it was retired and has had its time.
 func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.ServerID) (over bool) {
 	server := scene.server(plan.Service, id)
-	return server == nil || server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+	return server == nil || server.isDraining() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
@@ -165,7 +165,7 @@
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
-		if server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
+		if server.isDraining() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
 			continue
 		}
 		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
@@ -187,7 +187,7 @@
 }
 
 // server looks a backend of a service up; they are sorted by id.
-func (s *Snapshot) server(service rpc.ServiceName, id rpc.ServerID) (server *Server) {
+func (s *Snapshot) server(service rpc.ServiceName, id rpc.ServerID) (server *Backend) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
@@ -197,10 +197,10 @@
 }
 
 // healthyAndWarm tells that a backend may be begun with.
-func (s *Server) healthyAndWarm(now time.Duration) (well bool) {
+func (s *Backend) healthyAndWarm(now time.Duration) (well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health != rpc.Down && now >= s.coldTill && now >= s.outTill && !s.aside
+	return s.health != rpc.Down && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
 }
 
 // operationKey is the request's operation key.
--- a/internal/proxy/throttle_test.go
+++ b/internal/proxy/throttle_test.go
@@ -86,27 +86,27 @@
 	servers := d.state.Snapshot().Services["s"]
 	for n := 0; n < 5; n++ {
 		for _, server := range servers {
-			server.begin(now)
-			server.end(now, time.Millisecond, Complete)
+			server.attemptStarted(now)
+			server.attemptEnded(now, time.Millisecond, Complete)
 		}
 	}
-	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].habit.watched()) != 0 {
+	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].stats.reportableBackends()) != 0 {
 		t.Fatalf("%v", tallies)
 	}
-	servers[0].begin(now)
-	servers[0].end(now, time.Millisecond, ServerError)
-	servers[0].begin(now)
-	servers[0].end(now, time.Millisecond, Complete)
+	servers[0].attemptStarted(now)
+	servers[0].attemptEnded(now, time.Millisecond, ServerError)
+	servers[0].attemptStarted(now)
+	servers[0].attemptEnded(now, time.Millisecond, Complete)
 	tallies := d.state.OutcomeCounts()
 	if len(tallies) != 2 || tallies[0].Server != "i-1" || tallies[0].Bad != 1 || tallies[0].Good != 1 || tallies[1].Server != "" || tallies[1].Good != 11 || tallies[1].Bad != 1 {
 		t.Fatalf("%+v", tallies)
 	}
-	if _, told := servers[0].tell(now + tallySpan + time.Second); told || len(servers[0].habit.watched()) != 0 {
+	if _, told := servers[0].takeOutcomes(now + outcomeReportSpan + time.Second); told || len(servers[0].stats.reportableBackends()) != 0 {
 		t.Fatal("it is told for ever")
 	}
-	servers[1].note(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
-	servers[1].begin(now)
-	servers[1].end(now, time.Millisecond, Complete)
+	servers[1].update(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
+	servers[1].attemptStarted(now)
+	servers[1].attemptEnded(now, time.Millisecond, Complete)
 	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
 		t.Fatalf("%+v", tallies)
 	}
