--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -54,7 +54,7 @@
 	}
 	tenant := scene.View.Tenant(request.Host)
 	if tenant != nil {
-		if admitted, wait := d.limits.Admit(now, tenant); !admitted {
+		if admitted, wait := d.tenantLimits.Admit(now, tenant); !admitted {
 			return nil, apierror.OverLimit, wait
 		}
 	}
@@ -82,7 +82,7 @@
 			plan.Key = tenant.Name + "/" + plan.Key
 		}
 	}
-	d.budget.Earn(now, plan.Service)
+	d.retryBudget.RecordRequest(now, plan.Service)
 	return plan, apierror.None, 0
 }
 
@@ -109,14 +109,14 @@
 			return verdict, plan.refusal(kind)
 		}
 	}
-	throttle := d.throttles.of(string(plan.Service))
-	for !throttle.Enter(plan.Way.Priority) {
+	throttle := d.concurrency.forService(string(plan.Service))
+	for !throttle.Acquire(plan.Way.Priority) {
 		if !d.mayWait(plan) {
 			return verdict, plan.refusal(apierror.NoRoom)
 		}
 		time.Sleep(roomPause)
 	}
-	defer throttle.Leave()
+	defer throttle.Release()
 	return d.rounds(plan, throttle)
 }
 
@@ -128,7 +128,7 @@
 
 // rounds sends a plan's request until there is an answer or a problem. Where a
 // backend told of its own failure and no other gave an answer, its word is it.
-func (d *Daemon) rounds(plan *Plan, throttle *Throttle) (verdict Response, kind apierror.Kind) {
+func (d *Daemon) rounds(plan *Plan, throttle *ConcurrencyLimiter) (verdict Response, kind apierror.Kind) {
 	verdict, kind = d.search(plan, throttle)
 	if kind != apierror.None && plan.Failure != nil {
 		return *plan.Failure, apierror.None
@@ -136,7 +136,7 @@
 	return verdict, kind
 }
 
-func (d *Daemon) search(plan *Plan, throttle *Throttle) (verdict Response, kind apierror.Kind) {
+func (d *Daemon) search(plan *Plan, throttle *ConcurrencyLimiter) (verdict Response, kind apierror.Kind) {
 	arrived := 0
 	for {
 		now := d.clock.Now()
@@ -161,10 +161,10 @@
 		round, answering := d.round(plan, server, now, &arrived)
 		if round.Sent {
 			ended := d.clock.Now()
-			d.budget.Learn(ended, plan.Service, round.Outcome == Complete && (plan.Way.Aim <= 0 || ended-now <= plan.Way.Aim))
+			d.retryBudget.RecordOutcome(ended, plan.Service, round.Outcome == Complete && (plan.Way.Aim <= 0 || ended-now <= plan.Way.Aim))
 		}
 		if round.Outcome == Complete {
-			throttle.Learn(d.clock.Now()-now, plan.Way.Aim)
+			throttle.ObserveLatency(d.clock.Now()-now, plan.Way.Aim)
 		}
 		step, problemKind := plan.Learn(d.clock.Now(), answering.ID, round)
 		if round.Outcome == ServerError {
@@ -191,7 +191,7 @@
 // as the service usually does now.
 func (d *Daemon) retry(now time.Duration, plan *Plan, server *Backend) (granted bool) {
 	usual := time.Duration(server.stats.MeanLatency() * float64(time.Millisecond))
-	return d.budget.Retry(now, now+usual, plan.Till, plan.Service)
+	return d.retryBudget.SpendRetry(now, now+usual, plan.Till, plan.Service)
 }
 
 // finished is a round that has ended, and with whom.
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -32,9 +32,9 @@
 	state          *ClusterState
 	leader         *LeaderClient
 	operations     *idempotency.Book
-	budget         *Budget
-	limits         *Limits
-	throttles      throttles
+	retryBudget    *RetryBudget
+	tenantLimits   *TenantLimits
+	concurrency    concurrencyLimiters
 	bandwidth      *BandwidthLimiter
 	door           *Door
 	prober         *Prober
@@ -53,12 +53,12 @@
 	d.state = NewClusterState(p, log, d.clock)
 	d.operations = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
-	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
-	d.budget.written = d.state.Policies.Retries
-	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
+	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
+	d.retryBudget.operatorLimit = d.state.Policies.Retries
+	d.retryBudget.operatorLimit.OnGate = func(service rpc.ServiceName, open bool) {
 		log.Emit(eventlog.RetriesSuppressed, eventlog.KeyService, string(service), "suppressed", open)
 	}
-	d.limits = NewLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
+	d.tenantLimits = NewTenantLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
 	d.bandwidth = NewBandwidthLimiter(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
 	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
@@ -79,7 +79,7 @@
 		d.httpServers = append(d.httpServers, server)
 	}
 	d.leader.OnUpdate = d.becomeReady
-	d.leader.Limits, d.leader.Loads = d.limits, d.throttles.burdens
+	d.leader.Limits, d.leader.Loads = d.tenantLimits, d.concurrency.loads
 	go d.leader.RunHeartbeats()
 	go d.leader.RunClaims()
 	go d.leader.RunBinds()
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -334,9 +334,9 @@
 
 func TestBudget(t *testing.T) {
 	slack := 6.0
-	budget := NewBudget(0.2, 10*time.Second, func() float64 { return slack })
+	budget := NewRetryBudget(0.2, 10*time.Second, func() float64 { return slack })
 	for i := 0; i < 100; i++ {
-		budget.Earn(time.Second, "s")
+		budget.RecordRequest(time.Second, "s")
 	}
 	spent := 0
 	for i := 0; i < 100; i++ {
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -270,10 +270,10 @@
 		})
 		d := daemonOf(t, backend)
 		d.disabledChecks = lapse
-		d.budget.Earn(d.clock.Now(), "s")
+		d.retryBudget.RecordRequest(d.clock.Now(), "s")
 		view := d.state.Snapshot().View
 		plan := &Plan{Way: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Till: d.clock.Now() + 2*time.Second, Rounds: 3, Bound: "i-1"}
-		if _, kind := d.search(plan, d.throttles.of("s")); kind != 0 || backend.count() != want {
+		if _, kind := d.search(plan, d.concurrency.forService("s")); kind != 0 || backend.count() != want {
 			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", lapse, kind, backend.count(), want)
 		}
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -212,7 +212,7 @@
 	arrivals := func(limit string) (count int) {
 		backends := []*standIn{newStandIn(t, "i-1", failing), newStandIn(t, "i-2", failing)}
 		d := daemonOf(t, backends...)
-		d.budget.written = d.state.Policies.Retries
+		d.retryBudget.operatorLimit = d.state.Policies.Retries
 		if limit != "" {
 			written(d, 2, policy.RetryLimit, limit)
 		}
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -116,8 +116,8 @@
 	d.state = NewClusterState(p, d.log, clock)
 	d.operations = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
 	d.leader = NewLeaderClient(p, d.log, clock, d.state, d.operations, 1, d.self)
-	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
-	d.limits = NewLimits(d.state.Leased, nil)
+	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
+	d.tenantLimits = NewTenantLimits(d.state.Leased, nil)
 	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
 	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
