--- a/internal/proxy/door_test.go
+++ b/internal/proxy/door_test.go
@@ -29,7 +29,7 @@
 	for way, status := range map[string]int{"/once/": 503, "/safe/": 200} {
 		ahead := request("GET", way+"x", "a")
 		ahead.Pipelined = true
-		if verdict := d.Answer(ahead, "2500"); verdict.Status != status {
+		if verdict := d.Handle(ahead, "2500"); verdict.Status != status {
 			t.Errorf("%s: status %d", way, verdict.Status)
 		}
 	}
@@ -65,7 +65,7 @@
 			}
 		}
 		close(gate)
-		if verdict := d.Answer(request("POST", "/once/2", "p2"), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of p2" {
+		if verdict := d.Handle(request("POST", "/once/2", "p2"), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of p2" {
 			t.Fatalf("%d %q", verdict.Status, verdict.Body)
 		}
 		if backend.count() != 2 {
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -53,7 +53,7 @@
 			sound := newStandIn(t, "i-2", good)
 			d := daemonOf(t, troubled, sound)
 			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
-			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
+			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
 			want := c.safe
 			if way == "/once/" {
 				want = c.once
@@ -80,7 +80,7 @@
 	})
 	d := daemonOf(t, backend)
 	for _, id := range []string{"a", "b", "c"} {
-		if verdict := d.Answer(request("GET", "/once/q", id), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of "+id {
+		if verdict := d.Handle(request("GET", "/once/q", id), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of "+id {
 			t.Fatalf("%s: %d %q", id, verdict.Status, verdict.Body)
 		}
 	}
@@ -227,7 +227,7 @@
 		for first := NotSent; first <= TimedOut; first++ {
 			for second := NotSent; second <= TimedOut; second++ {
 				for rounds := 1; rounds <= 3; rounds++ {
-					plan := &Plan{Way: &config.Way{Repeat: repeat}, Till: time.Second, Rounds: rounds}
+					plan := &Plan{Route: &config.Way{Repeat: repeat}, Deadline: time.Second, AttemptsLeft: rounds}
 					mayHaveRun, arrivals := false, 0
 					for i, outcome := range []Outcome{first, second, Rejected, Rejected, Rejected} {
 						sent := outcome != NotSent
@@ -235,17 +235,17 @@
 							arrivals++
 						}
 						mayHaveRun = mayHaveRun || outcome == ConnectionFailed || outcome == TimedOut
-						step, kind := plan.Learn(0, "b", Attempt{Outcome: outcome, Sent: sent})
-						if step == TryAgain && mayHaveRun && repeat != config.Idempotent {
+						step, kind := plan.Next(0, "b", Attempt{Outcome: outcome, Sent: sent})
+						if step == StepRetry && mayHaveRun && repeat != config.Idempotent {
 							t.Fatalf("%s %d %d: sent again though it may have run", repeat, first, second)
 						}
-						if step == TryAgain && arrivals >= rounds {
+						if step == StepRetry && arrivals >= rounds {
 							t.Fatalf("%s %d %d: more rounds than allowed", repeat, first, second)
 						}
-						if step == GiveProblem && mayHaveRun != kind.Answer().Ran {
+						if step == StepFail && mayHaveRun != kind.Answer().Ran {
 							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", repeat, first, second, mayHaveRun, kind.Answer())
 						}
-						if step != TryAgain {
+						if step != StepRetry {
 							break
 						}
 						if i == 4 {
@@ -319,7 +319,7 @@
 	d.state.servers["i-1"].warmUpUntil = d.clock.Now() + time.Hour
 	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
 	for range 12 {
-		d.Answer(request("GET", "/safe/q", "c"), "2500")
+		d.Handle(request("GET", "/safe/q", "c"), "2500")
 	}
 	if len(arrivals) < 3 {
 		t.Fatalf("only %d arrivals: the lease is not used", len(arrivals))
@@ -485,7 +485,7 @@
 		sound := newStandIn(t, "i-2", good)
 		d := daemonOf(t, dark, sound)
 		d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
-		verdict := d.Answer(request("GET", way+"q", "ab"), "800")
+		verdict := d.Handle(request("GET", way+"q", "ab"), "800")
 		if way == "/safe/" && verdict.Status != 200 || way == "/once/" && verdict.Status != 504 {
 			t.Errorf("%s: status %d", way, verdict.Status)
 		}
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -24,7 +24,7 @@
 		return script(n, r, conn)
 	})
 	d = daemonOf(t, backend)
-	if verdict := d.Answer(request("GET", "/once/first", "first"), "2500"); verdict.Status != 200 {
+	if verdict := d.Handle(request("GET", "/once/first", "first"), "2500"); verdict.Status != 200 {
 		t.Fatal(verdict.Status)
 	}
 	return d, backend
@@ -98,7 +98,7 @@
 			server := rpc.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
 			d.state.Apply(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
 			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
-			verdict := d.Answer(request("GET", "/once/q", "ab"), "300")
+			verdict := d.Handle(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
 				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
 			}
@@ -134,7 +134,7 @@
 				}
 				return good(n, r, conn)
 			})
-			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
+			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
 			if verdict.Status != c.status || backend.count() != 2 {
 				t.Errorf("%s on %s: status %d after %d arrivals", name, way, verdict.Status, backend.count())
 			}
@@ -173,7 +173,7 @@
 		d := daemonOf(t, &standIn{id: "i-1", listener: listener})
 		large := request("POST", "/once/q", "up")
 		large.HasBody, large.Body = true, make([]byte, 16<<20)
-		if verdict := d.Answer(large, "800"); verdict.Status != c.status {
+		if verdict := d.Handle(large, "800"); verdict.Status != c.status {
 			t.Errorf("%s: status %d, want %d", name, verdict.Status, c.status)
 		}
 		_ = listener.Close()
@@ -203,7 +203,7 @@
 			t.Errorf("%s: %+v", name, round)
 		}
 	}
-	if verdict := d.Answer(request("GET", "/once/q", "b"), "800"); verdict.Status != 200 || backend.count() != 1 {
+	if verdict := d.Handle(request("GET", "/once/q", "b"), "800"); verdict.Status != 200 || backend.count() != 1 {
 		t.Fatalf("status %d after %d arrivals", verdict.Status, backend.count())
 	}
 }
@@ -219,8 +219,8 @@
 		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
 			now := d.clock.Now()
 			d.state.Apply(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
-			plan := &Plan{Way: way, Service: "s", Till: now + time.Second, Bound: bound}
-			if round := runAttempt(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
+			plan := &Plan{Route: way, Service: "s", Deadline: now + time.Second, BoundBackend: bound}
+			if round := runAttempt(d.clock, server, request("POST", "/once/x", "a"), d.attemptOptions(plan, now)); round.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
 			}
 		}
@@ -236,7 +236,7 @@
 	d := daemonOf(t, backend)
 	d.settings.Bounds.KeyWindow = time.Nanosecond
 	led(t, d, &standInForum{script: grant})
-	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
 	if d.operations.Find("k", "a").Standing != rpc.Freed {
@@ -244,10 +244,10 @@
 	}
 	// The same request again must not run under the claim that is given back.
 	d.settings.Bounds.KeyWindow = time.Minute
-	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if verdict := d.Answer(keyed("b", "k"), "2500"); verdict.Status != 200 || backend.count() != 1 {
+	if verdict := d.Handle(keyed("b", "k"), "2500"); verdict.Status != 200 || backend.count() != 1 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
 }
@@ -272,8 +272,8 @@
 		d.disabledChecks = lapse
 		d.retryBudget.RecordRequest(d.clock.Now(), "s")
 		view := d.state.Snapshot().View
-		plan := &Plan{Way: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Till: d.clock.Now() + 2*time.Second, Rounds: 3, Bound: "i-1"}
-		if _, kind := d.search(plan, d.concurrency.forService("s")); kind != 0 || backend.count() != want {
+		plan := &Plan{Route: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Deadline: d.clock.Now() + 2*time.Second, AttemptsLeft: 3, BoundBackend: "i-1"}
+		if _, kind := d.runAttempts(plan, d.concurrency.forService("s")); kind != 0 || backend.count() != want {
 			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", lapse, kind, backend.count(), want)
 		}
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -97,7 +97,7 @@
 		for _, backend := range backends {
 			before[backend.id] = backend.count()
 		}
-		status = nodes[n].Answer(r, "2500").Status
+		status = nodes[n].Handle(r, "2500").Status
 		for _, backend := range backends {
 			if backend.count() > before[backend.id] {
 				server = backend.id
@@ -139,7 +139,7 @@
 	backend := newStandIn(t, "i-1", good)
 	forum := &agreedForum{mute: true}
 	d := nodesOf(t, forum, []*standIn{backend})[0]
-	verdict := d.Answer(ofCaller("GET", "/safe/x", "a", "anna"), "2500")
+	verdict := d.Handle(ofCaller("GET", "/safe/x", "a", "anna"), "2500")
 	if verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("%d, %d runs", verdict.Status, backend.count())
 	}
@@ -154,22 +154,22 @@
 	}
 	keyed := ofCaller("POST", "/key/x", "b", "anna")
 	keyed.Headers = append(keyed.Headers, HeaderField{headerOperationKey, "k"})
-	if verdict = d.Answer(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict = d.Handle(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
 	if standing := d.operations.Find("k", "b").Standing; standing != rpc.Freed {
 		t.Fatalf("the key of an operation that was not sent stands at %d", standing)
 	}
 	written(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
-	if verdict = d.Answer(ofCaller("GET", "/safe/x", "c", "anna"), "2500"); verdict.Status != 200 {
+	if verdict = d.Handle(ofCaller("GET", "/safe/x", "c", "anna"), "2500"); verdict.Status != 200 {
 		t.Fatalf("under \"serve\" what may be repeated gets %d", verdict.Status)
 	}
-	if verdict = d.Answer(ofCaller("POST", "/once/x", "d", "anna"), "2500"); verdict.Status != 503 {
+	if verdict = d.Handle(ofCaller("POST", "/once/x", "d", "anna"), "2500"); verdict.Status != 503 {
 		t.Fatalf("under \"serve\" what may run once gets %d", verdict.Status)
 	}
 	r := ofCaller("GET", "/safe/x", "e", "anna")
 	r.Headers = append(r.Headers, HeaderField{"X-Caller", "ben"})
-	if verdict = d.Answer(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
+	if verdict = d.Handle(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
 		t.Fatalf("a name that is there twice: %d, %+v", verdict.Status, d.state.Policies.Sessions.Status())
 	}
 }
@@ -189,7 +189,7 @@
 	d := nodesOf(t, forum, []*standIn{busy, other})[0]
 	for c := 0; ; c++ {
 		caller := fmt.Sprint("caller-", c)
-		verdict := d.Answer(ofCaller("GET", "/safe/x", caller, caller), "2500")
+		verdict := d.Handle(ofCaller("GET", "/safe/x", caller, caller), "2500")
 		if verdict.Status != 200 {
 			t.Fatal(verdict.Status)
 		}
@@ -217,7 +217,7 @@
 			written(d, 2, policy.RetryLimit, limit)
 		}
 		for i := 0; i < 10; i++ {
-			d.Answer(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
+			d.Handle(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
 		}
 		if limit != "" {
 			account := d.state.Policies.Retries.Accounts(d.clock.Now())
