--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -36,7 +36,7 @@
 	tenantLimits   *TenantLimits
 	concurrency    concurrencyLimiters
 	bandwidth      *BandwidthLimiter
-	door           *Door
+	frontend       *Frontend
 	prober         *Prober
 	ready          atomic.Bool
 	stopping       atomic.Bool
@@ -61,11 +61,11 @@
 	d.tenantLimits = NewTenantLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
 	d.bandwidth = NewBandwidthLimiter(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
-	d.door = NewDoor(d.Handle, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
+	d.frontend = NewFrontend(d.Handle, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
 	if d.rpcListener, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &PeerService{d}, "Status": &StatusService{d}}); err != nil {
 		return nil, err
 	}
-	if err = d.door.Open(p.FrontendAddress); err != nil {
+	if err = d.frontend.Listen(p.FrontendAddress); err != nil {
 		return nil, err
 	}
 	for _, address := range []string{p.ReadinessAddress, p.DirectoryAddress} {
@@ -139,7 +139,7 @@
 // clients must have learned it and nothing is at work, the end.
 func (d *Daemon) Stop() {
 	d.stopping.Store(true)
-	d.door.Stop()
+	d.frontend.StartDraining()
 	go d.leader.HeartbeatNow()
 	begun := d.clock.Now()
 	grace := d.settings.Bounds.GracePeriod
@@ -147,18 +147,18 @@
 	for {
 		time.Sleep(20 * time.Millisecond)
 		spent := d.clock.Now() - begun
-		if spent >= linger && d.door.AtWork() == 0 || spent >= grace-300*time.Millisecond {
+		if spent >= linger && d.frontend.InFlight() == 0 || spent >= grace-300*time.Millisecond {
 			break
 		}
 	}
-	d.door.Shut()
-	for spent := time.Duration(0); d.door.AtWork() > 0 && d.clock.Now()-begun < grace-150*time.Millisecond; spent++ {
+	d.frontend.CloseListener()
+	for spent := time.Duration(0); d.frontend.InFlight() > 0 && d.clock.Now()-begun < grace-150*time.Millisecond; spent++ {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, server := range d.httpServers {
 		_ = server.Close()
 	}
-	d.door.Close()
+	d.frontend.CloseConns()
 	d.rpcListener.Close()
 	close(d.leader.Done)
 }
--- a/internal/proxy/door_test.go
+++ b/internal/proxy/door_test.go
@@ -58,8 +58,8 @@
 		if clientGoes {
 			_ = conn.Close()
 		} else {
-			d.door.Stop()
-			d.door.Close()
+			d.frontend.StartDraining()
+			d.frontend.CloseConns()
 			if response, _, err := receiveOne(t, in, "POST"); err == nil {
 				t.Fatalf("told %d", response.StatusCode)
 			}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -30,7 +30,7 @@
 	d := daemonOf(t, newStandIn(t, "i-1", good))
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
-	go d.door.welcome(&lateConn{Conn: ours}, false)
+	go d.frontend.serveConn(&lateConn{Conn: ours}, false)
 	_ = theirs.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(theirs, ask("GET", "/safe/1", "late")); err != nil {
 		t.Fatal("the stream was closed with a request on its way: ", err)
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -127,7 +127,7 @@
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
 	conn, in := client(t, d)
-	d.door.Stop()
+	d.frontend.StartDraining()
 	_, _ = io.WriteString(conn, ask("GET", "/safe/1", "p1")+ask("POST", "/once/2", "p2", "Content-Length: 0"))
 	response, _, err := receiveOne(t, in, "GET")
 	if err != nil || !response.Close {
