--- /dev/null
+++ b/internal/rpc/dial.go
@@ -0,0 +1,37 @@
+package rpc
+
+import (
+	"context"
+	"net"
+	"syscall"
+	"time"
+)
+
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+const tcpUserTimeout = 18
+
+// UserTimeout is for [net.Dialer] and [net.ListenConfig]: it ends connections whose
+// other end has not acknowledged what was sent for as long as limit.
+func UserTimeout(limit time.Duration) (control func(network, address string, raw syscall.RawConn) error) {
+	return func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(descriptor uintptr) {
+			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit/time.Millisecond))
+		})
+	}
+}
+
+// Dial opens a connection. It waits no longer than wait, and the connection ends when
+// the other end acknowledges nothing for as long as silence.
+func Dial(address string, wait, silence time.Duration) (conn net.Conn, err error) {
+	dialer := net.Dialer{Timeout: wait, KeepAlive: -1, Control: UserTimeout(silence)}
+	dialer.SetMultipathTCP(false)
+	return dialer.Dial("tcp4", address)
+}
+
+// Listen opens a listener. Its connections end when the other end acknowledges nothing
+// for as long as silence.
+func Listen(address string, silence time.Duration) (listener net.Listener, err error) {
+	config := net.ListenConfig{Control: UserTimeout(silence), KeepAlive: -1}
+	config.SetMultipathTCP(false)
+	return config.Listen(context.Background(), "tcp4", address)
+}
--- a/internal/rpc/traffic.go
+++ b/internal/rpc/traffic.go
@@ -1,5 +1,3 @@
-// Traffic counts the bytes of inner calls of this process, so that sizing can
-// be measured where no counter of the machine tells processes apart.
 package rpc
 
 import (
@@ -7,12 +5,14 @@
 	"sync/atomic"
 )
 
-// Bytes that went in and out with inner calls.
+// The bytes of all calls of this process, since no counter of the machine tells
+// processes apart.
 var bytesIn, bytesOut atomic.Int64
 
-// Traffic gives them.
+// Traffic is how many bytes this process has received and sent with calls.
 func Traffic() (in, out int64) { return bytesIn.Load(), bytesOut.Load() }
 
+// countedConn counts the bytes of a connection.
 type countedConn struct{ net.Conn }
 
 func (c countedConn) Read(into []byte) (size int, err error) {
