--- /dev/null
+++ b/internal/directory/directory.go
@@ -0,0 +1,187 @@
+// Package directory answers name queries: which proxies a client should
+// connect to. It holds no state; callers pass the nodes they know. Answer may
+// be called from any goroutine.
+//
+// An answer names the ready nodes nearest to the client, never one that is
+// stopping, and one that the leader does not hear only where there is no other.
+// Small zones are filled up from other zones. Where a host's keyed routes are
+// bound to some regions, clients from elsewhere are sent to nodes of those
+// regions: the requests have to go there anyhow, and only there may their
+// responses be stored for a repeat.
+package directory
+
+import (
+	"math/rand"
+	"sort"
+	"time"
+
+	"tinpin/internal/config"
+	"tinpin/internal/healthcheck"
+	"tinpin/internal/rpc"
+	"tinpin/internal/schedule"
+)
+
+// TTL is how long a client may use an answer.
+const TTL = 2 * time.Second
+
+const (
+	// minAnswers is how many addresses an answer should have before farther
+	// nodes are left out.
+	minAnswers = 2
+	// maxNearest is how many of the nearest nodes a client gets where there are
+	// so many. Which ones stays the same from answer to answer, since clients
+	// close connections to those that an answer lacks.
+	maxNearest = 6
+	// maxFarther is how many nodes of other zones come with a full answer, since
+	// a client that knows its own zone only is lost with it.
+	maxFarther = 1
+)
+
+// Query is one name query: the client's place, and what is known of the host
+// that it asks for and of the nodes.
+type Query struct {
+	Nodes map[rpc.FellowID]rpc.Fellow
+	// Absent are the nodes that the leader does not hear.
+	Absent map[rpc.FellowID]bool
+	// AllowedRegions are those of the host's keyed routes, none for all.
+	AllowedRegions []string
+	// Weights are the schedule's weights for the host, nil where there is none.
+	Weights      schedule.Weights
+	Region, Zone string
+	// Client is the client's address; it decides which of many nodes are named.
+	Client string
+}
+
+// Distances of a node from the client.
+const (
+	nearest = iota
+	sameRegion
+	elsewhere
+	distances
+)
+
+// candidate is one node that an answer may name.
+type candidate struct {
+	address string
+	id      rpc.FellowID
+}
+
+// Answer lists frontend addresses for a query. Under a schedule a region is
+// drawn by the weights, within the allowed regions, and takes the place of the
+// client's own; where no node is ready there, the answer is as without one.
+func Answer(query Query) (addresses []string) {
+	if drawn := query.drawRegion(); drawn != "" && drawn != query.Region {
+		query.Region, query.Zone = drawn, ""
+	}
+	if addresses = query.answerFrom(query.candidates(false)); len(addresses) == 0 {
+		addresses = query.answerFrom(query.candidates(true))
+	}
+	return addresses
+}
+
+// redirected reports whether the client's region is not an allowed one.
+func (q *Query) redirected() bool {
+	return !config.AllowsRegion(q.AllowedRegions, q.Region)
+}
+
+// distance tells how far a node is from the client.
+func (q *Query) distance(node *rpc.Fellow) (distance int) {
+	redirected := q.redirected()
+	switch {
+	case redirected && config.AllowsRegion(q.AllowedRegions, string(node.Region)), !redirected && string(node.Site) == q.Zone:
+		return nearest
+	case string(node.Region) == q.Region:
+		return sameRegion
+	}
+	return elsewhere
+}
+
+// usable reports whether a node may be named at all.
+func usable(node *rpc.Fellow) bool { return node.Ready && !node.Stopping && node.Front != "" }
+
+// candidates sorts the usable nodes by distance: those that the leader hears,
+// or only those that it does not hear.
+func (q *Query) candidates(absent bool) (byDistance [distances][]candidate) {
+	for id, node := range q.Nodes {
+		if !usable(&node) || q.Absent[id] != absent {
+			continue
+		}
+		distance := q.distance(&node)
+		byDistance[distance] = append(byDistance[distance], candidate{node.Front, id})
+	}
+	return byDistance
+}
+
+// answerFrom names the nearest, fills up from farther away where they are few,
+// and adds one from elsewhere where they are many.
+func (q *Query) answerFrom(byDistance [distances][]candidate) (addresses []string) {
+	addresses = append(addresses, pick(byDistance[nearest], q.Client, maxNearest)...)
+	if len(addresses) < minAnswers {
+		addresses = append(addresses, pick(byDistance[sameRegion], q.Client, maxNearest)...)
+	}
+	if len(addresses) < minAnswers {
+		addresses = append(addresses, pick(byDistance[elsewhere], q.Client, maxNearest)...)
+	}
+	if len(addresses) == maxNearest && !q.redirected() {
+		farther := append(pick(byDistance[sameRegion], q.Client, maxFarther), pick(byDistance[elsewhere], q.Client, maxFarther)...)
+		addresses = append(addresses, farther[:min(len(farther), maxFarther)]...)
+	}
+	return addresses
+}
+
+// pick names a client's own of many: those that rank highest for it, so that a
+// node more or less changes the answers of its own clients only.
+func pick(candidates []candidate, client string, limit int) (addresses []string) {
+	if len(candidates) > limit {
+		ranks := make(map[rpc.FellowID]uint64, len(candidates))
+		for _, one := range candidates {
+			ranks[one.id] = healthcheck.Rank(string(one.id), client)
+		}
+		sort.Slice(candidates, func(i, j int) bool {
+			left, right := candidates[i].id, candidates[j].id
+			if ranks[left] != ranks[right] {
+				return ranks[left] < ranks[right]
+			}
+			return left < right
+		})
+		candidates = candidates[:limit]
+	}
+	for _, one := range candidates {
+		addresses = append(addresses, one.address)
+	}
+	sort.Strings(addresses)
+	return addresses
+}
+
+// drawRegion draws a region by weight, of those that are allowed and have a
+// ready node that the leader hears; "" where there is no schedule or no such region.
+func (q *Query) drawRegion() (region string) {
+	if q.Weights == nil {
+		return ""
+	}
+	serving := map[rpc.RegionName]bool{}
+	for id, node := range q.Nodes {
+		if usable(&node) && !q.Absent[id] {
+			serving[node.Region] = true
+		}
+	}
+	sum := 0
+	var names []rpc.RegionName
+	for name, weight := range q.Weights {
+		if weight > 0 && serving[name] && config.AllowsRegion(q.AllowedRegions, string(name)) {
+			names = append(names, name)
+			sum += weight
+		}
+	}
+	if sum == 0 {
+		return ""
+	}
+	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
+	point := rand.Intn(sum)
+	for _, name := range names {
+		if point -= q.Weights[name]; point < 0 {
+			return string(name)
+		}
+	}
+	return q.Region
+}
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -385,7 +385,7 @@
 	switch {
 	case verdict.Rest != nil:
 		d.operations.Lose(op)
-	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
+	case config.AllowsRegion(homes, d.settings.Region):
 		d.operations.Answer(op, verdict.Status, verdict.Lines, verdict.Body)
 	default:
 		go d.handOver(op, plan, verdict)
@@ -398,7 +398,7 @@
 	var chosenInner string
 	var best uint64
 	for id, fellow := range scene.Nodes {
-		if !fellow.Ready || fellow.Stopping || absent[id] || !regionAllowed(plan.Way.Homes, fellow.Region) {
+		if !fellow.Ready || fellow.Stopping || absent[id] || !config.AllowsRegion(plan.Way.Homes, string(fellow.Region)) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -80,18 +80,6 @@
 	return false
 }
 
-func regionAllowed(homes []string, region rpc.RegionName) bool {
-	if len(homes) == 0 {
-		return true
-	}
-	for _, home := range homes {
-		if home == string(region) {
-			return true
-		}
-	}
-	return false
-}
-
 // selection weighs backends for one round.
 type selection struct {
 	state          *ClusterState
@@ -157,7 +145,7 @@
 // consider takes one backend into account.
 func (c *selection) consider(server *Server, near bool) {
 	w, now := c.state, c.now
-	if c.snapshot.Evacuated[server.Site] || !regionAllowed(c.criteria.Homes, server.Region) || c.criteria.wasTried(server.ID) {
+	if c.snapshot.Evacuated[server.Site] || !config.AllowsRegion(c.criteria.Homes, string(server.Region)) || c.criteria.wasTried(server.ID) {
 		return
 	}
 	if !w.Policies.AcceptsNew(now, server.ID) && (c.criteria.Bound == "" || !w.Policies.KeepsSessions(now, server.ID, c.criteria.Service)) {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -14,6 +14,7 @@
 
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/directory"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/idempotency"
@@ -143,7 +144,7 @@
 	go d.leader.HeartbeatNow()
 	begun := d.clock.Now()
 	grace := d.settings.Bounds.GracePeriod
-	linger := min(grace/2, directoryTTL+time.Second)
+	linger := min(grace/2, directory.TTL+time.Second)
 	for {
 		time.Sleep(20 * time.Millisecond)
 		spent := d.clock.Now() - begun
@@ -214,12 +215,15 @@
 // resolve tells a client where to go.
 func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
 	scene := d.state.Snapshot()
-	addresses = DirectoryAnswer(scene.Nodes, d.state.AbsentNodes(), scene.View.Homes(host), d.planWeights(scene, host), region, site, httpapi.CallerAddress(ctx))
+	addresses = directory.Answer(directory.Query{
+		Nodes: scene.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: scene.View.Homes(host), Weights: d.planWeights(scene, host),
+		Region: region, Zone: site, Client: httpapi.CallerAddress(ctx),
+	})
 	if len(addresses) == 0 && d.isReady() {
 		addresses = []string{d.settings.FrontendAddress}
 	}
 	if len(addresses) == 0 {
 		return nil, 0, &httpapi.Error{Kind: apierror.NotReady}
 	}
-	return addresses, min(directoryTTL, d.settings.Bounds.MaxTTL), nil
+	return addresses, min(directory.TTL, d.settings.Bounds.MaxTTL), nil
 }
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -356,85 +355,6 @@
 	}
 }
 
-func TestDirections(t *testing.T) {
-	fellows := map[rpc.FellowID]rpc.Fellow{}
-	add := func(id, site, region string, ready, stopping bool) {
-		fellows[rpc.FellowID(id)] = rpc.Fellow{ID: rpc.FellowID(id), Site: rpc.SiteName(site), Region: rpc.RegionName(region), Front: id, Ready: ready, Stopping: stopping}
-	}
-	add("a1", "a", "north", true, false)
-	add("a2", "a", "north", true, false)
-	add("a3", "a", "north", true, true)
-	add("a4", "a", "north", false, false)
-	add("b1", "b", "north", true, false)
-	add("c1", "c", "south", true, false)
-	var homes []string
-	check := func(region, site, want string, absent ...rpc.FellowID) {
-		t.Helper()
-		away := map[rpc.FellowID]bool{}
-		for _, id := range absent {
-			away[id] = true
-		}
-		if got := strings.Join(DirectoryAnswer(fellows, away, homes, nil, region, site, "client"), " "); got != want {
-			t.Errorf("%s %s: %q, want %q", region, site, got, want)
-		}
-	}
-	check("north", "a", "a1 a2")
-	check("north", "b", "b1 a1 a2")
-	check("south", "c", "c1 a1 a2 b1")
-	check("north", "a", "a2 b1", "a1")
-	check("north", "a", "a1 a2", "a1", "a2", "b1", "c1")
-	homes = []string{"south"}
-	check("south", "c", "c1 a1 a2 b1")
-	check("north", "a", "c1 a1 a2 b1")
-	homes = []string{"north"}
-	check("south", "c", "a1 a2 b1")
-}
-
-// Of many daemons each client gets a few of its own that stay the same, and one
-// of another site, so that it is not lost with its own.
-func TestDirectionsOfManyDaemons(t *testing.T) {
-	fellows := map[rpc.FellowID]rpc.Fellow{}
-	for n := 0; n < 120; n++ {
-		site := fmt.Sprint("site-", n%3)
-		id := rpc.FellowID(fmt.Sprintf("%s-%d", site, n))
-		fellows[id] = rpc.Fellow{ID: id, Site: rpc.SiteName(site), Region: "north", Front: string(id), Ready: true}
-	}
-	named := map[string]int{}
-	changed := 0
-	for c := 0; c < 300; c++ {
-		client := fmt.Sprint("10.0.0.", c)
-		answer := DirectoryAnswer(fellows, nil, nil, nil, "north", "site-0", client)
-		own := 0
-		for _, address := range answer {
-			named[address]++
-			if strings.HasPrefix(address, "site-0") {
-				own++
-			}
-		}
-		if len(answer) != maxOwnZoneAnswers+maxOtherZoneAnswers || own != maxOwnZoneAnswers {
-			t.Fatalf("%v", answer)
-		}
-		if again := DirectoryAnswer(fellows, nil, nil, nil, "north", "site-0", client); strings.Join(again, " ") != strings.Join(answer, " ") {
-			t.Fatalf("%v, then %v", answer, again)
-		}
-		lost := DirectoryAnswer(fellows, map[rpc.FellowID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
-		if strings.Join(lost, " ") != strings.Join(answer, " ") {
-			changed++
-		}
-	}
-	if want := named["site-0-0"]; changed != want {
-		t.Errorf("a daemon that is lost changes %d answers, it was named in %d", changed, want)
-	}
-	for n := 0; n < 120; n += 3 {
-		if count := named[fmt.Sprintf("site-0-%d", n)]; count < 22 || count > 75 {
-			t.Errorf("site-0-%d is named to %d of 300 clients, the mean is 45", n, count)
-		}
-	}
-	if far := DirectoryAnswer(fellows, nil, []string{"north"}, nil, "south", "elsewhere", "c"); len(far) != maxOwnZoneAnswers {
-		t.Errorf("a client from elsewhere gets %v", far)
-	}
-}
-
 // A request over its tenant's limit is refused before anything is taken.
 func TestOverLimitTakesNothing(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -156,7 +156,7 @@
 // to, its site is evacuated, or it was retired and has had its time.
 func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.ServerID) (over bool) {
 	server := scene.server(plan.Service, id)
-	return server == nil || server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+	return server == nil || server.leaving() || scene.Evacuated[server.Site] || !config.AllowsRegion(plan.Way.Homes, string(server.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
@@ -165,7 +165,7 @@
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
-		if server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
+		if server.leaving() || scene.Evacuated[server.Site] || !config.AllowsRegion(plan.Way.Homes, string(server.Region)) || !d.state.Policies.AcceptsNew(now, server.ID) {
 			continue
 		}
 		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"tinpin/internal/config"
+	"tinpin/internal/directory"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/policy"
-	"tinpin/internal/proxy"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
@@ -177,7 +177,7 @@
 	if asked == nil {
 		return nil
 	}
-	addresses := proxy.DirectoryAnswer(fellows, absent, nil, asked.weights, string(region), string(region), "")
+	addresses := directory.Answer(directory.Query{Nodes: fellows, Absent: absent, Weights: asked.weights, Region: string(region), Zone: string(region)})
 	front := addresses[d.luck.Intn(len(addresses))]
 	for _, candidate := range d.edges {
 		if candidate.Front == front {
