--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -1,11 +1,7 @@
-// Sessions is the part of the leader's desk that binds sessions to backends. A
-// session that is on the desk is answered from what is agreed; any other goes
-// through the log. A backend that has ended, leaves, or lies in an evacuated
-// site is the one reason for which a session is bound anew, and it is told.
 package coordinator
 
 import (
-	"fmt"
+	"errors"
 	"sort"
 	"time"
 
@@ -18,207 +14,233 @@
 )
 
 const (
-	bindPatience = 800 * time.Millisecond
-	bindsMost    = 256
-	// unbindsAtOnce sessions go in one turn.
-	unbindsAtOnce = 512
-	idleMost      = 24 * time.Hour
-	// scanSpan is how often bindings that are on no desk are looked for.
-	scanSpan = 30 * time.Second
+	bindTimeout = 800 * time.Millisecond
+	// maxBinds is how many sessions one call may bind, maxUnbinds how many
+	// bindings are ended in one proposal.
+	maxBinds   = 256
+	maxUnbinds = 512
+	maxIdle    = 24 * time.Hour
+	// scanInterval is how often bindings missing from the table are looked for.
+	scanInterval = 30 * time.Second
 )
 
-// sessions is what the leader holds of them.
-type sessions struct {
+// sessionTable is what the leader holds of sessions. Bindings are agreed between
+// the controllers; the table knows when each was used last. A session in the
+// table is answered from what is agreed, any other goes through the log. A
+// session is bound anew for one reason only, that its backend has ended, and
+// that is logged.
+type sessionTable struct {
+	// policy is nil where none is in force.
 	policy *affinity.Policy
-	desk   *affinity.Desk
-	built  bool
-	// unbinds are not known to be carried out yet; busy while a call is under way.
-	unbinds []raft.Command
-	busy    bool
-	scanned time.Duration
-	moved   uint64
-	refused uint64
-	// stopped is when a retired backend was first found to have been stopped.
-	stopped map[rpc.ServerID]time.Duration
+	expiry *affinity.Desk
+	// built tells that the agreed bindings were read once in this term.
+	built    bool
+	lastScan time.Duration
+	// pendingUnbinds are not known to be carried out yet; proposing tells that a
+	// proposal of them is on its way.
+	pendingUnbinds []raft.Command
+	proposing      bool
+	moved          uint64
+	rejected       uint64
+	// stoppedSince is when a retired backend was first found to be stopped.
+	stoppedSince map[rpc.ServerID]time.Duration
 }
 
-func newSessions() (s sessions) {
-	return sessions{desk: affinity.NewDesk(), stopped: map[rpc.ServerID]time.Duration{}}
+func newSessionTable() (s sessionTable) {
+	return sessionTable{expiry: affinity.NewDesk(), stoppedSince: map[rpc.ServerID]time.Duration{}}
 }
 
-// take reads what is agreed; the caller holds the forum's lock.
-func (s *sessions) take(state *raft.State) {
+// load reads what is agreed; the caller holds the Coordinator's mu.
+func (s *sessionTable) load(state *raft.State) {
 	s.policy = nil
 	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
 		s.policy, _ = affinity.Read([]byte(document.Body))
 	}
 }
 
-// scanSessions puts on the desk what is bound and not there: what older leaders
-// have bound, or a call whose answer got lost. The caller holds the lock.
-func (f *Coordinator) scanSessions() {
-	now, s := f.now(), &f.sessions
-	s.built, s.scanned = true, now
-	f.node.Read(func(state *raft.State) {
-		state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
-			if !s.desk.Known(binding.Service, session) {
-				s.desk.Put(now, binding.Service, session, binding.Idle, binding.Seq)
-			}
-		})
+// scan takes up bindings that are agreed and not in the table: those of older
+// leaders, and of calls whose outcome was lost.
+func (s *sessionTable) scan(now time.Duration, state *raft.State) {
+	state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
+		if !s.expiry.Known(binding.Service, session) {
+			s.expiry.Put(now, binding.Service, session, binding.Idle, binding.Seq)
+		}
 	})
 }
 
-// settleSessions builds the desk once the leader is settled: only then has it all
-// that older ones bound. The caller holds the lock.
-func (f *Coordinator) settleSessions() {
-	if _, settled, _, _, _ := f.node.Standing(); settled && !f.sessions.built {
-		f.scanSessions()
+func (c *Coordinator) scanBindings() {
+	now := c.now()
+	c.sessions.built, c.sessions.lastScan = true, now
+	c.node.Read(func(state *raft.State) { c.sessions.scan(now, state) })
+}
+
+// buildSessionTable builds the table once the leader is settled, as only then it
+// has all that older leaders bound. It tells whether the table stands; the
+// caller holds mu.
+func (c *Coordinator) buildSessionTable() (built bool) {
+	if _, settled, _, _, _ := c.node.Standing(); settled && !c.sessions.built {
+		c.scanBindings()
 	}
+	return c.sessions.built
 }
 
-// bindFault tells what is wrong with an ask.
-func (f *Coordinator) bindFault(bind rpc.Bind) (fault string) {
-	server, listed := f.list.Servers.Get(bind.Server)
-	_, ruled := f.sessions.policy.For(bind.Service)
+// validateBind checks one request for a binding; the caller holds mu.
+func (c *Coordinator) validateBind(bind rpc.Bind) (err error) {
+	server, listed := c.endpoints.Servers.Get(bind.Server)
+	_, ruled := c.sessions.policy.For(bind.Service)
 	switch {
 	case !affinity.GoodID(bind.Session):
-		return "the session is no session's id"
-	case bind.Idle <= 0 || bind.Idle > idleMost:
-		return "the idle time is out of bounds"
+		return errors.New("invalid session id")
+	case bind.Idle <= 0 || bind.Idle > maxIdle:
+		return errors.New("the idle time is out of bounds")
 	case len(bind.From) > policy.NameMost:
-		return "the name of the backend is too long"
-	case f.view.Services[string(bind.Service)] == nil || !ruled:
-		return "no rule for the service"
+		return errLongName
+	case c.view.Services[string(bind.Service)] == nil || !ruled:
+		return errors.New("no affinity rule for the service")
 	case !listed || server.Service != bind.Service || server.Draining:
-		return "the backend is none that may be bound"
+		return errors.New("the backend is not one that may be bound")
 	}
-	return ""
+	return nil
 }
 
-// ended tells that a session may not stay on a backend; the caller holds the lock.
-func (f *Coordinator) ended(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
-	server, listed := f.list.Servers.Get(id)
+// backendEnded tells whether and why a session may not stay on a backend; the
+// caller holds mu.
+func (c *Coordinator) backendEnded(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
+	server, listed := c.endpoints.Servers.Get(id)
 	if !listed {
-		return f.list.Walked, "gone"
+		return c.endpoints.Walked, "gone"
 	}
 	if server.Draining {
 		return true, "leaving"
 	}
-	if f.sites[server.Site] {
+	if c.evacuatedZones[server.Site] {
 		return true, "evacuated"
 	}
-	retired := f.orders.retired[id]
-	if retired.Stopped == 0 || retired.Gone {
-		delete(f.sessions.stopped, id)
+	if !c.policies.drain.stopped(id) {
+		delete(c.sessions.stoppedSince, id)
 		return false, ""
 	}
-	since, known := f.sessions.stopped[id]
+	since, known := c.sessions.stoppedSince[id]
 	if !known {
-		f.sessions.stopped[id], since = now, now
+		c.sessions.stoppedSince[id], since = now, now
 	}
-	return now-since >= time.Duration(f.orders.policy.For(service).Finish), "retired"
+	return now-since >= time.Duration(c.policies.drain.policy.For(service).Finish), "retired"
 }
 
-// Bind answers a batch of asks.
-func (f *Coordinator) Bind(ask rpc.BindAsk) (found []rpc.BindFound) {
-	found = make([]rpc.BindFound, len(ask.Binds))
-	if _, settled, _, _, _ := f.node.Standing(); !settled {
+// bindProposals are the binds of one call that go through the log.
+type bindProposals struct {
+	commands []raft.Command
+	// indexes are those in the call, reasons why a session is bound anew.
+	indexes []int
+	reasons map[int]string
+}
+
+// Bind answers a batch of requests for bindings. Those it cannot answer for now
+// keep the zero outcome.
+func (c *Coordinator) Bind(request rpc.BindAsk) (found []rpc.BindFound) {
+	found = make([]rpc.BindFound, len(request.Binds))
+	if _, settled, _, _, _ := c.node.Standing(); !settled {
 		return found
 	}
-	f.mu.Lock()
-	if f.settleSessions(); !f.sessions.built {
-		f.mu.Unlock()
+	proposals := c.answerBinds(request, found)
+	if len(proposals.commands) == 0 {
 		return found
 	}
-	now := f.now()
-	var commands []raft.Command
-	var places []int
-	why := map[int]string{}
-	for i, bind := range ask.Binds[:min(len(ask.Binds), bindsMost)] {
-		if fault := f.bindFault(bind); fault != "" {
-			f.sessions.refused++
-			_ = f.refuse("bind", "", fault)
+	answers := c.node.Wishes(proposals.commands, bindTimeout)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for k, i := range proposals.indexes {
+		found[i] = c.bindOutcome(request.Binds[i], answers[k], proposals.reasons[i])
+	}
+	return found
+}
+
+// answerBinds answers what it can from the agreed state, and gives the rest.
+func (c *Coordinator) answerBinds(request rpc.BindAsk, found []rpc.BindFound) (proposals bindProposals) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.buildSessionTable() {
+		return proposals
+	}
+	now := c.now()
+	proposals.reasons = map[int]string{}
+	for i, bind := range request.Binds[:min(len(request.Binds), maxBinds)] {
+		if err := c.validateBind(bind); err != nil {
+			c.sessions.rejected++
+			_ = c.rejections.reject(c.log, "bind", "", err)
 			found[i].Outcome = rpc.BindRefused
 			continue
 		}
 		var standing raft.Binding
 		var bound bool
-		f.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := f.sessions.desk.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
-			ended, why[i] = f.ended(now, id, bind.Service)
+		c.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
+		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
+			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
 		if answered {
 			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: server}
 			continue
 		}
-		places = append(places, i)
-		commands = append(commands, raft.BindCommand(bind))
+		proposals.indexes = append(proposals.indexes, i)
+		proposals.commands = append(proposals.commands, raft.BindCommand(bind))
 	}
-	f.mu.Unlock()
-	if len(commands) == 0 {
-		return found
+	return proposals
+}
+
+// bindOutcome takes up what became of a proposed bind; the caller holds mu.
+func (c *Coordinator) bindOutcome(bind rpc.Bind, answer raft.Answer, reason string) (found rpc.BindFound) {
+	switch {
+	case answer.Refused || !answer.Clear:
+		return rpc.BindFound{}
+	case answer.Result.Problem != "":
+		return rpc.BindFound{Outcome: rpc.BindFull}
 	}
-	answers := f.node.Wishes(commands, bindPatience)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for k, i := range places {
-		bind, answer := ask.Binds[i], answers[k]
-		switch {
-		case answer.Refused || !answer.Clear:
-		case answer.Result.Problem != "":
-			found[i].Outcome = rpc.BindFull
-		default:
-			binding := answer.Result.Binding
-			f.sessions.desk.Put(f.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
-			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
-			if answer.Result.Moved {
-				f.sessions.moved++
-				f.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.From), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, why[i])
-				f.chronicle.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
-			}
-		}
+	binding := answer.Result.Binding
+	c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
+	if answer.Result.Moved {
+		c.sessions.moved++
+		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.From), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
+		c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
-	return found
+	return rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
 }
 
-// mostSessions is how many a service may have.
-func (f *Coordinator) mostSessions(service rpc.ServiceName) (most int) {
-	if rule, ruled := f.sessions.policy.For(service); ruled && f.view.Services[string(service)] != nil {
+// sessionLimit is how many sessions a service may have.
+func (c *Coordinator) sessionLimit(service rpc.ServiceName) (limit int) {
+	if rule, ruled := c.sessions.policy.For(service); ruled && c.view.Services[string(service)] != nil {
 		return rule.Most
 	}
 	return 0
 }
 
-// endSessions unbinds what is past its time; the caller holds the lock.
-func (f *Coordinator) endSessions(now time.Duration) {
-	s := &f.sessions
-	if s.busy {
+// expireSessions ends the bindings that were idle too long or are too many; the
+// caller holds mu.
+func (c *Coordinator) expireSessions(now time.Duration) {
+	s := &c.sessions
+	if s.proposing || !c.buildSessionTable() {
 		return
 	}
-	if f.settleSessions(); !s.built {
-		return
+	if len(s.pendingUnbinds) == 0 && now-s.lastScan > scanInterval {
+		// None that is being unbound could come back by this.
+		c.scanBindings()
 	}
-	if len(s.unbinds) == 0 && now-s.scanned > scanSpan {
-		// None is on its way to be unbound here.
-		f.scanSessions()
+	for _, over := range s.expiry.Over(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
+		s.pendingUnbinds = append(s.pendingUnbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
 	}
-	for _, over := range s.desk.Over(now, f.mostSessions, unbindsAtOnce-len(s.unbinds)) {
-		s.unbinds = append(s.unbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
-	}
-	if len(s.unbinds) == 0 {
+	if len(s.pendingUnbinds) == 0 {
 		return
 	}
-	s.busy = true
-	commands := s.unbinds
+	s.proposing = true
+	commands := s.pendingUnbinds
 	go func() {
-		answers := f.node.Wishes(commands, bindPatience)
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.sessions.busy, f.sessions.unbinds = false, nil
+		answers := c.node.Wishes(commands, bindTimeout)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.sessions.proposing, c.sessions.pendingUnbinds = false, nil
 		for i, answer := range answers {
 			if !answer.Clear {
-				f.sessions.unbinds = append(f.sessions.unbinds, commands[i])
+				c.sessions.pendingUnbinds = append(c.sessions.pendingUnbinds, commands[i])
 			}
 		}
 	}()
@@ -226,14 +248,16 @@
 
 // ServiceSessions is how the sessions of one service stand.
 type ServiceSessions struct {
-	Service  string `json:"service"`
+	Service string `json:"service"`
+	// Source is where requests carry their session: a kind and a name.
 	Source   string `json:"from"`
 	Idle     string `json:"idle"`
 	Sessions int    `json:"sessions"`
 	Limit    int    `json:"most"`
 }
 
-// SessionStatus is how all stand.
+// SessionStatus is how the sessions of all services stand. Moved, Evicted and
+// Rejected count since the start of the term.
 type SessionStatus struct {
 	Services []ServiceSessions `json:"services"`
 	Moved    uint64            `json:"moved"`
@@ -241,27 +265,30 @@
 	Rejected uint64            `json:"refused"`
 }
 
-// SessionStatus gives it, nil where there is no policy.
-func (f *Coordinator) SessionStatus() (account *SessionStatus) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.sessions.policy == nil {
+// SessionStatus gives how sessions stand, nil where no policy is in force.
+func (c *Coordinator) SessionStatus() (status *SessionStatus) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.sessions.policy == nil {
 		return nil
 	}
-	// One who asks a leader that has just begun is told of all as well.
-	f.settleSessions()
-	account = &SessionStatus{Moved: f.sessions.moved, Evicted: f.sessions.desk.Crowded, Rejected: f.sessions.refused}
-	for name := range f.view.Services {
-		rule, ruled := f.sessions.policy.For(rpc.ServiceName(name))
+	// So that a leader whose term has just begun counts all of them as well.
+	c.buildSessionTable()
+	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Crowded, Rejected: c.sessions.rejected}
+	for name := range c.view.Services {
+		rule, ruled := c.sessions.policy.For(rpc.ServiceName(name))
 		if !ruled {
 			continue
 		}
-		from := string(rule.Source)
+		source := string(rule.Source)
 		if rule.Name != "" {
-			from += " " + rule.Name
+			source += " " + rule.Name
 		}
-		account.Services = append(account.Services, ServiceSessions{Service: name, Source: from, Idle: fmt.Sprint(time.Duration(rule.Idle)), Sessions: f.sessions.desk.Count(rpc.ServiceName(name)), Limit: rule.Most})
+		status.Services = append(status.Services, ServiceSessions{
+			Service: name, Source: source, Idle: time.Duration(rule.Idle).String(),
+			Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.Most,
+		})
 	}
-	sort.Slice(account.Services, func(i, j int) bool { return account.Services[i].Service < account.Services[j].Service })
-	return account
+	sort.Slice(status.Services, func(i, j int) bool { return status.Services[i].Service < status.Services[j].Service })
+	return status
 }
--- /dev/null
+++ b/internal/coordinator/status.go
@@ -0,0 +1,106 @@
+package coordinator
+
+import (
+	"fmt"
+	"sort"
+
+	"tinpin/internal/history"
+	"tinpin/internal/quota"
+	"tinpin/internal/rpc"
+)
+
+// NodeStatus is how one node stands. Ready tells that it takes requests, Connected
+// that its heartbeats come.
+type NodeStatus struct {
+	Name            string `json:"name"`
+	Zone            string `json:"site"`
+	InternalAddress string `json:"inner"`
+	Ready           bool   `json:"ready"`
+	Connected       bool   `json:"here"`
+}
+
+// GrantStatus is what nodes hold of one fleet-wide limit.
+type GrantStatus struct {
+	Limit   string  `json:"bound"`
+	Granted float64 `json:"lent"`
+}
+
+// Status is what the leader tells operators: the nodes, the shard map with the
+// owner of each service, and what is granted of each limit.
+type Status struct {
+	Nodes           []NodeStatus      `json:"fellows"`
+	ShardMapVersion uint64            `json:"map_count"`
+	ShardMapMembers []string          `json:"map_members"`
+	Owners          map[string]string `json:"owners"`
+	Backends        int               `json:"backends"`
+	Down            int               `json:"backends_down"`
+	Granted         []GrantStatus     `json:"lent"`
+}
+
+// Status gives how the leader sees the fleet.
+func (c *Coordinator) Status() (status *Status) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	status = &Status{
+		Nodes: c.nodes.status(), ShardMapVersion: uint64(c.nodes.shardMap.Count),
+		Owners: map[string]string{}, Granted: c.grantStatus(),
+	}
+	for _, member := range c.nodes.shardMap.Members {
+		status.ShardMapMembers = append(status.ShardMapMembers, string(member))
+	}
+	for name := range c.view.Services {
+		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.nodes.absent))
+	}
+	c.endpoints.Servers.Each(func(rpc.ServerID, rpc.Server) { status.Backends++ })
+	c.health.States.Each(func(_ rpc.ServerID, state rpc.State) {
+		if state.Health == rpc.Down {
+			status.Down++
+		}
+	})
+	return status
+}
+
+// status lists the nodes by name.
+func (t *nodeTable) status() (nodes []NodeStatus) {
+	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+		nodes = append(nodes, NodeStatus{
+			Name: string(id), Zone: string(node.Site), InternalAddress: node.Inner,
+			Ready: node.Ready && !node.Stopping, Connected: t.registry.Here(id),
+		})
+	})
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
+	return nodes
+}
+
+// grantStatus lists what is granted of each limit; the caller holds mu.
+func (c *Coordinator) grantStatus() (grants []GrantStatus) {
+	now := c.now()
+	add := func(limit string, granted float64) {
+		grants = append(grants, GrantStatus{Limit: limit, Granted: granted})
+	}
+	add("retry slack", c.leases.rates.Lent(now, quota.Key{Kind: rpc.RetrySlack}))
+	for name := range c.view.Services {
+		if rule, limited := c.policies.retry.limit.For(rpc.ServiceName(name)); limited {
+			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
+			add(limit, c.leases.retries.Lent(now, name))
+		}
+	}
+	for _, tenant := range c.view.Tenants() {
+		add("tenant "+tenant.Name, c.leases.tenants.Lent(now, tenant.Name))
+	}
+	sort.Slice(grants, func(i, j int) bool { return grants[i].Limit < grants[j].Limit })
+	return grants
+}
+
+// CurrentStamp gives the stamp of a backend or of its health, by the kind of
+// subject, and whether the leader knows it.
+func (c *Coordinator) CurrentStamp(kind string, id rpc.ServerID) (stamp string, has bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if kind == history.Backend {
+		server, known := c.endpoints.Servers.Get(id)
+		return server.Stamp(), known
+	}
+	state, known := c.health.States.Get(id)
+	return c.health.Remaining(c.now(), state).Stamp(), known
+}
--- /dev/null
+++ b/internal/coordinator/update_test.go
@@ -0,0 +1,159 @@
+package coordinator
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"tinpin/internal/config"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/healthcheck"
+	"tinpin/internal/history"
+	"tinpin/internal/raft"
+	"tinpin/internal/registry"
+	"tinpin/internal/rpc"
+	"tinpin/internal/settings"
+)
+
+// newTestCoordinator is a coordinator of term 7 without loops: what it is told in
+// the test is all there is.
+func newTestCoordinator() (c *Coordinator) {
+	c = newCoordinator(settings.Settings{}, eventlog.Discard(), 7)
+	c.history = history.New(eventlog.Discard())
+	c.nodes = newNodeTable(c.clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour})
+	c.health = healthcheck.NewCache(c.clock, time.Minute)
+	c.leases = newLeaseTable(true)
+	return c
+}
+
+// A node that finds a new leader before its list is complete must get all of the
+// list once it is, in pages that a narrow link can take, and beside them what
+// changes meanwhile.
+func TestNodeThatJoinedBeforeTheListIsCompleteGetsAllOfIt(t *testing.T) {
+	c := newTestCoordinator()
+	server := func(id string) rpc.Server {
+		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1"}
+	}
+	c.mergeEndpoints([]rpc.Server{server("a"), server("b")}, false)
+	if c.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []rpc.State{{Server: "a", Health: rpc.Up}}}) {
+		t.Fatal("a report was taken before the list is complete, and would not be sent again")
+	}
+	request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}}
+	// Its first heartbeat made it known; this one brings no change of term.
+	request.Term, request.Epoch, request.ItemAt = 7, c.clock.Now(), rpc.AllItems
+	var first rpc.News
+	c.fillUpdate(request, &first)
+	if first.Part != nil || len(first.Servers) != 0 {
+		t.Fatalf("an incomplete list was sent: %+v", first)
+	}
+	walk := []rpc.Server{server("a"), server("b")}
+	for i := range 3*pageRows - 2 {
+		walk = append(walk, server(fmt.Sprintf("c-%03d", i)))
+	}
+	c.mergeEndpoints(walk, false)
+	c.mergeEndpoints(walk, true)
+	known := map[rpc.ServerID]bool{}
+	request.Term, request.Epoch = first.Term, first.Epoch
+	for parts := 0; !request.Listed; parts++ {
+		if !c.updateDue(request) || parts > 3 {
+			t.Fatalf("after %d parts: due %v", parts, c.updateDue(request))
+		}
+		var update rpc.News
+		c.fillUpdate(request, &update)
+		if update.Part == nil {
+			t.Fatalf("part %d is missing", parts)
+		}
+		// A page is made once for all nodes that are as far, so it is unpacked in a copy.
+		part := *update.Part
+		if err := part.Unpack(); err != nil || len(part.Servers) > pageRows {
+			t.Fatalf("part %d has %d rows: %v", parts, len(part.Servers), err)
+		}
+		update.Part = &part
+		for _, row := range update.Part.Servers {
+			known[row.ID] = true
+		}
+		for _, row := range update.Servers {
+			known[row.ID] = !row.Gone
+		}
+		request.Epoch, request.ListAt, request.Listed = update.Epoch, update.Part.At, update.Part.Done
+		if parts == 0 {
+			// One more that sorts before what was sent, and one that goes.
+			c.mergeEndpoints([]rpc.Server{server("aa")}, false)
+			c.endpoints.Servers.Drop("a")
+		}
+	}
+	if len(known) != 3*pageRows+1 || !known["aa"] || known["a"] {
+		t.Fatalf("%d backends are known, aa: %v, a: %v", len(known), known["aa"], known["a"])
+	}
+	c.mergeEndpoints([]rpc.Server{server("d")}, false)
+	var last rpc.News
+	c.fillUpdate(request, &last)
+	if last.Part != nil || len(last.Servers) != 1 {
+		t.Fatalf("then only what changed: %d sent", len(last.Servers))
+	}
+}
+
+// A great many items are sent in parts, each once, and a node that has only some
+// of them is sent the rest however the leader changes in between.
+func TestItemsAreSentInParts(t *testing.T) {
+	items := config.New()
+	rows := make([]string, 4000)
+	for i := range rows {
+		rows[i] = fmt.Sprintf(`["r-%d","h.example","/p%d/","idempotent","1s","s",%d]`, i, i, i+1)
+	}
+	call := `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["s",1]]},"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","service_name","version"],"row_values":[` + strings.Join(rows, ",") + `]}}}`
+	if err := items.Apply([]byte(call), 5); err != nil {
+		t.Fatal(err)
+	}
+	state := raft.NewState()
+	state.Canon, state.Rev = items, 5
+	c := newTestCoordinator()
+	c.revision = 5
+	sent := 0
+	known := map[string]bool{}
+	var seen rpc.Seen
+	for parts := 0; c.lacksItems(seen); parts++ {
+		var update rpc.News
+		c.addItems(state, seen, &update)
+		size := 0
+		items := update.Items
+		if update.Packed != nil {
+			var err error
+			if items, err = rpc.Unpack(update.Packed); err != nil {
+				t.Fatal(err)
+			}
+		}
+		for _, item := range items {
+			if known[item.Path()] {
+				t.Fatalf("%s is sent twice", item.Path())
+			}
+			known[item.Path()] = true
+			for _, field := range item.Fields {
+				size += len(field.JSON)
+			}
+		}
+		if size > itemPartBytes || parts > 100 {
+			t.Fatalf("part %d has %d bytes", parts, size)
+		}
+		seen.Rev, seen.ItemAt = update.Rev, update.ItemAt
+		sent++
+	}
+	if sent < 3 || len(c.encoded.items.parts) != sent {
+		t.Fatalf("sent in %d parts, %d of them kept for the next node", sent, len(c.encoded.items.parts))
+	}
+	if len(known) != 4001 || seen.Rev != 5 {
+		t.Fatalf("%d items sent, up to %d", len(known), seen.Rev)
+	}
+}
+
+// Before anything was configured there is nothing to send, and sending it must
+// not end the leader.
+func TestEmptyConfigurationSendsNoItems(t *testing.T) {
+	c := newTestCoordinator()
+	var update rpc.News
+	c.addItems(raft.NewState(), rpc.Seen{}, &update)
+	if update.Rev != 0 || update.ItemAt != rpc.AllItems || len(update.Items) != 0 || update.Packed != nil {
+		t.Fatalf("%+v", update)
+	}
+}
