--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -40,9 +40,9 @@
 // Query is one name query: the client's place, and what is known of the host
 // that it asks for and of the nodes.
 type Query struct {
-	Nodes map[rpc.FellowID]rpc.Fellow
+	Nodes map[rpc.NodeID]rpc.Node
 	// Absent are the nodes that the leader does not hear.
-	Absent map[rpc.FellowID]bool
+	Absent map[rpc.NodeID]bool
 	// AllowedRegions are those of the host's keyed routes, none for all.
 	AllowedRegions []string
 	// Weights are the schedule's weights for the host, nil where there is none.
@@ -63,7 +63,7 @@
 // candidate is one node that an answer may name.
 type candidate struct {
 	address string
-	id      rpc.FellowID
+	id      rpc.NodeID
 }
 
 // Answer lists frontend addresses for a query. Under a schedule a region is
@@ -85,10 +85,10 @@
 }
 
 // distance tells how far a node is from the client.
-func (q *Query) distance(node *rpc.Fellow) (distance int) {
+func (q *Query) distance(node *rpc.Node) (distance int) {
 	redirected := q.redirected()
 	switch {
-	case redirected && config.AllowsRegion(q.AllowedRegions, string(node.Region)), !redirected && string(node.Site) == q.Zone:
+	case redirected && config.AllowsRegion(q.AllowedRegions, string(node.Region)), !redirected && string(node.Zone) == q.Zone:
 		return nearest
 	case string(node.Region) == q.Region:
 		return sameRegion
@@ -97,7 +97,7 @@
 }
 
 // usable reports whether a node may be named at all.
-func usable(node *rpc.Fellow) bool { return node.Ready && !node.Stopping && node.Front != "" }
+func usable(node *rpc.Node) bool { return node.Ready && !node.Stopping && node.FrontendAddress != "" }
 
 // candidates sorts the usable nodes by distance: those that the leader hears,
 // or only those that it does not hear.
@@ -107,7 +107,7 @@
 			continue
 		}
 		distance := q.distance(&node)
-		byDistance[distance] = append(byDistance[distance], candidate{node.Front, id})
+		byDistance[distance] = append(byDistance[distance], candidate{node.FrontendAddress, id})
 	}
 	return byDistance
 }
@@ -133,7 +133,7 @@
 // node more or less changes the answers of its own clients only.
 func pick(candidates []candidate, client string, limit int) (addresses []string) {
 	if len(candidates) > limit {
-		ranks := make(map[rpc.FellowID]uint64, len(candidates))
+		ranks := make(map[rpc.NodeID]uint64, len(candidates))
 		for _, one := range candidates {
 			ranks[one.id] = healthcheck.Rank(string(one.id), client)
 		}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestAnswers(t *testing.T) {
-	nodes := map[rpc.FellowID]rpc.Fellow{}
+	nodes := map[rpc.NodeID]rpc.Node{}
 	add := func(id, zone, region string, ready, stopping bool) {
-		nodes[rpc.FellowID(id)] = rpc.Fellow{ID: rpc.FellowID(id), Site: rpc.SiteName(zone), Region: rpc.RegionName(region), Front: id, Ready: ready, Stopping: stopping}
+		nodes[rpc.NodeID(id)] = rpc.Node{ID: rpc.NodeID(id), Zone: rpc.ZoneName(zone), Region: rpc.RegionName(region), FrontendAddress: id, Ready: ready, Stopping: stopping}
 	}
 	add("a1", "a", "north", true, false)
 	add("a2", "a", "north", true, false)
@@ -20,9 +20,9 @@
 	add("b1", "b", "north", true, false)
 	add("c1", "c", "south", true, false)
 	var allowed []string
-	check := func(region, zone, want string, absent ...rpc.FellowID) {
+	check := func(region, zone, want string, absent ...rpc.NodeID) {
 		t.Helper()
-		away := map[rpc.FellowID]bool{}
+		away := map[rpc.NodeID]bool{}
 		for _, id := range absent {
 			away[id] = true
 		}
@@ -45,11 +45,11 @@
 // Of many nodes each client gets a few of its own that stay the same, and one
 // of another zone, so that it is not cut off when its own fails.
 func TestAnswersOfManyNodes(t *testing.T) {
-	nodes := map[rpc.FellowID]rpc.Fellow{}
+	nodes := map[rpc.NodeID]rpc.Node{}
 	for n := 0; n < 120; n++ {
 		zone := fmt.Sprint("zone-", n%3)
-		id := rpc.FellowID(fmt.Sprintf("%s-%d", zone, n))
-		nodes[id] = rpc.Fellow{ID: id, Site: rpc.SiteName(zone), Region: "north", Front: string(id), Ready: true}
+		id := rpc.NodeID(fmt.Sprintf("%s-%d", zone, n))
+		nodes[id] = rpc.Node{ID: id, Zone: rpc.ZoneName(zone), Region: "north", FrontendAddress: string(id), Ready: true}
 	}
 	named := map[string]int{}
 	changed := 0
@@ -69,7 +69,7 @@
 		if again := Answer(Query{Nodes: nodes, Region: "north", Zone: "zone-0", Client: client}); strings.Join(again, " ") != strings.Join(answer, " ") {
 			t.Fatalf("%v, then %v", answer, again)
 		}
-		lost := Answer(Query{Nodes: nodes, Absent: map[rpc.FellowID]bool{"zone-0-0": true}, Region: "north", Zone: "zone-0", Client: client})
+		lost := Answer(Query{Nodes: nodes, Absent: map[rpc.NodeID]bool{"zone-0-0": true}, Region: "north", Zone: "zone-0", Client: client})
 		if strings.Join(lost, " ") != strings.Join(answer, " ") {
 			changed++
 		}
