--- a/internal/rpc/words.go
+++ b/internal/rpc/words.go
@@ -35,19 +35,19 @@
 // Node is a passage daemon as the others know it.
 type Node struct {
 	ID              NodeID
-	Incarnation     Incarnation
-	Zone            ZoneName
+	Incarnation     Incarnation `wire:"Life"`
+	Zone            ZoneName    `wire:"Site"`
 	Region          RegionName
-	FrontendAddress string
-	InternalAddress string
+	FrontendAddress string `wire:"Front"`
+	InternalAddress string `wire:"Inner"`
 	Ready           bool
 	Stopping        bool
 }
 
 // NodeChange is one line of the roll; Gone takes it out.
 type NodeChange struct {
-	Node
-	Removed bool
+	Node    `wire:"Fellow"`
+	Removed bool `wire:"Gone"`
 }
 
 // Endpoint is one life of a backend as the platform lists it.
@@ -55,10 +55,10 @@
 	ID              EndpointID
 	Service         ServiceName
 	Address         string
-	Zone            ZoneName
+	Zone            ZoneName `wire:"Site"`
 	Slots           int
 	Draining        bool
-	WarmupRemaining time.Duration
+	WarmupRemaining time.Duration `wire:"Cold"`
 }
 
 // Summary tells a backend's state in a word.
@@ -71,8 +71,8 @@
 
 // EndpointChange is one line of the list; Gone takes it out.
 type EndpointChange struct {
-	Endpoint
-	Removed bool
+	Endpoint `wire:"Server"`
+	Removed  bool `wire:"Gone"`
 }
 
 // Health is what an owner found out about a backend.
@@ -87,13 +87,13 @@
 
 // EndpointState is one backend's health with the time its cold spell still lasts.
 type EndpointState struct {
-	Endpoint        EndpointID
+	Endpoint        EndpointID `wire:"Server"`
 	Health          Health
-	WarmupRemaining time.Duration
+	WarmupRemaining time.Duration `wire:"Cold"`
 	// EjectedFor is the asking site for which the backend is set aside, or
 	// AsideForAll, or empty.
-	EjectedFor string
-	Removed    bool
+	EjectedFor string `wire:"Aside"`
+	Removed    bool   `wire:"Gone"`
 }
 
 // EjectedForAllZones stands for every asking site.
@@ -102,10 +102,11 @@
 // OutcomeCount is what became of a daemon's requests at a backend since it last told,
 // or, without a backend, at the whole service. Site is where it asked from.
 type OutcomeCount struct {
-	Endpoint          EndpointID
-	Service           ServiceName
-	Zone              ZoneName
-	Succeeded, Failed uint32
+	Endpoint  EndpointID `wire:"Server"`
+	Service   ServiceName
+	Zone      ZoneName `wire:"Site"`
+	Succeeded uint32   `wire:"Good"`
+	Failed    uint32   `wire:"Bad"`
 }
 
 // Summary tells the state in words.
@@ -123,15 +124,16 @@
 // ShardMap is the list that all daemons hash over.
 type ShardMap struct {
 	Term     Term
-	Revision Revision
+	Revision Revision `wire:"Count"`
 	Members  []NodeID
 }
 
 // ShardMapDelta is how a map differs from the one of count Base or any told since;
 // a whole map for each change would grow with the square of the fleet.
 type ShardMapDelta struct {
-	BaseRevision, Revision Revision
-	Added, Removed         []NodeID
+	BaseRevision   Revision `wire:"Base"`
+	Revision       Revision `wire:"Count"`
+	Added, Removed []NodeID
 }
 
 // Apply gives the map that a delta makes of one that was told.
@@ -171,14 +173,14 @@
 	Kind     LeaseKind
 	Key      string
 	Amount   float64
-	Duration time.Duration
+	Duration time.Duration `wire:"Span"`
 }
 
 // Evacuation is a site's standing order.
 type Evacuation struct {
-	Zone     ZoneName
+	Zone     ZoneName `wire:"Site"`
 	Active   bool
-	LogIndex uint64
+	LogIndex uint64 `wire:"Rev"`
 }
 
 // Summary tells the order in a word.
@@ -241,23 +243,26 @@
 }
 
 // Controller is an accord daemon as fellows know it.
-type Controller struct{ InternalAddress, ControlAddress string }
+type Controller struct {
+	InternalAddress string `wire:"Inner"`
+	ControlAddress  string `wire:"Control"`
+}
 
 // KnownState is how far a fellow is with what the leader tells.
 type KnownState struct {
 	Term     Term
-	Revision Revision
+	Revision Revision `wire:"Epoch"`
 	// LogIndex and ItemAt are the place of the last item taken: items come in the
 	// order of their places in the log and then of their paths, in parts. ItemAt
 	// is AllItems where nothing of that place is left out.
-	LogIndex uint64
-	LastItem string
+	LogIndex uint64 `wire:"Rev"`
+	LastItem string `wire:"ItemAt"`
 	// EndpointsComplete tells that the fellow has this leader's list of backends whole;
 	// until then ListAt is the last one it was told.
-	EndpointsComplete bool
-	LastEndpoint      EndpointID
+	EndpointsComplete bool       `wire:"Listed"`
+	LastEndpoint      EndpointID `wire:"ListAt"`
 	// ShardMapRevision is the count of the last map told in this term, 0 for none.
-	ShardMapRevision Revision
+	ShardMapRevision Revision `wire:"MapAt"`
 }
 
 // AfterAllItems stands behind every path.
@@ -265,36 +270,36 @@
 
 // HeartbeatRequest is a fellow's beat: who it is, what it has seen, what it wants.
 type HeartbeatRequest struct {
-	Node
-	KnownState
+	Node       `wire:"Fellow"`
+	KnownState `wire:"Seen"`
 	// KnownNodes is how many fellows it knows of, itself included.
-	KnownNodes    int
-	MaxWait       time.Duration
-	TenantDemands []RateDemand
+	KnownNodes    int           `wire:"Known"`
+	MaxWait       time.Duration `wire:"Hold"`
+	TenantDemands []RateDemand  `wire:"Demands"`
 	// RetryDemands are the same for services under a written limit on retries.
-	RetryDemands []RateDemand
-	Loads        []Load
-	Outcomes     []OutcomeCount
+	RetryDemands []RateDemand   `wire:"Retries"`
+	Loads        []Load         `wire:"Burdens"`
+	Outcomes     []OutcomeCount `wire:"Tallies"`
 }
 
 // EndpointChunk is a part of the whole list of backends with their states, in the
 // order of their ids. A whole list at once would fill a small link for longer
 // than a beat may take, and never arrive.
 type EndpointChunk struct {
-	Endpoints []Endpoint
+	Endpoints []Endpoint `wire:"Servers"`
 	States    []EndpointState
 	// Compressed are the same rows, packed, where they are many.
-	Compressed []byte
+	Compressed []byte `wire:"Packed"`
 	// After is the last id that was told before, At the last one now; Done tells
 	// that nothing is behind it.
-	After    EndpointID
-	Last     EndpointID
-	Complete bool
+	After    EndpointID `wire:"From"`
+	Last     EndpointID `wire:"At"`
+	Complete bool       `wire:"Done"`
 }
 
 // chunkRows are what a part packs.
 type chunkRows struct {
-	Endpoints []Endpoint
+	Endpoints []Endpoint `wire:"Servers"`
 	States    []EndpointState
 }
 
@@ -326,65 +331,65 @@
 // Load is how many requests a fellow has at work at a service.
 type Load struct {
 	Service  ServiceName
-	InFlight int
+	InFlight int `wire:"AtWork"`
 }
 
 // ZoneOverflow is what part of a service's requests, in thousandths, the site of the
 // fellow that is told should send to other sites, and how much to each.
 type ZoneOverflow struct {
 	Service  ServiceName
-	Permille int
-	Targets  []ZoneWeight
+	Permille int          `wire:"Away"`
+	Targets  []ZoneWeight `wire:"To"`
 }
 
 // ZoneWeight is one site's part in thousandths.
 type ZoneWeight struct {
-	Zone   ZoneName
+	Zone   ZoneName `wire:"Site"`
 	Weight int
 }
 
 // RateDemand is how many requests a second of a tenant a fellow sees, and the
 // floor it holds.
 type RateDemand struct {
-	Name    string
+	Name    string `wire:"Tenant"`
 	Rate    float64
-	Minimum float64
+	Minimum float64 `wire:"Floor"`
 }
 
 // Update is the answer to a beat: all that changed since.
 type Update struct {
-	IsLeader      bool
-	LeaderAddress string
-	Controllers   []Controller
+	IsLeader      bool         `wire:"Leader"`
+	LeaderAddress string       `wire:"Hint"`
+	Controllers   []Controller `wire:"Cores"`
 	Term          Term
-	Revision      Revision
+	Revision      Revision `wire:"Epoch"`
 	Full          bool
-	LogIndex      uint64
-	LastItem      string
+	LogIndex      uint64 `wire:"Rev"`
+	LastItem      string `wire:"ItemAt"`
 	// CompressedItems are items that Pack made small; else they stand in Items.
-	CompressedItems []byte
+	CompressedItems []byte `wire:"Packed"`
 	Items           []config.Item
 	Evacuations     []Evacuation
 	Documents       []policy.Document
-	Retirements     []Retirement
-	ScheduleStep    *ScheduleStep
+	Retirements     []Retirement  `wire:"Retired"`
+	ScheduleStep    *ScheduleStep `wire:"Move"`
 	// EndpointChunk is a part of the whole list, for a fellow that lacks it; Servers and
 	// States are what changed since.
-	EndpointChunk *EndpointChunk
-	Endpoints     []EndpointChange
-	Nodes         []NodeChange
+	EndpointChunk *EndpointChunk   `wire:"Part"`
+	Endpoints     []EndpointChange `wire:"Servers"`
+	Nodes         []NodeChange     `wire:"Fellows"`
 	States        []EndpointState
 	// CompressedNodes are the same as Fellows, packed, where they are many.
-	CompressedNodes []byte
+	CompressedNodes []byte `wire:"Crowd"`
 	// ShardMap is the whole map, MapDelta what changed of it.
-	ShardMap      *ShardMap
-	ShardMapDelta *ShardMapDelta
+	ShardMap      *ShardMap      `wire:"Map"`
+	ShardMapDelta *ShardMapDelta `wire:"MapDelta"`
 	Absent        []NodeID
 	Leases        []Lease
 	// ZoneOverflows are what the fellow's site should send away.
-	ZoneOverflows []ZoneOverflow
+	ZoneOverflows []ZoneOverflow `wire:"Spills"`
 	// Outcomes are the outcomes that others told of what this fellow owns.
-	Outcomes []OutcomeCount
+	Outcomes []OutcomeCount `wire:"Tallies"`
 }
 
 // LeaderRequest asks a core who leads; LeadReply is small, so that it gets through
@@ -393,23 +398,25 @@
 
 // LeaderResponse names the leader as the core knows it.
 type LeaderResponse struct {
-	IsLeader    bool
+	IsLeader    bool `wire:"Leader"`
 	Term        Term
-	Controllers []Controller
+	Controllers []Controller `wire:"Cores"`
 }
 
 // ClaimRequest puts a batch of claims or gives claims back. Left is how long from its
 // sending anybody waits for the answer, 0 for no word on it.
 type ClaimRequest struct {
 	Holder      NodeID
-	Incarnation Incarnation
+	Incarnation Incarnation `wire:"Life"`
 	Claims      []KeyClaim
-	Releases    []KeyClaim
-	TimeLeft    time.Duration
+	Releases    []KeyClaim    `wire:"Frees"`
+	TimeLeft    time.Duration `wire:"Left"`
 }
 
 // KeyClaim is an operation key wanted for a request.
-type KeyClaim struct{ Key, Request string }
+type KeyClaim struct {
+	Key, Request string
+}
 
 // ClaimOutcome of one claim.
 type ClaimOutcome uint8
@@ -426,17 +433,17 @@
 type ClaimResult struct {
 	Outcome         ClaimOutcome
 	Holder          NodeID
-	InternalAddress string
-	Incarnation     Incarnation
+	InternalAddress string      `wire:"Inner"`
+	Incarnation     Incarnation `wire:"Life"`
 	Request         string
 }
 
 // ClaimResponse answers a batch in its order.
 type ClaimResponse struct {
-	IsLeader bool
-	Results  []ClaimResult
+	IsLeader bool          `wire:"Leader"`
+	Results  []ClaimResult `wire:"Found"`
 	// Released tells that everything given back is given back for good.
-	Released bool
+	Released bool `wire:"Freed"`
 }
 
 // SessionBinding asks where a session is bound, and binds it to Server where it is not
@@ -445,13 +452,15 @@
 type SessionBinding struct {
 	Session       SessionID
 	Service       ServiceName
-	Endpoint      EndpointID
-	EndedEndpoint EndpointID
-	IdleTimeout   time.Duration
+	Endpoint      EndpointID    `wire:"Server"`
+	EndedEndpoint EndpointID    `wire:"From"`
+	IdleTimeout   time.Duration `wire:"Idle"`
 }
 
 // BindRequest puts a batch of them.
-type BindRequest struct{ Bindings []SessionBinding }
+type BindRequest struct {
+	Bindings []SessionBinding `wire:"Binds"`
+}
 
 // BindOutcome tells what came of one.
 type BindOutcome uint8
@@ -469,26 +478,30 @@
 // BindResult tells where the session is bound.
 type BindResult struct {
 	Outcome  BindOutcome
-	Endpoint EndpointID
+	Endpoint EndpointID `wire:"Server"`
 }
 
 // BindResponse answers a batch in its order.
 type BindResponse struct {
-	IsLeader bool
+	IsLeader bool `wire:"Leader"`
 	Term     Term
-	Results  []BindResult
+	Results  []BindResult `wire:"Found"`
 }
 
 // RetirementsRequest asks a fellow for the orders it follows.
-type RetirementsRequest struct{ From NodeID }
+type RetirementsRequest struct {
+	From NodeID
+}
 
 // RetirementsResponse is what it follows; to get it is also to hear the fellow.
-type RetirementsResponse struct{ Retirements []Retirement }
+type RetirementsResponse struct {
+	Retirements []Retirement `wire:"Retired"`
+}
 
 // StoredResponseRequest asks the holder of a key for its answer.
 type StoredResponseRequest struct {
 	Key, Request string
-	Incarnation  Incarnation
+	Incarnation  Incarnation `wire:"Life"`
 	Region       RegionName
 }
 
@@ -507,57 +520,67 @@
 
 // StoredResponse is the stored answer, if there is one.
 type StoredResponse struct {
-	State   OperationState
+	State   OperationState `wire:"Standing"`
 	Status  int
-	Headers [][2]string
+	Headers [][2]string `wire:"Header"`
 	Body    []byte
 	// InternalAddress is where the answer is kept, if it was moved.
-	InternalAddress string
+	InternalAddress string `wire:"Inner"`
 }
 
 // StoreRequest hands an answer to a fellow that may keep it.
 type StoreRequest struct {
 	Key, Request string
-	Response     StoredResponse
+	Response     StoredResponse `wire:"Answer"`
 }
 
 // StoreAcknowledgement tells that it is kept.
-type StoreAcknowledgement struct{ Stored bool }
+type StoreAcknowledgement struct {
+	Stored bool `wire:"Kept"`
+}
 
 // HealthReport brings an owner's findings to the state cache.
 type HealthReport struct {
-	Node             NodeID
+	Node             NodeID `wire:"Fellow"`
 	Term             Term
-	ShardMapRevision Revision
+	ShardMapRevision Revision `wire:"Count"`
 	Service          ServiceName
 	Full             bool
 	States           []EndpointState
 }
 
 // HealthReportResponse tells whether the cache took it.
-type HealthReportResponse struct{ IsLeader, Accepted bool }
+type HealthReportResponse struct {
+	IsLeader bool `wire:"Leader"`
+	Accepted bool `wire:"Taken"`
+}
 
 // StatusRequest asks a daemon how it stands.
 type StatusRequest struct{}
 
 // StatusResponse is a daemon's account of itself, as JSON.
-type StatusResponse struct{ JSON []byte }
+type StatusResponse struct {
+	JSON []byte
+}
 
 // TraceRequest asks a daemon what it knows of a subject.
-type TraceRequest struct{ Kind, Name string }
+type TraceRequest struct {
+	Kind, Name string
+}
 
 // TraceEntry is one thing that happened to the subject at that daemon.
 type TraceEntry struct {
-	Event, Summary string
-	LogIndex       uint64
-	Age            time.Duration
+	Event    string `wire:"What"`
+	Summary  string `wire:"Stamp"`
+	LogIndex uint64 `wire:"Rev"`
+	Age      time.Duration
 }
 
 // TraceResponse tells the marks, and whether and how the subject stands there now.
 type TraceResponse struct {
 	Name     string
-	Entries  []TraceEntry
-	Present  bool
-	Summary  string
-	LogIndex uint64
+	Entries  []TraceEntry `wire:"Marks"`
+	Present  bool         `wire:"Has"`
+	Summary  string       `wire:"Stamp"`
+	LogIndex uint64       `wire:"Rev"`
 }
