--- /dev/null
+++ b/internal/raft/command_encoding.go
@@ -0,0 +1,52 @@
+package raft
+
+import "encoding/binary"
+
+// A batch of commands is the data of one log entry: lengths as varints, texts as
+// they are. The encoding is small because every claimed key passes through it on
+// every controller.
+
+// EncodeCommands writes commands.
+func EncodeCommands(commands []Command) (data []byte) {
+	data = binary.AppendUvarint(nil, uint64(len(commands)))
+	for _, command := range commands {
+		data = append(data, byte(command.Kind))
+		data = AppendBytes(data, command.Body)
+		data = AppendBytes(data, command.Site)
+		data = AppendBytes(data, command.Key)
+		data = AppendBytes(data, command.Request)
+		data = AppendBytes(data, command.Holder)
+		data = binary.AppendUvarint(data, command.Life)
+		data = binary.AppendUvarint(data, command.Upto)
+	}
+	return data
+}
+
+// DecodeCommands reads what Inscribe wrote.
+func DecodeCommands(data []byte) (commands []Command, err error) {
+	if len(data) == 0 {
+		return nil, nil
+	}
+	r := &Reader{Rest: data}
+	count := r.Uint()
+	for i := uint64(0); i < count && !r.Malformed; i++ {
+		var command Command
+		if len(r.Rest) == 0 {
+			r.Malformed = true
+			break
+		}
+		command.Kind, r.Rest = CommandKind(r.Rest[0]), r.Rest[1:]
+		command.Body = r.Bytes()
+		command.Site = string(r.Bytes())
+		command.Key = string(r.Bytes())
+		command.Request = string(r.Bytes())
+		command.Holder = string(r.Bytes())
+		command.Life = r.Uint()
+		command.Upto = r.Uint()
+		commands = append(commands, command)
+	}
+	if r.Malformed || len(r.Rest) != 0 {
+		return nil, Class.New("log entry cannot be read")
+	}
+	return commands, nil
+}
--- /dev/null
+++ b/internal/raft/errors.go
@@ -0,0 +1,6 @@
+package raft
+
+import "github.com/zeebo/errs"
+
+// Class marks the errors of the agreement.
+var Class = errs.Class("accord")
--- a/internal/raft/install.go
+++ b/internal/raft/install.go
@@ -4,8 +4,6 @@
 // only where its checksum is right.
 package raft
 
-import "hash/crc32"
-
 const (
 	// partSize passes a link of 1 Mbit/s well within the time of a call.
 	partSize = 32 << 10
@@ -15,10 +13,6 @@
 	mostSnapshot = 256 << 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
-
 // SnapshotChunk is a piece of a snapshot's data. Whole is the checksum of all of it, Sum
 // that of the part with what it says of itself.
 type SnapshotChunk struct {
@@ -35,20 +29,20 @@
 func (p *SnapshotChunk) sum() uint32 {
 	var head []byte
 	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.Total, p.Offset, uint64(p.Whole)} {
-		head = appendNumber(head, number)
+		head = AppendUint(head, number)
 	}
 	for _, member := range p.Members {
-		head = putText(head, member.ID)
-		head = putText(head, member.Inner)
-		head = putText(head, member.Control)
-		head = putText(head, member.Site)
+		head = AppendBytes(head, member.ID)
+		head = AppendBytes(head, member.Inner)
+		head = AppendBytes(head, member.Control)
+		head = AppendBytes(head, member.Site)
 		voter := uint64(0)
 		if member.Voter {
 			voter = 1
 		}
-		head = appendNumber(head, voter)
+		head = AppendUint(head, voter)
 	}
-	return crc32.Update(checksum(head), castagnoli, p.Data)
+	return ExtendChecksum(Checksum(head), p.Data)
 }
 
 // sending is a snapshot on its way to one member.
@@ -74,7 +68,7 @@
 // not given up for a newer one.
 func (r *Replica) sendParts(id ID, p *progress) {
 	if p.sending == nil || p.sending.snapshot.Index <= p.match || p.sending.acked == 0 && p.sending.snapshot.Index < r.base.Index {
-		p.sending = &sending{snapshot: r.base, whole: checksum(r.base.Data)}
+		p.sending = &sending{snapshot: r.base, whole: Checksum(r.base.Data)}
 		p.idle = 0
 	}
 	s := p.sending
@@ -166,7 +160,7 @@
 		return
 	}
 	r.gathering = nil
-	if checksum(g.data) != part.Whole {
+	if Checksum(g.data) != part.Whole {
 		r.refuse(m, "snapshot's checksum is wrong")
 		r.tellPart(m, 0, true)
 		return
--- a/internal/raft/install_test.go
+++ b/internal/raft/install_test.go
@@ -110,7 +110,7 @@
 func TestPartsThatDoNotFitChangeNothing(t *testing.T) {
 	data := bytes.Repeat([]byte("x"), 250)
 	part := func(index Index, offset uint64) (p *SnapshotChunk) {
-		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: checksum(data), Data: data[offset:min(offset+100, 250)]}
+		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: Checksum(data), Data: data[offset:min(offset+100, 250)]}
 		p.Sum = p.sum()
 		return p
 	}
--- a/internal/raft/seal.go
+++ b/internal/raft/seal.go
@@ -8,7 +8,6 @@
 import (
 	"encoding/binary"
 	"errors"
-	"hash/crc32"
 
 	"github.com/cockroachdb/pebble"
 	"github.com/zeebo/errs"
@@ -26,7 +25,7 @@
 var keyForm = []byte("f")
 
 func sealSum(key, value []byte) uint32 {
-	return crc32.Update(checksum(append(append([]byte(nil), key...), sealVersion)), castagnoli, value)
+	return ExtendChecksum(Checksum(append(append([]byte(nil), key...), sealVersion)), value)
 }
 
 func seal(key, value []byte) (data []byte) {
--- a/internal/raft/store.go
+++ b/internal/raft/store.go
@@ -92,15 +92,15 @@
 	if entry.Members != nil {
 		members = encode(entry.Members)
 	}
-	data = putText(data, members)
+	data = AppendBytes(data, members)
 	return append(data, entry.Data...)
 }
 
 func readEntry(index Index, data []byte) (entry Entry, err error) {
-	r := &reader{data: data}
-	entry.Index, entry.Term = index, Term(r.number())
-	members := r.text()
-	if r.bad {
+	r := &Reader{Rest: data}
+	entry.Index, entry.Term = index, Term(r.Uint())
+	members := r.Bytes()
+	if r.Malformed {
 		return entry, Spoiled.New("log entry %d cannot be read", index)
 	}
 	if len(members) > 0 {
@@ -108,7 +108,7 @@
 			return entry, Spoiled.New("log entry %d cannot be read: %v", index, err)
 		}
 	}
-	entry.Data = append([]byte(nil), r.data...)
+	entry.Data = append([]byte(nil), r.Rest...)
 	return entry, nil
 }
 
