--- a/internal/raft/binaryformat.go
+++ b/internal/binaryformat/binaryformat.go
@@ -1,4 +1,8 @@
-package raft
+// Package binaryformat holds the primitives of the byte encodings that the
+// replicated log is stored and sent in: varints, byte strings behind their length,
+// and the crc32c that guards both. What a record consists of is known to the
+// packages that write it. The functions keep no state.
+package binaryformat
 
 import (
 	"encoding/binary"
--- a/internal/raft/check_test.go
+++ b/internal/raft/check_test.go
@@ -7,6 +7,8 @@
 	"testing"
 
 	"github.com/cockroachdb/pebble/vfs"
+
+	"tinpin/internal/binaryformat"
 )
 
 // mark is all of a core that a refused message may not change.
@@ -119,7 +121,7 @@
 			if m.Kind == MsgSnapshotChunk || next()%16 == 0 {
 				whole := bytes.Repeat([]byte{byte(end.index)}, 8)
 				offset := next() % 9
-				m.Part = &SnapshotChunk{Index: end.index, Term: end.term, Members: trio[:next()%4], Total: 8, Offset: uint64(offset), Whole: Checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
+				m.Part = &SnapshotChunk{Index: end.index, Term: end.term, Members: trio[:next()%4], Total: 8, Offset: uint64(offset), Whole: binaryformat.Checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
 				m.Part.Sum = m.Part.sum()
 			}
 			before := b.mark()
--- a/internal/raft/command_encoding.go
+++ b/internal/raft/command_encoding.go
@@ -1,6 +1,10 @@
 package raft
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+
+	"tinpin/internal/binaryformat"
+)
 
 // A batch of commands is the data of one log entry: lengths as varints, texts as
 // they are. The encoding is small because every claimed key passes through it on
@@ -11,11 +15,11 @@
 	data = binary.AppendUvarint(nil, uint64(len(commands)))
 	for _, command := range commands {
 		data = append(data, byte(command.Kind))
-		data = AppendBytes(data, command.Body)
-		data = AppendBytes(data, command.Site)
-		data = AppendBytes(data, command.Key)
-		data = AppendBytes(data, command.Request)
-		data = AppendBytes(data, command.Holder)
+		data = binaryformat.AppendBytes(data, command.Body)
+		data = binaryformat.AppendBytes(data, command.Site)
+		data = binaryformat.AppendBytes(data, command.Key)
+		data = binaryformat.AppendBytes(data, command.Request)
+		data = binaryformat.AppendBytes(data, command.Holder)
 		data = binary.AppendUvarint(data, command.Life)
 		data = binary.AppendUvarint(data, command.Upto)
 	}
@@ -27,7 +31,7 @@
 	if len(data) == 0 {
 		return nil, nil
 	}
-	r := &Reader{Rest: data}
+	r := &binaryformat.Reader{Rest: data}
 	count := r.Uint()
 	for i := uint64(0); i < count && !r.Malformed; i++ {
 		var command Command
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -21,6 +21,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"tinpin/internal/affinity"
+	"tinpin/internal/binaryformat"
 	"tinpin/internal/config"
 	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
@@ -306,7 +307,7 @@
 // A sum that was sent with a part of a snapshot is the one that is reckoned now,
 // and so is the seal of a record.
 func TestChecksumsHold(t *testing.T) {
-	part := SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: Checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
+	part := SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: binaryformat.Checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
 	got := []uint32{part.Whole, part.sum(), sealSum(keyEntry(7), []byte("value"))}
 	if diff := cmp.Diff([]uint32{1802194548, 3866943754, 4062685565}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
--- a/internal/raft/install.go
+++ b/internal/raft/install.go
@@ -4,6 +4,8 @@
 // only where its checksum is right.
 package raft
 
+import "tinpin/internal/binaryformat"
+
 const (
 	// partSize passes a link of 1 Mbit/s well within the time of a call.
 	partSize = 32 << 10
@@ -29,20 +31,20 @@
 func (p *SnapshotChunk) sum() uint32 {
 	var head []byte
 	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.Total, p.Offset, uint64(p.Whole)} {
-		head = AppendUint(head, number)
+		head = binaryformat.AppendUint(head, number)
 	}
 	for _, member := range p.Members {
-		head = AppendBytes(head, member.ID)
-		head = AppendBytes(head, member.Inner)
-		head = AppendBytes(head, member.Control)
-		head = AppendBytes(head, member.Site)
+		head = binaryformat.AppendBytes(head, member.ID)
+		head = binaryformat.AppendBytes(head, member.Inner)
+		head = binaryformat.AppendBytes(head, member.Control)
+		head = binaryformat.AppendBytes(head, member.Site)
 		voter := uint64(0)
 		if member.Voter {
 			voter = 1
 		}
-		head = AppendUint(head, voter)
+		head = binaryformat.AppendUint(head, voter)
 	}
-	return ExtendChecksum(Checksum(head), p.Data)
+	return binaryformat.ExtendChecksum(binaryformat.Checksum(head), p.Data)
 }
 
 // sending is a snapshot on its way to one member.
@@ -68,7 +70,7 @@
 // not given up for a newer one.
 func (r *Replica) sendParts(id ID, p *progress) {
 	if p.sending == nil || p.sending.snapshot.Index <= p.match || p.sending.acked == 0 && p.sending.snapshot.Index < r.base.Index {
-		p.sending = &sending{snapshot: r.base, whole: Checksum(r.base.Data)}
+		p.sending = &sending{snapshot: r.base, whole: binaryformat.Checksum(r.base.Data)}
 		p.idle = 0
 	}
 	s := p.sending
@@ -160,7 +162,7 @@
 		return
 	}
 	r.gathering = nil
-	if Checksum(g.data) != part.Whole {
+	if binaryformat.Checksum(g.data) != part.Whole {
 		r.refuse(m, "snapshot's checksum is wrong")
 		r.tellPart(m, 0, true)
 		return
--- a/internal/raft/install_test.go
+++ b/internal/raft/install_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"testing"
+
+	"tinpin/internal/binaryformat"
 )
 
 // pairForInstall is a leader whose log begins behind a state of 1,000 bytes, and a
@@ -110,7 +112,7 @@
 func TestPartsThatDoNotFitChangeNothing(t *testing.T) {
 	data := bytes.Repeat([]byte("x"), 250)
 	part := func(index Index, offset uint64) (p *SnapshotChunk) {
-		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: Checksum(data), Data: data[offset:min(offset+100, 250)]}
+		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: binaryformat.Checksum(data), Data: data[offset:min(offset+100, 250)]}
 		p.Sum = p.sum()
 		return p
 	}
--- a/internal/raft/seal.go
+++ b/internal/raft/seal.go
@@ -11,6 +11,8 @@
 
 	"github.com/cockroachdb/pebble"
 	"github.com/zeebo/errs"
+
+	"tinpin/internal/binaryformat"
 )
 
 // Spoiled marks records that are not what was written.
@@ -25,7 +27,7 @@
 var keyForm = []byte("f")
 
 func sealSum(key, value []byte) uint32 {
-	return ExtendChecksum(Checksum(append(append([]byte(nil), key...), sealVersion)), value)
+	return binaryformat.ExtendChecksum(binaryformat.Checksum(append(append([]byte(nil), key...), sealVersion)), value)
 }
 
 func seal(key, value []byte) (data []byte) {
--- a/internal/raft/store.go
+++ b/internal/raft/store.go
@@ -14,6 +14,8 @@
 
 	"github.com/cockroachdb/pebble"
 	"github.com/cockroachdb/pebble/vfs"
+
+	"tinpin/internal/binaryformat"
 )
 
 // Store is the disk of one core.
@@ -92,12 +94,12 @@
 	if entry.Members != nil {
 		members = encode(entry.Members)
 	}
-	data = AppendBytes(data, members)
+	data = binaryformat.AppendBytes(data, members)
 	return append(data, entry.Data...)
 }
 
 func readEntry(index Index, data []byte) (entry Entry, err error) {
-	r := &Reader{Rest: data}
+	r := &binaryformat.Reader{Rest: data}
 	entry.Index, entry.Term = index, Term(r.Uint())
 	members := r.Bytes()
 	if r.Malformed {
