--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -29,6 +29,7 @@
 	"tinpin/internal/retry"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
+	"tinpin/internal/testutil/wiretest"
 )
 
 var (
@@ -168,24 +169,24 @@
 }
 
 // wireFixtures are the records of the disk and the calls between cores.
-func wireFixtures() (fixtures []wireFixture) {
+func wireFixtures() (fixtures []wiretest.Fixture) {
 	part := &SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: 0xc0ffee01, Sum: 0x7a5b0f11, Data: []byte("ate\x00\xff")}
 	message := Message{
 		Kind: MsgSnapshotChunk, From: "a", To: "b", Term: 8, Index: 44, LogTerm: 7, Commit: 43, Reject: true, Hint: 41, Round: 1 << 33, Force: true, Idle: true, Life: 1<<63 + 1, Age: 1500 * time.Millisecond,
 		Entries: []Entry{{Term: 7, Index: 45, Members: storedMembers, Data: []byte("entry\x00\xff")}}, Snapshot: &storedSnapshot, Part: part,
 	}
-	return []wireFixture{
-		{"hard_state", storedHard},
-		{"core_id", storedID},
-		{"snapshot", storedSnapshot},
-		{"membership", append([]Member{storedLearner}, storedMembers...)},
-		{"snapshot_state", filledState()},
-		{"core_step_request", MessageBatch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
-		{"core_step_reply", Empty{}},
-		{"core_join_request", JoinRequest{Member: storedMembers[0]}},
-		{"core_join_reply", JoinResponse{Leader: true, Inners: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
-		{"core_leave_request", LeaveRequest{ID: "founder-10.0.2.1"}},
-		{"core_leave_reply", LeaveResponse{Parting: LeaveCompleted}},
+	return []wiretest.Fixture{
+		{Name: "hard_state", Value: storedHard},
+		{Name: "core_id", Value: storedID},
+		{Name: "snapshot", Value: storedSnapshot},
+		{Name: "membership", Value: append([]Member{storedLearner}, storedMembers...)},
+		{Name: "snapshot_state", Value: filledState()},
+		{Name: "core_step_request", Value: MessageBatch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
+		{Name: "core_step_reply", Value: Empty{}},
+		{Name: "core_join_request", Value: JoinRequest{Member: storedMembers[0]}},
+		{Name: "core_join_reply", Value: JoinResponse{Leader: true, Inners: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
+		{Name: "core_leave_request", Value: LeaveRequest{ID: "founder-10.0.2.1"}},
+		{Name: "core_leave_reply", Value: LeaveResponse{Parting: LeaveCompleted}},
 	}
 }
 
@@ -229,22 +230,14 @@
 	return data
 }
 
-func TestStoredRecordsAndCallsOfCoresAreReadAsTheyWere(t *testing.T) { checkWire(t, wireFixtures()) }
-
-// fileFixture gives the bytes of a fixture in the code's own encoding.
-func fileFixture(t *testing.T, name string, now []byte) (data []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if missing(path) {
-		writeFixture(t, path, now)
-	}
-	return readFixture(t, path)
+func TestStoredRecordsAndCallsOfCoresAreReadAsTheyWere(t *testing.T) {
+	wiretest.Check(t, wireFixtures())
 }
 
 func TestStoredCommandsAreReadAsTheyWere(t *testing.T) {
 	for name, commands := range map[string][]Command{"commands_each_kind.bin": kinds(), "commands_of_state.bin": storedCommands} {
 		now := EncodeCommands(commands)
-		data := fileFixture(t, name, now)
+		data := wiretest.FileFixture(t, name, now)
 		if !bytes.Equal(data, now) {
 			t.Errorf("%s is written differently now", name)
 		}
@@ -257,7 +250,7 @@
 		}
 	}
 	filled, count := reflect.New(reflect.TypeFor[Command]()).Elem(), 0
-	fill(t, filled, &count)
+	wiretest.Fill(t, filled, &count)
 	got, err := DecodeCommands(EncodeCommands([]Command{filled.Interface().(Command)}))
 	if err != nil {
 		t.Fatal(err)
@@ -284,7 +277,7 @@
 func TestStoredLogEntriesAreReadAsTheyWere(t *testing.T) {
 	for i, want := range storedLog()[:2] {
 		name := []string{"log_entry.bin", "log_entry_membership.bin"}[i]
-		got, err := readEntry(want.Index, fileFixture(t, name, writeEntry(want)))
+		got, err := readEntry(want.Index, wiretest.FileFixture(t, name, writeEntry(want)))
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -293,7 +286,7 @@
 		}
 	}
 	filled, count := reflect.New(reflect.TypeFor[Entry]()).Elem(), 0
-	fill(t, filled, &count)
+	wiretest.Fill(t, filled, &count)
 	want := filled.Interface().(Entry)
 	got, err := readEntry(want.Index, writeEntry(want))
 	if err != nil {
@@ -367,7 +360,7 @@
 			t.Fatal(id, hard, err)
 		}
 		if data != nil {
-			if diff := cmp.Diff(data, gobValue(t, base.Data, data)); diff != "" {
+			if diff := cmp.Diff(data, wiretest.DecodeGob(t, base.Data, data)); diff != "" {
 				t.Errorf("state of the snapshot (-want +got):\n%s", diff)
 			}
 			base.Data = nil
@@ -394,7 +387,7 @@
 // each step has the store opened anew, so that tables come beside the journal.
 func buildStore(t *testing.T, name string, steps ...func(store *Store) error) {
 	t.Helper()
-	if !missing(filepath.Join("testdata", name, "CURRENT")) {
+	if !wiretest.Missing(filepath.Join("testdata", name, "CURRENT")) {
 		return
 	}
 	folder := filepath.Join(t.TempDir(), "data")
@@ -436,7 +429,7 @@
 			return store.Write([]Write{{HardState: &HardState{Term: 6}}, {Entries: entries}})
 		},
 		func(store *Store) error {
-			data := usual(func() []byte { return freeze(t, stateFrom(t, storedCommands)) })
+			data := wiretest.MostFrequent(func() []byte { return freeze(t, stateFrom(t, storedCommands)) })
 			return store.Write([]Write{{Snapshot: &Snapshot{Index: last, Term: 6, Members: storedMembers, Data: data}}, {Entries: log[:2]}})
 		},
 		func(store *Store) error {
@@ -471,7 +464,7 @@
 	}
 	again := func(when string) {
 		t.Helper()
-		if diff := cmp.Diff(storedState, gobValue(t, freeze(t, state), frozen{})); diff != "" {
+		if diff := cmp.Diff(storedState, wiretest.DecodeGob(t, freeze(t, state), frozen{})); diff != "" {
 			t.Errorf("state %s (-want +got):\n%s", when, diff)
 		}
 	}
@@ -507,14 +500,14 @@
 	name := "store_unsealed"
 	base := Snapshot{Index: 29, Term: 6, Members: storedMembers}
 	log := storedLog()[:3]
-	if missing(filepath.Join("testdata", name, "CURRENT")) {
+	if wiretest.Missing(filepath.Join("testdata", name, "CURRENT")) {
 		folder := filepath.Join(t.TempDir(), "data")
 		db, err := pebble.Open(folder, &pebble.Options{Logger: silent{}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		whole := base
-		whole.Data = usual(func() []byte { return encode(older(storedState)) })
+		whole.Data = wiretest.MostFrequent(func() []byte { return encode(older(storedState)) })
 		batch := db.NewBatch()
 		_ = batch.Set(keyID, encode(storedID), nil)
 		_ = batch.Set(keyHard, encode(storedHard), nil)
@@ -546,7 +539,7 @@
 	want.Documents, want.Overtaken, want.Orders = withdrawnPolicy, dedup.Frozen{}, dedup.Frozen{}
 	want.Columns = maps.Clone(storedState.Columns)
 	want.Columns["routes"] = []string{"name", "version", "hostname", "path_prefix", "route_type", "timeout", "traffic_split", "priority"}
-	if diff := cmp.Diff(want, gobValue(t, freeze(t, state), frozen{})); diff != "" {
+	if diff := cmp.Diff(want, wiretest.DecodeGob(t, freeze(t, state), frozen{})); diff != "" {
 		t.Errorf("state of an older version (-want +got):\n%s", diff)
 	}
 	for _, key := range [][]byte{keyID, keyHard, keySnapshot, keyForm, keyEntry(30)} {
--- a/internal/raft/wire_test.go
+++ b/internal/testutil/wiretest/wiretest.go
@@ -1,9 +1,10 @@
-// Checks of the wire format that compare what gob sends with golden files. The
+// Package wiretest holds checks of data that is stored or sent: it compares what
+// gob sends with golden files. The
 // shape of a type is the names of its fields and their kinds, as gob writes them;
 // the Go names of types are left out, since no decoder looks at them. A golden
 // file stays as it is when another type with the same field names takes the
 // place of the one it was made from.
-package raft
+package wiretest
 
 import (
 	"bytes"
@@ -26,8 +27,8 @@
 // older versions have stored or sent, so one that is there is never written over.
 var update = flag.Bool("update", false, "write the fixtures of stored and sent data that are missing")
 
-// missing tells that a fixture is to be written.
-func missing(path string) (write bool) {
+// Missing tells that a fixture is to be written.
+func Missing(path string) (write bool) {
 	if !*update {
 		return false
 	}
@@ -35,18 +36,19 @@
 	return errors.Is(err, os.ErrNotExist)
 }
 
-// wireFixture is one type that is stored or sent, with a value of which every
+// Fixture is one type that is stored or sent, with a value of which every
 // field is filled. Its name is that of its files and does not follow the Go name.
-type wireFixture struct {
-	name  string
-	value any
+type Fixture struct {
+	Name  string
+	Value any
 }
 
-func (f wireFixture) path(extension string) (path string) {
-	return filepath.Join("testdata", "wire", f.name+extension)
+func (f Fixture) path(extension string) (path string) {
+	return filepath.Join("testdata", "wire", f.Name+extension)
 }
 
-func gobBytes(t *testing.T, value any) (data []byte) {
+// EncodeGob encodes a value as one gob stream.
+func EncodeGob(t *testing.T, value any) (data []byte) {
 	t.Helper()
 	var buffer bytes.Buffer
 	if err := wire.Encode(gob.NewEncoder(&buffer), value); err != nil {
@@ -55,9 +57,9 @@
 	return buffer.Bytes()
 }
 
-// usual is the encoding that comes most often of many: maps are encoded in an order
+// MostFrequent is the encoding that comes most often of many: maps are encoded in an order
 // that changes, and a fixture is to be the same each time it is written.
-func usual(encode func() []byte) (data []byte) {
+func MostFrequent(encode func() []byte) (data []byte) {
 	times := map[string]int{}
 	most := ""
 	for range 4000 {
@@ -69,8 +71,8 @@
 	return []byte(most)
 }
 
-// gobValue decodes into a new value of the sample's type.
-func gobValue(t *testing.T, data []byte, sample any) (value any) {
+// DecodeGob decodes into a new value of the sample's type.
+func DecodeGob(t *testing.T, data []byte, sample any) (value any) {
 	t.Helper()
 	into := reflect.New(reflect.TypeOf(sample))
 	if err := wire.Unmarshal(data, into.Interface()); err != nil {
@@ -79,7 +81,8 @@
 	return into.Elem().Interface()
 }
 
-func readFixture(t *testing.T, path string) (data []byte) {
+// ReadFile reads a fixture.
+func ReadFile(t *testing.T, path string) (data []byte) {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -88,7 +91,8 @@
 	return data
 }
 
-func writeFixture(t *testing.T, path string, data []byte) {
+// WriteFile writes a fixture and the folder it is in.
+func WriteFile(t *testing.T, path string, data []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -98,33 +102,43 @@
 	}
 }
 
-// checkWire decodes each fixture and compares it with its value, the shape of its
+// FileFixture gives the bytes of a fixture in the code's own encoding.
+func FileFixture(t *testing.T, name string, now []byte) (data []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if Missing(path) {
+		WriteFile(t, path, now)
+	}
+	return ReadFile(t, path)
+}
+
+// Check decodes each fixture and compares it with its value, the shape of its
 // type with the golden file, and a value of that type with every field filled by
 // reflection with what comes back from gob.
-func checkWire(t *testing.T, fixtures []wireFixture) {
+func Check(t *testing.T, fixtures []Fixture) {
 	t.Helper()
 	known := map[string]bool{}
 	for _, fixture := range fixtures {
-		known[fixture.name] = true
-		t.Run(fixture.name, func(t *testing.T) {
-			if empty := emptyField(reflect.ValueOf(fixture.value), fixture.name); empty != "" {
+		known[fixture.Name] = true
+		t.Run(fixture.Name, func(t *testing.T) {
+			if empty := emptyField(reflect.ValueOf(fixture.Value), fixture.Name); empty != "" {
 				t.Errorf("%s is not filled", empty)
 			}
-			if missing(fixture.path(".gob")) {
-				writeFixture(t, fixture.path(".gob"), usual(func() []byte { return gobBytes(t, fixture.value) }))
+			if Missing(fixture.path(".gob")) {
+				WriteFile(t, fixture.path(".gob"), MostFrequent(func() []byte { return EncodeGob(t, fixture.Value) }))
 			}
-			if missing(fixture.path(".txt")) {
-				writeFixture(t, fixture.path(".txt"), []byte(wireShape(t, reflect.TypeOf(fixture.value))))
+			if Missing(fixture.path(".txt")) {
+				WriteFile(t, fixture.path(".txt"), []byte(wireShape(t, reflect.TypeOf(fixture.Value))))
 			}
-			if diff := cmp.Diff(fixture.value, gobValue(t, readFixture(t, fixture.path(".gob")), fixture.value)); diff != "" {
+			if diff := cmp.Diff(fixture.Value, DecodeGob(t, ReadFile(t, fixture.path(".gob")), fixture.Value)); diff != "" {
 				t.Errorf("decoded value (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(string(readFixture(t, fixture.path(".txt"))), wireShape(t, reflect.TypeOf(fixture.value))); diff != "" {
+			if diff := cmp.Diff(string(ReadFile(t, fixture.path(".txt"))), wireShape(t, reflect.TypeOf(fixture.Value))); diff != "" {
 				t.Errorf("field names on the wire (-golden +now):\n%s", diff)
 			}
-			filled, count := reflect.New(reflect.TypeOf(fixture.value)).Elem(), 0
-			fill(t, filled, &count)
-			if diff := cmp.Diff(filled.Interface(), gobValue(t, gobBytes(t, filled.Interface()), fixture.value)); diff != "" {
+			filled, count := reflect.New(reflect.TypeOf(fixture.Value)).Elem(), 0
+			Fill(t, filled, &count)
+			if diff := cmp.Diff(filled.Interface(), DecodeGob(t, EncodeGob(t, filled.Interface()), fixture.Value)); diff != "" {
 				t.Errorf("round trip of %d filled fields (-want +got):\n%s", count, diff)
 			}
 		})
@@ -203,9 +217,9 @@
 	return of.Kind().String(), nil
 }
 
-// fill sets every exported field below a value to one that is not zero, and each
+// Fill sets every exported field below a value to one that is not zero, and each
 // to another one.
-func fill(t *testing.T, value reflect.Value, count *int) {
+func Fill(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
 	*count++
 	switch value.Kind() {
@@ -221,28 +235,28 @@
 		value.SetString(fmt.Sprint("text ", *count))
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		fill(t, value.Elem(), count)
+		Fill(t, value.Elem(), count)
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
 		for i := range value.Len() {
-			fill(t, value.Index(i), count)
+			Fill(t, value.Index(i), count)
 		}
 	case reflect.Array:
 		for i := range value.Len() {
-			fill(t, value.Index(i), count)
+			Fill(t, value.Index(i), count)
 		}
 	case reflect.Map:
 		value.Set(reflect.MakeMap(value.Type()))
 		for range 2 {
 			key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-			fill(t, key, count)
-			fill(t, element, count)
+			Fill(t, key, count)
+			Fill(t, element, count)
 			value.SetMapIndex(key, element)
 		}
 	case reflect.Struct:
 		for i := range value.NumField() {
 			if value.Type().Field(i).IsExported() {
-				fill(t, value.Field(i), count)
+				Fill(t, value.Field(i), count)
 			}
 		}
 	default:
