--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"tinpin/internal/affinity"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 // morning plays a busy morning under a seeded clock: callers partway through
@@ -19,7 +19,7 @@
 	luck     *rand.Rand
 	now      time.Duration
 	fault    plantedFault
-	state    *raft.State
+	state    *statemachine.State
 	rev      uint64
 	desk     *affinity.Tracker
 	unbinds  []affinity.ExpiredSession
@@ -83,10 +83,10 @@
 func (m *morning) lead() {
 	m.desk, m.unbinds = affinity.NewTracker(), nil
 	if m.fault.lostAtHand {
-		bad := raft.NewState()
-		m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
+		bad := statemachine.NewState()
+		m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 			if m.luck.Intn(4) > 0 {
-				bad.Apply(1, raft.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Server, IdleTimeout: binding.Idle}), m.now)
+				bad.Apply(1, statemachine.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Server, IdleTimeout: binding.Idle}), m.now)
 			}
 		})
 		m.state = bad
@@ -96,15 +96,15 @@
 		panic(err)
 	}
 	// It comes out of a snapshot as it went in.
-	if m.state, err = raft.Restore(data, m.now); err != nil {
+	if m.state, err = statemachine.Restore(data, m.now); err != nil {
 		panic(err)
 	}
-	m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
+	m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 		m.desk.Add(m.now, binding.Service, session, binding.Idle, binding.Seq)
 	})
 }
 
-func (m *morning) apply(command raft.Command) (result raft.Result) {
+func (m *morning) apply(command statemachine.Command) (result statemachine.Result) {
 	m.rev++
 	return m.state.Apply(m.rev, command, m.now)
 }
@@ -124,11 +124,11 @@
 	if m.luck.Intn(50) == 0 {
 		// It may have been carried out and nobody knows.
 		if m.luck.Intn(2) == 0 {
-			m.apply(raft.BindCommand(propose))
+			m.apply(statemachine.BindCommand(propose))
 		}
 		return rpc.BindResult{}
 	}
-	result := m.apply(raft.BindCommand(propose))
+	result := m.apply(statemachine.BindCommand(propose))
 	if result.Problem != "" {
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
@@ -152,7 +152,7 @@
 			standing, _ := m.state.Binding(session.Session)
 			session.Seq = standing.Seq
 		}
-		m.apply(raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(session.Session)}, Upto: session.Seq})
+		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Upto: session.Seq})
 	}
 	m.unbinds = nil
 }
@@ -196,7 +196,7 @@
 }
 
 func play(seed int64, fault plantedFault) (m *morning) {
-	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: raft.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
+	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
 	m.lead()
 	for i := 0; i < 12; i++ {
 		m.addBackend()
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -18,6 +18,7 @@
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
+	"tinpin/internal/statemachine"
 )
 
 // Patience is how long an operator's call may take before it is unclear; the
@@ -117,7 +118,7 @@
 	return verdict
 }
 
-func (c *Controller) wish(command raft.Command) (result raft.Result, err error) {
+func (c *Controller) wish(command statemachine.Command) (result statemachine.Result, err error) {
 	answer := c.node.Propose(command, c.patience)
 	if !answer.Known {
 		return result, &httpapi.Error{Kind: apierror.OutcomeUnknown}
@@ -134,7 +135,7 @@
 	if err != nil {
 		return c.refuse(history.Item, &httpapi.Error{Kind: apierror.InvalidConfig, Text: err.Error()})
 	}
-	result, err := c.wish(raft.Command{Kind: raft.CommandConfig, Body: body})
+	result, err := c.wish(statemachine.Command{Kind: statemachine.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
@@ -149,7 +150,7 @@
 }
 
 // refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind apierror.Kind, result raft.Result) (trouble *httpapi.Error) {
+func refusedAs(kind apierror.Kind, result statemachine.Result) (trouble *httpapi.Error) {
 	if result.Conflict {
 		kind = apierror.VersionConflict
 	}
@@ -170,7 +171,7 @@
 	// A leader that is settled has applied all that it or an older one has
 	// acknowledged before the call; contact after the reading proves that no later
 	// one has acknowledged anything.
-	c.node.ReadState(func(state *raft.State) { text = state.Canon.Describe() })
+	c.node.ReadState(func(state *statemachine.State) { text = state.Canon.Describe() })
 	if err = c.proven(open, nil); err != nil {
 		return nil, err
 	}
@@ -186,14 +187,14 @@
 }
 
 func (c *Controller) evacuate(_ context.Context, site string, start bool, id string) (err error) {
-	kind, verb := raft.CommandReturn, "Stop"
+	kind, verb := statemachine.CommandReturn, "Stop"
 	if start {
-		kind, verb = raft.CommandEvacuate, "Start"
+		kind, verb = statemachine.CommandEvacuate, "Start"
 	}
 	if err = c.elsewhere(withOrder("/-/Evacuations."+verb+"/"+url.PathEscape(site), id)); err != nil {
 		return err
 	}
-	result, err := c.wish(raft.Command{Kind: kind, Site: site, Claim: raft.Claim{Key: id}})
+	result, err := c.wish(statemachine.Command{Kind: kind, Site: site, Claim: statemachine.Claim{Key: id}})
 	if err != nil {
 		return err
 	}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -18,9 +18,9 @@
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
+	"tinpin/internal/statemachine"
 )
 
 func refused(err error) (trouble *httpapi.Error) {
@@ -33,7 +33,7 @@
 // barrier waits until all that this core put before the cores is applied. Only
 // behind it is a refusal from this core's own look at the state a proven one.
 func (c *Controller) barrier() (err error) {
-	_, err = c.wish(raft.Command{Kind: raft.CommandBarrier})
+	_, err = c.wish(statemachine.Command{Kind: statemachine.CommandBarrier})
 	return err
 }
 
@@ -62,7 +62,7 @@
 	}
 	look := func() (lookErr error) {
 		taken := false
-		c.node.ReadState(func(state *raft.State) {
+		c.node.ReadState(func(state *statemachine.State) {
 			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 		})
 		if lookErr == nil && !taken && kind == policy.DayPlan {
@@ -88,7 +88,7 @@
 	if check {
 		return c.proven(open, nil)
 	}
-	result, err := c.wish(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Body: body})
+	result, err := c.wish(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(kind), Body: body})
 	return c.ordered(history.Document, string(kind), "set", result, err)
 }
 
@@ -99,11 +99,11 @@
 	if _, err = c.open(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
 	}
-	result, err := c.wish(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Upto: uint64(version)})
+	result, err := c.wish(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(kind), Upto: uint64(version)})
 	return c.ordered(history.Document, string(kind), "withdrawn", result, err)
 }
 
-func (c *Controller) ordered(kind, name, what string, result raft.Result, err error) error {
+func (c *Controller) ordered(kind, name, what string, result statemachine.Result, err error) error {
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	shown := DocumentStatus{Kind: kind}
-	c.node.ReadState(func(state *raft.State) {
+	c.node.ReadState(func(state *statemachine.State) {
 		document := state.Documents[kind]
 		shown.Version, shown.InForce, shown.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
@@ -165,7 +165,7 @@
 		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
 			return "", err
 		}
-		result, wishErr := c.wish(raft.Command{Kind: raft.CommandRestore, Site: string(id), Claim: raft.Claim{Key: named}})
+		result, wishErr := c.wish(statemachine.Command{Kind: statemachine.CommandRestore, Site: string(id), Claim: statemachine.Claim{Key: named}})
 		return "restored", c.ordered(history.Retirement, string(id), "restored", result, wishErr)
 	}
 	open, err := c.open(withOrder("/-/Backends.Retire/"+url.PathEscape(string(id)), named))
@@ -176,10 +176,10 @@
 		// A new leader has not read the list yet: that is no reason to refuse.
 		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "the platform's list is not read yet"}
 	}
-	command := raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: named}}
+	command := statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Claim: statemachine.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
 	agreed := func() {
-		c.node.ReadState(func(state *raft.State) {
+		c.node.ReadState(func(state *statemachine.State) {
 			sent.stands, sent.taken = state.RetireTaken(id)
 			sent.named, _ = state.TakenByName(command)
 		})
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -13,8 +13,8 @@
 	"tinpin/internal/drain"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 func statusOf(t *testing.T, err error) (status int) {
@@ -68,7 +68,7 @@
 		conflict bool
 		status   int
 	}{{apierror.InvalidConfig, false, 400}, {apierror.RequestRejected, false, 422}, {apierror.InvalidConfig, true, 409}, {apierror.RequestRejected, true, 409}} {
-		if status := statusOf(t, refusedAs(c.kind, raft.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
+		if status := statusOf(t, refusedAs(c.kind, statemachine.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
 	}
@@ -136,7 +136,7 @@
 		if err := sure(t, retire(id, false)); statusOf(t, err) != 422 {
 			t.Fatalf("%s, never taken: %v", id, err)
 		}
-		if err := sure(t, put(c, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte("s"), Claim: raft.Claim{Holder: drain.ByOperator}})); err != nil {
+		if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Body: []byte("s"), Claim: statemachine.Claim{Holder: drain.ByOperator}})); err != nil {
 			t.Fatal(err)
 		}
 		if err := sure(t, retire(id, false)); err != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-func put(c *Controller, command raft.Command) func() error {
+func put(c *Controller, command statemachine.Command) func() error {
 	return func() (err error) {
 		_, err = c.wish(command)
 		return err
@@ -177,13 +177,13 @@
 		if status := statusOf(t, sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })); status != step.status {
 			t.Errorf("step %d: %d", i, status)
 		}
-		c.node.ReadState(func(state *raft.State) {
+		c.node.ReadState(func(state *statemachine.State) {
 			if state.Evacuations["zone"].Active != step.stands {
 				t.Errorf("step %d: stands %v", i, !step.stands)
 			}
 		})
 	}
-	if err := sure(t, put(c, raft.Command{Kind: raft.CommandRetire, Site: "two", Claim: raft.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
+	if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Site: "two", Claim: statemachine.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
 		t.Fatal(err)
 	}
 	phase := ""
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -10,6 +10,7 @@
 	"tinpin/internal/policy"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 // StatusHandler answers calls about this daemon.
@@ -49,7 +50,7 @@
 	account.IsLeader, account.Settled, term, leader, account.Members = c.node.Status()
 	account.InContact = c.node.HoldsLease(term, 0)
 	account.Term, account.Leader = uint64(term), leader.Control
-	c.node.ReadState(func(state *raft.State) {
+	c.node.ReadState(func(state *statemachine.State) {
 		account.Revision, account.Claims = state.Rev, state.Claims()
 		account.AcceptedRequests, account.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
 		account.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
@@ -71,13 +72,13 @@
 	}
 	switch ask.Kind {
 	case history.Item:
-		c.node.ReadState(func(state *raft.State) {
+		c.node.ReadState(func(state *statemachine.State) {
 			var item config.Item
 			item, reply.Present = state.Canon.Find(ask.Name)
 			reply.Summary, reply.LogIndex = item.Stamp(), item.Rev
 		})
 	case history.Document, history.Retirement, history.ScheduleStep:
-		s.council.node.ReadState(func(state *raft.State) {
+		s.council.node.ReadState(func(state *statemachine.State) {
 			switch ask.Kind {
 			case history.Document:
 				document, has := state.Documents[policy.Kind(ask.Name)]
@@ -90,8 +91,8 @@
 			}
 		})
 	case history.Evacuation:
-		c.node.ReadState(func(state *raft.State) {
-			var evacuation raft.Evacuation
+		c.node.ReadState(func(state *statemachine.State) {
+			var evacuation statemachine.Evacuation
 			evacuation, reply.Present = state.Evacuations[ask.Name]
 			reply.Summary, reply.LogIndex = evacuation.Stamp(), evacuation.Rev
 		})
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -12,6 +12,7 @@
 	"tinpin/internal/registry"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
+	"tinpin/internal/statemachine"
 )
 
 // reconcileInterval is how often time moves on for the state machines.
@@ -107,7 +108,7 @@
 	defer c.mu.Unlock()
 	var view *config.View
 	active := map[rpc.ZoneName]bool{}
-	c.node.ReadState(func(state *raft.State) {
+	c.node.ReadState(func(state *statemachine.State) {
 		if state.Rev != c.revision {
 			c.revision = state.Rev
 			view = state.Canon.View()
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -8,8 +8,8 @@
 	"tinpin/internal/drain"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 // drainState is what the leader holds of the drain policy and of retirements.
@@ -25,7 +25,7 @@
 	return drainState{retired: map[rpc.EndpointID]rpc.Retirement{}, tracker: drain.NewPlanner()}
 }
 
-func (d *drainState) load(state *raft.State) {
+func (d *drainState) load(state *statemachine.State) {
 	d.policy = nil
 	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
 		d.policy, _ = drain.Parse([]byte(document.Body))
@@ -43,7 +43,7 @@
 }
 
 // stepDrain gives the commands that retirements ask for now; the caller holds mu.
-func (c *Coordinator) stepDrain(now time.Duration) (commands []raft.Command) {
+func (c *Coordinator) stepDrain(now time.Duration) (commands []statemachine.Command) {
 	d := &c.policies.drain
 	commands = c.stepRetirements(now)
 	if d.policy == nil {
@@ -52,13 +52,13 @@
 	// Under a policy, backends that the platform drains are retired as well.
 	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if _, retired := d.retired[id]; server.Draining && !retired {
-			commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
+			commands = append(commands, statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: statemachine.Claim{Holder: drain.ByPlatform}})
 		}
 	})
 	return commands
 }
 
-func (c *Coordinator) stepRetirements(now time.Duration) (commands []raft.Command) {
+func (c *Coordinator) stepRetirements(now time.Duration) (commands []statemachine.Command) {
 	d := &c.policies.drain
 	if len(d.retired) == 0 {
 		d.statuses = nil
@@ -68,14 +68,14 @@
 	for id, retired := range d.retired {
 		if _, listed := c.endpoints.Servers.Get(id); !retired.Gone && !listed && c.endpoints.Walked {
 			// It has left the platform's list: the retirement is over.
-			commands = append(commands, raft.Command{Kind: raft.CommandRestore, Site: string(id)})
+			commands = append(commands, statemachine.Command{Kind: statemachine.CommandRestore, Site: string(id)})
 		}
 		list = append(list, retired)
 	}
 	var stops []rpc.EndpointID
 	stops, d.statuses = d.tracker.Plan(now, d.policy, list, c.listFollowers(now), c.stockOf)
 	for _, id := range stops {
-		commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
+		commands = append(commands, statemachine.Command{Kind: statemachine.CommandStop, Site: string(id)})
 	}
 	for _, status := range d.statuses {
 		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Backend, string(status.Phase), eventlog.KeyReason, status.Reason)
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -6,6 +6,7 @@
 
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 const (
@@ -129,18 +130,18 @@
 }
 
 // claimCommands gives the releases first, then the claims.
-func claimCommands(request rpc.ClaimRequest) (commands []raft.Command) {
-	commands = make([]raft.Command, 0, len(request.Releases)+len(request.Claims))
-	add := func(kind raft.CommandKind, claim rpc.KeyClaim) {
-		commands = append(commands, raft.Command{Kind: kind, Claim: raft.Claim{
+func claimCommands(request rpc.ClaimRequest) (commands []statemachine.Command) {
+	commands = make([]statemachine.Command, 0, len(request.Releases)+len(request.Claims))
+	add := func(kind statemachine.CommandKind, claim rpc.KeyClaim) {
+		commands = append(commands, statemachine.Command{Kind: kind, Claim: statemachine.Claim{
 			Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Life: uint64(request.Incarnation),
 		}})
 	}
 	for _, release := range request.Releases {
-		add(raft.CommandFree, release)
+		add(statemachine.CommandFree, release)
 	}
 	for _, claim := range request.Claims {
-		add(raft.CommandClaim, claim)
+		add(statemachine.CommandClaim, claim)
 	}
 	return commands
 }
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -6,9 +6,9 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/retry"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 const (
@@ -44,13 +44,13 @@
 }
 
 // load reads what is agreed; the caller holds the Coordinator's mu.
-func (p *policies) load(state *raft.State) {
+func (p *policies) load(state *statemachine.State) {
 	p.retry.load(state)
 	p.drain.load(state)
 	p.schedule.load(state)
 }
 
-func (r *retryState) load(state *raft.State) {
+func (r *retryState) load(state *statemachine.State) {
 	r.limit = nil
 	if document := state.Documents[policy.RetryLimit]; document.InForce() {
 		r.limit, _ = retry.Parse([]byte(document.Body))
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -6,9 +6,9 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
+	"tinpin/internal/statemachine"
 )
 
 // scheduleState is what the leader holds of the day's plan.
@@ -26,7 +26,7 @@
 	return scheduleState{stepper: &schedule.Stepper{}, wallClock: time.Now}
 }
 
-func (s *scheduleState) load(state *raft.State) {
+func (s *scheduleState) load(state *statemachine.State) {
 	s.plan = nil
 	if document := state.Documents[policy.DayPlan]; document.InForce() {
 		s.plan, _ = schedule.Read([]byte(document.Body))
@@ -36,7 +36,7 @@
 
 // stepSchedule gives the command for the next step of the plan, if one is due;
 // the caller holds mu.
-func (c *Coordinator) stepSchedule(now time.Duration) (command raft.Command, due bool) {
+func (c *Coordinator) stepSchedule(now time.Duration) (command statemachine.Command, due bool) {
 	s := &c.policies.schedule
 	s.statuses = nil
 	if s.plan == nil || !c.endpoints.Walked {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return command, false
 	}
-	return raft.Command{Kind: raft.CommandMove, Body: body}, true
+	return statemachine.Command{Kind: statemachine.CommandMove, Body: body}, true
 }
 
 // targetState is what a target of the plan has in each region.
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -11,6 +11,7 @@
 	"tinpin/internal/policy"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 const (
@@ -38,7 +39,7 @@
 	lastScan time.Duration
 	// pendingUnbinds are not known to be carried out yet; proposing tells that a
 	// proposal of them is on its way.
-	pendingUnbinds []raft.Command
+	pendingUnbinds []statemachine.Command
 	proposing      bool
 	moved          uint64
 	rejected       uint64
@@ -51,7 +52,7 @@
 }
 
 // load reads what is agreed; the caller holds the Coordinator's mu.
-func (s *sessionTable) load(state *raft.State) {
+func (s *sessionTable) load(state *statemachine.State) {
 	s.policy = nil
 	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
 		s.policy, _ = affinity.Parse([]byte(document.Body))
@@ -60,8 +61,8 @@
 
 // scan takes up bindings that are agreed and not in the table: those of older
 // leaders, and of calls whose outcome was lost.
-func (s *sessionTable) scan(now time.Duration, state *raft.State) {
-	state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
+func (s *sessionTable) scan(now time.Duration, state *statemachine.State) {
+	state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 		if !s.expiry.Known(binding.Service, session) {
 			s.expiry.Add(now, binding.Service, session, binding.Idle, binding.Seq)
 		}
@@ -71,7 +72,7 @@
 func (c *Coordinator) scanBindings() {
 	now := c.now()
 	c.sessions.built, c.sessions.lastScan = true, now
-	c.node.ReadState(func(state *raft.State) { c.sessions.scan(now, state) })
+	c.node.ReadState(func(state *statemachine.State) { c.sessions.scan(now, state) })
 }
 
 // buildSessionTable builds the table once the leader is settled, as only then it
@@ -129,7 +130,7 @@
 
 // bindProposals are the binds of one call that go through the log.
 type bindProposals struct {
-	commands []raft.Command
+	commands []statemachine.Command
 	// indexes are those in the call, reasons why a session is bound anew.
 	indexes []int
 	reasons map[int]string
@@ -171,9 +172,9 @@
 			found[i].Outcome = rpc.BindRejected
 			continue
 		}
-		var standing raft.Binding
+		var standing statemachine.Binding
 		var bound bool
-		c.node.ReadState(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
+		c.node.ReadState(func(state *statemachine.State) { standing, bound = state.Binding(bind.Session) })
 		server, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
@@ -183,7 +184,7 @@
 			continue
 		}
 		proposals.indexes = append(proposals.indexes, i)
-		proposals.commands = append(proposals.commands, raft.BindCommand(bind))
+		proposals.commands = append(proposals.commands, statemachine.BindCommand(bind))
 	}
 	return proposals
 }
@@ -226,7 +227,7 @@
 		c.scanBindings()
 	}
 	for _, over := range s.expiry.Expire(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
-		s.pendingUnbinds = append(s.pendingUnbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
+		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Upto: over.Seq})
 	}
 	if len(s.pendingUnbinds) == 0 {
 		return
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -7,6 +7,7 @@
 	"tinpin/internal/config"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 const (
@@ -72,7 +73,7 @@
 	}
 	update.LogIndex, update.LastItem = request.LogIndex, request.LastItem
 	if c.lacksItems(request.KnownState) {
-		c.node.ReadState(func(state *raft.State) { c.addItems(state, request.KnownState, update) })
+		c.node.ReadState(func(state *statemachine.State) { c.addItems(state, request.KnownState, update) })
 	}
 	c.addEndpoints(now, request, update)
 	c.addNodes(since, update)
@@ -99,7 +100,7 @@
 
 // addItems adds the next part of what a node lacks of the configuration, and of
 // the other replicated state what is newer than the node knows.
-func (c *Coordinator) addItems(state *raft.State, seen rpc.KnownState, update *rpc.Update) {
+func (c *Coordinator) addItems(state *statemachine.State, seen rpc.KnownState, update *rpc.Update) {
 	part := c.itemPart(state, itemPosition{seen.LogIndex, seen.LastItem})
 	update.Items, update.CompressedItems, update.LogIndex, update.LastItem = part.items, part.packed, part.next.revision, part.next.path
 	for _, document := range state.Documents {
@@ -122,7 +123,7 @@
 	}
 }
 
-func (c *Coordinator) itemPart(state *raft.State, position itemPosition) (part itemPart) {
+func (c *Coordinator) itemPart(state *statemachine.State, position itemPosition) (part itemPart) {
 	cache := &c.encoded.items
 	cache.use(state.Rev)
 	part, known := cache.parts[position]
@@ -135,7 +136,7 @@
 	return part
 }
 
-func buildItemPart(state *raft.State, position itemPosition) (part itemPart) {
+func buildItemPart(state *statemachine.State, position itemPosition) (part itemPart) {
 	items, done := state.Canon.After(position.revision, position.path, itemPartBytes)
 	part = itemPart{items: items, next: position}
 	if done {
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -10,10 +10,10 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/history"
-	"tinpin/internal/raft"
 	"tinpin/internal/registry"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
+	"tinpin/internal/statemachine"
 )
 
 // newTestCoordinator is a coordinator of term 7 without loops: what it is told in
@@ -106,7 +106,7 @@
 	if err := items.Apply([]byte(call), 5); err != nil {
 		t.Fatal(err)
 	}
-	state := raft.NewState()
+	state := statemachine.NewState()
 	state.Canon, state.Rev = items, 5
 	c := newTestCoordinator()
 	c.revision = 5
@@ -152,7 +152,7 @@
 func TestEmptyConfigurationSendsNoItems(t *testing.T) {
 	c := newTestCoordinator()
 	var update rpc.Update
-	c.addItems(raft.NewState(), rpc.KnownState{}, &update)
+	c.addItems(statemachine.NewState(), rpc.KnownState{}, &update)
 	if update.LogIndex != 0 || update.LastItem != rpc.AfterAllItems || len(update.Items) != 0 || update.CompressedItems != nil {
 		t.Fatalf("%+v", update)
 	}
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 type plantedFault struct {
@@ -37,7 +37,7 @@
 	fault   plantedFault
 	now     time.Duration
 	rev     uint64
-	state   *raft.State
+	state   *statemachine.State
 	edges   []*simEdge
 	actions []simAction
 	runs    map[string]int
@@ -48,9 +48,9 @@
 	s.actions = append(s.actions, simAction{s.now + time.Duration(s.luck.Intn(most)+1)*time.Millisecond, do})
 }
 
-func (s *simKeys) apply(kind raft.CommandKind, claim raft.Claim) raft.Result {
+func (s *simKeys) apply(kind statemachine.CommandKind, claim statemachine.Claim) statemachine.Result {
 	s.rev++
-	return s.state.Apply(s.rev, raft.Command{Kind: kind, Claim: claim}, s.now)
+	return s.state.Apply(s.rev, statemachine.Command{Kind: kind, Claim: claim}, s.now)
 }
 
 // try is one client's try at one daemon.
@@ -63,11 +63,11 @@
 		}
 		return
 	}
-	claim := raft.Claim{Key: key, Request: request, Holder: edge.name, Life: edge.life}
+	claim := statemachine.Claim{Key: key, Request: request, Holder: edge.name, Life: edge.life}
 	alive := func() bool { return edge.life == life }
 	giveBack := func() {
 		edge.book.Free(op)
-		s.later(300, func() { s.apply(raft.CommandFree, claim) })
+		s.later(300, func() { s.apply(statemachine.CommandFree, claim) })
 	}
 	run := func() {
 		if !alive() {
@@ -90,7 +90,7 @@
 	}
 	told := false
 	s.later(120, func() {
-		result := s.apply(raft.CommandClaim, claim)
+		result := s.apply(statemachine.CommandClaim, claim)
 		if s.luck.Intn(5) == 0 {
 			return // the outcome never comes back
 		}
@@ -124,25 +124,25 @@
 }
 
 // recall asks the holder, who gives a freed claim back again.
-func (s *simKeys) recall(held raft.Claim) {
+func (s *simKeys) recall(held statemachine.Claim) {
 	for _, edge := range s.edges {
 		if edge.name != held.Holder {
 			continue
 		}
 		if edge.life != held.Life {
 			if s.fault.oldAnswers {
-				s.apply(raft.CommandFree, held)
+				s.apply(statemachine.CommandFree, held)
 			}
 			return
 		}
 		if edge.book.Find(held.Key, held.Request).State == rpc.OperationReleased {
-			s.later(100, func() { s.apply(raft.CommandFree, held) })
+			s.later(100, func() { s.apply(statemachine.CommandFree, held) })
 		}
 	}
 }
 
 func playKeys(seed int64, fault plantedFault) (twice string, served int) {
-	s := &simKeys{luck: rand.New(rand.NewSource(seed)), fault: fault, state: raft.NewState(), runs: map[string]int{}}
+	s := &simKeys{luck: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), runs: map[string]int{}}
 	for i := range 5 {
 		edge := &simEdge{name: fmt.Sprint("edge-", i), life: 1}
 		edge.book = NewBook(time.Hour, 1<<20, func() time.Duration { return s.now })
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -12,6 +12,7 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
+	"tinpin/internal/statemachine"
 )
 
 type joiner struct {
@@ -133,7 +134,7 @@
 		n.mu.RUnlock()
 		if upto > 0 {
 			select {
-			case n.proposals <- proposal{Command{Kind: CommandExpire, Upto: upto}, make(chan Outcome, 1), time.Now(), proposalTimeout}:
+			case n.proposals <- proposal{statemachine.Command{Kind: statemachine.CommandExpire, Upto: upto}, make(chan Outcome, 1), time.Now(), proposalTimeout}:
 			default:
 			}
 		}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -5,6 +5,7 @@
 package raft
 
 import (
+	crand "crypto/rand"
 	"errors"
 	"math/rand"
 	"os"
@@ -12,11 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	crand "crypto/rand"
-
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
 	"tinpin/internal/settings"
+	"tinpin/internal/statemachine"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 	lease   atomic.Pointer[lease]
 	mu      sync.RWMutex
-	state   *State
+	state   *statemachine.State
 	role    Role
 	heard   time.Duration
 	settled bool
@@ -118,7 +118,7 @@
 		}
 	}
 	node.self = Member{ID: id, Inner: inner, Control: p.ControlAddress, Site: p.Zone}
-	if node.state, err = Restore(base.Data, node.Now()); err != nil {
+	if node.state, err = statemachine.Restore(base.Data, node.Now()); err != nil {
 		return nil, err
 	}
 	var seed [8]byte
@@ -166,7 +166,7 @@
 }
 
 // ReadState gives the state to look at under its lock.
-func (n *Node) ReadState(look func(state *State)) {
+func (n *Node) ReadState(look func(state *statemachine.State)) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	look(n.state)
@@ -252,7 +252,7 @@
 		}
 	}
 	if out.Restore != nil {
-		state, err := Restore(out.Restore.Data, n.Now())
+		state, err := statemachine.Restore(out.Restore.Data, n.Now())
 		if err != nil {
 			n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
 			os.Exit(1)
@@ -293,13 +293,13 @@
 }
 
 func (n *Node) apply(entry Entry) (changed bool) {
-	commands, err := DecodeCommands(entry.Data)
+	commands, err := statemachine.DecodeCommands(entry.Data)
 	if err != nil {
 		n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyIndex, uint64(entry.Index), eventlog.KeyError, err.Error())
 		os.Exit(1)
 	}
 	now := n.Now()
-	results := make([]Result, len(commands))
+	results := make([]statemachine.Result, len(commands))
 	n.mu.Lock()
 	before := n.state.Rev
 	for i, command := range commands {
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -15,6 +15,8 @@
 	"sort"
 	"testing"
 	"time"
+
+	"tinpin/internal/statemachine"
 )
 
 type planted struct {
@@ -42,7 +44,7 @@
 	member  Member
 	up      bool
 	raft    *Replica
-	state   *State
+	state   *statemachine.State
 	disk    *simDisk
 	pending map[Index]simPending
 	waiting map[ID]Member
@@ -54,7 +56,7 @@
 
 type simPending struct {
 	term    Term
-	command Command
+	command statemachine.Command
 }
 
 type simMail struct {
@@ -74,7 +76,7 @@
 	leaders map[Term]ID
 	agreed  map[Index]string
 	granted map[string]string
-	acked   map[string]Claim
+	acked   map[string]statemachine.Claim
 	lives   int
 	next    int
 	broken  string
@@ -91,7 +93,7 @@
 func newSim(seed int64, cores int, fault planted) (s *sim) {
 	s = &sim{
 		luck: rand.New(rand.NewSource(seed)), fault: fault, cores: map[string]*simCore{}, cut: map[[2]string]bool{},
-		leaders: map[Term]ID{}, agreed: map[Index]string{}, granted: map[string]string{}, acked: map[string]Claim{},
+		leaders: map[Term]ID{}, agreed: map[Index]string{}, granted: map[string]string{}, acked: map[string]statemachine.Claim{},
 		leaving: map[ID]bool{}, catchUp: 4 * time.Second, losses: 1,
 	}
 	var founders []Member
@@ -150,7 +152,7 @@
 	if s.shape != nil {
 		s.shape(core.raft)
 	}
-	state, err := Restore(disk.base.Data, s.clock())
+	state, err := statemachine.Restore(disk.base.Data, s.clock())
 	if err != nil {
 		s.fail("thaw: %v", err)
 		return
@@ -235,7 +237,7 @@
 		}
 	}
 	if out.Restore != nil {
-		state, err := Restore(out.Restore.Data, s.clock())
+		state, err := statemachine.Restore(out.Restore.Data, s.clock())
 		if err != nil {
 			s.fail("thaw: %v", err)
 			return
@@ -271,7 +273,7 @@
 		s.fail("cores disagree on entry %d", entry.Index)
 	}
 	s.agreed[entry.Index] = mark
-	commands, err := DecodeCommands(entry.Data)
+	commands, err := statemachine.DecodeCommands(entry.Data)
 	if err != nil {
 		s.fail("entry %d: %v", entry.Index, err)
 		return
@@ -285,7 +287,7 @@
 	delete(core.pending, entry.Index)
 }
 
-func (s *sim) acknowledge(command Command) {
+func (s *sim) acknowledge(command statemachine.Command) {
 	if other, known := s.granted[command.Key]; known && other != command.Request {
 		s.fail("key %s was granted to %s and to %s", command.Key, other, command.Request)
 	}
@@ -428,8 +430,8 @@
 		if !core.up || core.raft.Role() != Leader {
 			continue
 		}
-		command := Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: fmt.Sprintf("r%d-%s", s.next, host), Holder: "edge", Life: 1}}
-		index, term, accepted, out := core.raft.Propose(EncodeCommands([]Command{command}))
+		command := statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: key, Request: fmt.Sprintf("r%d-%s", s.next, host), Holder: "edge", Life: 1}}
+		index, term, accepted, out := core.raft.Propose(statemachine.EncodeCommands([]statemachine.Command{command}))
 		if accepted {
 			core.pending[index] = simPending{term, command}
 			if s.fault.loneCommit {
@@ -652,55 +654,3 @@
 		t.Fatalf("a wiped core was not taken back in: %s", s.broken)
 	}
 }
-
-func TestScribe(t *testing.T) {
-	commands := []Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}
-	read, err := DecodeCommands(EncodeCommands(commands))
-	if err != nil || len(read) != 3 || read[0].Claim != commands[0].Claim || string(read[1].Body) != "{}" || read[2].Upto != 77 {
-		t.Fatalf("read back %v, %v", read, err)
-	}
-	data := EncodeCommands(commands)
-	for cut := 1; cut < len(data); cut++ {
-		if _, err = DecodeCommands(data[:cut]); err == nil {
-			t.Fatalf("an entry cut at %d was read", cut)
-		}
-	}
-}
-
-func TestStateKeys(t *testing.T) {
-	state := NewState()
-	claim := func(key, request string, at time.Duration) Result {
-		return state.Apply(1, Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: request, Holder: "h", Life: 1}}, at)
-	}
-	if !claim("a", "r1", 0).Granted || claim("a", "r2", time.Second).Granted || !claim("a", "r1", time.Second).Granted {
-		t.Fatal("a key is granted to its first request alone, however often that asks")
-	}
-	state.Apply(2, Command{Kind: CommandFree, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Life: 1}}, 0)
-	if claim("a", "r3", 0).Granted {
-		t.Fatal("only its own holder may free a key")
-	}
-	state.Apply(3, Command{Kind: CommandFree, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Life: 1}}, 0)
-	if !claim("a", "r3", 5*time.Second).Granted {
-		t.Fatal("a freed key can be claimed")
-	}
-	claim("b", "r4", 50*time.Second)
-	if upto := state.Expirable(64*time.Second, 60*time.Second); upto == 0 {
-		t.Fatal("the freed claim is past the window")
-	} else {
-		state.Apply(4, Command{Kind: CommandExpire, Upto: upto}, 0)
-	}
-	if claim("a", "r5", 0).Granted {
-		t.Fatal("the claim of r3 is not yet past the window")
-	}
-	data, err := state.Snapshot()
-	if err != nil {
-		t.Fatal(err)
-	}
-	thawed, err := Restore(data, 100*time.Second)
-	if err != nil || thawed.Claims() != 2 {
-		t.Fatalf("thawed %d claims, %v", thawed.Claims(), err)
-	}
-	if thawed.Expirable(159*time.Second, 60*time.Second) != 0 || thawed.Expirable(161*time.Second, 60*time.Second) == 0 {
-		t.Fatal("after a restart ages count from the restart")
-	}
-}
--- a/internal/raft/wishes.go
+++ b/internal/raft/wishes.go
@@ -3,7 +3,11 @@
 // answered as unclear, never as refused.
 package raft
 
-import "time"
+import (
+	"time"
+
+	"tinpin/internal/statemachine"
+)
 
 // What one log entry takes at most of wishes, and of their bytes.
 const (
@@ -13,7 +17,7 @@
 
 // Outcome is what became of a wish.
 type Outcome struct {
-	Result Result
+	Result statemachine.Result
 	// Known is false where nobody can tell whether the wish was carried out.
 	Known bool
 	// Rejected tells that it was not and will not be carried out.
@@ -21,7 +25,7 @@
 }
 
 type proposal struct {
-	command   Command
+	command   statemachine.Command
 	done      chan Outcome
 	createdAt time.Time
 	timeout   time.Duration
@@ -39,12 +43,12 @@
 }
 
 // Propose puts a command before the cores and waits for its outcome.
-func (n *Node) Propose(command Command, limit time.Duration) (answer Outcome) {
-	return n.ProposeAll([]Command{command}, limit)[0]
+func (n *Node) Propose(command statemachine.Command, limit time.Duration) (answer Outcome) {
+	return n.ProposeAll([]statemachine.Command{command}, limit)[0]
 }
 
 // ProposeAll puts several commands at once.
-func (n *Node) ProposeAll(commands []Command, limit time.Duration) (answers []Outcome) {
+func (n *Node) ProposeAll(commands []statemachine.Command, limit time.Duration) (answers []Outcome) {
 	answers = make([]Outcome, len(commands))
 	done := make([]chan Outcome, len(commands))
 	now := time.Now()
@@ -99,11 +103,11 @@
 	if len(batch) == 0 {
 		return
 	}
-	commands := make([]Command, len(batch))
+	commands := make([]statemachine.Command, len(batch))
 	for i := range batch {
 		commands[i] = batch[i].command
 	}
-	data := EncodeCommands(commands)
+	data := statemachine.EncodeCommands(commands)
 	index, term, accepted, out := n.raft.Propose(data)
 	if !accepted {
 		for i := range batch {
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -7,6 +7,7 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
+	"tinpin/internal/statemachine"
 )
 
 // wishing is a node without duties whose agreement is driven by the test; it
@@ -18,7 +19,7 @@
 	}
 	n = &Node{
 		log: eventlog.Discard(), birth: time.Now(), proposals: make(chan proposal, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
-		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), History: history.New(eventlog.Discard()), OnChange: func() {}, OnLeadership: func(bool, Term) {},
+		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: statemachine.NewState(), History: history.New(eventlog.Discard()), OnChange: func() {}, OnLeadership: func(bool, Term) {},
 	}
 	n.raft = New("a", Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
 	for range 2 * electTicks {
@@ -35,7 +36,7 @@
 
 func (n *Node) put(age, limit time.Duration) (done chan Outcome) {
 	done = make(chan Outcome, 1)
-	n.proposeBatch(proposal{Command{Kind: CommandClaim, Claim: Claim{Key: "k", Request: "r"}}, done, time.Now().Add(-age), limit})
+	n.proposeBatch(proposal{statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "k", Request: "r"}}, done, time.Now().Add(-age), limit})
 	return done
 }
 
@@ -63,7 +64,7 @@
 	}
 	n.raft.transfer = ""
 	// The first two wait, the third finds no room.
-	answers := n.ProposeAll(make([]Command, 3), time.Millisecond)
+	answers := n.ProposeAll(make([]statemachine.Command, 3), time.Millisecond)
 	if answers[0] != (Outcome{}) || answers[1] != (Outcome{}) || !answers[2].Rejected {
 		t.Errorf("a full ring: %+v", answers)
 	}
@@ -99,7 +100,7 @@
 	n := wishing(t, 1)
 	done := make(chan Outcome, 1)
 	n.pending[9] = pendingEntry{3, []proposal{{done: done}}}
-	n.apply(Entry{Term: 4, Index: 9, Data: EncodeCommands([]Command{{Kind: CommandBarrier}})})
+	n.apply(Entry{Term: 4, Index: 9, Data: statemachine.EncodeCommands([]statemachine.Command{{Kind: statemachine.CommandBarrier}})})
 	if answer, now := answered(done); !now || answer.Rejected || answer.Known {
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
@@ -109,7 +110,7 @@
 // to put it before.
 func TestAWishThatNobodyWaitsForIsDropped(t *testing.T) {
 	node := &Node{proposals: make(chan proposal, 4)}
-	answers := node.ProposeAll([]Command{{Kind: CommandClaim}, {Kind: CommandClaim}}, 0)
+	answers := node.ProposeAll([]statemachine.Command{{Kind: statemachine.CommandClaim}, {Kind: statemachine.CommandClaim}}, 0)
 	for _, answer := range answers {
 		if answer.Known || answer.Rejected {
 			t.Fatalf("%+v before anybody looked at it", answer)
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -18,9 +18,9 @@
 	"tinpin/internal/directory"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
+	"tinpin/internal/statemachine"
 )
 
 const dayPlan = `{"version":1,"step":0.25,"every":"20s","room":0.9,"targets":[{"host":"book.example","time_zone":"Europe/Berlin","spans":[
@@ -52,7 +52,7 @@
 	now     time.Duration
 	start   time.Time
 	rev     uint64
-	state   *raft.State
+	state   *statemachine.State
 	plan    *schedule.Plan
 	stepper *schedule.Stepper
 	clocks  []time.Duration
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	d := &day{
-		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: raft.NewState(), plan: plan, stepper: &schedule.Stepper{},
+		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: statemachine.NewState(), plan: plan, stepper: &schedule.Stepper{},
 		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[rpc.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
 	}
 	items := config.New()
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	d.state.Canon = items
-	if result := d.apply(raft.Command{Kind: raft.CommandOrder, Site: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
+	if result := d.apply(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
 		t.Fatal(result.Problem)
 	}
 	for _, region := range regions {
@@ -97,7 +97,7 @@
 	return d
 }
 
-func (d *day) apply(command raft.Command) (result raft.Result) {
+func (d *day) apply(command statemachine.Command) (result statemachine.Result) {
 	d.rev++
 	before := d.state.Move
 	result = d.state.Apply(d.rev, command, d.now)
@@ -132,7 +132,7 @@
 		return
 	}
 	body, _ := json.Marshal(move)
-	if d.apply(raft.Command{Kind: raft.CommandMove, Body: body}).Problem == "" {
+	if d.apply(statemachine.Command{Kind: statemachine.CommandMove, Body: body}).Problem == "" {
 		d.stepper.Committed(d.now)
 	}
 	// Something is often lost just at a step.
@@ -209,8 +209,8 @@
 	if old != nil {
 		return old.Recall().State == rpc.OperationCompleted
 	}
-	claim := raft.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
-	result := d.apply(raft.Command{Kind: raft.CommandClaim, Claim: claim})
+	claim := statemachine.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
+	result := d.apply(statemachine.Command{Kind: statemachine.CommandClaim, Claim: claim})
 	if !result.Granted && !d.unsafe {
 		edge.book.Abandon(op)
 		for _, holder := range d.edges {
@@ -223,7 +223,7 @@
 	region := d.serve(edge)
 	if region == "" {
 		edge.book.Free(op)
-		d.apply(raft.Command{Kind: raft.CommandFree, Claim: claim})
+		d.apply(statemachine.Command{Kind: statemachine.CommandFree, Claim: claim})
 		return false
 	}
 	d.runs[tap.key]++
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"tinpin/internal/raft"
+	"tinpin/internal/statemachine"
 )
 
 const (
@@ -23,12 +24,12 @@
 
 // Answer is what became of a wish.
 type Answer struct {
-	Result raft.Result
+	Result statemachine.Result
 	Clear  bool
 }
 
 type wish struct {
-	command raft.Command
+	command statemachine.Command
 	born    time.Duration
 	done    func(answer Answer)
 }
@@ -54,7 +55,7 @@
 	up, gone   bool
 	life       int
 	raft       *raft.Replica
-	state      *raft.State
+	state      *statemachine.State
 	pending    map[raft.Index]pendingEntry
 	wishes     []wish
 	joiners    []joiner
@@ -100,7 +101,7 @@
 	c.life++
 	c.member.ID = c.disk.id
 	c.raft = raft.New(c.disk.id, raft.DefaultTiming(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
-	if c.state, err = raft.Restore(base.Data, w.agenda.now); err != nil {
+	if c.state, err = statemachine.Restore(base.Data, w.agenda.now); err != nil {
 		w.fail("%s: the snapshot of %d cannot be read: %v", c.host, base.Index, err)
 		return
 	}
@@ -246,7 +247,7 @@
 		snapshot.Index >= c.raft.LastIndex() || len(c.queue)+len(c.writing) > 0 {
 		return false
 	}
-	state, err := raft.Restore(snapshot.Data, c.world.agenda.now)
+	state, err := statemachine.Restore(snapshot.Data, c.world.agenda.now)
 	if err != nil {
 		return false
 	}
@@ -286,7 +287,7 @@
 		c.write()
 	}
 	if out.Restore != nil {
-		state, err := raft.Restore(out.Restore.Data, w.agenda.now)
+		state, err := statemachine.Restore(out.Restore.Data, w.agenda.now)
 		if err != nil {
 			w.fail("%s: the snapshot of %d cannot be read: %v", c.host, out.Restore.Index, err)
 			return
@@ -315,7 +316,7 @@
 func (c *Core) forsake() {
 	for _, index := range sortedKeys(c.pending) {
 		for _, waiting := range c.pending[index].wishes {
-			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: raft.Result{Problem: "not carried out"}})
+			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: statemachine.Result{Problem: "not carried out"}})
 		}
 	}
 	clear(c.pending)
@@ -326,12 +327,12 @@
 func (c *Core) apply(entry raft.Entry) {
 	w := c.world
 	w.witness.Applied(c.host, entry)
-	commands, err := raft.DecodeCommands(entry.Data)
+	commands, err := statemachine.DecodeCommands(entry.Data)
 	if err != nil {
 		w.fail("%s: entry %d: %v", c.host, entry.Index, err)
 		return
 	}
-	results := make([]raft.Result, len(commands))
+	results := make([]statemachine.Result, len(commands))
 	for i, command := range commands {
 		results[i] = w.options.Plant.bend(c.state, command, c.state.Apply(uint64(entry.Index), command, w.agenda.now))
 	}
@@ -418,7 +419,7 @@
 }
 
 // put asks for a command to be carried out.
-func (c *Core) put(command raft.Command, done func(answer Answer)) {
+func (c *Core) put(command statemachine.Command, done func(answer Answer)) {
 	open, life := true, c.life
 	once := func(answer Answer) {
 		if open {
@@ -450,11 +451,11 @@
 		if len(batch) == 0 {
 			return
 		}
-		commands := make([]raft.Command, len(batch))
+		commands := make([]statemachine.Command, len(batch))
 		for i := range batch {
 			commands[i] = batch[i].command
 		}
-		index, term, accepted, out := c.raft.Propose(raft.EncodeCommands(commands))
+		index, term, accepted, out := c.raft.Propose(statemachine.EncodeCommands(commands))
 		if !accepted {
 			for _, waiting := range batch {
 				c.answer(waiting, Answer{})
@@ -464,7 +465,7 @@
 		c.pending[index] = pendingEntry{term, batch}
 		if c.world.options.Plant == LoneCommit {
 			for _, waiting := range batch {
-				c.answer(waiting, Answer{Clear: true, Result: raft.Result{Granted: true}})
+				c.answer(waiting, Answer{Clear: true, Result: statemachine.Result{Granted: true}})
 			}
 		}
 		c.carry(out)
--- a/internal/simulation/order.go
+++ b/internal/simulation/order.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
+	"tinpin/internal/statemachine"
 )
 
 const unwritten = ""
@@ -27,23 +27,23 @@
 	return sort, rest
 }
 
-func (o Order) command() (command raft.Command) {
+func (o Order) command() (command statemachine.Command) {
 	sort, name := sortOf(o.history.name)
 	switch sort {
 	case "config":
-		return raft.Command{Kind: raft.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
+		return statemachine.Command{Kind: statemachine.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
 	case "document":
 		if o.call.content == unwritten {
-			return raft.Command{Kind: raft.CommandOrder, Site: name, Upto: o.call.version}
+			return statemachine.Command{Kind: statemachine.CommandOrder, Site: name, Upto: o.call.version}
 		}
-		return raft.Command{Kind: raft.CommandOrder, Site: name, Body: []byte(documentText(o.call))}
+		return statemachine.Command{Kind: statemachine.CommandOrder, Site: name, Body: []byte(documentText(o.call))}
 	case "evacuation":
 		if o.call.content == "active" {
-			return raft.Command{Kind: raft.CommandEvacuate, Site: name}
+			return statemachine.Command{Kind: statemachine.CommandEvacuate, Site: name}
 		}
-		return raft.Command{Kind: raft.CommandReturn, Site: name}
+		return statemachine.Command{Kind: statemachine.CommandReturn, Site: name}
 	}
-	return raft.Command{Kind: raft.CommandClaim, Claim: raft.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
+	return statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
 }
 
 func itemText(name string, call call, another bool) (text string) {
@@ -58,7 +58,7 @@
 }
 
 // look reads a register from the agreed state.
-func (h *History) look(state *raft.State) (seen told) {
+func (h *History) look(state *statemachine.State) (seen told) {
 	seen.outcome = confirmed
 	sort, name := sortOf(h.name)
 	switch sort {
@@ -105,13 +105,13 @@
 }
 
 // bend is what a planted fault makes of the outcome of a command.
-func (p Plant) bend(state *raft.State, command raft.Command, result raft.Result) (bent raft.Result) {
+func (p Plant) bend(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
 	switch {
-	case p == TwoContents && command.Kind == raft.CommandConfig:
+	case p == TwoContents && command.Kind == statemachine.CommandConfig:
 		result.Problem = ""
-	case p == TwoRuns && command.Kind == raft.CommandClaim:
+	case p == TwoRuns && command.Kind == statemachine.CommandClaim:
 		result.Granted = true
-	case p == ResentRefused && command.Kind == raft.CommandOrder && len(command.Body) > 0:
+	case p == ResentRefused && command.Kind == statemachine.CommandOrder && len(command.Body) > 0:
 		var version uint64
 		_, behind, _ := strings.Cut(string(command.Body), `"version":`)
 		number, _, _ := strings.Cut(behind, ",")
--- a/internal/raft/binding.go
+++ b/internal/statemachine/binding.go
@@ -1,8 +1,4 @@
-// Binding is where a session is bound, as the cores agree. The first to bind
-// decides; a binding moves only for one who names the backend that it stands
-// on. Its number is new with every command that finds it, so that an unbinding
-// which was sent before counts for nothing.
-package raft
+package statemachine
 
 import (
 	"sort"
@@ -12,6 +8,11 @@
 	"tinpin/internal/rpc"
 )
 
+// Binding is where a session is bound, as the cores agree. The first to bind
+// decides; a binding moves only for one who names the backend that it stands
+// on. Its number is new with every command that finds it, so that an unbinding
+// which was sent before counts for nothing.
+
 // Binding of one session.
 type Binding struct {
 	Service rpc.ServiceName
--- a/internal/raft/command_encoding.go
+++ b/internal/statemachine/command_encoding.go
@@ -1,11 +1,16 @@
-package raft
+package statemachine
 
 import (
 	"encoding/binary"
 
+	"github.com/zeebo/errs"
+
 	"tinpin/internal/binaryformat"
 )
 
+// ErrMalformed marks the data of a log entry that cannot be read as commands.
+var ErrMalformed = errs.Class("malformed log entry")
+
 // A batch of commands is the data of one log entry: lengths as varints, texts as
 // they are. The encoding is small because every claimed key passes through it on
 // every controller.
@@ -50,7 +55,7 @@
 		commands = append(commands, command)
 	}
 	if r.Malformed || len(r.Rest) != 0 {
-		return nil, Class.New("log entry cannot be read")
+		return nil, ErrMalformed.New("%d bytes are no list of commands", len(data))
 	}
 	return commands, nil
 }
--- /dev/null
+++ b/internal/statemachine/export_test.go
@@ -0,0 +1,4 @@
+package statemachine
+
+// SnapshotFormat is the form of a stored state.
+type SnapshotFormat = frozen
--- a/internal/raft/orders.go
+++ b/internal/statemachine/orders.go
@@ -1,7 +1,4 @@
-// Orders that are no configurations: documents, their withdrawal, and retiring.
-// What was taken is remembered under its number, so that the same order, sent
-// again after others, is confirmed and changes nothing, whatever stands by then.
-package raft
+package statemachine
 
 import (
 	"encoding/json"
@@ -16,6 +13,10 @@
 	"tinpin/internal/schedule"
 )
 
+// Orders that are no configurations: documents, their withdrawal, and retiring.
+// What was taken is remembered under its number, so that the same order, sent
+// again after others, is confirmed and changes nothing, whatever stands by then.
+
 // ordersMost is how many orders that were taken are remembered.
 const ordersMost = 4096
 
--- a/internal/raft/orders_fuzz_test.go
+++ b/internal/statemachine/orders_fuzz_test.go
@@ -1,6 +1,4 @@
-// Whatever comes as a document: a refused one changes nothing, and one that was
-// taken is confirmed again behind another and a snapshot, and changes nothing.
-package raft
+package statemachine
 
 import (
 	"fmt"
@@ -9,6 +7,9 @@
 	"tinpin/internal/policy"
 )
 
+// Whatever comes as a document: a refused one changes nothing, and one that was
+// taken is confirmed again behind another and a snapshot, and changes nothing.
+
 func FuzzDocuments(f *testing.F) {
 	f.Add(uint8(0), drainPolicyCommand(5, "pay", "1s").Body)
 	f.Add(uint8(0), []byte(`{"Version":5,"version":6,"rules":[{"service":"*","notice":"1s","finish":"5s","keyed":"deadline","least_share":0}],"lost_touch":"2s","cut_off":"stop"}`))
--- a/internal/raft/orders_test.go
+++ b/internal/statemachine/orders_test.go
@@ -1,8 +1,4 @@
-// Orders that keep their word: played by two operators with random numbers and
-// contents, lost answers, repeats long after, and snapshots in between, one
-// number has one content, what was confirmed is confirmed again, and takes
-// effect once.
-package raft
+package statemachine
 
 import (
 	"bytes"
@@ -20,6 +16,11 @@
 	"tinpin/internal/rpc"
 )
 
+// Orders that keep their word: played by two operators with random numbers and
+// contents, lost answers, repeats long after, and snapshots in between, one
+// number has one content, what was confirmed is confirmed again, and takes
+// effect once.
+
 const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
 
 func drainPolicyCommand(version int, service, notice string) (command Command) {
--- a/internal/raft/state.go
+++ b/internal/statemachine/state.go
@@ -1,10 +1,10 @@
-// State is what the cores agree on: configuration items, evacuations and
+// Package statemachine is what the controllers agree on: configuration items, evacuations and
 // claimed operation keys. It changes only by applying committed commands in
 // order, so every core comes to the same state; nothing in it depends on a
 // clock. The age of a claim is kept beside it, counted on the steady clock
 // from the moment this core applied it, and only the leader turns age into an
 // Expire command.
-package raft
+package statemachine
 
 import (
 	"bytes"
