--- /dev/null
+++ b/internal/proxy/client_conn.go
@@ -0,0 +1,283 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/config"
+)
+
+// clientConn is one connection of a client.
+type clientConn struct {
+	netConn net.Conn
+	// unanswered and unansweredCount both count requests that are read and not yet answered:
+	// the one to wait for, the other to look at.
+	unanswered      sync.WaitGroup
+	unansweredCount atomic.Int64
+	// broken is set when no response can be written any more, closing when a response that
+	// closes the connection is about to be.
+	broken, closing atomic.Bool
+	// rejectAll has every request rejected, for want of descriptors.
+	rejectAll bool
+}
+
+// pendingResponse is the response to one request, in the order of the requests.
+type pendingResponse struct {
+	// handled brings the response once there is one; where it is nil, immediate is it.
+	handled   chan Response
+	immediate Response
+	// http10 tells that the client speaks HTTP/1.0.
+	http10     bool
+	closeAfter bool
+	// headOnly tells that the response has no body.
+	headOnly bool
+}
+
+var errHeadTooLarge = errors.New("head too large")
+
+// headLimitReader counts what is read, and fails once a request's head exceeds its limit.
+type headLimitReader struct {
+	conn  net.Conn
+	total int64
+	// limit is the total at which reading fails, 0 for none.
+	limit int64
+}
+
+func (r *headLimitReader) Read(into []byte) (size int, err error) {
+	if r.limit > 0 && r.total >= r.limit {
+		return 0, errHeadTooLarge
+	}
+	size, err = r.conn.Read(into)
+	r.total += int64(size)
+	return size, err
+}
+
+// serveConn serves one client connection until it ends.
+func (f *Frontend) serveConn(conn net.Conn, rejectAll bool) {
+	client := &clientConn{netConn: conn, rejectAll: rejectAll}
+	f.setIdle(client, false)
+	defer func() {
+		f.mu.Lock()
+		delete(f.conns, client)
+		f.mu.Unlock()
+		f.openConns.Add(-1)
+	}()
+	pending := make(chan *pendingResponse, maxPipelined)
+	written := make(chan struct{})
+	go f.writeResponses(client, pending, written)
+	f.readRequests(client, pending)
+	close(pending)
+	<-written
+	if !client.broken.Load() {
+		// What the client still sends is read and discarded for a moment, so that the last
+		// response is not lost to a reset.
+		closeWrite(conn)
+		_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 1<<20))
+	}
+	_ = conn.Close()
+}
+
+func closeWrite(conn net.Conn) {
+	if half, ok := conn.(*net.TCPConn); ok {
+		_ = half.CloseWrite()
+	}
+}
+
+// requestReader is the reading side of a client connection.
+type requestReader struct {
+	frontend *Frontend
+	client   *clientConn
+	source   *headLimitReader
+	in       *bufio.Reader
+	pending  chan<- *pendingResponse
+}
+
+// readRequests reads requests and has them handled until the connection is to end.
+func (f *Frontend) readRequests(client *clientConn, pending chan<- *pendingResponse) {
+	source := &headLimitReader{conn: client.netConn}
+	r := requestReader{frontend: f, client: client, source: source, in: bufio.NewReaderSize(source, 4096), pending: pending}
+	for r.readOne() {
+	}
+}
+
+// readOne reads one request and has it handled; it tells whether another may follow.
+func (r *requestReader) readOne() (more bool) {
+	limits := r.frontend.view().Limits
+	if !r.await(limits.IdleTime) {
+		return false
+	}
+	parsed, kind := r.readHead(limits)
+	if parsed == nil {
+		if kind != apierror.None {
+			r.reject(kind, "")
+		}
+		return false
+	}
+	id := parsed.Header.Get(headerRequestID)
+	if kind == apierror.None && r.client.rejectAll {
+		kind = apierror.NoRoom
+	}
+	var request *Request
+	if kind == apierror.None {
+		request, kind = r.frontend.readRequest(r.client, parsed, limits)
+	}
+	if kind != apierror.None {
+		r.reject(kind, id)
+		return false
+	}
+	return r.start(request, parsed)
+}
+
+// await waits for the first byte of a request; it returns false when the connection is to end.
+func (r *requestReader) await(idleTime time.Duration) bool {
+	f, client := r.frontend, r.client
+	r.source.limit = 0
+	_ = client.netConn.SetReadDeadline(time.Now().Add(idleTime))
+	// Idle times are kept only while connections may have to be closed for others.
+	crowded := f.openConns.Load() > f.maxConns/2
+	if crowded {
+		f.setIdle(client, true)
+	}
+	_, err := r.in.Peek(1)
+	if crowded {
+		f.setIdle(client, false)
+	}
+	if err != nil && isTimeout(err) {
+		// A busy proxy may come to this late: what has arrived meanwhile is a request.
+		_ = client.netConn.SetReadDeadline(time.Now().Add(idleRecheck))
+		_, err = r.in.Peek(1)
+	}
+	if err != nil && !errors.Is(err, io.EOF) && !isTimeout(err) {
+		client.broken.Store(true)
+	}
+	return err == nil && !client.broken.Load() && !client.closing.Load()
+}
+
+// readHead reads the head of a request. Without a head it returns nil, with no error kind
+// where the client has gone; a head that is too long may come with its kind.
+func (r *requestReader) readHead(limits config.LimitItem) (parsed *http.Request, kind apierror.Kind) {
+	_ = r.client.netConn.SetReadDeadline(time.Now().Add(limits.HeadTime))
+	before := r.source.total - int64(r.in.Buffered())
+	r.source.limit = before + int64(limits.HeadBytes) + 1
+	parsed, err := http.ReadRequest(r.in)
+	size := r.source.total - int64(r.in.Buffered()) - before
+	r.source.limit = 0
+	if err != nil {
+		return nil, headErrorKind(err)
+	}
+	if size > int64(limits.HeadBytes) {
+		return parsed, apierror.HeadTooLarge
+	}
+	return parsed, apierror.None
+}
+
+func headErrorKind(err error) apierror.Kind {
+	switch {
+	case errors.Is(err, errHeadTooLarge):
+		return apierror.HeadTooLarge
+	case isTimeout(err):
+		return apierror.HeadTooSlow
+	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
+		return apierror.None
+	}
+	return apierror.BadRequest
+}
+
+// start has a request handled; it tells whether another may follow.
+func (r *requestReader) start(request *Request, parsed *http.Request) (more bool) {
+	f, client := r.frontend, r.client
+	response := &pendingResponse{handled: make(chan Response, 1), http10: parsed.ProtoMinor == 0, closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead}
+	path, _, _ := strings.Cut(request.Target, "?")
+	if route := f.view().Find(request.Host, path); route != nil && !route.Repeat.Repeatable() {
+		client.unanswered.Wait()
+	}
+	request.Pipelined = client.unansweredCount.Load() > 0
+	if client.broken.Load() || client.closing.Load() {
+		return false
+	}
+	r.enqueue(response)
+	deadline := parsed.Header.Get(headerRequestDeadline)
+	go func() {
+		handled := f.handle(request, deadline)
+		f.bodyBytesLeft.Add(int64(len(request.Body)))
+		response.handled <- handled
+	}()
+	return !response.closeAfter
+}
+
+func (r *requestReader) enqueue(response *pendingResponse) {
+	r.client.unanswered.Add(1)
+	r.client.unansweredCount.Add(1)
+	r.frontend.inFlight.Add(1)
+	r.pending <- response
+}
+
+// reject answers with an error and ends the connection.
+func (r *requestReader) reject(kind apierror.Kind, id string) {
+	response := ErrorResponse(kind, id)
+	response.Close = true
+	r.enqueue(&pendingResponse{immediate: response, closeAfter: true})
+}
+
+// writeResponses writes the responses in their order, until one closes the connection; those
+// behind it are only waited for.
+func (f *Frontend) writeResponses(client *clientConn, pending <-chan *pendingResponse, written chan<- struct{}) {
+	defer close(written)
+	var buffer []byte
+	ended := false
+	for next := range pending {
+		response := next.immediate
+		if next.handled != nil {
+			response = <-next.handled
+		}
+		switch {
+		case !ended:
+			buffer, ended = f.writeResponse(client, next, response, buffer)
+		case response.Finish != nil:
+			response.Finish(false)
+		}
+		f.inFlight.Add(-1)
+		client.unansweredCount.Add(-1)
+		client.unanswered.Done()
+	}
+}
+
+// writeResponse writes one response. It gives the buffer back for the next, and tells whether
+// the connection has ended with this one.
+func (f *Frontend) writeResponse(client *clientConn, pending *pendingResponse, response Response, buffer []byte) (kept []byte, ended bool) {
+	conn := client.netConn
+	response.NoBody = response.NoBody || pending.headOnly
+	response.Close = response.Close || pending.closeAfter || f.draining.Load()
+	if response.Close {
+		client.closing.Store(true)
+	}
+	response.KeepAlive = f.view().Limits.IdleTime - idleMargin
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	buffer, complete := response.Write(conn, buffer, pending.http10)
+	if cap(buffer) > 64<<10 {
+		buffer = nil
+	}
+	if !complete {
+		client.broken.Store(true)
+		if half, ok := conn.(*net.TCPConn); ok {
+			_ = half.SetLinger(0)
+		}
+		_ = conn.Close()
+		return buffer, true
+	}
+	if response.Close {
+		// The reader is woken, and what it has read behind is not handled.
+		closeWrite(conn)
+		_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
+	}
+	return buffer, response.Close
+}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -1,6 +1,3 @@
-// Verdict is the small value that says what a client is answered: a status,
-// the head lines and a body, or a problem from the closed table. Write is the
-// one place where it becomes bytes.
 package proxy
 
 import (
@@ -12,136 +9,127 @@
 	"tinpin/internal/apierror"
 )
 
-// HeaderField is one head line of an answer.
-type HeaderField = [2]string
-
-// Response answers one request.
+// Response is what a client is answered: a backend's response, or an error of the closed table
+// in apierror. Write is the one place where it becomes bytes.
 type Response struct {
 	Status  int
 	Headers []HeaderField
 	Body    []byte
-	// ContentLength is the whole body's length; Rest brings what Body does not hold.
+	// ContentLength is the whole body's length; BodyRest reads what Body does not hold.
 	ContentLength int64
 	BodyRest      io.Reader
-	// Finish is told whether Rest was read whole.
-	Finish func(whole bool)
+	// Finish is called with whether BodyRest was read to its end.
+	Finish func(complete bool)
 	// NoBody leaves the body out but tells its length, as HEAD wants it.
 	NoBody bool
-	// Close ends the stream behind the answer.
+	// Close closes the connection behind the response.
 	Close bool
-	// KeepAlive is how long the client may leave the stream idle, where it is told.
+	// KeepAlive is how long the client may leave the connection idle; under a second it is not told.
 	KeepAlive time.Duration
-	// Chunked sends Rest in chunks, its length not being known.
+	// Chunked sends BodyRest in chunks, its length not being known.
 	Chunked bool
 }
 
-// ErrorResponse makes the verdict of a problem for a request id.
-func ErrorResponse(kind apierror.Kind, request string) (verdict Response) {
-	return ErrorResponseAfter(kind, request, 0)
+// copyBufferBytes is how much of a body's rest is read at once.
+const copyBufferBytes = 32 << 10
+
+// ErrorResponse makes the response of an error kind to the request of an id.
+func ErrorResponse(kind apierror.Kind, requestID string) Response {
+	return ErrorResponseAfter(kind, requestID, 0)
 }
 
-// ErrorResponseAfter also says when to come back, where that is known better than the
-// table does.
-func ErrorResponseAfter(kind apierror.Kind, request string, back time.Duration) (verdict Response) {
+// ErrorResponseAfter also says when to retry, where that is known better than the table does.
+func ErrorResponseAfter(kind apierror.Kind, requestID string, retryAfter time.Duration) (response Response) {
 	answer := kind.Answer()
-	if back > 0 {
-		answer.RetryMS = int(back / time.Millisecond)
+	if retryAfter > 0 {
+		answer.RetryMS = int(retryAfter / time.Millisecond)
 	}
-	verdict.Status, verdict.Close = answer.Status, answer.Close
-	verdict.Body = []byte(`{"error_message":` + strconv.Quote(answer.Text) + `}`)
-	verdict.ContentLength = int64(len(verdict.Body))
-	verdict.Headers = append(verdict.Headers, HeaderField{"Content-Type", "application/json"})
-	if request != "" {
-		verdict.Headers = append(verdict.Headers, HeaderField{headerRequestID, request})
+	response.Status, response.Close = answer.Status, answer.Close
+	response.Body = []byte(`{"error_message":` + strconv.Quote(answer.Text) + `}`)
+	response.ContentLength = int64(len(response.Body))
+	response.Headers = append(response.Headers, HeaderField{"Content-Type", "application/json"})
+	if requestID != "" {
+		response.Headers = append(response.Headers, HeaderField{headerRequestID, requestID})
 	}
 	if answer.RetryMS > 0 {
-		verdict.Headers = append(verdict.Headers, HeaderField{"Retry-After", answer.Retry()})
+		response.Headers = append(response.Headers, HeaderField{"Retry-After", answer.Retry()})
 	}
-	return verdict
+	return response
 }
 
+// bodyForbidden tells that responses of a status have no body.
 func bodyForbidden(status int) bool {
 	return status < 200 || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// appendHead writes the head of the answer.
-func (v Response) appendHead(to []byte, old bool) []byte {
+// appendHead appends the head of the response.
+func (r Response) appendHead(to []byte, http10 bool) []byte {
 	to = append(to, "HTTP/1.1 "...)
-	to = strconv.AppendInt(to, int64(v.Status), 10)
+	to = strconv.AppendInt(to, int64(r.Status), 10)
 	to = append(to, ' ')
-	to = append(to, http.StatusText(v.Status)...)
+	to = append(to, http.StatusText(r.Status)...)
 	to = append(to, "\r\n"...)
-	for _, line := range v.Headers {
-		to = append(to, line[0]...)
+	for _, field := range r.Headers {
+		to = append(to, field[0]...)
 		to = append(to, ": "...)
-		to = append(to, line[1]...)
+		to = append(to, field[1]...)
 		to = append(to, "\r\n"...)
 	}
 	switch {
-	case bodyForbidden(v.Status):
-	case v.Chunked:
+	case bodyForbidden(r.Status):
+	case r.Chunked:
 		to = append(to, "Transfer-Encoding: chunked\r\n"...)
 	default:
 		to = append(to, "Content-Length: "...)
-		to = strconv.AppendInt(to, v.ContentLength, 10)
+		to = strconv.AppendInt(to, r.ContentLength, 10)
 		to = append(to, "\r\n"...)
 	}
 	switch {
-	case v.Close:
+	case r.Close:
 		to = append(to, "Connection: close\r\n"...)
-	case old:
+	case http10:
 		to = append(to, "Connection: keep-alive\r\n"...)
 	}
-	if !v.Close && v.KeepAlive >= time.Second {
+	if !r.Close && r.KeepAlive >= time.Second {
 		to = append(to, "Keep-Alive: timeout="...)
-		to = strconv.AppendInt(to, int64(v.KeepAlive/time.Second), 10)
+		to = strconv.AppendInt(to, int64(r.KeepAlive/time.Second), 10)
 		to = append(to, "\r\n"...)
 	}
 	return append(to, "\r\n"...)
 }
 
-// Write sends the answer. Where whole is false the stream must be broken off,
-// so that the answer cannot look complete.
-func (v Response) Write(to io.Writer, buffer []byte, old bool) (kept []byte, whole bool) {
-	buffer = v.appendHead(buffer[:0], old)
-	silent := v.NoBody || bodyForbidden(v.Status)
-	if v.BodyRest == nil {
-		if !silent {
-			buffer = append(buffer, v.Body...)
+// Write sends the response, by way of a buffer that it gives back for the next one. Where
+// complete is false the connection must be aborted, so that the response cannot look complete.
+func (r Response) Write(to io.Writer, buffer []byte, http10 bool) (kept []byte, complete bool) {
+	buffer = r.appendHead(buffer[:0], http10)
+	if r.BodyRest == nil {
+		if !r.NoBody && !bodyForbidden(r.Status) {
+			buffer = append(buffer, r.Body...)
 		}
 		_, err := to.Write(buffer)
 		return buffer, err == nil
 	}
-	whole = v.writeBodyRest(to, buffer)
-	if v.Finish != nil {
-		v.Finish(whole)
+	complete = r.writeBodyRest(to, buffer)
+	if r.Finish != nil {
+		r.Finish(complete)
 	}
-	return buffer, whole
+	return buffer, complete
 }
 
-func (v Response) writeBodyRest(to io.Writer, head []byte) (whole bool) {
+// writeBodyRest writes the head, and the body as it is read.
+func (r Response) writeBodyRest(to io.Writer, head []byte) (complete bool) {
 	if _, err := to.Write(head); err != nil {
 		return false
 	}
-	chunk := make([]byte, 32<<10)
-	put := func(part []byte) (err error) {
-		if v.Chunked && len(part) > 0 {
-			if _, err = to.Write([]byte(strconv.FormatInt(int64(len(part)), 16) + "\r\n")); err != nil {
-				return err
-			}
-			part = append(part[:len(part):len(part)], "\r\n"...)
-		}
-		_, err = to.Write(part)
-		return err
-	}
-	if put(v.Body) != nil {
+	buffer := make([]byte, copyBufferBytes)
+	if r.writePart(to, r.Body) != nil {
 		return false
 	}
-	sent := int64(len(v.Body))
+	sent := int64(len(r.Body))
 	for {
-		size, readErr := v.BodyRest.Read(chunk)
+		size, readErr := r.BodyRest.Read(buffer)
 		if size > 0 {
-			if put(chunk[:size]) != nil {
+			if r.writePart(to, buffer[:size]) != nil {
 				return false
 			}
 			sent += int64(size)
@@ -153,9 +141,21 @@
 			return false
 		}
 	}
-	if v.Chunked {
+	if r.Chunked {
 		_, err := io.WriteString(to, "0\r\n\r\n")
 		return err == nil
 	}
-	return sent == v.ContentLength
+	return sent == r.ContentLength
+}
+
+// writePart writes a part of the body, as a chunk where the response is chunked.
+func (r Response) writePart(to io.Writer, part []byte) error {
+	if r.Chunked && len(part) > 0 {
+		if _, err := to.Write([]byte(strconv.FormatInt(int64(len(part)), 16) + "\r\n")); err != nil {
+			return err
+		}
+		part = append(part[:len(part):len(part)], "\r\n"...)
+	}
+	_, err := to.Write(part)
+	return err
 }
--- /dev/null
+++ b/internal/proxy/response_reader.go
@@ -0,0 +1,258 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net/http"
+	"syscall"
+	"time"
+
+	"tinpin/internal/apierror"
+)
+
+// maxSkippedResponses is how many interim responses, and how many responses to other requests,
+// are read before the request's own.
+const maxSkippedResponses = 4
+
+// lineReader is the buffered reading side of a connection.
+type lineReader = bufio.Reader
+
+func newLineReader(from io.Reader) *lineReader { return bufio.NewReaderSize(from, 4096) }
+
+// responseOwner tells which request a response belongs to.
+type responseOwner uint8
+
+const (
+	// ownerUnnamed: the response carries no id.
+	ownerUnnamed responseOwner = iota
+	ownerThisRequest
+	ownerOtherRequest
+	// ownerAmbiguous: the response carries two ids.
+	ownerAmbiguous
+)
+
+func ownerOf(response *http.Response, id string) responseOwner {
+	ids := response.Header[headerRequestID]
+	switch {
+	case len(ids) > 1:
+		return ownerAmbiguous
+	case len(ids) == 0 || ids[0] == "":
+		return ownerUnnamed
+	case ids[0] == id:
+		return ownerThisRequest
+	}
+	return ownerOtherRequest
+}
+
+// notExecuted tells that a response says that its request was not run.
+func notExecuted(response *http.Response) bool {
+	return response.StatusCode >= 400 &&
+		(response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
+}
+
+// responseReader reads the response to one request. A response is taken only if it is complete,
+// carries the request's id and no other and, as a success, the backend's stamp; one that belongs
+// to another request is skipped. A response without an id that says that the request was not run
+// counts only on a fresh connection, where it cannot belong to an earlier request.
+type responseReader struct {
+	clock     Clock
+	conn      *Conn
+	request   *Request
+	startedAt time.Duration
+	// writeFailed tells that the connection broke while the request was written.
+	writeFailed bool
+	// interim counts 1xx responses that were read, skipped responses to other requests.
+	interim, skipped int
+	disabledChecks   DisabledChecks
+}
+
+// owner tells which request a response belongs to.
+func (r *responseReader) owner(response *http.Response) responseOwner {
+	owner := ownerOf(response, r.request.ID)
+	switch {
+	case r.disabledChecks == 0:
+	case r.disabledChecks.has(AcceptAnyID), owner == ownerAmbiguous && r.disabledChecks.has(AcceptFirstID):
+		owner = ownerThisRequest
+	}
+	return owner
+}
+
+// nothingReceived tells that nothing has come on the connection since the request was written.
+func (r *responseReader) nothingReceived() bool { return r.interim+r.skipped == 0 }
+
+// unnamedIsOurs tells that a response without an id can only be about this request: nothing else
+// was ever asked on the connection.
+func (r *responseReader) unnamedIsOurs() bool {
+	return r.conn.fresh && r.nothingReceived() || r.disabledChecks.has(TrustMissingID)
+}
+
+// readFailed is the attempt whose connection brings no further response.
+func (r *responseReader) readFailed(err error) Attempt {
+	r.conn.backend.closeConn(r.conn)
+	switch {
+	case isTimeout(err):
+		return Attempt{Outcome: TimedOut}
+	case !r.conn.fresh && r.nothingReceived() && errors.Is(err, syscall.ECONNRESET):
+		if r.disabledChecks.has(RetryAfterReset) {
+			return Attempt{Outcome: Rejected}
+		}
+		return Attempt{Outcome: StaleConnection}
+	}
+	return Attempt{Outcome: ConnectionFailed}
+}
+
+// end closes the connection and ends the attempt.
+func (r *responseReader) end(outcome Outcome) Attempt {
+	r.conn.backend.closeConn(r.conn)
+	return Attempt{Outcome: outcome}
+}
+
+// releaseConn puts the connection back if it is in step and may be used again.
+func (r *responseReader) releaseConn(response *http.Response, keepAlive time.Duration, complete bool) {
+	backend := r.conn.backend
+	inStep := complete && !r.writeFailed && r.skipped == 0 && r.conn.reader.Buffered() == 0
+	if inStep && !response.Close && keepAlive > 0 {
+		_ = r.conn.netConn.SetDeadline(time.Time{})
+		backend.putIdle(r.clock.Now(), r.conn, keepAlive)
+		return
+	}
+	backend.closeConn(r.conn)
+}
+
+// readResponse reads up to the response to the request and puts the connection back if it may
+// be used again.
+func (r *responseReader) readResponse() Attempt {
+	for {
+		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: r.request.Method})
+		if err != nil {
+			return r.readFailed(err)
+		}
+		if response.StatusCode < 100 || response.StatusCode >= 600 {
+			return r.end(ConnectionFailed)
+		}
+		if response.StatusCode < 200 {
+			if response.StatusCode == http.StatusSwitchingProtocols || r.interim >= maxSkippedResponses {
+				return r.end(ConnectionFailed)
+			}
+			r.interim++
+			continue
+		}
+		attempt, skip := r.takeFinal(response)
+		if !skip {
+			return attempt
+		}
+		r.skipped++
+	}
+}
+
+// takeFinal reads the body of a response that is not interim and tells what the response makes
+// of the attempt, or that it is to be skipped.
+func (r *responseReader) takeFinal(response *http.Response) (attempt Attempt, skip bool) {
+	owner := r.owner(response)
+	body, complete, rest := readBody(response, r.request.bufferLimit())
+	if !complete && rest == nil {
+		if owner == ownerThisRequest && notExecuted(response) {
+			return r.end(Rejected), false
+		}
+		return r.end(ConnectionFailed), false
+	}
+	switch {
+	case owner == ownerThisRequest:
+		return r.accept(response, body, complete, rest), false
+	case owner == ownerOtherRequest && complete && !response.Close && r.skipped < maxSkippedResponses:
+		return attempt, true
+	case owner == ownerUnnamed && complete && notExecuted(response) && r.unnamedIsOurs():
+		if response.StatusCode == http.StatusMisdirectedRequest {
+			r.conn.backend.markReplaced(r.clock.Now())
+		}
+		return r.end(Rejected), false
+	}
+	return r.end(ConnectionFailed), false
+}
+
+// accept makes the attempt of the request's own response.
+func (r *responseReader) accept(response *http.Response, body []byte, complete bool, rest io.Reader) Attempt {
+	backend := r.conn.backend
+	r.observeHeaders(response.Header)
+	keepAlive := keepAliveOf(response)
+	if notExecuted(response) {
+		if response.StatusCode == http.StatusMisdirectedRequest {
+			backend.markReplaced(r.clock.Now())
+		}
+		r.releaseConn(response, keepAlive, complete)
+		return Attempt{Outcome: Rejected}
+	}
+	if contradictory(response) {
+		return r.end(ConnectionFailed)
+	}
+	outcome := Complete
+	if response.StatusCode >= 500 {
+		outcome = ServerError
+	}
+	result := Response{Status: response.StatusCode, Headers: returnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
+	if r.request.Method == http.MethodHead {
+		result.NoBody = true
+		result.ContentLength = max(0, response.ContentLength)
+	}
+	if rest == nil {
+		r.releaseConn(response, keepAlive, true)
+		return Attempt{Outcome: outcome, Response: result}
+	}
+	result.BodyRest, result.ContentLength, result.Chunked = rest, response.ContentLength, response.ContentLength < 0
+	result.Finish = func(complete bool) {
+		r.releaseConn(response, keepAlive, complete)
+		now := r.clock.Now()
+		backend.attemptEnded(now, now-r.startedAt, outcome)
+	}
+	return Attempt{Outcome: outcome, Response: result}
+}
+
+// observeHeaders takes what a backend tells of itself beside a response.
+func (r *responseReader) observeHeaders(header http.Header) {
+	backend := r.conn.backend
+	if text := header.Get(headerColdRemaining); text != "" {
+		if left, ok := parseWarmUp(text); ok && left > 0 {
+			backend.startWarmUp(r.clock.Now(), left)
+		}
+	}
+	if text := header.Get(headerInstanceLoad); text != "" {
+		backend.observeLoad(r.clock.Now(), text)
+	}
+}
+
+// contradictory tells that a response cannot be passed on: a success without the backend's
+// stamp or with the word that it was not run, or a status that promises that the request has
+// not run without that word.
+func contradictory(response *http.Response) bool {
+	return response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" ||
+		response.Header.Get(headerNotExecuted) != "" || apierror.Promises(response.StatusCode)
+}
+
+// readBody reads a body completely where it is small; of a large one it gives the beginning and
+// a reader of the rest. A body that only the end of the connection ends cannot be told from one
+// cut short and is not taken.
+func readBody(response *http.Response, limit int64) (body []byte, complete bool, rest io.Reader) {
+	if response.Body == http.NoBody || response.ContentLength == 0 {
+		return nil, true, nil
+	}
+	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+		return nil, false, nil
+	}
+	if response.ContentLength > limit {
+		return nil, false, response.Body
+	}
+	if response.ContentLength > 0 {
+		body = make([]byte, response.ContentLength)
+		_, err := io.ReadFull(response.Body, body)
+		return body, err == nil, nil
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
+	if err != nil {
+		return nil, false, nil
+	}
+	if int64(len(body)) > limit {
+		return body, false, response.Body
+	}
+	return body, true, nil
+}
--- a/internal/proxy/service_stats.go
+++ b/internal/proxy/service_stats.go
@@ -6,8 +6,6 @@
 package proxy
 
 import (
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 )
@@ -144,23 +142,3 @@
 	}
 	return h.maxIdle
 }
-
-// parseLoad reads what a backend tells of its load: the requests that run, those
-// that wait, and its slots. What does not parse, or is negative or absurd, is
-// no word at all.
-func parseLoad(text string) (jobs int, told bool) {
-	parts := strings.Split(text, ",")
-	if len(parts) != 3 {
-		return 0, false
-	}
-	for i, part := range parts {
-		number, err := strconv.Atoi(strings.TrimSpace(part))
-		if err != nil || number < 0 || number > 1<<20 {
-			return 0, false
-		}
-		if i < 2 {
-			jobs += number
-		}
-	}
-	return jobs, true
-}
