--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -231,16 +231,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
-	switch outcome {
-	case Complete:
+	traits := outcomeTable[outcome]
+	switch traits.health {
+	case signGood:
 		s.countOutcome(now, true)
-	case ServerError, ConnectionFailed, NotSent, TimedOut:
+	case signBad:
 		s.countOutcome(now, false)
 		s.failureScore = s.recentFailures(now)
 		s.failureScore += (1 - s.failureScore) * failureStep
 		s.failureScoreAt = now
 	}
-	if outcome == Complete || outcome == Rejected || outcome == ServerError {
+	if traits.responded {
 		s.respondedAt = now
 	}
 	switch outcome {
--- /dev/null
+++ b/internal/proxy/outcome_test.go
@@ -0,0 +1,65 @@
+package proxy
+
+import (
+	"testing"
+	"time"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/config"
+)
+
+// TestOutcomeTable takes every outcome to a plan and to a backend: what it proves decides
+// whether the plan may go on and what an error may promise; what it says of the backend decides
+// what is counted.
+func TestOutcomeTable(t *testing.T) {
+	type row struct {
+		outcome          Outcome
+		mayHaveRun       bool
+		idempotent, once Step
+		onceKind         apierror.Kind
+		good, bad        uint32
+		responded        bool
+	}
+	rows := []row{
+		{NotSent, false, StepRetry, StepRetry, apierror.None, 0, 1, false},
+		{Rejected, false, StepRetry, StepRetry, apierror.None, 0, 0, true},
+		{Complete, false, StepRespond, StepRespond, apierror.None, 1, 0, true},
+		{ConnectionFailed, true, StepRetry, StepFail, apierror.Broken, 0, 1, false},
+		{TimedOut, true, StepFail, StepFail, apierror.DeadlineOver, 0, 1, false},
+		{ServerError, true, StepRetry, StepRespond, apierror.None, 0, 1, true},
+		{SendCancelled, false, StepRetry, StepRetry, apierror.None, 0, 0, false},
+		{StaleConnection, true, StepRetry, StepFail, apierror.Broken, 0, 0, false},
+	}
+	if len(rows) != len(outcomeTable) {
+		t.Fatalf("%d rows for %d outcomes", len(rows), len(outcomeTable))
+	}
+	for _, r := range rows {
+		t.Run(r.outcome.String(), func(t *testing.T) {
+			for _, repeat := range []config.Repeat{config.Idempotent, config.NonIdempotent} {
+				plan := &Plan{Route: &config.Way{Repeat: repeat}, Deadline: time.Second, AttemptsLeft: 3}
+				step, kind := plan.Next(0, "b", Attempt{Outcome: r.outcome, Sent: r.outcome != NotSent && r.outcome != SendCancelled})
+				want, wantKind := r.idempotent, apierror.None
+				if r.outcome == TimedOut {
+					wantKind = apierror.DeadlineOver
+				}
+				if repeat == config.NonIdempotent {
+					want, wantKind = r.once, r.onceKind
+				}
+				if step != want || kind != wantKind || plan.MayHaveRun != r.mayHaveRun {
+					t.Errorf("%s: step %d, kind %d, may have run %v", repeat, step, kind, plan.MayHaveRun)
+				}
+				if plan.errorKind(apierror.NoRoom) == apierror.NoRoom == r.mayHaveRun {
+					t.Errorf("%s: an error promises %v", repeat, plan.errorKind(apierror.NoRoom))
+				}
+			}
+			d := daemonOf(t, newStandIn(t, "i-1", good))
+			backend := d.state.Snapshot().Services["s"][0]
+			now := time.Hour
+			backend.attemptStarted(now)
+			backend.attemptEnded(now, time.Millisecond, r.outcome)
+			if good, bad := backend.stats.takeCounts(); good != r.good || bad != r.bad || backend.respondedAt == now != r.responded {
+				t.Errorf("counted %d good, %d bad, responded at %v", good, bad, backend.respondedAt)
+			}
+		})
+	}
+}
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -1,7 +1,3 @@
-// Plan is the way of one request through this daemon, made first as data and
-// then carried out. After each round the plan says what comes next: another
-// round, only where the request is idempotent or proven not to have run; the
-// answer; or a problem, which promises that nothing ran only if that is so.
 package proxy
 
 import (
@@ -14,32 +10,41 @@
 	"tinpin/internal/rpc"
 )
 
-// Plan is one request's way.
+// maxConnectFailures is how many backends may fail to take a request before it is given up.
+const maxConnectFailures = 4
+
+// Plan is the way of one request through this node, made first as data and then executed. After
+// each attempt it says what comes next: another attempt, only where the request is idempotent or
+// proven not to have run; the response; or an error, which promises that nothing ran only if
+// that is so.
 type Plan struct {
-	Route        *config.Way
-	Service      rpc.ServiceName
-	Request      *Request
-	Key          string
+	Route   *config.Way
+	Service rpc.ServiceName
+	Request *Request
+	// Key is the operation key with its tenant, where the route is keyed.
+	Key string
+	// StartedAt and Deadline are times of the node's clock.
 	StartedAt    time.Duration
 	Deadline     time.Duration
 	AttemptsLeft int
-	Tried        []rpc.ServerID
-	// MayHaveRun is set once a round ended without proof that nothing ran.
+	// Tried are the backends of attempts that have ended.
+	Tried []rpc.ServerID
+	// MayHaveRun is set once an attempt ended without proof that nothing ran.
 	MayHaveRun bool
-	// LastServerError is the last answer in which a backend told of its own failure.
+	// LastServerError is the last response in which a backend told of its own failure.
 	LastServerError *Response
 	connectFailures int
-	// Session is what the request belongs to, under Rule; Bound is the backend
-	// that it may go to and no other.
+	// Session is what the request belongs to, under Rule; BoundBackend is the backend that the
+	// request may go to and no other.
 	Session      rpc.SessionID
 	Rule         affinity.Rule
 	BoundBackend rpc.ServerID
 }
 
-// wasTried tells that a backend was tried before.
-func (p *Plan) wasTried(server rpc.ServerID) bool { return slices.Contains(p.Tried, server) }
+// wasTried tells that an attempt at a backend has ended.
+func (p *Plan) wasTried(id rpc.ServerID) bool { return slices.Contains(p.Tried, id) }
 
-// Step is what the plan wants next.
+// Step is what a plan does next.
 type Step uint8
 
 // The steps.
@@ -49,35 +54,35 @@
 	StepFail
 )
 
-// Next takes the outcome of a round and tells what comes next.
-func (p *Plan) Next(now time.Duration, server rpc.ServerID, round Attempt) (step Step, kind apierror.Kind) {
-	if round.Sent {
+// Next takes the outcome of an attempt and tells what comes next.
+func (p *Plan) Next(now time.Duration, backend rpc.ServerID, attempt Attempt) (step Step, kind apierror.Kind) {
+	if attempt.Sent {
 		p.AttemptsLeft--
 	}
-	p.Tried = append(p.Tried, server)
-	switch round.Outcome {
-	case Complete:
+	p.Tried = append(p.Tried, backend)
+	if attempt.Outcome == Complete {
 		return StepRespond, apierror.None
-	case NotSent:
-		if p.connectFailures++; p.connectFailures > 4 {
-			return StepFail, p.errorKind(apierror.NoBackend)
-		}
-	case Rejected, SendCancelled:
-	case ServerError:
-		// The backend's own failure is its answer, unless another may be asked.
+	}
+	if outcomeTable[attempt.Outcome].execution != notExecutedProven {
 		p.MayHaveRun = true
+	}
+	switch attempt.Outcome {
+	case ServerError:
+		// The backend's own failure is its response, unless another may be asked.
 		if !p.Route.Repeat.Repeatable() || p.AttemptsLeft <= 0 || now >= p.Deadline {
 			return StepRespond, apierror.None
 		}
 		return StepRetry, apierror.None
+	case TimedOut:
+		return StepFail, apierror.DeadlineOver
 	case ConnectionFailed, StaleConnection:
-		p.MayHaveRun = true
 		if !p.Route.Repeat.Repeatable() {
 			return StepFail, apierror.Broken
 		}
-	case TimedOut:
-		p.MayHaveRun = true
-		return StepFail, apierror.DeadlineOver
+	case NotSent:
+		if p.connectFailures++; p.connectFailures > maxConnectFailures {
+			return StepFail, p.errorKind(apierror.NoBackend)
+		}
 	}
 	if now >= p.Deadline {
 		return StepFail, p.errorKind(apierror.TooLate)
@@ -88,8 +93,8 @@
 	return StepRetry, apierror.None
 }
 
-// errorKind is a promise that nothing ran where that is so, else the word that
-// the answer was lost.
+// errorKind is the given kind, a promise that nothing ran, where that is so, and else the kind
+// that says that the response was lost.
 func (p *Plan) errorKind(kind apierror.Kind) apierror.Kind {
 	if p.MayHaveRun {
 		return apierror.Broken
