--- /dev/null
+++ b/internal/proxy/keyed.go
@@ -0,0 +1,156 @@
+package proxy
+
+import (
+	"time"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/healthcheck"
+	"tinpin/internal/idempotency"
+	"tinpin/internal/rpc"
+)
+
+const (
+	// claimTimeout is how long a request may wait for the claim of its key.
+	claimTimeout = 900 * time.Millisecond
+	// maxClaimRetries is how often a key is claimed again that its holder has given back.
+	maxClaimRetries = 3
+)
+
+// executeKeyed claims the key of a plan's operation before the request leaves, and stores the
+// response for repeats.
+func (d *Daemon) executeKeyed(plan *Plan) Response {
+	request := plan.Request
+	if d.operations.Freed(plan.Key, request.ID) {
+		// The release of this claim may still be under way, and would release a new one of the
+		// same name.
+		return ErrorResponse(apierror.KeyUnknown, request.ID)
+	}
+	operation, earlier := d.operations.Open(plan.Key, request.ID)
+	if earlier != nil {
+		return d.replay(d.leader.Fetch(earlier.Recall(), plan.Key, earlier.Request()), request.ID)
+	}
+	if response, granted := d.claim(plan, operation); !granted {
+		return response
+	}
+	response, kind := d.execute(plan)
+	switch {
+	case kind == apierror.None:
+		d.storeResponse(operation, plan, response)
+		return response
+	case plan.MayHaveRun && !(kind == apierror.Broken && d.deduplicates(plan.Service)):
+		d.operations.Lose(operation)
+	default:
+		d.releaseKey(plan, operation)
+	}
+	return ErrorResponse(kind, request.ID)
+}
+
+// claim claims the key of a plan. Where it is not granted, the response is what the client gets.
+func (d *Daemon) claim(plan *Plan, operation *idempotency.Held) (response Response, granted bool) {
+	request := plan.Request
+	limit := min(claimTimeout, plan.Deadline-d.clock.Now())
+	for retries := 0; ; retries++ {
+		claimedAt := d.clock.Now()
+		// A new leader may be there in a moment; the wait for one stays inside the time in which a
+		// rejection still lets the client retry in time.
+		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.Aim/4, limit)
+		switch found.Outcome {
+		case rpc.Granted:
+			// The claim is valid for its window from when it was asked for.
+			plan.Deadline = min(plan.Deadline, claimedAt+d.settings.Bounds.KeyWindow)
+			return response, true
+		case rpc.Held:
+			reply := d.recallFromHolder(plan.Key, found)
+			if reply.Standing == rpc.Freed && retries < maxClaimRetries && d.clock.Now()+limit/2 < plan.Deadline {
+				time.Sleep(d.recallPause)
+				continue
+			}
+			d.operations.Abandon(operation)
+			return d.replay(reply, request.ID), false
+		case rpc.Unclear:
+			// The claim may stand, but nothing will ever be sent under it.
+			d.releaseKey(plan, operation)
+		default:
+			d.operations.Abandon(operation)
+		}
+		return ErrorResponse(apierror.NoLeader, request.ID), false
+	}
+}
+
+// recallFromHolder asks the holder of a key, which may be this node, how the operation stands.
+func (d *Daemon) recallFromHolder(key string, found rpc.ClaimFound) (reply rpc.RecallReply) {
+	if found.Holder != rpc.FellowID(d.settings.Name) {
+		return d.leader.Recall(found, key)
+	}
+	if found.Life == d.incarnation && d.operations.Freed(key, found.Request) {
+		reply.Standing = rpc.Freed
+		d.leader.Release(rpc.KeyClaim{Key: key, Request: found.Request})
+	}
+	return reply
+}
+
+// releaseKey gives the claim of a plan's key back: the request has not run.
+func (d *Daemon) releaseKey(plan *Plan, operation *idempotency.Held) {
+	d.operations.Free(operation)
+	d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: plan.Request.ID})
+}
+
+// deduplicates tells that a service keeps its own record of keys, so that a run that broke off
+// may be followed by another under the same key.
+func (d *Daemon) deduplicates(name rpc.ServiceName) bool {
+	service := d.state.Snapshot().View.Services[string(name)]
+	return service != nil && service.Dedupes
+}
+
+// storeResponse keeps the response of an operation for repeats. Only the allowed regions of a
+// route may store its responses; elsewhere a node there stores it.
+func (d *Daemon) storeResponse(operation *idempotency.Held, plan *Plan, response Response) {
+	homes := plan.Route.Homes
+	switch {
+	case response.BodyRest != nil:
+		d.operations.Lose(operation)
+	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
+		d.operations.Answer(operation, response.Status, response.Headers, response.Body)
+	default:
+		go d.storeOnPeer(operation, plan, response)
+	}
+}
+
+// storeOnPeer has a node within the allowed regions of a route store a response.
+func (d *Daemon) storeOnPeer(operation *idempotency.Held, plan *Plan, response Response) {
+	snapshot, absent := d.state.Snapshot(), d.state.AbsentNodes()
+	var address string
+	var best uint64
+	for id, node := range snapshot.Nodes {
+		if !node.Ready || node.Stopping || absent[id] || !regionAllowed(plan.Route.Homes, node.Region) {
+			continue
+		}
+		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < best {
+			address, best = node.Inner, rank
+		}
+	}
+	stored := rpc.RecallReply{Standing: rpc.Answered, Status: response.Status, Header: response.Headers, Body: response.Body}
+	if address == "" || !d.leader.StoreAt(address, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: stored}) {
+		d.operations.Lose(operation)
+		return
+	}
+	d.operations.Move(operation, address)
+}
+
+// replay answers a repeat from what the operation's holder told.
+func (d *Daemon) replay(reply rpc.RecallReply, requestID string) (response Response) {
+	switch reply.Standing {
+	case rpc.Running:
+		return ErrorResponse(apierror.KeyAtWork, requestID)
+	case rpc.Answered:
+		response = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
+		for _, field := range reply.Header {
+			if field[0] == headerRequestID {
+				field[1] = requestID
+			}
+			response.Headers = append(response.Headers, field)
+		}
+		return response
+	}
+	return ErrorResponse(apierror.KeyUnknown, requestID)
+}
--- /dev/null
+++ b/internal/proxy/planning.go
@@ -0,0 +1,92 @@
+package proxy
+
+import (
+	"math/rand"
+	"strconv"
+	"strings"
+	"time"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/config"
+)
+
+// defaultRouteTimeout is how long a request is held where its route sets no time.
+const defaultRouteTimeout = time.Minute
+
+// newPlan makes the plan of a request, or says why there is none. The tenant's limit comes first:
+// a request beyond it takes nothing.
+func (d *Daemon) newPlan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
+	snapshot := d.state.Snapshot()
+	now := d.clock.Now()
+	route, kind := d.findRoute(snapshot, request)
+	if kind != apierror.None {
+		return nil, kind, 0
+	}
+	tenant := snapshot.View.Tenant(request.Host)
+	if tenant != nil {
+		if admitted, wait := d.tenantLimits.Admit(now, tenant); !admitted {
+			return nil, apierror.OverLimit, wait
+		}
+	}
+	left := timeLeft(route, deadline)
+	if left <= 0 {
+		return nil, apierror.TooLate, 0
+	}
+	plan = &Plan{
+		Route: route, Service: pickTarget(route, rand.Float64()), Request: request,
+		StartedAt: now, Deadline: now + left, AttemptsLeft: route.Rounds,
+	}
+	request.StreamBody = route.Repeat == config.Download
+	d.state.Policies.Sessions.assignSession(plan, tenant)
+	if route.Repeat == config.Keyed {
+		plan.Key = request.operationKey()
+		if plan.Key == "" {
+			return nil, apierror.NoKey, 0
+		}
+		if tenant != nil {
+			plan.Key = tenant.Name + "/" + plan.Key
+		}
+	}
+	d.retryBudget.RecordRequest(now, plan.Service)
+	return plan, apierror.None, 0
+}
+
+// findRoute gives the route of a request that may be handled at all.
+func (d *Daemon) findRoute(snapshot *Snapshot, request *Request) (route *config.Way, kind apierror.Kind) {
+	if d.state.Policies.CutOff() {
+		return nil, apierror.CutOff
+	}
+	if !snapshot.Configured {
+		return nil, apierror.NotStarted
+	}
+	path := request.Target
+	if at := strings.IndexByte(path, '?'); at >= 0 {
+		path = path[:at]
+	}
+	route = snapshot.View.Find(request.Host, path)
+	switch {
+	case route == nil:
+		return nil, apierror.NoWay
+	case request.ID == "":
+		return nil, apierror.BadRequest
+	case request.Pipelined && !route.Repeat.Repeatable():
+		// The route has changed since the frontend looked.
+		return nil, apierror.NoRoom
+	}
+	return route, apierror.None
+}
+
+// timeLeft is how long a request may take: what its route allows and its client waits. A client's
+// deadline that is no number is ignored.
+func timeLeft(route *config.Way, deadline string) (left time.Duration) {
+	left = route.Timeout
+	if left <= 0 {
+		left = defaultRouteTimeout
+	}
+	if deadline != "" {
+		if milliseconds, err := strconv.ParseInt(deadline, 10, 64); err == nil {
+			left = min(left, time.Duration(milliseconds)*time.Millisecond)
+		}
+	}
+	return left
+}
