--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	council = &Controller{props: p, log: log, node: node, patience: patience, desk: coordinator.NewHandler(node, node)}
-	node.OnRole = func(leads bool, term raft.Term) {
+	node.OnLeadership = func(leads bool, term raft.Term) {
 		var opened *coordinator.Coordinator
 		if leads {
 			opened = coordinator.Start(p, log, node, term)
@@ -64,13 +64,13 @@
 		if heraldErr != nil {
 			return nil, heraldErr
 		}
-		node.Chronicle.OnMark = func(mark history.Mark) {
+		node.History.OnMark = func(mark history.Mark) {
 			if mark.What != "acknowledged" && council.desk.Coordinator() != nil {
 				teller.Tell(mark)
 			}
 		}
 	}
-	if council.inner, err = rpc.Serve(p.ControllerInternalAddress(), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
+	if council.inner, err = rpc.Serve(p.ControllerInternalAddress(), map[string]any{"Accord": node.Service(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
 		return nil, err
 	}
 	if council.office, err = httpapi.Serve(p.ControlAddress, httpapi.Handlers{
@@ -98,7 +98,7 @@
 
 // elsewhere sends the caller to the leader, or tells that there is none.
 func (c *Controller) elsewhere(path string) (err error) {
-	leads, settled, _, leader, _ := c.node.Standing()
+	leads, settled, _, leader, _ := c.node.Status()
 	if leads && settled {
 		return nil
 	}
@@ -118,8 +118,8 @@
 }
 
 func (c *Controller) wish(command raft.Command) (result raft.Result, err error) {
-	answer := c.node.Wish(command, c.patience)
-	if !answer.Clear {
+	answer := c.node.Propose(command, c.patience)
+	if !answer.Known {
 		return result, &httpapi.Error{Kind: apierror.Unclear}
 	}
 	return answer.Result, nil
@@ -143,7 +143,7 @@
 	}
 	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
 	for _, path := range call.Paths() {
-		c.node.Chronicle.Note(history.Item, path, "acknowledged", "", 0, true)
+		c.node.History.Note(history.Item, path, "acknowledged", "", 0, true)
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 	// A leader that is settled has applied all that it or an older one has
 	// acknowledged before the call; contact after the reading proves that no later
 	// one has acknowledged anything.
-	c.node.Read(func(state *raft.State) { text = state.Canon.Describe() })
+	c.node.ReadState(func(state *raft.State) { text = state.Canon.Describe() })
 	if err = c.proven(open, nil); err != nil {
 		return nil, err
 	}
@@ -201,6 +201,6 @@
 		return c.refuse(history.Evacuation, refusedAs(apierror.BadOrder, result))
 	}
 	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, site, "active", start)
-	c.node.Chronicle.Note(history.Evacuation, site, "acknowledged", "", 0, true)
+	c.node.History.Note(history.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
 }
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -24,7 +24,7 @@
 // scripted is a contact that holds or not.
 type scripted struct{ lost atomic.Bool }
 
-func (s *scripted) InContact(raft.Term, time.Duration) (proven bool) { return !s.lost.Load() }
+func (s *scripted) HoldsLease(raft.Term, time.Duration) (proven bool) { return !s.lost.Load() }
 
 // alone is a council of one core that leads, with a contact of the test's own.
 func alone(t *testing.T) (c *Controller, contact *scripted) {
@@ -44,7 +44,7 @@
 	// What is asked here has an outcome, however slow this machine is.
 	c = &Controller{props: p, log: eventlog.Discard(), node: node, patience: time.Minute, desk: coordinator.NewHandler(node, contact)}
 	led := make(chan bool, 1)
-	node.OnRole = func(leads bool, term raft.Term) {
+	node.OnLeadership = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -62,7 +62,7 @@
 	}
 	look := func() (lookErr error) {
 		taken := false
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 		})
 		if lookErr == nil && !taken && kind == policy.DayPlan {
@@ -111,7 +111,7 @@
 		return c.refuse(kind, refusedAs(apierror.BadOrder, result))
 	}
 	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, kind, eventlog.KeyName, name, eventlog.KeyChange, what)
-	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
+	c.node.History.Note(kind, name, "acknowledged", "", 0, true)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	shown := DocumentStatus{Kind: kind}
-	c.node.Read(func(state *raft.State) {
+	c.node.ReadState(func(state *raft.State) {
 		document := state.Documents[kind]
 		shown.Version, shown.InForce, shown.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
@@ -179,7 +179,7 @@
 	command := raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
 	agreed := func() {
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			sent.stands, sent.taken = state.RetireTaken(id)
 			sent.named, _ = state.TakenByName(command)
 		})
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -177,7 +177,7 @@
 		if status := statusOf(t, sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })); status != step.status {
 			t.Errorf("step %d: %d", i, status)
 		}
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			if state.Evacuations["zone"].Active != step.stands {
 				t.Errorf("step %d: stands %v", i, !step.stands)
 			}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -46,10 +46,10 @@
 	account := Status{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
 	var leader raft.Member
 	var term raft.Term
-	account.IsLeader, account.Settled, term, leader, account.Members = c.node.Standing()
-	account.InContact = c.node.InContact(term, 0)
+	account.IsLeader, account.Settled, term, leader, account.Members = c.node.Status()
+	account.InContact = c.node.HoldsLease(term, 0)
 	account.Term, account.Leader = uint64(term), leader.Control
-	c.node.Read(func(state *raft.State) {
+	c.node.ReadState(func(state *raft.State) {
 		account.Revision, account.Claims = state.Rev, state.Claims()
 		account.AcceptedRequests, account.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
 		account.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
@@ -66,18 +66,18 @@
 func (s *StatusHandler) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
 	c := s.council
 	reply.Name = c.props.Name
-	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
+	for _, told := range c.node.History.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
 		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
 	switch ask.Kind {
 	case history.Item:
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			var item config.Item
 			item, reply.Has = state.Canon.Find(ask.Name)
 			reply.Stamp, reply.Rev = item.Stamp(), item.Rev
 		})
 	case history.Document, history.Retirement, history.Move:
-		s.council.node.Read(func(state *raft.State) {
+		s.council.node.ReadState(func(state *raft.State) {
 			switch ask.Kind {
 			case history.Document:
 				document, has := state.Documents[policy.Kind(ask.Name)]
@@ -90,7 +90,7 @@
 			}
 		})
 	case history.Evacuation:
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			var evacuation raft.Evacuation
 			evacuation, reply.Has = state.Evacuations[ask.Name]
 			reply.Stamp, reply.Rev = evacuation.Stamp(), evacuation.Rev
