--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -155,7 +155,7 @@
 }
 
 // criteria says what backend a plan's next attempt wants.
-func (d *Daemon) criteria(plan *Plan, tried []rpc.ServerID) (criteria Criteria) {
+func (d *Daemon) criteria(plan *Plan, tried []rpc.EndpointID) (criteria Criteria) {
 	criteria = Criteria{
 		Service: plan.Service, TargetLatency: plan.Route.Aim, Homes: plan.Route.Homes, Tried: tried,
 		Idempotent: plan.Route.Repeat.Repeatable(), Large: plan.Route.Repeat == config.Download,
@@ -178,5 +178,5 @@
 
 // warmUpLeased tells that a backend is not warming up, or that a lease allows requests to it.
 func (d *Daemon) warmUpLeased(backend *Backend) bool {
-	return !backend.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(backend.ID)) > 0
+	return !backend.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.WarmupRate, string(backend.ID)) > 0
 }
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -82,7 +82,7 @@
 	if !first.silentSince(sentAt) || now >= plan.Deadline {
 		return nil
 	}
-	tried := append([]rpc.ServerID{first.ID}, plan.Tried...)
+	tried := append([]rpc.EndpointID{first.ID}, plan.Tried...)
 	second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, tried))
 	if second == nil || !d.allowRetry(now, plan, second) {
 		return nil
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -55,19 +55,19 @@
 		// rejection still lets the client retry in time.
 		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.Aim/4, limit)
 		switch found.Outcome {
-		case rpc.Granted:
+		case rpc.ClaimGranted:
 			// The claim is valid for its window from when it was asked for.
 			plan.Deadline = min(plan.Deadline, claimedAt+d.settings.Bounds.KeyWindow)
 			return response, true
-		case rpc.Held:
+		case rpc.ClaimHeld:
 			reply := d.recallFromHolder(plan.Key, found)
-			if reply.Standing == rpc.Freed && retries < maxClaimRetries && d.clock.Now()+limit/2 < plan.Deadline {
+			if reply.State == rpc.OperationReleased && retries < maxClaimRetries && d.clock.Now()+limit/2 < plan.Deadline {
 				time.Sleep(d.recallPause)
 				continue
 			}
 			d.operations.Abandon(operation)
 			return d.replay(reply, request.ID), false
-		case rpc.Unclear:
+		case rpc.ClaimUnknown:
 			// The claim may stand, but nothing will ever be sent under it.
 			d.releaseKey(plan, operation)
 		default:
@@ -78,12 +78,12 @@
 }
 
 // recallFromHolder asks the holder of a key, which may be this node, how the operation stands.
-func (d *Daemon) recallFromHolder(key string, found rpc.ClaimFound) (reply rpc.RecallReply) {
-	if found.Holder != rpc.FellowID(d.settings.Name) {
+func (d *Daemon) recallFromHolder(key string, found rpc.ClaimResult) (reply rpc.StoredResponse) {
+	if found.Holder != rpc.NodeID(d.settings.Name) {
 		return d.leader.Recall(found, key)
 	}
-	if found.Life == d.incarnation && d.operations.Freed(key, found.Request) {
-		reply.Standing = rpc.Freed
+	if found.Incarnation == d.incarnation && d.operations.Freed(key, found.Request) {
+		reply.State = rpc.OperationReleased
 		d.leader.Release(rpc.KeyClaim{Key: key, Request: found.Request})
 	}
 	return reply
@@ -126,11 +126,11 @@
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < best {
-			address, best = node.Inner, rank
+			address, best = node.InternalAddress, rank
 		}
 	}
-	stored := rpc.RecallReply{Standing: rpc.Answered, Status: response.Status, Header: response.Headers, Body: response.Body}
-	if address == "" || !d.leader.StoreAt(address, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: stored}) {
+	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: response.Status, Headers: response.Headers, Body: response.Body}
+	if address == "" || !d.leader.StoreAt(address, rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: stored}) {
 		d.operations.Lose(operation)
 		return
 	}
@@ -138,13 +138,13 @@
 }
 
 // replay answers a repeat from what the operation's holder told.
-func (d *Daemon) replay(reply rpc.RecallReply, requestID string) (response Response) {
-	switch reply.Standing {
-	case rpc.Running:
+func (d *Daemon) replay(reply rpc.StoredResponse, requestID string) (response Response) {
+	switch reply.State {
+	case rpc.OperationRunning:
 		return ErrorResponse(apierror.KeyAtWork, requestID)
-	case rpc.Answered:
+	case rpc.OperationCompleted:
 		response = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
-		for _, field := range reply.Header {
+		for _, field := range reply.Headers {
 			if field[0] == headerRequestID {
 				field[1] = requestID
 			}
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -28,7 +28,7 @@
 	Deadline     time.Duration
 	AttemptsLeft int
 	// Tried are the backends of attempts that have ended.
-	Tried []rpc.ServerID
+	Tried []rpc.EndpointID
 	// MayHaveRun is set once an attempt ended without proof that nothing ran.
 	MayHaveRun bool
 	// LastServerError is the last response in which a backend told of its own failure.
@@ -38,11 +38,11 @@
 	// request may go to and no other.
 	Session      rpc.SessionID
 	Rule         affinity.Rule
-	BoundBackend rpc.ServerID
+	BoundBackend rpc.EndpointID
 }
 
 // wasTried tells that an attempt at a backend has ended.
-func (p *Plan) wasTried(id rpc.ServerID) bool { return slices.Contains(p.Tried, id) }
+func (p *Plan) wasTried(id rpc.EndpointID) bool { return slices.Contains(p.Tried, id) }
 
 // Step is what a plan does next.
 type Step uint8
@@ -55,7 +55,7 @@
 )
 
 // Next takes the outcome of an attempt and tells what comes next.
-func (p *Plan) Next(now time.Duration, backend rpc.ServerID, attempt Attempt) (step Step, kind apierror.Kind) {
+func (p *Plan) Next(now time.Duration, backend rpc.EndpointID, attempt Attempt) (step Step, kind apierror.Kind) {
 	if attempt.Sent {
 		p.AttemptsLeft--
 	}
