--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -124,7 +124,7 @@
 	}
 	id := parsed.Header.Get(headerRequestID)
 	if kind == apierror.None && r.client.rejectAll {
-		kind = apierror.NoRoom
+		kind = apierror.Overloaded
 	}
 	var request *Request
 	if kind == apierror.None {
@@ -175,7 +175,7 @@
 		return nil, headErrorKind(err)
 	}
 	if size > int64(limits.HeadBytes) {
-		return parsed, apierror.HeadTooLarge
+		return parsed, apierror.HeadersTooLarge
 	}
 	return parsed, apierror.None
 }
@@ -183,9 +183,9 @@
 func headErrorKind(err error) apierror.Kind {
 	switch {
 	case errors.Is(err, errHeadTooLarge):
-		return apierror.HeadTooLarge
+		return apierror.HeadersTooLarge
 	case isTimeout(err):
-		return apierror.HeadTooSlow
+		return apierror.RequestTimeout
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 		return apierror.None
 	}
--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -42,7 +42,7 @@
 	limiter := d.concurrency.forService(string(plan.Service))
 	for !limiter.Acquire(plan.Route.Priority) {
 		if !d.mayWaitForCapacity(plan) {
-			return response, plan.errorKind(apierror.NoRoom)
+			return response, plan.errorKind(apierror.Overloaded)
 		}
 		time.Sleep(capacityPollInterval)
 	}
@@ -72,7 +72,7 @@
 	for {
 		now := d.clock.Now()
 		if now >= plan.Deadline {
-			return response, plan.errorKind(apierror.TooLate)
+			return response, plan.errorKind(apierror.DeadlineTooShort)
 		}
 		backend, anyUsable := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, plan.Tried))
 		if backend == nil {
@@ -80,13 +80,13 @@
 				return response, plan.errorKind(apierror.NoBackend)
 			}
 			if !d.mayWaitForCapacity(plan) {
-				return response, plan.errorKind(apierror.NoRoom)
+				return response, plan.errorKind(apierror.Overloaded)
 			}
 			time.Sleep(capacityPollInterval)
 			continue
 		}
 		if arrivals > 0 && !d.allowRetry(now, plan, backend) {
-			return response, plan.errorKind(apierror.NoRoom)
+			return response, plan.errorKind(apierror.Overloaded)
 		}
 		attempt, answering := d.attemptWithHedge(plan, backend, now, &arrivals)
 		d.observe(plan, limiter, now, &attempt)
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -23,7 +23,7 @@
 	if d.operations.Freed(plan.Key, request.ID) {
 		// The release of this claim may still be under way, and would release a new one of the
 		// same name.
-		return ErrorResponse(apierror.KeyUnknown, request.ID)
+		return ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
 	}
 	operation, earlier := d.operations.Open(plan.Key, request.ID)
 	if earlier != nil {
@@ -37,7 +37,7 @@
 	case kind == apierror.None:
 		d.storeResponse(operation, plan, response)
 		return response
-	case plan.MayHaveRun && !(kind == apierror.Broken && d.deduplicates(plan.Service)):
+	case plan.MayHaveRun && !(kind == apierror.BackendFailed && d.deduplicates(plan.Service)):
 		d.operations.Lose(operation)
 	default:
 		d.releaseKey(plan, operation)
@@ -141,7 +141,7 @@
 func (d *Daemon) replay(reply rpc.StoredResponse, requestID string) (response Response) {
 	switch reply.State {
 	case rpc.OperationRunning:
-		return ErrorResponse(apierror.KeyAtWork, requestID)
+		return ErrorResponse(apierror.KeyInUse, requestID)
 	case rpc.OperationCompleted:
 		response = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
 		for _, field := range reply.Headers {
@@ -152,5 +152,5 @@
 		}
 		return response
 	}
-	return ErrorResponse(apierror.KeyUnknown, requestID)
+	return ErrorResponse(apierror.KeyOutcomeUnknown, requestID)
 }
--- a/internal/proxy/outcome_test.go
+++ b/internal/proxy/outcome_test.go
@@ -24,11 +24,11 @@
 		{NotSent, false, StepRetry, StepRetry, apierror.None, 0, 1, false},
 		{Rejected, false, StepRetry, StepRetry, apierror.None, 0, 0, true},
 		{Complete, false, StepRespond, StepRespond, apierror.None, 1, 0, true},
-		{ConnectionFailed, true, StepRetry, StepFail, apierror.Broken, 0, 1, false},
-		{TimedOut, true, StepFail, StepFail, apierror.DeadlineOver, 0, 1, false},
+		{ConnectionFailed, true, StepRetry, StepFail, apierror.BackendFailed, 0, 1, false},
+		{TimedOut, true, StepFail, StepFail, apierror.DeadlineExceeded, 0, 1, false},
 		{ServerError, true, StepRetry, StepRespond, apierror.None, 0, 1, true},
 		{SendCancelled, false, StepRetry, StepRetry, apierror.None, 0, 0, false},
-		{StaleConnection, true, StepRetry, StepFail, apierror.Broken, 0, 0, false},
+		{StaleConnection, true, StepRetry, StepFail, apierror.BackendFailed, 0, 0, false},
 	}
 	if len(rows) != len(outcomeTable) {
 		t.Fatalf("%d rows for %d outcomes", len(rows), len(outcomeTable))
@@ -40,7 +40,7 @@
 				step, kind := plan.Next(0, "b", Attempt{Outcome: r.outcome, Sent: r.outcome != NotSent && r.outcome != SendCancelled})
 				want, wantKind := r.idempotent, apierror.None
 				if r.outcome == TimedOut {
-					wantKind = apierror.DeadlineOver
+					wantKind = apierror.DeadlineExceeded
 				}
 				if repeat == config.NonIdempotent {
 					want, wantKind = r.once, r.onceKind
@@ -48,8 +48,8 @@
 				if step != want || kind != wantKind || plan.MayHaveRun != r.mayHaveRun {
 					t.Errorf("%s: step %d, kind %d, may have run %v", repeat, step, kind, plan.MayHaveRun)
 				}
-				if plan.errorKind(apierror.NoRoom) == apierror.NoRoom == r.mayHaveRun {
-					t.Errorf("%s: an error promises %v", repeat, plan.errorKind(apierror.NoRoom))
+				if plan.errorKind(apierror.Overloaded) == apierror.Overloaded == r.mayHaveRun {
+					t.Errorf("%s: an error promises %v", repeat, plan.errorKind(apierror.Overloaded))
 				}
 			}
 			d := daemonOf(t, newStandIn(t, "i-1", good))
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -74,10 +74,10 @@
 		}
 		return StepRetry, apierror.None
 	case TimedOut:
-		return StepFail, apierror.DeadlineOver
+		return StepFail, apierror.DeadlineExceeded
 	case ConnectionFailed, StaleConnection:
 		if !p.Route.Repeat.Repeatable() {
-			return StepFail, apierror.Broken
+			return StepFail, apierror.BackendFailed
 		}
 	case NotSent:
 		if p.connectFailures++; p.connectFailures > maxConnectFailures {
@@ -85,10 +85,10 @@
 		}
 	}
 	if now >= p.Deadline {
-		return StepFail, p.errorKind(apierror.TooLate)
+		return StepFail, p.errorKind(apierror.DeadlineTooShort)
 	}
 	if p.AttemptsLeft <= 0 {
-		return StepFail, p.errorKind(apierror.NoRoom)
+		return StepFail, p.errorKind(apierror.Overloaded)
 	}
 	return StepRetry, apierror.None
 }
@@ -97,7 +97,7 @@
 // that says that the response was lost.
 func (p *Plan) errorKind(kind apierror.Kind) apierror.Kind {
 	if p.MayHaveRun {
-		return apierror.Broken
+		return apierror.BackendFailed
 	}
 	return kind
 }
--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -25,12 +25,12 @@
 	tenant := snapshot.View.Tenant(request.Host)
 	if tenant != nil {
 		if admitted, wait := d.tenantLimits.Admit(now, tenant); !admitted {
-			return nil, apierror.OverLimit, wait
+			return nil, apierror.RateLimited, wait
 		}
 	}
 	left := timeLeft(route, deadline)
 	if left <= 0 {
-		return nil, apierror.TooLate, 0
+		return nil, apierror.DeadlineTooShort, 0
 	}
 	plan = &Plan{
 		Route: route, Service: pickTarget(route, rand.Float64()), Request: request,
@@ -41,7 +41,7 @@
 	if route.Repeat == config.Keyed {
 		plan.Key = request.operationKey()
 		if plan.Key == "" {
-			return nil, apierror.NoKey, 0
+			return nil, apierror.MissingKey, 0
 		}
 		if tenant != nil {
 			plan.Key = tenant.Name + "/" + plan.Key
@@ -54,10 +54,10 @@
 // findRoute gives the route of a request that may be handled at all.
 func (d *Daemon) findRoute(snapshot *Snapshot, request *Request) (route *config.Way, kind apierror.Kind) {
 	if d.state.Policies.CutOff() {
-		return nil, apierror.CutOff
+		return nil, apierror.Isolated
 	}
 	if !snapshot.Configured {
-		return nil, apierror.NotStarted
+		return nil, apierror.NotConfigured
 	}
 	path := request.Target
 	if at := strings.IndexByte(path, '?'); at >= 0 {
@@ -66,12 +66,12 @@
 	route = snapshot.View.Find(request.Host, path)
 	switch {
 	case route == nil:
-		return nil, apierror.NoWay
+		return nil, apierror.NoRoute
 	case request.ID == "":
 		return nil, apierror.BadRequest
 	case request.Pipelined && !route.Repeat.Repeatable():
 		// The route has changed since the frontend looked.
-		return nil, apierror.NoRoom
+		return nil, apierror.Overloaded
 	}
 	return route, apierror.None
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -126,7 +126,7 @@
 func (f *Frontend) readSizedBody(parsed *http.Request) (body []byte, kind apierror.Kind) {
 	if f.bodyBytesLeft.Add(-parsed.ContentLength) < 0 {
 		f.bodyBytesLeft.Add(parsed.ContentLength)
-		return nil, apierror.NoRoom
+		return nil, apierror.Overloaded
 	}
 	body = make([]byte, parsed.ContentLength)
 	if _, err := io.ReadFull(parsed.Body, body); err != nil {
@@ -147,7 +147,7 @@
 		return nil, apierror.BodyTooLarge
 	}
 	if int64(len(body)) > available {
-		return nil, apierror.NoRoom
+		return nil, apierror.Overloaded
 	}
 	f.bodyBytesLeft.Add(-int64(len(body)))
 	return body, apierror.None
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -40,9 +40,9 @@
 
 // ErrorResponseAfter also says when to retry, where that is known better than the table does.
 func ErrorResponseAfter(kind apierror.Kind, requestID string, retryAfter time.Duration) (response Response) {
-	answer := kind.Answer()
+	answer := kind.Response()
 	if retryAfter > 0 {
-		answer.RetryMS = int(retryAfter / time.Millisecond)
+		answer.RetryAfterMS = int(retryAfter / time.Millisecond)
 	}
 	response.Status, response.Close = answer.Status, answer.Close
 	response.Body = []byte(`{"error_message":` + strconv.Quote(answer.Text) + `}`)
@@ -51,8 +51,8 @@
 	if requestID != "" {
 		response.Headers = append(response.Headers, HeaderField{headerRequestID, requestID})
 	}
-	if answer.RetryMS > 0 {
-		response.Headers = append(response.Headers, HeaderField{"Retry-After", answer.Retry()})
+	if answer.RetryAfterMS > 0 {
+		response.Headers = append(response.Headers, HeaderField{"Retry-After", answer.RetryAfter()})
 	}
 	return response
 }
--- a/internal/proxy/response_reader.go
+++ b/internal/proxy/response_reader.go
@@ -226,7 +226,7 @@
 // not run without that word.
 func contradictory(response *http.Response) bool {
 	return response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" ||
-		response.Header.Get(headerNotExecuted) != "" || apierror.Promises(response.StatusCode)
+		response.Header.Get(headerNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode)
 }
 
 // readBody reads a body completely where it is small; of a large one it gives the beginning and
