--- a/internal/apierror/problem.go
+++ b/internal/apierror/apierror.go
@@ -1,15 +1,17 @@
-// Package problem is the closed list of what can go wrong with a request or a
-// call, and the one table from each kind to its answer. A status that promises
-// "has not run and never will" (408, 421, 429, 503) may only stand behind a
-// kind whose Ran is false.
+// Package apierror owns the closed list of what can go wrong with a request or
+// a call, and the one table from each kind to its response. A status that
+// promises "has not run and never will" (408, 421, 429, 503) may only stand
+// behind a kind whose MayHaveRun is false. The texts are sent to clients and
+// stay as they are. Everything here is constant and safe for any goroutine.
 package apierror
 
 import "strconv"
 
-// Kind names one problem.
+// Kind is one way in which a request or call can fail.
 type Kind int
 
-// The closed list.
+// The closed list. The order is fixed only within one build: no kind is stored
+// or sent as a number.
 const (
 	None Kind = iota
 	BadRequest
@@ -19,37 +21,47 @@
 	BodyTooLarge
 	RequestTimeout
 	NoBackend
+	// Overloaded means that admission control or the backends' limits refused it.
 	Overloaded
+	// NoLeader means that an operation key could not be claimed.
 	NoLeader
+	// KeyInUse means that the same operation is in flight.
 	KeyInUse
+	// KeyOutcomeUnknown means that an earlier attempt of the operation may have run.
 	KeyOutcomeUnknown
 	RateLimited
+	// DeadlineTooShort means that no attempt was made, DeadlineExceeded that one was.
 	DeadlineTooShort
+	// BackendFailed means that the connection failed after the request was sent.
 	BackendFailed
 	DeadlineExceeded
 	InvalidConfig
 	NotLeader
 	NotReady
+	// OutcomeUnknown means that an operator's request may be in force or not.
 	OutcomeUnknown
 	NotConfigured
 	RequestRejected
 	SessionUnavailable
+	// Isolated means that the node has lost touch with leader and peers.
 	Isolated
+	// VersionConflict means that other content came under the same version.
 	VersionConflict
 )
 
-// Response is what a problem looks like to the one who called.
+// Response is what an error looks like to the caller.
 type Response struct {
 	Status int
 	Text   string
 	// MayHaveRun tells that the request may have reached a backend.
 	MayHaveRun bool
-	// RetryAfterMS is when to come back; 0 for no word on it.
+	// RetryAfterMS is when to come back, in milliseconds; 0 says nothing of it.
 	RetryAfterMS int
-	// Close ends the stream after the answer.
+	// Close ends the connection after the response.
 	Close bool
 }
 
+// responses holds every kind but None.
 var responses = map[Kind]Response{
 	BadRequest:         {Status: 400, Text: "malformed request", Close: true},
 	MissingKey:         {Status: 400, Text: "this way wants an operation key"},
@@ -77,16 +89,17 @@
 	NotConfigured:      {Status: 503, Text: "the configuration is not known yet", RetryAfterMS: 300},
 }
 
-// PromisesNotRun tells that a status is a promise that the request has not run and never
-// will.
+// PromisesNotRun tells that a status promises that the request has not run and
+// never will.
 func PromisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-// Response gives the table's entry.
-func (k Kind) Response() (answer Response) { return responses[k] }
+// Response is the table's entry.
+func (k Kind) Response() (response Response) { return responses[k] }
 
-// RetryAfter writes the time as Retry-After wants it, in seconds with fractions.
-func (a Response) RetryAfter() (text string) {
-	return strconv.FormatFloat(float64(a.RetryAfterMS)/1000, 'f', -1, 64)
+// RetryAfter writes the time as the Retry-After header has it here: seconds
+// with fractions.
+func (r Response) RetryAfter() (text string) {
+	return strconv.FormatFloat(float64(r.RetryAfterMS)/1000, 'f', -1, 64)
 }
