--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"tinpin/internal/apierror"
+	"tinpin/internal/config"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/rpc"
@@ -109,7 +110,7 @@
 	switch {
 	case response.BodyRest != nil:
 		d.operations.Lose(operation)
-	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
+	case config.AllowsRegion(homes, d.settings.Region):
 		d.operations.Answer(operation, response.Status, response.Headers, response.Body)
 	default:
 		go d.storeOnPeer(operation, plan, response)
@@ -122,7 +123,7 @@
 	var address string
 	var best uint64
 	for id, node := range snapshot.Nodes {
-		if !node.Ready || node.Stopping || absent[id] || !regionAllowed(plan.Route.Homes, node.Region) {
+		if !node.Ready || node.Stopping || absent[id] || !config.AllowsRegion(plan.Route.Homes, string(node.Region)) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < best {
