--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -21,14 +21,14 @@
 // response for repeats.
 func (d *Daemon) executeKeyed(plan *Plan) Response {
 	request := plan.Request
-	if d.operations.Freed(plan.Key, request.ID) {
+	if d.operations.Released(plan.Key, request.ID) {
 		// The release of this claim may still be under way, and would release a new one of the
 		// same name.
 		return ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
 	}
-	operation, earlier := d.operations.Open(plan.Key, request.ID)
+	operation, earlier := d.operations.Begin(plan.Key, request.ID)
 	if earlier != nil {
-		return d.replay(d.leader.Fetch(earlier.Recall(), plan.Key, earlier.Request()), request.ID)
+		return d.replay(d.leader.Fetch(earlier.Response(), plan.Key, earlier.Request()), request.ID)
 	}
 	if response, granted := d.claim(plan, operation); !granted {
 		return response
@@ -39,7 +39,7 @@
 		d.storeResponse(operation, plan, response)
 		return response
 	case plan.MayHaveRun && !(kind == apierror.BackendFailed && d.deduplicates(plan.Service)):
-		d.operations.Lose(operation)
+		d.operations.MarkLost(operation)
 	default:
 		d.releaseKey(plan, operation)
 	}
@@ -47,7 +47,7 @@
 }
 
 // claim claims the key of a plan. Where it is not granted, the response is what the client gets.
-func (d *Daemon) claim(plan *Plan, operation *idempotency.Held) (response Response, granted bool) {
+func (d *Daemon) claim(plan *Plan, operation *idempotency.HeldOperation) (response Response, granted bool) {
 	request := plan.Request
 	limit := min(claimTimeout, plan.Deadline-d.clock.Now())
 	for retries := 0; ; retries++ {
@@ -83,7 +83,7 @@
 	if found.Holder != rpc.NodeID(d.settings.Name) {
 		return d.leader.Recall(found, key)
 	}
-	if found.Incarnation == d.incarnation && d.operations.Freed(key, found.Request) {
+	if found.Incarnation == d.incarnation && d.operations.Released(key, found.Request) {
 		reply.State = rpc.OperationReleased
 		d.leader.Release(rpc.KeyClaim{Key: key, Request: found.Request})
 	}
@@ -91,8 +91,8 @@
 }
 
 // releaseKey gives the claim of a plan's key back: the request has not run.
-func (d *Daemon) releaseKey(plan *Plan, operation *idempotency.Held) {
-	d.operations.Free(operation)
+func (d *Daemon) releaseKey(plan *Plan, operation *idempotency.HeldOperation) {
+	d.operations.Release(operation)
 	d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: plan.Request.ID})
 }
 
@@ -105,20 +105,20 @@
 
 // storeResponse keeps the response of an operation for repeats. Only the allowed regions of a
 // route may store its responses; elsewhere a node there stores it.
-func (d *Daemon) storeResponse(operation *idempotency.Held, plan *Plan, response Response) {
+func (d *Daemon) storeResponse(operation *idempotency.HeldOperation, plan *Plan, response Response) {
 	homes := plan.Route.Homes
 	switch {
 	case response.BodyRest != nil:
-		d.operations.Lose(operation)
+		d.operations.MarkLost(operation)
 	case config.AllowsRegion(homes, d.settings.Region):
-		d.operations.Answer(operation, response.Status, response.Headers, response.Body)
+		d.operations.Complete(operation, response.Status, response.Headers, response.Body)
 	default:
 		go d.storeOnPeer(operation, plan, response)
 	}
 }
 
 // storeOnPeer has a node within the allowed regions of a route store a response.
-func (d *Daemon) storeOnPeer(operation *idempotency.Held, plan *Plan, response Response) {
+func (d *Daemon) storeOnPeer(operation *idempotency.HeldOperation, plan *Plan, response Response) {
 	snapshot, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var address string
 	var best uint64
@@ -132,10 +132,10 @@
 	}
 	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: response.Status, Headers: response.Headers, Body: response.Body}
 	if address == "" || !d.leader.StoreAt(address, rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: stored}) {
-		d.operations.Lose(operation)
+		d.operations.MarkLost(operation)
 		return
 	}
-	d.operations.Move(operation, address)
+	d.operations.MarkMoved(operation, address)
 }
 
 // replay answers a repeat from what the operation's holder told.
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -68,12 +68,12 @@
 	evacuations  map[rpc.ZoneName]rpc.Evacuation
 	nodes        map[rpc.NodeID]rpc.Node
 	controllers  map[string]bool
-	assignment   *healthcheck.Watch
+	assignment   *healthcheck.ProbeAssignment
 	leaderMap    rpc.ShardMap
-	outliers     *healthcheck.Judge
+	outliers     *healthcheck.OutlierDetector
 	listComplete bool
 	view         *config.View
-	leases       *quota.Shares
+	leases       *quota.Leases
 	snapshot     atomic.Pointer[Snapshot]
 	leasesMu     sync.Mutex
 	stats        map[rpc.ServiceName]*ServiceStats
@@ -84,8 +84,8 @@
 	world = &ClusterState{
 		settings: p, log: log, clock: clock, History: history.New(log), Policies: NewPolicies(clock.Now()), config: config.New(), servers: map[rpc.EndpointID]*Backend{},
 		evacuations: map[rpc.ZoneName]rpc.Evacuation{}, nodes: map[rpc.NodeID]rpc.Node{}, controllers: map[string]bool{},
-		assignment: healthcheck.NewWatch(rpc.NodeID(p.Name), p.SendInterval, clock.Now()),
-		outliers:   healthcheck.NewJudge(), leases: quota.NewShares(), stats: map[rpc.ServiceName]*ServiceStats{},
+		assignment: healthcheck.NewProbeAssignment(rpc.NodeID(p.Name), p.SendInterval, clock.Now()),
+		outliers:   healthcheck.NewOutlierDetector(), leases: quota.NewLeases(), stats: map[rpc.ServiceName]*ServiceStats{},
 	}
 	world.Policies.Retries = retry.NewLimiter(world.Leased)
 	world.view = world.config.View()
@@ -115,7 +115,7 @@
 	w.leasesMu.Lock()
 	defer w.leasesMu.Unlock()
 	for _, lease := range leases {
-		w.leases.Take(asked, lease)
+		w.leases.Add(asked, lease)
 	}
 }
 
@@ -198,8 +198,8 @@
 		for name := range w.view.Services {
 			names = append(names, rpc.ServiceName(name))
 		}
-		w.assignment.Services(names)
-		w.assignment.Settle(now)
+		w.assignment.SetServices(names)
+		w.assignment.CoverNewServices(now)
 	}
 	if news.EndpointChunk != nil && !w.known.EndpointsComplete {
 		w.applyListPart(now, news.EndpointChunk)
@@ -236,13 +236,13 @@
 	}
 	if news.ShardMap != nil {
 		w.leaderMap, w.known.ShardMapRevision = *news.ShardMap, news.ShardMap.Revision
-		w.assignment.Map(now, *news.ShardMap)
+		w.assignment.SetShardMap(now, *news.ShardMap)
 	}
 	for _, tally := range news.Outcomes {
 		w.outliers.Add(now, tally)
 	}
-	w.assignment.Absent(news.Absent)
-	w.assignment.Led(now, true)
+	w.assignment.SetAbsent(news.Absent)
+	w.assignment.SetHasLeader(now, true)
 	if changed {
 		w.publishSnapshot()
 	}
@@ -463,16 +463,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
-	w.assignment.Led(now, led)
+	w.assignment.SetHasLeader(now, led)
 	applied, headless := w.assignment.Tick(now)
 	if applied {
-		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.assignment.Applied().Revision), eventlog.KeyMembers, len(w.assignment.Applied().Members))
+		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.assignment.AppliedMap().Revision), eventlog.KeyMembers, len(w.assignment.AppliedMap().Members))
 	}
 	if headless {
 		w.log.Emit(eventlog.Headless)
 	}
-	shards := w.assignment.Applied()
-	return w.assignment.Duties(), shards.Term, shards.Revision
+	shards := w.assignment.AppliedMap()
+	return w.assignment.AssignedServices(), shards.Term, shards.Revision
 }
 
 // DetectOutliers moves the judge's time on and gives the backends whose standing changed.
@@ -491,21 +491,21 @@
 func (w *ClusterState) ProbesOnlyOwn() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.assignment.Headless() && !w.assignment.Unsettled()
+	return !w.assignment.WithoutLeader() && !w.assignment.HasUncovered()
 }
 
 // ProbedServices lists the services this daemon probes now.
 func (w *ClusterState) ProbedServices() (duties []rpc.ServiceName) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.assignment.Duties()
+	return w.assignment.AssignedServices()
 }
 
 // AbsentNodes lists the fellows the leader does not hear.
 func (w *ClusterState) AbsentNodes() (absent map[rpc.NodeID]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.assignment.AbsentNow()
+	return w.assignment.AbsentNodes()
 }
 
 // StateOf tells how a subject stands on this daemon.
