--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -28,12 +28,17 @@
 		"help":             {[]string{"help"}, 0, "tinpin status"},
 		"version":          {[]string{"version"}, 0, Version},
 		"nothing":          {nil, 2, "no command"},
-		"unknown":          {[]string{"proxy"}, 2, `unknown command "proxy"`},
+		"unknown":          {[]string{"router"}, 2, `unknown command "router"`},
+		"earlier proxy":    {[]string{"passage"}, 2, `"passage" is now called "proxy"`},
+		"earlier core":     {[]string{"accord"}, 2, `"accord" is now called "controller"`},
+		"earlier check":    {[]string{"check-props", bad}, 2, `"check-props" is now called "check-settings"`},
 		"too much":         {[]string{"version", "now"}, 2, "takes 0 argument(s), not 1"},
-		"no file":          {[]string{"check-props"}, 2, "takes 1 argument(s)"},
-		"bad file":         {[]string{"check-props", bad}, 2, "seeds must name one daemon or more"},
-		"absent file":      {[]string{"check-props", bad + "x"}, 2, "no such file"},
-		"role, no props":   {[]string{"passage"}, 2, "TINPIN_CONFIG"},
+		"no file":          {[]string{"check-settings"}, 2, "takes 1 argument(s)"},
+		"bad file":         {[]string{"check-settings", bad}, 2, "seeds must name one daemon or more"},
+		"absent file":      {[]string{"check-settings", bad + "x"}, 2, "no such file"},
+		"proxy, no file":   {[]string{"proxy"}, 2, "TINPIN_CONFIG"},
+		"core, no file":    {[]string{"controller"}, 2, "TINPIN_CONFIG"},
+		"role, argument":   {[]string{"controller", "x"}, 2, "takes 0 argument(s), not 1"},
 		"unknown flag":     {[]string{"status", "-colour"}, 2, "colour"},
 		"unknown kind":     {[]string{"trace", "thing", "x"}, 2, `unknown kind "thing"`},
 		"drain, no verb":   {[]string{"drain"}, 2, "wants a verb"},
@@ -58,6 +63,21 @@
 	}
 }
 
+// Each command tells its own forms and flags, and every one is in the help.
+func TestEachCommandHasHelp(t *testing.T) {
+	var all bytes.Buffer
+	run([]string{"help"}, &all, &all)
+	for _, c := range commands() {
+		var out, errOut bytes.Buffer
+		if code := run([]string{c.name, "-h"}, &out, &errOut); code != 0 || !strings.Contains(out.String(), "tinpin "+c.name) {
+			t.Errorf("%s -h: code %d, %q %q", c.name, code, out.String(), errOut.String())
+		}
+		if !strings.Contains(all.String(), "tinpin "+c.name) {
+			t.Errorf("%s is not in the help", c.name)
+		}
+	}
+}
+
 func TestTraceFromLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	lines := `{"level":"info","ts":"2026-01-01T00:00:02.000Z","msg":"change observed","daemon":"edge-1","event":120,"kind":"item","name":"routes/r1","change":"applied","state":"7","revision":12}
--- /dev/null
+++ b/cmd/tinpin/retry.go
@@ -0,0 +1,3 @@
+package main
+
+var retryCommand = command{name: "retry", usage: documentUsage("the limit on retries", "how it is kept"), run: runDocument}
