--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,15 +1,15 @@
-// Package council is the accord role: one core with its disk, the desk for
-// fellows, the forum while it leads, and the operator's interface.
+// Package controller is the controller role put together: one member of the
+// controllers' group with its disk, the handler for nodes' calls, a coordinator
+// while this controller leads, and the operator's API on them. Consensus, what a
+// leader does in its term, and the HTTP server are other packages' business.
+//
+// Exported methods and the API's handlers may be called from any goroutine.
 package controller
 
 import (
-	"context"
 	"net/http"
-	"net/url"
 	"time"
 
-	"tinpin/internal/apierror"
-	"tinpin/internal/config"
 	"tinpin/internal/coordinator"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
@@ -20,187 +20,102 @@
 	"tinpin/internal/settings"
 )
 
-// Patience is how long an operator's call may take before it is unclear; the
-// callers give up after a second.
-const patience = 900 * time.Millisecond
+// proposalTimeout is how long an operator's call waits for the outcome of its
+// proposal before that is unclear; the callers give up after a second.
+const proposalTimeout = 900 * time.Millisecond
 
-// Controller is a running accord daemon.
+// Controller is a running controller.
 type Controller struct {
-	props settings.Settings
-	log   *eventlog.Logger
-	node  *raft.Node
-	desk  *coordinator.Handler
-	// patience is how long a call waits for its outcome.
-	patience time.Duration
-
-	inner  *rpc.Listener
-	office *http.Server
+	settings settings.Settings
+	log      *eventlog.Logger
+	node     *raft.Node
+	// nodeCalls answers the nodes, and holds the coordinator while this one leads.
+	nodeCalls       *coordinator.Handler
+	proposalTimeout time.Duration
+
+	internalListener *rpc.Listener
+	apiServer        *http.Server
 }
 
-// Start opens the disk and the listeners and takes up the work.
-func Start(p settings.Settings, log *eventlog.Logger) (council *Controller, err error) {
+// Start opens the disk and the listeners and begins to work.
+func Start(p settings.Settings, log *eventlog.Logger) (c *Controller, err error) {
 	node, err := raft.OpenNode(p, log)
 	if err != nil {
 		return nil, err
 	}
-	council = &Controller{props: p, log: log, node: node, patience: patience, desk: coordinator.NewHandler(node, node)}
-	node.OnRole = func(leads bool, term raft.Term) {
-		var opened *coordinator.Coordinator
-		if leads {
-			opened = coordinator.Start(p, log, node, term)
-		}
-		if old := council.desk.SetCoordinator(opened); old != nil {
-			old.Close()
-		}
-	}
-	node.OnChange = func() {
-		if open := council.desk.Coordinator(); open != nil {
-			open.StateChanged()
-		}
-	}
+	c = &Controller{settings: p, log: log, node: node, proposalTimeout: proposalTimeout, nodeCalls: coordinator.NewHandler(node, node)}
+	node.OnRole = c.roleChanged
+	node.OnChange = c.stateChanged
 	if p.EventsURL != "" {
-		// Each change is told once, by the core that leads when it is applied.
-		teller, heraldErr := notify.New(p.EventsURL, p.Name, log)
-		if heraldErr != nil {
-			return nil, heraldErr
+		if err = c.notifyOfChanges(); err != nil {
+			return nil, err
 		}
-		node.Chronicle.OnMark = func(mark history.Mark) {
-			if mark.What != "acknowledged" && council.desk.Coordinator() != nil {
-				teller.Tell(mark)
-			}
-		}
-	}
-	if council.inner, err = rpc.Serve(p.ControllerInternalAddress(), map[string]any{"Accord": node.Desk(), "Forum": council.desk, "Status": &StatusHandler{council}}); err != nil {
-		return nil, err
 	}
-	if council.office, err = httpapi.Serve(p.ControlAddress, httpapi.Handlers{
-		UpdateConfig: council.update, DescribeConfig: council.describe, Evacuate: council.evacuate,
-		SetDocument: council.order, WithdrawDocument: council.withdraw, ShowDocument: council.show, RetireBackend: council.retire,
-	}); err != nil {
+	if err = c.listen(); err != nil {
 		return nil, err
 	}
 	node.Run()
-	return council, nil
-}
-
-// Reload takes changed settings up.
-func (c *Controller) Reload(p settings.Settings) { c.node.SetSeeds(p.Seeds) }
-
-// Stop hands leadership over and ends.
-func (c *Controller) Stop() {
-	c.node.Close()
-	_ = c.office.Close()
-	c.inner.Close()
-	if old := c.desk.SetCoordinator(nil); old != nil {
-		old.Close()
-	}
+	return c, nil
 }
 
-// elsewhere sends the caller to the leader, or tells that there is none.
-func (c *Controller) elsewhere(path string) (err error) {
-	leads, settled, _, leader, _ := c.node.Standing()
-	if leads && settled {
-		return nil
-	}
-	if leads || leader.Control == "" {
-		return &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
+// roleChanged starts a coordinator for a term that this controller leads, and
+// closes that of the term before.
+func (c *Controller) roleChanged(leads bool, term raft.Term) {
+	var started *coordinator.Coordinator
+	if leads {
+		started = coordinator.Start(c.settings, c.log, c.node, term)
 	}
-	return &httpapi.Error{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
+	c.replaceCoordinator(started)
 }
 
-// proven gives a verdict that was made from the state of this core only where it
-// is proven that it still leads, and leaves the caller without a clear answer else.
-func (c *Controller) proven(open *coordinator.Coordinator, verdict error) (err error) {
-	if !c.desk.ConfirmLeadership(open) {
-		return &httpapi.Error{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
+func (c *Controller) replaceCoordinator(next *coordinator.Coordinator) {
+	if old := c.nodeCalls.SetCoordinator(next); old != nil {
+		old.Close()
 	}
-	return verdict
 }
 
-func (c *Controller) wish(command raft.Command) (result raft.Result, err error) {
-	answer := c.node.Wish(command, c.patience)
-	if !answer.Clear {
-		return result, &httpapi.Error{Kind: apierror.Unclear}
+func (c *Controller) stateChanged() {
+	if current := c.nodeCalls.Coordinator(); current != nil {
+		current.StateChanged()
 	}
-	return answer.Result, nil
 }
 
-func (c *Controller) update(_ context.Context, body []byte) (err error) {
-	if err = c.elsewhere("/-/Config.Update"); err != nil {
-		return err
-	}
-	// What cannot be read is refused whatever stands.
-	call, err := config.ReadCall(body)
-	if err != nil {
-		return c.refuse(history.Item, &httpapi.Error{Kind: apierror.BadConfig, Text: err.Error()})
-	}
-	result, err := c.wish(raft.Command{Kind: raft.CommandConfig, Body: body})
+// notifyOfChanges sends CloudEvents of changes. Each change is sent once, by the
+// controller that leads when it is applied.
+func (c *Controller) notifyOfChanges() (err error) {
+	notifier, err := notify.New(c.settings.EventsURL, c.settings.Name, c.log)
 	if err != nil {
 		return err
 	}
-	if result.Problem != "" {
-		return c.refuse(history.Item, refusedAs(apierror.BadConfig, result))
-	}
-	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
-	for _, path := range call.Paths() {
-		c.node.Chronicle.Note(history.Item, path, "acknowledged", "", 0, true)
+	c.node.Chronicle.OnMark = func(mark history.Mark) {
+		if mark.What != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
+			notifier.Tell(mark)
+		}
 	}
 	return nil
 }
 
-// refusedAs is the trouble with an order that the cores have refused.
-func refusedAs(kind apierror.Kind, result raft.Result) (trouble *httpapi.Error) {
-	if result.Conflict {
-		kind = apierror.VersionTaken
-	}
-	return &httpapi.Error{Kind: kind, Text: result.Problem}
-}
-
-// refuse logs what the caller is told.
-func (c *Controller) refuse(subject string, trouble *httpapi.Error) (err error) {
-	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject, eventlog.KeyStatus, trouble.Kind.Answer().Status, eventlog.KeyReason, trouble.Error())
-	return trouble
-}
-
-func (c *Controller) describe(context.Context) (text []byte, err error) {
-	open, err := c.open("/-/Config.Describe")
-	if err != nil {
-		return nil, err
-	}
-	// A leader that is settled has applied all that it or an older one has
-	// acknowledged before the call; contact after the reading proves that no later
-	// one has acknowledged anything.
-	c.node.Read(func(state *raft.State) { text = state.Canon.Describe() })
-	if err = c.proven(open, nil); err != nil {
-		return nil, err
+// listen opens the listeners for nodes and other controllers, and for operators.
+func (c *Controller) listen() (err error) {
+	// The names of the receivers are those on the wire.
+	receivers := map[string]any{"Accord": c.node.Desk(), "Forum": c.nodeCalls, "Status": &StatusHandler{c}}
+	if c.internalListener, err = rpc.Serve(c.settings.ControllerInternalAddress(), receivers); err != nil {
+		return err
 	}
-	return text, nil
+	c.apiServer, err = httpapi.Serve(c.settings.ControlAddress, httpapi.Handlers{
+		UpdateConfig: c.updateConfig, DescribeConfig: c.describeConfig, Evacuate: c.evacuate,
+		SetDocument: c.setDocument, WithdrawDocument: c.withdrawDocument, ShowDocument: c.showDocument, RetireBackend: c.retireBackend,
+	})
+	return err
 }
 
-// withOrder adds to a path the name that an order may have.
-func withOrder(path, id string) (whole string) {
-	if id == "" {
-		return path
-	}
-	return path + "?order=" + url.QueryEscape(id)
-}
+// Reload takes changed settings up: only the seeds may change while it runs.
+func (c *Controller) Reload(p settings.Settings) { c.node.SetSeeds(p.Seeds) }
 
-func (c *Controller) evacuate(_ context.Context, site string, start bool, id string) (err error) {
-	kind, verb := raft.CommandReturn, "Stop"
-	if start {
-		kind, verb = raft.CommandEvacuate, "Start"
-	}
-	if err = c.elsewhere(withOrder("/-/Evacuations."+verb+"/"+url.PathEscape(site), id)); err != nil {
-		return err
-	}
-	result, err := c.wish(raft.Command{Kind: kind, Site: site, Claim: raft.Claim{Key: id}})
-	if err != nil {
-		return err
-	}
-	if result.Problem != "" {
-		return c.refuse(history.Evacuation, refusedAs(apierror.BadOrder, result))
-	}
-	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, site, "active", start)
-	c.node.Chronicle.Note(history.Evacuation, site, "acknowledged", "", 0, true)
-	return nil
+// Stop hands leadership over and ends all work.
+func (c *Controller) Stop() {
+	c.node.Close()
+	_ = c.apiServer.Close()
+	c.internalListener.Close()
+	c.replaceCoordinator(nil)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,13 +21,14 @@
 	"tinpin/internal/settings"
 )
 
-// scripted is a contact that holds or not.
-type scripted struct{ lost atomic.Bool }
+// fakeLeadership is confirmed or not.
+type fakeLeadership struct{ lost atomic.Bool }
 
-func (s *scripted) InContact(raft.Term, time.Duration) (proven bool) { return !s.lost.Load() }
+func (f *fakeLeadership) InContact(raft.Term, time.Duration) (proven bool) { return !f.lost.Load() }
 
-// alone is a council of one core that leads, with a contact of the test's own.
-func alone(t *testing.T) (c *Controller, contact *scripted) {
+// startSingle starts a controller that leads alone, with a proof of leadership of
+// the test's own.
+func startSingle(t *testing.T) (c *Controller, leadership *fakeLeadership) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","0ms","one",3]]},"next_page_token":null}`)
 	}))
@@ -40,46 +41,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	contact = &scripted{}
-	// What is asked here has an outcome, however slow this machine is.
-	c = &Controller{props: p, log: eventlog.Discard(), node: node, patience: time.Minute, desk: coordinator.NewHandler(node, contact)}
+	leadership = &fakeLeadership{}
+	// Calls get an outcome however slow this machine is.
+	c = &Controller{settings: p, log: eventlog.Discard(), node: node, proposalTimeout: time.Minute, nodeCalls: coordinator.NewHandler(node, leadership)}
 	led := make(chan bool, 1)
 	node.OnRole = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
-		c.desk.SetCoordinator(coordinator.Start(p, eventlog.Discard(), node, term))
+		c.nodeCalls.SetCoordinator(coordinator.Start(p, eventlog.Discard(), node, term))
 		led <- true
 	}
 	node.Run()
 	t.Cleanup(func() {
-		if old := c.desk.SetCoordinator(nil); old != nil {
+		if old := c.nodeCalls.SetCoordinator(nil); old != nil {
 			old.Close()
 		}
 		node.Close()
 	})
 	<-led
-	for !c.desk.Coordinator().EndpointsComplete() {
+	for !c.nodeCalls.Coordinator().EndpointsComplete() {
 		runtime.Gosched()
 	}
-	return c, contact
+	return c, leadership
 }
 
 func kind(err error) (found apierror.Kind) {
-	var trouble *httpapi.Error
-	if errors.As(err, &trouble) {
-		return trouble.Kind
+	var answer *httpapi.Error
+	if errors.As(err, &answer) {
+		return answer.Kind
 	}
 	return apierror.None
 }
 
-// Out of contact no order is refused from what this core holds, and nothing is
-// read from it; what the log decides needs no other proof.
-func TestOutOfContactNothingIsRefusedOrRead(t *testing.T) {
-	c, contact := alone(t)
+// Out of contact no request is rejected from the state of this controller, and
+// nothing is read from it; what the log decides needs no other proof.
+func TestOutOfContactNothingIsRejectedOrRead(t *testing.T) {
+	c, leadership := startSingle(t)
 	none := context.Background()
 	set := func(body string, check bool) func() error {
-		return func() error { return c.order(none, policy.DrainPolicy, []byte(body), check) }
+		return func() error { return c.setDocument(none, policy.DrainPolicy, []byte(body), check) }
 	}
 	drainPolicy := func(version int) string {
 		return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version)
@@ -91,24 +92,24 @@
 		do   func() error
 		with apierror.Kind
 	}{
-		"describe":        {func() error { _, err := c.describe(none); return err }, apierror.None},
-		"show":            {func() error { _, err := c.show(none, policy.DrainPolicy); return err }, apierror.None},
+		"describe":        {func() error { _, err := c.describeConfig(none); return err }, apierror.None},
+		"show":            {func() error { _, err := c.showDocument(none, policy.DrainPolicy); return err }, apierror.None},
 		"a good check":    {set(drainPolicy(9), true), apierror.None},
 		"an old version":  {set(drainPolicy(3), false), apierror.BadOrder},
 		"no document":     {set(`{}`, false), apierror.BadOrder},
 		"a bad check":     {set(`{}`, true), apierror.BadOrder},
-		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, apierror.BadOrder},
-		"an unknown one":  {func() error { _, err := c.retire(none, "two", false, ""); return err }, apierror.BadOrder},
+		"the last of all": {func() error { _, err := c.retireBackend(none, "one", false, ""); return err }, apierror.BadOrder},
+		"an unknown one":  {func() error { _, err := c.retireBackend(none, "two", false, ""); return err }, apierror.BadOrder},
 	} {
 		for lost, want := range map[bool]apierror.Kind{false: call.with, true: apierror.Unclear} {
-			contact.lost.Store(lost)
+			leadership.lost.Store(lost)
 			if got := kind(call.do()); got != want {
 				t.Errorf("%s, contact lost %v: %v, want %v", name, lost, got, want)
 			}
 		}
 	}
-	contact.lost.Store(true)
+	leadership.lost.Store(true)
 	if err := set(drainPolicy(5), false)(); err != nil {
-		t.Errorf("an order that the log has taken: %v", err)
+		t.Errorf("a document that the log has accepted: %v", err)
 	}
 }
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -1,121 +1,86 @@
-// Orders is the operator's side of the drain policy, of retiring and of the
-// day's plan. A call is looked over by the leader, which knows the list and
-// the regions, and again where it is applied, on the state it meets there.
 package controller
 
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"net/url"
 
-	"tinpin/internal/apierror"
 	"tinpin/internal/coordinator"
-	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
-	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
-	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
 	"tinpin/internal/raft"
-	"tinpin/internal/rpc"
 	"tinpin/internal/schedule"
 )
 
-func refused(err error) (trouble *httpapi.Error) {
-	if dedup.Conflict.Has(err) {
-		return &httpapi.Error{Kind: apierror.VersionTaken, Text: err.Error()}
-	}
-	return &httpapi.Error{Kind: apierror.BadOrder, Text: err.Error()}
-}
-
-// barrier waits until all that this core put before the cores is applied. Only
-// behind it is a refusal from this core's own look at the state a proven one.
-func (c *Controller) barrier() (err error) {
-	_, err = c.wish(raft.Command{Kind: raft.CommandBarrier})
-	return err
-}
-
-// open gives the forum of this core if it leads.
-func (c *Controller) open(path string) (open *coordinator.Coordinator, err error) {
-	if err = c.elsewhere(path); err != nil {
-		return nil, err
-	}
-	if open = c.desk.Coordinator(); open == nil {
-		return nil, &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
-	}
-	return open, nil
-}
-
-func (c *Controller) order(_ context.Context, kind policy.Kind, body []byte, check bool) (err error) {
+// setDocument answers Orders.Set. The document is checked by the leader, which
+// knows the endpoint list and the regions, and again where it is applied, on the
+// state it meets there. With checkOnly it is not proposed.
+func (c *Controller) setDocument(_ context.Context, kind policy.Kind, body []byte, checkOnly bool) (err error) {
 	path := "/-/Orders.Set/" + string(kind)
-	if check {
+	if checkOnly {
 		path += "?check=true"
 	}
-	open, err := c.open(path)
+	current, err := c.leading(path)
 	if err != nil {
 		return err
 	}
 	if err = policy.CheckText(body); err != nil {
-		return c.refuse(history.Document, refused(err))
+		return c.reject(history.Document, invalidRequest(err))
 	}
-	look := func() (lookErr error) {
-		taken := false
-		c.node.Read(func(state *raft.State) {
-			_, taken, lookErr = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
-		})
-		if lookErr == nil && !taken && kind == policy.DayPlan {
-			lookErr = open.ValidateSchedule(body)
+	invalid := c.checkDocument(current, kind, body)
+	if checkOnly {
+		if invalid != nil {
+			return c.confirmed(current, invalidRequest(invalid))
 		}
-		return lookErr
+		return c.confirmed(current, nil)
 	}
-	if err = look(); err != nil && !check {
-		if err = c.barrier(); err != nil {
+	if invalid != nil {
+		if err = c.applyBarrier(); err != nil {
 			return err
 		}
-		err = look()
-	}
-	if err != nil {
-		if check {
-			return c.proven(open, refused(err))
-		}
-		if unproven := c.proven(open, nil); unproven != nil {
-			return unproven
+		if invalid = c.checkDocument(current, kind, body); invalid != nil {
+			if err = c.confirmed(current, nil); err != nil {
+				return err
+			}
+			return c.reject(history.Document, invalidRequest(invalid))
 		}
-		return c.refuse(history.Document, refused(err))
 	}
-	if check {
-		return c.proven(open, nil)
+	result, err := c.propose(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Body: body})
+	return c.acknowledge(history.Document, string(kind), "set", result, err)
+}
+
+// checkDocument looks a document over. One that was accepted before is good,
+// whatever changed since.
+func (c *Controller) checkDocument(current *coordinator.Coordinator, kind policy.Kind, body []byte) (err error) {
+	accepted := false
+	c.node.Read(func(state *raft.State) {
+		_, accepted, err = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
+	})
+	if err == nil && !accepted && kind == policy.DayPlan {
+		err = current.ValidateSchedule(body)
 	}
-	result, err := c.wish(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Body: body})
-	return c.ordered(history.Document, string(kind), "set", result, err)
+	return err
 }
 
-func (c *Controller) withdraw(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
+// withdrawDocument answers Orders.Withdraw.
+func (c *Controller) withdrawDocument(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
 	if !kind.Known() {
-		return refused(policy.Class.New("unknown kind of document %q", kind))
+		return unknownKind(kind)
 	}
-	if _, err = c.open(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
+	if _, err = c.leading(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
 	}
-	result, err := c.wish(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Upto: uint64(version)})
-	return c.ordered(history.Document, string(kind), "withdrawn", result, err)
+	result, err := c.propose(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Upto: uint64(version)})
+	return c.acknowledge(history.Document, string(kind), "withdrawn", result, err)
 }
 
-func (c *Controller) ordered(kind, name, what string, result raft.Result, err error) error {
-	if err != nil {
-		return err
-	}
-	if result.Problem != "" {
-		return c.refuse(kind, refusedAs(apierror.BadOrder, result))
-	}
-	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, kind, eventlog.KeyName, name, eventlog.KeyChange, what)
-	c.node.Chronicle.Note(kind, name, "acknowledged", "", 0, true)
-	return nil
+func unknownKind(kind policy.Kind) (err error) {
+	return invalidRequest(policy.Class.New("unknown kind of document %q", kind))
 }
 
-// DocumentStatus is what reading an order back gives.
+// DocumentStatus is the answer to Orders.Show: the document, and how what it
+// governs stands. Its fields are part of the operator's API.
 type DocumentStatus struct {
 	Kind        policy.Kind                `json:"kind"`
 	Version     policy.Version             `json:"version"`
@@ -128,113 +93,35 @@
 	Retries     []coordinator.RetryStatus  `json:"retrying,omitempty"`
 }
 
-func (c *Controller) show(_ context.Context, kind policy.Kind) (text []byte, err error) {
+// showDocument answers Orders.Show.
+func (c *Controller) showDocument(_ context.Context, kind policy.Kind) (text []byte, err error) {
 	if !kind.Known() {
-		return nil, refused(policy.Class.New("unknown kind of document %q", kind))
+		return nil, unknownKind(kind)
 	}
-	open, err := c.open("/-/Orders.Show/" + string(kind))
+	current, err := c.leading("/-/Orders.Show/" + string(kind))
 	if err != nil {
 		return nil, err
 	}
-	shown := DocumentStatus{Kind: kind}
+	status := DocumentStatus{Kind: kind}
 	c.node.Read(func(state *raft.State) {
 		document := state.Documents[kind]
-		shown.Version, shown.InForce, shown.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
+		status.Version, status.InForce, status.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
-			shown.Step = state.Move.Count
+			status.Step = state.Move.Count
 		}
 	})
 	switch kind {
 	case policy.DayPlan:
-		shown.Targets = open.ScheduleStatus()
+		status.Targets = current.ScheduleStatus()
 	case policy.RetryLimit:
-		shown.Retries = open.RetryStatus()
+		status.Retries = current.RetryStatus()
 	case policy.SessionAffinity:
-		shown.Sessions = open.SessionStatus()
+		status.Sessions = current.SessionStatus()
 	case policy.DrainPolicy:
-		shown.Retirements = open.RetirementStatus()
+		status.Retirements = current.RetirementStatus()
 	}
-	if err = c.proven(open, nil); err != nil {
+	if err = c.confirmed(current, nil); err != nil {
 		return nil, err
 	}
-	return json.Marshal(shown)
-}
-
-func (c *Controller) retire(_ context.Context, id rpc.ServerID, back bool, named string) (phase string, err error) {
-	if back {
-		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
-			return "", err
-		}
-		result, wishErr := c.wish(raft.Command{Kind: raft.CommandRestore, Site: string(id), Claim: raft.Claim{Key: named}})
-		return "restored", c.ordered(history.Retirement, string(id), "restored", result, wishErr)
-	}
-	open, err := c.open(withOrder("/-/Backends.Retire/"+url.PathEscape(string(id)), named))
-	if err != nil {
-		return "", err
-	}
-	if !open.EndpointsComplete() {
-		// A new leader has not read the list yet: that is no reason to refuse.
-		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
-	}
-	command := raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: named}}
-	var sent sentAgain
-	agreed := func() {
-		c.node.Read(func(state *raft.State) {
-			sent.stands, sent.taken = state.RetireTaken(id)
-			sent.named, _ = state.TakenByName(command)
-		})
-	}
-	look := func() (service rpc.ServiceName, refusal error) {
-		agreed()
-		if service, refusal = open.ValidateRetirement(id); sent.stands || sent.named {
-			return service, nil
-		}
-		return service, refusal
-	}
-	service, refusal := look()
-	if refusal != nil {
-		if err = c.barrier(); err != nil {
-			return "", err
-		}
-		if service, refusal = look(); refusal != nil {
-			if err = c.proven(open, nil); err != nil {
-				return "", err
-			}
-			if phase, err = sent.answer(refusal); err != nil {
-				c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, history.Retirement, eventlog.KeyName, string(id), eventlog.KeyReason, err.Error())
-			}
-			return phase, err
-		}
-	}
-	command.Body = []byte(service)
-	result, err := c.wish(command)
-	if err = c.ordered(history.Retirement, string(id), "retired", result, err); err != nil {
-		return "", err
-	}
-	for _, account := range open.RetirementStatus() {
-		if account.Server == string(id) && c.desk.ConfirmLeadership(open) {
-			return string(account.Phase), nil
-		}
-	}
-	if agreed(); !sent.stands {
-		return string(drain.TakenBack), nil
-	}
-	return string(drain.Announced), nil
-}
-
-// sentAgain is what is agreed on of an order to retire that would be refused if
-// it were new.
-type sentAgain struct{ stands, taken, named bool }
-
-// answer confirms an order that was taken and whose backend has left the list.
-// One that was taken back since cannot be told from a new one: it has no effect
-// and gets neither a yes nor a no.
-func (s sentAgain) answer(refusal error) (phase string, err error) {
-	switch {
-	case s.taken && errors.Is(refusal, coordinator.ErrUnknownBackend):
-		return string(drain.Left), nil
-	case s.taken:
-		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
-	}
-	return "", refused(refusal)
+	return json.Marshal(status)
 }
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -1,5 +1,3 @@
-// What an operator is told of an order that is sent again, or whose number is
-// another's.
 package controller
 
 import (
@@ -22,14 +20,14 @@
 	if err == nil {
 		return 200
 	}
-	var trouble *httpapi.Error
-	if !errors.As(err, &trouble) {
+	var answer *httpapi.Error
+	if !errors.As(err, &answer) {
 		t.Fatal(err)
 	}
-	return trouble.Kind.Answer().Status
+	return answer.Kind.Answer().Status
 }
 
-// sure sends an order again until it has a clear answer.
+// sure sends a request again until it has a clear answer.
 func sure(t *testing.T, send func() error) (err error) {
 	t.Helper()
 	for range 100 {
@@ -41,53 +39,53 @@
 	return err
 }
 
-func TestARetirementSentAgainIsNeverRefused(t *testing.T) {
+func TestRetirementSentAgainIsNeverRejected(t *testing.T) {
 	last := policy.Class.New("the last one")
 	unlisted := policy.Class.Wrap(fmt.Errorf("backend %q is %w", "one", coordinator.ErrUnknownBackend))
 	for _, c := range []struct {
-		sent    sentAgain
+		earlier earlierRetirement
 		refusal error
 		status  int
 		phase   string
 	}{
-		{sentAgain{}, unlisted, 422, ""},
-		{sentAgain{}, last, 422, ""},
-		{sentAgain{taken: true}, unlisted, 200, "left"},
-		{sentAgain{taken: true}, last, 503, ""},
+		{earlierRetirement{}, unlisted, 422, ""},
+		{earlierRetirement{}, last, 422, ""},
+		{earlierRetirement{accepted: true}, unlisted, 200, "left"},
+		{earlierRetirement{accepted: true}, last, 503, ""},
 	} {
-		phase, err := c.sent.answer(c.refusal)
+		phase, err := c.earlier.answer(c.refusal)
 		if status := statusOf(t, err); status != c.status || phase != c.phase {
-			t.Errorf("%+v, %v: %d %q", c.sent, c.refusal, status, phase)
+			t.Errorf("%+v, %v: %d %q", c.earlier, c.refusal, status, phase)
 		}
 	}
 }
 
-func TestATakenVersionIs409(t *testing.T) {
+func TestTakenVersionIs409(t *testing.T) {
 	for _, c := range []struct {
 		kind     apierror.Kind
 		conflict bool
 		status   int
 	}{{apierror.BadConfig, false, 400}, {apierror.BadOrder, false, 422}, {apierror.BadConfig, true, 409}, {apierror.BadOrder, true, 409}} {
-		if status := statusOf(t, refusedAs(c.kind, raft.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
+		if status := statusOf(t, rejectedResult(c.kind, raft.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
 	}
 }
 
-func TestOrdersThroughACore(t *testing.T) {
-	c, _ := alone(t)
+func TestDocumentsThroughAController(t *testing.T) {
+	c, _ := startSingle(t)
 	none := context.Background()
 	drainPolicy := func(version int, notice string) []byte {
 		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
 	}
 	set := func(version int, notice string) func() error {
-		return func() error { return c.order(none, policy.DrainPolicy, drainPolicy(version, notice), false) }
+		return func() error { return c.setDocument(none, policy.DrainPolicy, drainPolicy(version, notice), false) }
 	}
 	withdraw := func(version policy.Version) func() error {
-		return func() error { return c.withdraw(none, policy.DrainPolicy, version) }
+		return func() error { return c.withdrawDocument(none, policy.DrainPolicy, version) }
 	}
 	update := func(body string) func() error {
-		return func() error { return c.update(none, []byte(body)) }
+		return func() error { return c.updateConfig(none, []byte(body)) }
 	}
 	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["pay",%s,4]]}}}`
 	config := func(most string) func() error { return update(fmt.Sprintf(services, most)) }
@@ -110,8 +108,10 @@
 		{withdraw(7), 200},
 		{set(8, "1s"), 200},
 		{withdraw(7), 200},
-		{func() error { return c.order(none, policy.DrainPolicy, drainPolicy(5, "2s"), true) }, 409},
-		{func() error { return c.order(none, policy.DrainPolicy, []byte(`{"version":9,"version":9}`), false) }, 422},
+		{func() error { return c.setDocument(none, policy.DrainPolicy, drainPolicy(5, "2s"), true) }, 409},
+		{func() error {
+			return c.setDocument(none, policy.DrainPolicy, []byte(`{"version":9,"version":9}`), false)
+		}, 422},
 	} {
 		err := sure(t, step.send)
 		if status := statusOf(t, err); status != step.status {
@@ -122,13 +122,13 @@
 
 // "two" was retired and has left the list; "one", the last of its service, was
 // retired while there were others, and taken back.
-func TestRetiringAgainThroughACore(t *testing.T) {
-	c, _ := alone(t)
+func TestRetiringAgainThroughAController(t *testing.T) {
+	c, _ := startSingle(t)
 	none := context.Background()
 	phase := ""
 	retire := func(id rpc.ServerID, back bool) func() error {
 		return func() (err error) {
-			phase, err = c.retire(none, id, back, "")
+			phase, err = c.retireBackend(none, id, back, "")
 			return err
 		}
 	}
@@ -158,28 +158,28 @@
 
 func put(c *Controller, command raft.Command) func() error {
 	return func() (err error) {
-		_, err = c.wish(command)
+		_, err = c.propose(command)
 		return err
 	}
 }
 
-// An order with a name is confirmed again behind the opposite one, and has no
+// A request with a name is confirmed again behind the opposite one, and has no
 // second effect.
-func TestNamedOrdersThroughACore(t *testing.T) {
-	c, _ := alone(t)
+func TestNamedRequestsThroughAController(t *testing.T) {
+	c, _ := startSingle(t)
 	none := context.Background()
 	for i, step := range []struct {
 		start  bool
 		name   string
 		status int
-		stands bool
+		active bool
 	}{{true, "a", 200, true}, {false, "b", 200, false}, {true, "a", 200, false}, {true, "b", 409, false}, {true, "", 200, true}} {
 		if status := statusOf(t, sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })); status != step.status {
 			t.Errorf("step %d: %d", i, status)
 		}
 		c.node.Read(func(state *raft.State) {
-			if state.Evacuations["zone"].Active != step.stands {
-				t.Errorf("step %d: stands %v", i, !step.stands)
+			if state.Evacuations["zone"].Active != step.active {
+				t.Errorf("step %d: active %v", i, !step.active)
 			}
 		})
 	}
@@ -189,7 +189,7 @@
 	phase := ""
 	retire := func(id rpc.ServerID, back bool, name string) func() error {
 		return func() (err error) {
-			phase, err = c.retire(none, id, back, name)
+			phase, err = c.retireBackend(none, id, back, name)
 			return err
 		}
 	}
@@ -200,6 +200,6 @@
 		t.Errorf("sent again by its name: %q, %v", phase, err)
 	}
 	if err := sure(t, retire("one", true, "s")); statusOf(t, err) != 409 {
-		t.Errorf("another order by that name: %v", err)
+		t.Errorf("another request by that name: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/controller/errors.go
@@ -0,0 +1,58 @@
+package controller
+
+import (
+	"tinpin/internal/apierror"
+	"tinpin/internal/dedup"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/httpapi"
+	"tinpin/internal/raft"
+)
+
+// changeAcknowledged is the change that history notes where an operator's
+// request was acknowledged.
+const changeAcknowledged = "acknowledged"
+
+var (
+	errNoLeader  = &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
+	errNoContact = &httpapi.Error{Kind: apierror.Unclear, Text: "no contact with a majority of the controllers now"}
+	// errListIncomplete is that of a new leader, which is no reason to reject.
+	errListIncomplete = &httpapi.Error{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
+)
+
+// invalidRequest is the answer to a request that fails a check.
+func invalidRequest(err error) (answer *httpapi.Error) {
+	if dedup.Conflict.Has(err) {
+		return &httpapi.Error{Kind: apierror.VersionTaken, Text: err.Error()}
+	}
+	return &httpapi.Error{Kind: apierror.BadOrder, Text: err.Error()}
+}
+
+// rejectedResult is the answer to a request that was rejected where it was
+// applied; kind is that of rejections other than conflicts.
+func rejectedResult(kind apierror.Kind, result raft.Result) (answer *httpapi.Error) {
+	if result.Conflict {
+		kind = apierror.VersionTaken
+	}
+	return &httpapi.Error{Kind: kind, Text: result.Problem}
+}
+
+// reject logs a rejection as the caller is told it.
+func (c *Controller) reject(subject string, answer *httpapi.Error) (err error) {
+	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject,
+		eventlog.KeyStatus, answer.Kind.Answer().Status, eventlog.KeyReason, answer.Error())
+	return answer
+}
+
+// acknowledge logs and notes what became of a proposed request on a document or
+// a backend; err is that of the proposal.
+func (c *Controller) acknowledge(subject, name, change string, result raft.Result, err error) error {
+	if err != nil {
+		return err
+	}
+	if result.Problem != "" {
+		return c.reject(subject, rejectedResult(apierror.BadOrder, result))
+	}
+	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, subject, eventlog.KeyName, name, eventlog.KeyChange, change)
+	c.node.Chronicle.Note(subject, name, changeAcknowledged, "", 0, true)
+	return nil
+}
--- /dev/null
+++ b/internal/controller/evacuation.go
@@ -0,0 +1,40 @@
+package controller
+
+import (
+	"context"
+	"net/url"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
+	"tinpin/internal/raft"
+)
+
+// withRequestName adds to a path the name that the operator gave the request.
+func withRequestName(path, name string) (whole string) {
+	if name == "" {
+		return path
+	}
+	return path + "?order=" + url.QueryEscape(name)
+}
+
+// evacuate answers Evacuations.Start and Evacuations.Stop.
+func (c *Controller) evacuate(_ context.Context, zone string, start bool, requestName string) (err error) {
+	kind, verb := raft.CommandReturn, "Stop"
+	if start {
+		kind, verb = raft.CommandEvacuate, "Start"
+	}
+	if err = c.requireLeader(withRequestName("/-/Evacuations."+verb+"/"+url.PathEscape(zone), requestName)); err != nil {
+		return err
+	}
+	result, err := c.propose(raft.Command{Kind: kind, Site: zone, Claim: raft.Claim{Key: requestName}})
+	if err != nil {
+		return err
+	}
+	if result.Problem != "" {
+		return c.reject(history.Evacuation, rejectedResult(apierror.BadOrder, result))
+	}
+	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, zone, "active", start)
+	c.node.Chronicle.Note(history.Evacuation, zone, changeAcknowledged, "", 0, true)
+	return nil
+}
--- /dev/null
+++ b/internal/controller/retirement.go
@@ -0,0 +1,133 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"net/url"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/coordinator"
+	"tinpin/internal/drain"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
+	"tinpin/internal/httpapi"
+	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
+)
+
+// retireBackend answers Backends.Retire and, with restore, Backends.Restore. It
+// gives the phase that the retirement has reached.
+func (c *Controller) retireBackend(_ context.Context, id rpc.ServerID, restore bool, requestName string) (phase string, err error) {
+	if restore {
+		return c.restore(id, requestName)
+	}
+	current, err := c.leading(withRequestName("/-/Backends.Retire/"+url.PathEscape(string(id)), requestName))
+	if err != nil {
+		return "", err
+	}
+	if !current.EndpointsComplete() {
+		return "", errListIncomplete
+	}
+	r := &retirement{
+		controller: c, current: current, id: id,
+		command: raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: requestName}},
+	}
+	return r.carryOut()
+}
+
+func (c *Controller) restore(id rpc.ServerID, requestName string) (phase string, err error) {
+	if _, err = c.leading(withRequestName("/-/Backends.Restore/"+url.PathEscape(string(id)), requestName)); err != nil {
+		return "", err
+	}
+	result, err := c.propose(raft.Command{Kind: raft.CommandRestore, Site: string(id), Claim: raft.Claim{Key: requestName}})
+	return "restored", c.acknowledge(history.Retirement, string(id), "restored", result, err)
+}
+
+// retirement is one call to retire a backend.
+type retirement struct {
+	controller *Controller
+	current    *coordinator.Coordinator
+	id         rpc.ServerID
+	command    raft.Command
+	earlier    earlierRetirement
+}
+
+func (r *retirement) carryOut() (phase string, err error) {
+	c := r.controller
+	service, invalid := r.check()
+	if invalid != nil {
+		if err = c.applyBarrier(); err != nil {
+			return "", err
+		}
+		if service, invalid = r.check(); invalid != nil {
+			return r.rejected(invalid)
+		}
+	}
+	r.command.Body = []byte(service)
+	result, err := c.propose(r.command)
+	if err = c.acknowledge(history.Retirement, string(r.id), "retired", result, err); err != nil {
+		return "", err
+	}
+	return r.phase(), nil
+}
+
+// check gives the backend's service, or why it may not be retired. One that is
+// retired already, or by this very request, may.
+func (r *retirement) check() (service rpc.ServiceName, invalid error) {
+	r.readEarlier()
+	service, invalid = r.current.ValidateRetirement(r.id)
+	if r.earlier.active || r.earlier.named {
+		return service, nil
+	}
+	return service, invalid
+}
+
+// readEarlier reads what is agreed on this backend and request.
+func (r *retirement) readEarlier() {
+	r.controller.node.Read(func(state *raft.State) {
+		r.earlier.active, r.earlier.accepted = state.RetireTaken(r.id)
+		r.earlier.named, _ = state.TakenByName(r.command)
+	})
+}
+
+func (r *retirement) rejected(invalid error) (phase string, err error) {
+	c := r.controller
+	if err = c.confirmed(r.current, nil); err != nil {
+		return "", err
+	}
+	if phase, err = r.earlier.answer(invalid); err != nil {
+		c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, history.Retirement, eventlog.KeyName, string(r.id), eventlog.KeyReason, err.Error())
+	}
+	return phase, err
+}
+
+// phase is how far an acknowledged retirement is.
+func (r *retirement) phase() (phase string) {
+	for _, status := range r.current.RetirementStatus() {
+		if status.Server == string(r.id) && r.controller.nodeCalls.ConfirmLeadership(r.current) {
+			return string(status.Phase)
+		}
+	}
+	if r.readEarlier(); !r.earlier.active {
+		return string(drain.TakenBack)
+	}
+	return string(drain.Announced)
+}
+
+// earlierRetirement is what is agreed on retirements of a backend that would be
+// rejected if they were new: one is active, one was accepted at some time, this
+// very request was accepted by its name.
+type earlierRetirement struct{ active, accepted, named bool }
+
+// answer confirms an accepted request whose backend has left the list. One that
+// was taken back since cannot be told from a new one: it has no effect, and is
+// neither acknowledged nor rejected.
+func (e earlierRetirement) answer(invalid error) (phase string, err error) {
+	switch {
+	case e.accepted && errors.Is(invalid, coordinator.ErrUnknownBackend):
+		return string(drain.Left), nil
+	case e.accepted:
+		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "this retirement was accepted and taken back before; as a new one it is rejected: " + invalid.Error()}
+	}
+	return "", invalidRequest(invalid)
+}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -1,108 +1,84 @@
-// Status is an accord daemon's account of itself for operators' tools.
 package controller
 
 import (
 	"encoding/json"
 
-	"tinpin/internal/config"
 	"tinpin/internal/coordinator"
-	"tinpin/internal/history"
-	"tinpin/internal/policy"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statusjson"
 )
 
-// StatusHandler answers calls about this daemon.
-type StatusHandler struct{ council *Controller }
-
-// Status is what an accord daemon tells of itself.
+// Status is what a controller tells operators' tools of itself.
 type Status struct {
 	Role     string `json:"role"`
 	Name     string `json:"name"`
 	ID       string `json:"id"`
 	IsLeader bool   `json:"leads"`
-	Settled  bool   `json:"settled"`
+	// Settled tells that a leader has committed an entry in its term.
+	Settled bool `json:"settled"`
 	// InContact tells that it leads by a proof that holds now.
-	InContact bool          `json:"contact"`
+	InContact bool          `json:"in_contact"`
 	Term      uint64        `json:"term"`
 	Leader    string        `json:"leader"`
 	Members   []raft.Member `json:"members"`
-	Revision  uint64        `json:"rev"`
+	Revision  uint64        `json:"revision"`
 	Claims    int           `json:"claims"`
-	// AcceptedRequests and Overtaken count what the record of orders and of overtaken
-	// versions holds; Forgotten what fell out of either for want of room.
+	// AcceptedRequests and OvertakenVersions count what the records of operators'
+	// requests and of overtaken versions hold; ForgottenRequests what was dropped
+	// from either for want of room.
 	AcceptedRequests  int    `json:"orders_remembered"`
 	OvertakenVersions int    `json:"overtaken_remembered"`
 	ForgottenRequests uint64 `json:"orders_forgotten"`
-	// BytesIn and BytesOut are those of inner calls since it started.
-	BytesIn     int64               `json:"bytes_in"`
-	BytesOut    int64               `json:"bytes_out"`
-	Coordinator *coordinator.Status `json:"forum,omitempty"`
+	// BytesIn and BytesOut are those of internal calls since the start.
+	BytesIn  int64 `json:"bytes_in"`
+	BytesOut int64 `json:"bytes_out"`
+	// Coordinator is there where it leads.
+	Coordinator *coordinator.Status `json:"coordinator,omitempty"`
 }
 
-// Tell gives the account.
-func (s *StatusHandler) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
-	c := s.council
-	account := Status{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
-	var leader raft.Member
-	var term raft.Term
-	account.IsLeader, account.Settled, term, leader, account.Members = c.node.Standing()
-	account.InContact = c.node.InContact(term, 0)
-	account.Term, account.Leader = uint64(term), leader.Control
-	c.node.Read(func(state *raft.State) {
-		account.Revision, account.Claims = state.Rev, state.Claims()
-		account.AcceptedRequests, account.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
-		account.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
-	})
-	account.BytesIn, account.BytesOut = rpc.Traffic()
-	if open := c.desk.Coordinator(); open != nil {
-		account.Coordinator = open.Status()
+// earlierNames are the fields' names of the release before.
+var earlierNames = map[string]string{"contact": "in_contact", "rev": "revision", "forum": "coordinator"}
+
+// UnmarshalJSON reads the status of this release and of the one before.
+func (s *Status) UnmarshalJSON(text []byte) (err error) {
+	type fields Status
+	if err = statusjson.Decode(text, earlierNames, (*fields)(s)); err != nil {
+		return err
+	}
+	if s.Role == "accord" {
+		s.Role = role
 	}
-	reply.JSON, err = json.Marshal(account)
+	return nil
+}
+
+const role = "controller"
+
+// StatusHandler answers calls about this controller. The names of its methods
+// Tell and Trace are those on the wire.
+type StatusHandler struct{ controller *Controller }
+
+// Tell gives the status.
+func (h *StatusHandler) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
+	reply.JSON, err = json.Marshal(h.controller.status())
 	return err
 }
 
-// Trace tells what this daemon knows of a subject.
-func (s *StatusHandler) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
-	c := s.council
-	reply.Name = c.props.Name
-	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
-	}
-	switch ask.Kind {
-	case history.Item:
-		c.node.Read(func(state *raft.State) {
-			var item config.Item
-			item, reply.Has = state.Canon.Find(ask.Name)
-			reply.Stamp, reply.Rev = item.Stamp(), item.Rev
-		})
-	case history.Document, history.Retirement, history.Move:
-		s.council.node.Read(func(state *raft.State) {
-			switch ask.Kind {
-			case history.Document:
-				document, has := state.Documents[policy.Kind(ask.Name)]
-				reply.Stamp, reply.Rev, reply.Has = document.Stamp(), document.Rev, has
-			case history.Retirement:
-				retired, has := state.Retired[rpc.ServerID(ask.Name)]
-				reply.Stamp, reply.Rev, reply.Has = retired.Stamp(), retired.Rev, has
-			default:
-				reply.Stamp, reply.Rev, reply.Has = state.Move.Stamp(), state.Move.Rev, state.Move.Rev > 0
-			}
-		})
-	case history.Evacuation:
-		c.node.Read(func(state *raft.State) {
-			var evacuation raft.Evacuation
-			evacuation, reply.Has = state.Evacuations[ask.Name]
-			reply.Stamp, reply.Rev = evacuation.Stamp(), evacuation.Rev
-		})
-	default:
-		// Only the leader knows backends and their health.
-		if open := c.desk.Coordinator(); open != nil {
-			stamp, has := open.CurrentStamp(ask.Kind, rpc.ServerID(ask.Name))
-			if c.desk.ConfirmLeadership(open) {
-				reply.Stamp, reply.Has = stamp, has
-			}
-		}
+func (c *Controller) status() (status Status) {
+	status = Status{Role: role, Name: c.settings.Name, ID: string(c.node.Self().ID)}
+	var leader raft.Member
+	var term raft.Term
+	status.IsLeader, status.Settled, term, leader, status.Members = c.node.Standing()
+	status.InContact = c.node.InContact(term, 0)
+	status.Term, status.Leader = uint64(term), leader.Control
+	c.node.Read(func(state *raft.State) {
+		status.Revision, status.Claims = state.Rev, state.Claims()
+		status.AcceptedRequests, status.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
+		status.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
+	})
+	status.BytesIn, status.BytesOut = rpc.Traffic()
+	if current := c.nodeCalls.Coordinator(); current != nil {
+		status.Coordinator = current.Status()
 	}
-	return nil
+	return status
 }
--- /dev/null
+++ b/internal/controller/trace.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"tinpin/internal/config"
+	"tinpin/internal/history"
+	"tinpin/internal/policy"
+	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
+)
+
+// Trace tells what this controller knows of a subject: the changes it noted, and
+// how the subject stands here.
+func (h *StatusHandler) Trace(request rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
+	c := h.controller
+	reply.Name = c.settings.Name
+	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: request.Kind, Name: request.Name}) {
+		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
+	}
+	switch request.Kind {
+	case history.Item, history.Document, history.Retirement, history.Move, history.Evacuation:
+		c.node.Read(func(state *raft.State) {
+			reply.Stamp, reply.Rev, reply.Has = traceState(state, request)
+		})
+	default:
+		// Only the leader knows backends and their health.
+		if current := c.nodeCalls.Coordinator(); current != nil {
+			stamp, has := current.CurrentStamp(request.Kind, rpc.ServerID(request.Name))
+			if c.nodeCalls.ConfirmLeadership(current) {
+				reply.Stamp, reply.Has = stamp, has
+			}
+		}
+	}
+	return nil
+}
+
+// traceState gives the stamp and revision of a subject in the replicated state.
+func traceState(state *raft.State, request rpc.TraceAsk) (stamp string, revision uint64, has bool) {
+	switch request.Kind {
+	case history.Item:
+		var item config.Item
+		item, has = state.Canon.Find(request.Name)
+		return item.Stamp(), item.Rev, has
+	case history.Document:
+		document, has := state.Documents[policy.Kind(request.Name)]
+		return document.Stamp(), document.Rev, has
+	case history.Retirement:
+		retired, has := state.Retired[rpc.ServerID(request.Name)]
+		return retired.Stamp(), retired.Rev, has
+	case history.Evacuation:
+		evacuation, has := state.Evacuations[request.Name]
+		return evacuation.Stamp(), evacuation.Rev, has
+	default:
+		return state.Move.Stamp(), state.Move.Rev, state.Move.Rev > 0
+	}
+}
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -7,34 +7,60 @@
 	"tinpin/internal/history"
 	"tinpin/internal/quota"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statusjson"
 )
 
 // NodeStatus is how one node stands. Ready tells that it takes requests, Connected
 // that its heartbeats come.
 type NodeStatus struct {
 	Name            string `json:"name"`
-	Zone            string `json:"site"`
-	InternalAddress string `json:"inner"`
+	Zone            string `json:"zone"`
+	InternalAddress string `json:"internal_address"`
 	Ready           bool   `json:"ready"`
-	Connected       bool   `json:"here"`
+	Connected       bool   `json:"connected"`
 }
 
 // GrantStatus is what nodes hold of one fleet-wide limit.
 type GrantStatus struct {
-	Limit   string  `json:"bound"`
-	Granted float64 `json:"lent"`
+	Limit   string  `json:"limit"`
+	Granted float64 `json:"granted"`
 }
 
 // Status is what the leader tells operators: the nodes, the shard map with the
 // owner of each service, and what is granted of each limit.
 type Status struct {
-	Nodes           []NodeStatus      `json:"fellows"`
-	ShardMapVersion uint64            `json:"map_count"`
-	ShardMapMembers []string          `json:"map_members"`
+	Nodes           []NodeStatus      `json:"nodes"`
+	ShardMapVersion uint64            `json:"shard_map_version"`
+	ShardMapMembers []string          `json:"shard_map_members"`
 	Owners          map[string]string `json:"owners"`
 	Backends        int               `json:"backends"`
 	Down            int               `json:"backends_down"`
-	Granted         []GrantStatus     `json:"lent"`
+	Granted         []GrantStatus     `json:"granted"`
+}
+
+// The fields' names of the release before, by the type that has them.
+var (
+	earlierNodeNames   = map[string]string{"site": "zone", "inner": "internal_address", "here": "connected"}
+	earlierGrantNames  = map[string]string{"bound": "limit", "lent": "granted"}
+	earlierStatusNames = map[string]string{"fellows": "nodes", "map_count": "shard_map_version", "map_members": "shard_map_members", "lent": "granted"}
+)
+
+// UnmarshalJSON reads the status of this release and of the one before.
+func (n *NodeStatus) UnmarshalJSON(text []byte) (err error) {
+	type fields NodeStatus
+	return statusjson.Decode(text, earlierNodeNames, (*fields)(n))
+}
+
+// UnmarshalJSON reads the status of this release and of the one before.
+func (g *GrantStatus) UnmarshalJSON(text []byte) (err error) {
+	type fields GrantStatus
+	return statusjson.Decode(text, earlierGrantNames, (*fields)(g))
+}
+
+// UnmarshalJSON reads the status of this release and of the one before.
+func (s *Status) UnmarshalJSON(text []byte) (err error) {
+	type fields Status
+	return statusjson.Decode(text, earlierStatusNames, (*fields)(s))
 }
 
 // Status gives how the leader sees the fleet.
