--- a/internal/proxy/account_test.go
+++ b/internal/proxy/account_test.go
@@ -12,7 +12,7 @@
 )
 
 // opened is a system whose daemons leave nothing out, and a way to play it.
-func opened(t *testing.T, first int) (play func(lapse proxy.Lapse) faulttest.Report) {
+func opened(t *testing.T, first int) (play func(lapse proxy.DisabledChecks) faulttest.Report) {
 	t.Helper()
 	hosts := localcluster.Hosts()
 	system, err := faulttest.Open(func(n int) string { return hosts(first + n) })
@@ -21,9 +21,9 @@
 	}
 	t.Cleanup(system.Close)
 	options := faulttest.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
-	return func(lapse proxy.Lapse) (report faulttest.Report) {
+	return func(lapse proxy.DisabledChecks) (report faulttest.Report) {
 		for _, edge := range system.Stage.Edges {
-			edge.Plant(lapse)
+			edge.DisableChecks(lapse)
 		}
 		options.Seed++
 		if report, err = system.Play(context.Background(), options); err != nil {
@@ -47,13 +47,13 @@
 func TestTheAccountFindsWhatIsPlanted(t *testing.T) {
 	play := opened(t, 170)
 	for name, c := range map[string]struct {
-		lapse proxy.Lapse
+		lapse proxy.DisabledChecks
 		found func(faulttest.Line) int
 	}{
-		"a rested 421 without an id is proof": {proxy.TrustNameless, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
-		"a reset of a rested stream is proof": {proxy.RepeatReset, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
-		"a surplus answer is taken":           {proxy.TakeSurplus, func(l faulttest.Line) int { return l.Crossed }},
-		"the first of two ids counts":         {proxy.FirstID, func(l faulttest.Line) int { return l.Crossed }},
+		"a rested 421 without an id is proof": {proxy.TrustMissingID, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
+		"a reset of a rested stream is proof": {proxy.RetryAfterReset, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
+		"a surplus answer is taken":           {proxy.AcceptAnyID, func(l faulttest.Line) int { return l.Crossed }},
+		"the first of two ids counts":         {proxy.AcceptFirstID, func(l faulttest.Line) int { return l.Crossed }},
 	} {
 		found, plays := 0, 0
 		for ; plays < 10 && found == 0; plays++ {
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -14,73 +14,73 @@
 	"tinpin/internal/rpc"
 )
 
-const budgetPart = 0.8
+const budgetShare = 0.8
 
-type account struct{ requests, extra *quota.Window }
+type retryWindows struct{ requests, retries *quota.Window }
 
-// Budget keeps an account per service.
-type Budget struct {
-	ratio    float64
-	window   time.Duration
-	slack    func() float64
-	written  *retry.Limiter
-	mu       sync.Mutex
-	accounts map[rpc.ServiceName]*account
+// RetryBudget keeps an account per service.
+type RetryBudget struct {
+	ratio         float64
+	window        time.Duration
+	slack         func() float64
+	operatorLimit *retry.Limiter
+	mu            sync.Mutex
+	windows       map[rpc.ServiceName]*retryWindows
 }
 
-// NewBudget keeps to a ratio over a window; slack tells the leased share.
-func NewBudget(ratio float64, window time.Duration, slack func() float64) (budget *Budget) {
-	return &Budget{ratio: ratio, window: max(window, time.Millisecond), slack: slack, accounts: map[rpc.ServiceName]*account{}}
+// NewRetryBudget keeps to a ratio over a window; slack tells the leased share.
+func NewRetryBudget(ratio float64, window time.Duration, slack func() float64) (budget *RetryBudget) {
+	return &RetryBudget{ratio: ratio, window: max(window, time.Millisecond), slack: slack, windows: map[rpc.ServiceName]*retryWindows{}}
 }
 
-func (b *Budget) account(service rpc.ServiceName) (found *account) {
-	found = b.accounts[service]
+func (b *RetryBudget) serviceWindows(service rpc.ServiceName) (found *retryWindows) {
+	found = b.windows[service]
 	if found == nil {
-		found = &account{quota.NewWindow(b.window), quota.NewWindow(b.window)}
-		b.accounts[service] = found
+		found = &retryWindows{quota.NewWindow(b.window), quota.NewWindow(b.window)}
+		b.windows[service] = found
 	}
 	return found
 }
 
-// Earn notes a request for a service.
-func (b *Budget) Earn(now time.Duration, service rpc.ServiceName) {
-	if b.written != nil {
-		b.written.First(now, service)
+// RecordRequest notes a request for a service.
+func (b *RetryBudget) RecordRequest(now time.Duration, service rpc.ServiceName) {
+	if b.operatorLimit != nil {
+		b.operatorLimit.First(now, service)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.account(service).requests.Add(now)
+	b.serviceWindows(service).requests.Add(now)
 }
 
 // Spend takes one arrival beyond the first, if there is room for it.
-func (b *Budget) Spend(now time.Duration, service rpc.ServiceName) (granted bool) {
+func (b *RetryBudget) Spend(now time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool { return true })
 }
 
-// Retry is Spend under the written limit too, for an attempt that would be
+// SpendRetry is Spend under the written limit too, for an attempt that would be
 // answered at a time and must be by another.
-func (b *Budget) Retry(now, answered, till time.Duration, service rpc.ServiceName) (granted bool) {
+func (b *RetryBudget) SpendRetry(now, answered, till time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool {
-		return b.written == nil || b.written.Spend(now, answered, till, service) == retry.Granted
+		return b.operatorLimit == nil || b.operatorLimit.Spend(now, answered, till, service) == retry.Granted
 	})
 }
 
-func (b *Budget) spend(now time.Duration, service rpc.ServiceName, may func() bool) (granted bool) {
+func (b *RetryBudget) spend(now time.Duration, service rpc.ServiceName, may func() bool) (granted bool) {
 	slack := b.slack()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	found := b.account(service)
-	room := budgetPart*b.ratio*float64(found.requests.Sum(now)) + slack/2
-	if float64(found.extra.Sum(now)+1) > room || !may() {
+	found := b.serviceWindows(service)
+	room := budgetShare*b.ratio*float64(found.requests.Sum(now)) + slack/2
+	if float64(found.retries.Sum(now)+1) > room || !may() {
 		return false
 	}
-	found.extra.Add(now)
+	found.retries.Add(now)
 	return true
 }
 
-// Learn takes what became of an attempt.
-func (b *Budget) Learn(now time.Duration, service rpc.ServiceName, inTime bool) {
-	if b.written != nil {
-		b.written.Learn(now, service, inTime)
+// RecordOutcome takes what became of an attempt.
+func (b *RetryBudget) RecordOutcome(now time.Duration, service rpc.ServiceName, inTime bool) {
+	if b.operatorLimit != nil {
+		b.operatorLimit.Learn(now, service, inTime)
 	}
 }
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -16,19 +16,19 @@
 	"tinpin/internal/rpc"
 )
 
-// hedgePart is the part of the aim after which a silent backend is doubted.
-const hedgePart = 0.55
+// hedgeTargetShare is the part of the aim after which a silent backend is doubted.
+const hedgeTargetShare = 0.55
 
-// hedgeTimes is how many times the usual of now it must have taken as well: a
+// hedgeLatencyFactor is how many times the usual of now it must have taken as well: a
 // service that is pressed is only pressed more by asking twice.
-const hedgeTimes = 2.2
+const hedgeLatencyFactor = 2.2
 
-// roomPause is how often a request that found all backends full looks again;
+// capacityPollInterval is how often a request that found all backends full looks again;
 // it does so no longer than a refusal still lets the client come back in time.
-const roomPause = 12 * time.Millisecond
+const capacityPollInterval = 12 * time.Millisecond
 
-// plan makes the plan of a request, or says why there is none.
-func (d *Daemon) plan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, back time.Duration) {
+// newPlan makes the plan of a request, or says why there is none.
+func (d *Daemon) newPlan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, back time.Duration) {
 	scene := d.state.Snapshot()
 	now := d.clock.Now()
 	if d.state.Policies.CutOff() {
@@ -48,13 +48,13 @@
 	if request.ID == "" {
 		return nil, apierror.BadRequest, 0
 	}
-	if request.Ahead && !way.Repeat.Repeatable() {
+	if request.Pipelined && !way.Repeat.Repeatable() {
 		// The way has changed since the door looked.
 		return nil, apierror.NoRoom, 0
 	}
 	tenant := scene.View.Tenant(request.Host)
 	if tenant != nil {
-		if admitted, wait := d.limits.Admit(now, tenant); !admitted {
+		if admitted, wait := d.tenantLimits.Admit(now, tenant); !admitted {
 			return nil, apierror.OverLimit, wait
 		}
 	}
@@ -70,8 +70,8 @@
 	if left <= 0 {
 		return nil, apierror.TooLate, 0
 	}
-	plan = &Plan{Way: way, Service: pickTarget(way, rand.Float64()), Request: request, Started: now, Till: now + left, Rounds: way.Rounds}
-	request.Stream = way.Repeat == config.Download
+	plan = &Plan{Route: way, Service: pickTarget(way, rand.Float64()), Request: request, StartedAt: now, Deadline: now + left, AttemptsLeft: way.Rounds}
+	request.StreamBody = way.Repeat == config.Download
 	d.state.Policies.Sessions.assignSession(plan, tenant)
 	if way.Repeat == config.Keyed {
 		plan.Key = request.operationKey()
@@ -82,141 +82,141 @@
 			plan.Key = tenant.Name + "/" + plan.Key
 		}
 	}
-	d.budget.Earn(now, plan.Service)
+	d.retryBudget.RecordRequest(now, plan.Service)
 	return plan, apierror.None, 0
 }
 
-// Answer plans a request and carries the plan out.
-func (d *Daemon) Answer(request *Request, deadline string) (verdict Verdict) {
-	plan, kind, back := d.plan(request, deadline)
+// Handle plans a request and carries the plan out.
+func (d *Daemon) Handle(request *Request, deadline string) (verdict Response) {
+	plan, kind, back := d.newPlan(request, deadline)
 	if kind != apierror.None {
-		return DenyFor(kind, request.ID, back)
+		return ErrorResponseAfter(kind, request.ID, back)
 	}
 	if plan.Key != "" {
-		return d.carryKeyed(plan)
+		return d.executeKeyed(plan)
 	}
-	verdict, kind = d.carry(plan)
+	verdict, kind = d.execute(plan)
 	if kind != apierror.None {
-		return Deny(kind, request.ID)
+		return ErrorResponse(kind, request.ID)
 	}
 	return verdict
 }
 
-// carry goes through the rounds of a plan, once the throttle lets it.
-func (d *Daemon) carry(plan *Plan) (verdict Verdict, kind apierror.Kind) {
+// execute goes through the rounds of a plan, once the throttle lets it.
+func (d *Daemon) execute(plan *Plan) (verdict Response, kind apierror.Kind) {
 	if plan.Session != "" {
 		if kind = d.bind(plan); kind != apierror.None {
-			return verdict, plan.refusal(kind)
+			return verdict, plan.errorKind(kind)
 		}
 	}
-	throttle := d.throttles.of(string(plan.Service))
-	for !throttle.Enter(plan.Way.Priority) {
-		if !d.mayWait(plan) {
-			return verdict, plan.refusal(apierror.NoRoom)
+	throttle := d.concurrency.forService(string(plan.Service))
+	for !throttle.Acquire(plan.Route.Priority) {
+		if !d.mayWaitForCapacity(plan) {
+			return verdict, plan.errorKind(apierror.NoRoom)
 		}
-		time.Sleep(roomPause)
+		time.Sleep(capacityPollInterval)
 	}
-	defer throttle.Leave()
-	return d.rounds(plan, throttle)
+	defer throttle.Release()
+	return d.attemptOrServerError(plan, throttle)
 }
 
-// mayWait tells whether a request may look for room once more, so that a
+// mayWaitForCapacity tells whether a request may look for room once more, so that a
 // refusal still lets the client come back in time.
-func (d *Daemon) mayWait(plan *Plan) bool {
-	return d.clock.Now()+roomPause < min(plan.Started+plan.Way.Aim/5, plan.Till)
+func (d *Daemon) mayWaitForCapacity(plan *Plan) bool {
+	return d.clock.Now()+capacityPollInterval < min(plan.StartedAt+plan.Route.Aim/5, plan.Deadline)
 }
 
-// rounds sends a plan's request until there is an answer or a problem. Where a
+// attemptOrServerError sends a plan's request until there is an answer or a problem. Where a
 // backend told of its own failure and no other gave an answer, its word is it.
-func (d *Daemon) rounds(plan *Plan, throttle *Throttle) (verdict Verdict, kind apierror.Kind) {
-	verdict, kind = d.search(plan, throttle)
-	if kind != apierror.None && plan.Failure != nil {
-		return *plan.Failure, apierror.None
+func (d *Daemon) attemptOrServerError(plan *Plan, throttle *ConcurrencyLimiter) (verdict Response, kind apierror.Kind) {
+	verdict, kind = d.runAttempts(plan, throttle)
+	if kind != apierror.None && plan.LastServerError != nil {
+		return *plan.LastServerError, apierror.None
 	}
 	return verdict, kind
 }
 
-func (d *Daemon) search(plan *Plan, throttle *Throttle) (verdict Verdict, kind apierror.Kind) {
+func (d *Daemon) runAttempts(plan *Plan, throttle *ConcurrencyLimiter) (verdict Response, kind apierror.Kind) {
 	arrived := 0
 	for {
 		now := d.clock.Now()
-		if now >= plan.Till {
-			return verdict, plan.refusal(apierror.TooLate)
+		if now >= plan.Deadline {
+			return verdict, plan.errorKind(apierror.TooLate)
 		}
 		scene := d.state.Snapshot()
-		server, any := d.state.chooseEndpoint(scene, d.wanted(plan, plan.Tried))
+		server, any := d.state.chooseEndpoint(scene, d.criteria(plan, plan.Tried))
 		if server == nil {
-			if any && d.mayWait(plan) {
-				time.Sleep(roomPause)
+			if any && d.mayWaitForCapacity(plan) {
+				time.Sleep(capacityPollInterval)
 				continue
 			}
 			if any {
-				return verdict, plan.refusal(apierror.NoRoom)
+				return verdict, plan.errorKind(apierror.NoRoom)
 			}
-			return verdict, plan.refusal(apierror.NoBackend)
+			return verdict, plan.errorKind(apierror.NoBackend)
 		}
-		if arrived > 0 && !d.retry(now, plan, server) {
-			return verdict, plan.refusal(apierror.NoRoom)
+		if arrived > 0 && !d.allowRetry(now, plan, server) {
+			return verdict, plan.errorKind(apierror.NoRoom)
 		}
-		round, answering := d.round(plan, server, now, &arrived)
+		round, answering := d.attemptWithHedge(plan, server, now, &arrived)
 		if round.Sent {
 			ended := d.clock.Now()
-			d.budget.Learn(ended, plan.Service, round.Outcome == Whole && (plan.Way.Aim <= 0 || ended-now <= plan.Way.Aim))
+			d.retryBudget.RecordOutcome(ended, plan.Service, round.Outcome == Complete && (plan.Route.Aim <= 0 || ended-now <= plan.Route.Aim))
 		}
-		if round.Outcome == Whole {
-			throttle.Learn(d.clock.Now()-now, plan.Way.Aim)
+		if round.Outcome == Complete {
+			throttle.ObserveLatency(d.clock.Now()-now, plan.Route.Aim)
 		}
-		step, problemKind := plan.Learn(d.clock.Now(), answering.ID, round)
-		if round.Outcome == Failed {
-			if round.Verdict.Rest != nil {
-				return round.Verdict, apierror.None
+		step, problemKind := plan.Next(d.clock.Now(), answering.ID, round)
+		if round.Outcome == ServerError {
+			if round.Response.BodyRest != nil {
+				return round.Response, apierror.None
 			}
-			plan.Failure = &round.Verdict
+			plan.LastServerError = &round.Response
 		}
 		switch step {
-		case TryAgain:
-			if plan.Bound != "" {
+		case StepRetry:
+			if plan.BoundBackend != "" {
 				// The same backend is asked again; it gets a moment.
-				time.Sleep(roomPause)
+				time.Sleep(capacityPollInterval)
 			}
-		case GiveAnswer:
-			return round.Verdict, apierror.None
-		case GiveProblem:
+		case StepRespond:
+			return round.Response, apierror.None
+		case StepFail:
 			return verdict, problemKind
 		}
 	}
 }
 
-// retry tells whether a plan may be sent once more, to a backend that answers
+// allowRetry tells whether a plan may be sent once more, to a backend that answers
 // as the service usually does now.
-func (d *Daemon) retry(now time.Duration, plan *Plan, server *Server) (granted bool) {
-	usual := time.Duration(server.habit.Usual() * float64(time.Millisecond))
-	return d.budget.Retry(now, now+usual, plan.Till, plan.Service)
+func (d *Daemon) allowRetry(now time.Duration, plan *Plan, server *Backend) (granted bool) {
+	usual := time.Duration(server.stats.MeanLatency() * float64(time.Millisecond))
+	return d.retryBudget.SpendRetry(now, now+usual, plan.Deadline, plan.Service)
 }
 
-// finished is a round that has ended, and with whom.
-type finished struct {
-	round  Round
-	server *Server
+// endedAttempt is a round that has ended, and with whom.
+type endedAttempt struct {
+	attempt Attempt
+	backend *Backend
 }
 
-// round sends to one backend. Where the request may be repeated and the
+// attemptWithHedge sends to one backend. Where the request may be repeated and the
 // backend says nothing for a good part of the aim, neither to this request nor
 // to any other, a second one is asked beside it and the first whole answer is
 // taken; what comes later is let go.
-func (d *Daemon) round(plan *Plan, server *Server, chosen time.Duration, arrived *int) (round Round, answering *Server) {
-	wait := max(time.Duration(float64(plan.Way.Aim)*hedgePart), time.Duration(hedgeTimes*server.habit.Usual())*time.Millisecond)
-	if !plan.Way.Repeat.Repeatable() || plan.Rounds < 2 || wait <= 0 || plan.Bound != "" {
-		round = run(d.clock, server, plan.Request, d.sending(plan, chosen))
+func (d *Daemon) attemptWithHedge(plan *Plan, server *Backend, chosen time.Duration, arrived *int) (round Attempt, answering *Backend) {
+	wait := max(time.Duration(float64(plan.Route.Aim)*hedgeTargetShare), time.Duration(hedgeLatencyFactor*server.stats.MeanLatency())*time.Millisecond)
+	if !plan.Route.Repeat.Repeatable() || plan.AttemptsLeft < 2 || wait <= 0 || plan.BoundBackend != "" {
+		round = runAttempt(d.clock, server, plan.Request, d.attemptOptions(plan, chosen))
 		if round.Sent {
 			*arrived++
 		}
 		return round, server
 	}
-	ends := make(chan finished, 2)
-	start := func(with *Server, chosen time.Duration) {
+	ends := make(chan endedAttempt, 2)
+	start := func(with *Backend, chosen time.Duration) {
 		go func() {
-			ends <- finished{run(d.clock, with, plan.Request, d.sending(plan, chosen)), with}
+			ends <- endedAttempt{runAttempt(d.clock, with, plan.Request, d.attemptOptions(plan, chosen)), with}
 		}()
 	}
 	sentAt := d.clock.Now()
@@ -228,25 +228,25 @@
 		select {
 		case end := <-ends:
 			running--
-			if end.round.Sent {
+			if end.attempt.Sent {
 				*arrived++
 			}
-			if end.round.Outcome == Whole || running == 0 {
+			if end.attempt.Outcome == Complete || running == 0 {
 				if running > 0 {
-					go letGo(ends)
+					go discard(ends)
 				}
-				return end.round, end.server
+				return end.attempt, end.backend
 			}
 			// One of two has failed; the other may yet answer.
-			plan.Learn(d.clock.Now(), end.server.ID, end.round)
+			plan.Next(d.clock.Now(), end.backend.ID, end.attempt)
 		case <-timer.C:
 			now := d.clock.Now()
-			if !server.silentSince(sentAt) || now >= plan.Till {
+			if !server.silentSince(sentAt) || now >= plan.Deadline {
 				continue
 			}
 			tried := append([]rpc.ServerID{server.ID}, plan.Tried...)
-			second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.wanted(plan, tried))
-			if second == nil || !d.retry(now, plan, second) {
+			second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, tried))
+			if second == nil || !d.allowRetry(now, plan, second) {
 				continue
 			}
 			start(second, now)
@@ -255,34 +255,34 @@
 	}
 }
 
-// sending says how a plan's request goes out. What may not run twice is lost
+// attemptOptions says how a plan's request goes out. What may not run twice is lost
 // to a stream that its backend has forgotten, so its stream must be fresh.
-func (d *Daemon) sending(plan *Plan, chosen time.Duration) (sending Sending) {
-	sending = Sending{Chosen: chosen, Till: plan.Till, Rest: restFull, Keyed: plan.Key != "", Lane: d.lane, May: d.may, Lapse: d.lapse}
-	if plan.Bound != "" {
-		sending.May = func(server *Server) bool {
-			return !server.leaving() && d.leased(server) && d.state.Policies.KeepsSessions(d.clock.Now(), server.ID, plan.Service)
+func (d *Daemon) attemptOptions(plan *Plan, chosen time.Duration) (sending AttemptOptions) {
+	sending = AttemptOptions{ChosenAt: chosen, Deadline: plan.Deadline, MaxIdle: defaultMaxIdle, Keyed: plan.Key != "", Bandwidth: d.bandwidth, Permitted: d.mayReceive, DisabledChecks: d.disabledChecks}
+	if plan.BoundBackend != "" {
+		sending.Permitted = func(server *Backend) bool {
+			return !server.isDraining() && d.warmUpLeased(server) && d.state.Policies.KeepsSessions(d.clock.Now(), server.ID, plan.Service)
 		}
 	}
-	if !plan.Way.Repeat.Repeatable() {
-		sending.Rest = d.settings.MaxIdleNonIdempotent
+	if !plan.Route.Repeat.Repeatable() {
+		sending.MaxIdle = d.settings.MaxIdleNonIdempotent
 	}
-	if plan.Bound != "" && plan.asked(plan.Bound) && !d.lapse.has(SameStream) {
+	if plan.BoundBackend != "" && plan.wasTried(plan.BoundBackend) && !d.disabledChecks.has(ReuseRejectingConn) {
 		// The backend has had this id before: what it may say to that a second
 		// time must not be taken for what it says now.
-		sending.Rest = restNone
+		sending.MaxIdle = freshConnOnly
 	}
 	return sending
 }
 
-// wanted says what backend a plan's next round is for.
-func (d *Daemon) wanted(plan *Plan, tried []rpc.ServerID) (wanted Criteria) {
+// criteria says what backend a plan's next round is for.
+func (d *Daemon) criteria(plan *Plan, tried []rpc.ServerID) (wanted Criteria) {
 	wanted = Criteria{
-		Service: plan.Service, TargetLatency: plan.Way.Aim, Homes: plan.Way.Homes, Tried: tried, Idempotent: plan.Way.Repeat.Repeatable(), Large: plan.Way.Repeat == config.Download,
+		Service: plan.Service, TargetLatency: plan.Route.Aim, Homes: plan.Route.Homes, Tried: tried, Idempotent: plan.Route.Repeat.Repeatable(), Large: plan.Route.Repeat == config.Download,
 		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
 	}
-	if plan.Bound != "" {
-		wanted.Bound, wanted.Tried, wanted.PlanWeights = plan.Bound, nil, nil
+	if plan.BoundBackend != "" {
+		wanted.Bound, wanted.Tried, wanted.PlanWeights = plan.BoundBackend, nil, nil
 		return wanted
 	}
 	if !wanted.Large {
@@ -291,45 +291,45 @@
 	return wanted
 }
 
-// may tells whether a backend may still be sent a new caller.
-func (d *Daemon) may(server *Server) bool {
-	return !server.leaving() && d.leased(server) && d.state.Policies.AcceptsNew(d.clock.Now(), server.ID)
+// mayReceive tells whether a backend may still be sent a new caller.
+func (d *Daemon) mayReceive(server *Backend) bool {
+	return !server.isDraining() && d.warmUpLeased(server) && d.state.Policies.AcceptsNew(d.clock.Now(), server.ID)
 }
 
-// leased tells that a lease stands for a backend that is cold.
-func (d *Daemon) leased(server *Server) bool {
-	return !server.isCold(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(server.ID)) > 0
+// warmUpLeased tells that a lease stands for a backend that is cold.
+func (d *Daemon) warmUpLeased(server *Backend) bool {
+	return !server.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(server.ID)) > 0
 }
 
-// letGo takes an answer that is not needed any more.
-func letGo(ends <-chan finished) {
-	if end := <-ends; end.round.Verdict.Finish != nil {
-		end.round.Verdict.Finish(false)
+// discard takes an answer that is not needed any more.
+func discard(ends <-chan endedAttempt) {
+	if end := <-ends; end.attempt.Response.Finish != nil {
+		end.attempt.Response.Finish(false)
 	}
 }
 
-// carryKeyed claims the key first.
-func (d *Daemon) carryKeyed(plan *Plan) (verdict Verdict) {
+// executeKeyed claims the key first.
+func (d *Daemon) executeKeyed(plan *Plan) (verdict Response) {
 	request := plan.Request
 	if d.operations.Freed(plan.Key, request.ID) {
 		// The word that gave this claim back may still be under way, and would
 		// give back a new one of the same name.
-		return Deny(apierror.KeyUnknown, request.ID)
+		return ErrorResponse(apierror.KeyUnknown, request.ID)
 	}
 	op, old := d.operations.Open(plan.Key, request.ID)
 	if old != nil {
-		return d.recount(d.leader.Fetch(old.Recall(), plan.Key, old.Request()), request.ID)
+		return d.replay(d.leader.Fetch(old.Recall(), plan.Key, old.Request()), request.ID)
 	}
-	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
+	limit := min(900*time.Millisecond, plan.Deadline-d.clock.Now())
 	for tries := 0; ; tries++ {
 		claimed := d.clock.Now()
 		// A new leader may be there in a moment; the wait for one stays inside
 		// the time in which a refusal still lets the client come back in time.
-		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Way.Aim/4, limit)
+		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.Aim/4, limit)
 		switch found.Outcome {
 		case rpc.Granted:
 			// The claim is worth its window from when it was asked for.
-			plan.Till = min(plan.Till, claimed+d.settings.Bounds.KeyWindow)
+			plan.Deadline = min(plan.Deadline, claimed+d.settings.Bounds.KeyWindow)
 		case rpc.Held:
 			var reply rpc.RecallReply
 			if found.Holder == rpc.FellowID(d.settings.Name) {
@@ -340,72 +340,72 @@
 			} else {
 				reply = d.leader.Recall(found, plan.Key)
 			}
-			if reply.Standing == rpc.Freed && tries < 3 && d.clock.Now()+limit/2 < plan.Till {
+			if reply.Standing == rpc.Freed && tries < 3 && d.clock.Now()+limit/2 < plan.Deadline {
 				time.Sleep(d.recallPause)
 				continue
 			}
 			d.operations.Abandon(op)
-			return d.recount(reply, request.ID)
+			return d.replay(reply, request.ID)
 		case rpc.Unclear:
 			// The claim may stand, but nothing will ever be sent under it.
 			d.operations.Free(op)
 			d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
-			return Deny(apierror.NoLeader, request.ID)
+			return ErrorResponse(apierror.NoLeader, request.ID)
 		default:
 			d.operations.Abandon(op)
-			return Deny(apierror.NoLeader, request.ID)
+			return ErrorResponse(apierror.NoLeader, request.ID)
 		}
 		break
 	}
-	verdict, kind := d.carry(plan)
+	verdict, kind := d.execute(plan)
 	switch {
 	case kind == apierror.None:
-		d.store(op, plan, verdict)
+		d.storeResponse(op, plan, verdict)
 		return verdict
-	case plan.MayHaveRun && !(kind == apierror.Broken && d.dedupes(plan.Service)):
+	case plan.MayHaveRun && !(kind == apierror.Broken && d.deduplicates(plan.Service)):
 		d.operations.Lose(op)
 	default:
 		d.operations.Free(op)
 		d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 	}
-	return Deny(kind, request.ID)
+	return ErrorResponse(kind, request.ID)
 }
 
-// dedupes tells that a service keeps its own record of keys, so that a run that
+// deduplicates tells that a service keeps its own record of keys, so that a run that
 // broke off may be followed by another under the same key.
-func (d *Daemon) dedupes(name rpc.ServiceName) bool {
+func (d *Daemon) deduplicates(name rpc.ServiceName) bool {
 	service := d.state.Snapshot().View.Services[string(name)]
 	return service != nil && service.Dedupes
 }
 
-// store keeps the answer of an operation for repeats. Only the homes of a way
+// storeResponse keeps the answer of an operation for repeats. Only the homes of a way
 // may store its answers; elsewhere the answer is handed to a fellow there.
-func (d *Daemon) store(op *idempotency.Held, plan *Plan, verdict Verdict) {
-	homes := plan.Way.Homes
+func (d *Daemon) storeResponse(op *idempotency.Held, plan *Plan, verdict Response) {
+	homes := plan.Route.Homes
 	switch {
-	case verdict.Rest != nil:
+	case verdict.BodyRest != nil:
 		d.operations.Lose(op)
 	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
-		d.operations.Answer(op, verdict.Status, verdict.Lines, verdict.Body)
+		d.operations.Answer(op, verdict.Status, verdict.Headers, verdict.Body)
 	default:
-		go d.handOver(op, plan, verdict)
+		go d.storeOnPeer(op, plan, verdict)
 	}
 }
 
-// handOver lets a fellow within the homes of a way keep an answer.
-func (d *Daemon) handOver(op *idempotency.Held, plan *Plan, verdict Verdict) {
+// storeOnPeer lets a fellow within the homes of a way keep an answer.
+func (d *Daemon) storeOnPeer(op *idempotency.Held, plan *Plan, verdict Response) {
 	scene, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var chosenInner string
 	var best uint64
 	for id, fellow := range scene.Nodes {
-		if !fellow.Ready || fellow.Stopping || absent[id] || !regionAllowed(plan.Way.Homes, fellow.Region) {
+		if !fellow.Ready || fellow.Stopping || absent[id] || !regionAllowed(plan.Route.Homes, fellow.Region) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
 			chosenInner, best = fellow.Inner, rank
 		}
 	}
-	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Lines, Body: verdict.Body}
+	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Headers, Body: verdict.Body}
 	if chosenInner == "" || !d.leader.StoreAt(chosenInner, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
 		d.operations.Lose(op)
 		return
@@ -413,20 +413,20 @@
 	d.operations.Move(op, chosenInner)
 }
 
-// recount answers a repeat from what its holder told.
-func (d *Daemon) recount(reply rpc.RecallReply, request string) (verdict Verdict) {
+// replay answers a repeat from what its holder told.
+func (d *Daemon) replay(reply rpc.RecallReply, request string) (verdict Response) {
 	switch reply.Standing {
 	case rpc.Running:
-		return Deny(apierror.KeyAtWork, request)
+		return ErrorResponse(apierror.KeyAtWork, request)
 	case rpc.Answered:
-		verdict = Verdict{Status: reply.Status, Body: reply.Body, Length: int64(len(reply.Body))}
+		verdict = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
 		for _, line := range reply.Header {
-			if line[0] == headRequest {
+			if line[0] == headerRequestID {
 				line[1] = request
 			}
-			verdict.Lines = append(verdict.Lines, line)
+			verdict.Headers = append(verdict.Headers, line)
 		}
 		return verdict
 	}
-	return Deny(apierror.KeyUnknown, request)
+	return ErrorResponse(apierror.KeyUnknown, request)
 }
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -102,15 +102,15 @@
 	calmLatencyMS  float64
 	borderFactor   float64
 
-	best, fallback         *Server
+	best, fallback         *Backend
 	bestCost, fallbackCost float64
 	anyUsable              bool
-	trial                  *Server
+	trial                  *Backend
 }
 
 // chooseEndpoint names the backend, or tells whether there is any at all. The daemon's
 // own few are looked at first, the rest only where those have nothing good.
-func (w *ClusterState) chooseEndpoint(scene *Snapshot, wanted Criteria) (chosenServer *Server, any bool) {
+func (w *ClusterState) chooseEndpoint(scene *Snapshot, wanted Criteria) (chosenServer *Backend, any bool) {
 	c := &selection{state: w, snapshot: scene, criteria: wanted, now: w.clock.Now(), calmLatencyMS: wanted.expectedLatencyMS(), borderFactor: 1}
 	if service := scene.View.Services[string(wanted.Service)]; service != nil {
 		c.maxConnections = service.Streams
@@ -123,7 +123,7 @@
 		if server == nil {
 			return nil, false
 		}
-		c.calmLatencyMS = server.habit.Calm(c.calmLatencyMS)
+		c.calmLatencyMS = server.stats.BaselineLatency(c.calmLatencyMS)
 		if c.consider(server, true); c.best == nil {
 			c.best = c.fallback
 		}
@@ -131,9 +131,9 @@
 	}
 	near, beyond := scene.Preferred[wanted.Service], scene.Others[wanted.Service]
 	if len(near) > 0 {
-		c.calmLatencyMS = near[0].habit.Calm(c.calmLatencyMS)
+		c.calmLatencyMS = near[0].stats.BaselineLatency(c.calmLatencyMS)
 	} else if len(beyond) > 0 {
-		c.calmLatencyMS = beyond[0].habit.Calm(c.calmLatencyMS)
+		c.calmLatencyMS = beyond[0].stats.BaselineLatency(c.calmLatencyMS)
 	}
 	for _, server := range near {
 		c.consider(server, true)
@@ -155,7 +155,7 @@
 }
 
 // consider takes one backend into account.
-func (c *selection) consider(server *Server, near bool) {
+func (c *selection) consider(server *Backend, near bool) {
 	w, now := c.state, c.now
 	if c.snapshot.Evacuated[server.Site] || !regionAllowed(c.criteria.Homes, server.Region) || c.criteria.wasTried(server.ID) {
 		return
@@ -179,28 +179,28 @@
 	if c.maxConnections > 0 {
 		room = min(room, max(1, c.maxConnections/share))
 	}
-	cold := now < server.coldTill
-	pace := server.pace
-	if server.paceAt == 0 {
+	cold := now < server.warmUpUntil
+	pace := server.latency
+	if server.latencyAt == 0 {
 		pace = c.calmLatencyMS
-	} else if age := now - server.paceAt; age > 5*time.Second {
+	} else if age := now - server.latencyAt; age > 5*time.Second {
 		pace = min(pace, c.calmLatencyMS)
 	}
-	jobs, told := server.jobs(now, share)
+	jobs, told := server.queuedRequests(now, share)
 	queue := jobs / float64(slots)
 	if !told {
-		queue = min(queue, float64(server.burden))
+		queue = min(queue, float64(server.inFlight))
 	}
 	cost := pace * (1 + queue)
-	if server.doubted(now, c.calmLatencyMS) {
+	if server.overdue(now, c.calmLatencyMS) {
 		cost += penaltySuspectMS
 	}
-	cost *= 1 + failureWeight*server.badness(now)
-	aside, trialDue := server.aside, now >= server.trialAt
-	out, down, burden := now < server.outTill, server.health == rpc.Down, server.burden
+	cost *= 1 + failureWeight*server.recentFailures(now)
+	aside, trialDue := server.ejected, now >= server.nextTrialAt
+	out, down, burden := now < server.unavailableUntil, server.health == rpc.Down, server.inFlight
 	allowance := 0
 	if cold {
-		allowance = server.cold.Sum(now)
+		allowance = server.warmUpSends.Sum(now)
 	}
 	server.mu.Unlock()
 	if burden >= room {
@@ -245,9 +245,9 @@
 }
 
 // noteTrial notes that a backend that is set aside gets a request.
-func (s *Server) noteTrial(now time.Duration) {
+func (s *Backend) noteTrial(now time.Duration) {
 	s.mu.Lock()
-	s.trialAt = now + trialInterval
+	s.nextTrialAt = now + trialInterval
 	s.mu.Unlock()
 }
 
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -24,25 +24,25 @@
 
 // Daemon is a running passage daemon.
 type Daemon struct {
-	settings    settings.Settings
-	log         *eventlog.Logger
-	clock       Clock
-	incarnation rpc.Life
-	recallPause time.Duration
-	state       *ClusterState
-	leader      *LeaderClient
-	operations  *idempotency.Book
-	budget      *Budget
-	limits      *Limits
-	throttles   throttles
-	lane        *Lane
-	door        *Door
-	prober      *Prober
-	ready       atomic.Bool
-	stopping    atomic.Bool
-	httpServers []*http.Server
-	rpcListener *rpc.Listener
-	lapse       Lapse
+	settings       settings.Settings
+	log            *eventlog.Logger
+	clock          Clock
+	incarnation    rpc.Life
+	recallPause    time.Duration
+	state          *ClusterState
+	leader         *LeaderClient
+	operations     *idempotency.Book
+	retryBudget    *RetryBudget
+	tenantLimits   *TenantLimits
+	concurrency    concurrencyLimiters
+	bandwidth      *BandwidthLimiter
+	frontend       *Frontend
+	prober         *Prober
+	ready          atomic.Bool
+	stopping       atomic.Bool
+	httpServers    []*http.Server
+	rpcListener    *rpc.Listener
+	disabledChecks DisabledChecks
 }
 
 // Start takes up the work.
@@ -53,19 +53,19 @@
 	d.state = NewClusterState(p, log, d.clock)
 	d.operations = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
-	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
-	d.budget.written = d.state.Policies.Retries
-	d.budget.written.OnGate = func(service rpc.ServiceName, open bool) {
+	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
+	d.retryBudget.operatorLimit = d.state.Policies.Retries
+	d.retryBudget.operatorLimit.OnGate = func(service rpc.ServiceName, open bool) {
 		log.Emit(eventlog.RetriesSuppressed, eventlog.KeyService, string(service), "suppressed", open)
 	}
-	d.limits = NewLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
-	d.lane = NewLane(d.clock, p.LinkMbps)
+	d.tenantLimits = NewTenantLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
+	d.bandwidth = NewBandwidthLimiter(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
-	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
+	d.frontend = NewFrontend(d.Handle, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
 	if d.rpcListener, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &PeerService{d}, "Status": &StatusService{d}}); err != nil {
 		return nil, err
 	}
-	if err = d.door.Open(p.FrontendAddress); err != nil {
+	if err = d.frontend.Listen(p.FrontendAddress); err != nil {
 		return nil, err
 	}
 	for _, address := range []string{p.ReadinessAddress, p.DirectoryAddress} {
@@ -79,7 +79,7 @@
 		d.httpServers = append(d.httpServers, server)
 	}
 	d.leader.OnUpdate = d.becomeReady
-	d.leader.Limits, d.leader.Loads = d.limits, d.throttles.burdens
+	d.leader.Limits, d.leader.Loads = d.tenantLimits, d.concurrency.loads
 	go d.leader.RunHeartbeats()
 	go d.leader.RunClaims()
 	go d.leader.RunBinds()
@@ -139,7 +139,7 @@
 // clients must have learned it and nothing is at work, the end.
 func (d *Daemon) Stop() {
 	d.stopping.Store(true)
-	d.door.Stop()
+	d.frontend.StartDraining()
 	go d.leader.HeartbeatNow()
 	begun := d.clock.Now()
 	grace := d.settings.Bounds.GracePeriod
@@ -147,18 +147,18 @@
 	for {
 		time.Sleep(20 * time.Millisecond)
 		spent := d.clock.Now() - begun
-		if spent >= linger && d.door.AtWork() == 0 || spent >= grace-300*time.Millisecond {
+		if spent >= linger && d.frontend.InFlight() == 0 || spent >= grace-300*time.Millisecond {
 			break
 		}
 	}
-	d.door.Shut()
-	for spent := time.Duration(0); d.door.AtWork() > 0 && d.clock.Now()-begun < grace-150*time.Millisecond; spent++ {
+	d.frontend.CloseListener()
+	for spent := time.Duration(0); d.frontend.InFlight() > 0 && d.clock.Now()-begun < grace-150*time.Millisecond; spent++ {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, server := range d.httpServers {
 		_ = server.Close()
 	}
-	d.door.Close()
+	d.frontend.CloseConns()
 	d.rpcListener.Close()
 	close(d.leader.Done)
 }
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -30,17 +30,17 @@
 		return good(n, r, conn)
 	})
 	d := daemonOf(t, backend)
-	d.door.most = 1
+	d.frontend.maxConns = 1
 	first, firstIn := client(t, d)
 	_, _ = io.WriteString(first, ask("GET", "/safe/1", "one"))
 	if _, body, err := receiveOne(t, firstIn, "GET"); err != nil || body != "body of one" {
 		t.Fatal(body, err)
 	}
 	await(t, func() bool {
-		d.door.mu.Lock()
-		defer d.door.mu.Unlock()
-		for v, since := range d.door.visits {
-			if !since.IsZero() && v.working.Load() == 0 {
+		d.frontend.mu.Lock()
+		defer d.frontend.mu.Unlock()
+		for v, since := range d.frontend.conns {
+			if !since.IsZero() && v.unansweredCount.Load() == 0 {
 				return true
 			}
 		}
@@ -60,7 +60,7 @@
 	if _, err := firstIn.ReadByte(); err != io.EOF {
 		t.Fatalf("the idle stream was not let go: %v", err)
 	}
-	await(t, func() bool { return d.door.AtWork() > 0 })
+	await(t, func() bool { return d.frontend.InFlight() > 0 })
 	third, thirdIn := dial()
 	_, _ = io.WriteString(third, ask("GET", "/once/1", "more"))
 	response, _, err := receiveOne(t, thirdIn, "GET")
--- a/internal/proxy/door.go
+++ b/internal/proxy/door.go
@@ -24,50 +24,50 @@
 )
 
 const (
-	pipeline   = 16
-	refusals   = 48
-	lingerSpan = time.Second
-	bodyPause  = 10 * time.Second
-	idleGlance = 3 * time.Millisecond
+	maxPipelined     = 16
+	maxRejectedConns = 48
+	lingerTime       = time.Second
+	bodyTimeout      = 10 * time.Second
+	idleRecheck      = 3 * time.Millisecond
 	// idleMargin is how much sooner than the daemon clients are told to let an
 	// idle stream go.
 	idleMargin = 2 * time.Second
 )
 
-// Door takes in clients.
-type Door struct {
-	answer   func(request *Request, deadline string) Verdict
-	view     func() *config.View
-	stopping atomic.Bool
-	open     atomic.Int64
-	atWork   atomic.Int64
-	most     int64
-	room     atomic.Int64
-	listener net.Listener
-	mu       sync.Mutex
-	visits   map[*visit]time.Time
+// Frontend takes in clients.
+type Frontend struct {
+	handle        func(request *Request, deadline string) Response
+	view          func() *config.View
+	draining      atomic.Bool
+	openConns     atomic.Int64
+	inFlight      atomic.Int64
+	maxConns      int64
+	bodyBytesLeft atomic.Int64
+	listener      net.Listener
+	mu            sync.Mutex
+	conns         map[*clientConn]time.Time
 }
 
-// visit is one client's stream; its time in the door's table is since when it
+// clientConn is one client's stream; its time in the door's table is since when it
 // has been idle, or nothing while it is not.
-type visit struct {
-	conn            net.Conn
-	pending         sync.WaitGroup
-	working         atomic.Int64
+type clientConn struct {
+	netConn         net.Conn
+	unanswered      sync.WaitGroup
+	unansweredCount atomic.Int64
 	broken, closing atomic.Bool
-	// refuse has every request refused, for want of descriptors.
-	refuse bool
+	// rejectAll has every request refused, for want of descriptors.
+	rejectAll bool
 }
 
-// NewDoor answers with a function; most streams and bytes of bodies at once.
-func NewDoor(answer func(*Request, string) Verdict, view func() *config.View, most int, room int64) (door *Door) {
-	door = &Door{answer: answer, view: view, most: int64(most), visits: map[*visit]time.Time{}}
-	door.room.Store(room)
+// NewFrontend answers with a function; most streams and bytes of bodies at once.
+func NewFrontend(answer func(*Request, string) Response, view func() *config.View, most int, room int64) (door *Frontend) {
+	door = &Frontend{handle: answer, view: view, maxConns: int64(most), conns: map[*clientConn]time.Time{}}
+	door.bodyBytesLeft.Store(room)
 	return door
 }
 
-// Open listens and serves.
-func (d *Door) Open(address string) (err error) {
+// Listen listens and serves.
+func (d *Frontend) Listen(address string) (err error) {
 	if d.listener, err = rpc.Listen(address, 5*time.Second); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 // Serve takes in streams until the listener closes.
-func (d *Door) Serve(listener net.Listener) {
+func (d *Frontend) Serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -86,83 +86,83 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		open := d.open.Add(1)
-		if open > d.most+refusals {
-			d.open.Add(-1)
+		open := d.openConns.Add(1)
+		if open > d.maxConns+maxRejectedConns {
+			d.openConns.Add(-1)
 			_ = conn.Close()
 			continue
 		}
 		// Beyond the budget of descriptors the stream that has been idle longest
 		// goes; where none is idle, the new one gets a refusal it can trust.
-		go d.welcome(conn, open > d.most && !d.letIdleGo())
+		go d.serveConn(conn, open > d.maxConns && !d.closeLongestIdle())
 	}
 }
 
-// letIdleGo ends the stream that has been idle longest.
-func (d *Door) letIdleGo() (gone bool) {
+// closeLongestIdle ends the stream that has been idle longest.
+func (d *Frontend) closeLongestIdle() (gone bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var oldest *visit
-	for v, since := range d.visits {
-		if !since.IsZero() && v.working.Load() == 0 && (oldest == nil || since.Before(d.visits[oldest])) {
+	var oldest *clientConn
+	for v, since := range d.conns {
+		if !since.IsZero() && v.unansweredCount.Load() == 0 && (oldest == nil || since.Before(d.conns[oldest])) {
 			oldest = v
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	d.visits[oldest] = time.Time{}
-	_ = oldest.conn.SetReadDeadline(time.Now())
+	d.conns[oldest] = time.Time{}
+	_ = oldest.netConn.SetReadDeadline(time.Now())
 	return true
 }
 
-// idle notes that a stream waits for a request, or does not any more.
-func (d *Door) idle(v *visit, idle bool) {
+// setIdle notes that a stream waits for a request, or does not any more.
+func (d *Frontend) setIdle(v *clientConn, idle bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.visits[v] = (time.Time{}); idle {
-		d.visits[v] = time.Now()
+	if d.conns[v] = (time.Time{}); idle {
+		d.conns[v] = time.Now()
 	}
 }
 
-// Stop makes every further answer close its stream.
-func (d *Door) Stop() { d.stopping.Store(true) }
+// StartDraining makes every further answer close its stream.
+func (d *Frontend) StartDraining() { d.draining.Store(true) }
 
-// AtWork counts requests that are read and not yet answered.
-func (d *Door) AtWork() int64 { return d.atWork.Load() }
+// InFlight counts requests that are read and not yet answered.
+func (d *Frontend) InFlight() int64 { return d.inFlight.Load() }
 
-// Shut stops listening.
-func (d *Door) Shut() { _ = d.listener.Close() }
+// CloseListener stops listening.
+func (d *Frontend) CloseListener() { _ = d.listener.Close() }
 
-// Close ends the streams that are still open.
-func (d *Door) Close() {
+// CloseConns ends the streams that are still open.
+func (d *Frontend) CloseConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for v := range d.visits {
-		_ = v.conn.Close()
+	for v := range d.conns {
+		_ = v.netConn.Close()
 	}
 }
 
-type turn struct {
-	verdict chan Verdict
-	ready   Verdict
-	old     bool
-	last    bool
-	// head tells that the answer has no body.
-	head bool
+type pendingResponse struct {
+	handled    chan Response
+	immediate  Response
+	http10     bool
+	closeAfter bool
+	// headOnly tells that the answer has no body.
+	headOnly bool
 }
 
-// counted counts what is read, and ends a head that is too long.
-type counted struct {
+// headLimitReader counts what is read, and ends a head that is too long.
+type headLimitReader struct {
 	conn  net.Conn
 	total int64
-	most  int64
+	limit int64
 }
 
 var errHeadTooLarge = errors.New("head too large")
 
-func (c *counted) Read(into []byte) (size int, err error) {
-	if c.most > 0 && c.total >= c.most {
+func (c *headLimitReader) Read(into []byte) (size int, err error) {
+	if c.limit > 0 && c.total >= c.limit {
 		return 0, errHeadTooLarge
 	}
 	size, err = c.conn.Read(into)
@@ -170,20 +170,20 @@
 	return size, err
 }
 
-// welcome serves one client stream.
-func (d *Door) welcome(conn net.Conn, refuse bool) {
-	v := &visit{conn: conn, refuse: refuse}
-	d.idle(v, false)
+// serveConn serves one client stream.
+func (d *Frontend) serveConn(conn net.Conn, refuse bool) {
+	v := &clientConn{netConn: conn, rejectAll: refuse}
+	d.setIdle(v, false)
 	defer func() {
 		d.mu.Lock()
-		delete(d.visits, v)
+		delete(d.conns, v)
 		d.mu.Unlock()
-		d.open.Add(-1)
+		d.openConns.Add(-1)
 	}()
-	turns := make(chan *turn, pipeline)
+	turns := make(chan *pendingResponse, maxPipelined)
 	written := make(chan struct{})
-	go d.reply(v, turns, written)
-	d.listen(v, turns)
+	go d.writeResponses(v, turns, written)
+	d.readRequests(v, turns)
 	close(turns)
 	<-written
 	if !v.broken.Load() {
@@ -192,44 +192,44 @@
 		if half, ok := conn.(*net.TCPConn); ok {
 			_ = half.CloseWrite()
 		}
-		_ = conn.SetReadDeadline(time.Now().Add(lingerSpan))
+		_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 1<<20))
 	}
 	_ = conn.Close()
 }
 
-// listen reads requests until the stream is to end.
-func (d *Door) listen(v *visit, turns chan<- *turn) {
-	conn := v.conn
-	source := &counted{conn: conn}
+// readRequests reads requests until the stream is to end.
+func (d *Frontend) readRequests(v *clientConn, turns chan<- *pendingResponse) {
+	conn := v.netConn
+	source := &headLimitReader{conn: conn}
 	in := bufio.NewReaderSize(source, 4096)
-	put := func(t *turn) {
-		v.pending.Add(1)
-		v.working.Add(1)
-		d.atWork.Add(1)
+	put := func(t *pendingResponse) {
+		v.unanswered.Add(1)
+		v.unansweredCount.Add(1)
+		d.inFlight.Add(1)
 		turns <- t
 	}
 	deny := func(kind apierror.Kind, id string) {
-		verdict := Deny(kind, id)
+		verdict := ErrorResponse(kind, id)
 		verdict.Close = true
-		put(&turn{ready: verdict, last: true})
+		put(&pendingResponse{immediate: verdict, closeAfter: true})
 	}
 	for {
 		limits := d.view().Limits
-		source.most = 0
+		source.limit = 0
 		_ = conn.SetReadDeadline(time.Now().Add(limits.IdleTime))
-		crowded := d.open.Load() > d.most/2
+		crowded := d.openConns.Load() > d.maxConns/2
 		if crowded {
-			d.idle(v, true)
+			d.setIdle(v, true)
 		}
 		_, err := in.Peek(1)
 		if crowded {
-			d.idle(v, false)
+			d.setIdle(v, false)
 		}
 		if err != nil && isTimeout(err) {
 			// A busy daemon may come to this late: what has arrived meanwhile is
 			// a request, not silence.
-			_ = conn.SetReadDeadline(time.Now().Add(idleGlance))
+			_ = conn.SetReadDeadline(time.Now().Add(idleRecheck))
 			_, err = in.Peek(1)
 		}
 		if err != nil || v.broken.Load() || v.closing.Load() {
@@ -240,10 +240,10 @@
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(limits.HeadTime))
 		before := source.total - int64(in.Buffered())
-		source.most = before + int64(limits.HeadBytes) + 1
+		source.limit = before + int64(limits.HeadBytes) + 1
 		parsed, err := http.ReadRequest(in)
 		size := source.total - int64(in.Buffered()) - before
-		source.most = 0
+		source.limit = 0
 		if err != nil {
 			switch {
 			case errors.Is(err, errHeadTooLarge):
@@ -257,45 +257,45 @@
 			}
 			return
 		}
-		id := parsed.Header.Get(headRequest)
+		id := parsed.Header.Get(headerRequestID)
 		if size > int64(limits.HeadBytes) {
 			deny(apierror.HeadTooLarge, id)
 			return
 		}
-		if v.refuse {
+		if v.rejectAll {
 			deny(apierror.NoRoom, id)
 			return
 		}
-		request, kind := d.read(v, in, parsed, limits)
+		request, kind := d.readRequest(v, in, parsed, limits)
 		if kind != apierror.None {
 			deny(kind, id)
 			return
 		}
-		t := &turn{verdict: make(chan Verdict, 1), old: parsed.ProtoMinor == 0, last: parsed.Close, head: parsed.Method == http.MethodHead}
+		t := &pendingResponse{handled: make(chan Response, 1), http10: parsed.ProtoMinor == 0, closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead}
 		path, _, _ := strings.Cut(request.Target, "?")
 		way := d.view().Find(request.Host, path)
 		if way != nil && !way.Repeat.Repeatable() {
-			v.pending.Wait()
+			v.unanswered.Wait()
 		}
-		request.Ahead = v.working.Load() > 0
+		request.Pipelined = v.unansweredCount.Load() > 0
 		if v.broken.Load() || v.closing.Load() {
 			return
 		}
 		put(t)
-		deadline := parsed.Header.Get(headDeadline)
+		deadline := parsed.Header.Get(headerRequestDeadline)
 		go func() {
-			verdict := d.answer(request, deadline)
-			d.room.Add(int64(len(request.Body)))
-			t.verdict <- verdict
+			verdict := d.handle(request, deadline)
+			d.bodyBytesLeft.Add(int64(len(request.Body)))
+			t.handled <- verdict
 		}()
-		if t.last {
+		if t.closeAfter {
 			return
 		}
 	}
 }
 
-// read takes the request's body in and makes what is passed on.
-func (d *Door) read(v *visit, in *bufio.Reader, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
+// readRequest takes the request's body in and makes what is passed on.
+func (d *Frontend) readRequest(v *clientConn, in *bufio.Reader, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
 	target := parsed.RequestURI
 	if parsed.Method == http.MethodConnect || target == "" || target[0] != '/' && target != "*" {
 		if parsed.URL == nil || parsed.URL.Host == "" || parsed.Method == http.MethodConnect {
@@ -312,7 +312,7 @@
 	if parsed.Host == "" {
 		return nil, apierror.BadRequest
 	}
-	request = &Request{Method: parsed.Method, Target: target, Host: parsed.Host, ID: parsed.Header.Get(headRequest), Lines: carried(parsed.Header)}
+	request = &Request{Method: parsed.Method, Target: target, Host: parsed.Host, ID: parsed.Header.Get(headerRequestID), Headers: forwardedHeaders(parsed.Header)}
 	if parsed.ContentLength == 0 {
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
 		return request, apierror.None
@@ -321,24 +321,24 @@
 		return nil, apierror.BodyTooLarge
 	}
 	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
-		v.pending.Wait()
-		_, _ = io.WriteString(v.conn, "HTTP/1.1 100 Continue\r\n\r\n")
+		v.unanswered.Wait()
+		_, _ = io.WriteString(v.netConn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
-	_ = v.conn.SetReadDeadline(time.Now().Add(bodyPause))
+	_ = v.netConn.SetReadDeadline(time.Now().Add(bodyTimeout))
 	request.HasBody = true
 	if parsed.ContentLength > 0 {
-		if d.room.Add(-parsed.ContentLength) < 0 {
-			d.room.Add(parsed.ContentLength)
+		if d.bodyBytesLeft.Add(-parsed.ContentLength) < 0 {
+			d.bodyBytesLeft.Add(parsed.ContentLength)
 			return nil, apierror.NoRoom
 		}
 		request.Body = make([]byte, parsed.ContentLength)
 		if _, err := io.ReadFull(parsed.Body, request.Body); err != nil {
-			d.room.Add(parsed.ContentLength)
+			d.bodyBytesLeft.Add(parsed.ContentLength)
 			return nil, apierror.BadRequest
 		}
 		return request, apierror.None
 	}
-	most := min(int64(limits.BodyBytes), max(d.room.Load(), 0))
+	most := min(int64(limits.BodyBytes), max(d.bodyBytesLeft.Load(), 0))
 	body, err := io.ReadAll(io.LimitReader(parsed.Body, most+1))
 	if err != nil {
 		return nil, apierror.BadRequest
@@ -349,26 +349,26 @@
 	if int64(len(body)) > most {
 		return nil, apierror.NoRoom
 	}
-	d.room.Add(-int64(len(body)))
+	d.bodyBytesLeft.Add(-int64(len(body)))
 	request.Body = body
 	return request, apierror.None
 }
 
-// reply writes the answers in their order.
-func (d *Door) reply(v *visit, turns <-chan *turn, written chan<- struct{}) {
+// writeResponses writes the answers in their order.
+func (d *Frontend) writeResponses(v *clientConn, turns <-chan *pendingResponse, written chan<- struct{}) {
 	defer close(written)
-	conn := v.conn
+	conn := v.netConn
 	done := func() {
-		d.atWork.Add(-1)
-		v.working.Add(-1)
-		v.pending.Done()
+		d.inFlight.Add(-1)
+		v.unansweredCount.Add(-1)
+		v.unanswered.Done()
 	}
 	var buffer []byte
 	ended := false
 	for t := range turns {
-		verdict := t.ready
-		if t.verdict != nil {
-			verdict = <-t.verdict
+		verdict := t.immediate
+		if t.handled != nil {
+			verdict = <-t.handled
 		}
 		if ended {
 			if verdict.Finish != nil {
@@ -377,15 +377,15 @@
 			done()
 			continue
 		}
-		verdict.NoBody = verdict.NoBody || t.head
-		verdict.Close = verdict.Close || t.last || d.stopping.Load()
+		verdict.NoBody = verdict.NoBody || t.headOnly
+		verdict.Close = verdict.Close || t.closeAfter || d.draining.Load()
 		if verdict.Close {
 			v.closing.Store(true)
 		}
-		verdict.Keep = d.view().Limits.IdleTime - idleMargin
+		verdict.KeepAlive = d.view().Limits.IdleTime - idleMargin
 		_ = conn.SetWriteDeadline(time.Now().Add(30 * time.Second))
 		var whole bool
-		buffer, whole = verdict.Write(conn, buffer, t.old)
+		buffer, whole = verdict.Write(conn, buffer, t.http10)
 		if cap(buffer) > 64<<10 {
 			buffer = nil
 		}
@@ -402,7 +402,7 @@
 			if half, ok := conn.(*net.TCPConn); ok {
 				_ = half.CloseWrite()
 			}
-			_ = conn.SetReadDeadline(time.Now().Add(lingerSpan))
+			_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
 		}
 		done()
 	}
--- a/internal/proxy/door_test.go
+++ b/internal/proxy/door_test.go
@@ -28,8 +28,8 @@
 	d := daemonOf(t, backend)
 	for way, status := range map[string]int{"/once/": 503, "/safe/": 200} {
 		ahead := request("GET", way+"x", "a")
-		ahead.Ahead = true
-		if verdict := d.Answer(ahead, "2500"); verdict.Status != status {
+		ahead.Pipelined = true
+		if verdict := d.Handle(ahead, "2500"); verdict.Status != status {
 			t.Errorf("%s: status %d", way, verdict.Status)
 		}
 	}
@@ -58,14 +58,14 @@
 		if clientGoes {
 			_ = conn.Close()
 		} else {
-			d.door.Stop()
-			d.door.Close()
+			d.frontend.StartDraining()
+			d.frontend.CloseConns()
 			if response, _, err := receiveOne(t, in, "POST"); err == nil {
 				t.Fatalf("told %d", response.StatusCode)
 			}
 		}
 		close(gate)
-		if verdict := d.Answer(request("POST", "/once/2", "p2"), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of p2" {
+		if verdict := d.Handle(request("POST", "/once/2", "p2"), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of p2" {
 			t.Fatalf("%d %q", verdict.Status, verdict.Body)
 		}
 		if backend.count() != 2 {
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -1,4 +1,4 @@
 package proxy
 
-// Plant has a daemon leave a check out.
-func (d *Daemon) Plant(lapse Lapse) { d.lapse = lapse }
+// DisableChecks has a daemon leave a check out.
+func (d *Daemon) DisableChecks(lapse DisabledChecks) { d.disabledChecks = lapse }
--- a/internal/proxy/habit.go
+++ b/internal/proxy/habit.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	restFull   = time.Minute
-	restLeast  = 40 * time.Millisecond
-	restPart   = 0.6
-	restSpan   = 6 * time.Second
-	habitShare = 0.05
-	// calmGrows is the part by which the calm time may grow in a second.
-	calmGrows  = 0.02
-	calmSpread = 1.25
-	habitFirst = 20
+	defaultMaxIdle = time.Minute
+	minMaxIdle     = 40 * time.Millisecond
+	maxIdleBackoff = 0.6
+	maxIdleMemory  = 6 * time.Second
+	latencyWeight  = 0.05
+	// baselineGrowth is the part by which the calm time may grow in a second.
+	baselineGrowth = 0.02
+	baselineMargin = 1.25
+	warmUpSamples  = 20
 )
 
-// Habit of one service.
-type Habit struct {
+// ServiceStats of one service.
+type ServiceStats struct {
 	good, bad uint32
 	mu        sync.Mutex
-	// telling are the backends of which there may be something to tell.
-	telling map[*Server]bool
-	usual   float64
-	calm    float64
-	seen    int
-	calmAt  time.Duration
-	rest    time.Duration
-	till    time.Duration
+	// reportable are the backends of which there may be something to tell.
+	reportable      map[*Backend]bool
+	meanLatency     float64
+	baselineLatency float64
+	samples         int
+	baselineAt      time.Duration
+	maxIdle         time.Duration
+	maxIdleUntil    time.Duration
 }
 
-// count notes an outcome.
-func (h *Habit) count(good bool) {
+// countOutcome notes an outcome.
+func (h *ServiceStats) countOutcome(good bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if good {
@@ -49,35 +49,35 @@
 	}
 }
 
-// watch notes that there may be something to tell of a backend.
-func (h *Habit) watch(server *Server) {
+// markReportable notes that there may be something to tell of a backend.
+func (h *ServiceStats) markReportable(server *Backend) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.telling == nil {
-		h.telling = map[*Server]bool{}
+	if h.reportable == nil {
+		h.reportable = map[*Backend]bool{}
 	}
-	h.telling[server] = true
+	h.reportable[server] = true
 }
 
-// watched lists them.
-func (h *Habit) watched() (servers []*Server) {
+// reportableBackends lists them.
+func (h *ServiceStats) reportableBackends() (servers []*Backend) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for server := range h.telling {
+	for server := range h.reportable {
 		servers = append(servers, server)
 	}
 	return servers
 }
 
-// unwatch forgets one that has nothing to tell any more.
-func (h *Habit) unwatch(server *Server) {
+// clearReportable forgets one that has nothing to tell any more.
+func (h *ServiceStats) clearReportable(server *Backend) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.telling, server)
+	delete(h.reportable, server)
 }
 
-// tell gives the sums since it was last asked.
-func (h *Habit) tell() (good, bad uint32) {
+// takeCounts gives the sums since it was last asked.
+func (h *ServiceStats) takeCounts() (good, bad uint32) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	good, bad = h.good, h.bad
@@ -85,70 +85,70 @@
 	return good, bad
 }
 
-// Took learns from one whole answer.
-func (h *Habit) Took(now, took time.Duration) {
+// ObserveLatency learns from one whole answer.
+func (h *ServiceStats) ObserveLatency(now, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	spent := float64(took) / float64(time.Millisecond)
-	if h.usual == 0 {
-		h.usual, h.calm, h.calmAt = spent, spent, now
+	if h.meanLatency == 0 {
+		h.meanLatency, h.baselineLatency, h.baselineAt = spent, spent, now
 		return
 	}
-	if h.seen++; h.seen < habitFirst {
-		h.usual += (spent - h.usual) / float64(h.seen+1)
-		h.calm, h.calmAt = h.usual, now
+	if h.samples++; h.samples < warmUpSamples {
+		h.meanLatency += (spent - h.meanLatency) / float64(h.samples+1)
+		h.baselineLatency, h.baselineAt = h.meanLatency, now
 		return
 	}
-	h.usual += (spent - h.usual) * habitShare
-	h.calm = min(h.usual, h.calm*(1+calmGrows*(now-h.calmAt).Seconds()))
-	h.calmAt = now
+	h.meanLatency += (spent - h.meanLatency) * latencyWeight
+	h.baselineLatency = min(h.meanLatency, h.baselineLatency*(1+baselineGrowth*(now-h.baselineAt).Seconds()))
+	h.baselineAt = now
 }
 
-// Calm is how many milliseconds an answer took on average while the service
+// BaselineLatency is how many milliseconds an answer took on average while the service
 // was least pressed lately, where nothing is known yet the given. It is what
 // may be expected of a backend that was not asked for a while.
-func (h *Habit) Calm(unknown float64) (calm float64) {
+func (h *ServiceStats) BaselineLatency(unknown float64) (calm float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.seen < habitFirst {
+	if h.samples < warmUpSamples {
 		return unknown
 	}
 	// The least of many means is too little by about the spread of a mean.
-	return min(h.usual, h.calm*calmSpread)
+	return min(h.meanLatency, h.baselineLatency*baselineMargin)
 }
 
-// Usual is how many milliseconds an answer takes now.
-func (h *Habit) Usual() (usual float64) {
+// MeanLatency is how many milliseconds an answer takes now.
+func (h *ServiceStats) MeanLatency() (usual float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.usual
+	return h.meanLatency
 }
 
-// Forgot learns that a stream that had rested so long was forgotten.
-func (h *Habit) Forgot(now, rested time.Duration) {
+// ObserveStaleConn learns that a stream that had rested so long was forgotten.
+func (h *ServiceStats) ObserveStaleConn(now, rested time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	rest := max(restLeast, time.Duration(float64(rested)*restPart))
-	if now >= h.till || rest < h.rest {
-		h.rest = rest
+	rest := max(minMaxIdle, time.Duration(float64(rested)*maxIdleBackoff))
+	if now >= h.maxIdleUntil || rest < h.maxIdle {
+		h.maxIdle = rest
 	}
-	h.till = now + restSpan
+	h.maxIdleUntil = now + maxIdleMemory
 }
 
-// Rest is how long a stream may rest now.
-func (h *Habit) Rest(now time.Duration) (rest time.Duration) {
+// MaxIdle is how long a stream may rest now.
+func (h *ServiceStats) MaxIdle(now time.Duration) (rest time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.rest == 0 || now >= h.till {
-		return restFull
+	if h.maxIdle == 0 || now >= h.maxIdleUntil {
+		return defaultMaxIdle
 	}
-	return h.rest
+	return h.maxIdle
 }
 
-// loadOf reads what a backend tells of its load: the requests that run, those
+// parseLoad reads what a backend tells of its load: the requests that run, those
 // that wait, and its slots. What does not parse, or is negative or absurd, is
 // no word at all.
-func loadOf(text string) (jobs int, told bool) {
+func parseLoad(text string) (jobs int, told bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
 		return 0, false
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -27,7 +27,7 @@
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
 	h.leader = NewLeaderClient(p, log, clock, h.state, book, life, h.self)
 	h.leader.OnUpdate = func() {}
-	h.leader.Limits = NewLimits(h.state.Leased, nil)
+	h.leader.Limits = NewTenantLimits(h.state.Leased, nil)
 	go h.leader.RunHeartbeats()
 	go h.leader.RunClaims()
 	return h
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -30,7 +30,7 @@
 	d := daemonOf(t, newStandIn(t, "i-1", good))
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
-	go d.door.welcome(&lateConn{Conn: ours}, false)
+	go d.frontend.serveConn(&lateConn{Conn: ours}, false)
 	_ = theirs.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(theirs, ask("GET", "/safe/1", "late")); err != nil {
 		t.Fatal("the stream was closed with a request on its way: ", err)
@@ -39,11 +39,11 @@
 	if err != nil || response.StatusCode != 200 || body != "body of late" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
-	told := string(Verdict{Status: 200, Keep: 13500 * time.Millisecond}.head(nil, false))
+	told := string(Response{Status: 200, KeepAlive: 13500 * time.Millisecond}.appendHead(nil, false))
 	if !strings.Contains(told, "\r\nKeep-Alive: timeout=13\r\n") {
 		t.Errorf("clients are not told when the stream ends: %q", told)
 	}
-	if told = string(Verdict{Status: 200, Close: true, Keep: time.Minute}.head(nil, false)); strings.Contains(told, "Keep-Alive") {
+	if told = string(Response{Status: 200, Close: true, KeepAlive: time.Minute}.appendHead(nil, false)); strings.Contains(told, "Keep-Alive") {
 		t.Errorf("a stream that closes is promised: %q", told)
 	}
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -72,7 +72,7 @@
 
 func keyed(id, key string) *Request {
 	r := request("POST", "/key/x", id)
-	r.Lines = append(r.Lines, Line{headKey, key})
+	r.Headers = append(r.Headers, HeaderField{headerOperationKey, key})
 	return r
 }
 
@@ -84,13 +84,13 @@
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
 	led(t, d, &standInForum{script: grant})
-	first := d.Answer(keyed("a", "k"), "2500")
-	again := d.Answer(keyed("b", "k"), "2500")
+	first := d.Handle(keyed("a", "k"), "2500")
+	again := d.Handle(keyed("b", "k"), "2500")
 	if first.Status != 200 || again.Status != 200 || string(again.Body) != "body of a" || backend.count() != 1 {
 		t.Fatalf("%d %d %q, %d runs", first.Status, again.Status, again.Body, backend.count())
 	}
-	for _, line := range again.Lines {
-		if line[0] == headRequest && line[1] != "b" || line[0] == headStamp && line[1] != "stamp-a" {
+	for _, line := range again.Headers {
+		if line[0] == headerRequestID && line[1] != "b" || line[0] == headerResponseSignature && line[1] != "stamp-a" {
 			t.Fatalf("the repeat carries %v", line)
 		}
 	}
@@ -101,7 +101,7 @@
 func TestWhatBecomesOfAKeyWhoseRunFailed(t *testing.T) {
 	broken := func(int, seen, net.Conn) bool { return false }
 	turned := func(_ int, r seen, conn net.Conn) bool {
-		_, err := conn.Write([]byte(answer(503, r.ID, "", headNotRun+": 1")))
+		_, err := conn.Write([]byte(answer(503, r.ID, "", headerNotExecuted+": 1")))
 		return err == nil
 	}
 	for name, c := range map[string]struct {
@@ -118,21 +118,21 @@
 		d := daemonOf(t, backend)
 		led(t, d, &standInForum{script: grant})
 		d.state.Snapshot().View.Services["s"].Dedupes = c.dedupes
-		if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != c.status {
+		if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != c.status {
 			t.Errorf("%s: status %d", name, verdict.Status)
 		}
 		if standing := d.operations.Find("k", "a").Standing; standing != c.standing {
 			t.Errorf("%s: standing %d, want %d", name, standing, c.standing)
 		}
 		runs := backend.count()
-		if verdict := d.Answer(keyed("b", "k"), "2500"); c.standing == rpc.Lost && (verdict.Status != 503 || backend.count() != runs) {
+		if verdict := d.Handle(keyed("b", "k"), "2500"); c.standing == rpc.Lost && (verdict.Status != 503 || backend.count() != runs) {
 			t.Errorf("%s: a repeat got %d after %d runs", name, verdict.Status, backend.count())
 		}
 	}
 }
 
 func TestAKeyHeldElsewhere(t *testing.T) {
-	stored := rpc.RecallReply{Standing: rpc.Answered, Status: 200, Header: [][2]string{{headStamp, "first"}}, Body: []byte("first body")}
+	stored := rpc.RecallReply{Standing: rpc.Answered, Status: 200, Header: [][2]string{{headerResponseSignature, "first"}}, Body: []byte("first body")}
 	for name, c := range map[string]struct {
 		recall func(int) rpc.RecallReply
 		status int
@@ -153,7 +153,7 @@
 			}
 			return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-2", Inner: inner, Life: 7, Request: "z"}
 		}
-		verdict := d.Answer(keyed("a", "k"), "2500")
+		verdict := d.Handle(keyed("a", "k"), "2500")
 		if verdict.Status != c.status || backend.count() != c.runs {
 			t.Errorf("%s: status %d after %d runs", name, verdict.Status, backend.count())
 		}
@@ -170,7 +170,7 @@
 	d := daemonOf(t, backend)
 	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimFound { return rpc.ClaimFound{Outcome: rpc.Unclear} }}
 	led(t, d, forum)
-	if verdict := d.Answer(keyed("a", "k"), "300"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict := d.Handle(keyed("a", "k"), "300"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
 	if d.operations.Find("k", "a").Standing != rpc.Freed {
@@ -238,7 +238,7 @@
 			led(t, d, &standInForum{script: grant})
 		}
 		begun := d.clock.Now()
-		verdict := d.Answer(c.request, "2500")
+		verdict := d.Handle(c.request, "2500")
 		// The way's timeout is 900 ms and its aim 600 ms.
 		if took := d.clock.Now() - begun; verdict.Status != c.status || took > 600*time.Millisecond {
 			t.Errorf("%s: status %d after %v", name, verdict.Status, took)
@@ -255,7 +255,7 @@
 		return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-1", Life: d.incarnation + 1, Request: "z"}
 	}}
 	led(t, d, forum)
-	if verdict := d.Answer(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict := d.Handle(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
 	for _, standing := range []func(op *idempotency.Held){func(*idempotency.Held) {}, d.operations.Free, func(op *idempotency.Held) { d.operations.Answer(op, 200, nil, nil) }} {
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// lanePart of the link is for large answers; laneChunk is read at once.
-	lanePart  = 0.5
-	laneChunk = 8 << 10
-	laneBurst = 24 << 10
+	// bandwidthShare of the link is for large answers; laneChunk is read at once.
+	bandwidthShare = 0.5
+	bandwidthChunk = 8 << 10
+	bandwidthBurst = 24 << 10
 )
 
-// Lane is a bucket of bytes that fills at a rate.
-type Lane struct {
-	mu    sync.Mutex
-	rate  float64
-	free  float64
-	at    time.Duration
-	clock Clock
+// BandwidthLimiter is a bucket of bytes that fills at a rate.
+type BandwidthLimiter struct {
+	mu        sync.Mutex
+	rate      float64
+	available float64
+	updatedAt time.Duration
+	clock     Clock
 }
 
-// NewLane is a lane of a link of so many megabits a second; 0 is no bound.
-func NewLane(clock Clock, mbps float64) (lane *Lane) {
-	return &Lane{rate: mbps * 1e6 / 8 * lanePart, free: laneBurst, clock: clock}
+// NewBandwidthLimiter is a lane of a link of so many megabits a second; 0 is no bound.
+func NewBandwidthLimiter(clock Clock, mbps float64) (lane *BandwidthLimiter) {
+	return &BandwidthLimiter{rate: mbps * 1e6 / 8 * bandwidthShare, available: bandwidthBurst, clock: clock}
 }
 
-// take takes room for bytes and tells how long to wait before they are read.
-func (l *Lane) take(now time.Duration, size int) (wait time.Duration) {
+// reserve takes room for bytes and tells how long to wait before they are read.
+func (l *BandwidthLimiter) reserve(now time.Duration, size int) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.free = min(laneBurst, l.free+l.rate*(now-l.at).Seconds())
-	l.at = now
-	if l.free -= float64(size); l.free >= 0 {
+	l.available = min(bandwidthBurst, l.available+l.rate*(now-l.updatedAt).Seconds())
+	l.updatedAt = now
+	if l.available -= float64(size); l.available >= 0 {
 		return 0
 	}
-	return time.Duration(-l.free / l.rate * float64(time.Second))
+	return time.Duration(-l.available / l.rate * float64(time.Second))
 }
 
-// Through reads by way of the lane.
-func (l *Lane) Through(from io.Reader) (reader io.Reader) {
+// Limit reads by way of the lane.
+func (l *BandwidthLimiter) Limit(from io.Reader) (reader io.Reader) {
 	if l == nil || l.rate <= 0 {
 		return from
 	}
-	return &laneReader{l, from}
+	return &limitedReader{l, from}
 }
 
-type laneReader struct {
-	lane *Lane
-	from io.Reader
+type limitedReader struct {
+	limiter *BandwidthLimiter
+	from    io.Reader
 }
 
-func (r *laneReader) Read(into []byte) (size int, err error) {
-	size, err = r.from.Read(into[:min(len(into), laneChunk)])
-	if wait := r.lane.take(r.lane.clock.Now(), size); wait > 0 {
+func (r *limitedReader) Read(into []byte) (size int, err error) {
+	size, err = r.from.Read(into[:min(len(into), bandwidthChunk)])
+	if wait := r.limiter.reserve(r.limiter.clock.Now(), size); wait > 0 {
 		time.Sleep(wait)
 	}
 	return size, err
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -10,25 +10,25 @@
 // Large answers together stay within their part of the link, however many
 // there are, and lose nothing on the way.
 func TestTheLaneKeepsToItsPart(t *testing.T) {
-	lane := NewLane(NewClock(), 8) // a megabyte a second
+	lane := NewBandwidthLimiter(NewClock(), 8) // a megabyte a second
 	now, taken := time.Second, 0
 	for taken < 4<<20 {
-		wait := lane.take(now, laneChunk)
-		taken += laneChunk
+		wait := lane.reserve(now, bandwidthChunk)
+		taken += bandwidthChunk
 		now += wait
 	}
-	if rate := float64(taken) / (now - time.Second).Seconds(); rate > 1.02e6*lanePart || rate < 0.95e6*lanePart {
+	if rate := float64(taken) / (now - time.Second).Seconds(); rate > 1.02e6*bandwidthShare || rate < 0.95e6*bandwidthShare {
 		t.Errorf("%.0f bytes a second of a megabyte", rate)
 	}
-	if wait := lane.take(now+time.Second, laneBurst); wait > 0 {
+	if wait := lane.reserve(now+time.Second, bandwidthBurst); wait > 0 {
 		t.Errorf("a lane that rested makes wait %s", wait)
 	}
 	text := bytes.Repeat([]byte("large answer "), 3000)
-	got, err := io.ReadAll(NewLane(NewClock(), 800).Through(bytes.NewReader(text)))
+	got, err := io.ReadAll(NewBandwidthLimiter(NewClock(), 800).Limit(bytes.NewReader(text)))
 	if err != nil || !bytes.Equal(got, text) {
 		t.Errorf("%d of %d bytes, %v", len(got), len(text), err)
 	}
-	if (*Lane)(nil).Through(nil) != nil {
+	if (*BandwidthLimiter)(nil).Limit(nil) != nil {
 		t.Error("without a lane the answer is read as it is")
 	}
 }
--- a/internal/proxy/lapse.go
+++ b/internal/proxy/lapse.go
@@ -2,22 +2,22 @@
 // is planted by tests, which must find what comes of it.
 package proxy
 
-// Lapse is a set of checks that are left out.
-type Lapse uint8
+// DisabledChecks is a set of checks that are left out.
+type DisabledChecks uint8
 
 // The checks that may be left out.
 const (
-	// TrustNameless takes an answer without an id for proof on any stream.
-	TrustNameless Lapse = 1 << iota
-	// RepeatReset takes the reset of a stream that had rested for proof that
+	// TrustMissingID takes an answer without an id for proof on any stream.
+	TrustMissingID DisabledChecks = 1 << iota
+	// RetryAfterReset takes the reset of a stream that had rested for proof that
 	// nothing has run.
-	RepeatReset
-	// TakeSurplus takes the first answer that comes, whatever its id.
-	TakeSurplus
-	// FirstID takes the first of two ids for the answer's.
-	FirstID
-	// SameStream asks a backend again over the stream that it refused on.
-	SameStream
+	RetryAfterReset
+	// AcceptAnyID takes the first answer that comes, whatever its id.
+	AcceptAnyID
+	// AcceptFirstID takes the first of two ids for the answer's.
+	AcceptFirstID
+	// ReuseRejectingConn asks a backend again over the stream that it refused on.
+	ReuseRejectingConn
 )
 
-func (l Lapse) has(lapse Lapse) bool { return l&lapse != 0 }
+func (l DisabledChecks) has(lapse DisabledChecks) bool { return l&lapse != 0 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -13,16 +13,16 @@
 // that are asked for are told of with each beat.
 func TestDemandsOfManyTenantsComeInTurn(t *testing.T) {
 	var tenants []*config.Tenant
-	for n := 0; n < 4*demandsAtOnce; n++ {
+	for n := 0; n < 4*maxIdleDemands; n++ {
 		tenants = append(tenants, &config.Tenant{Name: fmt.Sprintf("t-%04d", n), Rate: 100, Burst: 100})
 	}
-	limits := NewLimits(func(kind rpc.LeaseKind, tenant string) float64 { return 0.5 }, nil)
+	limits := NewTenantLimits(func(kind rpc.LeaseKind, tenant string) float64 { return 0.5 }, nil)
 	busy := tenants[7]
 	told := map[string]int{}
 	for beat := 0; beat < 4; beat++ {
 		limits.Admit(time.Duration(beat)*time.Millisecond, busy)
 		demands := limits.Demands(tenants)
-		if len(demands) > demandsAtOnce+1 {
+		if len(demands) > maxIdleDemands+1 {
 			t.Fatalf("%d demands in one beat", len(demands))
 		}
 		for _, demand := range demands {
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -62,12 +62,12 @@
 	// Loads tells what is at work.
 	Loads func() []rpc.Burden
 	// Limits tells the demand of tenants, where there are any.
-	Limits *Limits
+	Limits *TenantLimits
 
 	mu              sync.Mutex
 	clients         map[string]*rpc.Caller
 	pendingReleases map[rpc.KeyClaim]bool
-	patience        Patience
+	patience        LeaderQueryTimeout
 	term            rpc.Term
 }
 
@@ -101,7 +101,7 @@
 // patience of now allows: where the way there takes half a second, none would
 // ever come up otherwise.
 func (l *LeaderClient) controllerClient(inner string) (caller *rpc.Caller) {
-	return l.client(inner, patienceMost)
+	return l.client(inner, maxLeaderQueryTimeout)
 }
 
 func (l *LeaderClient) client(inner string, dial time.Duration) (caller *rpc.Caller) {
@@ -203,7 +203,7 @@
 	l.term = term
 	l.lastHeard.Store(int64(l.clock.Now()))
 	l.leader.Store(&target)
-	l.patience.Heard()
+	l.patience.LeaderHeard()
 	return true
 }
 
@@ -231,7 +231,7 @@
 // a core that is gone may be waited for.
 func (l *LeaderClient) findLeader(but string, after rpc.Term) (found bool) {
 	l.mu.Lock()
-	wait := l.patience.Wait()
+	wait := l.patience.Duration()
 	l.mu.Unlock()
 	asked, answered, leader := 0, 0, ""
 	answers := make(chan leaderReply, len(l.candidates())+1)
@@ -265,7 +265,7 @@
 	}
 	if answered == 0 {
 		l.mu.Lock()
-		l.patience.InVain()
+		l.patience.NoAnswer()
 		l.mu.Unlock()
 	}
 	time.Sleep(leaderSearchPause + time.Duration(rand.Int63n(int64(leaderSearchPause))))
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -14,7 +14,7 @@
 )
 
 func request(method, target, id string) *Request {
-	return &Request{Method: method, Target: target, Host: "a.example", ID: id, Lines: []Line{{headRequest, id}}}
+	return &Request{Method: method, Target: target, Host: "a.example", ID: id, Headers: []HeaderField{{headerRequestID, id}}}
 }
 
 // What a backend in trouble does must never reach a client as a success, must
@@ -37,14 +37,14 @@
 	}{
 		"closes without an answer": {first("", false), 200, 502, 2},
 		"garbage":                  {first("garbage\r\n\r\n", false), 200, 502, 2},
-		"cut short":                {first("HTTP/1.1 200 OK\r\n"+headRequest+": ID\r\n"+headStamp+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
-		"cut in chunks":            {first("HTTP/1.1 200 OK\r\n"+headRequest+": ID\r\n"+headStamp+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
-		"no end but the stream's":  {first("HTTP/1.1 200 OK\r\n"+headRequest+": ID\r\n"+headStamp+": s\r\n\r\nwho knows", false), 200, 502, 2},
-		"no stamp":                 {first("HTTP/1.1 200 OK\r\n"+headRequest+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
+		"cut short":                {first("HTTP/1.1 200 OK\r\n"+headerRequestID+": ID\r\n"+headerResponseSignature+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
+		"cut in chunks":            {first("HTTP/1.1 200 OK\r\n"+headerRequestID+": ID\r\n"+headerResponseSignature+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
+		"no end but the stream's":  {first("HTTP/1.1 200 OK\r\n"+headerRequestID+": ID\r\n"+headerResponseSignature+": s\r\n\r\nwho knows", false), 200, 502, 2},
+		"no stamp":                 {first("HTTP/1.1 200 OK\r\n"+headerRequestID+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
 		"another's answer alone":   {first(answer(200, "other", "not yours"), false), 200, 502, 2},
 		"another's answer first":   {first(answer(200, "other", "not yours")+answer(200, "ID", "body of ID"), true), 200, 200, 1},
-		"turned away":              {first(answer(503, "ID", "", headNotRun+": 1"), true), 200, 200, 2},
-		"another instance":         {first(answer(421, "ID", "", headInstance+": x"), true), 200, 200, 2},
+		"turned away":              {first(answer(503, "ID", "", headerNotExecuted+": 1"), true), 200, 200, 2},
+		"another instance":         {first(answer(421, "ID", "", headerInstanceID+": x"), true), 200, 200, 2},
 		"its own failure":          {first(answer(500, "ID", "sorry"), true), 200, 500, 2},
 	}
 	for name, c := range cases {
@@ -52,8 +52,8 @@
 			troubled := newStandIn(t, "i-1", c.script)
 			sound := newStandIn(t, "i-2", good)
 			d := daemonOf(t, troubled, sound)
-			d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
-			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
+			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
+			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
 			want := c.safe
 			if way == "/once/" {
 				want = c.once
@@ -80,7 +80,7 @@
 	})
 	d := daemonOf(t, backend)
 	for _, id := range []string{"a", "b", "c"} {
-		if verdict := d.Answer(request("GET", "/once/q", id), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of "+id {
+		if verdict := d.Handle(request("GET", "/once/q", id), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of "+id {
 			t.Fatalf("%s: %d %q", id, verdict.Status, verdict.Body)
 		}
 	}
@@ -91,8 +91,8 @@
 	d := daemonOf(t, backend)
 	conn, in := client(t, d)
 	path := "/once/a%2Fb//c;d?x=%zz&y=1"
-	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+headRequest+": r1\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+headTarget+": forged\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
-	if response, body, err := receiveOne(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(headStamp) != "stamp-r1" {
+	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+headerRequestID+": r1\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+headerTargetInstance+": forged\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
+	if response, body, err := receiveOne(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(headerResponseSignature) != "stamp-r1" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
 	got := backend.last()
@@ -127,7 +127,7 @@
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
 	conn, in := client(t, d)
-	d.door.Stop()
+	d.frontend.StartDraining()
 	_, _ = io.WriteString(conn, ask("GET", "/safe/1", "p1")+ask("POST", "/once/2", "p2", "Content-Length: 0"))
 	response, _, err := receiveOne(t, in, "GET")
 	if err != nil || !response.Close {
@@ -156,8 +156,8 @@
 		"long head":       {ask("GET", "/safe/", "x", "X: "+strings.Repeat("y", 2500)), 431},
 		"long body":       {ask("POST", "/once/", "x", "Content-Length: 6000"), 413},
 		"long in chunks":  {ask("POST", "/once/", "x", "Transfer-Encoding: chunked") + "1388\r\n" + strings.Repeat("z", 5000) + "\r\n5\r\nabcde\r\n0\r\n\r\n", 413},
-		"deadline is now": {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n" + headRequest + ": x\r\n" + headDeadline + ": 0\r\n\r\n", 503},
-		"no quorum":       {ask("POST", "/key/", "x", headKey+": k", "Content-Length: 0"), 503},
+		"deadline is now": {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n" + headerRequestID + ": x\r\n" + headerRequestDeadline + ": 0\r\n\r\n", 503},
+		"no quorum":       {ask("POST", "/key/", "x", headerOperationKey+": k", "Content-Length: 0"), 503},
 	}
 	for name, c := range cases {
 		d := daemonOf(t, backend)
@@ -224,28 +224,28 @@
 // again only what is idempotent or proven not to have run.
 func TestPlanTable(t *testing.T) {
 	for _, repeat := range []config.Repeat{config.Idempotent, config.NonIdempotent, config.Keyed} {
-		for first := NotSent; first <= Silent; first++ {
-			for second := NotSent; second <= Silent; second++ {
+		for first := NotSent; first <= TimedOut; first++ {
+			for second := NotSent; second <= TimedOut; second++ {
 				for rounds := 1; rounds <= 3; rounds++ {
-					plan := &Plan{Way: &config.Way{Repeat: repeat}, Till: time.Second, Rounds: rounds}
+					plan := &Plan{Route: &config.Way{Repeat: repeat}, Deadline: time.Second, AttemptsLeft: rounds}
 					mayHaveRun, arrivals := false, 0
-					for i, outcome := range []Outcome{first, second, Turned, Turned, Turned} {
+					for i, outcome := range []Outcome{first, second, Rejected, Rejected, Rejected} {
 						sent := outcome != NotSent
 						if sent {
 							arrivals++
 						}
-						mayHaveRun = mayHaveRun || outcome == Broken || outcome == Silent
-						step, kind := plan.Learn(0, "b", Round{Outcome: outcome, Sent: sent})
-						if step == TryAgain && mayHaveRun && repeat != config.Idempotent {
+						mayHaveRun = mayHaveRun || outcome == ConnectionFailed || outcome == TimedOut
+						step, kind := plan.Next(0, "b", Attempt{Outcome: outcome, Sent: sent})
+						if step == StepRetry && mayHaveRun && repeat != config.Idempotent {
 							t.Fatalf("%s %d %d: sent again though it may have run", repeat, first, second)
 						}
-						if step == TryAgain && arrivals >= rounds {
+						if step == StepRetry && arrivals >= rounds {
 							t.Fatalf("%s %d %d: more rounds than allowed", repeat, first, second)
 						}
-						if step == GiveProblem && mayHaveRun != kind.Answer().Ran {
+						if step == StepFail && mayHaveRun != kind.Answer().Ran {
 							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", repeat, first, second, mayHaveRun, kind.Answer())
 						}
-						if step != TryAgain {
+						if step != StepRetry {
 							break
 						}
 						if i == 4 {
@@ -281,7 +281,7 @@
 	now := d.clock.Now()
 	one, two, three := d.state.servers["i-1"], d.state.servers["i-2"], d.state.servers["i-3"]
 	one.Draining = true
-	two.coldTill = now + time.Hour
+	two.warmUpUntil = now + time.Hour
 	for i := 0; i < 20; i++ {
 		if pick(Criteria{}) != "i-3" {
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
@@ -316,10 +316,10 @@
 		arrivals = append(arrivals, clock.Now())
 		return good(n, r, conn)
 	}))
-	d.state.servers["i-1"].coldTill = d.clock.Now() + time.Hour
+	d.state.servers["i-1"].warmUpUntil = d.clock.Now() + time.Hour
 	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
 	for range 12 {
-		d.Answer(request("GET", "/safe/q", "c"), "2500")
+		d.Handle(request("GET", "/safe/q", "c"), "2500")
 	}
 	if len(arrivals) < 3 {
 		t.Fatalf("only %d arrivals: the lease is not used", len(arrivals))
@@ -334,9 +334,9 @@
 
 func TestBudget(t *testing.T) {
 	slack := 6.0
-	budget := NewBudget(0.2, 10*time.Second, func() float64 { return slack })
+	budget := NewRetryBudget(0.2, 10*time.Second, func() float64 { return slack })
 	for i := 0; i < 100; i++ {
-		budget.Earn(time.Second, "s")
+		budget.RecordRequest(time.Second, "s")
 	}
 	spent := 0
 	for i := 0; i < 100; i++ {
@@ -446,7 +446,7 @@
 	}
 	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
 	conn, in := client(t, d)
-	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", headKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
+	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", headerOperationKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
 	for range 2 {
 		response, _, err := receiveOne(t, in, "GET")
 		if err != nil || response.StatusCode != 429 || response.Header.Get("Retry-After") == "" {
@@ -484,8 +484,8 @@
 		dark := newStandIn(t, "i-1", func(int, seen, net.Conn) bool { <-gate; return false })
 		sound := newStandIn(t, "i-2", good)
 		d := daemonOf(t, dark, sound)
-		d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
-		verdict := d.Answer(request("GET", way+"q", "ab"), "800")
+		d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
+		verdict := d.Handle(request("GET", way+"q", "ab"), "800")
 		if way == "/safe/" && verdict.Status != 200 || way == "/once/" && verdict.Status != 504 {
 			t.Errorf("%s: status %d", way, verdict.Status)
 		}
--- a/internal/proxy/patience.go
+++ b/internal/proxy/patience.go
@@ -8,18 +8,20 @@
 import "time"
 
 const (
-	patienceLeast = 200 * time.Millisecond
-	patienceMost  = 800 * time.Millisecond
+	minLeaderQueryTimeout = 200 * time.Millisecond
+	maxLeaderQueryTimeout = 800 * time.Millisecond
 )
 
-// Patience with the cores.
-type Patience struct{ wait time.Duration }
+// LeaderQueryTimeout with the cores.
+type LeaderQueryTimeout struct{ duration time.Duration }
 
-// Wait is how long the next question may take.
-func (p *Patience) Wait() (wait time.Duration) { return max(patienceLeast, p.wait) }
+// Duration is how long the next question may take.
+func (p *LeaderQueryTimeout) Duration() (wait time.Duration) {
+	return max(minLeaderQueryTimeout, p.duration)
+}
 
-// InVain notes that a question had no answer in time from any core.
-func (p *Patience) InVain() { p.wait = patienceMost }
+// NoAnswer notes that a question had no answer in time from any core.
+func (p *LeaderQueryTimeout) NoAnswer() { p.duration = maxLeaderQueryTimeout }
 
-// Heard notes that a leader was heard.
-func (p *Patience) Heard() { p.wait = 0 }
+// LeaderHeard notes that a leader was heard.
+func (p *LeaderQueryTimeout) LeaderHeard() { p.duration = 0 }
--- a/internal/proxy/patience_test.go
+++ b/internal/proxy/patience_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestPatienceGrowsWhileNobodyAnswersAndEndsWithALeader(t *testing.T) {
-	var patience Patience
+	var patience LeaderQueryTimeout
 	for i, want := range []time.Duration{200, 800, 800} {
-		if got := patience.Wait(); got != want*time.Millisecond {
+		if got := patience.Duration(); got != want*time.Millisecond {
 			t.Fatalf("question %d may take %s", i, got)
 		}
-		patience.InVain()
+		patience.NoAnswer()
 	}
-	patience.Heard()
-	if got := patience.Wait(); got != patienceLeast {
+	patience.LeaderHeard()
+	if got := patience.Duration(); got != minLeaderQueryTimeout {
 		t.Fatalf("after a leader was heard: %s", got)
 	}
 }
@@ -53,14 +53,14 @@
 	if d.leader.findLeader("", 0) {
 		t.Fatal("found a leader that has not answered")
 	}
-	if wait := d.leader.patience.Wait(); wait <= patienceLeast {
+	if wait := d.leader.patience.Duration(); wait <= minLeaderQueryTimeout {
 		t.Fatalf("the next question may take only %s", wait)
 	}
 	close(slow.let)
 	if !d.leader.findLeader("", 0) || *d.leader.leader.Load() != cores[0].Inner {
 		t.Fatal("the leader was not found")
 	}
-	if wait := d.leader.patience.Wait(); wait != patienceLeast {
+	if wait := d.leader.patience.Duration(); wait != minLeaderQueryTimeout {
 		t.Fatalf("after a leader was found: %s", wait)
 	}
 }
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -16,81 +16,81 @@
 
 // Plan is one request's way.
 type Plan struct {
-	Way     *config.Way
-	Service rpc.ServiceName
-	Request *Request
-	Key     string
-	Started time.Duration
-	Till    time.Duration
-	Rounds  int
-	Tried   []rpc.ServerID
+	Route        *config.Way
+	Service      rpc.ServiceName
+	Request      *Request
+	Key          string
+	StartedAt    time.Duration
+	Deadline     time.Duration
+	AttemptsLeft int
+	Tried        []rpc.ServerID
 	// MayHaveRun is set once a round ended without proof that nothing ran.
 	MayHaveRun bool
-	// Failure is the last answer in which a backend told of its own failure.
-	Failure *Verdict
-	dials   int
+	// LastServerError is the last answer in which a backend told of its own failure.
+	LastServerError *Response
+	connectFailures int
 	// Session is what the request belongs to, under Rule; Bound is the backend
 	// that it may go to and no other.
-	Session rpc.SessionID
-	Rule    affinity.Rule
-	Bound   rpc.ServerID
+	Session      rpc.SessionID
+	Rule         affinity.Rule
+	BoundBackend rpc.ServerID
 }
 
-// asked tells that a backend was tried before.
-func (p *Plan) asked(server rpc.ServerID) bool { return slices.Contains(p.Tried, server) }
+// wasTried tells that a backend was tried before.
+func (p *Plan) wasTried(server rpc.ServerID) bool { return slices.Contains(p.Tried, server) }
 
 // Step is what the plan wants next.
 type Step uint8
 
 // The steps.
 const (
-	TryAgain Step = iota
-	GiveAnswer
-	GiveProblem
+	StepRetry Step = iota
+	StepRespond
+	StepFail
 )
 
-// Learn takes the outcome of a round and tells what comes next.
-func (p *Plan) Learn(now time.Duration, server rpc.ServerID, round Round) (step Step, kind apierror.Kind) {
+// Next takes the outcome of a round and tells what comes next.
+func (p *Plan) Next(now time.Duration, server rpc.ServerID, round Attempt) (step Step, kind apierror.Kind) {
 	if round.Sent {
-		p.Rounds--
+		p.AttemptsLeft--
 	}
 	p.Tried = append(p.Tried, server)
 	switch round.Outcome {
-	case Whole:
-		return GiveAnswer, apierror.None
+	case Complete:
+		return StepRespond, apierror.None
 	case NotSent:
-		if p.dials++; p.dials > 4 {
-			return GiveProblem, p.refusal(apierror.NoBackend)
+		if p.connectFailures++; p.connectFailures > 4 {
+			return StepFail, p.errorKind(apierror.NoBackend)
 		}
-	case Turned, Withheld:
-	case Failed:
+	case Rejected, SendCancelled:
+	case ServerError:
 		// The backend's own failure is its answer, unless another may be asked.
 		p.MayHaveRun = true
-		if !p.Way.Repeat.Repeatable() || p.Rounds <= 0 || now >= p.Till {
-			return GiveAnswer, apierror.None
+		if !p.Route.Repeat.Repeatable() || p.AttemptsLeft <= 0 || now >= p.Deadline {
+			return StepRespond, apierror.None
 		}
-		return TryAgain, apierror.None
-	case Broken, Forgotten:
+		return StepRetry, apierror.None
+	case ConnectionFailed, StaleConnection:
 		p.MayHaveRun = true
-		if !p.Way.Repeat.Repeatable() {
-			return GiveProblem, apierror.Broken
+		if !p.Route.Repeat.Repeatable() {
+			return StepFail, apierror.Broken
 		}
-	case Silent:
+	case TimedOut:
 		p.MayHaveRun = true
-		return GiveProblem, apierror.DeadlineOver
+		return StepFail, apierror.DeadlineOver
 	}
-	if now >= p.Till {
-		return GiveProblem, p.refusal(apierror.TooLate)
+	if now >= p.Deadline {
+		return StepFail, p.errorKind(apierror.TooLate)
 	}
-	if p.Rounds <= 0 {
-		return GiveProblem, p.refusal(apierror.NoRoom)
+	if p.AttemptsLeft <= 0 {
+		return StepFail, p.errorKind(apierror.NoRoom)
 	}
-	return TryAgain, apierror.None
+	return StepRetry, apierror.None
 }
 
-// refusal is a promise that nothing ran where that is so, else the word that
+// errorKind is a promise that nothing ran where that is so, else the word that
 // the answer was lost.
-func (p *Plan) refusal(kind apierror.Kind) apierror.Kind {
+func (p *Plan) errorKind(kind apierror.Kind) apierror.Kind {
 	if p.MayHaveRun {
 		return apierror.Broken
 	}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		for _, server := range scene.Services[service] {
-			if room > 0 && !server.leaving() && p.isDue(now, server, pace) {
+			if room > 0 && !server.isDraining() && p.isDue(now, server, pace) {
 				room--
 				go p.probe(server, way.HealthPath, term, count)
 			}
@@ -139,7 +139,7 @@
 			held.state.Aside = aside
 			state := held.state
 			p.mu.Unlock()
-			server.note(d.clock.Now(), nil, &state)
+			server.update(d.clock.Now(), nil, &state)
 			d.log.Emit(eventlog.EjectionChanged, eventlog.KeyEndpoint, string(server.ID), "ejected_in", aside)
 			d.state.History.Note(history.Health, string(server.ID), "judged", state.Stamp(), 0, true)
 			reports[service] = append(reports[service], state)
@@ -187,7 +187,7 @@
 }
 
 // isDue tells whether a backend's next probe is due, and sets the one after it.
-func (p *Prober) isDue(now time.Duration, server *Server, pace probeSchedule) (owed bool) {
+func (p *Prober) isDue(now time.Duration, server *Backend, pace probeSchedule) (owed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := p.probed[server.ID]
@@ -197,7 +197,7 @@
 		p.probed[server.ID] = held
 	}
 	interval := pace.healthyInterval
-	if held.state.Health != rpc.Up || held.state.Cold > 0 || server.doubtful(now) {
+	if held.state.Health != rpc.Up || held.state.Cold > 0 || server.suspect(now) {
 		interval = pace.suspectInterval
 	}
 	// What is due later than the pace has it was set at another pace.
@@ -226,7 +226,7 @@
 	}
 }
 
-func (p *Prober) probe(server *Server, path string, term rpc.Term, count rpc.Epoch) {
+func (p *Prober) probe(server *Backend, path string, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
 	finding, cold := probeEndpoint(d.clock, server, path, false)
 	if finding == ProbeTimedOut {
@@ -267,7 +267,7 @@
 	if finding == ProbeInvalid || finding == ProbeTimedOut && state.Health != rpc.Down {
 		return
 	}
-	server.note(d.clock.Now(), nil, &state)
+	server.update(d.clock.Now(), nil, &state)
 	if turned {
 		d.state.History.Note(history.Health, string(server.ID), "probed", state.Stamp(), 0, true)
 	}
@@ -282,7 +282,7 @@
 }
 
 // report tells the cache that a round was made; the first to a leader is full.
-func (p *Prober) report(service rpc.ServiceName, servers []*Server, term rpc.Term, count rpc.Epoch) {
+func (p *Prober) report(service rpc.ServiceName, servers []*Backend, term rpc.Term, count rpc.Epoch) {
 	d := p.daemon
 	leader := d.state.Known().Term
 	ask := rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: service}
@@ -305,11 +305,11 @@
 }
 
 // probeEndpoint asks a backend how it is.
-func probeEndpoint(clock Clock, server *Server, path string, anew bool) (finding ProbeResult, cold time.Duration) {
+func probeEndpoint(clock Clock, server *Backend, path string, anew bool) (finding ProbeResult, cold time.Duration) {
 	now := clock.Now()
-	var stream *Stream
+	var stream *Conn
 	if !anew {
-		stream = server.take(now, restFull)
+		stream = server.takeIdle(now, defaultMaxIdle)
 	}
 	if stream == nil {
 		var err error
@@ -320,48 +320,48 @@
 			return ProbeDown, 0
 		}
 	}
-	_ = stream.conn.SetDeadline(time.Now().Add(probeTimeout))
-	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + headTarget + ": " + string(server.ID) + "\r\n\r\n"
-	if _, err := stream.conn.Write([]byte(text)); err != nil {
-		server.drop(stream)
+	_ = stream.netConn.SetDeadline(time.Now().Add(probeTimeout))
+	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + headerTargetInstance + ": " + string(server.ID) + "\r\n\r\n"
+	if _, err := stream.netConn.Write([]byte(text)); err != nil {
+		server.closeConn(stream)
 		return ProbeInvalid, 0
 	}
-	for skipped := 0; skipped <= skipMost; skipped++ {
-		response, err := http.ReadResponse(stream.in, &http.Request{Method: http.MethodGet})
+	for skipped := 0; skipped <= maxSkippedResponses; skipped++ {
+		response, err := http.ReadResponse(stream.reader, &http.Request{Method: http.MethodGet})
 		if err != nil {
-			server.drop(stream)
+			server.closeConn(stream)
 			if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
 				return ProbeTimedOut, 0
 			}
 			return ProbeInvalid, 0
 		}
-		_, whole, _ := readBody(response, wholeMost)
+		_, whole, _ := readBody(response, maxBufferedBody)
 		if !whole {
-			server.drop(stream)
+			server.closeConn(stream)
 			return ProbeInvalid, 0
 		}
-		if response.Header.Get(headRequest) != "" || response.StatusCode < 200 {
+		if response.Header.Get(headerRequestID) != "" || response.StatusCode < 200 {
 			continue
 		}
-		if keep := keepFor(response); !response.Close && stream.in.Buffered() == 0 && keep > 0 {
-			_ = stream.conn.SetDeadline(time.Time{})
-			server.give(clock.Now(), stream, keep)
+		if keep := keepAliveOf(response); !response.Close && stream.reader.Buffered() == 0 && keep > 0 {
+			_ = stream.netConn.SetDeadline(time.Time{})
+			server.putIdle(clock.Now(), stream, keep)
 		} else {
-			server.drop(stream)
+			server.closeConn(stream)
 		}
-		if span, ok := coldSpan(response.Header.Get(headCold)); ok {
+		if span, ok := parseWarmUp(response.Header.Get(headerColdRemaining)); ok {
 			cold = span
 		}
 		switch {
-		case response.StatusCode == http.StatusOK && response.Header.Get(headInstance) == string(server.ID):
+		case response.StatusCode == http.StatusOK && response.Header.Get(headerInstanceID) == string(server.ID):
 			return ProbeUp, cold
 		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusMisdirectedRequest:
 			return ProbeDown, 0
-		case response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusTooManyRequests:
+		case response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusTooManyRequests:
 			return ProbeBusy, 0
 		}
 		return ProbeDown, 0
 	}
-	server.drop(stream)
+	server.closeConn(stream)
 	return ProbeInvalid, 0
 }
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -27,26 +27,26 @@
 
 // Head lines of the protocol.
 const (
-	headRequest  = "Tinpin-Request-Id"
-	headDeadline = "Tinpin-Request-Deadline"
-	headKey      = "Tinpin-Operation-Key"
-	headStamp    = "Tinpin-Response-Signature"
-	headTarget   = "Tinpin-Target-Instance"
-	headNotRun   = "Tinpin-Not-Executed"
-	headInstance = "Tinpin-Instance-Id"
-	headCold     = "Tinpin-Cold-Remaining"
-	headLoad     = "Tinpin-Instance-Load"
+	headerRequestID         = "Tinpin-Request-Id"
+	headerRequestDeadline   = "Tinpin-Request-Deadline"
+	headerOperationKey      = "Tinpin-Operation-Key"
+	headerResponseSignature = "Tinpin-Response-Signature"
+	headerTargetInstance    = "Tinpin-Target-Instance"
+	headerNotExecuted       = "Tinpin-Not-Executed"
+	headerInstanceID        = "Tinpin-Instance-Id"
+	headerColdRemaining     = "Tinpin-Cold-Remaining"
+	headerInstanceLoad      = "Tinpin-Instance-Load"
 )
 
 const (
-	wholeMost  = 256 << 10
-	streamMost = 16 << 10
-	skipMost   = 4
-	// sendSpan is how long a choice of a backend holds, with all that was looked
+	maxBufferedBody     = 256 << 10
+	maxStreamedPrefix   = 16 << 10
+	maxSkippedResponses = 4
+	// choiceLifetime is how long a choice of a backend holds, with all that was looked
 	// at for it; what a daemon that stood still takes up later is chosen anew.
-	sendSpan = time.Second
-	// restNone wants a fresh stream.
-	restNone = -1
+	choiceLifetime = time.Second
+	// freshConnOnly wants a fresh stream.
+	freshConnOnly = -1
 )
 
 // lineReader is the buffered reading side of a stream.
@@ -61,76 +61,76 @@
 const (
 	// NotSent: nothing of the request has left this daemon.
 	NotSent Outcome = iota
-	// Turned: the backend says that it has not run the request.
-	Turned
-	// Whole: the answer is here, or its head and the way to its rest.
-	Whole
-	// Broken: the stream broke or brought bytes that are no answer.
-	Broken
-	// Silent: no answer within the time.
-	Silent
-	// Failed: a whole answer that tells of the backend's own failure. It has run.
-	Failed
-	// Withheld: between the choice and the sending the backend was retired, or
+	// Rejected: the backend says that it has not run the request.
+	Rejected
+	// Complete: the answer is here, or its head and the way to its rest.
+	Complete
+	// ConnectionFailed: the stream broke or brought bytes that are no answer.
+	ConnectionFailed
+	// TimedOut: no answer within the time.
+	TimedOut
+	// ServerError: a whole answer that tells of the backend's own failure. It has run.
+	ServerError
+	// SendCancelled: between the choice and the sending the backend was retired, or
 	// the choice became too old. Nothing has left.
-	Withheld
-	// Forgotten: a stream that had rested was reset before any byte of an
+	SendCancelled
+	// StaleConnection: a stream that had rested was reset before any byte of an
 	// answer came. The backend had most likely forgotten it, but nothing proves
 	// that the request has not run.
-	Forgotten
+	StaleConnection
 )
 
 // Request is a client's request as it is passed on.
 type Request struct {
 	Method, Target, Host string
 	ID                   string
-	Lines                []Line
+	Headers              []HeaderField
 	Body                 []byte
 	HasBody              bool
-	// Stream passes the answer on as it comes but for its beginning.
-	Stream bool
-	// Ahead tells that it was taken up while others before it on the client's
+	// StreamBody passes the answer on as it comes but for its beginning.
+	StreamBody bool
+	// Pipelined tells that it was taken up while others before it on the client's
 	// stream were not answered, so that it may yet count as not read.
-	Ahead bool
+	Pipelined bool
 	// head is the part of the head that is the same in every round; rounds may
 	// run beside each other.
-	once sync.Once
-	head []byte
+	headOnce   sync.Once
+	commonHead []byte
 }
 
-func dropped(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
-	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", headDeadline, headTarget, "Expect":
+	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", headerRequestDeadline, headerTargetInstance, "Expect":
 		return true
 	}
 	return false
 }
 
-// carried lists the head lines that are passed on.
-func carried(header http.Header) (lines []Line) {
+// forwardedHeaders lists the head lines that are passed on.
+func forwardedHeaders(header http.Header) (lines []HeaderField) {
 	named := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
 			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	lines = make([]Line, 0, len(header))
+	lines = make([]HeaderField, 0, len(header))
 	for name, values := range header {
-		if dropped(name) || named[name] && name != headRequest && name != headKey {
+		if isHopByHop(name) || named[name] && name != headerRequestID && name != headerOperationKey {
 			continue
 		}
 		for _, value := range values {
-			lines = append(lines, Line{name, value})
+			lines = append(lines, HeaderField{name, value})
 		}
 	}
 	return lines
 }
 
-// prepare writes the part of the head that is the same in every round.
-func (r *Request) prepare() {
+// buildCommonHead writes the part of the head that is the same in every round.
+func (r *Request) buildCommonHead() {
 	head := make([]byte, 0, 512)
 	head = append(head, r.Method+" "+r.Target+" HTTP/1.1\r\nHost: "+r.Host+"\r\n"...)
-	for _, line := range r.Lines {
+	for _, line := range r.Headers {
 		head = append(head, line[0]...)
 		head = append(head, ": "...)
 		head = append(head, line[1]...)
@@ -141,298 +141,298 @@
 		head = strconv.AppendInt(head, int64(len(r.Body)), 10)
 		head = append(head, "\r\n"...)
 	}
-	r.head = head
+	r.commonHead = head
 }
 
-// most is how much of an answer is taken in before it is passed on: one that
+// bufferLimit is how much of an answer is taken in before it is passed on: one that
 // is here whole can still be replaced by another backend's.
-func (r *Request) most() (most int64) {
-	if r.Stream {
-		return streamMost
+func (r *Request) bufferLimit() (most int64) {
+	if r.StreamBody {
+		return maxStreamedPrefix
 	}
-	return wholeMost
+	return maxBufferedBody
 }
 
-// bytes writes the request for one backend.
-func (r *Request) bytes(left time.Duration, target rpc.ServerID) (data []byte) {
-	r.once.Do(r.prepare)
-	data = make([]byte, 0, len(r.head)+len(r.Body)+96)
-	data = append(data, r.head...)
-	data = append(data, headDeadline+": "...)
+// encode writes the request for one backend.
+func (r *Request) encode(left time.Duration, target rpc.ServerID) (data []byte) {
+	r.headOnce.Do(r.buildCommonHead)
+	data = make([]byte, 0, len(r.commonHead)+len(r.Body)+96)
+	data = append(data, r.commonHead...)
+	data = append(data, headerRequestDeadline+": "...)
 	data = strconv.AppendInt(data, max(1, left.Milliseconds()), 10)
-	data = append(data, "\r\n"+headTarget+": "...)
+	data = append(data, "\r\n"+headerTargetInstance+": "...)
 	data = append(data, target...)
 	data = append(data, "\r\n\r\n"...)
 	return append(data, r.Body...)
 }
 
-// Round is what came of one sending.
-type Round struct {
-	Outcome Outcome
-	Verdict Verdict
+// Attempt is what came of one sending.
+type Attempt struct {
+	Outcome  Outcome
+	Response Response
 	// Sent tells that the request has left, so that it counts as an arrival.
 	Sent bool
 }
 
-// Sending says how a request goes out: when its backend was chosen, until when,
+// AttemptOptions says how a request goes out: when its backend was chosen, until when,
 // over a stream that has rested how long at most; and may tells, once a stream is
 // at hand, whether it may still go.
-type Sending struct {
-	Chosen, Till, Rest time.Duration
-	Keyed              bool
-	Lane               *Lane
-	May                func(server *Server) bool
-	Lapse              Lapse
+type AttemptOptions struct {
+	ChosenAt, Deadline, MaxIdle time.Duration
+	Keyed                       bool
+	Bandwidth                   *BandwidthLimiter
+	Permitted                   func(server *Backend) bool
+	DisabledChecks              DisabledChecks
 }
 
-// run sends the request to the server and reads the answer.
-func run(clock Clock, server *Server, request *Request, sending Sending) (round Round) {
+// runAttempt sends the request to the server and reads the answer.
+func runAttempt(clock Clock, server *Backend, request *Request, sending AttemptOptions) (round Attempt) {
 	begun := clock.Now()
-	server.begin(begun)
+	server.attemptStarted(begun)
 	defer func() {
-		if round.Verdict.Rest == nil {
+		if round.Response.BodyRest == nil {
 			now := clock.Now()
-			server.end(now, now-begun, round.Outcome)
+			server.attemptEnded(now, now-begun, round.Outcome)
 		}
 	}()
-	stream := server.take(begun, sending.Rest)
+	stream := server.takeIdle(begun, sending.MaxIdle)
 	if stream == nil {
 		var err error
-		if stream, err = server.dial(sending.Till - begun); err != nil {
-			return Round{Outcome: NotSent}
+		if stream, err = server.dial(sending.Deadline - begun); err != nil {
+			return Attempt{Outcome: NotSent}
 		}
 	}
 	now := clock.Now()
-	if now >= sending.Till {
-		server.give(now, stream, 4*time.Second)
-		return Round{Outcome: NotSent}
-	}
-	server.hold(stream, sending.Keyed)
-	defer server.release(stream)
-	data := request.bytes(sending.Till-now, server.ID)
-	_ = stream.conn.SetDeadline(time.Now().Add(sending.Till - now))
-	if !sending.holds(clock, server) {
-		_ = stream.conn.SetDeadline(time.Time{})
-		server.give(clock.Now(), stream, 4*time.Second)
-		return Round{Outcome: Withheld}
-	}
-	sent, err := stream.conn.Write(data)
+	if now >= sending.Deadline {
+		server.putIdle(now, stream, 4*time.Second)
+		return Attempt{Outcome: NotSent}
+	}
+	server.markActive(stream, sending.Keyed)
+	defer server.unmarkActive(stream)
+	data := request.encode(sending.Deadline-now, server.ID)
+	_ = stream.netConn.SetDeadline(time.Now().Add(sending.Deadline - now))
+	if !sending.stillAllowed(clock, server) {
+		_ = stream.netConn.SetDeadline(time.Time{})
+		server.putIdle(clock.Now(), stream, 4*time.Second)
+		return Attempt{Outcome: SendCancelled}
+	}
+	sent, err := stream.netConn.Write(data)
 	if err != nil && sent == 0 {
 		// The kernel has taken nothing, so nothing has left.
-		server.drop(stream)
-		return Round{Outcome: NotSent}
+		server.closeConn(stream)
+		return Attempt{Outcome: NotSent}
 	}
 	if err != nil && isTimeout(err) {
-		server.drop(stream)
-		return Round{Outcome: Broken, Sent: true}
+		server.closeConn(stream)
+		return Attempt{Outcome: ConnectionFailed, Sent: true}
 	}
 	// A backend that resets the stream while the request is written may have
 	// answered before.
-	reading := reading{clock: clock, stream: stream, request: request, begun: begun, cut: err != nil, lapse: sending.Lapse}
-	round = reading.receive()
-	if round.Verdict.Rest != nil {
-		round.Verdict.Rest = sending.Lane.Through(round.Verdict.Rest)
+	reading := responseReader{clock: clock, conn: stream, request: request, startedAt: begun, writeFailed: err != nil, disabledChecks: sending.DisabledChecks}
+	round = reading.readResponse()
+	if round.Response.BodyRest != nil {
+		round.Response.BodyRest = sending.Bandwidth.Limit(round.Response.BodyRest)
 	}
-	if round.Outcome == Forgotten {
-		server.habit.Forgot(clock.Now(), begun-stream.restAt)
+	if round.Outcome == StaleConnection {
+		server.stats.ObserveStaleConn(clock.Now(), begun-stream.idleSince)
 	}
 	round.Sent = true
 	return round
 }
 
-// holds tells, right before the sending, that it may still go. A daemon may have
+// stillAllowed tells, right before the sending, that it may still go. A daemon may have
 // stood still since it looked, and no timer needs to have fired yet: so the clock
 // is read last.
-func (s Sending) holds(clock Clock, server *Server) bool {
-	if s.May != nil && !s.May(server) {
+func (s AttemptOptions) stillAllowed(clock Clock, server *Backend) bool {
+	if s.Permitted != nil && !s.Permitted(server) {
 		return false
 	}
 	now := clock.Now()
-	return now < s.Till && now-s.Chosen <= sendSpan
+	return now < s.Deadline && now-s.ChosenAt <= choiceLifetime
 }
 
-// belonging tells whose answer a response is.
-type belonging uint8
+// responseOwner tells whose answer a response is.
+type responseOwner uint8
 
 const (
-	nameless belonging = iota
-	own
-	foreign
-	// garbled: it carries two ids.
-	garbled
+	ownerUnnamed responseOwner = iota
+	ownerThisRequest
+	ownerOtherRequest
+	// ownerAmbiguous: it carries two ids.
+	ownerAmbiguous
 )
 
-func whose(response *http.Response, id string) (belongs belonging) {
-	ids := response.Header[headRequest]
+func ownerOf(response *http.Response, id string) (belongs responseOwner) {
+	ids := response.Header[headerRequestID]
 	switch {
 	case len(ids) > 1:
-		return garbled
+		return ownerAmbiguous
 	case len(ids) == 0 || ids[0] == "":
-		return nameless
+		return ownerUnnamed
 	case ids[0] == id:
-		return own
+		return ownerThisRequest
 	}
-	return foreign
+	return ownerOtherRequest
 }
 
-// notRun tells that a response says that its request was not run.
-func notRun(response *http.Response) bool {
-	return response.StatusCode >= 400 && (response.Header.Get(headNotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest)
+// notExecuted tells that a response says that its request was not run.
+func notExecuted(response *http.Response) bool {
+	return response.StatusCode >= 400 && (response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
 }
 
-// reading is the reading of the answer to one request.
-type reading struct {
-	clock   Clock
-	stream  *Stream
-	request *Request
-	begun   time.Duration
-	// cut tells that the stream broke while the request was written.
-	cut bool
+// responseReader is the reading of the answer to one request.
+type responseReader struct {
+	clock     Clock
+	conn      *Conn
+	request   *Request
+	startedAt time.Duration
+	// writeFailed tells that the stream broke while the request was written.
+	writeFailed bool
 	// interim and skipped count what was passed over before the answer: words
 	// that one is to come, and answers to others.
 	interim, skipped int
-	lapse            Lapse
+	disabledChecks   DisabledChecks
 }
 
-// whose tells whose answer a response is.
-func (r *reading) whose(response *http.Response) (belongs belonging) {
-	belongs = whose(response, r.request.ID)
+// owner tells whose answer a response is.
+func (r *responseReader) owner(response *http.Response) (belongs responseOwner) {
+	belongs = ownerOf(response, r.request.ID)
 	switch {
-	case r.lapse == 0:
-	case r.lapse.has(TakeSurplus), belongs == garbled && r.lapse.has(FirstID):
-		belongs = own
+	case r.disabledChecks == 0:
+	case r.disabledChecks.has(AcceptAnyID), belongs == ownerAmbiguous && r.disabledChecks.has(AcceptFirstID):
+		belongs = ownerThisRequest
 	}
 	return belongs
 }
 
-// first tells that nothing has come on the stream since the request was written.
-func (r *reading) first() bool { return r.interim+r.skipped == 0 }
+// nothingReceived tells that nothing has come on the stream since the request was written.
+func (r *responseReader) nothingReceived() bool { return r.interim+r.skipped == 0 }
 
-// proves tells that a word without an id can only be about this request: nothing
+// unnamedIsOurs tells that a word without an id can only be about this request: nothing
 // else was ever asked on the stream.
-func (r *reading) proves() bool {
-	return r.stream.fresh && r.first() || r.lapse.has(TrustNameless)
+func (r *responseReader) unnamedIsOurs() bool {
+	return r.conn.fresh && r.nothingReceived() || r.disabledChecks.has(TrustMissingID)
 }
 
-// failed is what a stream that brings no further answer means.
-func (r *reading) failed(err error) (round Round) {
-	r.stream.server.drop(r.stream)
+// readFailed is what a stream that brings no further answer means.
+func (r *responseReader) readFailed(err error) (round Attempt) {
+	r.conn.backend.closeConn(r.conn)
 	switch {
 	case isTimeout(err):
-		return Round{Outcome: Silent}
-	case !r.stream.fresh && r.first() && errors.Is(err, syscall.ECONNRESET):
-		if r.lapse.has(RepeatReset) {
-			return Round{Outcome: Turned}
+		return Attempt{Outcome: TimedOut}
+	case !r.conn.fresh && r.nothingReceived() && errors.Is(err, syscall.ECONNRESET):
+		if r.disabledChecks.has(RetryAfterReset) {
+			return Attempt{Outcome: Rejected}
 		}
-		return Round{Outcome: Forgotten}
+		return Attempt{Outcome: StaleConnection}
 	}
-	return Round{Outcome: Broken}
+	return Attempt{Outcome: ConnectionFailed}
 }
 
-// settle puts the stream back if it is in step and may be used again.
-func (r *reading) settle(response *http.Response, keep time.Duration, good bool) {
-	server := r.stream.server
-	if good && !response.Close && !r.cut && r.skipped == 0 && r.stream.in.Buffered() == 0 && keep > 0 {
-		_ = r.stream.conn.SetDeadline(time.Time{})
-		server.give(r.clock.Now(), r.stream, keep)
+// releaseConn puts the stream back if it is in step and may be used again.
+func (r *responseReader) releaseConn(response *http.Response, keep time.Duration, good bool) {
+	server := r.conn.backend
+	if good && !response.Close && !r.writeFailed && r.skipped == 0 && r.conn.reader.Buffered() == 0 && keep > 0 {
+		_ = r.conn.netConn.SetDeadline(time.Time{})
+		server.putIdle(r.clock.Now(), r.conn, keep)
 		return
 	}
-	server.drop(r.stream)
+	server.closeConn(r.conn)
 }
 
-// receive reads the answer to the request and puts the stream back if it may
+// readResponse reads the answer to the request and puts the stream back if it may
 // be used again.
-func (r *reading) receive() (round Round) {
-	stream, server, request := r.stream, r.stream.server, r.request
+func (r *responseReader) readResponse() (round Attempt) {
+	stream, server, request := r.conn, r.conn.backend, r.request
 	for {
-		response, err := http.ReadResponse(stream.in, &http.Request{Method: request.Method})
+		response, err := http.ReadResponse(stream.reader, &http.Request{Method: request.Method})
 		if err != nil {
-			return r.failed(err)
+			return r.readFailed(err)
 		}
 		if response.StatusCode < 100 || response.StatusCode >= 600 {
-			server.drop(stream)
-			return Round{Outcome: Broken}
+			server.closeConn(stream)
+			return Attempt{Outcome: ConnectionFailed}
 		}
 		if response.StatusCode < 200 {
-			if response.StatusCode == http.StatusSwitchingProtocols || r.interim >= skipMost {
-				server.drop(stream)
-				return Round{Outcome: Broken}
+			if response.StatusCode == http.StatusSwitchingProtocols || r.interim >= maxSkippedResponses {
+				server.closeConn(stream)
+				return Attempt{Outcome: ConnectionFailed}
 			}
 			r.interim++
 			continue
 		}
-		belongs := r.whose(response)
-		body, whole, rest := readBody(response, request.most())
+		belongs := r.owner(response)
+		body, whole, rest := readBody(response, request.bufferLimit())
 		if !whole && rest == nil {
-			server.drop(stream)
-			if belongs == own && notRun(response) {
-				return Round{Outcome: Turned}
+			server.closeConn(stream)
+			if belongs == ownerThisRequest && notExecuted(response) {
+				return Attempt{Outcome: Rejected}
 			}
-			return Round{Outcome: Broken}
+			return Attempt{Outcome: ConnectionFailed}
 		}
 		switch {
-		case belongs == foreign && whole && !response.Close && r.skipped < skipMost:
+		case belongs == ownerOtherRequest && whole && !response.Close && r.skipped < maxSkippedResponses:
 			r.skipped++
 			continue
-		case belongs == nameless && whole && notRun(response) && r.proves():
+		case belongs == ownerUnnamed && whole && notExecuted(response) && r.unnamedIsOurs():
 			if response.StatusCode == http.StatusMisdirectedRequest {
-				server.moved(r.clock.Now())
+				server.markReplaced(r.clock.Now())
 			}
-			server.drop(stream)
-			return Round{Outcome: Turned}
-		case belongs != own:
-			server.drop(stream)
-			return Round{Outcome: Broken}
+			server.closeConn(stream)
+			return Attempt{Outcome: Rejected}
+		case belongs != ownerThisRequest:
+			server.closeConn(stream)
+			return Attempt{Outcome: ConnectionFailed}
 		}
-		return r.take(response, body, whole, rest)
+		return r.accept(response, body, whole, rest)
 	}
 }
 
-// take makes the round of the request's own answer.
-func (r *reading) take(response *http.Response, body []byte, whole bool, rest io.Reader) (round Round) {
-	stream, server := r.stream, r.stream.server
-	if cold := response.Header.Get(headCold); cold != "" {
-		if left, ok := coldSpan(cold); ok && left > 0 {
-			server.chill(r.clock.Now(), left)
+// accept makes the round of the request's own answer.
+func (r *responseReader) accept(response *http.Response, body []byte, whole bool, rest io.Reader) (round Attempt) {
+	stream, server := r.conn, r.conn.backend
+	if cold := response.Header.Get(headerColdRemaining); cold != "" {
+		if left, ok := parseWarmUp(cold); ok && left > 0 {
+			server.startWarmUp(r.clock.Now(), left)
 		}
 	}
-	if load := response.Header.Get(headLoad); load != "" {
-		server.hear(r.clock.Now(), load)
+	if load := response.Header.Get(headerInstanceLoad); load != "" {
+		server.observeLoad(r.clock.Now(), load)
 	}
-	keep := keepFor(response)
-	if notRun(response) {
+	keep := keepAliveOf(response)
+	if notExecuted(response) {
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			server.moved(r.clock.Now())
+			server.markReplaced(r.clock.Now())
 		}
-		r.settle(response, keep, whole)
-		return Round{Outcome: Turned}
+		r.releaseConn(response, keep, whole)
+		return Attempt{Outcome: Rejected}
 	}
 	// An answer that says of a success that it was not run says nothing, and one
 	// whose status would be a promise to the client makes none without that word.
-	if response.StatusCode < 300 && response.Header.Get(headStamp) == "" || response.Header.Get(headNotRun) != "" || apierror.Promises(response.StatusCode) {
-		server.drop(stream)
-		return Round{Outcome: Broken}
+	if response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" || response.Header.Get(headerNotExecuted) != "" || apierror.Promises(response.StatusCode) {
+		server.closeConn(stream)
+		return Attempt{Outcome: ConnectionFailed}
 	}
-	outcome := Whole
+	outcome := Complete
 	if response.StatusCode >= 500 {
-		outcome = Failed
+		outcome = ServerError
 	}
-	verdict := Verdict{Status: response.StatusCode, Lines: returned(response.Header), Body: body, Length: int64(len(body))}
+	verdict := Response{Status: response.StatusCode, Headers: returnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
 	if r.request.Method == http.MethodHead {
 		verdict.NoBody = true
-		verdict.Length = max(0, response.ContentLength)
+		verdict.ContentLength = max(0, response.ContentLength)
 	}
 	if rest != nil {
-		verdict.Rest, verdict.Length, verdict.Chunked = rest, response.ContentLength, response.ContentLength < 0
+		verdict.BodyRest, verdict.ContentLength, verdict.Chunked = rest, response.ContentLength, response.ContentLength < 0
 		verdict.Finish = func(good bool) {
-			r.settle(response, keep, good)
+			r.releaseConn(response, keep, good)
 			now := r.clock.Now()
-			server.end(now, now-r.begun, outcome)
+			server.attemptEnded(now, now-r.startedAt, outcome)
 		}
-		return Round{Outcome: outcome, Verdict: verdict}
+		return Attempt{Outcome: outcome, Response: verdict}
 	}
-	r.settle(response, keep, true)
-	return Round{Outcome: outcome, Verdict: verdict}
+	r.releaseConn(response, keep, true)
+	return Attempt{Outcome: outcome, Response: verdict}
 }
 
 // readBody reads a body whole where it is small; of a large one it gives the
@@ -463,24 +463,24 @@
 	return body, true, nil
 }
 
-// returned lists the head lines that go back to the client.
-func returned(header http.Header) (lines []Line) {
-	lines = make([]Line, 0, len(header))
+// returnedHeaders lists the head lines that go back to the client.
+func returnedHeaders(header http.Header) (lines []HeaderField) {
+	lines = make([]HeaderField, 0, len(header))
 	for name, values := range header {
 		switch name {
 		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length":
 			continue
 		}
 		for _, value := range values {
-			lines = append(lines, Line{name, value})
+			lines = append(lines, HeaderField{name, value})
 		}
 	}
 	return lines
 }
 
-// keepFor is how long the stream may lie idle; the backend's own word less a
+// keepAliveOf is how long the stream may lie idle; the backend's own word less a
 // margin for the way there.
-func keepFor(response *http.Response) (keep time.Duration) {
+func keepAliveOf(response *http.Response) (keep time.Duration) {
 	keep = 4 * time.Second
 	for _, part := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -491,9 +491,9 @@
 	return keep
 }
 
-// coldSpan reads how long a backend stays cold: a time with its unit, or a
+// parseWarmUp reads how long a backend stays cold: a time with its unit, or a
 // number of milliseconds.
-func coldSpan(text string) (span time.Duration, ok bool) {
+func parseWarmUp(text string) (span time.Duration, ok bool) {
 	if span, err := time.ParseDuration(text); err == nil {
 		return span, true
 	}
--- a/internal/proxy/round_bench_test.go
+++ b/internal/proxy/round_bench_test.go
@@ -19,7 +19,7 @@
 			asked := request("GET", way+"x", "a")
 			b.ReportAllocs()
 			for b.Loop() {
-				if verdict := d.Answer(&Request{Method: asked.Method, Target: asked.Target, Host: asked.Host, ID: asked.ID, Lines: asked.Lines}, "2500"); verdict.Status != 200 {
+				if verdict := d.Handle(&Request{Method: asked.Method, Target: asked.Target, Host: asked.Host, ID: asked.ID, Headers: asked.Headers}, "2500"); verdict.Status != 200 {
 					b.Fatal(verdict.Status)
 				}
 			}
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -24,7 +24,7 @@
 		return script(n, r, conn)
 	})
 	d = daemonOf(t, backend)
-	if verdict := d.Answer(request("GET", "/once/first", "first"), "2500"); verdict.Status != 200 {
+	if verdict := d.Handle(request("GET", "/once/first", "first"), "2500"); verdict.Status != 200 {
 		t.Fatal(verdict.Status)
 	}
 	return d, backend
@@ -48,7 +48,7 @@
 		runs          int // on a fresh stream
 	}{
 		"421 without an id":            {nameless(421, ""), 200, 502, 2},
-		"not run without an id":        {nameless(503, headNotRun+": 1\r\n"), 200, 502, 2},
+		"not run without an id":        {nameless(503, headerNotExecuted+": 1\r\n"), 200, 502, 2},
 		"503 without a word":           {nameless(503, ""), 502, 502, 1},
 		"another's, 421 without an id": {answer(200, "other", "not yours") + nameless(421, ""), 502, 502, 1},
 		"1xx, 421 without an id":       {"HTTP/1.1 100 Continue\r\n\r\n" + nameless(421, ""), 502, 502, 1},
@@ -58,10 +58,10 @@
 		"its own 408 without a word":   {answer(408, "ID", "sorry"), 502, 502, 1},
 		"its own 504":                  {answer(504, "ID", "sorry"), 504, 504, 1},
 		"its own 404":                  {answer(404, "ID", "sorry"), 404, 404, 1},
-		"an empty id":                  {nameless(421, headRequest+":\r\n"), 200, 502, 2},
-		"two ids, mine first":          {answer(200, "ID", "body of ID", headRequest+": other"), 502, 502, 1},
-		"two ids, mine last":           {answer(200, "other", "body of ID", headRequest+": ID"), 502, 502, 1},
-		"two ids, not run":             {answer(503, "ID", "", headRequest+": other", headNotRun+": 1"), 502, 502, 1},
+		"an empty id":                  {nameless(421, headerRequestID+":\r\n"), 200, 502, 2},
+		"two ids, mine first":          {answer(200, "ID", "body of ID", headerRequestID+": other"), 502, 502, 1},
+		"two ids, mine last":           {answer(200, "other", "body of ID", headerRequestID+": ID"), 502, 502, 1},
+		"two ids, not run":             {answer(503, "ID", "", headerRequestID+": other", headerNotExecuted+": 1"), 502, 502, 1},
 		"an id of another length":      {answer(200, "ID0", "body of ID") + mine, 200, 200, 1},
 		"only ids of another length":   {answer(200, "ID0", ""), 504, 504, 1},
 		"too many of others":           {strings.Repeat(answer(200, "other", "no"), 6) + mine, 502, 502, 1},
@@ -73,9 +73,9 @@
 		"1xx, then mine":               {"HTTP/1.1 103 Early Hints\r\n\r\n" + mine, 200, 200, 1},
 		"1xx without end":              {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 6) + mine, 502, 502, 1},
 		"another protocol":             {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + mine, 502, 502, 1},
-		"a success that was not run":   {answer(200, "ID", "body of ID", headNotRun+": 1"), 502, 502, 1},
-		"not run, cut short":           {strings.Replace(answer(503, "ID", "", headNotRun+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
-		"another's not run, cut short": {strings.Replace(answer(503, "other", "", headNotRun+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
+		"a success that was not run":   {answer(200, "ID", "body of ID", headerNotExecuted+": 1"), 502, 502, 1},
+		"not run, cut short":           {strings.Replace(answer(503, "ID", "", headerNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
+		"another's not run, cut short": {strings.Replace(answer(503, "other", "", headerNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
 	}
 	for name, c := range cases {
 		bad := func(_ int, r seen, conn net.Conn) bool {
@@ -91,14 +91,14 @@
 			}
 			d, backend := rested(t, bad)
 			if isFresh {
-				d.state.servers["i-1"].sweep(d.clock.Now(), true)
+				d.state.servers["i-1"].closeIdle(d.clock.Now(), true)
 				d.state.servers["i-1"].closed = false
 			}
 			sound := newStandIn(t, "i-2", good)
 			server := rpc.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
 			d.state.Apply(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
-			d.state.servers["i-2"].pace, d.state.servers["i-2"].paceAt = 1e6, 1
-			verdict := d.Answer(request("GET", "/once/q", "ab"), "300")
+			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
+			verdict := d.Handle(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
 				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
 			}
@@ -134,7 +134,7 @@
 				}
 				return good(n, r, conn)
 			})
-			verdict := d.Answer(request("GET", way+"q", "ab"), "2500")
+			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
 			if verdict.Status != c.status || backend.count() != 2 {
 				t.Errorf("%s on %s: status %d after %d arrivals", name, way, verdict.Status, backend.count())
 			}
@@ -149,9 +149,9 @@
 		say    string
 		status int
 	}{
-		"turned away":   {answer(503, "up", "", headNotRun+": 1"), 503},
+		"turned away":   {answer(503, "up", "", headerNotExecuted+": 1"), 503},
 		"nothing":       {"", 502},
-		"another's":     {answer(503, "other", "", headNotRun+": 1"), 502},
+		"another's":     {answer(503, "other", "", headerNotExecuted+": 1"), 502},
 		"its own error": {answer(500, "up", ""), 500},
 	} {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -173,7 +173,7 @@
 		d := daemonOf(t, &standIn{id: "i-1", listener: listener})
 		large := request("POST", "/once/q", "up")
 		large.HasBody, large.Body = true, make([]byte, 16<<20)
-		if verdict := d.Answer(large, "800"); verdict.Status != c.status {
+		if verdict := d.Handle(large, "800"); verdict.Status != c.status {
 			t.Errorf("%s: status %d, want %d", name, verdict.Status, c.status)
 		}
 		_ = listener.Close()
@@ -187,23 +187,23 @@
 	server := d.state.servers["i-1"]
 	now := d.clock.Now()
 	for name, c := range map[string]struct {
-		sending Sending
+		sending AttemptOptions
 		outcome Outcome
 	}{
-		"chosen long ago": {Sending{Chosen: now - sendSpan - time.Hour, Till: now + time.Hour}, Withheld},
-		"over while it was looked at": {Sending{Chosen: now, Till: now + 50*time.Millisecond, May: func(*Server) bool {
+		"chosen long ago": {AttemptOptions{ChosenAt: now - choiceLifetime - time.Hour, Deadline: now + time.Hour}, SendCancelled},
+		"over while it was looked at": {AttemptOptions{ChosenAt: now, Deadline: now + 50*time.Millisecond, Permitted: func(*Backend) bool {
 			for d.clock.Now() < now+50*time.Millisecond {
 			}
 			return true
-		}}, Withheld},
-		"retired":        {Sending{Chosen: now, Till: now + time.Hour, May: func(*Server) bool { return false }}, Withheld},
-		"over before it": {Sending{Chosen: now, Till: now}, NotSent},
+		}}, SendCancelled},
+		"retired":        {AttemptOptions{ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Backend) bool { return false }}, SendCancelled},
+		"over before it": {AttemptOptions{ChosenAt: now, Deadline: now}, NotSent},
 	} {
-		if round := run(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
+		if round := runAttempt(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
 			t.Errorf("%s: %+v", name, round)
 		}
 	}
-	if verdict := d.Answer(request("GET", "/once/q", "b"), "800"); verdict.Status != 200 || backend.count() != 1 {
+	if verdict := d.Handle(request("GET", "/once/q", "b"), "800"); verdict.Status != 200 || backend.count() != 1 {
 		t.Fatalf("status %d after %d arrivals", verdict.Status, backend.count())
 	}
 }
@@ -213,14 +213,14 @@
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
 	server := d.state.servers["i-1"]
-	server.coldTill = d.clock.Now() + time.Hour
+	server.warmUpUntil = d.clock.Now() + time.Hour
 	way := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.ServerID{"", "i-1"} {
-		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: Withheld, time.Minute: Whole} {
+		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
 			now := d.clock.Now()
 			d.state.Apply(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
-			plan := &Plan{Way: way, Service: "s", Till: now + time.Second, Bound: bound}
-			if round := run(d.clock, server, request("POST", "/once/x", "a"), d.sending(plan, now)); round.Outcome != outcome {
+			plan := &Plan{Route: way, Service: "s", Deadline: now + time.Second, BoundBackend: bound}
+			if round := runAttempt(d.clock, server, request("POST", "/once/x", "a"), d.attemptOptions(plan, now)); round.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
 			}
 		}
@@ -236,7 +236,7 @@
 	d := daemonOf(t, backend)
 	d.settings.Bounds.KeyWindow = time.Nanosecond
 	led(t, d, &standInForum{script: grant})
-	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
 	if d.operations.Find("k", "a").Standing != rpc.Freed {
@@ -244,10 +244,10 @@
 	}
 	// The same request again must not run under the claim that is given back.
 	d.settings.Bounds.KeyWindow = time.Minute
-	if verdict := d.Answer(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
+	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if verdict := d.Answer(keyed("b", "k"), "2500"); verdict.Status != 200 || backend.count() != 1 {
+	if verdict := d.Handle(keyed("b", "k"), "2500"); verdict.Status != 200 || backend.count() != 1 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
 }
@@ -255,10 +255,10 @@
 // A backend that a session is bound to is asked again over a fresh stream: on the
 // old one a second copy of its refusal would prove the wrong thing.
 func TestARefusalThatComesTwice(t *testing.T) {
-	for lapse, want := range map[Lapse]int{0: 2, SameStream: 3} {
+	for lapse, want := range map[DisabledChecks]int{0: 2, ReuseRejectingConn: 3} {
 		var told sync.Map
 		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
-			no := answer(503, r.ID, "", headNotRun+": 1")
+			no := answer(503, r.ID, "", headerNotExecuted+": 1")
 			if _, again := told.LoadOrStore(conn, true); n == 1 || again {
 				// The second time it comes before the answer to a run.
 				_, err := io.WriteString(conn, no)
@@ -269,11 +269,11 @@
 			return good(n, r, conn)
 		})
 		d := daemonOf(t, backend)
-		d.lapse = lapse
-		d.budget.Earn(d.clock.Now(), "s")
+		d.disabledChecks = lapse
+		d.retryBudget.RecordRequest(d.clock.Now(), "s")
 		view := d.state.Snapshot().View
-		plan := &Plan{Way: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Till: d.clock.Now() + 2*time.Second, Rounds: 3, Bound: "i-1"}
-		if _, kind := d.search(plan, d.throttles.of("s")); kind != 0 || backend.count() != want {
+		plan := &Plan{Route: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Deadline: d.clock.Now() + 2*time.Second, AttemptsLeft: 3, BoundBackend: "i-1"}
+		if _, kind := d.runAttempts(plan, d.concurrency.forService("s")); kind != 0 || backend.count() != want {
 			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", lapse, kind, backend.count(), want)
 		}
 	}
@@ -290,19 +290,19 @@
 	d := daemonOf(t, backend)
 	server := d.state.servers["i-1"]
 	now := d.clock.Now()
-	sending := Sending{Chosen: now, Till: now + time.Second, Rest: time.Minute}
-	if round := run(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Whole {
+	sending := AttemptOptions{ChosenAt: now, Deadline: now + time.Second, MaxIdle: time.Minute}
+	if round := runAttempt(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Complete {
 		t.Fatalf("%+v", round)
 	}
-	sending.May = func(server *Server) bool {
+	sending.Permitted = func(server *Backend) bool {
 		reset(<-conns)
-		for stream := range server.active {
-			for stream.quiet() {
+		for stream := range server.activeConns {
+			for stream.isQuiet() {
 			}
 		}
 		return true
 	}
-	if round := run(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
+	if round := runAttempt(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
 		t.Fatalf("%+v after %d arrivals", round, backend.count())
 	}
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -16,76 +16,76 @@
 )
 
 const (
-	dialWait    = 450 * time.Millisecond
-	dialSilence = 800 * time.Millisecond
-	outLeast    = 400 * time.Millisecond
-	outMost     = 4 * time.Second
-	doubtLeast  = 150 * time.Millisecond
-	loadAge     = 1500 * time.Millisecond
-	tallySpan   = 4 * time.Second
-	badStep     = 0.35
-	badHalf     = 2 * time.Second
-	streamRoom  = 16 << 10
+	dialTimeout        = 450 * time.Millisecond
+	unackedTimeout     = 800 * time.Millisecond
+	minUnavailable     = 400 * time.Millisecond
+	maxUnavailable     = 4 * time.Second
+	minOverdue         = 150 * time.Millisecond
+	loadReportLifetime = 1500 * time.Millisecond
+	outcomeReportSpan  = 4 * time.Second
+	failureStep        = 0.35
+	failureHalfLife    = 2 * time.Second
+	readBufferBytes    = 16 << 10
 )
 
-// Server is a backend and its pool.
-type Server struct {
+// Backend is a backend and its pool.
+type Backend struct {
 	rpc.Server
-	Region rpc.RegionName
-	told   string
-
-	mu       sync.Mutex
-	health   rpc.Health
-	coldTill time.Duration
-	outTill  time.Duration
-	outSpan  time.Duration
-	burden   int
-	sentAt   time.Duration
-	heardAt  time.Duration
-	open     int
-	pace     float64
-	paceAt   time.Duration
-	idle     []*Stream
-	cold     *quota.Window
-	closed   bool
-	habit    *Habit
-	load     toldLoad
-	asking   string
-	aside    bool
-	trialAt  time.Duration
-	bad      float64
-	badAt    time.Duration
-	tally    rpc.Tally
-	badTill  time.Duration
-	// active are the streams that carry a request now, with whether it is keyed.
-	active map[*Stream]bool
+	Region    rpc.RegionName
+	lastStamp string
+
+	mu               sync.Mutex
+	health           rpc.Health
+	warmUpUntil      time.Duration
+	unavailableUntil time.Duration
+	unavailableSpan  time.Duration
+	inFlight         int
+	busySince        time.Duration
+	respondedAt      time.Duration
+	openConns        int
+	latency          float64
+	latencyAt        time.Duration
+	idleConns        []*Conn
+	warmUpSends      *quota.Window
+	closed           bool
+	stats            *ServiceStats
+	load             reportedLoad
+	localZone        string
+	ejected          bool
+	nextTrialAt      time.Duration
+	failureScore     float64
+	failureScoreAt   time.Duration
+	outcomes         rpc.Tally
+	reportUntil      time.Duration
+	// activeConns are the streams that carry a request now, with whether it is keyed.
+	activeConns map[*Conn]bool
 }
 
-// toldLoad is what a backend said it had to do, and what was sent to it since.
-type toldLoad struct {
-	jobs  int
-	since int
-	at    time.Duration
+// reportedLoad is what a backend said it had to do, and what was sent to it since.
+type reportedLoad struct {
+	jobs      int
+	sentSince int
+	at        time.Duration
 }
 
-func newServer(listed rpc.Server, region rpc.RegionName, asking string, habit *Habit) (server *Server) {
-	return &Server{Server: listed, Region: region, asking: asking, cold: quota.NewWindow(time.Second), habit: habit, active: map[*Stream]bool{}}
+func newBackend(listed rpc.Server, region rpc.RegionName, asking string, habit *ServiceStats) (server *Backend) {
+	return &Backend{Server: listed, Region: region, localZone: asking, warmUpSends: quota.NewWindow(time.Second), stats: habit, activeConns: map[*Conn]bool{}}
 }
 
-// Stream is one connection to a backend; it carries one request at a time.
-type Stream struct {
-	conn    net.Conn
-	raw     syscall.RawConn
-	in      *lineReader
-	server  *Server
-	fresh   bool
-	restAt  time.Duration
-	closeBy time.Duration
+// Conn is one connection to a backend; it carries one request at a time.
+type Conn struct {
+	netConn   net.Conn
+	raw       syscall.RawConn
+	reader    *lineReader
+	backend   *Backend
+	fresh     bool
+	idleSince time.Duration
+	expiresAt time.Duration
 }
 
-// quiet tells that nothing has arrived and the other side has not closed.
-func (s *Stream) quiet() (quiet bool) {
-	if s.in.Buffered() > 0 {
+// isQuiet tells that nothing has arrived and the other side has not closed.
+func (s *Conn) isQuiet() (quiet bool) {
+	if s.reader.Buffered() > 0 {
 		return false
 	}
 	err := s.raw.Read(func(fd uintptr) bool {
@@ -97,279 +97,279 @@
 	return quiet && err == nil
 }
 
-// take gives an idle stream that can be used, newest first, or nil. One that has
+// takeIdle gives an idle stream that can be used, newest first, or nil. One that has
 // rested longer than most is left where it is.
-func (s *Server) take(now, most time.Duration) (stream *Stream) {
+func (s *Backend) takeIdle(now, most time.Duration) (stream *Conn) {
 	for {
 		s.mu.Lock()
-		last := len(s.idle) - 1
+		last := len(s.idleConns) - 1
 		if last < 0 {
 			s.mu.Unlock()
 			return nil
 		}
-		stream = s.idle[last]
-		if now-stream.restAt > most {
+		stream = s.idleConns[last]
+		if now-stream.idleSince > most {
 			s.mu.Unlock()
 			return nil
 		}
-		s.idle = s.idle[:last]
+		s.idleConns = s.idleConns[:last]
 		s.mu.Unlock()
-		if now < stream.closeBy && stream.quiet() {
+		if now < stream.expiresAt && stream.isQuiet() {
 			stream.fresh = false
 			return stream
 		}
-		s.drop(stream)
+		s.closeConn(stream)
 	}
 }
 
-func (s *Server) dial(wait time.Duration) (stream *Stream, err error) {
-	if wait > dialWait {
-		wait = dialWait
+func (s *Backend) dial(wait time.Duration) (stream *Conn, err error) {
+	if wait > dialTimeout {
+		wait = dialTimeout
 	}
-	dialer := net.Dialer{Timeout: wait, Control: rpc.Firm(dialSilence), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
+	dialer := net.Dialer{Timeout: wait, Control: rpc.Firm(unackedTimeout), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	dialer.SetMultipathTCP(false)
 	s.mu.Lock()
-	s.open++
+	s.openConns++
 	s.mu.Unlock()
 	conn, err := dialer.Dial("tcp4", s.Address)
 	if err != nil {
 		s.mu.Lock()
-		s.open--
+		s.openConns--
 		s.mu.Unlock()
 		return nil, err
 	}
 	// What is not read yet is held back by the backend, not on this daemon's link.
-	_ = conn.(*net.TCPConn).SetReadBuffer(streamRoom)
+	_ = conn.(*net.TCPConn).SetReadBuffer(readBufferBytes)
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return &Stream{conn: conn, raw: raw, in: newLineReader(conn), server: s, fresh: true}, nil
+	return &Conn{netConn: conn, raw: raw, reader: newLineReader(conn), backend: s, fresh: true}, nil
 }
 
-func (s *Server) drop(stream *Stream) {
-	_ = stream.conn.Close()
+func (s *Backend) closeConn(stream *Conn) {
+	_ = stream.netConn.Close()
 	s.mu.Lock()
-	s.open--
+	s.openConns--
 	s.mu.Unlock()
 }
 
-// hold and release bracket a stream's carrying of a request.
-func (s *Server) hold(stream *Stream, keyed bool) {
+// markActive and release bracket a stream's carrying of a request.
+func (s *Backend) markActive(stream *Conn, keyed bool) {
 	s.mu.Lock()
-	s.active[stream] = keyed
+	s.activeConns[stream] = keyed
 	s.mu.Unlock()
 }
 
-func (s *Server) release(stream *Stream) {
+func (s *Backend) unmarkActive(stream *Conn) {
 	s.mu.Lock()
-	delete(s.active, stream)
+	delete(s.activeConns, stream)
 	s.mu.Unlock()
 }
 
-// breakOff closes the streams that carry requests, but those with keyed ones
+// closeActive closes the streams that carry requests, but those with keyed ones
 // where they may go on.
-func (s *Server) breakOff(but bool) {
+func (s *Backend) closeActive(but bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for stream, keyed := range s.active {
+	for stream, keyed := range s.activeConns {
 		if !keyed || !but {
-			_ = stream.conn.Close()
+			_ = stream.netConn.Close()
 		}
 	}
 }
 
-// give puts a stream back that is fit to be used again.
-func (s *Server) give(now time.Duration, stream *Stream, keep time.Duration) {
-	stream.restAt, stream.closeBy = now, now+min(keep, s.habit.Rest(now))
+// putIdle puts a stream back that is fit to be used again.
+func (s *Backend) putIdle(now time.Duration, stream *Conn, keep time.Duration) {
+	stream.idleSince, stream.expiresAt = now, now+min(keep, s.stats.MaxIdle(now))
 	s.mu.Lock()
-	if s.closed || len(s.idle) >= 32 {
+	if s.closed || len(s.idleConns) >= 32 {
 		s.mu.Unlock()
-		s.drop(stream)
+		s.closeConn(stream)
 		return
 	}
-	s.idle = append(s.idle, stream)
+	s.idleConns = append(s.idleConns, stream)
 	s.mu.Unlock()
 }
 
-// sweep closes idle streams that are past their time; the oldest lie first.
-func (s *Server) sweep(now time.Duration, all bool) {
+// closeIdle closes idle streams that are past their time; the oldest lie first.
+func (s *Backend) closeIdle(now time.Duration, all bool) {
 	s.mu.Lock()
-	var old []*Stream
-	kept := s.idle[:0]
-	for _, stream := range s.idle {
-		if all || now >= stream.closeBy {
+	var old []*Conn
+	kept := s.idleConns[:0]
+	for _, stream := range s.idleConns {
+		if all || now >= stream.expiresAt {
 			old = append(old, stream)
 		} else {
 			kept = append(kept, stream)
 		}
 	}
-	s.idle = kept
+	s.idleConns = kept
 	s.closed = s.closed || all
 	s.mu.Unlock()
 	for _, stream := range old {
-		s.drop(stream)
+		s.closeConn(stream)
 	}
 }
 
-// begin and end bracket a round.
-func (s *Server) begin(now time.Duration) {
+// attemptStarted and end bracket a round.
+func (s *Backend) attemptStarted(now time.Duration) {
 	s.mu.Lock()
-	if s.burden == 0 {
-		s.sentAt = now
+	if s.inFlight == 0 {
+		s.busySince = now
 	}
-	s.burden++
-	s.load.since++
-	if now < s.coldTill+time.Second {
-		s.cold.Add(now)
+	s.inFlight++
+	s.load.sentSince++
+	if now < s.warmUpUntil+time.Second {
+		s.warmUpSends.Add(now)
 	}
 	s.mu.Unlock()
 }
 
-func (s *Server) end(now, took time.Duration, outcome Outcome) {
+func (s *Backend) attemptEnded(now, took time.Duration, outcome Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.burden--
+	s.inFlight--
 	switch outcome {
-	case Whole:
-		s.count(now, true)
-	case Failed, Broken, NotSent, Silent:
-		s.count(now, false)
-		s.bad = s.badness(now)
-		s.bad += (1 - s.bad) * badStep
-		s.badAt = now
+	case Complete:
+		s.countOutcome(now, true)
+	case ServerError, ConnectionFailed, NotSent, TimedOut:
+		s.countOutcome(now, false)
+		s.failureScore = s.recentFailures(now)
+		s.failureScore += (1 - s.failureScore) * failureStep
+		s.failureScoreAt = now
 	}
-	if outcome == Whole || outcome == Turned || outcome == Failed {
-		s.heardAt = now
+	if outcome == Complete || outcome == Rejected || outcome == ServerError {
+		s.respondedAt = now
 	}
 	switch outcome {
-	case Whole:
-		s.outSpan = 0
-		s.learn(now, float64(took)/float64(time.Millisecond))
-		s.habit.Took(now, took)
-	case Forgotten:
-	case NotSent, Broken:
-		s.out(now)
-	case Turned:
-		s.learn(now, s.pace*1.5+20)
-	case Silent:
-		s.learn(now, float64(took)/float64(time.Millisecond))
+	case Complete:
+		s.unavailableSpan = 0
+		s.observeLatency(now, float64(took)/float64(time.Millisecond))
+		s.stats.ObserveLatency(now, took)
+	case StaleConnection:
+	case NotSent, ConnectionFailed:
+		s.markUnavailable(now)
+	case Rejected:
+		s.observeLatency(now, s.latency*1.5+20)
+	case TimedOut:
+		s.observeLatency(now, float64(took)/float64(time.Millisecond))
 	}
 }
 
-// count notes an outcome for the owner's sums; what is good counts only while
+// countOutcome notes an outcome for the owner's sums; what is good counts only while
 // there is something to tell. The caller holds the lock.
-func (s *Server) count(now time.Duration, good bool) {
-	s.habit.count(good)
+func (s *Backend) countOutcome(now time.Duration, good bool) {
+	s.stats.countOutcome(good)
 	if good {
-		if s.aside || now < s.badTill {
-			s.tally.Good++
+		if s.ejected || now < s.reportUntil {
+			s.outcomes.Good++
 		}
 		return
 	}
-	s.tally.Bad++
-	s.badTill = now + tallySpan
-	s.habit.watch(s)
+	s.outcomes.Bad++
+	s.reportUntil = now + outcomeReportSpan
+	s.stats.markReportable(s)
 }
 
-// tell gives what is to be told of this backend, if it failed lately or is set
+// takeOutcomes gives what is to be told of this backend, if it failed lately or is set
 // aside; of a backend that is well nothing is told.
-func (s *Server) tell(now time.Duration) (tally rpc.Tally, told bool) {
+func (s *Backend) takeOutcomes(now time.Duration) (tally rpc.Tally, told bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	tally = s.tally
-	s.tally = rpc.Tally{}
+	tally = s.outcomes
+	s.outcomes = rpc.Tally{}
 	tally.Server, tally.Service = s.ID, s.Service
-	if !s.aside && now >= s.badTill || s.closed {
-		s.habit.unwatch(s)
+	if !s.ejected && now >= s.reportUntil || s.closed {
+		s.stats.clearReportable(s)
 		return tally, false
 	}
 	return tally, tally.Good+tally.Bad > 0
 }
 
-// badness is how much failed here lately, 0 to 1. The caller holds the lock.
-func (s *Server) badness(now time.Duration) (bad float64) {
-	if s.bad == 0 {
+// recentFailures is how much failed here lately, 0 to 1. The caller holds the lock.
+func (s *Backend) recentFailures(now time.Duration) (bad float64) {
+	if s.failureScore == 0 {
 		return 0
 	}
-	return s.bad * math.Exp2(-float64(now-s.badAt)/float64(badHalf))
+	return s.failureScore * math.Exp2(-float64(now-s.failureScoreAt)/float64(failureHalfLife))
 }
 
-// doubted tells that the backend owes an answer for longer than is usual and
+// overdue tells that the backend owes an answer for longer than is usual and
 // has said nothing at all meanwhile; it may have gone dark. What is usual where
 // it has not answered yet is given. The caller holds the lock.
-func (s *Server) doubted(now time.Duration, unknown float64) bool {
-	if s.burden == 0 {
+func (s *Backend) overdue(now time.Duration, unknown float64) bool {
+	if s.inFlight == 0 {
 		return false
 	}
-	usual := s.pace
-	if s.paceAt == 0 {
+	usual := s.latency
+	if s.latencyAt == 0 {
 		usual = unknown
 	}
-	return now-max(s.sentAt, s.heardAt) > doubtLeast+time.Duration(usual*float64(time.Millisecond))
+	return now-max(s.busySince, s.respondedAt) > minOverdue+time.Duration(usual*float64(time.Millisecond))
 }
 
-// doubtful tells that a backend is held out here, or owes answers.
-func (s *Server) doubtful(now time.Duration) bool {
+// suspect tells that a backend is held out here, or owes answers.
+func (s *Backend) suspect(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now < s.outTill || now < s.coldTill || s.doubted(now, s.habit.Calm(defaultLatencyMS))
+	return now < s.unavailableUntil || now < s.warmUpUntil || s.overdue(now, s.stats.BaselineLatency(defaultLatencyMS))
 }
 
-// isCold tells that the backend bears little.
-func (s *Server) isCold(now time.Duration) bool {
+// isWarmingUp tells that the backend bears little.
+func (s *Backend) isWarmingUp(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now < s.coldTill
+	return now < s.warmUpUntil
 }
 
-// leaving tells that the platform has said so.
-func (s *Server) leaving() bool {
+// isDraining tells that the platform has said so.
+func (s *Backend) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Draining
 }
 
 // silentSince tells that nothing was heard from the backend since a moment.
-func (s *Server) silentSince(moment time.Duration) bool {
+func (s *Backend) silentSince(moment time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heardAt < moment
+	return s.respondedAt < moment
 }
 
-func (s *Server) learn(now time.Duration, took float64) {
-	if s.paceAt == 0 {
-		s.pace = took
+func (s *Backend) observeLatency(now time.Duration, took float64) {
+	if s.latencyAt == 0 {
+		s.latency = took
 	} else {
-		s.pace += (took - s.pace) * 0.15
+		s.latency += (took - s.latency) * 0.15
 	}
-	s.paceAt = now
+	s.latencyAt = now
 }
 
-// out takes the backend out here, longer each time.
-func (s *Server) out(now time.Duration) {
-	if s.outTill > now {
+// markUnavailable takes the backend out here, longer each time.
+func (s *Backend) markUnavailable(now time.Duration) {
+	if s.unavailableUntil > now {
 		return
 	}
-	if s.outSpan == 0 {
-		s.outSpan = outLeast
+	if s.unavailableSpan == 0 {
+		s.unavailableSpan = minUnavailable
 	} else {
-		s.outSpan = min(s.outSpan*2, outMost)
+		s.unavailableSpan = min(s.unavailableSpan*2, maxUnavailable)
 	}
-	s.outTill = now + s.outSpan
+	s.unavailableUntil = now + s.unavailableSpan
 }
 
-// moved takes the backend out because another has its address; the list will
+// markReplaced takes the backend out because another has its address; the list will
 // tell its end.
-func (s *Server) moved(now time.Duration) {
+func (s *Backend) markReplaced(now time.Duration) {
 	s.mu.Lock()
-	s.outSpan, s.outTill = outMost, now+outMost
+	s.unavailableSpan, s.unavailableUntil = maxUnavailable, now+maxUnavailable
 	s.mu.Unlock()
 }
 
-// note takes what the list and the cache say.
-func (s *Server) note(now time.Duration, listed *rpc.Server, state *rpc.State) {
+// update takes what the list and the cache say.
+func (s *Backend) update(now time.Duration, listed *rpc.Server, state *rpc.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if listed != nil {
@@ -378,49 +378,49 @@
 	}
 	if state != nil {
 		s.health = state.Health
-		if s.aside = state.Aside == rpc.AsideForAll || state.Aside != "" && state.Aside == s.asking; s.aside {
-			s.habit.watch(s)
+		if s.ejected = state.Aside == rpc.AsideForAll || state.Aside != "" && state.Aside == s.localZone; s.ejected {
+			s.stats.markReportable(s)
 		}
-		s.coldTill = 0
+		s.warmUpUntil = 0
 		if state.Cold > 0 {
-			s.coldTill = now + state.Cold
+			s.warmUpUntil = now + state.Cold
 		}
-		if state.Health == rpc.Up && s.outTill > now && s.outSpan > outLeast {
-			s.outTill = now
+		if state.Health == rpc.Up && s.unavailableUntil > now && s.unavailableSpan > minUnavailable {
+			s.unavailableUntil = now
 		}
 	}
 }
 
-// hear notes the load that the backend tells of itself.
-func (s *Server) hear(now time.Duration, text string) {
-	jobs, told := loadOf(text)
+// observeLoad notes the load that the backend tells of itself.
+func (s *Backend) observeLoad(now time.Duration, text string) {
+	jobs, told := parseLoad(text)
 	if !told {
 		return
 	}
 	s.mu.Lock()
 	// The one that was answered is still counted in what is told.
-	s.load = toldLoad{jobs: max(0, jobs-1), at: now}
+	s.load = reportedLoad{jobs: max(0, jobs-1), at: now}
 	s.mu.Unlock()
 }
 
-// jobs reckons what the backend has to do: what it told lately and what was
+// queuedRequests reckons what the backend has to do: what it told lately and what was
 // sent to it since, else what this daemon has there, taken for the others that
 // use it as well. The caller holds the lock.
-func (s *Server) jobs(now time.Duration, share int) (jobs float64, told bool) {
-	own := float64(s.burden) * float64(share)
+func (s *Backend) queuedRequests(now time.Duration, share int) (jobs float64, told bool) {
+	own := float64(s.inFlight) * float64(share)
 	age := now - s.load.at
-	if s.load.at == 0 || age >= loadAge {
+	if s.load.at == 0 || age >= loadReportLifetime {
 		return own, false
 	}
-	part := float64(age) / float64(loadAge)
-	return max(float64(s.burden), float64(s.load.jobs+s.load.since)*(1-part)+own*part), true
+	part := float64(age) / float64(loadReportLifetime)
+	return max(float64(s.inFlight), float64(s.load.jobs+s.load.sentSince)*(1-part)+own*part), true
 }
 
-// chill marks the backend cold by its own word.
-func (s *Server) chill(now, left time.Duration) {
+// startWarmUp marks the backend cold by its own word.
+func (s *Backend) startWarmUp(now, left time.Duration) {
 	s.mu.Lock()
-	if now+left > s.coldTill {
-		s.coldTill = now + left
+	if now+left > s.warmUpUntil {
+		s.warmUpUntil = now + left
 	}
 	s.mu.Unlock()
 }
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -102,40 +102,40 @@
 		return
 	}
 	asked := plan.Request.affinityInput(tenant)
-	if len(plan.Way.Targets) > 1 {
-		for _, part := range plan.Way.Targets {
+	if len(plan.Route.Targets) > 1 {
+		for _, part := range plan.Route.Targets {
 			if _, ruled := policy.For(rpc.ServiceName(part.Service)); !ruled {
 				continue
 			}
 			if _, name, named := s.findSession(policy, rpc.ServiceName(part.Service), asked); named {
-				plan.Service = pickTarget(plan.Way, unitHash(name))
+				plan.Service = pickTarget(plan.Route, unitHash(name))
 			}
 			break
 		}
 	}
 	if rule, name, named := s.findSession(policy, plan.Service, asked); named {
 		plan.Rule = rule
-		plan.Session = affinity.SessionOf(plan.Service, plan.Way.Homes, name)
+		plan.Session = affinity.SessionOf(plan.Service, plan.Route.Homes, name)
 	}
 }
 
 // bind gives a plan with a session its backend, or tells why there is none.
 func (d *Daemon) bind(plan *Plan) (kind apierror.Kind) {
 	s, idle := d.state.Policies.Sessions, time.Duration(plan.Rule.Idle)
-	limit := min(900*time.Millisecond, plan.Till-d.clock.Now())
+	limit := min(900*time.Millisecond, plan.Deadline-d.clock.Now())
 	server, outcome := s.binder.Bind(plan.Session, idle, affinity.View{
 		Now:   d.clock.Now,
 		Over:  func(server rpc.ServerID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
 		Begin: func() rpc.ServerID { return d.placeSession(d.state.Snapshot(), plan) },
 		Ask: func(from, choice rpc.ServerID) rpc.BindFound {
-			return d.leader.Bind(rpc.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Way.Aim/4, limit)
+			return d.leader.Bind(rpc.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Route.Aim/4, limit)
 		},
 	})
-	plan.Bound = server
+	plan.BoundBackend = server
 	switch {
 	case outcome == affinity.Kept:
 		return apierror.None
-	case outcome == affinity.Unkept, outcome == affinity.NoAnswer && plan.Rule.Alone == affinity.AloneServe && plan.Way.Repeat.Repeatable():
+	case outcome == affinity.Unkept, outcome == affinity.NoAnswer && plan.Rule.Alone == affinity.AloneServe && plan.Route.Repeat.Repeatable():
 		s.count(&s.unkept)
 		return apierror.None
 	}
@@ -156,7 +156,7 @@
 // to, its site is evacuated, or it was retired and has had its time.
 func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.ServerID) (over bool) {
 	server := scene.server(plan.Service, id)
-	return server == nil || server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+	return server == nil || server.isDraining() || scene.Evacuated[server.Site] || !regionAllowed(plan.Route.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
@@ -165,7 +165,7 @@
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
-		if server.leaving() || scene.Evacuated[server.Site] || !regionAllowed(plan.Way.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
+		if server.isDraining() || scene.Evacuated[server.Site] || !regionAllowed(plan.Route.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
 			continue
 		}
 		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
@@ -187,7 +187,7 @@
 }
 
 // server looks a backend of a service up; they are sorted by id.
-func (s *Snapshot) server(service rpc.ServiceName, id rpc.ServerID) (server *Server) {
+func (s *Snapshot) server(service rpc.ServiceName, id rpc.ServerID) (server *Backend) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
@@ -197,16 +197,16 @@
 }
 
 // healthyAndWarm tells that a backend may be begun with.
-func (s *Server) healthyAndWarm(now time.Duration) (well bool) {
+func (s *Backend) healthyAndWarm(now time.Duration) (well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health != rpc.Down && now >= s.coldTill && now >= s.outTill && !s.aside
+	return s.health != rpc.Down && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
 }
 
 // operationKey is the request's operation key.
 func (r *Request) operationKey() (key string) {
-	for _, line := range r.Lines {
-		if line[0] == headKey {
+	for _, line := range r.Headers {
+		if line[0] == headerOperationKey {
 			key = line[1]
 		}
 	}
@@ -215,7 +215,7 @@
 
 // affinityInput is the part of a request that may name its session.
 func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.Asked) {
-	asked = affinity.Asked{Lines: r.Lines, Key: r.operationKey()}
+	asked = affinity.Asked{Lines: r.Headers, Key: r.operationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -49,7 +49,7 @@
 
 func ofCaller(method, path, id, caller string) (r *Request) {
 	r = request(method, path, id)
-	r.Lines = append(r.Lines, Line{"X-Caller", caller})
+	r.Headers = append(r.Headers, HeaderField{"X-Caller", caller})
 	return r
 }
 
@@ -91,13 +91,13 @@
 		r := ofCaller(method, path, fmt.Sprint("r", run), caller)
 		if run%3 == 0 {
 			r = ofCaller("POST", "/key/x", fmt.Sprint("r", run), caller)
-			r.Lines = append(r.Lines, Line{headKey, fmt.Sprint("k", run)})
+			r.Headers = append(r.Headers, HeaderField{headerOperationKey, fmt.Sprint("k", run)})
 		}
 		before := map[string]int{}
 		for _, backend := range backends {
 			before[backend.id] = backend.count()
 		}
-		status = nodes[n].Answer(r, "2500").Status
+		status = nodes[n].Handle(r, "2500").Status
 		for _, backend := range backends {
 			if backend.count() > before[backend.id] {
 				server = backend.id
@@ -139,12 +139,12 @@
 	backend := newStandIn(t, "i-1", good)
 	forum := &agreedForum{mute: true}
 	d := nodesOf(t, forum, []*standIn{backend})[0]
-	verdict := d.Answer(ofCaller("GET", "/safe/x", "a", "anna"), "2500")
+	verdict := d.Handle(ofCaller("GET", "/safe/x", "a", "anna"), "2500")
 	if verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("%d, %d runs", verdict.Status, backend.count())
 	}
 	again := ""
-	for _, line := range verdict.Lines {
+	for _, line := range verdict.Headers {
 		if line[0] == "Retry-After" {
 			again = line[1]
 		}
@@ -153,23 +153,23 @@
 		t.Fatal("the refusal does not say when to come back")
 	}
 	keyed := ofCaller("POST", "/key/x", "b", "anna")
-	keyed.Lines = append(keyed.Lines, Line{headKey, "k"})
-	if verdict = d.Answer(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
+	keyed.Headers = append(keyed.Headers, HeaderField{headerOperationKey, "k"})
+	if verdict = d.Handle(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
 	if standing := d.operations.Find("k", "b").Standing; standing != rpc.Freed {
 		t.Fatalf("the key of an operation that was not sent stands at %d", standing)
 	}
 	written(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
-	if verdict = d.Answer(ofCaller("GET", "/safe/x", "c", "anna"), "2500"); verdict.Status != 200 {
+	if verdict = d.Handle(ofCaller("GET", "/safe/x", "c", "anna"), "2500"); verdict.Status != 200 {
 		t.Fatalf("under \"serve\" what may be repeated gets %d", verdict.Status)
 	}
-	if verdict = d.Answer(ofCaller("POST", "/once/x", "d", "anna"), "2500"); verdict.Status != 503 {
+	if verdict = d.Handle(ofCaller("POST", "/once/x", "d", "anna"), "2500"); verdict.Status != 503 {
 		t.Fatalf("under \"serve\" what may run once gets %d", verdict.Status)
 	}
 	r := ofCaller("GET", "/safe/x", "e", "anna")
-	r.Lines = append(r.Lines, Line{"X-Caller", "ben"})
-	if verdict = d.Answer(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
+	r.Headers = append(r.Headers, HeaderField{"X-Caller", "ben"})
+	if verdict = d.Handle(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
 		t.Fatalf("a name that is there twice: %d, %+v", verdict.Status, d.state.Policies.Sessions.Status())
 	}
 }
@@ -179,7 +179,7 @@
 	busy := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
 		text := answer(200, r.ID, "body of "+r.ID)
 		if n == 1 {
-			text = answer(503, r.ID, "", headNotRun+": 1")
+			text = answer(503, r.ID, "", headerNotExecuted+": 1")
 		}
 		_, err := io.WriteString(conn, text)
 		return err == nil
@@ -189,7 +189,7 @@
 	d := nodesOf(t, forum, []*standIn{busy, other})[0]
 	for c := 0; ; c++ {
 		caller := fmt.Sprint("caller-", c)
-		verdict := d.Answer(ofCaller("GET", "/safe/x", caller, caller), "2500")
+		verdict := d.Handle(ofCaller("GET", "/safe/x", caller, caller), "2500")
 		if verdict.Status != 200 {
 			t.Fatal(verdict.Status)
 		}
@@ -212,12 +212,12 @@
 	arrivals := func(limit string) (count int) {
 		backends := []*standIn{newStandIn(t, "i-1", failing), newStandIn(t, "i-2", failing)}
 		d := daemonOf(t, backends...)
-		d.budget.written = d.state.Policies.Retries
+		d.retryBudget.operatorLimit = d.state.Policies.Retries
 		if limit != "" {
 			written(d, 2, policy.RetryLimit, limit)
 		}
 		for i := 0; i < 10; i++ {
-			d.Answer(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
+			d.Handle(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
 		}
 		if limit != "" {
 			account := d.state.Policies.Retries.Accounts(d.clock.Now())
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -69,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		got := seen{ID: request.Header.Get(headRequest), Target: request.Header.Get(headTarget), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(headKey), Header: request.Header}
+		got := seen{ID: request.Header.Get(headerRequestID), Target: request.Header.Get(headerTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(headerOperationKey), Header: request.Header}
 		s.mu.Lock()
 		s.requests = append(s.requests, got)
 		n := len(s.requests)
@@ -93,7 +93,7 @@
 }
 
 func answer(status int, id, body string, lines ...string) string {
-	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, headRequest, id, headStamp, id, len(body))
+	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, headerRequestID, id, headerResponseSignature, id, len(body))
 	for _, line := range lines {
 		text += line + "\r\n"
 	}
@@ -116,9 +116,9 @@
 	d.state = NewClusterState(p, d.log, clock)
 	d.operations = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
 	d.leader = NewLeaderClient(p, d.log, clock, d.state, d.operations, 1, d.self)
-	d.budget = NewBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
-	d.limits = NewLimits(d.state.Leased, nil)
-	d.door = NewDoor(d.Answer, func() *config.View { return d.state.Snapshot().View }, 100, 1<<20)
+	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
+	d.tenantLimits = NewTenantLimits(d.state.Leased, nil)
+	d.frontend = NewFrontend(d.Handle, func() *config.View { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
 	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
@@ -142,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go d.door.Serve(listener)
+	go d.frontend.Serve(listener)
 	conn, err = net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 }
 
 func ask(method, path, id string, lines ...string) string {
-	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + headRequest + ": " + id + "\r\n" + headDeadline + ": 2500\r\n"
+	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + headerRequestID + ": " + id + "\r\n" + headerRequestDeadline + ": 2500\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
 	}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -37,7 +37,7 @@
 	seen := d.state.Known()
 	account := NodeStatus{
 		Role: "passage", Name: d.settings.Name, Ready: d.isReady(), HasLeader: d.leader.HasLeader(), Leader: *d.leader.leader.Load(),
-		Term: uint64(seen.Term), Epoch: uint64(seen.Epoch), Revision: seen.Rev, Nodes: len(d.state.Snapshot().Nodes), InFlight: d.door.AtWork(),
+		Term: uint64(seen.Term), Epoch: uint64(seen.Epoch), Revision: seen.Rev, Nodes: len(d.state.Snapshot().Nodes), InFlight: d.frontend.InFlight(),
 	}
 	account.Sessions = d.state.Policies.Sessions.Status()
 	account.Retries = d.state.Policies.Retries.Accounts(d.clock.Now())
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -97,9 +97,9 @@
 			t.Fatalf("request %d goes to %+v", n, server)
 		}
 		// They are all still at work, a third of a second later.
-		server.begin(d.clock.Now())
+		server.attemptStarted(d.clock.Now())
 		server.mu.Lock()
-		server.sentAt, server.heardAt = d.clock.Now()-300*time.Millisecond, -time.Second
+		server.busySince, server.respondedAt = d.clock.Now()-300*time.Millisecond, -time.Second
 		server.mu.Unlock()
 	}
 }
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -13,99 +13,101 @@
 )
 
 const (
-	throttleSamples = 20
-	throttleSlow    = 0.6
-	throttleCut     = 0.22
-	throttleGrow    = 0.12
-	throttleLeast   = 3
-	throttleMost    = 1 << 16
-	rankPart        = 0.08
-	rankMost        = 3
+	windowSamples   = 20
+	slowShare       = 0.6
+	decreaseAbove   = 0.22
+	increaseBelow   = 0.12
+	minConcurrency  = 3
+	maxConcurrency  = 1 << 16
+	priorityReserve = 0.08
+	lowestPriority  = 3
 )
 
-// Throttle is the bound at one service.
-type Throttle struct {
+// ConcurrencyLimiter is the bound at one service.
+type ConcurrencyLimiter struct {
 	mu          sync.Mutex
 	limit       float64
-	atWork      int
+	inFlight    int
 	peak        int
 	slow, total int
 }
 
-// NewThrottle begins without a bound to speak of.
-func NewThrottle() (throttle *Throttle) { return &Throttle{limit: throttleMost} }
+// NewConcurrencyLimiter begins without a bound to speak of.
+func NewConcurrencyLimiter() (throttle *ConcurrencyLimiter) {
+	return &ConcurrencyLimiter{limit: maxConcurrency}
+}
 
-// Enter takes a place for a request of a rank, 0 being the highest.
-func (t *Throttle) Enter(rank int) (entered bool) {
+// Acquire takes a place for a request of a rank, 0 being the highest.
+func (t *ConcurrencyLimiter) Acquire(rank int) (entered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	limit := t.limit * (1 - rankPart*float64(min(max(rank, 0), rankMost)))
-	if float64(t.atWork+1) > max(limit, throttleLeast) {
+	limit := t.limit * (1 - priorityReserve*float64(min(max(rank, 0), lowestPriority)))
+	if float64(t.inFlight+1) > max(limit, minConcurrency) {
 		return false
 	}
-	t.atWork++
-	t.peak = max(t.peak, t.atWork)
+	t.inFlight++
+	t.peak = max(t.peak, t.inFlight)
 	return true
 }
 
-// Leave gives the place back.
-func (t *Throttle) Leave() {
+// Release gives the place back.
+func (t *ConcurrencyLimiter) Release() {
 	t.mu.Lock()
-	t.atWork--
+	t.inFlight--
 	t.mu.Unlock()
 }
 
-// Learn takes the time of one whole answer against its aim.
-func (t *Throttle) Learn(took, aim time.Duration) {
+// ObserveLatency takes the time of one whole answer against its aim.
+func (t *ConcurrencyLimiter) ObserveLatency(took, aim time.Duration) {
 	if aim <= 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.total++
-	if float64(took) > throttleSlow*float64(aim) {
+	if float64(took) > slowShare*float64(aim) {
 		t.slow++
 	}
-	if t.total < throttleSamples {
+	if t.total < windowSamples {
 		return
 	}
 	part := float64(t.slow) / float64(t.total)
 	switch {
-	case part > throttleCut:
-		t.limit = max(throttleLeast, min(t.limit, float64(t.peak))*0.85)
-	case part < throttleGrow && float64(t.peak) > 0.8*t.limit:
-		t.limit = min(throttleMost, t.limit*1.1+1)
+	case part > decreaseAbove:
+		t.limit = max(minConcurrency, min(t.limit, float64(t.peak))*0.85)
+	case part < increaseBelow && float64(t.peak) > 0.8*t.limit:
+		t.limit = min(maxConcurrency, t.limit*1.1+1)
 	}
-	t.total, t.slow, t.peak = 0, 0, t.atWork
+	t.total, t.slow, t.peak = 0, 0, t.inFlight
 }
 
-// throttles keeps one for each service.
-type throttles struct {
-	mu   sync.Mutex
-	held map[string]*Throttle
+// concurrencyLimiters keeps one for each service.
+type concurrencyLimiters struct {
+	mu        sync.Mutex
+	byService map[string]*ConcurrencyLimiter
 }
 
-func (t *throttles) of(service string) (throttle *Throttle) {
+func (t *concurrencyLimiters) forService(service string) (throttle *ConcurrencyLimiter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.held == nil {
-		t.held = map[string]*Throttle{}
+	if t.byService == nil {
+		t.byService = map[string]*ConcurrencyLimiter{}
 	}
-	throttle = t.held[service]
+	throttle = t.byService[service]
 	if throttle == nil {
-		throttle = NewThrottle()
-		t.held[service] = throttle
+		throttle = NewConcurrencyLimiter()
+		t.byService[service] = throttle
 	}
 	return throttle
 }
 
-// burdens tells how many requests are at work at each service.
-func (t *throttles) burdens() (burdens []rpc.Burden) {
+// loads tells how many requests are at work at each service.
+func (t *concurrencyLimiters) loads() (burdens []rpc.Burden) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for service, throttle := range t.held {
+	for service, throttle := range t.byService {
 		throttle.mu.Lock()
-		atWork := throttle.atWork
+		atWork := throttle.inFlight
 		throttle.mu.Unlock()
 		burdens = append(burdens, rpc.Burden{Service: rpc.ServiceName(service), AtWork: atWork})
 	}
--- a/internal/proxy/throttle_test.go
+++ b/internal/proxy/throttle_test.go
@@ -11,7 +11,7 @@
 // A service that can do ten requests at a time, each in 150 ms or so, is given
 // more than it can take: with the throttle most that are sent come in time.
 func TestThrottleKeepsAnswersInTime(t *testing.T) {
-	play := func(offered int, throttle *Throttle) (inTime, late, refused int) {
+	play := func(offered int, throttle *ConcurrencyLimiter) (inTime, late, refused int) {
 		luck := rand.New(rand.NewSource(1))
 		var ends []time.Duration // when each of ten slots is free
 		ends = make([]time.Duration, 10)
@@ -25,8 +25,8 @@
 					continue
 				}
 				if throttle != nil {
-					throttle.Leave()
-					throttle.Learn(j.took, 600*time.Millisecond)
+					throttle.Release()
+					throttle.ObserveLatency(j.took, 600*time.Millisecond)
 				}
 				if now > 10*time.Second {
 					if j.took <= 600*time.Millisecond {
@@ -40,7 +40,7 @@
 			if luck.Intn(1000) >= offered {
 				continue
 			}
-			if throttle != nil && !throttle.Enter(luck.Intn(3)) {
+			if throttle != nil && !throttle.Acquire(luck.Intn(3)) {
 				refused++
 				continue
 			}
@@ -56,12 +56,12 @@
 		}
 		return inTime, late, refused
 	}
-	calm, calmLate, calmRefused := play(40, NewThrottle())
+	calm, calmLate, calmRefused := play(40, NewConcurrencyLimiter())
 	if calmRefused > 0 || calmLate > calm/50 {
 		t.Fatalf("within its capacity: %d in time, %d late, %d refused", calm, calmLate, calmRefused)
 	}
 	without, lateWithout, _ := play(100, nil)
-	with, lateWith, refused := play(100, NewThrottle())
+	with, lateWith, refused := play(100, NewConcurrencyLimiter())
 	t.Logf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, refused)
 	if with < 2*without || lateWith > with/4 {
 		t.Fatalf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, refused)
@@ -69,12 +69,12 @@
 }
 
 func TestThrottleTurnsLowerRanksAwayFirst(t *testing.T) {
-	throttle := NewThrottle()
+	throttle := NewConcurrencyLimiter()
 	throttle.limit = 10
-	for throttle.Enter(2) {
+	for throttle.Acquire(2) {
 	}
-	if throttle.atWork >= 10 || !throttle.Enter(0) {
-		t.Fatalf("at %d of 10 the highest rank finds no place", throttle.atWork)
+	if throttle.inFlight >= 10 || !throttle.Acquire(0) {
+		t.Fatalf("at %d of 10 the highest rank finds no place", throttle.inFlight)
 	}
 }
 
@@ -86,27 +86,27 @@
 	servers := d.state.Snapshot().Services["s"]
 	for n := 0; n < 5; n++ {
 		for _, server := range servers {
-			server.begin(now)
-			server.end(now, time.Millisecond, Whole)
+			server.attemptStarted(now)
+			server.attemptEnded(now, time.Millisecond, Complete)
 		}
 	}
-	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].habit.watched()) != 0 {
+	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].stats.reportableBackends()) != 0 {
 		t.Fatalf("%v", tallies)
 	}
-	servers[0].begin(now)
-	servers[0].end(now, time.Millisecond, Failed)
-	servers[0].begin(now)
-	servers[0].end(now, time.Millisecond, Whole)
+	servers[0].attemptStarted(now)
+	servers[0].attemptEnded(now, time.Millisecond, ServerError)
+	servers[0].attemptStarted(now)
+	servers[0].attemptEnded(now, time.Millisecond, Complete)
 	tallies := d.state.OutcomeCounts()
 	if len(tallies) != 2 || tallies[0].Server != "i-1" || tallies[0].Bad != 1 || tallies[0].Good != 1 || tallies[1].Server != "" || tallies[1].Good != 11 || tallies[1].Bad != 1 {
 		t.Fatalf("%+v", tallies)
 	}
-	if _, told := servers[0].tell(now + tallySpan + time.Second); told || len(servers[0].habit.watched()) != 0 {
+	if _, told := servers[0].takeOutcomes(now + outcomeReportSpan + time.Second); told || len(servers[0].stats.reportableBackends()) != 0 {
 		t.Fatal("it is told for ever")
 	}
-	servers[1].note(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
-	servers[1].begin(now)
-	servers[1].end(now, time.Millisecond, Whole)
+	servers[1].update(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
+	servers[1].attemptStarted(now)
+	servers[1].attemptEnded(now, time.Millisecond, Complete)
 	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
 		t.Fatalf("%+v", tallies)
 	}
--- a/internal/proxy/verdict.go
+++ b/internal/proxy/verdict.go
@@ -12,76 +12,78 @@
 	"tinpin/internal/apierror"
 )
 
-// Line is one head line of an answer.
-type Line = [2]string
+// HeaderField is one head line of an answer.
+type HeaderField = [2]string
 
-// Verdict answers one request.
-type Verdict struct {
-	Status int
-	Lines  []Line
-	Body   []byte
-	// Length is the whole body's length; Rest brings what Body does not hold.
-	Length int64
-	Rest   io.Reader
+// Response answers one request.
+type Response struct {
+	Status  int
+	Headers []HeaderField
+	Body    []byte
+	// ContentLength is the whole body's length; Rest brings what Body does not hold.
+	ContentLength int64
+	BodyRest      io.Reader
 	// Finish is told whether Rest was read whole.
 	Finish func(whole bool)
 	// NoBody leaves the body out but tells its length, as HEAD wants it.
 	NoBody bool
 	// Close ends the stream behind the answer.
 	Close bool
-	// Keep is how long the client may leave the stream idle, where it is told.
-	Keep time.Duration
+	// KeepAlive is how long the client may leave the stream idle, where it is told.
+	KeepAlive time.Duration
 	// Chunked sends Rest in chunks, its length not being known.
 	Chunked bool
 }
 
-// Deny makes the verdict of a problem for a request id.
-func Deny(kind apierror.Kind, request string) (verdict Verdict) { return DenyFor(kind, request, 0) }
+// ErrorResponse makes the verdict of a problem for a request id.
+func ErrorResponse(kind apierror.Kind, request string) (verdict Response) {
+	return ErrorResponseAfter(kind, request, 0)
+}
 
-// DenyFor also says when to come back, where that is known better than the
+// ErrorResponseAfter also says when to come back, where that is known better than the
 // table does.
-func DenyFor(kind apierror.Kind, request string, back time.Duration) (verdict Verdict) {
+func ErrorResponseAfter(kind apierror.Kind, request string, back time.Duration) (verdict Response) {
 	answer := kind.Answer()
 	if back > 0 {
 		answer.RetryMS = int(back / time.Millisecond)
 	}
 	verdict.Status, verdict.Close = answer.Status, answer.Close
 	verdict.Body = []byte(`{"error_message":` + strconv.Quote(answer.Text) + `}`)
-	verdict.Length = int64(len(verdict.Body))
-	verdict.Lines = append(verdict.Lines, Line{"Content-Type", "application/json"})
+	verdict.ContentLength = int64(len(verdict.Body))
+	verdict.Headers = append(verdict.Headers, HeaderField{"Content-Type", "application/json"})
 	if request != "" {
-		verdict.Lines = append(verdict.Lines, Line{headRequest, request})
+		verdict.Headers = append(verdict.Headers, HeaderField{headerRequestID, request})
 	}
 	if answer.RetryMS > 0 {
-		verdict.Lines = append(verdict.Lines, Line{"Retry-After", answer.Retry()})
+		verdict.Headers = append(verdict.Headers, HeaderField{"Retry-After", answer.Retry()})
 	}
 	return verdict
 }
 
-func bodiless(status int) bool {
+func bodyForbidden(status int) bool {
 	return status < 200 || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// head writes the head of the answer.
-func (v Verdict) head(to []byte, old bool) []byte {
+// appendHead writes the head of the answer.
+func (v Response) appendHead(to []byte, old bool) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(v.Status), 10)
 	to = append(to, ' ')
 	to = append(to, http.StatusText(v.Status)...)
 	to = append(to, "\r\n"...)
-	for _, line := range v.Lines {
+	for _, line := range v.Headers {
 		to = append(to, line[0]...)
 		to = append(to, ": "...)
 		to = append(to, line[1]...)
 		to = append(to, "\r\n"...)
 	}
 	switch {
-	case bodiless(v.Status):
+	case bodyForbidden(v.Status):
 	case v.Chunked:
 		to = append(to, "Transfer-Encoding: chunked\r\n"...)
 	default:
 		to = append(to, "Content-Length: "...)
-		to = strconv.AppendInt(to, v.Length, 10)
+		to = strconv.AppendInt(to, v.ContentLength, 10)
 		to = append(to, "\r\n"...)
 	}
 	switch {
@@ -90,9 +92,9 @@
 	case old:
 		to = append(to, "Connection: keep-alive\r\n"...)
 	}
-	if !v.Close && v.Keep >= time.Second {
+	if !v.Close && v.KeepAlive >= time.Second {
 		to = append(to, "Keep-Alive: timeout="...)
-		to = strconv.AppendInt(to, int64(v.Keep/time.Second), 10)
+		to = strconv.AppendInt(to, int64(v.KeepAlive/time.Second), 10)
 		to = append(to, "\r\n"...)
 	}
 	return append(to, "\r\n"...)
@@ -100,24 +102,24 @@
 
 // Write sends the answer. Where whole is false the stream must be broken off,
 // so that the answer cannot look complete.
-func (v Verdict) Write(to io.Writer, buffer []byte, old bool) (kept []byte, whole bool) {
-	buffer = v.head(buffer[:0], old)
-	silent := v.NoBody || bodiless(v.Status)
-	if v.Rest == nil {
+func (v Response) Write(to io.Writer, buffer []byte, old bool) (kept []byte, whole bool) {
+	buffer = v.appendHead(buffer[:0], old)
+	silent := v.NoBody || bodyForbidden(v.Status)
+	if v.BodyRest == nil {
 		if !silent {
 			buffer = append(buffer, v.Body...)
 		}
 		_, err := to.Write(buffer)
 		return buffer, err == nil
 	}
-	whole = v.writeRest(to, buffer)
+	whole = v.writeBodyRest(to, buffer)
 	if v.Finish != nil {
 		v.Finish(whole)
 	}
 	return buffer, whole
 }
 
-func (v Verdict) writeRest(to io.Writer, head []byte) (whole bool) {
+func (v Response) writeBodyRest(to io.Writer, head []byte) (whole bool) {
 	if _, err := to.Write(head); err != nil {
 		return false
 	}
@@ -137,7 +139,7 @@
 	}
 	sent := int64(len(v.Body))
 	for {
-		size, readErr := v.Rest.Read(chunk)
+		size, readErr := v.BodyRest.Read(chunk)
 		if size > 0 {
 			if put(chunk[:size]) != nil {
 				return false
@@ -155,5 +157,5 @@
 		_, err := io.WriteString(to, "0\r\n\r\n")
 		return err == nil
 	}
-	return sent == v.Length
+	return sent == v.ContentLength
 }
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -27,10 +27,10 @@
 // Snapshot is one state of the world, read-only but for the servers' own marks.
 type Snapshot struct {
 	View     *config.View
-	Services map[rpc.ServiceName][]*Server
+	Services map[rpc.ServiceName][]*Backend
 	// Preferred are the backends of a service that this daemon uses first, Beyond
 	// all others; Share is how many daemons use each of the near ones.
-	Preferred, Others map[rpc.ServiceName][]*Server
+	Preferred, Others map[rpc.ServiceName][]*Backend
 	NodesPerBackend   map[rpc.ServiceName]int
 	Evacuated         map[rpc.SiteName]bool
 	Nodes             map[rpc.FellowID]rpc.Fellow
@@ -64,7 +64,7 @@
 	known        rpc.Seen
 	configured   bool
 	namedInList  map[rpc.ServerID]bool
-	servers      map[rpc.ServerID]*Server
+	servers      map[rpc.ServerID]*Backend
 	evacuations  map[rpc.SiteName]rpc.Evacuation
 	nodes        map[rpc.FellowID]rpc.Fellow
 	controllers  map[string]bool
@@ -76,16 +76,16 @@
 	leases       *quota.Shares
 	snapshot     atomic.Pointer[Snapshot]
 	leasesMu     sync.Mutex
-	stats        map[rpc.ServiceName]*Habit
+	stats        map[rpc.ServiceName]*ServiceStats
 }
 
 // NewClusterState knows nothing yet.
 func NewClusterState(p settings.Settings, log *eventlog.Logger, clock Clock) (world *ClusterState) {
 	world = &ClusterState{
-		settings: p, log: log, clock: clock, History: history.New(log), Policies: NewPolicies(clock.Now()), config: config.New(), servers: map[rpc.ServerID]*Server{},
+		settings: p, log: log, clock: clock, History: history.New(log), Policies: NewPolicies(clock.Now()), config: config.New(), servers: map[rpc.ServerID]*Backend{},
 		evacuations: map[rpc.SiteName]rpc.Evacuation{}, nodes: map[rpc.FellowID]rpc.Fellow{}, controllers: map[string]bool{},
 		assignment: healthcheck.NewWatch(rpc.FellowID(p.Name), p.SendInterval, clock.Now()),
-		outliers:   healthcheck.NewJudge(), leases: quota.NewShares(), stats: map[rpc.ServiceName]*Habit{},
+		outliers:   healthcheck.NewJudge(), leases: quota.NewShares(), stats: map[rpc.ServiceName]*ServiceStats{},
 	}
 	world.Policies.Retries = retry.NewLimiter(world.Leased)
 	world.view = world.config.View()
@@ -212,7 +212,7 @@
 		for _, server := range w.servers {
 			if server.Site == site {
 				if service := w.view.Services[string(server.Service)]; service != nil {
-					server.chill(now, service.Cold)
+					server.startWarmUp(now, service.Cold)
 				}
 			}
 		}
@@ -220,7 +220,7 @@
 	for _, state := range news.States {
 		if server := w.servers[state.Server]; server != nil && !state.Gone {
 			w.History.Note(history.Health, string(state.Server), "heard", state.Stamp(), uint64(news.Epoch), true)
-			server.note(now, nil, &state)
+			server.update(now, nil, &state)
 		}
 	}
 	for _, change := range news.Fellows {
@@ -259,15 +259,15 @@
 	w.mu.Unlock()
 	for service, habit := range habits {
 		before := len(tallies)
-		for _, server := range habit.watched() {
-			if tally, told := server.tell(now); told {
+		for _, server := range habit.reportableBackends() {
+			if tally, told := server.takeOutcomes(now); told {
 				tallies = append(tallies, tally)
 			}
 		}
 		if len(tallies) == before {
 			continue
 		}
-		good, bad := habit.tell()
+		good, bad := habit.takeCounts()
 		tallies = append(tallies, rpc.Tally{Service: service, Good: good, Bad: bad})
 	}
 	return tallies
@@ -283,10 +283,10 @@
 }
 
 // statsOf gives what is known of a service as a whole; the caller holds the lock.
-func (w *ClusterState) statsOf(service rpc.ServiceName) (habit *Habit) {
+func (w *ClusterState) statsOf(service rpc.ServiceName) (habit *ServiceStats) {
 	habit = w.stats[service]
 	if habit == nil {
-		habit = &Habit{}
+		habit = &ServiceStats{}
 		w.stats[service] = habit
 	}
 	return habit
@@ -316,7 +316,7 @@
 	w.applyListChanges(now, changes, true)
 	for i := range part.States {
 		if server := w.servers[part.States[i].Server]; server != nil {
-			server.note(now, nil, &part.States[i])
+			server.update(now, nil, &part.States[i])
 		}
 	}
 	w.known.ListAt = max(w.known.ListAt, part.At)
@@ -325,7 +325,7 @@
 	}
 	for id, server := range w.servers {
 		if !w.namedInList[id] {
-			server.sweep(now, true)
+			server.closeIdle(now, true)
 			delete(w.servers, id)
 		}
 	}
@@ -340,7 +340,7 @@
 		if change.Gone {
 			if server != nil {
 				w.History.Note(history.Backend, string(change.ID), "applied", "gone", 0, false)
-				server.sweep(now, true)
+				server.closeIdle(now, true)
 				delete(w.servers, change.ID)
 			}
 			continue
@@ -349,17 +349,17 @@
 			w.namedInList[change.ID] = true
 		}
 		if server == nil {
-			server = newServer(change.Server, rpc.RegionName(w.settings.ZoneRegions[string(change.Site)]), w.settings.Zone, w.statsOf(change.Service))
+			server = newBackend(change.Server, rpc.RegionName(w.settings.ZoneRegions[string(change.Site)]), w.settings.Zone, w.statsOf(change.Service))
 			if change.Cold > 0 {
-				server.chill(now, change.Cold)
+				server.startWarmUp(now, change.Cold)
 			}
 			w.servers[change.ID] = server
 		}
-		if stamp := change.Stamp(); server.told != stamp {
-			server.told = stamp
+		if stamp := change.Stamp(); server.lastStamp != stamp {
+			server.lastStamp = stamp
 			w.History.Note(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
 		}
-		server.note(now, &change.Server, nil)
+		server.update(now, &change.Server, nil)
 	}
 }
 
@@ -379,7 +379,7 @@
 
 // publishSnapshot builds the scene anew.
 func (w *ClusterState) publishSnapshot() {
-	scene := &Snapshot{View: w.view, Services: map[rpc.ServiceName][]*Server{}, Preferred: map[rpc.ServiceName][]*Server{}, Others: map[rpc.ServiceName][]*Server{}, Evacuated: map[rpc.SiteName]bool{}, Nodes: map[rpc.FellowID]rpc.Fellow{}, ListComplete: w.listComplete, Revision: w.known.Rev}
+	scene := &Snapshot{View: w.view, Services: map[rpc.ServiceName][]*Backend{}, Preferred: map[rpc.ServiceName][]*Backend{}, Others: map[rpc.ServiceName][]*Backend{}, Evacuated: map[rpc.SiteName]bool{}, Nodes: map[rpc.FellowID]rpc.Fellow{}, ListComplete: w.listComplete, Revision: w.known.Rev}
 	for _, server := range w.servers {
 		scene.Services[server.Service] = append(scene.Services[server.Service], server)
 	}
@@ -424,14 +424,14 @@
 // CloseIdle closes streams that lay idle too long.
 func (w *ClusterState) CloseIdle() {
 	w.mu.Lock()
-	servers := make([]*Server, 0, len(w.servers))
+	servers := make([]*Backend, 0, len(w.servers))
 	for _, server := range w.servers {
 		servers = append(servers, server)
 	}
 	w.mu.Unlock()
 	now := w.clock.Now()
 	for _, server := range servers {
-		server.sweep(now, false)
+		server.closeIdle(now, false)
 	}
 }
 
@@ -442,7 +442,7 @@
 	server := w.servers[id]
 	w.mu.Unlock()
 	if server != nil {
-		server.breakOff(but)
+		server.closeActive(but)
 	}
 }
 
@@ -531,5 +531,5 @@
 	if kind == history.Backend {
 		return server.Server.Stamp(), 0, true
 	}
-	return rpc.State{Health: server.health, Cold: max(0, server.coldTill-w.clock.Now())}.Stamp(), 0, true
+	return rpc.State{Health: server.health, Cold: max(0, server.warmUpUntil-w.clock.Now())}.Stamp(), 0, true
 }
