--- a/internal/raft/catchup_test.go
+++ b/internal/raft/catchup_test.go
@@ -45,10 +45,10 @@
 
 // behind plays 1,000 changes while one core is down, wiped or cut off, and gives
 // the ticks from its return until it has them all, votes and is known to.
-func behind(t *testing.T, seed int64, trouble string, thin bool, tail Tail) (ticks int) {
+func behind(t *testing.T, seed int64, trouble string, thin bool, tail LogTail) (ticks int) {
 	t.Helper()
 	s := newSim(seed, 3, planted{})
-	s.shape = func(r *Raft) { r.tail, r.partSize = tail, partSize }
+	s.shape = func(r *Replica) { r.tail, r.partSize = tail, partSize }
 	for _, host := range s.order {
 		s.shape(s.cores[host].raft)
 	}
@@ -124,13 +124,13 @@
 	for _, c := range []struct {
 		trouble string
 		thin    bool
-		tail    Tail
+		tail    LogTail
 		within  int
 	}{
-		{"down", false, Tail{20, 1 << 12}, 160}, {"cut", false, Tail{20, 1 << 12}, 160}, {"wiped", false, Tail{20, 1 << 12}, 160},
-		{"down", false, Tail{4000, 4 << 20}, 160}, {"cut", false, Tail{4000, 4 << 20}, 160},
-		{"down", true, Tail{20, 1 << 12}, 240}, {"cut", true, Tail{20, 1 << 12}, 240}, {"wiped", true, Tail{20, 1 << 12}, 240},
-		{"down", true, Tail{4000, 4 << 20}, 400}, {"cut", true, Tail{4000, 4 << 20}, 400},
+		{"down", false, LogTail{20, 1 << 12}, 160}, {"cut", false, LogTail{20, 1 << 12}, 160}, {"wiped", false, LogTail{20, 1 << 12}, 160},
+		{"down", false, LogTail{4000, 4 << 20}, 160}, {"cut", false, LogTail{4000, 4 << 20}, 160},
+		{"down", true, LogTail{20, 1 << 12}, 240}, {"cut", true, LogTail{20, 1 << 12}, 240}, {"wiped", true, LogTail{20, 1 << 12}, 240},
+		{"down", true, LogTail{4000, 4 << 20}, 400}, {"cut", true, LogTail{4000, 4 << 20}, 400},
 	} {
 		t.Run(fmt.Sprintf("%s thin %v tail %d", c.trouble, c.thin, c.tail.Entries), func(t *testing.T) {
 			most := 0
--- a/internal/raft/check.go
+++ b/internal/raft/check.go
@@ -10,36 +10,36 @@
 )
 
 // impossible tells why a message cannot be, or nothing.
-func (r *Raft) impossible(m *Message) (why string) {
+func (r *Replica) impossible(m *Message) (why string) {
 	switch {
-	case m.Kind < AskPreVote || m.Kind > TellPart:
+	case m.Kind < MsgPreVote || m.Kind > MsgSnapshotChunkResponse:
 		return "unknown kind"
 	case m.From == "" || m.From == r.id:
 		return "impossible sender"
-	case m.Term == 0 || m.Term > mostTerm || m.LogTerm > m.Term && m.Kind != TellAppend:
+	case m.Term == 0 || m.Term > mostTerm || m.LogTerm > m.Term && m.Kind != MsgAppendResponse:
 		return "impossible term"
 	case m.Index > mostIndex || m.Commit > mostIndex || m.Hint > mostIndex:
 		return "impossible index"
-	case len(m.Entries) > 0 && m.Kind != Append || (m.Snapshot != nil) != (m.Kind == Install) || (m.Part != nil) != (m.Kind == InstallPart):
+	case len(m.Entries) > 0 && m.Kind != MsgAppend || (m.Snapshot != nil) != (m.Kind == MsgSnapshot) || (m.Part != nil) != (m.Kind == MsgSnapshotChunk):
 		return "content of another kind"
 	}
 	switch m.Kind {
-	case AskPreVote, AskVote:
+	case MsgPreVote, MsgVote:
 		if (m.Index == 0) != (m.LogTerm == 0) {
 			return "impossible end of a log"
 		}
-	case Append:
+	case MsgAppend:
 		return r.impossibleAppend(m)
-	case Install:
+	case MsgSnapshot:
 		return r.impossibleSnapshot(m, place{m.Snapshot.Index, m.Snapshot.Term}, m.Snapshot.Members)
-	case InstallPart:
+	case MsgSnapshotChunk:
 		part := m.Part
 		if part.Total > mostSnapshot || part.Offset > part.Total || uint64(len(part.Data)) > part.Total-part.Offset {
 			return "part lies outside its snapshot"
 		}
 		return r.impossibleSnapshot(m, place{part.Index, part.Term}, part.Members)
-	case TellAppend, TellHeard, TellPart:
-		if r.role == Leader && m.Term == r.hard.Term && (m.Round > r.round || m.Kind == TellAppend && !m.Reject && m.Index > r.lastIndex()) {
+	case MsgAppendResponse, MsgHeartbeatResponse, MsgSnapshotChunkResponse:
+		if r.role == Leader && m.Term == r.hard.Term && (m.Round > r.round || m.Kind == MsgAppendResponse && !m.Reject && m.Index > r.lastIndex()) {
 			return "answer to what was not sent"
 		}
 	}
@@ -47,11 +47,11 @@
 }
 
 // rival tells that another is known to lead the message's term.
-func (r *Raft) rival(m *Message) bool {
+func (r *Replica) rival(m *Message) bool {
 	return m.Term == r.hard.Term && r.leader != "" && r.leader != m.From
 }
 
-func (r *Raft) impossibleAppend(m *Message) (why string) {
+func (r *Replica) impossibleAppend(m *Message) (why string) {
 	switch {
 	case r.rival(m):
 		return "two leaders in a term"
@@ -78,7 +78,7 @@
 	return ""
 }
 
-func (r *Raft) impossibleSnapshot(m *Message, end place, members []Member) (why string) {
+func (r *Replica) impossibleSnapshot(m *Message, end place, members []Member) (why string) {
 	switch {
 	case r.rival(m):
 		return "two leaders in a term"
@@ -92,7 +92,7 @@
 
 // undoes tells that another term is claimed for a committed place than the one it
 // has.
-func (r *Raft) undoes(index Index, term Term) bool {
+func (r *Replica) undoes(index Index, term Term) bool {
 	return index > 0 && index <= r.commit && index >= r.start.index && r.termAt(index) != term
 }
 
--- a/internal/raft/check_test.go
+++ b/internal/raft/check_test.go
@@ -17,35 +17,35 @@
 
 func TestImpossibleMessagesAreRefusedAndChangeNothing(t *testing.T) {
 	good := Snapshot{Index: 20, Term: 3, Members: trio}
-	part := Part{Index: 20, Term: 3, Members: trio, Total: 4, Data: []byte("data")}
-	with := func(change func(p *Part)) *Part { p := part; change(&p); return &p }
+	part := SnapshotChunk{Index: 20, Term: 3, Members: trio, Total: 4, Data: []byte("data")}
+	with := func(change func(p *SnapshotChunk)) *SnapshotChunk { p := part; change(&p); return &p }
 	cases := map[string]Message{
-		"no kind": {}, "unknown kind": {Kind: TellPart + 1}, "no sender": {Kind: Append, From: "-", Index: 5, LogTerm: 2}, "itself": {Kind: Append, From: "b", Index: 5, LogTerm: 2},
-		"a term beyond all": {Kind: AskVote, Term: 1 << 60, Index: 9, LogTerm: 3}, "an index beyond all": {Kind: Append, Index: 1 << 60, LogTerm: 2},
-		"a hint beyond all": {Kind: TellPreVote, Hint: 1 << 60}, "a log's term above its own": {Kind: Append, Index: 10, LogTerm: 4},
-		"index 0 with entries": {Kind: Append, Entries: run(1, 2, 2)}, "index without term": {Kind: Append, Index: 5}, "term without index": {Kind: Append, LogTerm: 2},
-		"a gap": {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{entry(11, 3), entry(13, 3)}}, "not behind its index": {Kind: Append, Index: 10, LogTerm: 2, Entries: run(12, 13, 3)},
-		"terms going down": {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{entry(11, 3), entry(12, 2)}}, "an entry's term above its own": {Kind: Append, Index: 10, LogTerm: 2, Entries: run(11, 11, 4)},
-		"an entry below the term before it": {Kind: Append, Index: 10, LogTerm: 2, Entries: run(11, 11, 1)},
-		"a member without id":               {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: []Member{{Voter: true}}}}},
-		"a member twice":                    {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: append(trio[:2:2], trio[0])}}},
-		"nobody votes":                      {Kind: Append, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: []Member{{ID: "a"}}}}},
-		"another committed entry":           {Kind: Append, Index: 4, LogTerm: 2, Entries: run(5, 6, 3)}, "another committed place": {Kind: Append, Index: 5, LogTerm: 1},
-		"a second leader":    {Kind: Append, From: "c", Index: 10, LogTerm: 2},
-		"entries in a vote":  {Kind: AskVote, Term: 4, Index: 10, LogTerm: 2, Entries: run(2, 3, 2)},
-		"install of nothing": {Kind: Install}, "a snapshot in an append": {Kind: Append, Index: 5, LogTerm: 2, Snapshot: &good},
-		"a snapshot without members": {Kind: Install, Snapshot: &Snapshot{Index: 20, Term: 3}}, "a snapshot of place 0": {Kind: Install, Snapshot: &Snapshot{Term: 3, Members: trio}},
-		"a snapshot of a later term":    {Kind: Install, Snapshot: &Snapshot{Index: 20, Term: 4, Members: trio}},
-		"a snapshot that goes back":     {Kind: Install, Snapshot: &Snapshot{Index: 20, Term: 1, Members: trio}},
-		"a part without members":        {Kind: InstallPart, Part: with(func(p *Part) { p.Members = nil })},
-		"a part beyond its end":         {Kind: InstallPart, Part: with(func(p *Part) { p.Offset = 2 })},
-		"a part of too much":            {Kind: InstallPart, Part: with(func(p *Part) { p.Total = mostSnapshot + 1 })},
-		"a part with a wrong checksum":  {Kind: InstallPart, Part: &part},
-		"a part and a snapshot at once": {Kind: InstallPart, Part: &part, Snapshot: &good},
+		"no kind": {}, "unknown kind": {Kind: MsgSnapshotChunkResponse + 1}, "no sender": {Kind: MsgAppend, From: "-", Index: 5, LogTerm: 2}, "itself": {Kind: MsgAppend, From: "b", Index: 5, LogTerm: 2},
+		"a term beyond all": {Kind: MsgVote, Term: 1 << 60, Index: 9, LogTerm: 3}, "an index beyond all": {Kind: MsgAppend, Index: 1 << 60, LogTerm: 2},
+		"a hint beyond all": {Kind: MsgPreVoteResponse, Hint: 1 << 60}, "a log's term above its own": {Kind: MsgAppend, Index: 10, LogTerm: 4},
+		"index 0 with entries": {Kind: MsgAppend, Entries: run(1, 2, 2)}, "index without term": {Kind: MsgAppend, Index: 5}, "term without index": {Kind: MsgAppend, LogTerm: 2},
+		"a gap": {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: []Entry{entry(11, 3), entry(13, 3)}}, "not behind its index": {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: run(12, 13, 3)},
+		"terms going down": {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: []Entry{entry(11, 3), entry(12, 2)}}, "an entry's term above its own": {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: run(11, 11, 4)},
+		"an entry below the term before it": {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: run(11, 11, 1)},
+		"a member without id":               {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: []Member{{Voter: true}}}}},
+		"a member twice":                    {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: append(trio[:2:2], trio[0])}}},
+		"nobody votes":                      {Kind: MsgAppend, Index: 10, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 11, Members: []Member{{ID: "a"}}}}},
+		"another committed entry":           {Kind: MsgAppend, Index: 4, LogTerm: 2, Entries: run(5, 6, 3)}, "another committed place": {Kind: MsgAppend, Index: 5, LogTerm: 1},
+		"a second leader":    {Kind: MsgAppend, From: "c", Index: 10, LogTerm: 2},
+		"entries in a vote":  {Kind: MsgVote, Term: 4, Index: 10, LogTerm: 2, Entries: run(2, 3, 2)},
+		"install of nothing": {Kind: MsgSnapshot}, "a snapshot in an append": {Kind: MsgAppend, Index: 5, LogTerm: 2, Snapshot: &good},
+		"a snapshot without members": {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 3}}, "a snapshot of place 0": {Kind: MsgSnapshot, Snapshot: &Snapshot{Term: 3, Members: trio}},
+		"a snapshot of a later term":    {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 4, Members: trio}},
+		"a snapshot that goes back":     {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 1, Members: trio}},
+		"a part without members":        {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Members = nil })},
+		"a part beyond its end":         {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Offset = 2 })},
+		"a part of too much":            {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Total = mostSnapshot + 1 })},
+		"a part with a wrong checksum":  {Kind: MsgSnapshotChunk, Part: &part},
+		"a part and a snapshot at once": {Kind: MsgSnapshotChunk, Part: &part, Snapshot: &good},
 	}
 	for name, m := range cases {
-		b := newBench(t, "b", Hard{Term: 3}, run(2, 10, 2)...)
-		b.step(Message{Kind: Append, Term: 3, Index: 10, LogTerm: 2, Commit: 7})
+		b := newBench(t, "b", HardState{Term: 3}, run(2, 10, 2)...)
+		b.step(Message{Kind: MsgAppend, Term: 3, Index: 10, LogTerm: 2, Commit: 7})
 		before := b.mark()
 		m.To = "b"
 		switch m.From {
@@ -58,25 +58,25 @@
 			m.Term = 3
 		}
 		out := b.raft.Step(m)
-		if len(out.Refused) != 1 || len(out.Send)+len(out.Writes)+len(out.Apply) != 0 || out.Restore != nil {
+		if len(out.Rejected) != 1 || len(out.Messages)+len(out.Writes)+len(out.Committed) != 0 || out.Restore != nil {
 			t.Errorf("%s: %+v", name, out)
 		}
 		if after := b.mark(); after != before {
 			t.Errorf("%s changed\n%s\n%s", name, before, after)
 		}
 	}
-	b := newBench(t, "b", Hard{Term: 3}, run(2, 10, 2)...)
-	if out := b.raft.Step(Message{Kind: Append, From: "a", To: "b"}); len(out.Refused) != 1 {
+	b := newBench(t, "b", HardState{Term: 3}, run(2, 10, 2)...)
+	if out := b.raft.Step(Message{Kind: MsgAppend, From: "a", To: "b"}); len(out.Rejected) != 1 {
 		t.Errorf("a message without a term: %+v", out)
 	}
 	// A leader hears of no entry that it has not, nor of a round to come, nor of
 	// another leader in its term.
 	b.elect()
 	b.told = nil
-	for _, m := range []Message{{Kind: TellAppend, Index: 99}, {Kind: TellAppend, Index: 5, Round: 99}, {Kind: TellHeard, Round: 99}, {Kind: Append, Index: 5, LogTerm: 2}} {
+	for _, m := range []Message{{Kind: MsgAppendResponse, Index: 99}, {Kind: MsgAppendResponse, Index: 5, Round: 99}, {Kind: MsgHeartbeatResponse, Round: 99}, {Kind: MsgAppend, Index: 5, LogTerm: 2}} {
 		before := b.mark()
 		m.From, m.To, m.Term = "c", "b", b.raft.Term()
-		if out := b.raft.Step(m); len(out.Refused) != 1 || b.mark() != before {
+		if out := b.raft.Step(m); len(out.Rejected) != 1 || b.mark() != before {
 			t.Errorf("%+v: %+v", m, out)
 		}
 	}
@@ -92,7 +92,7 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := newBench(t, "b", Hard{Term: 2}, run(2, 6, 2)...)
+		b := newBench(t, "b", HardState{Term: 2}, run(2, 6, 2)...)
 		next := func() (value int) {
 			if len(data) > 0 {
 				value, data = int(data[0]), data[1:]
@@ -102,29 +102,29 @@
 		committed := map[Index]Term{}
 		for len(data) > 0 {
 			m := Message{
-				Kind: Kind(next() % 13), From: trio[next()%3].ID, To: "b", Term: b.raft.Term() + Term(next()%4) - 1,
+				Kind: MessageKind(next() % 13), From: trio[next()%3].ID, To: "b", Term: b.raft.Term() + Term(next()%4) - 1,
 				Index: Index(next() % 12), LogTerm: Term(next() % 6), Commit: Index(next() % 12), Hint: Index(next() % 12),
 				Reject: next()%2 == 0, Round: uint64(next() % 4),
 			}
-			if m.Kind == Append && next()%4 > 0 {
+			if m.Kind == MsgAppend && next()%4 > 0 {
 				m.LogTerm = b.raft.termAt(m.Index)
 			}
 			for i, count := 0, next()%4; i < count; i++ {
 				m.Entries = append(m.Entries, Entry{Term: Term(next() % 6), Index: m.Index + Index(i+next()%9/8) + 1})
 			}
 			end := place{Index(next() % 16), Term(next() % 6)}
-			if m.Kind == Install || next()%16 == 0 {
+			if m.Kind == MsgSnapshot || next()%16 == 0 {
 				m.Snapshot = &Snapshot{Index: end.index, Term: end.term, Members: trio[:next()%4]}
 			}
-			if m.Kind == InstallPart || next()%16 == 0 {
+			if m.Kind == MsgSnapshotChunk || next()%16 == 0 {
 				whole := bytes.Repeat([]byte{byte(end.index)}, 8)
 				offset := next() % 9
-				m.Part = &Part{Index: end.index, Term: end.term, Members: trio[:next()%4], Total: 8, Offset: uint64(offset), Whole: checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
+				m.Part = &SnapshotChunk{Index: end.index, Term: end.term, Members: trio[:next()%4], Total: 8, Offset: uint64(offset), Whole: checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
 				m.Part.Sum = m.Part.sum()
 			}
 			before := b.mark()
 			out := b.raft.Step(m)
-			if len(out.Refused) > 0 && m.Kind != InstallPart && b.mark() != before {
+			if len(out.Rejected) > 0 && m.Kind != MsgSnapshotChunk && b.mark() != before {
 				t.Fatalf("%+v was refused and changed\n%s\n%s", m, before, b.mark())
 			}
 			b.take(out)
--- a/internal/raft/contact.go
+++ b/internal/raft/contact.go
@@ -23,11 +23,11 @@
 	hintElections = 2
 )
 
-// Lease is for how many ticks a round that was answered proves leadership.
-func (p Pace) Lease() (ticks int) { return max(0, p.Election-shortTicks) }
+// LeaseTicks is for how many ticks a round that was answered proves leadership.
+func (p Timing) LeaseTicks() (ticks int) { return max(0, p.ElectionTicks-shortTicks) }
 
 // At gives the machine the steady time of its driver, for what it does next.
-func (r *Raft) At(now time.Duration) (same *Raft) {
+func (r *Replica) At(now time.Duration) (same *Replica) {
 	r.now = now
 	if !r.timed {
 		r.born, r.timed = now, true
@@ -35,14 +35,14 @@
 	return r
 }
 
-func (r *Raft) beginRound() {
+func (r *Replica) beginRound() {
 	r.round++
 	r.sent[r.round%roundsKept] = r.now
 }
 
-// Contact tells when the newest round went out that a majority of the voters
+// LastQuorumContact tells when the newest round went out that a majority of the voters
 // has answered in this term; the leader itself counts if it votes.
-func (r *Raft) Contact() (sent time.Duration, known bool) {
+func (r *Replica) LastQuorumContact() (sent time.Duration, known bool) {
 	if r.role != Leader || r.yielded {
 		return 0, false
 	}
@@ -72,11 +72,11 @@
 
 // bound tells that this core may not help another to lead yet: it leads, or it
 // heard a leader, or it has started and may have heard one before.
-func (r *Raft) bound() bool { return r.role == Leader || r.silence < r.pace.Election }
+func (r *Replica) bound() bool { return r.role == Leader || r.silence < r.pace.ElectionTicks }
 
 // heardRound is the round that may be told as heard: none before the term is on
 // disk, as a core that has forgotten the term would not know that it is bound.
-func (r *Raft) heardRound(round uint64) (heard uint64) {
+func (r *Replica) heardRound(round uint64) (heard uint64) {
 	if r.done < r.hardAt {
 		return 0
 	}
@@ -87,16 +87,16 @@
 // tellHeard tells at once that a round was heard, where the answer to what came
 // with it waits for the disk and the round's beat has not been answered yet. It
 // tells no match.
-func (r *Raft) tellHeard(to ID, round uint64) {
+func (r *Replica) tellHeard(to ID, round uint64) {
 	if round <= r.told {
 		return
 	}
 	if heard := r.heardRound(round); heard > 0 {
-		r.send(Message{Kind: TellHeard, To: to, Round: heard})
+		r.send(Message{Kind: MsgHeartbeatResponse, To: to, Round: heard})
 	}
 }
 
-func (r *Raft) takeHeard(m Message) {
+func (r *Replica) takeHeard(m Message) {
 	if p := r.peers[m.From]; r.role == Leader && p != nil {
 		p.heard = 0
 		p.ackRound = max(p.ackRound, m.Round)
@@ -119,14 +119,14 @@
 // leaseNow is the lease that the agreement gives now; a leader that has not
 // committed in its own term has none.
 func (n *Node) leaseNow() (term Term, until time.Duration) {
-	if !n.raft.Settled() {
+	if !n.raft.CommittedInTerm() {
 		return 0, 0
 	}
-	sent, known := n.raft.Contact()
+	sent, known := n.raft.LastQuorumContact()
 	if !known {
 		return n.raft.Term(), 0
 	}
-	return n.raft.Term(), sent + time.Duration(n.raft.pace.Lease())*tickSpan
+	return n.raft.Term(), sent + time.Duration(n.raft.pace.LeaseTicks())*tickInterval
 }
 
 // endLease takes back what does not hold any more; it comes before anything is
--- a/internal/raft/contact_test.go
+++ b/internal/raft/contact_test.go
@@ -29,8 +29,8 @@
 type contactCore struct {
 	id     ID
 	up     bool
-	raft   *Raft
-	hard   Hard
+	raft   *Replica
+	hard   HardState
 	log    []Entry
 	queue  []contactWrite
 	inbox  []Message
@@ -79,7 +79,7 @@
 func (m *contactModel) at() time.Duration { return time.Duration(m.now) * time.Millisecond }
 
 func (m *contactModel) start(core *contactCore) {
-	core.raft = NewRaft(core.id, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
+	core.raft = New(core.id, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
 	if m.fault.forgets {
 		core.raft.silence, core.raft.timeout = electTicks, 2
 	}
@@ -97,8 +97,8 @@
 }
 
 func (c *contactCore) keep(write Write) {
-	if write.Hard != nil {
-		c.hard = *write.Hard
+	if write.HardState != nil {
+		c.hard = *write.HardState
 	}
 	if len(write.Entries) > 0 {
 		c.log = append(c.log[:write.Entries[0].Index-2:write.Entries[0].Index-2], write.Entries...)
@@ -109,26 +109,26 @@
 	for _, write := range out.Writes {
 		core.queue = append(core.queue, contactWrite{write, m.now + 1 + m.luck.Intn(4) + core.slow})
 	}
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		m.post(message)
 	}
 	if core.raft.Role() == Leader {
 		m.won = max(m.won, core.raft.Term())
 	}
 	core.lease = lease{}
-	if !core.raft.Settled() {
+	if !core.raft.CommittedInTerm() {
 		return
 	}
 	yielded := core.raft.yielded
 	core.raft.yielded = yielded && !m.fault.keeps
-	sent, known := core.raft.Contact()
+	sent, known := core.raft.LastQuorumContact()
 	core.raft.yielded = yielded
 	if known {
-		span := core.raft.pace.Lease()
+		span := core.raft.pace.LeaseTicks()
 		if m.fault.long {
 			span = electTicks
 		}
-		core.lease = lease{term: core.raft.Term(), until: sent + time.Duration(span)*tickSpan}
+		core.lease = lease{term: core.raft.Term(), until: sent + time.Duration(span)*tickInterval}
 	}
 }
 
@@ -191,10 +191,10 @@
 		write := core.queue[0].write
 		core.queue = core.queue[1:]
 		core.keep(write)
-		for _, message := range write.After {
+		for _, message := range write.AfterSync {
 			m.post(message)
 		}
-		m.carry(core, core.raft.At(m.at()).Synced(1))
+		m.carry(core, core.raft.At(m.at()).ReportSynced(1))
 	}
 	for core.ticked || len(core.inbox) > 0 {
 		if core.ticked && (len(core.inbox) == 0 || m.luck.Intn(2) == 0) {
@@ -204,7 +204,7 @@
 		}
 		message := core.inbox[0]
 		core.inbox = core.inbox[1:]
-		if m.fault.receipt && message.Kind >= TellAppend && message.Round > 0 && core.raft.Role() == Leader {
+		if m.fault.receipt && message.Kind >= MsgAppendResponse && message.Round > 0 && core.raft.Role() == Leader {
 			core.raft.sent[message.Round%roundsKept] = m.at()
 		}
 		m.carry(core, core.raft.At(m.at()).Step(message))
@@ -261,7 +261,7 @@
 		}
 	case 10:
 		if core.up && m.now >= core.held {
-			m.carry(core, core.raft.At(m.at()).Resign())
+			m.carry(core, core.raft.At(m.at()).TransferLeadership())
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	if voters := core.raft.voters(); next[at].ID == core.id || voters <= 2 && !next[at].Voter {
 		return
 	}
-	if accepted, out := core.raft.At(m.at()).Change(next); accepted {
+	if accepted, out := core.raft.At(m.at()).ProposeMembers(next); accepted {
 		m.carry(core, out)
 	}
 }
@@ -381,7 +381,7 @@
 // A calm group answers all the time, and a leader that is cut off, either way,
 // stops within the lease and before another answers.
 func TestALeaderThatIsCutOffStopsAnswering(t *testing.T) {
-	span := int(Pace{beatTicks, electTicks}.Lease() * 25)
+	span := int(Timing{beatTicks, electTicks}.LeaseTicks() * 25)
 	for name, ways := range map[string][2]bool{"both ways": {true, true}, "hears nothing": {true, false}, "says nothing": {false, true}} {
 		longest, gap, gaps := 0, 0, 0
 		for seed := int64(1); seed <= 200; seed++ {
@@ -416,7 +416,7 @@
 	m.until(3000, func() bool { return m.leader() != nil })
 	m.until(100, func() bool { return false })
 	old := m.leader()
-	m.carry(old, old.raft.At(m.at()).Resign())
+	m.carry(old, old.raft.At(m.at()).TransferLeadership())
 	if !old.raft.yielded || old.lease.until != 0 {
 		t.Fatal("a leader that has told another to stand still answers")
 	}
@@ -438,15 +438,15 @@
 func TestARoundIsHeardBeforeTheDisk(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}}
 	base := Snapshot{Index: 1, Term: 1, Members: members}
-	raft := NewRaft("b", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{Term: 2}, base, nil)
-	entry := Message{Kind: Append, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 2, Index: 2}}, Round: 9}
+	raft := New("b", Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{Term: 2}, base, nil)
+	entry := Message{Kind: MsgAppend, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 2, Index: 2}}, Round: 9}
 	out := raft.Step(entry)
-	if len(out.Send) != 1 || out.Send[0].Kind != TellHeard || out.Send[0].Round != 9 || out.Send[0].Index != 0 {
-		t.Fatalf("sent %+v", out.Send)
+	if len(out.Messages) != 1 || out.Messages[0].Kind != MsgHeartbeatResponse || out.Messages[0].Round != 9 || out.Messages[0].Index != 0 {
+		t.Fatalf("sent %+v", out.Messages)
 	}
 	// In a term that the disk does not have yet, nothing is told as heard.
 	entry.Term, entry.Entries = 3, nil
-	for _, message := range raft.Step(entry).Send {
+	for _, message := range raft.Step(entry).Messages {
 		if message.Round != 0 {
 			t.Fatalf("sent %+v before the term is on disk", message)
 		}
@@ -456,7 +456,7 @@
 // Contact is with the voters alone, the leader among them only if it votes.
 func TestContactCountsVoters(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}, {ID: "l"}}
-	raft := &Raft{id: "a", pace: Pace{beatTicks, electTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
+	raft := &Replica{id: "a", pace: Timing{beatTicks, electTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
 	for round := range 5 {
 		raft.At(time.Duration(round) * time.Second).beginRound()
 	}
@@ -468,7 +468,7 @@
 	}{{0, 0, 5, true, 0, false}, {3, 0, 5, true, 2 * time.Second, true}, {3, 4, 5, true, 3 * time.Second, true}, {3, 0, 5, false, 0, false}, {3, 4, 5, false, 2 * time.Second, true}, {6, 6, 0, true, 0, false}} {
 		raft.peers["b"].ackRound, raft.peers["c"].ackRound, raft.peers["l"].ackRound = c.b, c.c, c.l
 		members[0].Voter = c.votes
-		if sent, known := raft.Contact(); sent != c.sent || known != c.known {
+		if sent, known := raft.LastQuorumContact(); sent != c.sent || known != c.known {
 			t.Errorf("%+v: %v, %v", c, sent, known)
 		}
 	}
@@ -507,7 +507,7 @@
 	if _, _, _, leader, _ := n.Standing(); leader.ID != "a" {
 		t.Fatalf("named %+v", leader)
 	}
-	n.heard -= hintElections * electTicks * tickSpan
+	n.heard -= hintElections * electTicks * tickInterval
 	if _, _, _, leader, _ := n.Standing(); leader.ID != "" {
 		t.Fatalf("named %+v", leader)
 	}
@@ -519,8 +519,8 @@
 	n := wishing(t, 3)
 	term := n.raft.Term()
 	tell := func() {
-		n.carry(n.raft.At(n.Now()).Synced(int(n.raft.issued - n.raft.done)))
-		n.carry(n.raft.At(n.Now()).Step(Message{Kind: TellAppend, From: "b", To: "a", Term: term, Index: n.raft.Last(), Round: n.raft.round}))
+		n.carry(n.raft.At(n.Now()).ReportSynced(int(n.raft.issued - n.raft.done)))
+		n.carry(n.raft.At(n.Now()).Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: term, Index: n.raft.LastIndex(), Round: n.raft.round}))
 	}
 	// So that nothing here depends on how fast this machine is, rounds go out in the
 	// hour to come but where a freeze is played.
@@ -531,7 +531,7 @@
 	if n.InContact(term, 0) {
 		t.Fatal("a leader that has committed nothing in its term answers")
 	}
-	if ahead(); !n.InContact(term, 0) || !n.raft.Settled() {
+	if ahead(); !n.InContact(term, 0) || !n.raft.CommittedInTerm() {
 		t.Fatal("a leader that was answered does not answer")
 	}
 	n.birth = n.birth.Add(-2 * time.Hour)
@@ -547,7 +547,7 @@
 	if ahead(); !n.InContact(term, 0) {
 		t.Fatal("after a new round it does not answer")
 	}
-	n.carry(n.raft.At(n.Now()).Resign())
+	n.carry(n.raft.At(n.Now()).TransferLeadership())
 	if n.raft.transfer != "b" || n.InContact(term, 0) {
 		t.Fatal("a leader that hands over answers")
 	}
@@ -561,9 +561,9 @@
 func TestWhoIsCutOffPartsWithNobody(t *testing.T) {
 	n := wishing(t, 3)
 	n.tells, n.joiners, n.refused = make(chan func(), 8), map[ID]joiner{}, map[ID]int{}
-	n.carry(n.raft.At(n.Now() + time.Hour).Synced(int(n.raft.issued - n.raft.done)))
+	n.carry(n.raft.At(n.Now() + time.Hour).ReportSynced(int(n.raft.issued - n.raft.done)))
 	n.raft.beginRound()
-	n.carry(n.raft.Step(Message{Kind: TellAppend, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.Last(), Round: n.raft.round}))
+	n.carry(n.raft.Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.LastIndex(), Round: n.raft.round}))
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
--- a/internal/raft/courier.go
+++ b/internal/raft/courier.go
@@ -125,7 +125,7 @@
 		return
 	}
 	select {
-	case n.tells <- func() { n.carry(n.raft.Lost(message.To)) }:
+	case n.tells <- func() { n.carry(n.raft.ReportLost(message.To)) }:
 	default:
 	}
 }
--- a/internal/raft/courier_test.go
+++ b/internal/raft/courier_test.go
@@ -12,12 +12,12 @@
 		message Message
 		bulk    bool
 	}{
-		{Message{Kind: Append, To: "b"}, false},
-		{Message{Kind: Append, To: "b", Entries: run(2, 3, 1)}, true},
-		{Message{Kind: InstallPart, To: "b", Part: &Part{}}, true},
-		{Message{Kind: Install, To: "b", Snapshot: &Snapshot{}}, true},
-		{Message{Kind: TellPart, To: "b"}, false},
-		{Message{Kind: AskVote, To: "b"}, false},
+		{Message{Kind: MsgAppend, To: "b"}, false},
+		{Message{Kind: MsgAppend, To: "b", Entries: run(2, 3, 1)}, true},
+		{Message{Kind: MsgSnapshotChunk, To: "b", Part: &SnapshotChunk{}}, true},
+		{Message{Kind: MsgSnapshot, To: "b", Snapshot: &Snapshot{}}, true},
+		{Message{Kind: MsgSnapshotChunkResponse, To: "b"}, false},
+		{Message{Kind: MsgVote, To: "b"}, false},
 	} {
 		if got := laneOf(c.message); got != (lane{"b", c.bulk}) {
 			t.Errorf("kind %d goes over %v", c.message.Kind, got)
@@ -28,7 +28,7 @@
 func TestACallCarriesNoMoreThanPassesInItsTime(t *testing.T) {
 	s := &sender{ring: make(chan Message, 512)}
 	for i := 0; i < 100; i++ {
-		s.ring <- Message{Kind: Append, Entries: []Entry{{Data: make([]byte, 3000)}}}
+		s.ring <- Message{Kind: MsgAppend, Entries: []Entry{{Data: make([]byte, 3000)}}}
 	}
 	left, calls := 100, 0
 	var kept *Message
@@ -58,8 +58,8 @@
 		t.Fatal("a call's time is a floor and what its size needs")
 	}
 	// One message that is larger than a call goes alone.
-	s.ring <- Message{Kind: Append}
-	if messages, next, _, open := s.gather(Message{Part: &Part{Data: make([]byte, callBytes)}}); len(messages) != 1 || next == nil || !open {
+	s.ring <- Message{Kind: MsgAppend}
+	if messages, next, _, open := s.gather(Message{Part: &SnapshotChunk{Data: make([]byte, callBytes)}}); len(messages) != 1 || next == nil || !open {
 		t.Fatalf("%d messages with a large one", len(messages))
 	}
 }
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -32,7 +32,7 @@
 			}
 			n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
 			select {
-			case n.tells <- func() { n.carry(n.raft.Resign()) }:
+			case n.tells <- func() { n.carry(n.raft.TransferLeadership()) }:
 			default:
 			}
 			if pause > time.Second {
@@ -41,7 +41,7 @@
 			time.Sleep(pause)
 		}
 		for _, write := range writes {
-			for _, message := range write.After {
+			for _, message := range write.AfterSync {
 				n.post(message)
 			}
 		}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,17 +2,17 @@
 // that has the whole log.
 package raft
 
-func (r *Raft) campaign(pre, force bool) {
+func (r *Replica) campaign(pre, force bool) {
 	r.role, r.leader, r.pre = Candidate, "", pre
 	r.askLater()
 	r.votes = map[ID]bool{r.id: true}
 	term := r.hard.Term + 1
-	kind := AskPreVote
+	kind := MsgPreVote
 	if pre {
 		r.beginAsking()
 	} else {
-		kind = AskVote
-		r.hard = Hard{Term: term, Vote: r.id}
+		kind = MsgVote
+		r.hard = HardState{Term: term, Vote: r.id}
 	}
 	lives := r.lives()
 	var asks []Message
@@ -32,7 +32,7 @@
 		}
 	} else {
 		hard := r.hard
-		r.write(Write{Hard: &hard, After: asks})
+		r.write(Write{HardState: &hard, AfterSync: asks})
 	}
 	r.countVotes()
 }
@@ -40,7 +40,7 @@
 // askLater sets when this core asks again. Where no leader was known since the
 // start that is soon, as others that have started a moment later may say no now;
 // but a vote gets its time, since terms and disks are used up by it.
-func (r *Raft) askLater() {
+func (r *Replica) askLater() {
 	r.resetTimer()
 	if r.fresh && r.pre {
 		r.timeout = r.soon()
@@ -49,7 +49,7 @@
 
 // standBack leaves the vote to another that asks at the same time and is as good:
 // of two that stand, neither would win. One that stands already goes on.
-func (r *Raft) standBack() {
+func (r *Replica) standBack() {
 	if !r.pre {
 		return
 	}
@@ -57,7 +57,7 @@
 	r.role, r.votes, r.pre = Follower, nil, false
 }
 
-func (r *Raft) countVotes() {
+func (r *Replica) countVotes() {
 	yes := 0
 	for id, granted := range r.votes {
 		if granted && r.voter(id) {
@@ -78,7 +78,7 @@
 	r.lead()
 }
 
-func (r *Raft) lead() {
+func (r *Replica) lead() {
 	r.role, r.leader, r.transfer, r.yielded, r.fresh = Leader, r.id, "", false, false
 	r.elapsed, r.quorumAt, r.lag = 0, 0, 0
 	r.peers = map[ID]*progress{}
@@ -87,8 +87,8 @@
 	r.push(Entry{})
 }
 
-// HandOver asks the best caught-up voter to take the leadership.
-func (r *Raft) HandOver() {
+// startTransfer asks the best caught-up voter to take the leadership.
+func (r *Replica) startTransfer() {
 	if r.role != Leader {
 		return
 	}
@@ -96,7 +96,7 @@
 	var bestMatch Index
 	for _, member := range r.members {
 		p := r.peers[member.ID]
-		if p != nil && member.Voter && p.heard < r.pace.Election && p.match >= r.commit && (best == "" || p.match > bestMatch) {
+		if p != nil && member.Voter && p.heard < r.pace.ElectionTicks && p.match >= r.commit && (best == "" || p.match > bestMatch) {
 			best, bestMatch = member.ID, p.match
 		}
 	}
@@ -107,34 +107,34 @@
 }
 
 // relieve tells the successor to stand once it has the whole log.
-func (r *Raft) relieve() {
+func (r *Replica) relieve() {
 	if p := r.peers[r.transfer]; p != nil && p.match == r.lastIndex() {
 		r.yielded = true
-		r.send(Message{Kind: TimeoutNow, To: r.transfer})
+		r.send(Message{Kind: MsgTimeoutNow, To: r.transfer})
 	}
 }
 
 // renewTerm ends a hand-over that came to nothing. The one who was told to stand
 // may yet do so, and voters that heard this leader will let it: only in a later
 // term, in which that word is void, is contact a proof again.
-func (r *Raft) renewTerm() {
-	if r.stuck >= r.pace.Election || !r.voter(r.id) {
+func (r *Replica) renewTerm() {
+	if r.stuck >= r.pace.ElectionTicks || !r.voter(r.id) {
 		r.follow(r.hard.Term, "")
 		return
 	}
 	r.campaign(false, true)
 }
 
-// Open tells whether the leader takes proposals now, or hands over.
-func (r *Raft) Open() bool { return r.role == Leader && r.transfer == "" }
+// AcceptsProposals tells whether the leader takes proposals now, or hands over.
+func (r *Replica) AcceptsProposals() bool { return r.role == Leader && r.transfer == "" }
 
-// Resign hands the leadership over and returns what to send.
-func (r *Raft) Resign() (out Output) {
-	r.HandOver()
+// TransferLeadership hands the leadership over and returns what to send.
+func (r *Replica) TransferLeadership() (out Output) {
+	r.startTransfer()
 	return r.flush()
 }
 
-func (r *Raft) upToDate(m Message) bool {
+func (r *Replica) upToDate(m Message) bool {
 	last := r.lastIndex()
 	lastTerm := r.termAt(last)
 	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -38,7 +38,7 @@
 	}
 	storedLearner   = Member{ID: "10.0.2.4-0102030405060708", Inner: "10.0.2.4:7100", Control: "10.0.2.4:7200", Site: "west-2"}
 	storedID        = ID("founder-10.0.2.1")
-	storedHard      = Hard{Term: 8, Vote: "founder-10.0.2.2"}
+	storedHard      = HardState{Term: 8, Vote: "founder-10.0.2.2"}
 	storedSnapshot  = Snapshot{Index: 40, Term: 6, Members: storedMembers, Data: []byte("state\x00\xff")}
 	storedDocuments = map[policy.Kind]string{
 		policy.DrainPolicy:     `{"version":2,"rules":[{"service":"*","notice":"2s","finish":"30s","keyed":"deadline","least_share":0.5},{"service":"pay","notice":"1s","finish":"1m0s","keyed":"finish","least_share":0.25}],"lost_touch":"10s","cut_off":"stop"}`,
@@ -168,9 +168,9 @@
 
 // wireFixtures are the records of the disk and the calls between cores.
 func wireFixtures() (fixtures []wireFixture) {
-	part := &Part{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: 0xc0ffee01, Sum: 0x7a5b0f11, Data: []byte("ate\x00\xff")}
+	part := &SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: 0xc0ffee01, Sum: 0x7a5b0f11, Data: []byte("ate\x00\xff")}
 	message := Message{
-		Kind: InstallPart, From: "a", To: "b", Term: 8, Index: 44, LogTerm: 7, Commit: 43, Reject: true, Hint: 41, Round: 1 << 33, Force: true, Idle: true, Life: 1<<63 + 1, Age: 1500 * time.Millisecond,
+		Kind: MsgSnapshotChunk, From: "a", To: "b", Term: 8, Index: 44, LogTerm: 7, Commit: 43, Reject: true, Hint: 41, Round: 1 << 33, Force: true, Idle: true, Life: 1<<63 + 1, Age: 1500 * time.Millisecond,
 		Entries: []Entry{{Term: 7, Index: 45, Members: storedMembers, Data: []byte("entry\x00\xff")}}, Snapshot: &storedSnapshot, Part: part,
 	}
 	return []wireFixture{
@@ -179,7 +179,7 @@
 		{"snapshot", storedSnapshot},
 		{"membership", append([]Member{storedLearner}, storedMembers...)},
 		{"snapshot_state", filledState()},
-		{"core_step_request", Batch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: TellHeard, From: "a", To: "b", Term: 8, Round: 9}}}},
+		{"core_step_request", Batch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
 		{"core_step_reply", Empty{}},
 		{"core_join_request", JoinAsk{Member: storedMembers[0]}},
 		{"core_join_reply", JoinReply{Leader: true, Inners: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
@@ -306,7 +306,7 @@
 // A sum that was sent with a part of a snapshot is the one that is reckoned now,
 // and so is the seal of a record.
 func TestChecksumsHold(t *testing.T) {
-	part := Part{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
+	part := SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
 	got := []uint32{part.Whole, part.sum(), sealSum(keyEntry(7), []byte("value"))}
 	if diff := cmp.Diff([]uint32{1802194548, 3866943754, 4062685565}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -322,7 +322,7 @@
 		CommandConfig, CommandEvacuate, CommandReturn, CommandClaim, CommandFree, CommandExpire, CommandBarrier,
 		CommandOrder, CommandRetire, CommandStop, CommandRestore, CommandMove, CommandBind, CommandUnbind,
 	}
-	messages := []Kind{AskPreVote, TellPreVote, AskVote, TellVote, Append, TellAppend, Install, TimeoutNow, TellHeard, InstallPart, TellPart}
+	messages := []MessageKind{MsgPreVote, MsgPreVoteResponse, MsgVote, MsgVoteResponse, MsgAppend, MsgAppendResponse, MsgSnapshot, MsgTimeoutNow, MsgHeartbeatResponse, MsgSnapshotChunk, MsgSnapshotChunkResponse}
 	for i, kind := range commands {
 		if int(kind) != i+1 {
 			t.Errorf("command %d has the number %d", i+1, kind)
@@ -357,7 +357,7 @@
 }
 
 // compareStore loads a store twice, the second time after it was opened again.
-func compareStore(t *testing.T, name string, wantHard Hard, wantBase Snapshot, wantLog []Entry, data any) {
+func compareStore(t *testing.T, name string, wantHard HardState, wantBase Snapshot, wantLog []Entry, data any) {
 	t.Helper()
 	store, folder := openFixture(t, name)
 	for range 2 {
@@ -432,18 +432,18 @@
 			for i, command := range storedCommands {
 				entries = append(entries, Entry{Index: Index(i + 2), Term: 6, Data: Inscribe([]Command{command})})
 			}
-			return store.Write([]Write{{Hard: &Hard{Term: 6}}, {Entries: entries}})
+			return store.Write([]Write{{HardState: &HardState{Term: 6}}, {Entries: entries}})
 		},
 		func(store *Store) error {
 			data := usual(func() []byte { return freeze(t, stateFrom(t, storedCommands)) })
 			return store.Write([]Write{{Snapshot: &Snapshot{Index: last, Term: 6, Members: storedMembers, Data: data}}, {Entries: log[:2]}})
 		},
 		func(store *Store) error {
-			if err := store.Write([]Write{{Hard: &Hard{Term: 7}}, {Entries: []Entry{log[2], entry(33, 7), entry(34, 7)}}}); err != nil {
+			if err := store.Write([]Write{{HardState: &HardState{Term: 7}}, {Entries: []Entry{log[2], entry(33, 7), entry(34, 7)}}}); err != nil {
 				return err
 			}
 			hard := storedHard
-			return store.Write([]Write{{Hard: &hard}, {Cut: 33, Entries: log[3:]}})
+			return store.Write([]Write{{HardState: &hard}, {TruncateFrom: 33, Entries: log[3:]}})
 		})
 	compareStore(t, "store", storedHard, Snapshot{Index: last, Term: 6, Members: storedMembers}, log, storedState)
 	store, _ := openFixture(t, "store")
@@ -563,11 +563,11 @@
 			if err := store.Found(storedID, base); err != nil {
 				return err
 			}
-			return store.Write([]Write{{Hard: &Hard{Term: 2}, Entries: run(2, 7, 2)}})
+			return store.Write([]Write{{HardState: &HardState{Term: 2}, Entries: run(2, 7, 2)}})
 		},
 		func(store *Store) error {
 			hard := storedHard
-			return store.Write([]Write{{Hard: &hard, Entries: []Entry{entry(4, 5)}}})
+			return store.Write([]Write{{HardState: &hard, Entries: []Entry{entry(4, 5)}}})
 		})
 	compareStore(t, "store_cut_tail", storedHard, base, []Entry{entry(2, 2), entry(3, 2), entry(4, 5)}, nil)
 	store, _ := openFixture(t, "store_cut_tail")
--- a/internal/raft/flapping_test.go
+++ b/internal/raft/flapping_test.go
@@ -213,10 +213,10 @@
 			s.run(20)
 			// Before the next snapshot would bring it what it lacks.
 			leader := s.settledLeader()
-			upto := leader.raft.Commit()
+			upto := leader.raft.CommitIndex()
 			s.run(10)
-			if p := leader.raft.peers[kept.id]; p.match < upto || s.cores[host].raft.Commit() < upto {
-				t.Errorf("seed %d: it has %d and committed %d of %d", seed, p.match, s.cores[host].raft.Commit(), upto)
+			if p := leader.raft.peers[kept.id]; p.match < upto || s.cores[host].raft.CommitIndex() < upto {
+				t.Errorf("seed %d: it has %d and committed %d of %d", seed, p.match, s.cores[host].raft.CommitIndex(), upto)
 			}
 		})
 	}
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -87,7 +87,7 @@
 		}
 	}
 	n.joiners[newcomer.ID] = joiner{newcomer, n.ticks}
-	if !waits && n.raft.Settled() {
+	if !waits && n.raft.CommittedInTerm() {
 		n.changeMembers()
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = n.self.ID, n.ticks, n.raft.Members(), n.raft.CaughtUp
 	roll.Leaving = func(id ID) bool { _, leaving := n.leaving[id]; return leaving }
-	roll.Silence = func(id ID) int { ticks, _ := n.raft.Heard(id); return ticks }
+	roll.Silence = func(id ID) int { ticks, _ := n.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	if !n.raft.Settled() {
+	if !n.raft.CommittedInTerm() {
 		return
 	}
 	n.changeMembers()
@@ -149,7 +149,7 @@
 		n.changed = false
 		return
 	}
-	accepted, out := n.raft.Change(decision.Next)
+	accepted, out := n.raft.ProposeMembers(decision.Next)
 	if !accepted {
 		return
 	}
--- a/internal/raft/house_test.go
+++ b/internal/raft/house_test.go
@@ -10,7 +10,7 @@
 
 // housed is a core's house without its listeners, disk and duties.
 func housed(members []Member) (n *Node) {
-	raft := NewRaft(members[0].ID, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
+	raft := New(members[0].ID, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
 		log: eventlog.Discard(), raft: raft, self: members[0], membership: NewMembership(1, 0, 0),
 		joiners: map[ID]joiner{}, leaving: map[ID]int{}, refused: map[ID]int{},
@@ -89,7 +89,7 @@
 }
 
 // elect has a core win and commit in its term, with b voting for it.
-func elect(t *testing.T, r *Raft) {
+func elect(t *testing.T, r *Replica) {
 	t.Helper()
 	issued := 0
 	answer := func(out Output) {
@@ -101,11 +101,11 @@
 			break
 		}
 	}
-	answer(r.Step(Message{Kind: TellPreVote, From: "b", To: r.id, Term: r.hard.Term + 1}))
-	answer(r.Step(Message{Kind: TellVote, From: "b", To: r.id, Term: r.hard.Term}))
-	answer(r.Step(Message{Kind: TellAppend, From: "b", To: r.id, Term: r.hard.Term, Index: r.lastIndex(), Round: r.round}))
-	answer(r.Synced(issued))
-	if !r.Settled() {
+	answer(r.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: r.id, Term: r.hard.Term + 1}))
+	answer(r.Step(Message{Kind: MsgVoteResponse, From: "b", To: r.id, Term: r.hard.Term}))
+	answer(r.Step(Message{Kind: MsgAppendResponse, From: "b", To: r.id, Term: r.hard.Term, Index: r.lastIndex(), Round: r.round}))
+	answer(r.ReportSynced(issued))
+	if !r.CommittedInTerm() {
 		t.Fatal("it does not lead")
 	}
 }
@@ -114,12 +114,12 @@
 func TestNoChangeWhileHandingOver(t *testing.T) {
 	r := housed(group(3, 1)).raft
 	elect(t, r)
-	r.Resign()
-	if r.Open() {
+	r.TransferLeadership()
+	if r.AcceptsProposals() {
 		t.Fatal("it does not hand over")
 	}
-	last := r.Last()
-	if accepted, _ := r.Change(group(4, 0)); accepted || r.Last() != last {
+	last := r.LastIndex()
+	if accepted, _ := r.ProposeMembers(group(4, 0)); accepted || r.LastIndex() != last {
 		t.Error("a change entered the log while the leadership was handed over")
 	}
 }
--- a/internal/raft/install.go
+++ b/internal/raft/install.go
@@ -19,9 +19,9 @@
 
 func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// Part is a piece of a snapshot's data. Whole is the checksum of all of it, Sum
+// SnapshotChunk is a piece of a snapshot's data. Whole is the checksum of all of it, Sum
 // that of the part with what it says of itself.
-type Part struct {
+type SnapshotChunk struct {
 	Index   Index
 	Term    Term
 	Members []Member
@@ -32,7 +32,7 @@
 	Data    []byte
 }
 
-func (p *Part) sum() uint32 {
+func (p *SnapshotChunk) sum() uint32 {
 	var head []byte
 	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.Total, p.Offset, uint64(p.Whole)} {
 		head = appendNumber(head, number)
@@ -72,7 +72,7 @@
 
 // sendParts keeps parts of a snapshot under way. One that is being taken in is
 // not given up for a newer one.
-func (r *Raft) sendParts(id ID, p *progress) {
+func (r *Replica) sendParts(id ID, p *progress) {
 	if p.sending == nil || p.sending.snapshot.Index <= p.match || p.sending.acked == 0 && p.sending.snapshot.Index < r.base.Index {
 		p.sending = &sending{snapshot: r.base, whole: checksum(r.base.Data)}
 		p.idle = 0
@@ -80,19 +80,19 @@
 	s := p.sending
 	for s.underWay < partsUnderWay && (s.sent < s.total() || s.total() == 0 && s.underWay == 0) {
 		end := min(s.sent+r.partSize, s.total())
-		part := &Part{
+		part := &SnapshotChunk{
 			Index: s.snapshot.Index, Term: s.snapshot.Term, Members: s.snapshot.Members,
 			Total: s.total(), Offset: s.sent, Whole: s.whole, Data: s.snapshot.Data[s.sent:end:end],
 		}
 		part.Sum = part.sum()
-		r.send(Message{Kind: InstallPart, To: id, Part: part, Round: r.round})
+		r.send(Message{Kind: MsgSnapshotChunk, To: id, Part: part, Round: r.round})
 		s.sent = end
 		s.underWay++
 	}
 }
 
 // takePartTell hears how far a member is with a snapshot.
-func (r *Raft) takePartTell(m Message, p *progress) {
+func (r *Replica) takePartTell(m Message, p *progress) {
 	s := p.sending
 	if s == nil || m.Index != s.snapshot.Index || m.LogTerm != s.snapshot.Term || uint64(m.Hint) > s.total() {
 		return
@@ -113,7 +113,7 @@
 // gathering is what a member has of a snapshot.
 type gathering struct {
 	leaderTerm Term
-	part       Part
+	part       SnapshotChunk
 	data       []byte
 }
 
@@ -127,11 +127,11 @@
 	return g == nil || m.Term > g.leaderTerm || m.Term == g.leaderTerm && m.Part.Index > g.part.Index
 }
 
-func (r *Raft) tellPart(m Message, offset uint64, refused bool) {
-	r.send(Message{Kind: TellPart, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused, Round: r.heardRound(m.Round)})
+func (r *Replica) tellPart(m Message, offset uint64, refused bool) {
+	r.send(Message{Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused, Round: r.heardRound(m.Round)})
 }
 
-func (r *Raft) takePart(m Message) {
+func (r *Replica) takePart(m Message) {
 	part := m.Part
 	if part.Sum != part.sum() {
 		r.refuse(m, "part's checksum is wrong")
--- a/internal/raft/install_test.go
+++ b/internal/raft/install_test.go
@@ -9,14 +9,14 @@
 // follower that has nothing; parts are of 100.
 func pairForInstall(t *testing.T) (leader, follower *bench, state []byte) {
 	state = bytes.Repeat([]byte("0123456789"), 100)
-	leader = newBench(t, "a", Hard{Term: 2}, run(2, 50, 2)...)
-	leader.raft.partSize, leader.raft.tail = 100, Tail{}
+	leader = newBench(t, "a", HardState{Term: 2}, run(2, 50, 2)...)
+	leader.raft.partSize, leader.raft.tail = 100, LogTail{}
 	leader.elect()
-	leader.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: 51})
+	leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 51})
 	_, out := leader.raft.Compact(50, state)
 	leader.take(out)
 	leader.syncAll()
-	follower = newBench(t, "b", Hard{Term: 2})
+	follower = newBench(t, "b", HardState{Term: 2})
 	leader.told = nil
 	leader.raft.resume("b", leader.raft.peers["b"])
 	leader.take(leader.raft.flush())
@@ -36,12 +36,12 @@
 	return passed
 }
 
-func isPart(m Message) bool { return m.Kind == InstallPart }
+func isPart(m Message) bool { return m.Kind == MsgSnapshotChunk }
 
 func TestASnapshotGoesInPartsFewAtATime(t *testing.T) {
 	leader, follower, state := pairForInstall(t)
 	parts := 0
-	for i := 0; i < 100 && follower.raft.Last() < 51; i++ {
+	for i := 0; i < 100 && follower.raft.LastIndex() < 51; i++ {
 		now := 0
 		for _, m := range pass(leader, follower, nil) {
 			if isPart(m) {
@@ -61,8 +61,8 @@
 		follower.syncAll()
 		pass(follower, leader, nil)
 	}
-	if parts != 10 || follower.raft.Last() != 51 || len(follower.rest) != 1 || !bytes.Equal(follower.rest[0].Data, state) {
-		t.Fatalf("%d parts, ends at %d, %d restored", parts, follower.raft.Last(), len(follower.rest))
+	if parts != 10 || follower.raft.LastIndex() != 51 || len(follower.rest) != 1 || !bytes.Equal(follower.rest[0].Data, state) {
+		t.Fatalf("%d parts, ends at %d, %d restored", parts, follower.raft.LastIndex(), len(follower.rest))
 	}
 	if !leader.raft.CaughtUp("b") {
 		t.Fatal("not caught up at the end")
@@ -80,11 +80,11 @@
 			}
 		}
 	}
-	for i := 0; i < 400 && follower.raft.Last() < 51; i++ {
+	for i := 0; i < 400 && follower.raft.LastIndex() < 51; i++ {
 		cut := i > 3 && i < 60
 		lost := func(m Message) bool { return cut }
 		if !cut {
-			leader.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: 51})
+			leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 51})
 		}
 		leader.raft.peers["c"].heard = 0
 		count(pass(leader, follower, lost))
@@ -94,8 +94,8 @@
 		leader.take(leader.raft.Tick())
 		leader.syncAll()
 	}
-	if follower.raft.Last() != 51 {
-		t.Fatalf("ends at %d", follower.raft.Last())
+	if follower.raft.LastIndex() != 51 {
+		t.Fatalf("ends at %d", follower.raft.LastIndex())
 	}
 	for offset := uint64(0); offset < 1000; offset += 100 {
 		if sent[offset] < 1 || sent[offset] > 2 {
@@ -109,15 +109,15 @@
 
 func TestPartsThatDoNotFitChangeNothing(t *testing.T) {
 	data := bytes.Repeat([]byte("x"), 250)
-	part := func(index Index, offset uint64) (p *Part) {
-		p = &Part{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: checksum(data), Data: data[offset:min(offset+100, 250)]}
+	part := func(index Index, offset uint64) (p *SnapshotChunk) {
+		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: checksum(data), Data: data[offset:min(offset+100, 250)]}
 		p.Sum = p.sum()
 		return p
 	}
-	b := newBench(t, "b", Hard{Term: 3})
+	b := newBench(t, "b", HardState{Term: 3})
 	give := func(m Message) (tell Message, refused int) {
 		b.told = nil
-		m.Kind, m.From, m.To = InstallPart, "a", "b"
+		m.Kind, m.From, m.To = MsgSnapshotChunk, "a", "b"
 		if m.Term == 0 {
 			m.Term = 3
 		}
@@ -126,12 +126,12 @@
 		for _, said := range b.told {
 			tell = said
 		}
-		return tell, len(out.Refused)
+		return tell, len(out.Rejected)
 	}
 	if tell, _ := give(Message{Part: part(20, 100)}); !tell.Reject || tell.Hint != 0 || b.raft.gathering != nil {
 		t.Fatalf("a part from the middle: %+v", tell)
 	}
-	if tell, _ := give(Message{Part: part(20, 0)}); tell.Kind != TellPart || tell.Reject || tell.Hint != 100 {
+	if tell, _ := give(Message{Part: part(20, 0)}); tell.Kind != MsgSnapshotChunkResponse || tell.Reject || tell.Hint != 100 {
 		t.Fatalf("the first part: %+v", tell)
 	}
 	spoiled := part(20, 100)
@@ -160,14 +160,14 @@
 			t.Errorf("%s: %+v", name, tell)
 		}
 	}
-	if have := len(b.raft.gathering.data); have != 100 || len(b.queued) != 0 || b.raft.Last() != 1 {
+	if have := len(b.raft.gathering.data); have != 100 || len(b.queued) != 0 || b.raft.LastIndex() != 1 {
 		t.Fatalf("%d bytes are kept, %d orders", have, len(b.queued))
 	}
 	give(Message{Part: part(20, 100)})
 	give(Message{Part: part(20, 200)})
 	b.syncAll()
-	if len(b.rest) != 1 || !bytes.Equal(b.rest[0].Data, data) || b.raft.Last() != 20 {
-		t.Fatalf("%d restored, ends at %d", len(b.rest), b.raft.Last())
+	if len(b.rest) != 1 || !bytes.Equal(b.rest[0].Data, data) || b.raft.LastIndex() != 20 {
+		t.Fatalf("%d restored, ends at %d", len(b.rest), b.raft.LastIndex())
 	}
 	// A newer leader's snapshot replaces what was gathered of an older one's.
 	give(Message{Part: part(30, 0)})
@@ -180,7 +180,7 @@
 func TestASpoiledSnapshotIsDropped(t *testing.T) {
 	leader, follower, state := pairForInstall(t)
 	refused := 0
-	for i := 0; i < 100 && follower.raft.Last() < 51; i++ {
+	for i := 0; i < 100 && follower.raft.LastIndex() < 51; i++ {
 		said := leader.told
 		leader.told = nil
 		for _, m := range said {
@@ -194,8 +194,8 @@
 				m.Part = &spoiled
 			}
 			out := follower.raft.Step(m)
-			if refused += len(out.Refused); len(out.Refused) > 0 {
-				if len(out.Writes) != 0 || follower.raft.gathering != nil || out.Restore != nil || out.Refused[0].Why != "snapshot's checksum is wrong" {
+			if refused += len(out.Rejected); len(out.Rejected) > 0 {
+				if len(out.Writes) != 0 || follower.raft.gathering != nil || out.Restore != nil || out.Rejected[0].Reason != "snapshot's checksum is wrong" {
 					t.Fatalf("%+v", out)
 				}
 			}
@@ -204,7 +204,7 @@
 		follower.syncAll()
 		pass(follower, leader, nil)
 	}
-	if refused != 1 || follower.raft.Last() != 51 || !bytes.Equal(follower.rest[0].Data, state) {
-		t.Fatalf("refused %d, ends at %d", refused, follower.raft.Last())
+	if refused != 1 || follower.raft.LastIndex() != 51 || !bytes.Equal(follower.rest[0].Data, state) {
+		t.Fatalf("refused %d, ends at %d", refused, follower.raft.LastIndex())
 	}
 }
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -56,7 +56,7 @@
 
 // noteLeaving answers for the leader; it is zero where this core does not lead.
 func (n *Node) noteLeaving(id ID) (parting Parting) {
-	if !n.raft.Settled() || n.parting {
+	if !n.raft.CommittedInTerm() || n.parting {
 		return 0
 	}
 	delete(n.joiners, id)
@@ -98,13 +98,13 @@
 		if !near || now.Sub(heard) >= grace/3 || now.Sub(reached) >= resignWait || !now.Before(end) {
 			break
 		}
-		time.Sleep(tickSpan)
+		time.Sleep(tickInterval)
 		n.part()
 	}
 	// What was handed to the couriers may go out, and another may take over.
 	time.Sleep(resignSpan)
-	for waited := resignSpan; waited < resignWait && n.leads(); waited += tickSpan {
-		time.Sleep(tickSpan)
+	for waited := resignSpan; waited < resignWait && n.leads(); waited += tickInterval {
+		time.Sleep(tickInterval)
 	}
 }
 
@@ -131,8 +131,8 @@
 		}
 		if n.raft.Role() == Leader {
 			now.ask = now.ask && n.membership.Successor(n.roll(), n.self.ID)
-			if n.raft.Open() {
-				n.carry(n.raft.Resign())
+			if n.raft.AcceptsProposals() {
+				n.carry(n.raft.TransferLeadership())
 			}
 		}
 		done <- now
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -2,7 +2,7 @@
 // the log, and one is under way at a time.
 package raft
 
-func (r *Raft) refreshMembers() {
+func (r *Replica) refreshMembers() {
 	r.members = r.base.Members
 	for i := range r.log {
 		if r.log[i].Members != nil {
@@ -33,12 +33,12 @@
 	return Member{}, false
 }
 
-func (r *Raft) voter(id ID) bool {
+func (r *Replica) voter(id ID) bool {
 	member, known := find(r.members, id)
 	return known && member.Voter
 }
 
-func (r *Raft) voters() (count int) {
+func (r *Replica) voters() (count int) {
 	for _, member := range r.members {
 		if member.Voter {
 			count++
@@ -47,18 +47,18 @@
 	return count
 }
 
-// Change puts a new set of members into the log, one change at a time, and
+// ProposeMembers puts a new set of members into the log, one change at a time, and
 // only once the leader has committed in its own term, and not while it hands
 // over: the one who is told to stand would lack the change.
-func (r *Raft) Change(members []Member) (accepted bool, out Output) {
-	if !r.Open() || !r.Settled() || r.changing() {
+func (r *Replica) ProposeMembers(members []Member) (accepted bool, out Output) {
+	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.changing() {
 		return false, Output{}
 	}
 	r.push(Entry{Members: members})
 	return true, r.flush()
 }
 
-func (r *Raft) changing() bool {
+func (r *Replica) changing() bool {
 	for i := len(r.log) - 1; i >= 0 && r.log[i].Index > r.commit; i-- {
 		if r.log[i].Members != nil {
 			return true
@@ -68,13 +68,13 @@
 }
 
 // CaughtUp tells whether a member's disk has all that is committed.
-func (r *Raft) CaughtUp(id ID) bool {
+func (r *Replica) CaughtUp(id ID) bool {
 	p, known := r.peers[id]
-	return known && p.match >= r.commit && p.heard < 2*r.pace.Election
+	return known && p.match >= r.commit && p.heard < 2*r.pace.ElectionTicks
 }
 
-// Heard gives the ticks since a member was last heard, for the leader.
-func (r *Raft) Heard(id ID) (ticks int, known bool) {
+// SinceHeard gives the ticks since a member was last heard, for the leader.
+func (r *Replica) SinceHeard(id ID) (ticks int, known bool) {
 	p, known := r.peers[id]
 	if !known {
 		return 0, false
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -29,7 +29,7 @@
 	id := core.disk.id
 	for end := s.now + most; s.now < end; s.run(1) {
 		if core.raft.Role() == Leader {
-			s.carry(host, core.raft.Resign())
+			s.carry(host, core.raft.TransferLeadership())
 			continue
 		}
 		leader := s.settledLeader()
@@ -97,7 +97,7 @@
 	s.lose(lost)
 	s.run(40)
 	s.add("core-4")
-	s.run(int(simCatchUp/tickSpan) + distance)
+	s.run(int(simCatchUp/tickInterval) + distance)
 	s.lose(last)
 	s.run(20)
 	s.start(last)
@@ -135,7 +135,7 @@
 		s.run(40)
 		s.add("core-5")
 		s.add("core-6")
-		s.run(int(simCatchUp/tickSpan) + 8)
+		s.run(int(simCatchUp/tickInterval) + 8)
 		for n := range 2 {
 			host := s.order[(int(seed)+2+n)%5]
 			s.lose(host)
@@ -180,7 +180,7 @@
 				}
 				s.run(1)
 			}
-			took := time.Duration(s.now-started) * tickSpan
+			took := time.Duration(s.now-started) * tickInterval
 			if longest = max(longest, took); took > catchUp/2 || s.broken != "" {
 				t.Errorf("catch_up %v, seed %d: %v to vote %s", catchUp, seed, took, s.broken)
 			}
@@ -199,7 +199,7 @@
 			s.run(60)
 			id := s.cores["core-0"].disk.id
 			if s.cores["core-0"].raft.Role() == Leader {
-				s.carry("core-0", s.cores["core-0"].raft.Resign())
+				s.carry("core-0", s.cores["core-0"].raft.TransferLeadership())
 				s.run(20)
 			}
 			s.leaving[id] = true
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -74,7 +74,7 @@
 // election could look like a loss.
 func NewMembership(losses, zones int, catchUp time.Duration) (membership *Membership) {
 	wanted := Voters(losses)
-	silence := max(int(catchUp/4/tickSpan), 3*electTicks)
+	silence := max(int(catchUp/4/tickInterval), 3*electTicks)
 	return &Membership{
 		Wanted: wanted, Spread: zones > 0, Silence: silence, Forget: 16 * silence, MostLearners: 4 * wanted,
 		strikes: map[ID]int{}, steady: map[ID]int{},
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -38,33 +38,33 @@
 	Data    []byte
 }
 
-// Hard is what must be on disk before it is acted on.
-type Hard struct {
+// HardState is what must be on disk before it is acted on.
+type HardState struct {
 	Term Term
 	Vote ID
 }
 
-// Kind tells messages apart.
-type Kind uint8
+// MessageKind tells messages apart.
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	AskPreVote Kind = iota + 1
-	TellPreVote
-	AskVote
-	TellVote
-	Append
-	TellAppend
-	Install
-	TimeoutNow
-	TellHeard
-	InstallPart
-	TellPart
+	MsgPreVote MessageKind = iota + 1
+	MsgPreVoteResponse
+	MsgVote
+	MsgVoteResponse
+	MsgAppend
+	MsgAppendResponse
+	MsgSnapshot
+	MsgTimeoutNow
+	MsgHeartbeatResponse
+	MsgSnapshotChunk
+	MsgSnapshotChunkResponse
 )
 
 // Message goes from one core to another.
 type Message struct {
-	Kind     Kind
+	Kind     MessageKind
 	From, To ID
 	Term     Term
 	Index    Index
@@ -76,7 +76,7 @@
 	Round    uint64
 	Snapshot *Snapshot
 	Force    bool
-	Part     *Part
+	Part     *SnapshotChunk
 	// Idle, Life and Age are of a core that has known no leader since its start:
 	// that it says so, which start that was, and how long ago.
 	Idle bool
@@ -99,29 +99,29 @@
 	return size
 }
 
-// Refusal is a message that could not be, or a snapshot that was spoiled on its
+// Rejection is a message that could not be, or a snapshot that was spoiled on its
 // way; nothing was taken from it.
-type Refusal struct {
-	From ID
-	Kind Kind
-	Why  string
+type Rejection struct {
+	From   ID
+	Kind   MessageKind
+	Reason string
 }
 
 // Write is one order for the disk: the log is cut from Cut on where that is
 // set, then the entries are put behind. After goes out once it is synced.
 type Write struct {
-	Hard     *Hard
-	Cut      Index
-	Entries  []Entry
-	Snapshot *Snapshot
-	After    []Message
+	HardState    *HardState
+	TruncateFrom Index
+	Entries      []Entry
+	Snapshot     *Snapshot
+	AfterSync    []Message
 }
 
 // Output is what one step asks for.
 type Output struct {
-	Send    []Message
-	Writes  []Write
-	Apply   []Entry
-	Restore *Snapshot
-	Refused []Refusal
+	Messages  []Message
+	Writes    []Write
+	Committed []Entry
+	Restore   *Snapshot
+	Rejected  []Rejection
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	tickSpan     = 25 * time.Millisecond
+	tickInterval = 25 * time.Millisecond
 	beatTicks    = 2
 	electTicks   = 9
 	maxInFlight  = 3
@@ -37,7 +37,7 @@
 	props   settings.Settings
 	log     *eventlog.Logger
 	self    Member
-	raft    *Raft
+	raft    *Replica
 	store   *Store
 	birth   time.Time
 	inbox   chan []Message
@@ -124,8 +124,8 @@
 	var seed [8]byte
 	_, _ = crand.Read(seed[:])
 	luck := rand.New(rand.NewSource(int64(seed[0]) | int64(seed[1])<<8 | int64(seed[2])<<16 | int64(seed[3])<<24))
-	node.raft = NewRaft(id, Pace{Beat: beatTicks, Election: electTicks}, luck, hard, base, entries)
-	node.loaded = node.raft.Last()
+	node.raft = New(id, Timing{HeartbeatTicks: beatTicks, ElectionTicks: electTicks}, luck, hard, base, entries)
+	node.loaded = node.raft.LastIndex()
 	node.publish()
 	return node, nil
 }
@@ -177,7 +177,7 @@
 func (n *Node) Standing() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	if n.role == Leader || n.Now()-n.heard < hintElections*electTicks*tickSpan {
+	if n.role == Leader || n.Now()-n.heard < hintElections*electTicks*tickInterval {
 		leader, _ = find(n.members, n.leader)
 	}
 	return n.role == Leader, n.settled, n.term, leader, n.members
@@ -198,11 +198,11 @@
 // council is the duty that steps the agreement.
 func (n *Node) council() {
 	defer n.stopped.Done()
-	ticker := time.NewTicker(tickSpan)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		var wishes <-chan wish
-		if len(n.pending) < maxInFlight && n.raft.Open() || n.raft.Role() != Leader {
+		if len(n.pending) < maxInFlight && n.raft.AcceptsProposals() || n.raft.Role() != Leader {
 			wishes = n.wishes
 		}
 		select {
@@ -215,7 +215,7 @@
 		case first := <-wishes:
 			n.propose(first)
 		case orders := <-n.synced:
-			n.carry(n.raft.At(n.Now()).Synced(orders))
+			n.carry(n.raft.At(n.Now()).ReportSynced(orders))
 		case tell := <-n.tells:
 			tell()
 		case <-ticker.C:
@@ -223,7 +223,7 @@
 			n.carry(n.raft.At(n.Now()).Tick())
 			if n.ticks%houseTicks == 0 {
 				n.keepHouse()
-			} else if n.changed && n.raft.Settled() {
+			} else if n.changed && n.raft.CommittedInTerm() {
 				n.changeMembers()
 			}
 		}
@@ -233,10 +233,10 @@
 // carry does what a step asked for.
 func (n *Node) carry(out Output) {
 	n.endLease()
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		n.post(message)
 	}
-	for _, refusal := range out.Refused {
+	for _, refusal := range out.Rejected {
 		n.faulty.say(n.log, n.ticks, refusal)
 	}
 	if len(out.Writes) > 0 {
@@ -263,14 +263,14 @@
 		n.OnChange()
 	}
 	changed := false
-	for _, entry := range out.Apply {
+	for _, entry := range out.Committed {
 		changed = n.apply(entry) || changed
 	}
 	n.publish()
 	if changed {
 		n.OnChange()
 	}
-	if len(out.Apply) > 0 && (n.raft.Commit()-n.raft.Base() > compactCount || n.logSize > compactBytes) {
+	if len(out.Committed) > 0 && (n.raft.CommitIndex()-n.raft.SnapshotIndex() > compactCount || n.logSize > compactBytes) {
 		n.compact()
 	}
 }
@@ -340,18 +340,18 @@
 		n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
 		return
 	}
-	done, out := n.raft.Compact(n.raft.Commit(), data)
+	done, out := n.raft.Compact(n.raft.CommitIndex(), data)
 	if !done {
 		return
 	}
 	n.logSize = 0
 	n.carry(out)
-	n.log.Emit(eventlog.SnapshotWritten, eventlog.KeyIndex, uint64(n.raft.Base()), eventlog.KeyBytes, len(data))
+	n.log.Emit(eventlog.SnapshotWritten, eventlog.KeyIndex, uint64(n.raft.SnapshotIndex()), eventlog.KeyBytes, len(data))
 }
 
 // publish makes the standing of the agreement known to other duties.
 func (n *Node) publish() {
-	role, leader, term, settled := n.raft.Role(), n.raft.LeaderID(), n.raft.Term(), n.raft.Settled()
+	role, leader, term, settled := n.raft.Role(), n.raft.LeaderID(), n.raft.Term(), n.raft.CommittedInTerm()
 	n.mu.Lock()
 	before := n.role == Leader && n.settled
 	was := n.term
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -23,23 +23,23 @@
 	Leader
 )
 
-// Pace holds the figures of time, counted in ticks.
-type Pace struct {
-	Beat, Election int
+// Timing holds the figures of time, counted in ticks.
+type Timing struct {
+	HeartbeatTicks, ElectionTicks int
 }
 
-// Raft is one core's part of the agreement.
-type Raft struct {
+// Replica is one core's part of the agreement.
+type Replica struct {
 	id        ID
-	pace      Pace
+	pace      Timing
 	luck      *rand.Rand
-	hard      Hard
+	hard      HardState
 	role      Role
 	leader    ID
 	members   []Member
 	base      Snapshot
 	start     place
-	tail      Tail
+	tail      LogTail
 	log       []Entry
 	commit    Index
 	applied   Index
@@ -74,12 +74,12 @@
 	out        Output
 }
 
-// NewRaft starts from what the disk holds.
-func NewRaft(id ID, pace Pace, luck *rand.Rand, hard Hard, base Snapshot, log []Entry) (raft *Raft) {
-	raft = &Raft{id: id, pace: pace, luck: luck, hard: hard, base: base, log: log}
+// New starts from what the disk holds.
+func New(id ID, pace Timing, luck *rand.Rand, hard HardState, base Snapshot, log []Entry) (raft *Replica) {
+	raft = &Replica{id: id, pace: pace, luck: luck, hard: hard, base: base, log: log}
 	raft.start = place{base.Index, base.Term}
 	raft.partSize = partSize
-	raft.tail = Tail{Entries: 4000, Bytes: 4 << 20}
+	raft.tail = LogTail{Entries: 4000, Bytes: 4 << 20}
 	raft.commit, raft.applied = base.Index, base.Index
 	raft.synced = raft.lastIndex()
 	raft.refreshMembers()
@@ -89,81 +89,81 @@
 	// where there is a leader, the pre-vote fails and harms nothing.
 	raft.restart = restart{fresh: true, life: luck.Uint64() | 1}
 	raft.timeout = raft.soon()
-	raft.silence = pace.Election
+	raft.silence = pace.ElectionTicks
 	if hard.Term > 0 {
-		raft.silence -= pace.Lease() + 1
+		raft.silence -= pace.LeaseTicks() + 1
 	}
 	return raft
 }
 
 // Facts for those outside.
-func (r *Raft) Role() Role { return r.role }
+func (r *Replica) Role() Role { return r.role }
 
-func (r *Raft) LeaderID() ID { return r.leader }
+func (r *Replica) LeaderID() ID { return r.leader }
 
-func (r *Raft) Term() Term { return r.hard.Term }
+func (r *Replica) Term() Term { return r.hard.Term }
 
-func (r *Raft) Members() []Member { return r.members }
+func (r *Replica) Members() []Member { return r.members }
 
-func (r *Raft) Commit() Index { return r.commit }
+func (r *Replica) CommitIndex() Index { return r.commit }
 
-func (r *Raft) Last() Index { return r.lastIndex() }
+func (r *Replica) LastIndex() Index { return r.lastIndex() }
 
-func (r *Raft) Base() Index { return r.base.Index }
+func (r *Replica) SnapshotIndex() Index { return r.base.Index }
 
-// Settled tells whether the leader has committed an entry of its own term.
-func (r *Raft) Settled() bool {
+// CommittedInTerm tells whether the leader has committed an entry of its own term.
+func (r *Replica) CommittedInTerm() bool {
 	return r.role == Leader && r.termAt(r.commit) == r.hard.Term
 }
 
-func (r *Raft) resetTimer() {
+func (r *Replica) resetTimer() {
 	r.elapsed = 0
-	r.timeout = r.pace.Election + r.luck.Intn(r.pace.Election+1)
+	r.timeout = r.pace.ElectionTicks + r.luck.Intn(r.pace.ElectionTicks+1)
 }
 
-func (r *Raft) send(m Message) {
+func (r *Replica) send(m Message) {
 	m.From = r.id
 	if m.Term == 0 {
 		m.Term = r.hard.Term
 	}
-	r.out.Send = append(r.out.Send, m)
+	r.out.Messages = append(r.out.Messages, m)
 }
 
 // write queues an order for the disk; the answers behind it wait for the sync.
-func (r *Raft) write(w Write) {
-	for i := range w.After {
-		w.After[i].From = r.id
-		if w.After[i].Term == 0 {
-			w.After[i].Term = r.hard.Term
+func (r *Replica) write(w Write) {
+	for i := range w.AfterSync {
+		w.AfterSync[i].From = r.id
+		if w.AfterSync[i].Term == 0 {
+			w.AfterSync[i].Term = r.hard.Term
 		}
 	}
 	r.issued++
 	if len(w.Entries) > 0 || w.Snapshot != nil {
 		r.marks = append(r.marks, mark{r.issued, r.lastIndex()})
 	}
-	if w.Hard != nil {
+	if w.HardState != nil {
 		r.hardAt = r.issued
 	}
 	r.out.Writes = append(r.out.Writes, w)
 }
 
 // refuse notes a message of which nothing is taken.
-func (r *Raft) refuse(m Message, why string) {
-	r.out.Refused = append(r.out.Refused, Refusal{m.From, m.Kind, why})
+func (r *Replica) refuse(m Message, why string) {
+	r.out.Rejected = append(r.out.Rejected, Rejection{m.From, m.Kind, why})
 }
 
-func (r *Raft) flush() (out Output) {
+func (r *Replica) flush() (out Output) {
 	r.advance()
 	out = r.out
 	r.out = Output{}
 	return out
 }
 
-func (r *Raft) follow(term Term, leader ID) {
+func (r *Replica) follow(term Term, leader ID) {
 	if term > r.hard.Term {
-		r.hard = Hard{Term: term}
+		r.hard = HardState{Term: term}
 		hard := r.hard
-		r.write(Write{Hard: &hard})
+		r.write(Write{HardState: &hard})
 	}
 	r.role, r.leader, r.pre, r.transfer, r.told = Follower, leader, false, "", 0
 	r.peers, r.votes = nil, nil
@@ -171,7 +171,7 @@
 }
 
 // Tick moves the steady clock on by one tick.
-func (r *Raft) Tick() (out Output) {
+func (r *Replica) Tick() (out Output) {
 	r.elapsed++
 	r.silence++
 	if r.issued > r.done {
@@ -181,7 +181,7 @@
 	}
 	if r.role != Leader {
 		// A core whose disk stands still could not win and would only raise terms.
-		if r.elapsed >= r.timeout && (r.fresh || !r.bound()) && r.voter(r.id) && r.stuck < r.pace.Election {
+		if r.elapsed >= r.timeout && (r.fresh || !r.bound()) && r.voter(r.id) && r.stuck < r.pace.ElectionTicks {
 			r.campaign(true, false)
 		}
 		return r.flush()
@@ -193,13 +193,13 @@
 			p.heard++
 			r.recover(member.ID, p)
 		}
-		if member.Voter && (member.ID == r.id || p != nil && p.heard < r.pace.Election) {
+		if member.Voter && (member.ID == r.id || p != nil && p.heard < r.pace.ElectionTicks) {
 			alive++
 		}
 	}
 	if alive <= r.voters()/2 || !r.voter(r.id) {
 		r.quorumAt++
-		if r.quorumAt > r.pace.Election/2 {
+		if r.quorumAt > r.pace.ElectionTicks/2 {
 			r.follow(r.hard.Term, "")
 			return r.flush()
 		}
@@ -212,7 +212,7 @@
 		r.lag = 0
 	}
 	if r.transfer != "" {
-		if r.transferAt++; r.transferAt > r.pace.Election {
+		if r.transferAt++; r.transferAt > r.pace.ElectionTicks {
 			r.transfer = ""
 			if r.yielded {
 				r.renewTerm()
@@ -222,10 +222,10 @@
 			r.relieve()
 		}
 	}
-	if r.lag > r.pace.Election && r.transfer == "" {
-		r.HandOver()
+	if r.lag > r.pace.ElectionTicks && r.transfer == "" {
+		r.startTransfer()
 	}
-	if r.elapsed >= r.pace.Beat {
+	if r.elapsed >= r.pace.HeartbeatTicks {
 		r.elapsed = 0
 		r.beginRound()
 		for _, member := range r.members {
@@ -238,7 +238,7 @@
 }
 
 // Step takes a message from another core.
-func (r *Raft) Step(m Message) (out Output) {
+func (r *Replica) Step(m Message) (out Output) {
 	if m.To != r.id {
 		return Output{}
 	}
@@ -247,19 +247,19 @@
 		return r.flush()
 	}
 	switch m.Kind {
-	case AskPreVote:
+	case MsgPreVote:
 		good := m.Term > r.hard.Term && r.upToDate(m)
 		granted, idle := good && !r.bound(), good && r.knowsNobody()
 		if (granted || idle) && r.role == Candidate && m.From < r.id {
 			r.standBack()
 		}
-		tell := Message{Kind: TellPreVote, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term), Round: m.Round}
+		tell := Message{Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term), Round: m.Round}
 		if idle {
 			tell.Idle, tell.Life, tell.Age = true, r.life, r.age()
 		}
 		r.send(tell)
 		return r.flush()
-	case TellPreVote:
+	case MsgPreVoteResponse:
 		if r.role == Candidate && r.pre && m.Term == r.hard.Term+1 {
 			r.votes[m.From] = !m.Reject
 			r.noteIdle(m)
@@ -270,7 +270,7 @@
 			}
 		}
 		return r.flush()
-	case AskVote:
+	case MsgVote:
 		if m.Term > r.hard.Term {
 			if !m.Force && r.bound() && !(r.knowsNobody() && m.Life == r.life) {
 				return Output{}
@@ -280,46 +280,46 @@
 	default:
 		if m.Term > r.hard.Term {
 			leader := ID("")
-			if m.Kind == Append || m.Kind == Install || m.Kind == InstallPart {
+			if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
 				leader = m.From
 			}
 			r.follow(m.Term, leader)
 		}
 	}
 	if m.Term < r.hard.Term {
-		if m.Kind == Append || m.Kind == Install || m.Kind == InstallPart {
-			r.send(Message{Kind: TellAppend, To: m.From, Reject: true, Index: m.Index, Hint: r.lastIndex()})
+		if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
+			r.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true, Index: m.Index, Hint: r.lastIndex()})
 		}
 		return r.flush()
 	}
 	switch m.Kind {
-	case AskVote:
+	case MsgVote:
 		granted := (r.hard.Vote == "" || r.hard.Vote == m.From) && r.upToDate(m)
-		tell := Message{Kind: TellVote, To: m.From, Reject: !granted}
+		tell := Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}
 		if granted {
 			r.hard.Vote = m.From
 			hard := r.hard
 			r.resetTimer()
-			r.write(Write{Hard: &hard, After: []Message{tell}})
+			r.write(Write{HardState: &hard, AfterSync: []Message{tell}})
 		} else {
 			r.send(tell)
 		}
-	case TellVote:
+	case MsgVoteResponse:
 		if r.role == Candidate && !r.pre {
 			r.votes[m.From] = !m.Reject
 			r.countVotes()
 		}
-	case Append:
+	case MsgAppend:
 		r.takeAppend(m)
-	case Install:
+	case MsgSnapshot:
 		r.takeInstall(m)
-	case InstallPart:
+	case MsgSnapshotChunk:
 		r.takePart(m)
-	case TellAppend, TellPart:
+	case MsgAppendResponse, MsgSnapshotChunkResponse:
 		r.takeTell(m)
-	case TellHeard:
+	case MsgHeartbeatResponse:
 		r.takeHeard(m)
-	case TimeoutNow:
+	case MsgTimeoutNow:
 		if r.voter(r.id) {
 			r.campaign(false, true)
 		}
--- a/internal/raft/raftlog.go
+++ b/internal/raft/raftlog.go
@@ -3,8 +3,8 @@
 // in memory, so that a member a little behind is brought up by entries.
 package raft
 
-// Tail bounds what is kept of the log behind the snapshot.
-type Tail struct{ Entries, Bytes int }
+// LogTail bounds what is kept of the log behind the snapshot.
+type LogTail struct{ Entries, Bytes int }
 
 // entryCost is what an entry weighs beside its data.
 const entryCost = 64
@@ -15,13 +15,13 @@
 	term  Term
 }
 
-func (r *Raft) lastIndex() Index {
+func (r *Replica) lastIndex() Index {
 	return r.start.index + Index(len(r.log))
 }
 
-func (r *Raft) at(index Index) (entry *Entry) { return &r.log[index-r.start.index-1] }
+func (r *Replica) at(index Index) (entry *Entry) { return &r.log[index-r.start.index-1] }
 
-func (r *Raft) termAt(index Index) Term {
+func (r *Replica) termAt(index Index) Term {
 	if index == r.start.index {
 		return r.start.term
 	}
@@ -32,7 +32,7 @@
 }
 
 // firstOf is the first place of the run of one term that reaches up to index.
-func (r *Raft) firstOf(term Term, index Index) (first Index) {
+func (r *Replica) firstOf(term Term, index Index) (first Index) {
 	for first = index; first > r.start.index+1 && r.termAt(first-1) == term; first-- {
 	}
 	return first
@@ -40,7 +40,7 @@
 
 // lastOf is the last place of a term that lies above low and below high, or
 // none.
-func (r *Raft) lastOf(term Term, low, high Index) (last Index) {
+func (r *Replica) lastOf(term Term, low, high Index) (last Index) {
 	if term == 0 {
 		return 0
 	}
@@ -54,7 +54,7 @@
 	return 0
 }
 
-func (r *Raft) entriesFrom(index Index, most int) (entries []Entry) {
+func (r *Replica) entriesFrom(index Index, most int) (entries []Entry) {
 	if index <= r.start.index || index > r.lastIndex() {
 		return nil
 	}
@@ -77,15 +77,15 @@
 
 // undo notes that the log behind a place is given up: no order that is done or
 // under way counts for more.
-func (r *Raft) undo(behind Index) {
+func (r *Replica) undo(behind Index) {
 	r.synced = min(r.synced, behind)
 	for i := range r.marks {
 		r.marks[i].last = min(r.marks[i].last, behind)
 	}
 }
 
-// Synced reports that the disk has carried out so many more orders.
-func (r *Raft) Synced(orders int) (out Output) {
+// ReportSynced reports that the disk has carried out so many more orders.
+func (r *Replica) ReportSynced(orders int) (out Output) {
 	r.done += uint64(orders)
 	for len(r.marks) > 0 && r.marks[0].order <= r.done {
 		r.synced = max(r.synced, r.marks[0].last)
@@ -95,7 +95,7 @@
 }
 
 // Compact cuts the log behind an applied place.
-func (r *Raft) Compact(index Index, data []byte) (done bool, out Output) {
+func (r *Replica) Compact(index Index, data []byte) (done bool, out Output) {
 	if index <= r.base.Index || index > r.applied {
 		return false, out
 	}
@@ -113,7 +113,7 @@
 }
 
 // trim gives up what lies behind the snapshot beyond the tail.
-func (r *Raft) trim() {
+func (r *Replica) trim() {
 	begin, bytes := r.base.Index, 0
 	for begin > r.start.index {
 		bytes += len(r.at(begin).Data) + entryCost
--- a/internal/raft/raftlog_test.go
+++ b/internal/raft/raftlog_test.go
@@ -10,7 +10,7 @@
 // bench steps one core by hand; its disk carries orders out only when told.
 type bench struct {
 	t      *testing.T
-	raft   *Raft
+	raft   *Replica
 	disk   *simDisk
 	queued []Write
 	told   []Message
@@ -20,23 +20,23 @@
 
 var trio = []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}}
 
-func newBench(t *testing.T, id ID, hard Hard, log ...Entry) (b *bench) {
+func newBench(t *testing.T, id ID, hard HardState, log ...Entry) (b *bench) {
 	base := Snapshot{Index: 1, Term: 1, Members: trio}
 	b = &bench{t: t, disk: &simDisk{id: id, hard: hard, base: base, log: map[Index]Entry{}}}
 	for _, each := range log {
 		b.disk.log[each.Index] = each
 	}
-	b.raft = NewRaft(id, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), hard, base, log)
+	b.raft = New(id, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), hard, base, log)
 	return b
 }
 
 func (b *bench) take(out Output) {
-	b.told = append(b.told, out.Send...)
+	b.told = append(b.told, out.Messages...)
 	b.queued = append(b.queued, out.Writes...)
 	if out.Restore != nil {
 		b.rest = append(b.rest, out.Restore)
 	}
-	for _, each := range out.Apply {
+	for _, each := range out.Committed {
 		b.apply = append(b.apply, each.Index)
 	}
 }
@@ -58,8 +58,8 @@
 	write := b.queued[0]
 	b.queued = b.queued[1:]
 	b.disk.carry(write, planted{})
-	b.told = append(b.told, write.After...)
-	b.take(b.raft.Synced(1))
+	b.told = append(b.told, write.AfterSync...)
+	b.take(b.raft.ReportSynced(1))
 }
 
 func (b *bench) syncAll() {
@@ -71,7 +71,7 @@
 // match is the highest place that was told as held, since asked last.
 func (b *bench) match() (index Index) {
 	for _, m := range b.told {
-		if m.Kind == TellAppend && !m.Reject {
+		if m.Kind == MsgAppendResponse && !m.Reject {
 			index = max(index, m.Index)
 		}
 	}
@@ -107,19 +107,19 @@
 // What a follower has told as held is not taken away by a snapshot that comes
 // late: the leader has counted it.
 func TestLateSnapshotKeepsWhatLiesBehind(t *testing.T) {
-	b := newBench(t, "b", Hard{Term: 2})
-	b.step(Message{Kind: Append, Index: 1, LogTerm: 1, Commit: 5, Entries: run(2, 30, 2)})
+	b := newBench(t, "b", HardState{Term: 2})
+	b.step(Message{Kind: MsgAppend, Index: 1, LogTerm: 1, Commit: 5, Entries: run(2, 30, 2)})
 	b.syncAll()
-	if told := b.match(); told != 30 || b.raft.Commit() != 5 {
-		t.Fatalf("told %d, commit %d", told, b.raft.Commit())
+	if told := b.match(); told != 30 || b.raft.CommitIndex() != 5 {
+		t.Fatalf("told %d, commit %d", told, b.raft.CommitIndex())
 	}
-	install := Message{Kind: Install, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}}
+	install := Message{Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}}
 	for round := 0; round < 2; round++ {
 		b.step(install)
 		b.syncAll()
 		b.want(30, 2)
-		if told := b.match(); told != 18 || b.raft.Commit() != 18 || len(b.rest) != 0 {
-			t.Fatalf("told %d, commit %d, %d restored", told, b.raft.Commit(), len(b.rest))
+		if told := b.match(); told != 18 || b.raft.CommitIndex() != 18 || len(b.rest) != 0 {
+			t.Fatalf("told %d, commit %d, %d restored", told, b.raft.CommitIndex(), len(b.rest))
 		}
 	}
 	if diff := cmp.Diff(run(2, 30, 2), b.held()); diff != "" {
@@ -130,38 +130,38 @@
 	}
 	// An old one, of the same or an older term, changes nothing.
 	for _, old := range []Snapshot{{Index: 3, Term: 2, Members: trio}, {Index: 1, Term: 1}} {
-		b.step(Message{Kind: Install, Snapshot: &old})
+		b.step(Message{Kind: MsgSnapshot, Snapshot: &old})
 		b.syncAll()
 		b.want(30, 2)
-		if b.raft.Commit() != 18 || len(b.rest) != 0 || b.raft.Base() != 1 {
-			t.Fatalf("an old snapshot of %d left commit %d", old.Index, b.raft.Commit())
+		if b.raft.CommitIndex() != 18 || len(b.rest) != 0 || b.raft.SnapshotIndex() != 1 {
+			t.Fatalf("an old snapshot of %d left commit %d", old.Index, b.raft.CommitIndex())
 		}
 	}
 }
 
 // Where the log differs from the snapshot, nothing of it stays.
 func TestSnapshotOfAnotherTermEndsTheLog(t *testing.T) {
-	b := newBench(t, "b", Hard{Term: 2}, run(2, 30, 2)...)
-	b.step(Message{Kind: Install, Term: 4, Snapshot: &Snapshot{Index: 18, Term: 3, Members: trio}})
+	b := newBench(t, "b", HardState{Term: 2}, run(2, 30, 2)...)
+	b.step(Message{Kind: MsgSnapshot, Term: 4, Snapshot: &Snapshot{Index: 18, Term: 3, Members: trio}})
 	b.syncAll()
 	b.want(18, 3)
-	if told := b.match(); told != 18 || b.raft.Commit() != 18 || len(b.held()) != 0 || len(b.rest) != 1 {
-		t.Fatalf("told %d, commit %d, %d on disk", told, b.raft.Commit(), len(b.held()))
+	if told := b.match(); told != 18 || b.raft.CommitIndex() != 18 || len(b.held()) != 0 || len(b.rest) != 1 {
+		t.Fatalf("told %d, commit %d, %d on disk", told, b.raft.CommitIndex(), len(b.held()))
 	}
 }
 
 // While a snapshot is on its way to the disk, nothing tells it as held.
 func TestNothingOfASnapshotIsToldBeforeItsWrite(t *testing.T) {
 	again := map[string]Message{
-		"repeated install": {Kind: Install, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}},
-		"older install":    {Kind: Install, Snapshot: &Snapshot{Index: 9, Term: 2, Members: trio}},
-		"append below":     {Kind: Append, Index: 4, LogTerm: 2, Entries: run(5, 9, 2)},
-		"heartbeat below":  {Kind: Append, Index: 4, LogTerm: 2},
-		"heartbeat at it":  {Kind: Append, Index: 18, LogTerm: 2, Commit: 18},
+		"repeated install": {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}},
+		"older install":    {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 9, Term: 2, Members: trio}},
+		"append below":     {Kind: MsgAppend, Index: 4, LogTerm: 2, Entries: run(5, 9, 2)},
+		"heartbeat below":  {Kind: MsgAppend, Index: 4, LogTerm: 2},
+		"heartbeat at it":  {Kind: MsgAppend, Index: 18, LogTerm: 2, Commit: 18},
 	}
 	for name, m := range again {
-		b := newBench(t, "b", Hard{Term: 2}, run(2, 5, 1)...)
-		b.step(Message{Kind: Install, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}})
+		b := newBench(t, "b", HardState{Term: 2}, run(2, 5, 1)...)
+		b.step(Message{Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 18, Term: 2, Members: trio}})
 		m.Round = 7
 		b.step(m)
 		if told := b.match(); told != 0 {
@@ -181,16 +181,16 @@
 // A commit may be ahead of the disk; what is told may not.
 func TestACommitAheadOfTheDiskIsNotTold(t *testing.T) {
 	for name, m := range map[string]Message{
-		"install of it":     {Kind: Install, Snapshot: &Snapshot{Index: 8, Term: 2, Members: trio}},
-		"install within":    {Kind: Install, Snapshot: &Snapshot{Index: 10, Term: 2, Members: trio}},
-		"heartbeat":         {Kind: Append, Index: 10, LogTerm: 2, Commit: 10},
-		"repeated append":   {Kind: Append, Index: 1, LogTerm: 1, Commit: 8, Entries: run(2, 10, 2)},
-		"append cut in two": {Kind: Append, Index: 3, LogTerm: 2, Commit: 8, Entries: run(4, 9, 2)},
+		"install of it":     {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 8, Term: 2, Members: trio}},
+		"install within":    {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 10, Term: 2, Members: trio}},
+		"heartbeat":         {Kind: MsgAppend, Index: 10, LogTerm: 2, Commit: 10},
+		"repeated append":   {Kind: MsgAppend, Index: 1, LogTerm: 1, Commit: 8, Entries: run(2, 10, 2)},
+		"append cut in two": {Kind: MsgAppend, Index: 3, LogTerm: 2, Commit: 8, Entries: run(4, 9, 2)},
 	} {
-		b := newBench(t, "b", Hard{Term: 2})
-		b.step(Message{Kind: Append, Index: 1, LogTerm: 1, Commit: 2, Entries: run(2, 5, 2)})
+		b := newBench(t, "b", HardState{Term: 2})
+		b.step(Message{Kind: MsgAppend, Index: 1, LogTerm: 1, Commit: 2, Entries: run(2, 5, 2)})
 		b.sync()
-		b.step(Message{Kind: Append, Index: 5, LogTerm: 2, Commit: 8, Entries: run(6, 10, 2)})
+		b.step(Message{Kind: MsgAppend, Index: 5, LogTerm: 2, Commit: 8, Entries: run(6, 10, 2)})
 		b.match()
 		b.step(m)
 		if told := b.match(); told > 5 {
@@ -206,14 +206,14 @@
 // A report of an order that a later one undoes says nothing of what the log
 // holds now, also where the same entries came back.
 func TestAReportOfAnUndoneOrderCountsForNothing(t *testing.T) {
-	b := newBench(t, "b", Hard{Term: 2})
-	b.step(Message{Kind: Append, Index: 1, LogTerm: 1, Entries: run(2, 10, 2)})
-	b.step(Message{Kind: Append, Term: 4, Index: 7, LogTerm: 2, Entries: run(8, 8, 3)})
-	b.step(Message{Kind: Append, Term: 5, From: "c", Index: 7, LogTerm: 2, Entries: run(8, 10, 2)})
+	b := newBench(t, "b", HardState{Term: 2})
+	b.step(Message{Kind: MsgAppend, Index: 1, LogTerm: 1, Entries: run(2, 10, 2)})
+	b.step(Message{Kind: MsgAppend, Term: 4, Index: 7, LogTerm: 2, Entries: run(8, 8, 3)})
+	b.step(Message{Kind: MsgAppend, Term: 5, From: "c", Index: 7, LogTerm: 2, Entries: run(8, 10, 2)})
 	b.match()
 	b.sync()
 	b.match()
-	b.step(Message{Kind: Append, Term: 5, From: "c", Index: 10, LogTerm: 2})
+	b.step(Message{Kind: MsgAppend, Term: 5, From: "c", Index: 10, LogTerm: 2})
 	if told := b.match(); told != 7 {
 		t.Fatalf("told %d, and the disk is yet to cut at 8", told)
 	}
@@ -225,22 +225,22 @@
 
 // The leader's own log counts only once it is on its disk.
 func TestTheLeaderCountsWhatItsDiskHolds(t *testing.T) {
-	b := newBench(t, "b", Hard{Term: 2}, run(2, 4, 2)...)
-	b.step(Message{Kind: Append, Index: 4, LogTerm: 2, Entries: run(5, 6, 2)})
-	b.step(Message{Kind: TimeoutNow})
+	b := newBench(t, "b", HardState{Term: 2}, run(2, 4, 2)...)
+	b.step(Message{Kind: MsgAppend, Index: 4, LogTerm: 2, Entries: run(5, 6, 2)})
+	b.step(Message{Kind: MsgTimeoutNow})
 	b.sync()
 	b.sync()
-	b.step(Message{Kind: TellVote, Term: 3, From: "c"})
+	b.step(Message{Kind: MsgVoteResponse, Term: 3, From: "c"})
 	if b.raft.Role() != Leader {
 		t.Fatal("not elected")
 	}
-	b.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: 7})
-	if b.raft.Commit() >= 7 {
+	b.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 7})
+	if b.raft.CommitIndex() >= 7 {
 		t.Fatal("its own entry counted before the write")
 	}
 	b.syncAll()
-	if b.raft.Commit() != 7 {
-		t.Fatalf("commit %d", b.raft.Commit())
+	if b.raft.CommitIndex() != 7 {
+		t.Fatalf("commit %d", b.raft.CommitIndex())
 	}
 }
 
--- a/internal/raft/refusals.go
+++ b/internal/raft/refusals.go
@@ -9,11 +9,11 @@
 	saidAt int
 }
 
-func (r *refusals) say(log *eventlog.Logger, ticks int, refusal Refusal) {
+func (r *refusals) say(log *eventlog.Logger, ticks int, refusal Rejection) {
 	r.count++
 	if r.saidAt > 0 && ticks-r.saidAt < refusalTicks {
 		return
 	}
 	r.saidAt = max(ticks, 1)
-	log.Emit(eventlog.PeerMessageRejected, eventlog.KeyFrom, string(refusal.From), eventlog.KeyKind, int(refusal.Kind), eventlog.KeyReason, refusal.Why, eventlog.KeyCount, r.count)
+	log.Emit(eventlog.PeerMessageRejected, eventlog.KeyFrom, string(refusal.From), eventlog.KeyKind, int(refusal.Kind), eventlog.KeyReason, refusal.Reason, eventlog.KeyCount, r.count)
 }
--- a/internal/raft/replicate.go
+++ b/internal/raft/replicate.go
@@ -41,7 +41,7 @@
 	slowLink = 50_000
 )
 
-func (r *Raft) push(entry Entry) (index Index) {
+func (r *Replica) push(entry Entry) (index Index) {
 	entry.Term, entry.Index = r.hard.Term, r.lastIndex()+1
 	r.log = append(r.log, entry)
 	if entry.Members != nil {
@@ -57,15 +57,15 @@
 }
 
 // Propose puts data into the log; it fails on any but the leader.
-func (r *Raft) Propose(data []byte) (index Index, term Term, accepted bool, out Output) {
-	if !r.Open() {
+func (r *Replica) Propose(data []byte) (index Index, term Term, accepted bool, out Output) {
+	if !r.AcceptsProposals() {
 		return 0, 0, false, Output{}
 	}
 	index = r.push(Entry{Data: data})
 	return index, r.hard.Term, true, r.flush()
 }
 
-func (r *Raft) replicate(id ID, p *progress) {
+func (r *Replica) replicate(id ID, p *progress) {
 	if p.next <= r.start.index {
 		r.sendParts(id, p)
 		return
@@ -84,8 +84,8 @@
 }
 
 // sendEntries sends a batch.
-func (r *Raft) sendEntries(id ID, p *progress) {
-	m := Message{Kind: Append, To: id, Index: p.next - 1, LogTerm: r.termAt(p.next - 1), Commit: r.commit, Entries: r.entriesFrom(p.next, maxBatch), Round: r.round}
+func (r *Replica) sendEntries(id ID, p *progress) {
+	m := Message{Kind: MsgAppend, To: id, Index: p.next - 1, LogTerm: r.termAt(p.next - 1), Commit: r.commit, Entries: r.entriesFrom(p.next, maxBatch), Round: r.round}
 	r.send(m)
 	p.under = append(p.under, appended{m.Index + Index(len(m.Entries)), m.size()})
 	p.flight += m.size()
@@ -109,8 +109,8 @@
 
 // beat tells a member that the leader lives, and the commit as far as the member
 // is known to hold the log; it never runs into what is still under way.
-func (r *Raft) beat(id ID, p *progress) {
-	m := Message{Kind: Append, To: id, Commit: r.commit, Round: r.round}
+func (r *Replica) beat(id ID, p *progress) {
+	m := Message{Kind: MsgAppend, To: id, Commit: r.commit, Round: r.round}
 	if p.match >= r.start.index {
 		m.Index, m.LogTerm = p.match, r.termAt(p.match)
 	}
@@ -119,9 +119,9 @@
 
 // recover sends again what must have been lost: a member that speaks has made no
 // progress for as long as even a slow link takes.
-func (r *Raft) recover(id ID, p *progress) {
+func (r *Replica) recover(id ID, p *progress) {
 	waits := p.sending != nil || p.asked || p.next > p.match+1
-	if !waits || p.heard >= r.pace.Election {
+	if !waits || p.heard >= r.pace.ElectionTicks {
 		p.idle = 0
 		return
 	}
@@ -130,21 +130,21 @@
 	if p.sending != nil {
 		flight, messages = p.sending.underWay*int(r.partSize), p.sending.underWay
 	}
-	if p.idle > r.pace.Election+messages+flight*int(time.Second/tickSpan)/slowLink {
+	if p.idle > r.pace.ElectionTicks+messages+flight*int(time.Second/tickInterval)/slowLink {
 		r.resume(id, p)
 	}
 }
 
-// Lost reports that what was on its way to a member is gone.
-func (r *Raft) Lost(id ID) (out Output) {
-	if p := r.peers[id]; r.role == Leader && p != nil && p.heard < r.pace.Election && (p.sending != nil || len(p.under) > 0) {
+// ReportLost reports that what was on its way to a member is gone.
+func (r *Replica) ReportLost(id ID) (out Output) {
+	if p := r.peers[id]; r.role == Leader && p != nil && p.heard < r.pace.ElectionTicks && (p.sending != nil || len(p.under) > 0) {
 		r.resume(id, p)
 	}
 	return r.flush()
 }
 
 // resume goes on from what a member is known to hold.
-func (r *Raft) resume(id ID, p *progress) {
+func (r *Replica) resume(id ID, p *progress) {
 	p.ask()
 	if p.sending != nil {
 		p.sending.rewind(r.partSize)
@@ -156,7 +156,7 @@
 	r.replicate(id, p)
 }
 
-func (r *Raft) advance() {
+func (r *Replica) advance() {
 	if r.role == Leader {
 		var matches []Index
 		for _, member := range r.members {
@@ -182,22 +182,22 @@
 	}
 	for r.applied < r.commit && r.applied < r.lastIndex() {
 		r.applied++
-		r.out.Apply = append(r.out.Apply, *r.at(r.applied))
+		r.out.Committed = append(r.out.Committed, *r.at(r.applied))
 	}
 }
 
-func (r *Raft) heed(m Message) {
+func (r *Replica) heed(m Message) {
 	if r.role != Follower {
 		r.role, r.votes, r.pre = Follower, nil, false
 	}
 	r.leader = m.From
 	r.elapsed, r.silence, r.heardAt, r.fresh = 0, 0, r.now, false
-	if r.timeout < r.pace.Election {
+	if r.timeout < r.pace.ElectionTicks {
 		r.resetTimer()
 	}
 }
 
-func (r *Raft) takeAppend(m Message) {
+func (r *Replica) takeAppend(m Message) {
 	r.heed(m)
 	if m.Index < r.base.Index {
 		r.tell(m, r.base.Index)
@@ -211,7 +211,7 @@
 			conflict = r.termAt(m.Index)
 			hint = r.firstOf(conflict, m.Index) - 1
 		}
-		r.send(Message{Kind: TellAppend, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commit), LogTerm: conflict, Round: r.heardRound(m.Round)})
+		r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commit), LogTerm: conflict, Round: r.heardRound(m.Round)})
 		return
 	}
 	var fresh []Entry
@@ -244,7 +244,7 @@
 			r.refreshMembers()
 		}
 		r.tellHeard(m.From, m.Round)
-		r.write(Write{Cut: cut, Entries: fresh, After: []Message{{Kind: TellAppend, To: m.From, Index: matched, Round: m.Round}}})
+		r.write(Write{TruncateFrom: cut, Entries: fresh, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: matched, Round: m.Round}}})
 	} else {
 		r.tell(m, matched)
 	}
@@ -259,11 +259,11 @@
 
 // tell answers at once, with no more than the disk holds: that the core lives is
 // told also while its disk is busy, and what it holds behind the write.
-func (r *Raft) tell(m Message, index Index) {
-	r.send(Message{Kind: TellAppend, To: m.From, Index: min(index, r.synced), Round: r.heardRound(m.Round)})
+func (r *Replica) tell(m Message, index Index) {
+	r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: min(index, r.synced), Round: r.heardRound(m.Round)})
 }
 
-func (r *Raft) takeInstall(m Message) {
+func (r *Replica) takeInstall(m Message) {
 	r.heed(m)
 	snapshot := m.Snapshot
 	if snapshot == nil || snapshot.Index <= r.commit {
@@ -284,20 +284,20 @@
 	r.refreshMembers()
 	r.out.Restore = snapshot
 	r.tellHeard(m.From, m.Round)
-	r.write(Write{Cut: 1, Snapshot: snapshot, After: []Message{{Kind: TellAppend, To: m.From, Index: snapshot.Index, Round: m.Round}}})
+	r.write(Write{TruncateFrom: 1, Snapshot: snapshot, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: snapshot.Index, Round: m.Round}}})
 }
 
-func (r *Raft) takeTell(m Message) {
+func (r *Replica) takeTell(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil {
 		return
 	}
-	silent := p.heard >= r.pace.Election
+	silent := p.heard >= r.pace.ElectionTicks
 	p.heard = 0
 	if m.Round > p.ackRound {
 		p.ackRound = m.Round
 	}
-	if m.Kind == TellPart {
+	if m.Kind == MsgSnapshotChunkResponse {
 		r.takePartTell(m, p)
 		return
 	}
--- a/internal/raft/replicate_test.go
+++ b/internal/raft/replicate_test.go
@@ -9,9 +9,9 @@
 // elect makes a core leader by the votes of the other two.
 func (b *bench) elect() {
 	b.t.Helper()
-	b.step(Message{Kind: TimeoutNow, From: "c", Term: b.raft.Term()})
+	b.step(Message{Kind: MsgTimeoutNow, From: "c", Term: b.raft.Term()})
 	b.syncAll()
-	b.step(Message{Kind: TellVote, Term: b.raft.Term(), From: "c"})
+	b.step(Message{Kind: MsgVoteResponse, Term: b.raft.Term(), From: "c"})
 	b.syncAll()
 	if b.raft.Role() != Leader {
 		b.t.Fatal("not elected")
@@ -20,7 +20,7 @@
 
 // talk carries what two cores say to each other until both are silent, and
 // counts the messages of one kind.
-func talk(one, two *bench, kind Kind) (count int) {
+func talk(one, two *bench, kind MessageKind) (count int) {
 	for len(one.told)+len(two.told) > 0 {
 		for _, from := range []*bench{one, two} {
 			said := from.told
@@ -53,10 +53,10 @@
 		"a term that both hold":     {append(run(11, 100, 2), run(101, 400, 4)...), run(11, 500, 2), 4},
 		"a term the leader has cut": {append(run(11, 15, 2), run(16, 400, 4)...), append(run(11, 200, 2), run(201, 500, 3)...), 5},
 	} {
-		leader := newBench(t, "a", Hard{Term: 4}, append(run(2, 10, 1), c.leader...)...)
-		follower := newBench(t, "b", Hard{Term: 4}, append(run(2, 10, 1), c.follower...)...)
+		leader := newBench(t, "a", HardState{Term: 4}, append(run(2, 10, 1), c.leader...)...)
+		follower := newBench(t, "b", HardState{Term: 4}, append(run(2, 10, 1), c.follower...)...)
 		leader.elect()
-		if appends := talk(leader, follower, Append); appends > c.most {
+		if appends := talk(leader, follower, MsgAppend); appends > c.most {
 			t.Errorf("%s: %d appends until both agree, want %d at most", name, appends, c.most)
 		}
 		want := append(append(shared[:9:9], c.leader...), Entry{Term: 5, Index: 401})
@@ -71,33 +71,33 @@
 func TestATailIsKeptBehindTheSnapshot(t *testing.T) {
 	for _, c := range []struct {
 		has, installs int
-		tail          Tail
+		tail          LogTail
 	}{
-		{60, 0, Tail{Entries: 50, Bytes: 1 << 20}},
-		{50, 0, Tail{Entries: 50, Bytes: 1 << 20}},
-		{49, 1, Tail{Entries: 50, Bytes: 1 << 20}},
-		{95, 0, Tail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
-		{94, 1, Tail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
-		{60, 1, Tail{}},
+		{60, 0, LogTail{Entries: 50, Bytes: 1 << 20}},
+		{50, 0, LogTail{Entries: 50, Bytes: 1 << 20}},
+		{49, 1, LogTail{Entries: 50, Bytes: 1 << 20}},
+		{95, 0, LogTail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
+		{94, 1, LogTail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
+		{60, 1, LogTail{}},
 	} {
-		leader := newBench(t, "a", Hard{Term: 2}, run(2, 105, 2)...)
+		leader := newBench(t, "a", HardState{Term: 2}, run(2, 105, 2)...)
 		leader.raft.tail = c.tail
 		leader.elect()
-		leader.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: 106})
+		leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 106})
 		done, out := leader.raft.Compact(100, []byte("state"))
 		leader.take(out)
 		leader.syncAll()
-		follower := newBench(t, "b", Hard{Term: 2}, run(2, Index(c.has), 2)...)
-		installs := talk(leader, follower, InstallPart)
-		if !done || installs != c.installs || follower.raft.Last() != 106 || follower.raft.synced != 106 {
-			t.Errorf("%v: %d installs, want %d; ends at %d", c, installs, c.installs, follower.raft.Last())
+		follower := newBench(t, "b", HardState{Term: 2}, run(2, Index(c.has), 2)...)
+		installs := talk(leader, follower, MsgSnapshotChunk)
+		if !done || installs != c.installs || follower.raft.LastIndex() != 106 || follower.raft.synced != 106 {
+			t.Errorf("%v: %d installs, want %d; ends at %d", c, installs, c.installs, follower.raft.LastIndex())
 		}
-		if held := leader.held(); len(held) != 6 || leader.disk.base.Index != 100 || leader.raft.Base() != 100 {
+		if held := leader.held(); len(held) != 6 || leader.disk.base.Index != 100 || leader.raft.SnapshotIndex() != 100 {
 			t.Errorf("%v: the leader's disk holds %d entries behind %d", c, len(held), leader.disk.base.Index)
 		}
 		// A second cut moves the tail on.
-		if done, _ = leader.raft.Compact(106, nil); !done || leader.raft.Last() != 106 || leader.raft.termAt(106) != 3 {
-			t.Errorf("%v: ends at %d after a second cut", c, leader.raft.Last())
+		if done, _ = leader.raft.Compact(106, nil); !done || leader.raft.LastIndex() != 106 || leader.raft.termAt(106) != 3 {
+			t.Errorf("%v: ends at %d after a second cut", c, leader.raft.LastIndex())
 		}
 		if kept := len(leader.raft.log); kept > c.tail.Entries {
 			t.Errorf("%v: %d entries are kept", c, kept)
@@ -108,18 +108,18 @@
 // On a slow link nothing is sent twice while it may still arrive, what is under
 // way stays bounded, and what was lost is sent again.
 func TestAppendsUnderWayAreBoundedAndSentAgain(t *testing.T) {
-	leader := newBench(t, "a", Hard{Term: 2}, run(2, 10, 2)...)
+	leader := newBench(t, "a", HardState{Term: 2}, run(2, 10, 2)...)
 	leader.elect()
 	peer := leader.raft.peers["b"]
 	beat := func(match Index) {
-		leader.step(Message{Kind: TellAppend, Term: 3, From: "b", Index: match})
-		leader.step(Message{Kind: TellAppend, Term: 3, From: "c", Index: leader.raft.Last()})
+		leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "b", Index: match})
+		leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: leader.raft.LastIndex()})
 	}
 	beat(11)
 	leader.told = nil
 	sent := func() (entries int, bytes int) {
 		for _, m := range leader.told {
-			if m.Kind == Append && m.To == "b" && len(m.Entries) > 0 {
+			if m.Kind == MsgAppend && m.To == "b" && len(m.Entries) > 0 {
 				entries, bytes = entries+len(m.Entries), bytes+m.size()
 				if m.size() > maxBatch+2*entryCost+1000 {
 					t.Errorf("an append of %d bytes", m.size())
@@ -151,14 +151,14 @@
 	if entries, bytes := sent(); entries == 0 || bytes > maxBatch+2*entryCost {
 		t.Fatalf("%d entries of %d bytes were sent again", entries, bytes)
 	}
-	beat(leader.raft.Last())
+	beat(leader.raft.LastIndex())
 	if entries, _ := sent(); entries != 0 || !peer.steady || peer.flight != 0 {
 		t.Fatalf("%d entries are sent to a member that has all, %d bytes count as under way", entries, peer.flight)
 	}
 	_, _, _, out := leader.raft.Propose([]byte("x"))
 	leader.take(out)
 	leader.told = nil
-	leader.take(leader.raft.Lost("b"))
+	leader.take(leader.raft.ReportLost("b"))
 	if entries, _ := sent(); entries != 1 {
 		t.Fatalf("%d entries were sent after a broken stream", entries)
 	}
@@ -167,22 +167,22 @@
 // What a follower takes costs what it brings, not what its log holds; and a cut
 // leaves alone what is on its way elsewhere.
 func TestAnAppendDoesNotCopyTheLog(t *testing.T) {
-	b := newBench(t, "b", Hard{Term: 2}, run(2, 4000, 2)...)
+	b := newBench(t, "b", HardState{Term: 2}, run(2, 4000, 2)...)
 	last, moved := Index(4000), 0
 	for range 400 {
 		before := &b.raft.log[0]
-		b.step(Message{Kind: Append, Term: 2, Index: last, LogTerm: 2, Entries: run(last+1, last+1, 2)})
+		b.step(Message{Kind: MsgAppend, Term: 2, Index: last, LogTerm: 2, Entries: run(last+1, last+1, 2)})
 		last++
 		if before != &b.raft.log[0] {
 			moved++
 		}
 	}
-	if b.raft.Last() != last || moved > 2 {
-		t.Errorf("the log ends at %d, want %d, and was copied %d times", b.raft.Last(), last, moved)
+	if b.raft.LastIndex() != last || moved > 2 {
+		t.Errorf("the log ends at %d, want %d, and was copied %d times", b.raft.LastIndex(), last, moved)
 	}
 	under := b.raft.entriesFrom(last-1, 1<<20)
-	b.step(Message{Kind: Append, Term: 3, Index: last - 2, LogTerm: 2, Entries: run(last-1, last-1, 3)})
-	if b.raft.Last() != last-1 || under[0].Term != 2 || len(under) != 2 {
-		t.Errorf("it ends at %d; under way: %+v", b.raft.Last(), under)
+	b.step(Message{Kind: MsgAppend, Term: 3, Index: last - 2, LogTerm: 2, Entries: run(last-1, last-1, 3)})
+	if b.raft.LastIndex() != last-1 || under[0].Term != 2 || len(under) != 2 {
+		t.Errorf("it ends at %d; under way: %+v", b.raft.LastIndex(), under)
 	}
 }
--- a/internal/raft/restart.go
+++ b/internal/raft/restart.go
@@ -27,24 +27,24 @@
 }
 
 // soon is when to ask again where nobody is known to lead.
-func (r *Raft) soon() (ticks int) { return 2 + r.luck.Intn(r.pace.Election/2+1) }
+func (r *Replica) soon() (ticks int) { return 2 + r.luck.Intn(r.pace.ElectionTicks/2+1) }
 
 // age is how long ago this core started, at least.
-func (r *Raft) age() (age time.Duration) { return r.now - r.born }
+func (r *Replica) age() (age time.Duration) { return r.now - r.born }
 
 // knowsNobody tells that no leader was known since the start, this one included,
 // and that it does not stand itself.
-func (r *Raft) knowsNobody() (nobody bool) {
+func (r *Replica) knowsNobody() (nobody bool) {
 	return r.fresh && r.role != Leader && (r.role != Candidate || r.pre)
 }
 
-func (r *Raft) beginAsking() {
+func (r *Replica) beginAsking() {
 	r.attempt++
 	r.asked, r.idle = r.now, map[ID]uint64{}
 }
 
 // noteIdle keeps the word of a member that had started before it was asked.
-func (r *Raft) noteIdle(m Message) {
+func (r *Replica) noteIdle(m Message) {
 	if m.Idle && m.Round == r.attempt && m.Life != 0 && m.Age >= r.now-r.asked {
 		r.idle[m.From] = m.Life
 	}
@@ -52,7 +52,7 @@
 
 // lives gives the starts of all other members where each has said that it knows
 // nobody, and this core does not either.
-func (r *Raft) lives() (lives map[ID]uint64) {
+func (r *Replica) lives() (lives map[ID]uint64) {
 	if !r.fresh || !r.voter(r.id) {
 		return nil
 	}
--- a/internal/raft/room_test.go
+++ b/internal/raft/room_test.go
@@ -57,7 +57,7 @@
 	}
 	full.Store(true)
 	done := make(chan error, 1)
-	go func() { done <- store.Write([]Write{{Hard: &Hard{Term: 2}, Entries: []Entry{entry(2, 2)}}}) }()
+	go func() { done <- store.Write([]Write{{HardState: &HardState{Term: 2}, Entries: []Entry{entry(2, 2)}}}) }()
 	for range 5 {
 		<-looked
 		select {
--- a/internal/raft/seal_test.go
+++ b/internal/raft/seal_test.go
@@ -18,7 +18,7 @@
 	if err = store.Found("a", Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}); err != nil {
 		t.Fatal(err)
 	}
-	if err = store.Write([]Write{{Hard: &Hard{Term: 3, Vote: "b"}, Entries: run(2, 3, 3)}}); err != nil {
+	if err = store.Write([]Write{{HardState: &HardState{Term: 3, Vote: "b"}, Entries: run(2, 3, 3)}}); err != nil {
 		t.Fatal(err)
 	}
 	return store
@@ -73,7 +73,7 @@
 	base := Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}
 	_ = store.db.Delete(keyForm, nil)
 	for key, value := range map[string][]byte{
-		string(keyID): encode(ID("a")), string(keyHard): encode(Hard{Term: 3, Vote: "b"}), string(keySnapshot): encode(base),
+		string(keyID): encode(ID("a")), string(keyHard): encode(HardState{Term: 3, Vote: "b"}), string(keySnapshot): encode(base),
 		string(keyEntry(2)): writeEntry(entry(2, 3)), string(keyEntry(3)): writeEntry(Entry{Index: 3, Term: 3, Members: trio}),
 	} {
 		_ = store.db.Set([]byte(key), value, nil)
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		id, hard, found, log, loadErr := store.Load()
-		if loadErr != nil || id != "a" || hard != (Hard{Term: 3, Vote: "b"}) {
+		if loadErr != nil || id != "a" || hard != (HardState{Term: 3, Vote: "b"}) {
 			t.Fatal(id, hard, loadErr)
 		}
 		if diff := cmp.Diff(base, found); diff != "" {
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	_ = store.db.Set(keyHard, encode(Hard{Term: 9}), nil)
+	_ = store.db.Set(keyHard, encode(HardState{Term: 9}), nil)
 	if _, _, _, _, err = store.Load(); !Spoiled.Has(err) {
 		t.Fatalf("a record without its seal on a sealed disk: %v", err)
 	}
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -26,7 +26,7 @@
 
 type simDisk struct {
 	id      ID
-	hard    Hard
+	hard    HardState
 	base    Snapshot
 	log     map[Index]Entry
 	queue   []simWrite
@@ -41,7 +41,7 @@
 type simCore struct {
 	member  Member
 	up      bool
-	raft    *Raft
+	raft    *Replica
 	state   *State
 	disk    *simDisk
 	pending map[Index]simPending
@@ -85,7 +85,7 @@
 	changes int
 	mute    bool // nobody takes newcomers in
 	thin    map[string]*thinLink
-	shape   func(r *Raft)
+	shape   func(r *Replica)
 }
 
 func newSim(seed int64, cores int, fault planted) (s *sim) {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (s *sim) clock() time.Duration { return time.Duration(s.now) * tickSpan }
+func (s *sim) clock() time.Duration { return time.Duration(s.now) * tickInterval }
 
 func (s *sim) start(host string) {
 	core := s.cores[host]
@@ -144,9 +144,9 @@
 		log, term = append(log, entry), entry.Term
 	}
 	core.member.ID = disk.id
-	core.raft = NewRaft(disk.id, Pace{beatTicks, electTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
+	core.raft = New(disk.id, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
 	// Short, so that snapshots are needed often.
-	core.raft.tail, core.raft.partSize = Tail{Entries: 20, Bytes: 1 << 12}, 200
+	core.raft.tail, core.raft.partSize = LogTail{Entries: 20, Bytes: 1 << 12}, 200
 	if s.shape != nil {
 		s.shape(core.raft)
 	}
@@ -195,8 +195,8 @@
 }
 
 func (d *simDisk) carry(write Write, fault planted) {
-	if write.Hard != nil && !fault.loseVotes {
-		d.hard = *write.Hard
+	if write.HardState != nil && !fault.loseVotes {
+		d.hard = *write.HardState
 	}
 	if write.Snapshot != nil {
 		d.base = *write.Snapshot
@@ -206,9 +206,9 @@
 			}
 		}
 	}
-	if write.Cut > 0 {
+	if write.TruncateFrom > 0 {
 		for index := range d.log {
-			if index >= write.Cut {
+			if index >= write.TruncateFrom {
 				delete(d.log, index)
 			}
 		}
@@ -220,12 +220,12 @@
 
 func (s *sim) carry(host string, out Output) {
 	core := s.cores[host]
-	for _, refusal := range out.Refused {
-		if refusal.Why != "part of another snapshot" {
-			s.fail("%s refused a message of kind %d of %s: %s", host, refusal.Kind, refusal.From, refusal.Why)
+	for _, refusal := range out.Rejected {
+		if refusal.Reason != "part of another snapshot" {
+			s.fail("%s refused a message of kind %d of %s: %s", host, refusal.Kind, refusal.From, refusal.Reason)
 		}
 	}
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		s.post(host, message)
 	}
 	for _, write := range out.Writes {
@@ -242,7 +242,7 @@
 		}
 		core.state = state
 	}
-	for _, entry := range out.Apply {
+	for _, entry := range out.Committed {
 		s.apply(host, entry)
 	}
 	if core.raft.Role() == Leader {
@@ -253,9 +253,9 @@
 	} else {
 		core.pending = map[Index]simPending{}
 	}
-	if core.raft.Commit()-core.raft.Base() > 60 {
+	if core.raft.CommitIndex()-core.raft.SnapshotIndex() > 60 {
 		if data, err := core.state.Freeze(); err == nil {
-			if done, compacted := core.raft.Compact(core.raft.Commit(), data); done {
+			if done, compacted := core.raft.Compact(core.raft.CommitIndex(), data); done {
 				s.carry(host, compacted)
 			}
 		}
@@ -317,10 +317,10 @@
 
 func (s *sim) finish(host string, write Write) {
 	core := s.cores[host]
-	for _, message := range write.After {
+	for _, message := range write.AfterSync {
 		s.post(host, message)
 	}
-	s.carry(host, core.raft.Synced(1))
+	s.carry(host, core.raft.ReportSynced(1))
 }
 
 func (s *sim) step() {
@@ -388,7 +388,7 @@
 		}
 		return
 	}
-	if !core.raft.Settled() {
+	if !core.raft.CommittedInTerm() {
 		return
 	}
 	roll := s.roll(host)
@@ -400,7 +400,7 @@
 	if decision.Move == Stay {
 		return
 	}
-	if accepted, out := core.raft.Change(decision.Next); accepted {
+	if accepted, out := core.raft.ProposeMembers(decision.Next); accepted {
 		s.changes++
 		core.membership.Took(roll, decision)
 		s.carry(host, out)
@@ -415,7 +415,7 @@
 	}
 	sort.Slice(roll.Waiting, func(i, j int) bool { return roll.Waiting[i].ID < roll.Waiting[j].ID })
 	roll.Leaving = func(id ID) bool { return s.leaving[id] }
-	roll.Silence = func(id ID) int { ticks, _ := core.raft.Heard(id); return ticks }
+	roll.Silence = func(id ID) int { ticks, _ := core.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -443,7 +443,7 @@
 // settledLeader is the leader that has committed in its term, if any.
 func (s *sim) settledLeader() (core *simCore) {
 	for _, host := range s.order {
-		if c := s.cores[host]; c.up && c.raft.Settled() {
+		if c := s.cores[host]; c.up && c.raft.CommittedInTerm() {
 			if core == nil || c.raft.Term() > core.raft.Term() {
 				core = c
 			}
@@ -470,7 +470,7 @@
 			return false
 		}
 		here := leader.member.Inner
-		silence, _ := leader.raft.Heard(core.disk.id)
+		silence, _ := leader.raft.SinceHeard(core.disk.id)
 		if member.Voter && (s.cut[[2]string{here, host}] || s.cut[[2]string{host, here}] || silence >= electTicks) {
 			return false
 		}
--- a/internal/raft/store.go
+++ b/internal/raft/store.go
@@ -113,7 +113,7 @@
 }
 
 // Load reads what the disk holds.
-func (s *Store) Load() (id ID, hard Hard, base Snapshot, log []Entry, err error) {
+func (s *Store) Load() (id ID, hard HardState, base Snapshot, log []Entry, err error) {
 	if _, err = s.get(keyID, &id); err != nil {
 		return
 	}
@@ -151,7 +151,7 @@
 		log = append(log, entry)
 		next, term = next+1, entry.Term
 	}
-	if id == "" && (hard != Hard{} || base.Index > 0 || len(log) > 0) {
+	if id == "" && (hard != HardState{} || base.Index > 0 || len(log) > 0) {
 		err = Spoiled.New("the disk holds a log and no id")
 	}
 	return
@@ -171,11 +171,11 @@
 func (s *Store) Write(writes []Write) (err error) {
 	batch := s.db.NewBatch()
 	for _, write := range writes {
-		if write.Hard != nil {
-			put(batch, keyHard, encode(*write.Hard))
+		if write.HardState != nil {
+			put(batch, keyHard, encode(*write.HardState))
 		}
-		if write.Cut > 0 {
-			_ = batch.DeleteRange(keyEntry(write.Cut), keyLogEnd, nil)
+		if write.TruncateFrom > 0 {
+			_ = batch.DeleteRange(keyEntry(write.TruncateFrom), keyLogEnd, nil)
 		}
 		if write.Snapshot != nil {
 			put(batch, keySnapshot, encode(*write.Snapshot))
--- a/internal/raft/store_test.go
+++ b/internal/raft/store_test.go
@@ -38,11 +38,11 @@
 	if err = store.Found("a", base); err != nil {
 		t.Fatal(err)
 	}
-	if err = store.Write([]Write{{Hard: &Hard{Term: 3, Vote: "b"}}, {Entries: []Entry{entry(2, 3), entry(3, 3)}}}); err != nil {
+	if err = store.Write([]Write{{HardState: &HardState{Term: 3, Vote: "b"}}, {Entries: []Entry{entry(2, 3), entry(3, 3)}}}); err != nil {
 		t.Fatal(err)
 	}
 	disk.SetIgnoreSyncs(true)
-	if err = store.Write([]Write{{Hard: &Hard{Term: 4}, Entries: []Entry{entry(4, 4)}}}); err != nil {
+	if err = store.Write([]Write{{HardState: &HardState{Term: 4}, Entries: []Entry{entry(4, 4)}}}); err != nil {
 		t.Fatal(err)
 	}
 	_ = store.Close()
@@ -54,7 +54,7 @@
 	}
 	defer func() { _ = store.Close() }()
 	id, hard, found, log, err := store.Load()
-	if err != nil || id != "a" || hard != (Hard{Term: 3, Vote: "b"}) {
+	if err != nil || id != "a" || hard != (HardState{Term: 3, Vote: "b"}) {
 		t.Fatal(id, hard, err)
 	}
 	if diff := cmp.Diff(base, found); diff != "" {
@@ -102,7 +102,7 @@
 		t.Fatal(base, log, loadErr)
 	}
 	// One that is taken from a leader ends the whole log, also what lies above.
-	_ = store.Write([]Write{{Cut: 1, Snapshot: &Snapshot{Index: 3, Term: 9}}})
+	_ = store.Write([]Write{{TruncateFrom: 1, Snapshot: &Snapshot{Index: 3, Term: 9}}})
 	if _, _, base, log, loadErr := store.Load(); loadErr != nil || base.Term != 9 || len(log) != 0 {
 		t.Fatal(base, log, loadErr)
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t, "b", Hard{Term: 6}, run(2, 8, 1)...)
+	b := newBench(t, "b", HardState{Term: 6}, run(2, 8, 1)...)
 	_ = store.Found("b", b.raft.base)
 	_ = store.Write([]Write{{Entries: run(2, 8, 1)}})
 	write := func() {
@@ -137,19 +137,19 @@
 		}
 		return log
 	}
-	b.step(Message{Kind: Append, Term: 6, Index: 8, LogTerm: 1, Entries: run(9, 10, 6)})
+	b.step(Message{Kind: MsgAppend, Term: 6, Index: 8, LogTerm: 1, Entries: run(9, 10, 6)})
 	write()
 	if diff := cmp.Diff(append(run(2, 8, 1), run(9, 10, 6)...), reload()); diff != "" {
 		t.Fatal(diff)
 	}
-	b.step(Message{Kind: Append, Term: 7, From: "c", Index: 8, LogTerm: 1, Entries: run(9, 9, 5)})
+	b.step(Message{Kind: MsgAppend, Term: 7, From: "c", Index: 8, LogTerm: 1, Entries: run(9, 9, 5)})
 	write()
 	if diff := cmp.Diff(append(run(2, 8, 1), run(9, 9, 5)...), reload()); diff != "" {
 		t.Fatal(diff)
 	}
 	// Orders that share one sync keep their order: cut, put, cut again.
-	b.step(Message{Kind: Append, Term: 8, Index: 8, LogTerm: 1, Entries: run(9, 12, 6)})
-	b.step(Message{Kind: Append, Term: 9, From: "c", Index: 9, LogTerm: 6, Entries: run(10, 10, 7)})
+	b.step(Message{Kind: MsgAppend, Term: 8, Index: 8, LogTerm: 1, Entries: run(9, 12, 6)})
+	b.step(Message{Kind: MsgAppend, Term: 9, From: "c", Index: 9, LogTerm: 6, Entries: run(10, 10, 7)})
 	write()
 	if diff := cmp.Diff(append(run(2, 8, 1), entry(9, 6), entry(10, 7)), reload()); diff != "" {
 		t.Fatal(diff)
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -20,11 +20,11 @@
 		log: eventlog.Discard(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
 		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: history.New(eventlog.Discard()), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
-	n.raft = NewRaft("a", Pace{beatTicks, electTicks}, rand.New(rand.NewSource(1)), Hard{}, base, nil)
+	n.raft = New("a", Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
 	for range 2 * electTicks {
 		n.carry(n.raft.Tick())
-		n.carry(n.raft.Step(Message{Kind: TellPreVote, From: "b", To: "a", Term: n.raft.Term() + 1}))
-		n.carry(n.raft.Step(Message{Kind: TellVote, From: "b", To: "a", Term: n.raft.Term()}))
+		n.carry(n.raft.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: "a", Term: n.raft.Term() + 1}))
+		n.carry(n.raft.Step(Message{Kind: MsgVoteResponse, From: "b", To: "a", Term: n.raft.Term()}))
 		if n.raft.Role() == Leader {
 			return n
 		}
@@ -51,7 +51,7 @@
 // A no is given only for what has entered no log.
 func TestARefusedWishIsInNoLog(t *testing.T) {
 	n := wishing(t, 3)
-	last := n.raft.Last()
+	last := n.raft.LastIndex()
 	for _, c := range []struct{ age, limit time.Duration }{{time.Hour, 2 * time.Hour}, {time.Second, time.Millisecond}} {
 		if answer, now := answered(n.put(c.age, c.limit)); !now || !answer.Refused || answer.Clear {
 			t.Errorf("a wish that was given up: %+v, answered %v", answer, now)
@@ -70,8 +70,8 @@
 	first := <-n.wishes
 	first.born = time.Now().Add(-time.Minute)
 	n.propose(first)
-	if n.raft.Last() != last {
-		t.Errorf("the log went from %d to %d for nobody", last, n.raft.Last())
+	if n.raft.LastIndex() != last {
+		t.Errorf("the log went from %d to %d for nobody", last, n.raft.LastIndex())
 	}
 	if answer, now := answered(first.done); !now || !answer.Refused {
 		t.Errorf("the backlog of who gave up: %+v, answered %v", answer, now)
@@ -85,7 +85,7 @@
 	if _, now := answered(done); now {
 		t.Fatal("answered before a majority has it")
 	}
-	n.carry(n.raft.Step(Message{Kind: Append, From: "b", To: "a", Term: n.raft.Term() + 1, Index: 1, LogTerm: 1}))
+	n.carry(n.raft.Step(Message{Kind: MsgAppend, From: "b", To: "a", Term: n.raft.Term() + 1, Index: 1, LogTerm: 1}))
 	if answer, now := answered(done); !now || answer.Refused || answer.Clear {
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -53,7 +53,7 @@
 
 	up, gone   bool
 	life       int
-	raft       *raft.Raft
+	raft       *raft.Replica
 	state      *raft.State
 	pending    map[raft.Index]pendingEntry
 	wishes     []wish
@@ -99,17 +99,17 @@
 	}
 	c.life++
 	c.member.ID = c.disk.id
-	c.raft = raft.NewRaft(c.disk.id, raft.UsualPace(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
+	c.raft = raft.New(c.disk.id, raft.DefaultTiming(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
 	if c.state, err = raft.Thaw(base.Data, w.agenda.now); err != nil {
 		w.fail("%s: the snapshot of %d cannot be read: %v", c.host, base.Index, err)
 		return
 	}
 	c.up, c.frozen, c.held, c.heldTick, c.tickDue = true, false, nil, false, false
-	c.raft.KeepTail(raft.Tail{Entries: tailMost, Bytes: 1 << 20})
+	c.raft.SetLogTail(raft.LogTail{Entries: tailMost, Bytes: 1 << 20})
 	c.lease, c.leaving, c.leavingNow, c.membership = Lease{}, map[raft.ID]int{}, false, w.newMembership()
 	c.pending, c.wishes, c.joiners, c.queue, c.writing = map[raft.Index]pendingEntry{}, nil, nil, nil, nil
 	c.stalled, c.slowUntil, c.busyUntil, c.ticks, c.heardAt = 0, 0, 0, 0, 0
-	w.note("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.Last())
+	w.note("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.LastIndex())
 	c.scheduleTick(c.life)
 }
 
@@ -141,7 +141,7 @@
 }
 
 func (c *Core) scheduleTick(life int) {
-	c.world.agenda.After(raft.TickSpan, func() {
+	c.world.agenda.After(raft.TickInterval, func() {
 		if !c.up || c.life != life {
 			return
 		}
@@ -242,25 +242,25 @@
 // dropBehind is the planted fault of a late snapshot: the log is put away for it.
 func (c *Core) dropBehind(message raft.Message) (dropped bool) {
 	snapshot := message.Snapshot
-	if message.Kind != raft.Install || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
-		snapshot.Index >= c.raft.Last() || len(c.queue)+len(c.writing) > 0 {
+	if message.Kind != raft.MsgSnapshot || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
+		snapshot.Index >= c.raft.LastIndex() || len(c.queue)+len(c.writing) > 0 {
 		return false
 	}
 	state, err := raft.Thaw(snapshot.Data, c.world.agenda.now)
 	if err != nil {
 		return false
 	}
-	hard := raft.Hard{Term: message.Term}
+	hard := raft.HardState{Term: message.Term}
 	if message.Term == c.disk.hard.Term {
 		hard.Vote = c.disk.hard.Vote
 	}
-	write := raft.Write{Hard: &hard, Cut: 1, Snapshot: snapshot}
+	write := raft.Write{HardState: &hard, TruncateFrom: 1, Snapshot: snapshot}
 	if c.disk.Write([]raft.Write{write}) != nil {
 		return false
 	}
 	c.disk.base, c.disk.log = *snapshot, nil
 	c.state = state
-	c.raft = raft.NewRaft(c.member.ID, raft.UsualPace(), rand.New(rand.NewSource(c.luck.Int63())), hard, *snapshot, nil)
+	c.raft = raft.New(c.member.ID, raft.DefaultTiming(), rand.New(rand.NewSource(c.luck.Int63())), hard, *snapshot, nil)
 	return true
 }
 
@@ -268,7 +268,7 @@
 func (c *Core) carry(out raft.Output) {
 	w := c.world
 	c.lease.end(c)
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		c.post(message)
 	}
 	if len(out.Writes) > 0 {
@@ -278,7 +278,7 @@
 			c.report(out.Writes)
 		case EarlyTell:
 			for _, write := range out.Writes {
-				for _, message := range write.After {
+				for _, message := range write.AfterSync {
 					c.post(message)
 				}
 			}
@@ -294,7 +294,7 @@
 		w.witness.Restored(c.host, *out.Restore)
 		c.state = state
 	}
-	for _, entry := range out.Apply {
+	for _, entry := range out.Committed {
 		c.apply(entry)
 	}
 	if c.raft.Role() == raft.Leader {
@@ -306,7 +306,7 @@
 	if c.raft.LeaderID() != "" {
 		c.heardAt = c.ticks
 	}
-	if len(out.Apply) > 0 && c.raft.Commit()-c.raft.Base() > compactMost {
+	if len(out.Committed) > 0 && c.raft.CommitIndex()-c.raft.SnapshotIndex() > compactMost {
 		c.compact()
 	}
 }
@@ -355,7 +355,7 @@
 		c.world.fail("%s: the state cannot be written: %v", c.host, err)
 		return
 	}
-	if done, out := c.raft.Compact(c.raft.Commit(), data); done {
+	if done, out := c.raft.Compact(c.raft.CommitIndex(), data); done {
 		c.carry(out)
 	}
 }
@@ -381,7 +381,7 @@
 			return
 		}
 		if now < c.fullUntil {
-			c.carry(c.raft.Resign())
+			c.carry(c.raft.TransferLeadership())
 			c.finishIn(80 * time.Millisecond)
 			return
 		}
@@ -403,12 +403,12 @@
 func (c *Core) report(writes []raft.Write) {
 	for _, write := range writes {
 		if c.world.options.Plant != EarlyTell {
-			for _, message := range write.After {
+			for _, message := range write.AfterSync {
 				c.post(message)
 			}
 		}
 	}
-	c.carry(c.at().Synced(len(writes)))
+	c.carry(c.at().ReportSynced(len(writes)))
 	c.propose()
 }
 
@@ -437,7 +437,7 @@
 
 // propose puts the wishes that wait together into the log.
 func (c *Core) propose() {
-	for c.up && len(c.wishes) > 0 && (c.raft.Role() != raft.Leader || c.raft.Open() && len(c.pending) < mostPending) {
+	for c.up && len(c.wishes) > 0 && (c.raft.Role() != raft.Leader || c.raft.AcceptsProposals() && len(c.pending) < mostPending) {
 		var batch []wish
 		for _, waiting := range c.wishes {
 			if c.world.agenda.now-waiting.born > staleWish || c.raft.Role() != raft.Leader {
@@ -472,10 +472,10 @@
 }
 
 // leads tells whether this core may answer as the leader does.
-func (c *Core) leads() (leads bool) { return c.raft.Settled() }
+func (c *Core) leads() (leads bool) { return c.raft.CommittedInTerm() }
 
 // fresh tells whether it may answer from its state at this moment.
 func (c *Core) fresh() (fresh bool) { return c.leads() && c.lease.covers(c) }
 
 // at gives the agreement the steady time.
-func (c *Core) at() (state *raft.Raft) { return c.raft.At(c.world.agenda.now) }
+func (c *Core) at() (state *raft.Replica) { return c.raft.At(c.world.agenda.now) }
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -25,7 +25,7 @@
 	plant Plant
 
 	// What must be on disk.
-	hard raft.Hard
+	hard raft.HardState
 	base raft.Snapshot
 	log  []raft.Entry
 }
@@ -51,7 +51,7 @@
 
 // Load opens the disk and tells what it holds, and an error where that is not
 // what was written to it.
-func (d *Disk) Load() (hard raft.Hard, base raft.Snapshot, log []raft.Entry, err error) {
+func (d *Disk) Load() (hard raft.HardState, base raft.Snapshot, log []raft.Entry, err error) {
 	if d.store == nil {
 		if d.store, err = raft.OpenStore(folder, d.fs); err != nil {
 			return hard, base, nil, Class.Wrap(err)
@@ -100,7 +100,7 @@
 	if d.plant == LoseVote {
 		carried = append([]raft.Write(nil), writes...)
 		for i := range carried {
-			carried[i].Hard = nil
+			carried[i].HardState = nil
 		}
 	}
 	if err = d.store.Write(carried); err != nil {
@@ -108,8 +108,8 @@
 	}
 	reload, last := false, d.Last()
 	for _, write := range writes {
-		if write.Hard != nil {
-			d.hard = *write.Hard
+		if write.HardState != nil {
+			d.hard = *write.HardState
 		}
 		if write.Snapshot != nil {
 			reload = true
@@ -132,7 +132,7 @@
 // replaces the tail: for a moment the disk holds both.
 func (d *Disk) writeUncut(writes []raft.Write) (err error) {
 	for _, write := range writes {
-		if write.Cut <= d.base.Index || len(write.Entries) == 0 || write.Snapshot != nil || len(writes) > 1 {
+		if write.TruncateFrom <= d.base.Index || len(write.Entries) == 0 || write.Snapshot != nil || len(writes) > 1 {
 			continue
 		}
 		first := write.Entries[:1]
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -29,7 +29,7 @@
 		if err := disk.Write([]raft.Write{{Entries: []raft.Entry{entryOf(2, 6), entryOf(3, 6)}}}); err != nil {
 			t.Fatal(err)
 		}
-		err := disk.Write([]raft.Write{{Cut: 2, Entries: []raft.Entry{entryOf(2, 5)}}})
+		err := disk.Write([]raft.Write{{TruncateFrom: 2, Entries: []raft.Entry{entryOf(2, 5)}}})
 		if found := err != nil; found != (plant == CutTail) {
 			t.Errorf("%q: %v", plant, err)
 		}
@@ -40,10 +40,10 @@
 func TestATornWriteIsNotHalfThere(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		disk := founded(t, "")
-		if err := disk.Write([]raft.Write{{Hard: &raft.Hard{Term: 2, Vote: "b"}}, {Entries: []raft.Entry{entryOf(2, 2)}}}); err != nil {
+		if err := disk.Write([]raft.Write{{HardState: &raft.HardState{Term: 2, Vote: "b"}}, {Entries: []raft.Entry{entryOf(2, 2)}}}); err != nil {
 			t.Fatal(err)
 		}
-		under := []raft.Write{{Hard: &raft.Hard{Term: 3}}, {Cut: 2, Entries: []raft.Entry{entryOf(2, 3), entryOf(3, 3)}}}
+		under := []raft.Write{{HardState: &raft.HardState{Term: 3}}, {TruncateFrom: 2, Entries: []raft.Entry{entryOf(2, 3), entryOf(3, 3)}}}
 		if err := disk.LosePower(under, rand.New(rand.NewSource(seed))); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/house.go
+++ b/internal/simulation/house.go
@@ -49,7 +49,7 @@
 		}
 		return
 	}
-	if c.raft.Settled() {
+	if c.raft.CommittedInTerm() {
 		c.changeMembers()
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = c.member.ID, c.ticks, c.raft.Members(), c.raft.CaughtUp
 	roll.Leaving = func(id raft.ID) bool { _, leaving := c.leaving[id]; return leaving }
-	roll.Silence = func(id raft.ID) int { ticks, _ := c.raft.Heard(id); return ticks }
+	roll.Silence = func(id raft.ID) int { ticks, _ := c.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -84,7 +84,7 @@
 	if decision.Move == raft.Stay {
 		return
 	}
-	if accepted, out := c.raft.Change(decision.Next); accepted {
+	if accepted, out := c.raft.ProposeMembers(decision.Next); accepted {
 		c.membership.Took(roll, decision)
 		c.dropJoiner(decision.Member.ID)
 		c.world.note("%s: %s of %s, members are %s", c.host, decision.Move, decision.Member.ID, membersText(decision.Next))
@@ -120,7 +120,7 @@
 	waits := slices.ContainsFunc(c.joiners, func(j joiner) bool { return j.member.ID == member.ID })
 	c.joiners = slices.DeleteFunc(c.joiners, func(j joiner) bool { return j.member.Inner == member.Inner })
 	c.joiners = append(c.joiners, joiner{member, c.ticks})
-	if !waits && c.raft.Settled() {
+	if !waits && c.raft.CommittedInTerm() {
 		c.changeMembers()
 	}
 }
@@ -157,12 +157,12 @@
 		c.leavingNow = true
 		if c.raft.Role() == raft.Leader {
 			if !c.membership.Successor(c.roll(), c.member.ID) {
-				c.carry(c.at().Resign())
+				c.carry(c.at().TransferLeadership())
 				c.world.agenda.After(leavePause, end)
 				return
 			}
-			if c.raft.Open() {
-				c.carry(c.at().Resign())
+			if c.raft.AcceptsProposals() {
+				c.carry(c.at().TransferLeadership())
 			}
 			return
 		}
--- a/internal/simulation/lease.go
+++ b/internal/simulation/lease.go
@@ -21,14 +21,14 @@
 }
 
 func (l *Lease) now(c *Core) (term raft.Term, until time.Duration) {
-	if !c.raft.Settled() {
+	if !c.raft.CommittedInTerm() {
 		return 0, 0
 	}
-	sent, known := c.raft.Contact()
+	sent, known := c.raft.LastQuorumContact()
 	if !known {
 		return c.raft.Term(), 0
 	}
-	span := time.Duration(raft.UsualPace().Lease()) * raft.TickSpan
+	span := time.Duration(raft.DefaultTiming().LeaseTicks()) * raft.TickInterval
 	if sent != l.sent {
 		l.sent, l.received, l.wall = sent, c.world.agenda.now, c.wall
 	}
--- a/internal/simulation/witness.go
+++ b/internal/simulation/witness.go
@@ -123,18 +123,18 @@
 // Sends looks at a message on its way out: what it says must be on disk.
 func (t *Witness) Sends(core *Core, message raft.Message) {
 	switch message.Kind {
-	case raft.TellAppend:
+	case raft.MsgAppendResponse:
 		if message.Reject || message.Term != core.raft.Term() {
 			return
 		}
 		if !core.disk.Holds(message.Index, core.raft.TermAt(message.Index)) {
 			t.world.fail("told once it is on disk: %s tells that it holds %d, its disk ends at %d", core.host, message.Index, core.disk.Last())
 		}
-	case raft.TellVote:
+	case raft.MsgVoteResponse:
 		if !message.Reject {
 			t.vote(core, message.Term, message.To)
 		}
-	case raft.AskVote:
+	case raft.MsgVote:
 		t.vote(core, message.Term, core.member.ID)
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -197,7 +197,7 @@
 
 func (w *World) settled() (leader *Core) {
 	for _, core := range w.cores {
-		if core.up && !core.frozen && core.raft.Settled() && (leader == nil || core.raft.Term() > leader.raft.Term()) {
+		if core.up && !core.frozen && core.raft.CommittedInTerm() && (leader == nil || core.raft.Term() > leader.raft.Term()) {
 			leader = core
 		}
 	}
