--- a/internal/raft/check.go
+++ b/internal/raft/check.go
@@ -100,7 +100,7 @@
 func possibleMembers(members []Member) bool {
 	voters := 0
 	for i, member := range members {
-		if _, twice := find(members[:i], member.ID); twice || member.ID == "" {
+		if _, twice := FindMember(members[:i], member.ID); twice || member.ID == "" {
 			return false
 		}
 		if member.Voter {
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -57,11 +57,11 @@
 // noteJoiner keeps a newcomer for the next decision, or says why it cannot be
 // taken in.
 func (n *Node) noteJoiner(newcomer Member) {
-	why := n.membership.Refuse(n.raft.Members(), newcomer)
-	if _, member := find(n.raft.Members(), newcomer.ID); why == "" && member {
+	why := n.membership.RejectReason(n.raft.Members(), newcomer)
+	if _, member := FindMember(n.raft.Members(), newcomer.ID); why == "" && member {
 		return
 	}
-	if _, waits := n.joiners[newcomer.ID]; why == "" && !waits && len(n.joiners) >= n.membership.MostLearners {
+	if _, waits := n.joiners[newcomer.ID]; why == "" && !waits && len(n.joiners) >= n.membership.MaxLearners {
 		why = "too many wait to be taken in"
 	}
 	if why == "" {
@@ -93,15 +93,15 @@
 }
 
 // roll is what this leader sees of the members.
-func (n *Node) roll() (roll Roll) {
+func (n *Node) roll() (roll View) {
 	for id, joiner := range n.joiners {
 		if n.ticks-joiner.at > joinerTicks {
 			delete(n.joiners, id)
 			continue
 		}
-		roll.Waiting = append(roll.Waiting, joiner.member)
+		roll.Joining = append(roll.Joining, joiner.member)
 	}
-	sort.Slice(roll.Waiting, func(i, j int) bool { return roll.Waiting[i].ID < roll.Waiting[j].ID })
+	sort.Slice(roll.Joining, func(i, j int) bool { return roll.Joining[i].ID < roll.Joining[j].ID })
 	for id, at := range n.leaving {
 		if n.ticks-at > leavingTicks {
 			delete(n.leaving, id)
@@ -109,7 +109,7 @@
 	}
 	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = n.self.ID, n.ticks, n.raft.Members(), n.raft.CaughtUp
 	roll.Leaving = func(id ID) bool { _, leaving := n.leaving[id]; return leaving }
-	roll.Silence = func(id ID) int { ticks, _ := n.raft.SinceHeard(id); return ticks }
+	roll.SinceHeard = func(id ID) int { ticks, _ := n.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -117,7 +117,7 @@
 // where this core is no member, asks to become one.
 func (n *Node) keepHouse() {
 	if n.raft.Role() != Leader {
-		_, member := find(n.raft.Members(), n.self.ID)
+		_, member := FindMember(n.raft.Members(), n.self.ID)
 		if !n.parting && (!member || n.ticks-n.heardAt > 2*electTicks) && n.ticks%askTicks == 0 {
 			n.askToJoin()
 		}
@@ -145,7 +145,7 @@
 func (n *Node) changeMembers() {
 	roll := n.roll()
 	decision := n.membership.Decide(roll)
-	if decision.Move == Stay {
+	if decision.Change == NoChange {
 		n.changed = false
 		return
 	}
@@ -154,9 +154,9 @@
 		return
 	}
 	n.changed = true
-	n.membership.Took(roll, decision)
+	n.membership.Record(roll, decision)
 	delete(n.joiners, decision.Member.ID)
-	n.log.Emit(eventlog.MembershipChanged, eventlog.KeyChange, decision.Move.String(), eventlog.KeyMember, string(decision.Member.ID), eventlog.KeyMembers, len(decision.Next))
+	n.log.Emit(eventlog.MembershipChanged, eventlog.KeyChange, decision.Change.String(), eventlog.KeyMember, string(decision.Member.ID), eventlog.KeyMembers, len(decision.Next))
 	n.carry(out)
 }
 
--- a/internal/raft/house_test.go
+++ b/internal/raft/house_test.go
@@ -12,7 +12,7 @@
 func housed(members []Member) (n *Node) {
 	raft := New(members[0].ID, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
-		log: eventlog.Discard(), raft: raft, self: members[0], membership: NewMembership(1, 0, 0),
+		log: eventlog.Discard(), raft: raft, self: members[0], membership: NewPolicy(1, 0, 0),
 		joiners: map[ID]joiner{}, leaving: map[ID]int{}, refused: map[ID]int{},
 	}
 }
@@ -26,7 +26,7 @@
 			n.noteJoiner(newcomer)
 		}
 	}
-	if len(n.joiners) != n.membership.MostLearners || len(n.refused) > maxRefused {
+	if len(n.joiners) != n.membership.MaxLearners || len(n.refused) > maxRefused {
 		t.Errorf("%d joiners and %d refusals are kept", len(n.joiners), len(n.refused))
 	}
 	for id, joiner := range n.joiners {
@@ -38,7 +38,7 @@
 		t.Error("an id that is a member's at another address was not refused")
 	}
 	n.ticks += joinerTicks + 1
-	if waiting := n.roll().Waiting; len(waiting) != 0 || len(n.joiners) != 0 {
+	if waiting := n.roll().Joining; len(waiting) != 0 || len(n.joiners) != 0 {
 		t.Errorf("%d are still kept after they stopped asking", len(waiting))
 	}
 }
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -60,13 +60,13 @@
 		return 0
 	}
 	delete(n.joiners, id)
-	member, known := find(n.raft.Members(), id)
+	member, known := FindMember(n.raft.Members(), id)
 	switch {
 	case !known && n.raft.changing():
 		return PartLater
 	case !known:
 		return PartNow
-	case !member.Voter || !n.membership.Successor(n.roll(), id):
+	case !member.Voter || !n.membership.HasSuccessor(n.roll(), id):
 		delete(n.leaving, id)
 		return PartAsMember
 	}
@@ -125,12 +125,12 @@
 		n.parting = true
 		var now standing
 		members := n.raft.Members()
-		_, now.ask = find(members, n.self.ID)
+		_, now.ask = FindMember(members, n.self.ID)
 		for _, member := range members {
 			now.near = now.near || !member.Voter
 		}
 		if n.raft.Role() == Leader {
-			now.ask = now.ask && n.membership.Successor(n.roll(), n.self.ID)
+			now.ask = now.ask && n.membership.HasSuccessor(n.roll(), n.self.ID)
 			if n.raft.AcceptsProposals() {
 				n.carry(n.raft.TransferLeadership())
 			}
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -18,13 +18,13 @@
 		}
 	}
 	for id := range r.peers {
-		if _, known := find(r.members, id); !known {
+		if _, known := FindMember(r.members, id); !known {
 			delete(r.peers, id)
 		}
 	}
 }
 
-func find(members []Member, id ID) (member Member, known bool) {
+func FindMember(members []Member, id ID) (member Member, known bool) {
 	for _, member = range members {
 		if member.ID == id {
 			return member, true
@@ -34,7 +34,7 @@
 }
 
 func (r *Replica) voter(id ID) bool {
-	member, known := find(r.members, id)
+	member, known := FindMember(r.members, id)
 	return known && member.Voter
 }
 
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -36,13 +36,13 @@
 		if leader == nil {
 			continue
 		}
-		if _, member := find(leader.raft.Members(), id); !member {
+		if _, member := FindMember(leader.raft.Members(), id); !member {
 			if left = !leader.raft.changing(); left {
 				break
 			}
 			continue
 		}
-		if !leader.membership.Successor(s.roll(leader.member.Inner), id) {
+		if !leader.membership.HasSuccessor(s.roll(leader.member.Inner), id) {
 			break
 		}
 		s.leaving[id] = true
@@ -237,7 +237,7 @@
 		s.start(host)
 		s.run(100)
 		leader := s.settledLeader()
-		if member, known := find(leader.raft.Members(), s.cores[host].disk.id); !known || member.Voter || len(leader.raft.Members()) != 4 {
+		if member, known := FindMember(leader.raft.Members(), s.cores[host].disk.id); !known || member.Voter || len(leader.raft.Members()) != 4 {
 			t.Errorf("seed %d: the core that came back is %+v of %d", seed, member, len(leader.raft.Members()))
 		}
 		if broken := s.whole(); broken != "" {
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -8,82 +8,82 @@
 
 import "time"
 
-// Move tells the changes of membership apart.
-type Move uint8
+// Change tells the changes of membership apart.
+type Change uint8
 
 // The moves.
 const (
-	Stay Move = iota
-	Admit
-	Raise
+	NoChange Change = iota
+	AddLearner
+	Promote
 	Remove
 )
 
-func (m Move) String() (text string) {
+func (m Change) String() (text string) {
 	return [...]string{"stay", "admit", "raise", "remove"}[m]
 }
 
-// Roll is what the leader sees when it decides. Silence is the number of ticks
+// View is what the leader sees when it decides. Silence is the number of ticks
 // since a member was last heard, CaughtUp whether it has all that is committed.
-type Roll struct {
-	Self     ID
-	Tick     int
-	Members  []Member
-	Waiting  []Member
-	Leaving  func(ID) bool
-	Silence  func(ID) int
-	CaughtUp func(ID) bool
+type View struct {
+	Self       ID
+	Tick       int
+	Members    []Member
+	Joining    []Member
+	Leaving    func(ID) bool
+	SinceHeard func(ID) int
+	CaughtUp   func(ID) bool
 }
 
 // Decision is the one change that is due, if any.
 type Decision struct {
-	Move   Move
+	Change Change
 	Member Member
 	Next   []Member
 }
 
-// Membership decides on the members while its core leads.
-type Membership struct {
-	// Wanted is how many should vote.
-	Wanted int
-	// Spread has learners raised where the fewest vote.
-	Spread bool
-	// Silence is after how many ticks a voter goes, if one is ready for its place.
-	Silence int
-	// Forget is after how many ticks a silent learner goes.
-	Forget int
-	// MostLearners bounds how many are taken in without a vote.
-	MostLearners int
+// Policy decides on the members while its core leads.
+type Policy struct {
+	// Voters is how many should vote.
+	Voters int
+	// SpreadZones has learners raised where the fewest vote.
+	SpreadZones bool
+	// VoterTimeout is after how many ticks a voter goes, if one is ready for its place.
+	VoterTimeout int
+	// LearnerTimeout is after how many ticks a silent learner goes.
+	LearnerTimeout int
+	// MaxLearners bounds how many are taken in without a vote.
+	MaxLearners int
 
-	strikes map[ID]int
-	steady  map[ID]int
+	failures   map[ID]int
+	heardSince map[ID]int
 }
 
 const (
-	maxStrikes  = 6
-	calmStrikes = 32
-	maxStruck   = 64
+	maxFailures       = 6
+	forgiveAfter      = 32
+	maxFailureRecords = 64
 )
 
-// Voters is how many cores should vote, so that what was acknowledged outlasts
+// VotersForLosses is how many cores should vote, so that what was acknowledged outlasts
 // the loss of so many: of twice as many and one, a majority is left.
-func Voters(losses int) (wanted int) { return max(3, 2*losses+1) }
+func VotersForLosses(losses int) (wanted int) { return max(3, 2*losses+1) }
 
-// NewMembership follows the settings: a voter goes after a quarter of the time
+// NewPolicy follows the settings: a voter goes after a quarter of the time
 // in which a successor must be at full strength, yet never so soon that an
 // election could look like a loss.
-func NewMembership(losses, zones int, catchUp time.Duration) (membership *Membership) {
-	wanted := Voters(losses)
+func NewPolicy(losses, zones int, catchUp time.Duration) (membership *Policy) {
+	wanted := VotersForLosses(losses)
 	silence := max(int(catchUp/4/tickInterval), 3*electTicks)
-	return &Membership{
-		Wanted: wanted, Spread: zones > 0, Silence: silence, Forget: 16 * silence, MostLearners: 4 * wanted,
-		strikes: map[ID]int{}, steady: map[ID]int{},
+	return &Policy{
+		Voters: wanted, SpreadZones: zones > 0, VoterTimeout: silence, LearnerTimeout: 16 * silence, MaxLearners: 4 * wanted,
+		failures: map[ID]int{}, heardSince: map[ID]int{},
 	}
 }
 
 // Decide gives the next single change.
-func (m *Membership) Decide(roll Roll) (decision Decision) {
-	m.watch(roll)
+func (m *Policy) Decide(roll View) (decision Decision) {
+	m.observe(roll)
 	voters := 0
 	for _, member := range roll.Members {
 		if member.Voter {
@@ -95,61 +95,61 @@
 	for i, member := range roll.Members {
 		switch {
 		case member.ID == roll.Self:
-		case member.Voter && m.gone(roll, i):
-			dead = m.crowded(roll.Members, dead, i)
+		case member.Voter && m.lost(roll, i):
+			dead = m.denserZone(roll.Members, dead, i)
 			lost++
 		case member.Voter && roll.Leaving(member.ID):
-			leaving = m.crowded(roll.Members, leaving, i)
-		case !member.Voter && !m.gone(roll, i) && !roll.Leaving(member.ID):
+			leaving = m.denserZone(roll.Members, leaving, i)
+		case !member.Voter && !m.lost(roll, i) && !roll.Leaving(member.ID):
 			near++
 			if m.ready(roll, i) {
-				ready = m.sparse(roll.Members, ready, i)
+				ready = m.sparserZone(roll.Members, ready, i)
 			}
 		}
 	}
 	switch {
-	case voters > m.Wanted && dead >= 0:
+	case voters > m.Voters && dead >= 0:
 		return m.remove(roll, dead)
-	case voters > m.Wanted && leaving >= 0:
+	case voters > m.Voters && leaving >= 0:
 		return m.remove(roll, leaving)
-	case dead >= 0 && ready >= 0 && (voters >= m.Wanted || near <= lost):
+	case dead >= 0 && ready >= 0 && (voters >= m.Voters || near <= lost):
 		return m.remove(roll, dead)
-	case voters < m.Wanted && ready >= 0:
-		return m.raise(roll, ready)
-	case voters == m.Wanted && leaving >= 0 && ready >= 0:
-		return m.raise(roll, ready)
+	case voters < m.Voters && ready >= 0:
+		return m.promote(roll, ready)
+	case voters == m.Voters && leaving >= 0 && ready >= 0:
+		return m.promote(roll, ready)
 	}
 	learners := 0
 	for i, member := range roll.Members {
 		if member.Voter || member.ID == roll.Self {
 			continue
 		}
-		if m.outlived(roll, i) || roll.Silence(member.ID) > m.Forget {
+		if m.replaced(roll, i) || roll.SinceHeard(member.ID) > m.LearnerTimeout {
 			return m.remove(roll, i)
 		}
 		learners++
 	}
-	for _, newcomer := range roll.Waiting {
-		if m.Refuse(roll.Members, newcomer) == "" {
-			if _, known := find(roll.Members, newcomer.ID); !known {
+	for _, newcomer := range roll.Joining {
+		if m.RejectReason(roll.Members, newcomer) == "" {
+			if _, known := FindMember(roll.Members, newcomer.ID); !known {
 				newcomer.Voter = false
 				next := append(append([]Member(nil), roll.Members...), newcomer)
-				return Decision{Admit, newcomer, next}
+				return Decision{AddLearner, newcomer, next}
 			}
 		}
 	}
 	return Decision{}
 }
 
-// Refuse says why a core cannot be taken in; it is empty if it can.
-func (m *Membership) Refuse(members []Member, newcomer Member) (why string) {
+// RejectReason says why a core cannot be taken in; it is empty if it can.
+func (m *Policy) RejectReason(members []Member, newcomer Member) (why string) {
 	if newcomer.ID == "" {
 		return "it has no id"
 	}
 	if newcomer.Inner == "" {
 		return "it has no inner address"
 	}
-	if known, member := find(members, newcomer.ID); member {
+	if known, member := FindMember(members, newcomer.ID); member {
 		if known.Inner != newcomer.Inner {
 			return "its id is a member at another address"
 		}
@@ -161,124 +161,124 @@
 			learners++
 		}
 	}
-	if learners >= m.MostLearners {
+	if learners >= m.MaxLearners {
 		return "there are too many members without a vote"
 	}
 	return ""
 }
 
-// Successor tells whether a voter that leaves may wait for its place to be
+// HasSuccessor tells whether a voter that leaves may wait for its place to be
 // taken: someone is there or near for it, beyond those that others need.
-func (m *Membership) Successor(roll Roll, id ID) (near bool) {
+func (m *Policy) HasSuccessor(roll View, id ID) (near bool) {
 	voters, others, learners := 0, 0, 0
 	for i, member := range roll.Members {
 		switch {
 		case member.Voter:
 			voters++
-			if member.ID != id && member.ID != roll.Self && (m.gone(roll, i) || roll.Leaving(member.ID)) {
+			if member.ID != id && member.ID != roll.Self && (m.lost(roll, i) || roll.Leaving(member.ID)) {
 				others++
 			}
-		case !roll.Leaving(member.ID) && !m.gone(roll, i):
+		case !roll.Leaving(member.ID) && !m.lost(roll, i):
 			learners++
 		}
 	}
-	for _, newcomer := range roll.Waiting {
-		if _, known := find(roll.Members, newcomer.ID); !known && m.Refuse(roll.Members, newcomer) == "" {
+	for _, newcomer := range roll.Joining {
+		if _, known := FindMember(roll.Members, newcomer.ID); !known && m.RejectReason(roll.Members, newcomer) == "" {
 			learners++
 		}
 	}
-	return voters+learners-others > m.Wanted
+	return voters+learners-others > m.Voters
 }
 
-// watch keeps how long each member has been heard without a gap.
-func (m *Membership) watch(roll Roll) {
+// observe keeps how long each member has been heard without a gap.
+func (m *Policy) observe(roll View) {
 	for _, member := range roll.Members {
-		since, heard := m.steady[member.ID]
-		if roll.Silence(member.ID) > m.Silence/2 {
-			delete(m.steady, member.ID)
+		since, heard := m.heardSince[member.ID]
+		if roll.SinceHeard(member.ID) > m.VoterTimeout/2 {
+			delete(m.heardSince, member.ID)
 		} else if !heard {
-			m.steady[member.ID] = roll.Tick
-		} else if m.strikes[member.ID] > 0 && roll.Tick-since > calmStrikes*m.Silence {
-			delete(m.strikes, member.ID)
+			m.heardSince[member.ID] = roll.Tick
+		} else if m.failures[member.ID] > 0 && roll.Tick-since > forgiveAfter*m.VoterTimeout {
+			delete(m.failures, member.ID)
 		}
 	}
-	for id := range m.steady {
-		if _, member := find(roll.Members, id); !member {
-			delete(m.steady, id)
+	for id := range m.heardSince {
+		if _, member := FindMember(roll.Members, id); !member {
+			delete(m.heardSince, id)
 		}
 	}
 }
 
-// outlived tells that a newer life at the same address has been heard since,
+// replaced tells that a newer life at the same address has been heard since,
 // while the older was silent for longer than beats may take.
-func (m *Membership) outlived(roll Roll, at int) (outlived bool) {
+func (m *Policy) replaced(roll View, at int) (outlived bool) {
 	member := roll.Members[at]
-	silence := roll.Silence(member.ID)
+	silence := roll.SinceHeard(member.ID)
 	for i, other := range roll.Members {
-		if i == at || other.Inner != member.Inner || roll.Silence(other.ID) >= silence {
+		if i == at || other.Inner != member.Inner || roll.SinceHeard(other.ID) >= silence {
 			continue
 		}
-		if i > at && silence > electTicks || silence > m.Silence {
+		if i > at && silence > electTicks || silence > m.VoterTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Membership) gone(roll Roll, at int) (gone bool) {
-	return m.outlived(roll, at) || roll.Silence(roll.Members[at].ID) > m.Silence
+func (m *Policy) lost(roll View, at int) (gone bool) {
+	return m.replaced(roll, at) || roll.SinceHeard(roll.Members[at].ID) > m.VoterTimeout
 }
 
 // ready asks more of a core that was struck out before: twice as long without
 // a gap after each time, so that one that comes and goes settles as a learner.
-func (m *Membership) ready(roll Roll, at int) (ready bool) {
+func (m *Policy) ready(roll View, at int) (ready bool) {
 	id := roll.Members[at].ID
 	if !roll.CaughtUp(id) {
 		return false
 	}
-	strikes := m.strikes[id]
+	strikes := m.failures[id]
 	if strikes == 0 {
 		return true
 	}
-	since, heard := m.steady[id]
-	return heard && roll.Tick-since >= m.Silence<<(strikes-1)
+	since, heard := m.heardSince[id]
+	return heard && roll.Tick-since >= m.VoterTimeout<<(strikes-1)
 }
 
-func (m *Membership) remove(roll Roll, at int) (decision Decision) {
+func (m *Policy) remove(roll View, at int) (decision Decision) {
 	next := append([]Member(nil), roll.Members[:at]...)
 	return Decision{Remove, roll.Members[at], append(next, roll.Members[at+1:]...)}
 }
 
-func (m *Membership) raise(roll Roll, at int) (decision Decision) {
+func (m *Policy) promote(roll View, at int) (decision Decision) {
 	next := append([]Member(nil), roll.Members...)
 	next[at].Voter = true
-	return Decision{Raise, next[at], next}
+	return Decision{Promote, next[at], next}
 }
 
-// Took notes a decision that went into the log: a voter removed because it was
+// Record notes a decision that went into the log: a voter removed because it was
 // not heard has a strike.
-func (m *Membership) Took(roll Roll, decision Decision) {
+func (m *Policy) Record(roll View, decision Decision) {
 	id := decision.Member.ID
-	if decision.Move != Remove || !decision.Member.Voter || roll.Leaving(id) {
+	if decision.Change != Remove || !decision.Member.Voter || roll.Leaving(id) {
 		return
 	}
-	if len(m.strikes) >= maxStruck {
-		m.strikes = map[ID]int{}
+	if len(m.failures) >= maxFailureRecords {
+		m.failures = map[ID]int{}
 	}
-	m.strikes[id] = min(m.strikes[id]+1, maxStrikes)
+	m.failures[id] = min(m.failures[id]+1, maxFailures)
 }
 
-// crowded prefers the one whose zone has more voters.
-func (m *Membership) crowded(members []Member, best, at int) (better int) {
+// denserZone prefers the one whose zone has more voters.
+func (m *Policy) denserZone(members []Member, best, at int) (better int) {
 	if best < 0 || zoneVoters(members, members[at].Site) > zoneVoters(members, members[best].Site) {
 		return at
 	}
 	return best
 }
 
-// sparse prefers the one whose zone has fewer voters, where zones may be lost.
-func (m *Membership) sparse(members []Member, best, at int) (better int) {
-	if best < 0 || m.Spread && zoneVoters(members, members[at].Site) < zoneVoters(members, members[best].Site) {
+// sparserZone prefers the one whose zone has fewer voters, where zones may be lost.
+func (m *Policy) sparserZone(members []Member, best, at int) (better int) {
+	if best < 0 || m.SpreadZones && zoneVoters(members, members[at].Site) < zoneVoters(members, members[best].Site) {
 		return at
 	}
 	return best
--- a/internal/raft/membership_model_test.go
+++ b/internal/raft/membership_model_test.go
@@ -44,7 +44,7 @@
 
 // instants gives each moment of the changes that the policy makes in turn.
 func instants(losses int, members []Member, dead, leaving string) (moments []instant, living set) {
-	membership := NewMembership(losses, 0, 4*time.Second)
+	membership := NewPolicy(losses, 0, 4*time.Second)
 	for i := range members {
 		living |= 1 << i
 	}
@@ -55,7 +55,7 @@
 	moments = append(moments, instant{now, now})
 	for {
 		decision := membership.Decide(rollOf(members, dead, leaving, ""))
-		if decision.Move == Stay {
+		if decision.Change == NoChange {
 			return moments, living
 		}
 		members = decision.Next
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -7,7 +7,7 @@
 
 // rollOf makes a roll of members that are all heard and have all, but for
 // those named as dead, leaving or behind.
-func rollOf(members []Member, dead, leaving, behind string) (roll Roll) {
+func rollOf(members []Member, dead, leaving, behind string) (roll View) {
 	within := func(ids string, id ID) bool {
 		for _, each := range ids {
 			if ID(string(each)) == id {
@@ -16,11 +16,11 @@
 		}
 		return false
 	}
-	return Roll{
+	return View{
 		Self: members[0].ID, Members: members,
 		Leaving:  func(id ID) bool { return within(leaving, id) },
 		CaughtUp: func(id ID) bool { return !within(dead, id) && !within(behind, id) },
-		Silence: func(id ID) int {
+		SinceHeard: func(id ID) int {
 			if within(dead, id) {
 				return 1 << 20
 			}
@@ -53,8 +53,8 @@
 	for _, c := range []struct{ losses, voters int }{{1, 3}, {2, 5}, {3, 6}} {
 		next := group(3, 3)
 		for {
-			decision := NewMembership(c.losses, 0, 0).Decide(rollOf(next, "", "", ""))
-			if decision.Move == Stay {
+			decision := NewPolicy(c.losses, 0, 0).Decide(rollOf(next, "", "", ""))
+			if decision.Change == NoChange {
 				break
 			}
 			next = decision.Next
@@ -63,7 +63,7 @@
 			t.Errorf("%d losses: %d voters, want %d", c.losses, voters, c.voters)
 		}
 	}
-	if decision := NewMembership(2, 0, 0).Decide(rollOf(group(3, 3), "", "", "abcdef")); decision.Move != Stay {
+	if decision := NewPolicy(2, 0, 0).Decide(rollOf(group(3, 3), "", "", "abcdef")); decision.Change != NoChange {
 		t.Error("a core that lacks the log was made a voter")
 	}
 }
@@ -93,15 +93,15 @@
 		{"two of five dead, one ready, one near", 2, group(5, 2), "de", "", "g", "-d+f"},
 		{"a dead learner that was never missed", 1, group(3, 1), "d", "", "", "-d"},
 	} {
-		membership := NewMembership(c.losses, 0, 4*time.Second)
+		membership := NewPolicy(c.losses, 0, 4*time.Second)
 		members, moves := c.members, ""
 		for step := 0; step < 12; step++ {
 			decision := membership.Decide(rollOf(members, c.dead, c.leaving, c.behind))
-			if decision.Move == Stay {
+			if decision.Change == NoChange {
 				break
 			}
 			sign := "+"
-			if decision.Move == Remove {
+			if decision.Change == Remove {
 				sign = "-"
 			}
 			moves += sign + string(decision.Member.ID)
@@ -118,7 +118,7 @@
 		catchUp time.Duration
 		silence int
 	}{{4 * time.Second, 40}, {6 * time.Second, 60}, {40 * time.Second, 400}, {0, 3 * electTicks}, {time.Second, 3 * electTicks}} {
-		if silence := NewMembership(1, 0, c.catchUp).Silence; silence != c.silence {
+		if silence := NewPolicy(1, 0, c.catchUp).VoterTimeout; silence != c.silence {
 			t.Errorf("catch_up %v: silence of %d ticks, want %d", c.catchUp, silence, c.silence)
 		}
 	}
@@ -131,24 +131,24 @@
 	members[3].Inner = "c"
 	silence := map[ID]int{"c": electTicks}
 	roll := rollOf(members, "", "", "")
-	roll.Silence = func(id ID) int { return silence[id] }
-	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Stay {
-		t.Errorf("between two beats the older life went: %s %s", decision.Move, decision.Member.ID)
+	roll.SinceHeard = func(id ID) int { return silence[id] }
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
+		t.Errorf("between two beats the older life went: %s %s", decision.Change, decision.Member.ID)
 	}
 	silence["c"]++
-	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Remove || decision.Member.ID != "c" {
-		t.Errorf("%s %s", decision.Move, decision.Member.ID)
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != Remove || decision.Member.ID != "c" {
+		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 	silence["c"], silence["d"] = 0, 30
 	roll.CaughtUp = func(id ID) bool { return id != "d" }
-	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Stay {
-		t.Errorf("the life that is heard went: %s %s", decision.Move, decision.Member.ID)
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
+		t.Errorf("the life that is heard went: %s %s", decision.Change, decision.Member.ID)
 	}
 	members = append(group(3, 2), Member{ID: "f", Inner: "d"})
 	roll = rollOf(members, "", "", "ef")
-	roll.Silence = func(id ID) int { return map[ID]int{"d": electTicks + 1}[id] }
-	if decision := NewMembership(1, 0, 4*time.Second).Decide(roll); decision.Move != Remove || decision.Member.ID != "d" {
-		t.Errorf("%s %s", decision.Move, decision.Member.ID)
+	roll.SinceHeard = func(id ID) int { return map[ID]int{"d": electTicks + 1}[id] }
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != Remove || decision.Member.ID != "d" {
+		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 }
 
@@ -158,19 +158,19 @@
 		members[i].Site = zone
 	}
 	// Of two dead, the one goes whose zone has the most voters.
-	if decision := NewMembership(1, 1, 0).Decide(rollOf(members, "bc", "", "")); decision.Move != Remove || decision.Member.ID != "b" {
-		t.Errorf("%s %s", decision.Move, decision.Member.ID)
+	if decision := NewPolicy(1, 1, 0).Decide(rollOf(members, "bc", "", "")); decision.Change != Remove || decision.Member.ID != "b" {
+		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 	members[1].Voter = false
 	for zones, id := range map[int]ID{0: "b", 1: "e"} {
-		if decision := NewMembership(1, zones, 0).Decide(rollOf(members, "", "", "")); decision.Move != Raise || decision.Member.ID != id {
-			t.Errorf("%d zones: %s %s, want %s", zones, decision.Move, decision.Member.ID, id)
+		if decision := NewPolicy(1, zones, 0).Decide(rollOf(members, "", "", "")); decision.Change != Promote || decision.Member.ID != id {
+			t.Errorf("%d zones: %s %s, want %s", zones, decision.Change, decision.Member.ID, id)
 		}
 	}
 }
 
 func TestImpossibleNewcomers(t *testing.T) {
-	membership := NewMembership(1, 0, 0)
+	membership := NewPolicy(1, 0, 0)
 	members := group(3, 1)
 	for _, c := range []struct {
 		name     string
@@ -183,16 +183,16 @@
 		{"no address", Member{ID: "x"}, members, true},
 		{"a member again", Member{ID: "b", Inner: "b"}, members, false},
 		{"a member's id elsewhere", Member{ID: "b", Inner: "x"}, members, true},
-		{"too many learners", Member{ID: "x", Inner: "x"}, group(3, membership.MostLearners), true},
-		{"too many learners, a newer life of one", Member{ID: "x", Inner: "d"}, group(3, membership.MostLearners), false},
+		{"too many learners", Member{ID: "x", Inner: "x"}, group(3, membership.MaxLearners), true},
+		{"too many learners, a newer life of one", Member{ID: "x", Inner: "d"}, group(3, membership.MaxLearners), false},
 	} {
-		if why := membership.Refuse(c.members, c.newcomer); (why != "") != c.refused {
+		if why := membership.RejectReason(c.members, c.newcomer); (why != "") != c.refused {
 			t.Errorf("%s: %q", c.name, why)
 		}
 		roll := rollOf(c.members, "", "", "")
-		roll.Waiting = []Member{c.newcomer}
+		roll.Joining = []Member{c.newcomer}
 		decision := membership.Decide(roll)
-		if admitted := decision.Move == Admit; admitted && (c.refused || c.name == "a member again") {
+		if admitted := decision.Change == AddLearner; admitted && (c.refused || c.name == "a member again") {
 			t.Errorf("%s: admitted", c.name)
 		}
 		seen := map[ID]bool{}
@@ -205,8 +205,8 @@
 	}
 	voting := Member{ID: "x", Inner: "x", Voter: true}
 	roll := rollOf(members, "", "", "")
-	roll.Waiting = []Member{voting}
-	if decision := membership.Decide(roll); decision.Move != Admit || decision.Member.Voter || countVoters(decision.Next) != 3 {
+	roll.Joining = []Member{voting}
+	if decision := membership.Decide(roll); decision.Change != AddLearner || decision.Member.Voter || countVoters(decision.Next) != 3 {
 		t.Error("a newcomer came with a vote of its own making")
 	}
 }
@@ -228,13 +228,13 @@
 		{"two learners, two leavers", group(3, 2), "", "c", "", true},
 		{"already raised", group(4, 0), "", "", "", true},
 	} {
-		if near := NewMembership(1, 0, 4*time.Second).Successor(rollOf(c.members, c.dead, c.leaving, c.behind), "b"); near != c.near {
+		if near := NewPolicy(1, 0, 4*time.Second).HasSuccessor(rollOf(c.members, c.dead, c.leaving, c.behind), "b"); near != c.near {
 			t.Errorf("%s: %v", c.name, near)
 		}
 	}
 	roll := rollOf(group(3, 0), "", "", "")
-	roll.Waiting = []Member{{ID: "n", Inner: "n"}}
-	if !NewMembership(1, 0, 0).Successor(roll, "b") {
+	roll.Joining = []Member{{ID: "n", Inner: "n"}}
+	if !NewPolicy(1, 0, 0).HasSuccessor(roll, "b") {
 		t.Error("one that waits to be taken in is coming")
 	}
 }
@@ -242,12 +242,12 @@
 // A core that was struck out must be heard without a gap before it votes
 // again, each time for longer; one that stays is forgiven.
 func TestStrikesHoldFlappersBack(t *testing.T) {
-	membership := NewMembership(1, 0, 4*time.Second)
+	membership := NewPolicy(1, 0, 4*time.Second)
 	last := 0
 	for strike := 0; strike < 4; strike++ {
 		if strike > 0 {
 			lost := rollOf(group(3, 0), "c", "", "")
-			membership.Took(lost, Decision{Move: Remove, Member: lost.Members[2]})
+			membership.Record(lost, Decision{Change: Remove, Member: lost.Members[2]})
 			membership.Decide(lost)
 		}
 		members := group(3, 0)
@@ -256,11 +256,11 @@
 		for ; waited < 1000; waited++ {
 			roll := rollOf(members, "", "", "")
 			roll.Tick = 10000*strike + waited
-			if membership.Decide(roll).Move == Raise {
+			if membership.Decide(roll).Change == Promote {
 				break
 			}
 		}
-		if want := map[bool]int{true: 0, false: membership.Silence << max(strike-1, 0)}[strike == 0]; waited != want {
+		if want := map[bool]int{true: 0, false: membership.VoterTimeout << max(strike-1, 0)}[strike == 0]; waited != want {
 			t.Errorf("after %d strikes: raised after %d ticks, want %d", strike, waited, want)
 		}
 		if strike > 1 && waited <= last {
@@ -271,7 +271,7 @@
 	roll := rollOf(group(3, 0), "", "", "")
 	roll.Tick = 1 << 20
 	membership.Decide(roll)
-	if len(membership.strikes) != 0 {
+	if len(membership.failures) != 0 {
 		t.Error("a core that stayed was not forgiven")
 	}
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -68,7 +68,7 @@
 	parting bool
 	changed bool
 
-	membership *Membership
+	membership *Policy
 
 	logSize int
 	loaded  Index
@@ -107,7 +107,7 @@
 		inbox: make(chan []Message, 256), wishes: make(chan wish, maxWishes), synced: make(chan int, 256),
 		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
 		book: map[ID]string{}, senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
-		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewMembership(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
+		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, Chronicle: history.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
 	}
 	inner := p.ControllerInternalAddress()
@@ -178,7 +178,7 @@
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if n.role == Leader || n.Now()-n.heard < hintElections*electTicks*tickInterval {
-		leader, _ = find(n.members, n.leader)
+		leader, _ = FindMember(n.members, n.leader)
 	}
 	return n.role == Leader, n.settled, n.term, leader, n.members
 }
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -49,7 +49,7 @@
 	ticks   int
 	heardAt int
 
-	membership *Membership
+	membership *Policy
 }
 
 type simPending struct {
@@ -125,7 +125,7 @@
 func (s *sim) setCatchUp(catchUp time.Duration) {
 	s.catchUp = catchUp
 	for _, core := range s.cores {
-		core.membership = NewMembership(s.losses, 0, catchUp)
+		core.membership = NewPolicy(s.losses, 0, catchUp)
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	core.heardAt = core.ticks
 	core.state, core.pending, core.waiting, core.up = state, map[Index]simPending{}, map[ID]Member{}, true
-	core.membership = NewMembership(s.losses, 0, s.catchUp)
+	core.membership = NewPolicy(s.losses, 0, s.catchUp)
 	disk.stalled = 0
 }
 
@@ -378,7 +378,7 @@
 		if core.raft.LeaderID() != "" {
 			core.heardAt = core.ticks
 		}
-		if _, member := find(core.raft.Members(), core.disk.id); !s.mute && (!member || core.ticks-core.heardAt > 2*electTicks) {
+		if _, member := FindMember(core.raft.Members(), core.disk.id); !s.mute && (!member || core.ticks-core.heardAt > 2*electTicks) {
 			for _, other := range s.order {
 				leader := s.cores[other]
 				if leader.up && leader.raft.Role() == Leader && !s.cut[[2]string{host, other}] {
@@ -393,29 +393,29 @@
 	}
 	roll := s.roll(host)
 	if s.silence > 0 {
-		core.membership.Silence = s.silence
+		core.membership.VoterTimeout = s.silence
 	}
 	core.waiting = map[ID]Member{}
 	decision := core.membership.Decide(roll)
-	if decision.Move == Stay {
+	if decision.Change == NoChange {
 		return
 	}
 	if accepted, out := core.raft.ProposeMembers(decision.Next); accepted {
 		s.changes++
-		core.membership.Took(roll, decision)
+		core.membership.Record(roll, decision)
 		s.carry(host, out)
 	}
 }
 
-func (s *sim) roll(host string) (roll Roll) {
+func (s *sim) roll(host string) (roll View) {
 	core := s.cores[host]
-	roll = Roll{Self: core.disk.id, Tick: core.ticks, Members: core.raft.Members(), CaughtUp: core.raft.CaughtUp}
+	roll = View{Self: core.disk.id, Tick: core.ticks, Members: core.raft.Members(), CaughtUp: core.raft.CaughtUp}
 	for _, member := range core.waiting {
-		roll.Waiting = append(roll.Waiting, member)
+		roll.Joining = append(roll.Joining, member)
 	}
-	sort.Slice(roll.Waiting, func(i, j int) bool { return roll.Waiting[i].ID < roll.Waiting[j].ID })
+	sort.Slice(roll.Joining, func(i, j int) bool { return roll.Joining[i].ID < roll.Joining[j].ID })
 	roll.Leaving = func(id ID) bool { return s.leaving[id] }
-	roll.Silence = func(id ID) int { ticks, _ := core.raft.SinceHeard(id); return ticks }
+	roll.SinceHeard = func(id ID) int { ticks, _ := core.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -465,7 +465,7 @@
 		if !core.up {
 			return false
 		}
-		member, known := find(leader.raft.Members(), core.disk.id)
+		member, known := FindMember(leader.raft.Members(), core.disk.id)
 		if !known {
 			return false
 		}
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -60,7 +60,7 @@
 	joiners    []joiner
 	leaving    map[raft.ID]int
 	leavingNow bool
-	membership *raft.Membership
+	membership *raft.Policy
 	ticks      int
 	heardAt    int
 
--- a/internal/simulation/house.go
+++ b/internal/simulation/house.go
@@ -20,10 +20,10 @@
 )
 
 // newMembership is the real policy, as the settings ask for it.
-func (w *World) newMembership() (membership *raft.Membership) {
-	membership = raft.NewMembership(w.options.Losses, 0, w.options.CatchUp)
+func (w *World) newMembership() (membership *raft.Policy) {
+	membership = raft.NewPolicy(w.options.Losses, 0, w.options.CatchUp)
 	if w.options.Plant == SlowStrike {
-		membership.Silence = slowTicks
+		membership.VoterTimeout = slowTicks
 	}
 	return membership
 }
@@ -55,12 +55,12 @@
 }
 
 // roll is what this leader sees of the members.
-func (c *Core) roll() (roll raft.Roll) {
+func (c *Core) roll() (roll raft.View) {
 	kept := c.joiners[:0]
 	for _, joiner := range c.joiners {
 		if c.ticks-joiner.at <= joinAge {
 			kept = append(kept, joiner)
-			roll.Waiting = append(roll.Waiting, joiner.member)
+			roll.Joining = append(roll.Joining, joiner.member)
 		}
 	}
 	c.joiners = kept
@@ -71,7 +71,7 @@
 	}
 	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = c.member.ID, c.ticks, c.raft.Members(), c.raft.CaughtUp
 	roll.Leaving = func(id raft.ID) bool { _, leaving := c.leaving[id]; return leaving }
-	roll.Silence = func(id raft.ID) int { ticks, _ := c.raft.SinceHeard(id); return ticks }
+	roll.SinceHeard = func(id raft.ID) int { ticks, _ := c.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -81,24 +81,24 @@
 	if c.world.options.Plant == ShrinkFirst {
 		decision = c.shrink(roll, decision)
 	}
-	if decision.Move == raft.Stay {
+	if decision.Change == raft.NoChange {
 		return
 	}
 	if accepted, out := c.raft.ProposeMembers(decision.Next); accepted {
-		c.membership.Took(roll, decision)
+		c.membership.Record(roll, decision)
 		c.dropJoiner(decision.Member.ID)
-		c.world.note("%s: %s of %s, members are %s", c.host, decision.Move, decision.Member.ID, membersText(decision.Next))
+		c.world.note("%s: %s of %s, members are %s", c.host, decision.Change, decision.Member.ID, membersText(decision.Next))
 		c.carry(out)
 	}
 }
 
 // shrink is the planted fault of a voter struck out with nobody for its place.
-func (c *Core) shrink(roll raft.Roll, usual raft.Decision) (decision raft.Decision) {
+func (c *Core) shrink(roll raft.View, usual raft.Decision) (decision raft.Decision) {
 	for i, member := range roll.Members {
-		if member.Voter && member.ID != roll.Self && roll.Silence(member.ID) > 12 {
-			c.membership.Wanted = 2
+		if member.Voter && member.ID != roll.Self && roll.SinceHeard(member.ID) > 12 {
+			c.membership.Voters = 2
 			rest := append(append([]raft.Member(nil), roll.Members[:i]...), roll.Members[i+1:]...)
-			return raft.Decision{Move: raft.Remove, Member: member, Next: rest}
+			return raft.Decision{Change: raft.Remove, Member: member, Next: rest}
 		}
 	}
 	return usual
@@ -114,7 +114,7 @@
 }
 
 func (c *Core) takeJoiner(member raft.Member) {
-	if _, known := c.memberOf(member.ID); known || c.raft.Role() != raft.Leader || c.membership.Refuse(c.raft.Members(), member) != "" {
+	if _, known := c.memberOf(member.ID); known || c.raft.Role() != raft.Leader || c.membership.RejectReason(c.raft.Members(), member) != "" {
 		return
 	}
 	waits := slices.ContainsFunc(c.joiners, func(j joiner) bool { return j.member.ID == member.ID })
@@ -156,7 +156,7 @@
 		c.world.agenda.After(leavePause, func() { ask(again) })
 		c.leavingNow = true
 		if c.raft.Role() == raft.Leader {
-			if !c.membership.Successor(c.roll(), c.member.ID) {
+			if !c.membership.HasSuccessor(c.roll(), c.member.ID) {
 				c.carry(c.at().TransferLeadership())
 				c.world.agenda.After(leavePause, end)
 				return
@@ -189,7 +189,7 @@
 	switch {
 	case !known:
 		return !c.raft.Changing()
-	case !member.Voter || !c.membership.Successor(c.roll(), id):
+	case !member.Voter || !c.membership.HasSuccessor(c.roll(), id):
 		delete(c.leaving, id)
 		return true
 	}
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -101,7 +101,7 @@
 			voters++
 		}
 	}
-	if wanted := min(raft.Voters(w.options.Losses), len(cores)); voters != wanted {
+	if wanted := min(raft.VotersForLosses(w.options.Losses), len(cores)); voters != wanted {
 		return fmt.Sprintf("%d vote where %d should", voters, wanted)
 	}
 	for _, core := range cores {
