--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -30,7 +30,7 @@
 	}
 	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
 	for _, path := range call.Paths() {
-		c.node.Chronicle.Note(history.Item, path, changeAcknowledged, "", 0, true)
+		c.node.History.Note(history.Item, path, changeAcknowledged, "", 0, true)
 	}
 	return nil
 }
@@ -44,7 +44,7 @@
 	// A settled leader has applied all that it or an older leader acknowledged
 	// before the call; contact after the reading proves that no later leader has
 	// acknowledged anything.
-	c.node.Read(func(state *raft.State) { text = state.Canon.Describe() })
+	c.node.ReadState(func(state *raft.State) { text = state.Canon.Describe() })
 	if err = c.confirmed(current, nil); err != nil {
 		return nil, err
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	c = &Controller{settings: p, log: log, node: node, proposalTimeout: proposalTimeout, nodeCalls: coordinator.NewHandler(node, node)}
-	node.OnRole = c.roleChanged
+	node.OnLeadership = c.roleChanged
 	node.OnChange = c.stateChanged
 	if p.EventsURL != "" {
 		if err = c.notifyOfChanges(); err != nil {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	c.node.Chronicle.OnMark = func(mark history.Mark) {
+	c.node.History.OnMark = func(mark history.Mark) {
 		if mark.What != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
 			notifier.Tell(mark)
 		}
@@ -98,7 +98,7 @@
 // listen opens the listeners for nodes and other controllers, and for operators.
 func (c *Controller) listen() (err error) {
 	// The names of the receivers are those on the wire.
-	receivers := map[string]any{"Accord": c.node.Desk(), "Forum": c.nodeCalls, "Status": &StatusHandler{c}}
+	receivers := map[string]any{"Accord": c.node.Service(), "Forum": c.nodeCalls, "Status": &StatusHandler{c}}
 	if c.internalListener, err = rpc.Serve(c.settings.ControllerInternalAddress(), receivers); err != nil {
 		return err
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -45,7 +45,7 @@
 	// Calls get an outcome however slow this machine is.
 	c = &Controller{settings: p, log: eventlog.Discard(), node: node, proposalTimeout: time.Minute, nodeCalls: coordinator.NewHandler(node, leadership)}
 	led := make(chan bool, 1)
-	node.OnRole = func(leads bool, term raft.Term) {
+	node.OnLeadership = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -54,7 +54,7 @@
 // whatever changed since.
 func (c *Controller) checkDocument(current *coordinator.Coordinator, kind policy.Kind, body []byte) (err error) {
 	accepted := false
-	c.node.Read(func(state *raft.State) {
+	c.node.ReadState(func(state *raft.State) {
 		_, accepted, err = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 	})
 	if err == nil && !accepted && kind == policy.DayPlan {
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	status := DocumentStatus{Kind: kind}
-	c.node.Read(func(state *raft.State) {
+	c.node.ReadState(func(state *raft.State) {
 		document := state.Documents[kind]
 		status.Version, status.InForce, status.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -177,7 +177,7 @@
 		if status := statusOf(t, sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })); status != step.status {
 			t.Errorf("step %d: %d", i, status)
 		}
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			if state.Evacuations["zone"].Active != step.active {
 				t.Errorf("step %d: active %v", i, !step.active)
 			}
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -53,6 +53,6 @@
 		return c.reject(subject, rejectedResult(apierror.BadOrder, result))
 	}
 	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, subject, eventlog.KeyName, name, eventlog.KeyChange, change)
-	c.node.Chronicle.Note(subject, name, changeAcknowledged, "", 0, true)
+	c.node.History.Note(subject, name, changeAcknowledged, "", 0, true)
 	return nil
 }
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -35,6 +35,6 @@
 		return c.reject(history.Evacuation, rejectedResult(apierror.BadOrder, result))
 	}
 	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, zone, "active", start)
-	c.node.Chronicle.Note(history.Evacuation, zone, changeAcknowledged, "", 0, true)
+	c.node.History.Note(history.Evacuation, zone, changeAcknowledged, "", 0, true)
 	return nil
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,7 +10,7 @@
 // requireLeader redirects a call on path to the leader unless this controller
 // leads, or tells that there is none.
 func (c *Controller) requireLeader(path string) (err error) {
-	leads, settled, _, leader, _ := c.node.Standing()
+	leads, settled, _, leader, _ := c.node.Status()
 	if leads && settled {
 		return nil
 	}
@@ -43,8 +43,8 @@
 
 // propose puts a command before the controllers and waits for its outcome.
 func (c *Controller) propose(command raft.Command) (result raft.Result, err error) {
-	answer := c.node.Wish(command, c.proposalTimeout)
-	if !answer.Clear {
+	answer := c.node.Propose(command, c.proposalTimeout)
+	if !answer.Known {
 		return result, &httpapi.Error{Kind: apierror.Unclear}
 	}
 	return answer.Result, nil
--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -84,7 +84,7 @@
 
 // readEarlier reads what is agreed on this backend and request.
 func (r *retirement) readEarlier() {
-	r.controller.node.Read(func(state *raft.State) {
+	r.controller.node.ReadState(func(state *raft.State) {
 		r.earlier.active, r.earlier.accepted = state.RetireTaken(r.id)
 		r.earlier.named, _ = state.TakenByName(r.command)
 	})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -68,10 +68,10 @@
 	status = Status{Role: role, Name: c.settings.Name, ID: string(c.node.Self().ID)}
 	var leader raft.Member
 	var term raft.Term
-	status.IsLeader, status.Settled, term, leader, status.Members = c.node.Standing()
-	status.InContact = c.node.InContact(term, 0)
+	status.IsLeader, status.Settled, term, leader, status.Members = c.node.Status()
+	status.InContact = c.node.HoldsLease(term, 0)
 	status.Term, status.Leader = uint64(term), leader.Control
-	c.node.Read(func(state *raft.State) {
+	c.node.ReadState(func(state *raft.State) {
 		status.Revision, status.Claims = state.Rev, state.Claims()
 		status.AcceptedRequests, status.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
 		status.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -13,12 +13,12 @@
 func (h *StatusHandler) Trace(request rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
 	c := h.controller
 	reply.Name = c.settings.Name
-	for _, told := range c.node.Chronicle.Tell(history.Subject{Kind: request.Kind, Name: request.Name}) {
+	for _, told := range c.node.History.Tell(history.Subject{Kind: request.Kind, Name: request.Name}) {
 		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
 	}
 	switch request.Kind {
 	case history.Item, history.Document, history.Retirement, history.Move, history.Evacuation:
-		c.node.Read(func(state *raft.State) {
+		c.node.ReadState(func(state *raft.State) {
 			reply.Stamp, reply.Rev, reply.Has = traceState(state, request)
 		})
 	default:
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -59,7 +59,7 @@
 // later ones wait until those of older leaders have run out.
 func Start(p settings.Settings, log *eventlog.Logger, node *raft.Node, term raft.Term) (c *Coordinator) {
 	c = newCoordinator(p, log, rpc.Term(term))
-	c.node, c.history = node, node.Chronicle
+	c.node, c.history = node, node.History
 	go c.reconcileLoop()
 	if p.PlatformAddress != "" {
 		go c.listLoop()
@@ -107,7 +107,7 @@
 	defer c.mu.Unlock()
 	var view *config.View
 	active := map[rpc.SiteName]bool{}
-	c.node.Read(func(state *raft.State) {
+	c.node.ReadState(func(state *raft.State) {
 		if state.Rev != c.revision {
 			c.revision = state.Rev
 			view = state.Canon.View()
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -24,7 +24,7 @@
 // LeadershipChecker proves that this controller leads in a term and that no
 // other can.
 type LeadershipChecker interface {
-	InContact(term raft.Term, patience time.Duration) (proven bool)
+	HoldsLease(term raft.Term, patience time.Duration) (proven bool)
 }
 
 // Handler answers the remote calls of nodes, on any controller. One that does
@@ -46,7 +46,7 @@
 // leader's word. It must be asked after the answer is made: an answer made before
 // this process was suspended is not confirmed after it.
 func (h *Handler) ConfirmLeadership(coordinator *Coordinator) (confirmed bool) {
-	return h.leadership.InContact(raft.Term(coordinator.term), confirmTimeout)
+	return h.leadership.HoldsLease(raft.Term(coordinator.term), confirmTimeout)
 }
 
 // SetCoordinator sets the coordinator of a term, nil when it ended.
@@ -68,7 +68,7 @@
 		}
 	}
 	if !update.Leader {
-		_, _, _, leader, _ := h.node.Standing()
+		_, _, _, leader, _ := h.node.Status()
 		update.Hint = leader.Inner
 		update.Cores = append(update.Cores, controllersOf(h.node)...)
 	}
@@ -77,7 +77,7 @@
 
 // Lead tells whether this controller leads.
 func (h *Handler) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
-	if coordinator := h.coordinator.Load(); coordinator != nil && h.leadership.InContact(raft.Term(coordinator.term), seekerConfirmTimeout) {
+	if coordinator := h.coordinator.Load(); coordinator != nil && h.leadership.HoldsLease(raft.Term(coordinator.term), seekerConfirmTimeout) {
 		reply.Leader, reply.Term = true, coordinator.term
 	}
 	reply.Cores = append(reply.Cores, controllersOf(h.node)...)
@@ -116,11 +116,11 @@
 		return nil
 	}
 	reply.Leader = true
-	answers := h.node.Wishes(claimCommands(request), claimWait(request)-time.Since(begun))
+	answers := h.node.ProposeAll(claimCommands(request), claimWait(request)-time.Since(begun))
 	releases := len(request.Frees)
 	reply.Freed = true
 	for _, answer := range answers[:releases] {
-		reply.Freed = reply.Freed && answer.Clear
+		reply.Freed = reply.Freed && answer.Known
 	}
 	for _, answer := range answers[releases:] {
 		reply.Found = append(reply.Found, claimOutcome(answer, coordinator))
@@ -157,11 +157,11 @@
 	return wait
 }
 
-func claimOutcome(answer raft.Answer, coordinator *Coordinator) (found rpc.ClaimFound) {
+func claimOutcome(answer raft.Outcome, coordinator *Coordinator) (found rpc.ClaimFound) {
 	switch {
-	case answer.Refused:
+	case answer.Rejected:
 		found.Outcome = rpc.Refused
-	case !answer.Clear:
+	case !answer.Known:
 		found.Outcome = rpc.Unclear
 	case answer.Result.Granted:
 		found.Outcome = rpc.Granted
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -16,7 +16,7 @@
 	checks atomic.Int64
 }
 
-func (s *fakeLeadership) InContact(term raft.Term, _ time.Duration) (proven bool) {
+func (s *fakeLeadership) HoldsLease(term raft.Term, _ time.Duration) (proven bool) {
 	s.checks.Add(1)
 	return term == 7 && !s.lost.Load()
 }
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -70,13 +70,13 @@
 	}
 	c.policies.proposing = true
 	go func() {
-		answers := c.node.Wishes(commands, proposeTimeout)
+		answers := c.node.ProposeAll(commands, proposeTimeout)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.policies.proposing = false
 		// The step is the last of the batch.
 		last := answers[len(answers)-1]
-		if stepped && last.Clear && last.Result.Problem == "" {
+		if stepped && last.Known && last.Result.Problem == "" {
 			c.policies.schedule.stepper.Committed(c.now())
 		}
 	}()
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -71,14 +71,14 @@
 func (c *Coordinator) scanBindings() {
 	now := c.now()
 	c.sessions.built, c.sessions.lastScan = true, now
-	c.node.Read(func(state *raft.State) { c.sessions.scan(now, state) })
+	c.node.ReadState(func(state *raft.State) { c.sessions.scan(now, state) })
 }
 
 // buildSessionTable builds the table once the leader is settled, as only then it
 // has all that older leaders bound. It tells whether the table stands; the
 // caller holds mu.
 func (c *Coordinator) buildSessionTable() (built bool) {
-	if _, settled, _, _, _ := c.node.Standing(); settled && !c.sessions.built {
+	if _, settled, _, _, _ := c.node.Status(); settled && !c.sessions.built {
 		c.scanBindings()
 	}
 	return c.sessions.built
@@ -139,14 +139,14 @@
 // keep the zero outcome.
 func (c *Coordinator) Bind(request rpc.BindAsk) (found []rpc.BindFound) {
 	found = make([]rpc.BindFound, len(request.Binds))
-	if _, settled, _, _, _ := c.node.Standing(); !settled {
+	if _, settled, _, _, _ := c.node.Status(); !settled {
 		return found
 	}
 	proposals := c.answerBinds(request, found)
 	if len(proposals.commands) == 0 {
 		return found
 	}
-	answers := c.node.Wishes(proposals.commands, bindTimeout)
+	answers := c.node.ProposeAll(proposals.commands, bindTimeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, i := range proposals.indexes {
@@ -173,7 +173,7 @@
 		}
 		var standing raft.Binding
 		var bound bool
-		c.node.Read(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
+		c.node.ReadState(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
 		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
@@ -189,9 +189,9 @@
 }
 
 // bindOutcome takes up what became of a proposed bind; the caller holds mu.
-func (c *Coordinator) bindOutcome(bind rpc.Bind, answer raft.Answer, reason string) (found rpc.BindFound) {
+func (c *Coordinator) bindOutcome(bind rpc.Bind, answer raft.Outcome, reason string) (found rpc.BindFound) {
 	switch {
-	case answer.Refused || !answer.Clear:
+	case answer.Rejected || !answer.Known:
 		return rpc.BindFound{}
 	case answer.Result.Problem != "":
 		return rpc.BindFound{Outcome: rpc.BindFull}
@@ -234,12 +234,12 @@
 	s.proposing = true
 	commands := s.pendingUnbinds
 	go func() {
-		answers := c.node.Wishes(commands, bindTimeout)
+		answers := c.node.ProposeAll(commands, bindTimeout)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.sessions.proposing, c.sessions.pendingUnbinds = false, nil
 		for i, answer := range answers {
-			if !answer.Clear {
+			if !answer.Known {
 				c.sessions.pendingUnbinds = append(c.sessions.pendingUnbinds, commands[i])
 			}
 		}
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -72,7 +72,7 @@
 	}
 	update.Rev, update.ItemAt = request.Rev, request.ItemAt
 	if c.lacksItems(request.Seen) {
-		c.node.Read(func(state *raft.State) { c.addItems(state, request.Seen, update) })
+		c.node.ReadState(func(state *raft.State) { c.addItems(state, request.Seen, update) })
 	}
 	c.addEndpoints(now, request, update)
 	c.addNodes(since, update)
@@ -85,7 +85,7 @@
 
 // controllersOf lists the addresses of all controllers.
 func controllersOf(node *raft.Node) (controllers []rpc.Core) {
-	_, _, _, _, members := node.Standing()
+	_, _, _, _, members := node.Status()
 	for _, member := range members {
 		controllers = append(controllers, rpc.Core{Inner: member.Inner, Control: member.Control})
 	}
--- a/internal/raft/contact.go
+++ b/internal/raft/contact.go
@@ -158,10 +158,10 @@
 	}
 }
 
-// InContact tells that this core leads in a term and was in contact with a
+// HoldsLease tells that this core leads in a term and was in contact with a
 // majority so lately that no other can lead now. Where a round is late it waits
 // a while for the next; to ask while the proof holds costs one atomic load.
-func (n *Node) InContact(term Term, patience time.Duration) (proven bool) {
+func (n *Node) HoldsLease(term Term, patience time.Duration) (proven bool) {
 	held := n.lease.Load()
 	if held.covers(term, n.Now()) {
 		return true
--- a/internal/raft/contact_test.go
+++ b/internal/raft/contact_test.go
@@ -478,21 +478,21 @@
 // than its patience or the leadership.
 func TestInContactWaitsForTheNextRound(t *testing.T) {
 	n := &Node{birth: time.Now(), stop: make(chan struct{})}
-	if n.InContact(7, time.Minute) {
+	if n.HoldsLease(7, time.Minute) {
 		t.Fatal("a core that never led is in contact")
 	}
 	n.setLease(nil, 7, n.Now()+time.Hour)
-	if !n.InContact(7, 0) || n.InContact(6, time.Minute) || n.InContact(8, time.Minute) {
+	if !n.HoldsLease(7, 0) || n.HoldsLease(6, time.Minute) || n.HoldsLease(8, time.Minute) {
 		t.Fatal("a lease counts in its own term alone")
 	}
 	n.setLease(n.lease.Load(), 7, n.Now())
-	if n.InContact(7, time.Millisecond) {
+	if n.HoldsLease(7, time.Millisecond) {
 		t.Fatal("a lease that has run out counts")
 	}
 	for _, next := range []lease{{term: 7, until: time.Hour}, {term: 8, until: time.Hour}, {}} {
 		n.setLease(n.lease.Load(), 7, 0)
 		found := make(chan bool)
-		go func() { found <- n.InContact(7, time.Minute) }()
+		go func() { found <- n.HoldsLease(7, time.Minute) }()
 		n.setLease(n.lease.Load(), next.term, next.until)
 		if proven := <-found; proven != (next.term == 7) {
 			t.Fatalf("with %+v next: %v", next, proven)
@@ -504,11 +504,11 @@
 func TestAnOldLeaderIsNotNamed(t *testing.T) {
 	n := &Node{birth: time.Now().Add(-time.Minute), members: []Member{{ID: "a", Control: "a:1"}}, leader: "a"}
 	n.heard = n.Now()
-	if _, _, _, leader, _ := n.Standing(); leader.ID != "a" {
+	if _, _, _, leader, _ := n.Status(); leader.ID != "a" {
 		t.Fatalf("named %+v", leader)
 	}
 	n.heard -= hintElections * electTicks * tickInterval
-	if _, _, _, leader, _ := n.Standing(); leader.ID != "" {
+	if _, _, _, leader, _ := n.Status(); leader.ID != "" {
 		t.Fatalf("named %+v", leader)
 	}
 }
@@ -528,30 +528,30 @@
 		n.raft.At(n.Now() + time.Hour).beginRound()
 		tell()
 	}
-	if n.InContact(term, 0) {
+	if n.HoldsLease(term, 0) {
 		t.Fatal("a leader that has committed nothing in its term answers")
 	}
-	if ahead(); !n.InContact(term, 0) || !n.raft.CommittedInTerm() {
+	if ahead(); !n.HoldsLease(term, 0) || !n.raft.CommittedInTerm() {
 		t.Fatal("a leader that was answered does not answer")
 	}
 	n.birth = n.birth.Add(-2 * time.Hour)
-	if n.InContact(term, 0) {
+	if n.HoldsLease(term, 0) {
 		t.Fatal("after a freeze it answers before it ticks")
 	}
 	for range beatTicks {
 		n.carry(n.raft.At(n.Now()).Tick())
 	}
-	if n.InContact(term, 0) {
+	if n.HoldsLease(term, 0) {
 		t.Fatal("after a freeze it answers before it was answered")
 	}
-	if ahead(); !n.InContact(term, 0) {
+	if ahead(); !n.HoldsLease(term, 0) {
 		t.Fatal("after a new round it does not answer")
 	}
 	n.carry(n.raft.At(n.Now()).TransferLeadership())
-	if n.raft.transfer != "b" || n.InContact(term, 0) {
+	if n.raft.transfer != "b" || n.HoldsLease(term, 0) {
 		t.Fatal("a leader that hands over answers")
 	}
-	if ahead(); n.InContact(term, 0) {
+	if ahead(); n.HoldsLease(term, 0) {
 		t.Fatal("a leader that has handed over answers again in its term")
 	}
 }
@@ -571,13 +571,13 @@
 			tell()
 		}
 	}()
-	for _, want := range []Parting{PartNow, 0} {
-		var left LeaveReply
-		var joined JoinReply
-		if err := n.Desk().Leave(LeaveAsk{"unknown"}, &left); err != nil || left.Parting != want {
+	for _, want := range []LeaveStatus{LeaveCompleted, 0} {
+		var left LeaveResponse
+		var joined JoinResponse
+		if err := n.Service().Leave(LeaveRequest{"unknown"}, &left); err != nil || left.Parting != want {
 			t.Errorf("parting %d, want %d: %v", left.Parting, want, err)
 		}
-		if err := n.Desk().Join(JoinAsk{Member{ID: "a"}}, &joined); err != nil || joined.Leader != (want != 0) {
+		if err := n.Service().Join(JoinRequest{Member{ID: "a"}}, &joined); err != nil || joined.Leader != (want != 0) {
 			t.Errorf("parting %d: leads %v, %v", want, joined.Leader, err)
 		}
 		n.birth = n.birth.Add(-2 * time.Hour)
--- a/internal/raft/courier.go
+++ b/internal/raft/courier.go
@@ -8,8 +8,8 @@
 	"tinpin/internal/rpc"
 )
 
-// Batch is what one core sends another.
-type Batch struct {
+// MessageBatch is what one core sends another.
+type MessageBatch struct {
 	From     ID
 	Inner    string
 	Messages []Message
@@ -103,7 +103,7 @@
 				}
 			}
 		}
-		batch := Batch{From: n.self.ID, Inner: n.self.Inner}
+		batch := MessageBatch{From: n.self.ID, Inner: n.self.Inner}
 		var size int
 		if batch.Messages, kept, size, open = s.gather(message); !open {
 			return
@@ -131,7 +131,7 @@
 }
 
 // Step takes messages of the agreement.
-func (d *Desk) Step(batch Batch, _ *Empty) (err error) {
+func (d *Service) Step(batch MessageBatch, _ *Empty) (err error) {
 	d.node.mu.Lock()
 	d.node.book[batch.From] = batch.Inner
 	d.node.mu.Unlock()
--- a/internal/raft/cutoff_test.go
+++ b/internal/raft/cutoff_test.go
@@ -16,11 +16,11 @@
 
 // parted takes messages of the agreement, but none from or to who is cut off.
 type parted struct {
-	desk *Desk
+	desk *Service
 	off  *atomic.Pointer[ID]
 }
 
-func (p *parted) Step(batch Batch, empty *Empty) (err error) {
+func (p *parted) Step(batch MessageBatch, empty *Empty) (err error) {
 	if off := p.off.Load(); off != nil && (batch.From == *off || p.desk.node.self.ID == *off) {
 		return Class.New("cut off")
 	}
@@ -52,16 +52,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		node.OnRole = func(leads bool, term Term) {
+		node.OnLeadership = func(leads bool, term Term) {
 			if !leads {
 				return
 			}
-			if before := old.Load(); before != nil && before.node != node && before.node.InContact(before.term, 0) {
+			if before := old.Load(); before != nil && before.node != node && before.node.HoldsLease(before.term, 0) {
 				t.Errorf("%s answers in term %d though %s leads in term %d", before.node.self.ID, before.term, node.self.ID, term)
 			}
 			won <- winner{node, term}
 		}
-		served, err := rpc.Serve(node.self.Inner, map[string]any{"Accord": &parted{node.Desk(), off}})
+		served, err := rpc.Serve(node.self.Inner, map[string]any{"Accord": &parted{node.Service(), off}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 	// contact; each is held against the one before it.
 	for first := range won {
 		old.Store(&first)
-		if first.node.InContact(first.term, 2*time.Second) {
+		if first.node.HoldsLease(first.term, 2*time.Second) {
 			break
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 		old.Store(&next)
 	}
-	if before := old.Load(); before.node.InContact(before.term, 0) {
+	if before := old.Load(); before.node.HoldsLease(before.term, 0) {
 		t.Error("the old leader answers again")
 	}
 }
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -179,12 +179,12 @@
 		{"snapshot", storedSnapshot},
 		{"membership", append([]Member{storedLearner}, storedMembers...)},
 		{"snapshot_state", filledState()},
-		{"core_step_request", Batch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
+		{"core_step_request", MessageBatch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
 		{"core_step_reply", Empty{}},
-		{"core_join_request", JoinAsk{Member: storedMembers[0]}},
-		{"core_join_reply", JoinReply{Leader: true, Inners: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
-		{"core_leave_request", LeaveAsk{ID: "founder-10.0.2.1"}},
-		{"core_leave_reply", LeaveReply{Parting: PartNow}},
+		{"core_join_request", JoinRequest{Member: storedMembers[0]}},
+		{"core_join_reply", JoinResponse{Leader: true, Inners: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
+		{"core_leave_request", LeaveRequest{ID: "founder-10.0.2.1"}},
+		{"core_leave_reply", LeaveResponse{Parting: LeaveCompleted}},
 	}
 }
 
@@ -333,7 +333,7 @@
 			t.Errorf("message %d has the number %d", i+1, kind)
 		}
 	}
-	if PartAsMember != 1 || PartLater != 2 || PartNow != 3 {
+	if LeaveAsMember != 1 || LeavePending != 2 || LeaveCompleted != 3 {
 		t.Error("partings have other numbers")
 	}
 	keys := [][]byte{keyID, keyHard, keySnapshot, keyLogEnd, keyForm, keyEntry(258)}
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -28,19 +28,19 @@
 	maxRefused   = 64
 )
 
-// JoinAsk asks to be taken in.
-type JoinAsk struct{ Member Member }
+// JoinRequest asks to be taken in.
+type JoinRequest struct{ Member Member }
 
-// JoinReply names the leader where it is another.
-type JoinReply struct {
+// JoinResponse names the leader where it is another.
+type JoinResponse struct {
 	Leader bool
 	Inners []string
 }
 
 // Join notes a core that wants to be taken in.
-func (d *Desk) Join(ask JoinAsk, reply *JoinReply) (err error) {
-	leads, _, term, _, members := d.node.Standing()
-	reply.Leader = leads && d.node.InContact(term, 0)
+func (d *Service) Join(ask JoinRequest, reply *JoinResponse) (err error) {
+	leads, _, term, _, members := d.node.Status()
+	reply.Leader = leads && d.node.HoldsLease(term, 0)
 	for _, member := range members {
 		reply.Inners = append(reply.Inners, member.Inner)
 	}
@@ -133,7 +133,7 @@
 		n.mu.RUnlock()
 		if upto > 0 {
 			select {
-			case n.wishes <- wish{Command{Kind: CommandExpire, Upto: upto}, make(chan Answer, 1), time.Now(), staleWish}:
+			case n.proposals <- proposal{Command{Kind: CommandExpire, Upto: upto}, make(chan Outcome, 1), time.Now(), proposalTimeout}:
 			default:
 			}
 		}
@@ -179,8 +179,8 @@
 func (n *Node) askOneToJoin(target string) {
 	caller := rpc.NewCaller(target)
 	defer caller.Close()
-	var reply JoinReply
-	if err := caller.Call(rpc.MethodJoin, JoinAsk{n.self}, &reply, 300*time.Millisecond); err != nil {
+	var reply JoinResponse
+	if err := caller.Call(rpc.MethodJoin, JoinRequest{n.self}, &reply, 300*time.Millisecond); err != nil {
 		return
 	}
 	n.mu.Lock()
@@ -190,10 +190,10 @@
 	n.mu.Unlock()
 }
 
-// Identity decides who a core with an empty disk is: a founder where the
+// NewIdentity decides who a core with an empty disk is: a founder where the
 // whole system starts for the first time and it is among the seeds, else a
 // newcomer that has to be taken in.
-func Identity(p settings.Settings) (id ID, base Snapshot) {
+func NewIdentity(p settings.Settings) (id ID, base Snapshot) {
 	var founders []Member
 	founder := false
 	for _, seed := range p.Seeds {
--- a/internal/raft/house_test.go
+++ b/internal/raft/house_test.go
@@ -62,19 +62,19 @@
 		name    string
 		members []Member
 		id      ID
-		parting Parting
+		parting LeaveStatus
 	}{
-		{"plain restart", group(3, 0), "b", PartAsMember},
-		{"a learner", group(3, 1), "d", PartAsMember},
-		{"a successor is near", group(3, 1), "b", PartLater},
-		{"no member any more", group(3, 0), "x", PartNow},
+		{"plain restart", group(3, 0), "b", LeaveAsMember},
+		{"a learner", group(3, 1), "d", LeaveAsMember},
+		{"a successor is near", group(3, 1), "b", LeavePending},
+		{"no member any more", group(3, 0), "x", LeaveCompleted},
 	} {
 		n := housed(c.members)
 		elect(t, n.raft)
 		if parting := n.noteLeaving(c.id); parting != c.parting {
 			t.Errorf("%s: %d, want %d", c.name, parting, c.parting)
 		}
-		if _, marked := n.leaving[c.id]; marked != (c.parting == PartLater) {
+		if _, marked := n.leaving[c.id]; marked != (c.parting == LeavePending) {
 			t.Errorf("%s: noted %v", c.name, marked)
 		}
 		n.ticks += leavingTicks + 1
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -10,25 +10,25 @@
 	"tinpin/internal/rpc"
 )
 
-// Parting is what a leader says to a core that leaves.
-type Parting uint8
+// LeaveStatus is what a leader says to a core that leaves.
+type LeaveStatus uint8
 
 // The partings: stay a member and end, wait, or gone from the members.
 const (
-	PartAsMember Parting = iota + 1
-	PartLater
-	PartNow
+	LeaveAsMember LeaveStatus = iota + 1
+	LeavePending
+	LeaveCompleted
 )
 
-// LeaveAsk asks to be taken out.
-type LeaveAsk struct{ ID ID }
+// LeaveRequest asks to be taken out.
+type LeaveRequest struct{ ID ID }
 
-// LeaveReply is empty where the core asked does not lead.
-type LeaveReply struct{ Parting Parting }
+// LeaveResponse is empty where the core asked does not lead.
+type LeaveResponse struct{ Parting LeaveStatus }
 
 // Leave notes a core that is about to end.
-func (d *Desk) Leave(ask LeaveAsk, reply *LeaveReply) (err error) {
-	parting := make(chan Parting, 1)
+func (d *Service) Leave(ask LeaveRequest, reply *LeaveResponse) (err error) {
+	parting := make(chan LeaveStatus, 1)
 	select {
 	case d.node.tells <- func() { parting <- d.node.noteLeaving(ask.ID) }:
 	default:
@@ -42,7 +42,7 @@
 	case <-d.node.stop:
 	}
 	// One that is cut off may not know whom a later leader has taken in.
-	if _, _, term, _, _ := d.node.Standing(); reply.Parting != 0 && !d.node.InContact(term, 0) {
+	if _, _, term, _, _ := d.node.Status(); reply.Parting != 0 && !d.node.HoldsLease(term, 0) {
 		reply.Parting = 0
 	}
 	return nil
@@ -55,7 +55,7 @@
 )
 
 // noteLeaving answers for the leader; it is zero where this core does not lead.
-func (n *Node) noteLeaving(id ID) (parting Parting) {
+func (n *Node) noteLeaving(id ID) (parting LeaveStatus) {
 	if !n.raft.CommittedInTerm() || n.parting {
 		return 0
 	}
@@ -63,16 +63,16 @@
 	member, known := FindMember(n.raft.Members(), id)
 	switch {
 	case !known && n.raft.changing():
-		return PartLater
+		return LeavePending
 	case !known:
-		return PartNow
+		return LeaveCompleted
 	case !member.Voter || !n.membership.HasSuccessor(n.roll(), id):
 		delete(n.leaving, id)
-		return PartAsMember
+		return LeaveAsMember
 	}
 	n.leaving[id] = n.ticks
 	n.changeMembers()
-	return PartLater
+	return LeavePending
 }
 
 // leave is bounded by three quarters of the time until the process is killed.
@@ -85,7 +85,7 @@
 	heard, reached := time.Now(), time.Now()
 	for ask {
 		parting, majority := n.askToLeave()
-		if parting == PartAsMember || parting == PartNow {
+		if parting == LeaveAsMember || parting == LeaveCompleted {
 			break
 		}
 		now := time.Now()
@@ -109,7 +109,7 @@
 }
 
 func (n *Node) leads() (leads bool) {
-	leads, _, _, _, _ = n.Standing()
+	leads, _, _, _, _ = n.Status()
 	return leads
 }
 
@@ -154,12 +154,12 @@
 
 // askToLeave asks all voters at once; the one that leads has an answer. With
 // none, it tells whether enough answered to elect one.
-func (n *Node) askToLeave() (parting Parting, majority bool) {
+func (n *Node) askToLeave() (parting LeaveStatus, majority bool) {
 	type answer struct {
-		parting Parting
+		parting LeaveStatus
 		reached bool
 	}
-	_, _, _, _, members := n.Standing()
+	_, _, _, _, members := n.Status()
 	answers := make(chan answer, len(members))
 	voters, asked, reached := 0, 0, 0
 	for _, member := range members {
@@ -175,8 +175,8 @@
 		go func() {
 			caller := rpc.NewCaller(member.Inner)
 			defer caller.Close()
-			var reply LeaveReply
-			err := caller.Call(rpc.MethodLeave, LeaveAsk{n.self.ID}, &reply, leaveWait)
+			var reply LeaveResponse
+			err := caller.Call(rpc.MethodLeave, LeaveRequest{n.self.ID}, &reply, leaveWait)
 			answers <- answer{reply.Parting, err == nil}
 		}()
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	tickInterval = 25 * time.Millisecond
-	beatTicks    = 2
-	electTicks   = 9
-	maxInFlight  = 3
-	staleWish    = 700 * time.Millisecond
-	courierDial  = 120 * time.Millisecond
-	maxWishes    = 2048
-	compactCount = 4000
-	compactBytes = 12 << 20
-	refusalTicks = 40
+	tickInterval    = 25 * time.Millisecond
+	beatTicks       = 2
+	electTicks      = 9
+	maxInFlight     = 3
+	proposalTimeout = 700 * time.Millisecond
+	courierDial     = 120 * time.Millisecond
+	maxProposals    = 2048
+	compactCount    = 4000
+	compactBytes    = 12 << 20
+	refusalTicks    = 40
 )
 
 // Node is one core.
 type Node struct {
-	props   settings.Settings
-	log     *eventlog.Logger
-	self    Member
-	raft    *Replica
-	store   *Store
-	birth   time.Time
-	inbox   chan []Message
-	wishes  chan wish
-	synced  chan int
-	disk    chan []Write
-	tells   chan func()
-	stop    chan struct{}
-	stopped sync.WaitGroup
+	props     settings.Settings
+	log       *eventlog.Logger
+	self      Member
+	raft      *Replica
+	store     *Store
+	birth     time.Time
+	inbox     chan []Message
+	proposals chan proposal
+	synced    chan int
+	disk      chan []Write
+	tells     chan func()
+	stop      chan struct{}
+	stopped   sync.WaitGroup
 
 	lease   atomic.Pointer[lease]
 	mu      sync.RWMutex
@@ -76,12 +76,12 @@
 	ticks   int
 	heardAt int
 
-	// Chronicle remembers what became of changes here.
-	Chronicle *history.Chronicle
+	// History remembers what became of changes here.
+	History *history.Chronicle
 
 	// OnChange is called after the state changed, OnRole when leadership came or went.
-	OnChange func()
-	OnRole   func(leads bool, term Term)
+	OnChange     func()
+	OnLeadership func(leads bool, term Term)
 }
 
 // OpenNode opens the disk and makes the core ready to run.
@@ -104,15 +104,15 @@
 	}
 	node = &Node{
 		props: p, log: log, store: store, birth: time.Now(),
-		inbox: make(chan []Message, 256), wishes: make(chan wish, maxWishes), synced: make(chan int, 256),
+		inbox: make(chan []Message, 256), proposals: make(chan proposal, maxProposals), synced: make(chan int, 256),
 		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
 		book: map[ID]string{}, senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
 		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
-		seeds: p.Seeds, Chronicle: history.New(log), OnChange: func() {}, OnRole: func(bool, Term) {},
+		seeds: p.Seeds, History: history.New(log), OnChange: func() {}, OnLeadership: func(bool, Term) {},
 	}
 	inner := p.ControllerInternalAddress()
 	if id == "" {
-		id, base = Identity(p)
+		id, base = NewIdentity(p)
 		if err = store.Found(id, base); err != nil {
 			return nil, err
 		}
@@ -165,16 +165,16 @@
 	n.mu.Unlock()
 }
 
-// Read gives the state to look at under its lock.
-func (n *Node) Read(look func(state *State)) {
+// ReadState gives the state to look at under its lock.
+func (n *Node) ReadState(look func(state *State)) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	look(n.state)
 }
 
-// Standing tells who leads, as this core knows. A leader that was not heard for
+// Status tells who leads, as this core knows. A leader that was not heard for
 // the longest election is not named.
-func (n *Node) Standing() (leads, settled bool, term Term, leader Member, members []Member) {
+func (n *Node) Status() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if n.role == Leader || n.Now()-n.heard < hintElections*electTicks*tickInterval {
@@ -189,11 +189,11 @@
 // Empty is an answer that says nothing.
 type Empty struct{}
 
-// Desk takes inner calls from other cores.
-type Desk struct{ node *Node }
+// Service takes inner calls from other cores.
+type Service struct{ node *Node }
 
-// Desk gives the receiver for inner calls.
-func (n *Node) Desk() (desk *Desk) { return &Desk{n} }
+// Service gives the receiver for inner calls.
+func (n *Node) Service() (desk *Service) { return &Service{n} }
 
 // council is the duty that steps the agreement.
 func (n *Node) council() {
@@ -201,9 +201,9 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		var wishes <-chan wish
+		var wishes <-chan proposal
 		if len(n.pending) < maxInFlight && n.raft.AcceptsProposals() || n.raft.Role() != Leader {
-			wishes = n.wishes
+			wishes = n.proposals
 		}
 		select {
 		case <-n.stop:
@@ -213,7 +213,7 @@
 				n.carry(n.raft.At(n.Now()).Step(message))
 			}
 		case first := <-wishes:
-			n.propose(first)
+			n.proposeBatch(first)
 		case orders := <-n.synced:
 			n.carry(n.raft.At(n.Now()).ReportSynced(orders))
 		case tell := <-n.tells:
@@ -279,16 +279,16 @@
 func (n *Node) noteOrders(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
 		if document.Rev > before {
-			n.Chronicle.Note(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
+			n.History.Note(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
 		}
 	}
 	for id, retired := range n.state.Retired {
 		if retired.Rev > before {
-			n.Chronicle.Note(history.Retirement, string(id), "applied", retired.Stamp(), retired.Rev, quiet)
+			n.History.Note(history.Retirement, string(id), "applied", retired.Stamp(), retired.Rev, quiet)
 		}
 	}
 	if move := n.state.Move; move.Rev > before {
-		n.Chronicle.Note(history.Move, "day-plan", "applied", move.Stamp(), move.Rev, quiet)
+		n.History.Note(history.Move, "day-plan", "applied", move.Stamp(), move.Rev, quiet)
 	}
 }
 
@@ -309,11 +309,11 @@
 	if changed {
 		n.noteOrders(before, entry.Index <= n.loaded)
 		for _, item := range n.state.Canon.Since(before) {
-			n.Chronicle.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
+			n.History.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
 		}
 		for _, evacuation := range n.state.Evacuations {
 			if evacuation.Rev > before {
-				n.Chronicle.Note(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
+				n.History.Note(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
 			}
 		}
 	}
@@ -321,12 +321,12 @@
 	waiting, known := n.pending[entry.Index]
 	if known {
 		delete(n.pending, entry.Index)
-		for i := range waiting.wishes {
-			answer := Answer{}
+		for i := range waiting.proposals {
+			answer := Outcome{}
 			if waiting.term == entry.Term && i < len(results) {
-				answer = Answer{Result: results[i], Clear: true}
+				answer = Outcome{Result: results[i], Known: true}
 			}
-			waiting.wishes[i].done <- answer
+			waiting.proposals[i].done <- answer
 		}
 	}
 	return changed
@@ -371,16 +371,16 @@
 	after := role == Leader && settled
 	if before && (!after || was != term) {
 		n.log.Emit(eventlog.LeadershipLost, eventlog.KeyTerm, uint64(was))
-		n.OnRole(false, was)
+		n.OnLeadership(false, was)
 	}
 	if after && (!before || was != term) {
 		n.log.Emit(eventlog.LeaderElected, eventlog.KeyTerm, uint64(term))
-		n.OnRole(true, term)
+		n.OnLeadership(true, term)
 	}
 	if role != Leader && len(n.pending) > 0 {
 		for index, waiting := range n.pending {
-			for i := range waiting.wishes {
-				waiting.wishes[i].done <- Answer{}
+			for i := range waiting.proposals {
+				waiting.proposals[i].done <- Outcome{}
 			}
 			delete(n.pending, index)
 		}
--- a/internal/raft/wishes.go
+++ b/internal/raft/wishes.go
@@ -7,53 +7,55 @@
 
 // What one log entry takes at most of wishes, and of their bytes.
 const (
-	mostInBatch = 256
-	mostOfBatch = 1 << 20
+	maxBatchCommands = 256
+	maxBatchBytes    = 1 << 20
 )
 
-// Answer is what became of a wish.
-type Answer struct {
+// Outcome is what became of a wish.
+type Outcome struct {
 	Result Result
-	// Clear is false where nobody can tell whether the wish was carried out.
-	Clear bool
-	// Refused tells that it was not and will not be carried out.
-	Refused bool
+	// Known is false where nobody can tell whether the wish was carried out.
+	Known bool
+	// Rejected tells that it was not and will not be carried out.
+	Rejected bool
 }
 
-type wish struct {
-	command Command
-	done    chan Answer
-	born    time.Time
-	limit   time.Duration
+type proposal struct {
+	command   Command
+	done      chan Outcome
+	createdAt time.Time
+	timeout   time.Duration
 }
 
-// givenUp tells that the one who put it before the cores has given up by now, or is
+// expired tells that the one who put it before the cores has given up by now, or is
 // about to.
-func (w wish) givenUp(now time.Time) bool { return now.Sub(w.born) >= min(w.limit, staleWish) }
+func (w proposal) expired(now time.Time) bool {
+	return now.Sub(w.createdAt) >= min(w.timeout, proposalTimeout)
+}
 
 type pendingEntry struct {
-	term   Term
-	wishes []wish
+	term      Term
+	proposals []proposal
 }
 
-// Wish puts a command before the cores and waits for its outcome.
-func (n *Node) Wish(command Command, limit time.Duration) (answer Answer) {
-	return n.Wishes([]Command{command}, limit)[0]
+// Propose puts a command before the cores and waits for its outcome.
+func (n *Node) Propose(command Command, limit time.Duration) (answer Outcome) {
+	return n.ProposeAll([]Command{command}, limit)[0]
 }
 
-// Wishes puts several commands at once.
-func (n *Node) Wishes(commands []Command, limit time.Duration) (answers []Answer) {
-	answers = make([]Answer, len(commands))
-	done := make([]chan Answer, len(commands))
+// ProposeAll puts several commands at once.
+func (n *Node) ProposeAll(commands []Command, limit time.Duration) (answers []Outcome) {
+	answers = make([]Outcome, len(commands))
+	done := make([]chan Outcome, len(commands))
 	now := time.Now()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for i, command := range commands {
-		done[i] = make(chan Answer, 1)
+		done[i] = make(chan Outcome, 1)
 		select {
-		case n.wishes <- wish{command, done[i], now, limit}:
+		case n.proposals <- proposal{command, done[i], now, limit}:
 		default:
-			done[i] <- Answer{Refused: true}
+			done[i] <- Outcome{Rejected: true}
 		}
 	}
 	for i := range done {
@@ -72,24 +74,24 @@
 	return answers
 }
 
-func (n *Node) propose(first wish) {
-	var batch []wish
+func (n *Node) proposeBatch(first proposal) {
+	var batch []proposal
 	size := 0
 	now := time.Now()
 	for next, more := first, true; more; {
 		// A wish whose caller must have given up is refused, not carried out:
 		// a backlog would otherwise be worked off for nobody.
-		if next.givenUp(now) {
-			next.done <- Answer{Refused: true}
+		if next.expired(now) {
+			next.done <- Outcome{Rejected: true}
 		} else {
 			batch = append(batch, next)
 			size += len(next.command.Body)
 		}
-		if len(batch) == mostInBatch || size >= mostOfBatch {
+		if len(batch) == maxBatchCommands || size >= maxBatchBytes {
 			break
 		}
 		select {
-		case next = <-n.wishes:
+		case next = <-n.proposals:
 		default:
 			more = false
 		}
@@ -105,7 +107,7 @@
 	index, term, accepted, out := n.raft.Propose(data)
 	if !accepted {
 		for i := range batch {
-			batch[i].done <- Answer{Refused: true}
+			batch[i].done <- Outcome{Rejected: true}
 		}
 		return
 	}
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -17,8 +17,8 @@
 		base.Members = append(base.Members, Member{ID: id, Voter: true})
 	}
 	n = &Node{
-		log: eventlog.Discard(), birth: time.Now(), wishes: make(chan wish, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
-		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), Chronicle: history.New(eventlog.Discard()), OnChange: func() {}, OnRole: func(bool, Term) {},
+		log: eventlog.Discard(), birth: time.Now(), proposals: make(chan proposal, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
+		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: NewState(), History: history.New(eventlog.Discard()), OnChange: func() {}, OnLeadership: func(bool, Term) {},
 	}
 	n.raft = New("a", Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
 	for range 2 * electTicks {
@@ -33,18 +33,18 @@
 	return nil
 }
 
-func (n *Node) put(age, limit time.Duration) (done chan Answer) {
-	done = make(chan Answer, 1)
-	n.propose(wish{Command{Kind: CommandClaim, Claim: Claim{Key: "k", Request: "r"}}, done, time.Now().Add(-age), limit})
+func (n *Node) put(age, limit time.Duration) (done chan Outcome) {
+	done = make(chan Outcome, 1)
+	n.proposeBatch(proposal{Command{Kind: CommandClaim, Claim: Claim{Key: "k", Request: "r"}}, done, time.Now().Add(-age), limit})
 	return done
 }
 
-func answered(done chan Answer) (answer Answer, now bool) {
+func answered(done chan Outcome) (answer Outcome, now bool) {
 	select {
 	case answer = <-done:
 		return answer, true
 	default:
-		return Answer{}, false
+		return Outcome{}, false
 	}
 }
 
@@ -53,27 +53,27 @@
 	n := wishing(t, 3)
 	last := n.raft.LastIndex()
 	for _, c := range []struct{ age, limit time.Duration }{{time.Hour, 2 * time.Hour}, {time.Second, time.Millisecond}} {
-		if answer, now := answered(n.put(c.age, c.limit)); !now || !answer.Refused || answer.Clear {
+		if answer, now := answered(n.put(c.age, c.limit)); !now || !answer.Rejected || answer.Known {
 			t.Errorf("a wish that was given up: %+v, answered %v", answer, now)
 		}
 	}
 	n.raft.transfer = "b"
-	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Refused {
+	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Rejected {
 		t.Errorf("a wish while the leadership is handed over: %+v, answered %v", answer, now)
 	}
 	n.raft.transfer = ""
 	// The first two wait, the third finds no room.
-	answers := n.Wishes(make([]Command, 3), time.Millisecond)
-	if answers[0] != (Answer{}) || answers[1] != (Answer{}) || !answers[2].Refused {
+	answers := n.ProposeAll(make([]Command, 3), time.Millisecond)
+	if answers[0] != (Outcome{}) || answers[1] != (Outcome{}) || !answers[2].Rejected {
 		t.Errorf("a full ring: %+v", answers)
 	}
-	first := <-n.wishes
-	first.born = time.Now().Add(-time.Minute)
-	n.propose(first)
+	first := <-n.proposals
+	first.createdAt = time.Now().Add(-time.Minute)
+	n.proposeBatch(first)
 	if n.raft.LastIndex() != last {
 		t.Errorf("the log went from %d to %d for nobody", last, n.raft.LastIndex())
 	}
-	if answer, now := answered(first.done); !now || !answer.Refused {
+	if answer, now := answered(first.done); !now || !answer.Rejected {
 		t.Errorf("the backlog of who gave up: %+v, answered %v", answer, now)
 	}
 }
@@ -86,10 +86,10 @@
 		t.Fatal("answered before a majority has it")
 	}
 	n.carry(n.raft.Step(Message{Kind: MsgAppend, From: "b", To: "a", Term: n.raft.Term() + 1, Index: 1, LogTerm: 1}))
-	if answer, now := answered(done); !now || answer.Refused || answer.Clear {
+	if answer, now := answered(done); !now || answer.Rejected || answer.Known {
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
-	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Refused {
+	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Rejected {
 		t.Fatalf("put before one that does not lead: %+v, answered %v", answer, now)
 	}
 }
@@ -97,10 +97,10 @@
 // An entry of another leader at the same place is no answer to the wish.
 func TestAnotherLeadersEntryAnswersNoWish(t *testing.T) {
 	n := wishing(t, 1)
-	done := make(chan Answer, 1)
-	n.pending[9] = pendingEntry{3, []wish{{done: done}}}
+	done := make(chan Outcome, 1)
+	n.pending[9] = pendingEntry{3, []proposal{{done: done}}}
 	n.apply(Entry{Term: 4, Index: 9, Data: Inscribe([]Command{{Kind: CommandBarrier}})})
-	if answer, now := answered(done); !now || answer.Refused || answer.Clear {
+	if answer, now := answered(done); !now || answer.Rejected || answer.Known {
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
 }
@@ -108,21 +108,21 @@
 // What nobody waits for any more is not put before the cores: this node has none
 // to put it before.
 func TestAWishThatNobodyWaitsForIsDropped(t *testing.T) {
-	node := &Node{wishes: make(chan wish, 4)}
-	answers := node.Wishes([]Command{{Kind: CommandClaim}, {Kind: CommandClaim}}, 0)
+	node := &Node{proposals: make(chan proposal, 4)}
+	answers := node.ProposeAll([]Command{{Kind: CommandClaim}, {Kind: CommandClaim}}, 0)
 	for _, answer := range answers {
-		if answer.Clear || answer.Refused {
+		if answer.Known || answer.Rejected {
 			t.Fatalf("%+v before anybody looked at it", answer)
 		}
 	}
-	first := <-node.wishes
-	for !first.givenUp(time.Now()) {
+	first := <-node.proposals
+	for !first.expired(time.Now()) {
 	}
-	node.propose(first)
-	if answer := <-first.done; !answer.Refused {
+	node.proposeBatch(first)
+	if answer := <-first.done; !answer.Rejected {
 		t.Fatalf("%+v", answer)
 	}
-	if len(node.wishes) != 0 {
+	if len(node.proposals) != 0 {
 		t.Fatal("one is left")
 	}
 }
