--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -24,7 +24,7 @@
 // fakeLeadership is confirmed or not.
 type fakeLeadership struct{ lost atomic.Bool }
 
-func (f *fakeLeadership) InContact(raft.Term, time.Duration) (proven bool) { return !f.lost.Load() }
+func (f *fakeLeadership) HoldsLease(raft.Term, time.Duration) (proven bool) { return !f.lost.Load() }
 
 // startSingle starts a controller that leads alone, with a proof of leadership of
 // the test's own.
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -16,9 +16,9 @@
 	checks atomic.Int64
 }
 
-func (s *fakeLeadership) HoldsLease(term raft.Term, _ time.Duration) (proven bool) {
-	s.checks.Add(1)
-	return term == 7 && !s.lost.Load()
+func (f *fakeLeadership) HoldsLease(term raft.Term, _ time.Duration) (proven bool) {
+	f.checks.Add(1)
+	return term == 7 && !f.lost.Load()
 }
 
 // A handler out of contact says of nothing that it is the leader's word.
