--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -17,7 +17,7 @@
 
 // retireBackend answers Backends.Retire and, with restore, Backends.Restore. It
 // gives the phase that the retirement has reached.
-func (c *Controller) retireBackend(_ context.Context, id rpc.ServerID, restore bool, requestName string) (phase string, err error) {
+func (c *Controller) retireBackend(_ context.Context, id rpc.EndpointID, restore bool, requestName string) (phase string, err error) {
 	if restore {
 		return c.restore(id, requestName)
 	}
@@ -35,7 +35,7 @@
 	return r.carryOut()
 }
 
-func (c *Controller) restore(id rpc.ServerID, requestName string) (phase string, err error) {
+func (c *Controller) restore(id rpc.EndpointID, requestName string) (phase string, err error) {
 	if _, err = c.leading(withRequestName("/-/Backends.Restore/"+url.PathEscape(string(id)), requestName)); err != nil {
 		return "", err
 	}
@@ -47,7 +47,7 @@
 type retirement struct {
 	controller *Controller
 	current    *coordinator.Coordinator
-	id         rpc.ServerID
+	id         rpc.EndpointID
 	command    raft.Command
 	earlier    earlierRetirement
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -59,7 +59,7 @@
 type StatusHandler struct{ controller *Controller }
 
 // Tell gives the status.
-func (h *StatusHandler) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
+func (h *StatusHandler) Tell(_ rpc.StatusRequest, reply *rpc.StatusResponse) (err error) {
 	reply.JSON, err = json.Marshal(h.controller.status())
 	return err
 }
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -10,23 +10,23 @@
 
 // Trace tells what this controller knows of a subject: the changes it noted, and
 // how the subject stands here.
-func (h *StatusHandler) Trace(request rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
+func (h *StatusHandler) Trace(request rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	c := h.controller
 	reply.Name = c.settings.Name
 	for _, told := range c.node.History.Tell(history.Subject{Kind: request.Kind, Name: request.Name}) {
-		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.What, Summary: told.Stamp, LogIndex: told.Rev, Age: told.Age})
 	}
 	switch request.Kind {
 	case history.Item, history.Document, history.Retirement, history.Move, history.Evacuation:
 		c.node.ReadState(func(state *raft.State) {
-			reply.Stamp, reply.Rev, reply.Has = traceState(state, request)
+			reply.Summary, reply.LogIndex, reply.Present = traceState(state, request)
 		})
 	default:
 		// Only the leader knows backends and their health.
 		if current := c.nodeCalls.Coordinator(); current != nil {
-			stamp, has := current.CurrentStamp(request.Kind, rpc.ServerID(request.Name))
+			stamp, has := current.CurrentStamp(request.Kind, rpc.EndpointID(request.Name))
 			if c.nodeCalls.ConfirmLeadership(current) {
-				reply.Stamp, reply.Has = stamp, has
+				reply.Summary, reply.Present = stamp, has
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 }
 
 // traceState gives the stamp and revision of a subject in the replicated state.
-func traceState(state *raft.State, request rpc.TraceAsk) (stamp string, revision uint64, has bool) {
+func traceState(state *raft.State, request rpc.TraceRequest) (stamp string, revision uint64, has bool) {
 	switch request.Kind {
 	case history.Item:
 		var item config.Item
@@ -44,12 +44,12 @@
 		document, has := state.Documents[policy.Kind(request.Name)]
 		return document.Stamp(), document.Rev, has
 	case history.Retirement:
-		retired, has := state.Retired[rpc.ServerID(request.Name)]
-		return retired.Stamp(), retired.Rev, has
+		retired, has := state.Retired[rpc.EndpointID(request.Name)]
+		return retired.Summary(), retired.Rev, has
 	case history.Evacuation:
 		evacuation, has := state.Evacuations[request.Name]
 		return evacuation.Stamp(), evacuation.Rev, has
 	default:
-		return state.Move.Stamp(), state.Move.Rev, state.Move.Rev > 0
+		return state.Move.Summary(), state.Move.Rev, state.Move.Rev > 0
 	}
 }
