--- a/cmd/tinpin/status.go
+++ b/cmd/tinpin/status.go
@@ -30,7 +30,7 @@
 // else with those behind the seeds of the settings.
 func lookAt(addresses string) (fleet *diagnostics.Fleet, err error) {
 	if addresses != "" {
-		return diagnostics.Look(strings.Split(addresses, ","))
+		return diagnostics.Inspect(strings.Split(addresses, ","))
 	}
 	p, err := loadSettings()
 	if err != nil {
@@ -40,5 +40,5 @@
 	for _, seed := range p.Seeds {
 		seeds = append(seeds, p.SeedInternalAddress(seed))
 	}
-	return diagnostics.Look(seeds)
+	return diagnostics.Inspect(seeds)
 }
--- a/cmd/tinpin/trace.go
+++ b/cmd/tinpin/trace.go
@@ -27,7 +27,7 @@
 		return code
 	}
 	kind, name := words[0], words[1]
-	if !diagnostics.Known(kind) {
+	if !diagnostics.KnownKind(kind) {
 		return call.usageError("trace: unknown kind %q", kind)
 	}
 	if *logs != "" {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -19,18 +19,18 @@
 	// What cannot be read is rejected whatever the state.
 	call, err := config.ReadCall(body)
 	if err != nil {
-		return c.reject(history.Item, &httpapi.Error{Kind: apierror.BadConfig, Text: err.Error()})
+		return c.reject(history.Item, &httpapi.Error{Kind: apierror.InvalidConfig, Text: err.Error()})
 	}
 	result, err := c.propose(raft.Command{Kind: raft.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
 	if result.Problem != "" {
-		return c.reject(history.Item, rejectedResult(apierror.BadConfig, result))
+		return c.reject(history.Item, rejectedResult(apierror.InvalidConfig, result))
 	}
 	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
 	for _, path := range call.Paths() {
-		c.node.History.Note(history.Item, path, changeAcknowledged, "", 0, true)
+		c.node.History.Record(history.Item, path, changeAcknowledged, "", 0, true)
 	}
 	return nil
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -87,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	c.node.History.OnMark = func(mark history.Mark) {
-		if mark.What != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
-			notifier.Tell(mark)
+	c.node.History.OnChange = func(mark history.Change) {
+		if mark.Action != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
+			notifier.Notify(mark)
 		}
 	}
 	return nil
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -13,25 +13,25 @@
 const changeAcknowledged = "acknowledged"
 
 var (
-	errNoLeader  = &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
-	errNoContact = &httpapi.Error{Kind: apierror.Unclear, Text: "no contact with a majority of the controllers now"}
+	errNoLeader  = &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no leader is settled now"}
+	errNoContact = &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no contact with a majority of the controllers now"}
 	// errListIncomplete is that of a new leader, which is no reason to reject.
-	errListIncomplete = &httpapi.Error{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
+	errListIncomplete = &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "the platform's list is not read yet"}
 )
 
 // invalidRequest is the answer to a request that fails a check.
 func invalidRequest(err error) (answer *httpapi.Error) {
 	if dedup.Conflict.Has(err) {
-		return &httpapi.Error{Kind: apierror.VersionTaken, Text: err.Error()}
+		return &httpapi.Error{Kind: apierror.VersionConflict, Text: err.Error()}
 	}
-	return &httpapi.Error{Kind: apierror.BadOrder, Text: err.Error()}
+	return &httpapi.Error{Kind: apierror.RequestRejected, Text: err.Error()}
 }
 
 // rejectedResult is the answer to a request that was rejected where it was
 // applied; kind is that of rejections other than conflicts.
 func rejectedResult(kind apierror.Kind, result raft.Result) (answer *httpapi.Error) {
 	if result.Conflict {
-		kind = apierror.VersionTaken
+		kind = apierror.VersionConflict
 	}
 	return &httpapi.Error{Kind: kind, Text: result.Problem}
 }
@@ -39,7 +39,7 @@
 // reject logs a rejection as the caller is told it.
 func (c *Controller) reject(subject string, answer *httpapi.Error) (err error) {
 	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject,
-		eventlog.KeyStatus, answer.Kind.Answer().Status, eventlog.KeyReason, answer.Error())
+		eventlog.KeyStatus, answer.Kind.Response().Status, eventlog.KeyReason, answer.Error())
 	return answer
 }
 
@@ -50,9 +50,9 @@
 		return err
 	}
 	if result.Problem != "" {
-		return c.reject(subject, rejectedResult(apierror.BadOrder, result))
+		return c.reject(subject, rejectedResult(apierror.RequestRejected, result))
 	}
 	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, subject, eventlog.KeyName, name, eventlog.KeyChange, change)
-	c.node.History.Note(subject, name, changeAcknowledged, "", 0, true)
+	c.node.History.Record(subject, name, changeAcknowledged, "", 0, true)
 	return nil
 }
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -32,9 +32,9 @@
 		return err
 	}
 	if result.Problem != "" {
-		return c.reject(history.Evacuation, rejectedResult(apierror.BadOrder, result))
+		return c.reject(history.Evacuation, rejectedResult(apierror.RequestRejected, result))
 	}
 	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, zone, "active", start)
-	c.node.History.Note(history.Evacuation, zone, changeAcknowledged, "", 0, true)
+	c.node.History.Record(history.Evacuation, zone, changeAcknowledged, "", 0, true)
 	return nil
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -45,7 +45,7 @@
 func (c *Controller) propose(command raft.Command) (result raft.Result, err error) {
 	answer := c.node.Propose(command, c.proposalTimeout)
 	if !answer.Known {
-		return result, &httpapi.Error{Kind: apierror.Unclear}
+		return result, &httpapi.Error{Kind: apierror.OutcomeUnknown}
 	}
 	return answer.Result, nil
 }
--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -127,7 +127,7 @@
 	case e.accepted && errors.Is(invalid, coordinator.ErrUnknownBackend):
 		return string(drain.Left), nil
 	case e.accepted:
-		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "this retirement was accepted and taken back before; as a new one it is rejected: " + invalid.Error()}
+		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "this retirement was accepted and taken back before; as a new one it is rejected: " + invalid.Error()}
 	}
 	return "", invalidRequest(invalid)
 }
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -13,11 +13,11 @@
 func (h *StatusHandler) Trace(request rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	c := h.controller
 	reply.Name = c.settings.Name
-	for _, told := range c.node.History.Tell(history.Subject{Kind: request.Kind, Name: request.Name}) {
-		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.What, Summary: told.Stamp, LogIndex: told.Rev, Age: told.Age})
+	for _, told := range c.node.History.Changes(history.Subject{Kind: request.Kind, Name: request.Name}) {
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.Action, Summary: told.State, LogIndex: told.Revision, Age: told.Age})
 	}
 	switch request.Kind {
-	case history.Item, history.Document, history.Retirement, history.Move, history.Evacuation:
+	case history.Item, history.Document, history.Retirement, history.ScheduleStep, history.Evacuation:
 		c.node.ReadState(func(state *raft.State) {
 			reply.Summary, reply.LogIndex, reply.Present = traceState(state, request)
 		})
