--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,9 +97,10 @@
 
 // listen opens the listeners for nodes and other controllers, and for operators.
 func (c *Controller) listen() (err error) {
-	// The names of the receivers are those on the wire.
-	receivers := map[string]any{"Accord": c.node.Service(), "Forum": c.nodeCalls, "Status": &StatusHandler{c}}
-	if c.internalListener, err = rpc.Serve(c.settings.ControllerInternalAddress(), receivers); err != nil {
+	// The names of the receivers are those on the wire, frozen in package rpc.
+	if c.internalListener, err = rpc.Serve(c.settings.ControllerInternalAddress(), map[string]any{
+		"Accord": c.node.Service(), "Forum": c.nodeCalls, "Status": &StatusHandler{c},
+	}); err != nil {
 		return err
 	}
 	c.apiServer, err = httpapi.Serve(c.settings.ControlAddress, httpapi.Handlers{
