--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,7 +33,7 @@
 	nodeCalls       *coordinator.Handler
 	proposalTimeout time.Duration
 
-	internalListener *rpc.Listener
+	internalListener *rpc.Server
 	apiServer        *http.Server
 }
 
