--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -86,7 +86,7 @@
 	Version     policy.Version             `json:"version"`
 	InForce     bool                       `json:"in_force"`
 	Document    json.RawMessage            `json:"document,omitempty"`
-	Retirements []drain.Account            `json:"retiring,omitempty"`
+	Retirements []drain.RetirementStatus   `json:"retiring,omitempty"`
 	Targets     []schedule.Account         `json:"moving,omitempty"`
 	Step        uint64                     `json:"step,omitempty"`
 	Sessions    *coordinator.SessionStatus `json:"sessions,omitempty"`
--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -104,12 +104,12 @@
 // phase is how far an acknowledged retirement is.
 func (r *retirement) phase() (phase string) {
 	for _, status := range r.current.RetirementStatus() {
-		if status.Server == string(r.id) && r.controller.nodeCalls.ConfirmLeadership(r.current) {
+		if status.Backend == string(r.id) && r.controller.nodeCalls.ConfirmLeadership(r.current) {
 			return string(status.Phase)
 		}
 	}
 	if r.readEarlier(); !r.earlier.active {
-		return string(drain.TakenBack)
+		return string(drain.Withdrawn)
 	}
 	return string(drain.Announced)
 }
@@ -125,7 +125,7 @@
 func (e earlierRetirement) answer(invalid error) (phase string, err error) {
 	switch {
 	case e.accepted && errors.Is(invalid, coordinator.ErrUnknownBackend):
-		return string(drain.Left), nil
+		return string(drain.Removed), nil
 	case e.accepted:
 		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "this retirement was accepted and taken back before; as a new one it is rejected: " + invalid.Error()}
 	}
