--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -57,7 +57,7 @@
 // Stop ends it without a word, as a loss would.
 func (h *StubNode) Stop() { close(h.leader.Done) }
 
-func (w *ClusterState) appliedShards() (shards rpc.ShardMap) {
+func (w *ClusterState) appliedShards() rpc.ShardMap {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.assignment.Applied()
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -51,7 +51,7 @@
 			troubled := newStandIn(t, "i-1", c.script)
 			sound := newStandIn(t, "i-2", good)
 			d := daemonOf(t, troubled, sound)
-			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
+			d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
 			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
 			want := c.safe
 			if way == "/once/" {
@@ -278,7 +278,7 @@
 		return id
 	}
 	now := d.clock.Now()
-	one, two, three := d.state.servers["i-1"], d.state.servers["i-2"], d.state.servers["i-3"]
+	one, two, three := d.state.backends["i-1"], d.state.backends["i-2"], d.state.backends["i-3"]
 	one.Draining = true
 	two.warmUpUntil = now + time.Hour
 	for i := 0; i < 20; i++ {
@@ -315,7 +315,7 @@
 		arrivals = append(arrivals, clock.Now())
 		return good(n, r, conn)
 	}))
-	d.state.servers["i-1"].warmUpUntil = d.clock.Now() + time.Hour
+	d.state.backends["i-1"].warmUpUntil = d.clock.Now() + time.Hour
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3.7, Duration: time.Minute}}})
 	for range 12 {
 		d.Handle(request("GET", "/safe/q", "c"), "2500")
@@ -382,14 +382,14 @@
 func TestOvertakenNewsChangeNothing(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.state.servers["i-1"].Endpoint
+	server := d.state.backends["i-1"].Endpoint
 	server.Draining = true
 	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 3, Revision: 9, Endpoints: []rpc.EndpointChange{{Endpoint: server}}})
 	server.Draining = false
 	for _, old := range []rpc.Update{{Term: 3, Revision: 8}, {Term: 2, Revision: 50, Full: true}} {
 		old.IsLeader, old.Endpoints = true, []rpc.EndpointChange{{Endpoint: server}}
 		d.state.Apply(0, &old)
-		if !d.state.servers["i-1"].Draining {
+		if !d.state.backends["i-1"].Draining {
 			t.Fatalf("news of term %d, epoch %d undid a later one", old.Term, old.Revision)
 		}
 	}
@@ -404,7 +404,7 @@
 		dark := newStandIn(t, "i-1", func(int, seen, net.Conn) bool { <-gate; return false })
 		sound := newStandIn(t, "i-2", good)
 		d := daemonOf(t, dark, sound)
-		d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
+		d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
 		verdict := d.Handle(request("GET", way+"q", "ab"), "800")
 		if way == "/safe/" && verdict.Status != 200 || way == "/once/" && verdict.Status != 504 {
 			t.Errorf("%s: status %d", way, verdict.Status)
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -91,13 +91,13 @@
 			}
 			d, backend := rested(t, bad)
 			if isFresh {
-				d.state.servers["i-1"].closeIdle(d.clock.Now(), true)
-				d.state.servers["i-1"].closed = false
+				d.state.backends["i-1"].closeIdle(d.clock.Now(), true)
+				d.state.backends["i-1"].closed = false
 			}
 			sound := newStandIn(t, "i-2", good)
 			server := rpc.Endpoint{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Zone: "here", Slots: 4}
 			d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Endpoints: []rpc.EndpointChange{{Endpoint: server}}})
-			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
+			d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
 			verdict := d.Handle(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
 				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
@@ -184,7 +184,7 @@
 func TestNothingLeavesOutsideItsSpan(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.state.servers["i-1"]
+	server := d.state.backends["i-1"]
 	now := d.clock.Now()
 	for name, c := range map[string]struct {
 		sending AttemptOptions
@@ -212,7 +212,7 @@
 func TestALeaseThatHasRunOutIsNotUsed(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.state.servers["i-1"]
+	server := d.state.backends["i-1"]
 	server.warmUpUntil = d.clock.Now() + time.Hour
 	way := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.EndpointID{"", "i-1"} {
@@ -288,7 +288,7 @@
 		return good(n, r, conn)
 	})
 	d := daemonOf(t, backend)
-	server := d.state.servers["i-1"]
+	server := d.state.backends["i-1"]
 	now := d.clock.Now()
 	sending := AttemptOptions{ChosenAt: now, Deadline: now + time.Second, MaxIdle: time.Minute}
 	if round := runAttempt(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Complete {
