--- a/internal/proxy/update.go
+++ b/internal/proxy/update.go
@@ -62,7 +62,7 @@
 // decompress unpacks the compressed parts of an update in place.
 func decompress(update *rpc.Update) (err error) {
 	if update.CompressedItems != nil {
-		if update.Items, err = rpc.Unpack(update.CompressedItems); err != nil {
+		if update.Items, err = rpc.DecompressItems(update.CompressedItems); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 		}
 	}
 	if update.CompressedNodes != nil {
-		nodes, unpackErr := rpc.UnpackRows[rpc.NodeChange](update.CompressedNodes)
+		nodes, unpackErr := rpc.Decompress[rpc.NodeChange](update.CompressedNodes)
 		if unpackErr != nil {
 			return unpackErr
 		}
