--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -4,6 +4,7 @@
 package proxy
 
 import (
+	"errors"
 	"math/rand"
 	"sync"
 	"sync/atomic"
@@ -428,7 +429,7 @@
 		return reply.Results
 	}
 	found = make([]rpc.ClaimResult, len(claims))
-	if err == nil || rpc.ErrNotSent.Has(err) {
+	if err == nil || errors.Is(err, rpc.ErrNotSent) {
 		for i := range found {
 			found[i].Outcome = rpc.ClaimRejected
 		}
