--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -1,5 +1,3 @@
-// What the operator reads of a refusal, of an order that was taken under the same
-// version, and of no clear answer.
 package adminclient
 
 import (
@@ -12,7 +10,9 @@
 	"testing"
 )
 
-func TestAnswersAreToldPlainly(t *testing.T) {
+// What the operator reads of a rejection, of a request that was accepted under the
+// same version, and of no clear answer.
+func TestAnswersAreReportedPlainly(t *testing.T) {
 	for _, c := range []struct {
 		statuses []int
 		good     bool
@@ -24,7 +24,7 @@
 		{[]int{503, 422}, false, "refused: version 5 stands"},
 		{[]int{503, 503}, false, "no clear answer, the same may be sent again"},
 	} {
-		desk, names := &Client{}, []string(nil)
+		client, names := &Client{}, []string(nil)
 		for _, status := range c.statuses {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				names = append(names, r.URL.Query().Get("order"))
@@ -32,12 +32,12 @@
 				_, _ = w.Write([]byte(`{"status":"acknowledged","error_message":"version 5 stands"}`))
 			}))
 			defer server.Close()
-			desk.Addresses = append(desk.Addresses, strings.TrimPrefix(server.URL, "http://"))
+			client.Addresses = append(client.Addresses, strings.TrimPrefix(server.URL, "http://"))
 		}
 		var out bytes.Buffer
-		good, err := desk.Run(context.Background(), &out, "drain", "withdraw", []string{"5"})
+		good, err := client.Run(context.Background(), &out, "drain", "withdraw", []string{"5"})
 		if slices.ContainsFunc(names, func(name string) bool { return name != "" }) {
-			t.Errorf("an order with a version got the names %q", names)
+			t.Errorf("a request with a version got the names %q", names)
 		}
 		if good != c.good || good != strings.Contains(out.String(), "acknowledged") || !good && !strings.Contains(err.Error(), c.said) {
 			t.Errorf("%v: %v, %q, %v", c.statuses, good, out.String(), err)
@@ -45,9 +45,9 @@
 	}
 }
 
-// An order without a version has one name at each address that is tried, and the
+// A request without a version has one name at each address that is tried, and the
 // operator is told it where no answer is clear.
-func TestAnOrderWithoutAVersionHasOneName(t *testing.T) {
+func TestRequestWithoutAVersionHasOneName(t *testing.T) {
 	for _, given := range []string{"", "mine&1"} {
 		var names []string
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -55,11 +55,11 @@
 			w.WriteHeader(503)
 		}))
 		defer server.Close()
-		control := strings.TrimPrefix(server.URL, "http://")
-		desk := &Client{Addresses: []string{control, control}, RequestName: given}
+		address := strings.TrimPrefix(server.URL, "http://")
+		client := &Client{Addresses: []string{address, address}, RequestName: given}
 		for _, verb := range []string{"retire", "restore"} {
 			names = nil
-			_, err := desk.Run(context.Background(), &bytes.Buffer{}, "drain", verb, []string{"i-1"})
+			_, err := client.Run(context.Background(), &bytes.Buffer{}, "drain", verb, []string{"i-1"})
 			if len(names) != 2 || names[0] != names[1] || names[0] == "" || given != "" && names[0] != given {
 				t.Errorf("%s: names %q", verb, names)
 			}
