--- /dev/null
+++ b/internal/proxy/attempt.go
@@ -0,0 +1,125 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+const (
+	// maxBufferedBody and maxStreamedPrefix are how many bytes of a body are read before the
+	// response is passed on, the latter where the route streams.
+	maxBufferedBody   = 256 << 10
+	maxStreamedPrefix = 16 << 10
+	// choiceLifetime is how long the choice of a backend holds, with all that it was based on;
+	// a node that stood still longer chooses anew.
+	choiceLifetime = time.Second
+	// freshConnOnly as AttemptOptions.MaxIdle wants a new connection.
+	freshConnOnly = -1
+)
+
+// Attempt is the result of sending a request to one backend once. Only NotSent, SendCancelled
+// and Rejected prove that the request has not run. net/http's codec is used but not its
+// transport, which repeats requests on its own.
+type Attempt struct {
+	Outcome  Outcome
+	Response Response
+	// Sent tells that the request has left, so that it counts as an arrival.
+	Sent bool
+}
+
+// AttemptOptions says how a request may be sent.
+type AttemptOptions struct {
+	// ChosenAt is when the backend was chosen, Deadline when the request ends; MaxIdle is how
+	// long the connection may have been idle.
+	ChosenAt, Deadline, MaxIdle time.Duration
+	Keyed                       bool
+	Bandwidth                   *BandwidthLimiter
+	// Permitted is asked once a connection is at hand whether the request may still go.
+	Permitted      func(backend *Backend) bool
+	DisabledChecks DisabledChecks
+}
+
+// runAttempt sends the request to the backend and reads the response.
+func runAttempt(clock Clock, backend *Backend, request *Request, options AttemptOptions) (attempt Attempt) {
+	startedAt := clock.Now()
+	backend.attemptStarted(startedAt)
+	defer func() {
+		if attempt.Response.BodyRest == nil {
+			now := clock.Now()
+			backend.attemptEnded(now, now-startedAt, attempt.Outcome)
+		}
+	}()
+	conn := backend.takeIdle(startedAt, options.MaxIdle)
+	if conn == nil {
+		var err error
+		if conn, err = backend.dial(options.Deadline - startedAt); err != nil {
+			return Attempt{Outcome: NotSent}
+		}
+	}
+	now := clock.Now()
+	if now >= options.Deadline {
+		backend.putIdle(now, conn, defaultKeepAlive)
+		return Attempt{Outcome: NotSent}
+	}
+	backend.markActive(conn, options.Keyed)
+	defer backend.unmarkActive(conn)
+	data := request.encode(options.Deadline-now, backend.ID)
+	_ = conn.netConn.SetDeadline(time.Now().Add(options.Deadline - now))
+	if !options.stillAllowed(clock, backend) {
+		_ = conn.netConn.SetDeadline(time.Time{})
+		backend.putIdle(clock.Now(), conn, defaultKeepAlive)
+		return Attempt{Outcome: SendCancelled}
+	}
+	sent, err := conn.netConn.Write(data)
+	if err != nil && sent == 0 {
+		// The kernel has taken nothing, so nothing has left.
+		backend.closeConn(conn)
+		return Attempt{Outcome: NotSent}
+	}
+	if err != nil && isTimeout(err) {
+		backend.closeConn(conn)
+		return Attempt{Outcome: ConnectionFailed, Sent: true}
+	}
+	// A backend that resets the connection while the request is written may have answered before.
+	reader := responseReader{clock: clock, conn: conn, request: request, startedAt: startedAt, writeFailed: err != nil, disabledChecks: options.DisabledChecks}
+	attempt = reader.readResponse()
+	if attempt.Response.BodyRest != nil {
+		attempt.Response.BodyRest = options.Bandwidth.Limit(attempt.Response.BodyRest)
+	}
+	if attempt.Outcome == StaleConnection {
+		backend.stats.ObserveStaleConn(clock.Now(), startedAt-conn.idleSince)
+	}
+	attempt.Sent = true
+	return attempt
+}
+
+// stillAllowed tells, right before the sending, that the request may still go. The process may
+// have stood still since it looked, and no timer needs to have fired yet: so the clock is read
+// last.
+func (o AttemptOptions) stillAllowed(clock Clock, backend *Backend) bool {
+	if o.Permitted != nil && !o.Permitted(backend) {
+		return false
+	}
+	now := clock.Now()
+	return now < o.Deadline && now-o.ChosenAt <= choiceLifetime
+}
+
+func isTimeout(err error) bool {
+	if errors.Is(err, syscall.ETIMEDOUT) {
+		return false
+	}
+	var netErr net.Error
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// Clock is the monotonic clock of a node.
+type Clock struct{ birth time.Time }
+
+// NewClock starts at zero.
+func NewClock() Clock { return Clock{time.Now()} }
+
+// Now is the time since the start.
+func (c Clock) Now() time.Duration { return time.Since(c.birth) }
