--- a/internal/notify/notify_test.go
+++ b/internal/notify/notify_test.go
@@ -11,7 +11,7 @@
 	"tinpin/internal/history"
 )
 
-func TestChangesAreTold(t *testing.T) {
+func TestChangesAreSent(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	body := make(chan []byte, 1)
 	receiver := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -21,15 +21,15 @@
 		w.WriteHeader(http.StatusAccepted)
 	}))
 	defer receiver.Close()
-	herald, err := New(receiver.URL, "core-1", eventlog.Discard())
+	notifier, err := New(receiver.URL, "core-1", eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
-	herald.Notify(history.Change{Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, Action: "applied", State: "7", Revision: 12})
+	notifier.Notify(history.Change{Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, Action: "applied", State: "7", Revision: 12})
 	request := <-got
-	for head, want := range map[string]string{"Ce-Type": "tinpin.item.applied", "Ce-Source": "/tinpin/core-1", "Ce-Subject": "routes/r1", "Ce-Specversion": "1.0"} {
-		if request.Header.Get(head) != want {
-			t.Errorf("%s is %q, want %q", head, request.Header.Get(head), want)
+	for header, want := range map[string]string{"Ce-Type": "tinpin.item.applied", "Ce-Source": "/tinpin/core-1", "Ce-Subject": "routes/r1", "Ce-Specversion": "1.0"} {
+		if request.Header.Get(header) != want {
+			t.Errorf("%s is %q, want %q", header, request.Header.Get(header), want)
 		}
 	}
 	var data map[string]any
@@ -38,20 +38,20 @@
 	}
 }
 
-// A receiver that takes in nothing must not hold up the one who tells.
-func TestASlowReceiverHoldsNothingUp(t *testing.T) {
+// A receiver that accepts nothing must not block the caller.
+func TestSlowReceiverBlocksNothing(t *testing.T) {
 	gate := make(chan struct{})
 	receiver := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-gate }))
 	defer receiver.Close()
 	defer close(gate)
-	herald, err := New(receiver.URL, "core-1", eventlog.Discard())
+	notifier, err := New(receiver.URL, "core-1", eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < 5*queueCapacity; i++ {
-		herald.Notify(history.Change{Subject: history.Subject{Kind: history.Backend, Name: "b"}, Action: "listed"})
+		notifier.Notify(history.Change{Subject: history.Subject{Kind: history.Backend, Name: "b"}, Action: "listed"})
 	}
-	if dropped := herald.Dropped(); dropped < 4*queueCapacity-2 {
+	if dropped := notifier.Dropped(); dropped < 4*queueCapacity-2 {
 		t.Fatalf("only %d dropped: the ring is not bounded", dropped)
 	}
 }
