--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -46,7 +46,7 @@
 		"drain, no id":     {[]string{"drain", "retire"}, 2, "takes 1 argument(s)"},
 		"plan, no file":    {[]string{"plan", "check", "-control", "127.0.0.1:1", bad + "x"}, 1, "no such file"},
 		"plan, version":    {[]string{"plan", "withdraw", "-control", "127.0.0.1:1", "old"}, 1, "takes a version"},
-		"nobody there":     {[]string{"status", "-at", "127.0.0.1:1"}, 1, "no accord daemon can be reached"},
+		"nobody there":     {[]string{"status", "-at", "127.0.0.1:1"}, 1, "no controller can be reached"},
 		"no log":           {[]string{"trace", "-logs", bad + "x", "item", "routes/r"}, 1, "no such file"},
 		"nothing in a log": {[]string{"trace", "-logs", bad, "item", "routes/r"}, 1, `no log line tells of a item named "routes/r"`},
 	}
--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -1,80 +1,103 @@
-// Package lens is the operator's view from outside: it asks the running
-// daemons how they stand and what became of a change, and says plainly which
-// of them cannot be reached or lack it. It needs the inner address of one
-// accord daemon; the others it learns from there.
+// Package diagnostics is the operator's view from outside: it asks the running
+// daemons for their status and for what became of a change, and says plainly
+// which of them cannot be reached or lack it. It needs the internal address of
+// one controller and learns the others from there. It changes nothing. A Fleet
+// belongs to one goroutine.
 package diagnostics
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
 	"sort"
 	"strings"
 	"sync"
-	"text/tabwriter"
 	"time"
 
-	"github.com/zeebo/errs"
-
 	"tinpin/internal/controller"
 	"tinpin/internal/proxy"
 	"tinpin/internal/rpc"
 )
 
-// Class marks what the tools cannot do.
-var Class = errs.Class("lens")
+// The reasons for which a fleet cannot be inspected or a change not traced.
+var (
+	ErrUnreachable = errors.New("no controller can be reached")
+	ErrNoLeader    = errors.New("there is no leader to compare with")
+	ErrUnknown     = errors.New("unknown subject")
+)
 
+// callTimeout bounds one call to one daemon.
 const callTimeout = 2 * time.Second
 
-// Fleet is what the daemons told.
+// Fleet is what the daemons reported.
 type Fleet struct {
-	Controllers []controller.Status `json:"cores"`
-	Nodes       []proxy.NodeStatus  `json:"passages"`
+	Controllers []controller.Status `json:"controllers"`
+	Nodes       []proxy.NodeStatus  `json:"nodes"`
 	Unreachable []string            `json:"unreachable"`
-	addresses   map[string]string
+	addresses   map[string]string   // internal address by name
 }
 
-// callAll calls a method on all addresses at once.
-func callAll[Reply any](addresses []string, method string, ask any, told func(address string, reply Reply, err error)) {
+// callAll calls a method on all addresses at once and hands each response to
+// handle, one at a time.
+func callAll[Response any](addresses []string, method string, request any, handle func(address string, response Response, err error)) {
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, address := range addresses {
-		calls.Add(1)
-		go func() {
-			defer calls.Done()
-			caller := rpc.NewClient(address)
-			defer caller.Close()
-			var reply Reply
-			err := caller.Call(method, ask, &reply, callTimeout)
+		calls.Go(func() {
+			client := rpc.NewClient(address)
+			defer client.Close()
+			var response Response
+			err := client.Call(method, request, &response, callTimeout)
 			mu.Lock()
 			defer mu.Unlock()
-			told(address, reply, err)
-		}()
+			handle(address, response, err)
+		})
 	}
 	calls.Wait()
 }
 
-// Inspect asks all daemons that can be found from some accord daemons.
+// statusOf asks daemons of one role for their status.
+func statusOf[Status any](addresses []string, handle func(address string, status Status, err error)) {
+	callAll(addresses, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, response rpc.StatusResponse, err error) {
+		var status Status
+		if err == nil {
+			err = json.Unmarshal(response.JSON, &status)
+		}
+		handle(address, status, err)
+	})
+}
+
+// Inspect asks all daemons that can be found from some controllers, given by
+// their internal addresses.
 func Inspect(starts []string) (fleet *Fleet, err error) {
 	fleet = &Fleet{addresses: map[string]string{}}
+	fleet.inspectControllers(starts)
+	if len(fleet.Controllers) == 0 {
+		return fleet, fmt.Errorf("status: %w at %s", ErrUnreachable, strings.Join(starts, ", "))
+	}
+	if leader := fleet.Leader(); leader != nil && leader.Coordinator != nil {
+		fleet.inspectNodes(leader)
+	}
+	return fleet, nil
+}
+
+// inspectControllers asks the controllers at the given addresses, then those
+// that they name as members, until no new one is named.
+func (f *Fleet) inspectControllers(starts []string) {
 	asked := map[string]bool{}
 	for wave := starts; len(wave) > 0; {
 		var next []string
 		for _, address := range wave {
 			asked[address] = true
 		}
-		callAll(wave, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
-			var account controller.Status
-			if callErr == nil {
-				callErr = json.Unmarshal(reply.JSON, &account)
-			}
-			if callErr != nil {
-				fleet.Unreachable = append(fleet.Unreachable, "accord "+address)
+		statusOf(wave, func(address string, status controller.Status, err error) {
+			if err != nil {
+				f.Unreachable = append(f.Unreachable, "controller "+address)
 				return
 			}
-			fleet.Controllers = append(fleet.Controllers, account)
-			fleet.addresses[account.Name] = address
-			for _, member := range account.Members {
+			f.Controllers = append(f.Controllers, status)
+			f.addresses[status.Name] = address
+			for _, member := range status.Members {
 				if !asked[member.Inner] {
 					asked[member.Inner] = true
 					next = append(next, member.Inner)
@@ -83,111 +106,35 @@
 		})
 		wave = next
 	}
-	if len(fleet.Controllers) == 0 {
-		return fleet, Class.New("no accord daemon can be reached at %s", strings.Join(starts, ", "))
-	}
-	sort.Slice(fleet.Controllers, func(i, j int) bool { return fleet.Controllers[i].Name < fleet.Controllers[j].Name })
-	leader := fleet.Leader()
-	if leader == nil || leader.Coordinator == nil {
-		return fleet, nil
-	}
+	sort.Slice(f.Controllers, func(i, j int) bool { return f.Controllers[i].Name < f.Controllers[j].Name })
+}
+
+// inspectNodes asks the nodes that the leader knows.
+func (f *Fleet) inspectNodes(leader *controller.Status) {
 	names := map[string]string{}
 	var addresses []string
-	for _, fellow := range leader.Coordinator.Nodes {
-		names[fellow.InternalAddress] = fellow.Name
-		addresses = append(addresses, fellow.InternalAddress)
+	for _, node := range leader.Coordinator.Nodes {
+		names[node.InternalAddress] = node.Name
+		addresses = append(addresses, node.InternalAddress)
 	}
-	callAll(addresses, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
-		var account proxy.NodeStatus
-		if callErr == nil {
-			callErr = json.Unmarshal(reply.JSON, &account)
-		}
-		if callErr != nil {
-			fleet.Unreachable = append(fleet.Unreachable, "passage "+names[address]+" at "+address)
+	statusOf(addresses, func(address string, status proxy.NodeStatus, err error) {
+		if err != nil {
+			f.Unreachable = append(f.Unreachable, "node "+names[address]+" at "+address)
 			return
 		}
-		fleet.Nodes = append(fleet.Nodes, account)
-		fleet.addresses[account.Name] = address
+		f.Nodes = append(f.Nodes, status)
+		f.addresses[status.Name] = address
 	})
-	sort.Slice(fleet.Nodes, func(i, j int) bool { return fleet.Nodes[i].Name < fleet.Nodes[j].Name })
-	sort.Strings(fleet.Unreachable)
-	return fleet, nil
+	sort.Slice(f.Nodes, func(i, j int) bool { return f.Nodes[i].Name < f.Nodes[j].Name })
+	sort.Strings(f.Unreachable)
 }
 
-// Leader is the core that leads in the highest term.
+// Leader is the controller that leads in the highest term; nil if none does.
 func (f *Fleet) Leader() (leader *controller.Status) {
 	for i := range f.Controllers {
-		if core := &f.Controllers[i]; core.IsLeader && core.Settled && (leader == nil || core.Term > leader.Term) {
-			leader = core
+		if status := &f.Controllers[i]; status.IsLeader && status.Settled && (leader == nil || status.Term > leader.Term) {
+			leader = status
 		}
 	}
 	return leader
 }
-
-// Status prints the fleet; good tells that all is reachable and led.
-func (f *Fleet) Status(out io.Writer, asJSON bool) (good bool, err error) {
-	leader := f.Leader()
-	good = leader != nil && len(f.Unreachable) == 0
-	if asJSON {
-		encoder := json.NewEncoder(out)
-		encoder.SetIndent("", "  ")
-		return good, Class.Wrap(encoder.Encode(f))
-	}
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	row := func(cells ...any) {
-		_, _ = fmt.Fprintln(table, strings.TrimRight(strings.Join(cellTexts(cells), "\t"), "\t"))
-	}
-	row("CORE", "LEADS", "TERM", "REV", "KEYS", "VOTERS")
-	for _, core := range f.Controllers {
-		voters := 0
-		for _, member := range core.Members {
-			if member.Voter {
-				voters++
-			}
-		}
-		row(core.Name, core.IsLeader, core.Term, core.Revision, core.Claims, voters)
-	}
-	if leader == nil {
-		row("no leader")
-	} else if leader.Coordinator != nil {
-		row("")
-		row("PASSAGE", "SITE", "READY", "HEARD", "REV", "AT WORK", "PROBES")
-		for _, fellow := range leader.Coordinator.Nodes {
-			rev, work, probes := any("?"), any("?"), "?"
-			for _, account := range f.Nodes {
-				if account.Name == fellow.Name {
-					rev, work, probes = account.Revision, account.InFlight, strings.Join(account.Probes, ",")
-				}
-			}
-			row(fellow.Name, fellow.Zone, fellow.Ready, fellow.Connected, rev, work, probes)
-		}
-		row("")
-		row("SERVICE", "OWNER", fmt.Sprintf("MAP %d OF %d", leader.Coordinator.ShardMapVersion, len(leader.Coordinator.ShardMapMembers)))
-		services := make([]string, 0, len(leader.Coordinator.Owners))
-		for service := range leader.Coordinator.Owners {
-			services = append(services, service)
-		}
-		sort.Strings(services)
-		for _, service := range services {
-			row(service, leader.Coordinator.Owners[service])
-		}
-		row("")
-		row("BOUND", "LENT")
-		for _, lent := range leader.Coordinator.Granted {
-			row(lent.Limit, fmt.Sprintf("%.3f", lent.Granted))
-		}
-		row("")
-		row("BACKENDS", leader.Coordinator.Backends, "DOWN", leader.Coordinator.Down)
-	}
-	for _, address := range f.Unreachable {
-		row("unreachable: " + address)
-	}
-	return good, Class.Wrap(table.Flush())
-}
-
-func cellTexts(cells []any) (texts []string) {
-	for _, cell := range cells {
-		texts = append(texts, fmt.Sprint(cell))
-	}
-	return texts
-}
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -1,11 +1,8 @@
-// Trace follows one change through all daemons: when it was acknowledged,
-// applied, listed, probed or heard at each, by the ages that the daemons tell
-// on their own steady clocks, so that no two clocks are compared. From logs it
-// has only the written time of day, and says so.
 package diagnostics
 
 import (
 	"bufio"
+	"bytes"
 	"cmp"
 	"encoding/json"
 	"fmt"
@@ -23,10 +20,14 @@
 	"tinpin/internal/rpc"
 )
 
+// A trace follows one change through all daemons: when it was acknowledged,
+// applied, listed, probed or received at each, by the ages that the daemons tell
+// on their own steady clocks, so that no two clocks are compared. From logs it
+// has only the written time of day, and says so.
+
 type tracedChange struct {
 	daemon string
-	ago    time.Duration
-	mark   rpc.TraceEntry
+	entry  rpc.TraceEntry
 }
 
 // KnownKind tells whether the tracer knows a kind of subject.
@@ -35,78 +36,98 @@
 // Trace prints what became of a subject; good tells that every daemon has it
 // as the leader has.
 func (f *Fleet) Trace(out io.Writer, kind, name string) (good bool, err error) {
-	var marks []tracedChange
-	var lacks []string
-	replies := map[string]rpc.TraceResponse{}
+	responses, changes := f.collectTrace(kind, name)
+	leader := f.Leader()
+	if leader == nil {
+		return false, fmt.Errorf("trace %s %q: %w", kind, name, ErrNoLeader)
+	}
+	atLeader := responses[leader.Name]
+	if !atLeader.Present && len(changes) == 0 {
+		return false, fmt.Errorf("trace: no daemon knows a %s named %q: %w", kind, name, ErrUnknown)
+	}
+	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintf(writer, "%s %s\n\n", kind, name)
+	printChanges(writer, changes)
+	_, _ = fmt.Fprintf(writer, "\nNOW\t%s\tleads\t%s\n", leader.Name, describeState(atLeader))
+	lagging := f.lagging(kind, leader.Name, responses)
+	for _, daemon := range lagging {
+		_, _ = fmt.Fprintf(writer, "%s lacks it: %s\n", daemon, describeState(responses[daemon]))
+	}
+	for _, address := range f.Unreachable {
+		_, _ = fmt.Fprintln(writer, "unreachable: "+address)
+	}
+	good = len(lagging) == 0 && len(f.Unreachable) == 0
+	if good {
+		_, _ = fmt.Fprintln(writer, "every daemon has it")
+	}
+	return good, writer.Flush()
+}
+
+// collectTrace asks all daemons for what they remember of a subject: each
+// response by the daemon's name, and all changes, oldest first.
+func (f *Fleet) collectTrace(kind, name string) (responses map[string]rpc.TraceResponse, changes []tracedChange) {
+	responses = map[string]rpc.TraceResponse{}
 	addresses := make([]string, 0, len(f.addresses))
 	for _, address := range f.addresses {
 		addresses = append(addresses, address)
 	}
-	callAll(addresses, rpc.MethodTrace, rpc.TraceRequest{Kind: kind, Name: name}, func(address string, reply rpc.TraceResponse, callErr error) {
-		if callErr != nil {
+	request := rpc.TraceRequest{Kind: kind, Name: name}
+	callAll(addresses, rpc.MethodTrace, request, func(address string, response rpc.TraceResponse, err error) {
+		if err != nil {
 			f.Unreachable = append(f.Unreachable, address)
 			return
 		}
-		replies[reply.Name] = reply
-		for _, mark := range reply.Entries {
-			marks = append(marks, tracedChange{reply.Name, mark.Age, mark})
+		responses[response.Name] = response
+		for _, entry := range response.Entries {
+			changes = append(changes, tracedChange{response.Name, entry})
 		}
 	})
-	leader := f.Leader()
-	if leader == nil {
-		return false, Class.New("there is no leader to compare with")
-	}
-	right := replies[leader.Name]
-	if !right.Present && len(marks) == 0 {
-		return false, Class.New("no daemon knows a %s named %q", kind, name)
-	}
-	sort.Slice(marks, func(i, j int) bool { return marks[i].ago > marks[j].ago })
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintf(table, "%s %s\n\nAFTER\tDAEMON\tWHAT\tSTAMP\tREV\n", kind, name)
-	for _, each := range marks {
-		rev := ""
-		if each.mark.LogIndex > 0 {
-			rev = fmt.Sprint(each.mark.LogIndex)
+	sort.Slice(changes, func(i, j int) bool { return changes[i].entry.Age > changes[j].entry.Age })
+	return responses, changes
+}
+
+func printChanges(out io.Writer, changes []tracedChange) {
+	_, _ = fmt.Fprintln(out, "AFTER\tDAEMON\tCHANGE\tSTATE\tREVISION")
+	for _, change := range changes {
+		revision := ""
+		if change.entry.LogIndex > 0 {
+			revision = fmt.Sprint(change.entry.LogIndex)
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", (marks[0].ago - each.ago).Round(time.Millisecond), each.daemon, each.mark.Event, each.mark.Summary, rev)
-	}
-	_, _ = fmt.Fprintf(table, "\nNOW\t%s\tleads\t%s\n", leader.Name, describeState(right))
-	names := make([]string, 0, len(replies))
-	for daemon := range replies {
-		names = append(names, daemon)
+		after := (changes[0].entry.Age - change.entry.Age).Round(time.Millisecond)
+		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\n", after, change.daemon, change.entry.Event, change.entry.Summary, revision)
 	}
-	sort.Strings(names)
-	for _, daemon := range names {
-		reply := replies[daemon]
-		core := slices.ContainsFunc(f.Controllers, func(account controller.Status) bool { return account.Name == daemon })
-		if daemon == leader.Name || core && (kind == history.Backend || kind == history.Health) {
+}
+
+// lagging lists the daemons that do not have a subject as the leader has it.
+// Backends and their health are known to the leader and the nodes only.
+func (f *Fleet) lagging(kind, leader string, responses map[string]rpc.TraceResponse) (daemons []string) {
+	for daemon, response := range responses {
+		isController := slices.ContainsFunc(f.Controllers, func(status controller.Status) bool { return status.Name == daemon })
+		if daemon == leader || isController && (kind == history.Backend || kind == history.Health) {
 			continue
 		}
-		same := reply.Present == right.Present && reply.Summary == right.Summary || reply.LogIndex > 0 && reply.LogIndex == right.LogIndex
-		if kind == history.Health {
-			same = strings.HasPrefix(reply.Summary, strings.Fields(right.Summary + " ")[0])
-		}
-		if !same {
-			lacks = append(lacks, fmt.Sprintf("%s lacks it: %s", daemon, describeState(reply)))
+		if !sameState(kind, response, responses[leader]) {
+			daemons = append(daemons, daemon)
 		}
 	}
-	for _, line := range lacks {
-		_, _ = fmt.Fprintln(table, line)
-	}
-	for _, address := range f.Unreachable {
-		_, _ = fmt.Fprintln(table, "unreachable: "+address)
-	}
-	if len(lacks) == 0 && len(f.Unreachable) == 0 {
-		_, _ = fmt.Fprintln(table, "every daemon has it")
+	sort.Strings(daemons)
+	return daemons
+}
+
+func sameState(kind string, response, atLeader rpc.TraceResponse) (same bool) {
+	if kind == history.Health {
+		// The first word is the health; what follows is the daemon's own view.
+		return strings.HasPrefix(response.Summary, strings.Fields(atLeader.Summary + " ")[0])
 	}
-	return len(lacks) == 0 && len(f.Unreachable) == 0, Class.Wrap(table.Flush())
+	return response.Present == atLeader.Present && response.Summary == atLeader.Summary ||
+		response.LogIndex > 0 && response.LogIndex == atLeader.LogIndex
 }
 
-func describeState(reply rpc.TraceResponse) (text string) {
-	if !reply.Present {
+func describeState(response rpc.TraceResponse) (text string) {
+	if !response.Present {
 		return "not there"
 	}
-	return reply.Summary
+	return response.Summary
 }
 
 // logLine is the part of a log line that the tracer reads. The earlier names
@@ -125,41 +146,50 @@
 	EarlierRevision uint64 `json:"rev"`
 }
 
-// TraceLogs prints what logs say of a subject.
+// TraceLogs prints what log files say of a subject.
 func TraceLogs(out io.Writer, files []string, kind, name string) (err error) {
 	var found []logLine
 	for _, path := range files {
-		file, openErr := os.Open(path)
-		if openErr != nil {
-			return Class.Wrap(openErr)
-		}
-		scanner := bufio.NewScanner(file)
-		scanner.Buffer(nil, 1<<20)
-		for scanner.Scan() {
-			text := scanner.Text()
-			brace := strings.IndexByte(text, '{')
-			if brace < 0 {
-				continue
-			}
-			var read logLine
-			if json.Unmarshal([]byte(text[brace:]), &read) == nil && read.Event == int(eventlog.ChangeObserved) && read.Kind == kind && read.Name == name {
-				found = append(found, read)
-			}
-		}
-		scanErr := scanner.Err()
-		_ = file.Close()
-		if scanErr != nil {
-			return Class.Wrap(scanErr)
+		if found, err = appendLogLines(found, path, kind, name); err != nil {
+			return fmt.Errorf("trace: %w", err)
 		}
 	}
 	if len(found) == 0 {
-		return Class.New("no log line tells of a %s named %q", kind, name)
+		return fmt.Errorf("trace: no log line tells of a %s named %q: %w", kind, name, ErrUnknown)
 	}
 	sort.SliceStable(found, func(i, j int) bool { return found[i].TS < found[j].TS })
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintf(table, "%s %s, by the daemons' times of day, which may differ\n\nAT\tDAEMON\tWHAT\tSTAMP\tREV\n", kind, name)
-	for _, read := range found {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\n", read.TS, read.Daemon, cmp.Or(read.Change, read.EarlierChange), cmp.Or(read.State, read.EarlierState), cmp.Or(read.Revision, read.EarlierRevision))
+	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintf(writer, "%s %s, by the daemons' times of day, which may differ\n\nAT\tDAEMON\tCHANGE\tSTATE\tREVISION\n", kind, name)
+	for _, line := range found {
+		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\t%s\t%d\n", line.TS, line.Daemon, cmp.Or(line.Change, line.EarlierChange),
+			cmp.Or(line.State, line.EarlierState), cmp.Or(line.Revision, line.EarlierRevision))
+	}
+	return writer.Flush()
+}
+
+// appendLogLines adds the lines of a file that tell of a subject. What stands
+// before the JSON of a line, such as a collector's own time, is left out.
+func appendLogLines(found []logLine, path, kind, name string) (extended []logLine, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return found, err
 	}
-	return Class.Wrap(table.Flush())
+	defer func() { _ = file.Close() }()
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		text := scanner.Bytes()
+		brace := bytes.IndexByte(text, '{')
+		if brace < 0 {
+			continue
+		}
+		var line logLine
+		if json.Unmarshal(text[brace:], &line) == nil && line.Event == int(eventlog.ChangeObserved) && line.Kind == kind && line.Name == name {
+			found = append(found, line)
+		}
+	}
+	return found, scanner.Err()
 }
+
+// maxLogLine is the longest line that is read, in bytes.
+const maxLogLine = 1 << 20
