--- a/internal/rpc/compress_test.go
+++ b/internal/rpc/compress_test.go
@@ -9,7 +9,7 @@
 	"tinpin/internal/config"
 )
 
-func TestPackGivesBackWhatItTook(t *testing.T) {
+func TestDecompressedRowsEqualTheOriginal(t *testing.T) {
 	var items []config.Item
 	size := 0
 	for i := range 500 {
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -132,7 +132,7 @@
 	},
 }
 
-func TestPackedRowsAreReadAsTheyWere(t *testing.T) {
+func TestCompressedRowsAreReadAsTheyWere(t *testing.T) {
 	for _, fixture := range packedFixtures {
 		path := filepath.Join("testdata", "packed", fixture.name+".bin")
 		if missing(path) {
@@ -161,7 +161,7 @@
 
 // A step of the day's plan is stored as JSON in a command, under the names of the
 // fields.
-func TestAStoredMoveIsReadAsItWas(t *testing.T) {
+func TestStoredScheduleStepIsReadAsItWas(t *testing.T) {
 	path := filepath.Join("testdata", "move.json")
 	now, err := json.MarshalIndent(sentMove, "", "  ")
 	if err != nil {
