--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -12,18 +12,18 @@
 )
 
 // number names the state of an item that a call brings.
-func (s *standing) number() (number dedup.Number) {
-	return dedup.Number{Kind: string(s.Set), Name: s.Name, Version: uint64(s.Version)}
+func (s *entry) number() (number dedup.Key) {
+	return dedup.Key{Kind: string(s.Set), Name: s.Name, Version: uint64(s.Version)}
 }
 
 // digest is that of the item's content, reckoned once.
-func (s *standing) digest() (digest dedup.Digest) {
+func (s *entry) digest() (digest dedup.Digest) {
 	if s.content != nil {
 		return *s.content
 	}
-	content := &dedup.Content{}
+	content := &dedup.ContentHash{}
 	if s.Dropped {
-		content.Text("dropped")
+		content.AddText("dropped")
 	}
 	fields := slices.Clone(s.Fields)
 	sort.SliceStable(fields, func(i, j int) bool { return fields[i].Name < fields[j].Name })
@@ -32,8 +32,8 @@
 		if err != nil || value.Type() == fastjson.TypeNull {
 			continue
 		}
-		content.Text(field.Name)
-		content.Value(value)
+		content.AddText(field.Name)
+		content.AddJSON(value)
 	}
 	digest = content.Digest()
 	s.content = &digest
@@ -41,32 +41,32 @@
 }
 
 // same tells whether two items of one version say the same.
-func (s *standing) same(other *standing) (same bool) {
+func (s *entry) same(other *entry) (same bool) {
 	return s.Dropped == other.Dropped && (slices.Equal(s.Fields, other.Fields) || s.digest() == other.digest())
 }
 
 // checkNumbers refuses a call that brings another content under a version that
 // holds, or that is remembered, or two contents under one.
-func (c *Canon) checkNumbers(parsed []*standing) (err error) {
-	brought := make(map[dedup.Number]*standing, len(parsed))
+func (c *Store) checkNumbers(parsed []*entry) (err error) {
+	brought := make(map[dedup.Key]*entry, len(parsed))
 	for _, item := range parsed {
 		number := item.number()
 		if other := brought[number]; other != nil && !other.same(item) {
-			return Class.New("the call brings two contents of %s under version %d", item.Path(), item.Version)
+			return ErrInvalid.New("the call brings two contents of %s under version %d", item.Path(), item.Version)
 		}
 		brought[number] = item
-		old := c.items[name{item.Set, item.Name}]
+		old := c.items[itemKey{item.Set, item.Name}]
 		if old == nil || old.Version < item.Version {
 			continue
 		}
 		if old.Version == item.Version {
 			if !old.same(item) {
-				return dedup.Conflict.New("%s stands under version %s with other content", item.Path(), old.Stamp())
+				return dedup.ErrConflict.New("%s stands under version %s with other content", item.Path(), old.Stamp())
 			}
 			continue
 		}
-		if content, known := c.Overtaken.Content(number); known && content != item.digest() {
-			return dedup.Conflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Stamp())
+		if content, known := c.Superseded.Lookup(number); known && content != item.digest() {
+			return dedup.ErrConflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Stamp())
 		}
 	}
 	return nil
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -101,7 +101,7 @@
 func (w *ClusterState) chooseEndpoint(scene *Snapshot, wanted Criteria) (chosenServer *Backend, any bool) {
 	c := &selection{state: w, snapshot: scene, criteria: wanted, now: w.clock.Now(), calmLatencyMS: wanted.expectedLatencyMS(), borderFactor: 1}
 	if service := scene.View.Services[string(wanted.Service)]; service != nil {
-		c.maxConnections = service.Streams
+		c.maxConnections = service.MaxConnections
 	}
 	if wanted.Large {
 		c.borderFactor = largeBorderFactor
@@ -240,7 +240,7 @@
 }
 
 // pickTarget picks a way's service by weight, with a number from 0 to 1.
-func pickTarget(way *config.Way, draw float64) (service rpc.ServiceName) {
+func pickTarget(way *config.Route, draw float64) (service rpc.ServiceName) {
 	if len(way.Targets) == 1 {
 		return rpc.ServiceName(way.Targets[0].Service)
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -62,7 +62,7 @@
 	d.tenantLimits = NewTenantLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
 	d.bandwidth = NewBandwidthLimiter(d.clock, p.LinkMbps)
 	d.prober = NewProber(d)
-	d.frontend = NewFrontend(d.Handle, func() *config.View { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
+	d.frontend = NewFrontend(d.Handle, func() *config.RoutingTable { return d.state.Snapshot().View }, max(64, (p.MaxFileDescriptors-300)*2/3), int64(p.MemoryMB)<<20/4)
 	if d.rpcListener, err = rpc.Serve(p.ProxyInternalAddress(), map[string]any{"Fellow": &PeerService{d}, "Status": &StatusService{d}}); err != nil {
 		return nil, err
 	}
@@ -216,7 +216,7 @@
 func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
 	scene := d.state.Snapshot()
 	addresses = directory.Answer(directory.Query{
-		Nodes: scene.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: scene.View.Homes(host), Weights: d.planWeights(scene, host),
+		Nodes: scene.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: scene.View.HomeRegions(host), Weights: d.planWeights(scene, host),
 		Region: region, Zone: site, Client: httpapi.CallerAddress(ctx),
 	})
 	if len(addresses) == 0 && d.isReady() {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -72,7 +72,7 @@
 }
 
 // readRequest makes the request that is forwarded from its head, and reads its body.
-func (f *Frontend) readRequest(client *clientConn, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
+func (f *Frontend) readRequest(client *clientConn, parsed *http.Request, limits config.ClientLimits) (request *Request, kind apierror.Kind) {
 	target, valid := originForm(parsed)
 	if !valid || parsed.Host == "" {
 		return nil, apierror.BadRequest
@@ -85,7 +85,7 @@
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
 		return request, apierror.None
 	}
-	if parsed.ContentLength > int64(limits.BodyBytes) {
+	if parsed.ContentLength > int64(limits.MaxBodyBytes) {
 		return nil, apierror.BodyTooLarge
 	}
 	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
@@ -97,7 +97,7 @@
 	if parsed.ContentLength > 0 {
 		request.Body, kind = f.readSizedBody(parsed)
 	} else {
-		request.Body, kind = f.readChunkedBody(parsed, int64(limits.BodyBytes))
+		request.Body, kind = f.readChunkedBody(parsed, int64(limits.MaxBodyBytes))
 	}
 	if kind != apierror.None {
 		return nil, kind
