--- /dev/null
+++ b/internal/proxy/pool.go
@@ -0,0 +1,169 @@
+package proxy
+
+import (
+	"net"
+	"syscall"
+	"time"
+
+	"tinpin/internal/rpc"
+)
+
+const (
+	// dialTimeout is the longest time for a connection to a backend to come up.
+	dialTimeout = 450 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before a connection breaks.
+	unackedTimeout = 800 * time.Millisecond
+	// readBufferBytes is the receive buffer of the kernel for a connection to a backend.
+	readBufferBytes = 16 << 10
+	// maxIdleConns is how many idle connections a backend's pool holds.
+	maxIdleConns = 32
+)
+
+// Conn is one connection to a backend; it carries one request at a time.
+type Conn struct {
+	netConn net.Conn
+	raw     syscall.RawConn
+	reader  *lineReader
+	backend *Backend
+	// fresh tells that no request was ever sent on it.
+	fresh bool
+	// idleSince is when it was put back last, expiresAt when it may not be used any more.
+	idleSince time.Duration
+	expiresAt time.Duration
+}
+
+// isQuiet tells that nothing has arrived and the other side has not closed.
+func (c *Conn) isQuiet() (quiet bool) {
+	if c.reader.Buffered() > 0 {
+		return false
+	}
+	err := c.raw.Read(func(fd uintptr) bool {
+		var one [1]byte
+		_, _, recvErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = recvErr == syscall.EAGAIN || recvErr == syscall.EWOULDBLOCK
+		return true
+	})
+	return quiet && err == nil
+}
+
+// takeIdle gives an idle connection that can be used, newest first, or nil. One that has been idle
+// longer than maxIdle is left where it is.
+func (b *Backend) takeIdle(now, maxIdle time.Duration) (conn *Conn) {
+	for {
+		b.mu.Lock()
+		last := len(b.idleConns) - 1
+		if last < 0 {
+			b.mu.Unlock()
+			return nil
+		}
+		conn = b.idleConns[last]
+		if now-conn.idleSince > maxIdle {
+			b.mu.Unlock()
+			return nil
+		}
+		b.idleConns = b.idleConns[:last]
+		b.mu.Unlock()
+		if now < conn.expiresAt && conn.isQuiet() {
+			conn.fresh = false
+			return conn
+		}
+		b.closeConn(conn)
+	}
+}
+
+// dial opens a connection; it waits no longer than dialTimeout.
+func (b *Backend) dial(wait time.Duration) (conn *Conn, err error) {
+	if wait > dialTimeout {
+		wait = dialTimeout
+	}
+	dialer := net.Dialer{
+		Timeout: wait, Control: rpc.UserTimeout(unackedTimeout),
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
+	}
+	dialer.SetMultipathTCP(false)
+	b.mu.Lock()
+	b.openConns++
+	b.mu.Unlock()
+	netConn, err := dialer.Dial("tcp4", b.Address)
+	if err != nil {
+		b.mu.Lock()
+		b.openConns--
+		b.mu.Unlock()
+		return nil, err
+	}
+	// What is not read yet is held back by the backend, not on this node's link.
+	_ = netConn.(*net.TCPConn).SetReadBuffer(readBufferBytes)
+	raw, err := netConn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		_ = netConn.Close()
+		return nil, err
+	}
+	return &Conn{netConn: netConn, raw: raw, reader: newLineReader(netConn), backend: b, fresh: true}, nil
+}
+
+// closeConn closes a connection that is not in the pool.
+func (b *Backend) closeConn(conn *Conn) {
+	_ = conn.netConn.Close()
+	b.mu.Lock()
+	b.openConns--
+	b.mu.Unlock()
+}
+
+// markActive notes that a connection carries a request, until unmarkActive.
+func (b *Backend) markActive(conn *Conn, keyed bool) {
+	b.mu.Lock()
+	b.activeConns[conn] = keyed
+	b.mu.Unlock()
+}
+
+// unmarkActive notes that a connection carries its request no more.
+func (b *Backend) unmarkActive(conn *Conn) {
+	b.mu.Lock()
+	delete(b.activeConns, conn)
+	b.mu.Unlock()
+}
+
+// closeActive closes the connections that carry requests; with keepKeyed those of keyed requests
+// stay open.
+func (b *Backend) closeActive(keepKeyed bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for conn, keyed := range b.activeConns {
+		if !keyed || !keepKeyed {
+			_ = conn.netConn.Close()
+		}
+	}
+}
+
+// putIdle puts a connection back that is fit to be used again, for as long as the backend keeps it.
+func (b *Backend) putIdle(now time.Duration, conn *Conn, keepAlive time.Duration) {
+	conn.idleSince, conn.expiresAt = now, now+min(keepAlive, b.stats.MaxIdle(now))
+	b.mu.Lock()
+	if b.closed || len(b.idleConns) >= maxIdleConns {
+		b.mu.Unlock()
+		b.closeConn(conn)
+		return
+	}
+	b.idleConns = append(b.idleConns, conn)
+	b.mu.Unlock()
+}
+
+// closeIdle closes the idle connections that have expired, or all of them for good.
+func (b *Backend) closeIdle(now time.Duration, all bool) {
+	b.mu.Lock()
+	var expired []*Conn
+	kept := b.idleConns[:0]
+	for _, conn := range b.idleConns {
+		if all || now >= conn.expiresAt {
+			expired = append(expired, conn)
+		} else {
+			kept = append(kept, conn)
+		}
+	}
+	b.idleConns = kept
+	b.closed = b.closed || all
+	b.mu.Unlock()
+	for _, conn := range expired {
+		b.closeConn(conn)
+	}
+}
