--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -1,4 +1,3 @@
-// What a round takes for an answer, for a proof, and for a right to send.
 package proxy
 
 import (
--- a/internal/proxy/bandwidth.go
+++ b/internal/proxy/bandwidth.go
@@ -1,7 +1,3 @@
-// Lane keeps large answers from filling a thin link. What is passed on as it
-// comes is read no faster than a part of the link, so that small answers find
-// their way between; the backend's own stream holds the rest back. All large
-// answers of a daemon share the one lane.
 package proxy
 
 import (
@@ -11,13 +7,16 @@
 )
 
 const (
-	// bandwidthShare of the link is for large answers; laneChunk is read at once.
+	// bandwidthShare of the link is for large responses; bandwidthChunk bytes are read at once, and
+	// bandwidthBurst bytes may be read after a pause without a wait.
 	bandwidthShare = 0.5
 	bandwidthChunk = 8 << 10
 	bandwidthBurst = 24 << 10
 )
 
-// BandwidthLimiter is a bucket of bytes that fills at a rate.
+// BandwidthLimiter keeps large responses from filling a thin link. What is streamed is read no faster
+// than a part of the link, so that small responses find their way between; the backend's own connection
+// holds the rest back. All large responses of a node share one limiter: a token bucket of bytes.
 type BandwidthLimiter struct {
 	mu        sync.Mutex
 	rate      float64
@@ -26,12 +25,12 @@
 	clock     Clock
 }
 
-// NewBandwidthLimiter is a lane of a link of so many megabits a second; 0 is no bound.
-func NewBandwidthLimiter(clock Clock, mbps float64) (lane *BandwidthLimiter) {
+// NewBandwidthLimiter limits to the share of a link of so many megabits a second; 0 is no limit.
+func NewBandwidthLimiter(clock Clock, mbps float64) *BandwidthLimiter {
 	return &BandwidthLimiter{rate: mbps * 1e6 / 8 * bandwidthShare, available: bandwidthBurst, clock: clock}
 }
 
-// reserve takes room for bytes and tells how long to wait before they are read.
+// reserve takes tokens for bytes that were read and tells how long to wait before the next are.
 func (l *BandwidthLimiter) reserve(now time.Duration, size int) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +42,7 @@
 	return time.Duration(-l.available / l.rate * float64(time.Second))
 }
 
-// Limit reads by way of the lane.
+// Limit gives a reader that keeps to the limit.
 func (l *BandwidthLimiter) Limit(from io.Reader) (reader io.Reader) {
 	if l == nil || l.rate <= 0 {
 		return from
--- a/internal/proxy/concurrency.go
+++ b/internal/proxy/concurrency.go
@@ -1,8 +1,3 @@
-// Throttle bounds what this daemon has at work at one service, by what it sees:
-// when many answers come near or past their aim, the backends' queues are full
-// of requests that will be late, and sending fewer serves more in time. It
-// knows no capacity; it goes down from what was at work when answers turned
-// slow and feels its way up again. Requests of lower rank find it full sooner.
 package proxy
 
 import (
@@ -23,7 +18,11 @@
 	lowestPriority  = 3
 )
 
-// ConcurrencyLimiter is the bound at one service.
+// ConcurrencyLimiter bounds the requests that this node has in flight at one service, by what it
+// observes: when many responses come near or past their target latency, the backends' queues are full
+// of requests that will be late, and sending fewer serves more in time. It knows no capacity; it goes
+// down from what was in flight when responses turned slow and feels its way up again. Requests of lower
+// priority are rejected sooner.
 type ConcurrencyLimiter struct {
 	mu          sync.Mutex
 	limit       float64
@@ -32,83 +31,83 @@
 	slow, total int
 }
 
-// NewConcurrencyLimiter begins without a bound to speak of.
-func NewConcurrencyLimiter() (throttle *ConcurrencyLimiter) {
+// NewConcurrencyLimiter begins with the largest limit.
+func NewConcurrencyLimiter() (limiter *ConcurrencyLimiter) {
 	return &ConcurrencyLimiter{limit: maxConcurrency}
 }
 
-// Acquire takes a place for a request of a rank, 0 being the highest.
-func (t *ConcurrencyLimiter) Acquire(rank int) (entered bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	limit := t.limit * (1 - priorityReserve*float64(min(max(rank, 0), lowestPriority)))
-	if float64(t.inFlight+1) > max(limit, minConcurrency) {
+// Acquire admits a request of a priority, 0 being the highest, or rejects it.
+func (l *ConcurrencyLimiter) Acquire(priority int) (admitted bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limit := l.limit * (1 - priorityReserve*float64(min(max(priority, 0), lowestPriority)))
+	if float64(l.inFlight+1) > max(limit, minConcurrency) {
 		return false
 	}
-	t.inFlight++
-	t.peak = max(t.peak, t.inFlight)
+	l.inFlight++
+	l.peak = max(l.peak, l.inFlight)
 	return true
 }
 
-// Release gives the place back.
-func (t *ConcurrencyLimiter) Release() {
-	t.mu.Lock()
-	t.inFlight--
-	t.mu.Unlock()
+// Release ends a request that was admitted.
+func (l *ConcurrencyLimiter) Release() {
+	l.mu.Lock()
+	l.inFlight--
+	l.mu.Unlock()
 }
 
-// ObserveLatency takes the time of one whole answer against its aim.
-func (t *ConcurrencyLimiter) ObserveLatency(took, aim time.Duration) {
-	if aim <= 0 {
+// ObserveLatency takes how long one complete response took, and its target latency.
+func (l *ConcurrencyLimiter) ObserveLatency(took, target time.Duration) {
+	if target <= 0 {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.total++
-	if float64(took) > slowShare*float64(aim) {
-		t.slow++
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.total++
+	if float64(took) > slowShare*float64(target) {
+		l.slow++
 	}
-	if t.total < windowSamples {
+	if l.total < windowSamples {
 		return
 	}
-	part := float64(t.slow) / float64(t.total)
+	slowPart := float64(l.slow) / float64(l.total)
 	switch {
-	case part > decreaseAbove:
-		t.limit = max(minConcurrency, min(t.limit, float64(t.peak))*0.85)
-	case part < increaseBelow && float64(t.peak) > 0.8*t.limit:
-		t.limit = min(maxConcurrency, t.limit*1.1+1)
+	case slowPart > decreaseAbove:
+		l.limit = max(minConcurrency, min(l.limit, float64(l.peak))*0.85)
+	case slowPart < increaseBelow && float64(l.peak) > 0.8*l.limit:
+		l.limit = min(maxConcurrency, l.limit*1.1+1)
 	}
-	t.total, t.slow, t.peak = 0, 0, t.inFlight
+	l.total, l.slow, l.peak = 0, 0, l.inFlight
 }
 
-// concurrencyLimiters keeps one for each service.
+// concurrencyLimiters keeps a limiter for each service.
 type concurrencyLimiters struct {
 	mu        sync.Mutex
 	byService map[string]*ConcurrencyLimiter
 }
 
-func (t *concurrencyLimiters) forService(service string) (throttle *ConcurrencyLimiter) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.byService == nil {
-		t.byService = map[string]*ConcurrencyLimiter{}
+func (l *concurrencyLimiters) forService(service string) (limiter *ConcurrencyLimiter) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.byService == nil {
+		l.byService = map[string]*ConcurrencyLimiter{}
 	}
-	throttle = t.byService[service]
-	if throttle == nil {
-		throttle = NewConcurrencyLimiter()
-		t.byService[service] = throttle
+	limiter = l.byService[service]
+	if limiter == nil {
+		limiter = NewConcurrencyLimiter()
+		l.byService[service] = limiter
 	}
-	return throttle
+	return limiter
 }
 
-// loads tells how many requests are at work at each service.
-func (t *concurrencyLimiters) loads() (burdens []rpc.Load) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for service, throttle := range t.byService {
-		throttle.mu.Lock()
-		atWork := throttle.inFlight
-		throttle.mu.Unlock()
+// loads tells how many requests are in flight at each service.
+func (l *concurrencyLimiters) loads() (burdens []rpc.Load) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for service, limiter := range l.byService {
+		limiter.mu.Lock()
+		atWork := limiter.inFlight
+		limiter.mu.Unlock()
 		burdens = append(burdens, rpc.Load{Service: rpc.ServiceName(service), InFlight: atWork})
 	}
 	return burdens
--- a/internal/proxy/disabled_checks.go
+++ b/internal/proxy/disabled_checks.go
@@ -1,23 +1,21 @@
-// A lapse is a check of a round that is left out. No daemon leaves one out: it
-// is planted by tests, which must find what comes of it.
 package proxy
 
-// DisabledChecks is a set of checks that are left out.
+// DisabledChecks is a set of checks of an attempt that are left out. No node leaves one out: mutation tests
+// do, and must find what comes of it.
 type DisabledChecks uint8
 
-// The checks that may be left out.
+// The checks that tests may leave out.
 const (
-	// TrustMissingID takes an answer without an id for proof on any stream.
+	// TrustMissingID takes a response without an id for proof on any connection.
 	TrustMissingID DisabledChecks = 1 << iota
-	// RetryAfterReset takes the reset of a stream that had rested for proof that
-	// nothing has run.
+	// RetryAfterReset takes the reset of a connection that had been idle for proof that nothing has run.
 	RetryAfterReset
-	// AcceptAnyID takes the first answer that comes, whatever its id.
+	// AcceptAnyID takes the first response that comes, whatever its id.
 	AcceptAnyID
-	// AcceptFirstID takes the first of two ids for the answer's.
+	// AcceptFirstID takes the first of two ids for the response's.
 	AcceptFirstID
-	// ReuseRejectingConn asks a backend again over the stream that it refused on.
+	// ReuseRejectingConn asks a backend again over the connection that it rejected on.
 	ReuseRejectingConn
 )
 
-func (l DisabledChecks) has(lapse DisabledChecks) bool { return l&lapse != 0 }
+func (c DisabledChecks) has(check DisabledChecks) bool { return c&check != 0 }
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -1,4 +1,3 @@
-// What a client's stream may not do to the requests behind it.
 package proxy
 
 import (
--- a/internal/proxy/leader_timeout.go
+++ b/internal/proxy/leader_timeout.go
@@ -1,27 +1,27 @@
-// Patience is how long the question who leads may take. A core that is gone may
-// not be waited for long; but a daemon whose link or processor is pressed hears
-// every answer late, and with one short wait it would ask for ever. So the wait
-// is long once nobody answered at all, for the stream to a core as for its answer,
-// and short again once a leader is heard.
 package proxy
 
 import "time"
 
 const (
+	// minLeaderQueryTimeout is the time for the first queries, maxLeaderQueryTimeout for those after one
+	// that nobody answered.
 	minLeaderQueryTimeout = 200 * time.Millisecond
 	maxLeaderQueryTimeout = 800 * time.Millisecond
 )
 
-// LeaderQueryTimeout with the cores.
+// LeaderQueryTimeout is how long the query who leads may take. A controller that is gone may not be waited
+// for long; but a node whose link or processor is pressed receives every answer late, and with one short
+// time-out it would query for ever. So the time is long once nobody answered at all, and short again once
+// a leader answered.
 type LeaderQueryTimeout struct{ duration time.Duration }
 
-// Duration is how long the next question may take.
-func (p *LeaderQueryTimeout) Duration() (wait time.Duration) {
-	return max(minLeaderQueryTimeout, p.duration)
+// Duration is how long the next query may take.
+func (t *LeaderQueryTimeout) Duration() time.Duration {
+	return max(minLeaderQueryTimeout, t.duration)
 }
 
-// NoAnswer notes that a question had no answer in time from any core.
-func (p *LeaderQueryTimeout) NoAnswer() { p.duration = maxLeaderQueryTimeout }
+// NoAnswer notes that a query had no answer in time from any controller.
+func (t *LeaderQueryTimeout) NoAnswer() { t.duration = maxLeaderQueryTimeout }
 
-// LeaderHeard notes that a leader was heard.
-func (p *LeaderQueryTimeout) LeaderHeard() { p.duration = 0 }
+// LeaderHeard notes that a leader answered.
+func (t *LeaderQueryTimeout) LeaderHeard() { t.duration = 0 }
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -1,5 +1,3 @@
-// What the request path costs: one request after the other through the daemon's
-// whole way to a stand-in on loopback, over a stream that is used again.
 package proxy
 
 import (
--- a/internal/proxy/retry_budget.go
+++ b/internal/proxy/retry_budget.go
@@ -1,8 +1,3 @@
-// Budget bounds the arrivals beyond the first of each request. What the
-// requests seen here earn needs no lease; the slack of the bound is the
-// fleet's and used only under a lease. A fifth of each is left unused, for
-// daemons that restart and forget what they sent. Where the operator has
-// written a limit on retries, it is asked as well, so the tighter of both holds.
 package proxy
 
 import (
@@ -14,11 +9,15 @@
 	"tinpin/internal/rpc"
 )
 
+// budgetShare of each bound is used; the rest is for nodes that restart and forget what they sent.
 const budgetShare = 0.8
 
+// retryWindows counts the requests of a service and their retries.
 type retryWindows struct{ requests, retries *quota.Window }
 
-// RetryBudget keeps an account per service.
+// RetryBudget bounds the attempts beyond the first of each request. What the requests observed here
+// allow needs no lease; the slack of the bound is the fleet's and used only under a lease. Where the
+// operator has set a retry limit, it is asked as well, so the tighter of both holds.
 type RetryBudget struct {
 	ratio         float64
 	window        time.Duration
@@ -28,8 +27,8 @@
 	windows       map[rpc.ServiceName]*retryWindows
 }
 
-// NewRetryBudget keeps to a ratio over a window; slack tells the leased share.
-func NewRetryBudget(ratio float64, window time.Duration, slack func() float64) (budget *RetryBudget) {
+// NewRetryBudget keeps to a ratio of retries to requests over a window; slack is the leased part.
+func NewRetryBudget(ratio float64, window time.Duration, slack func() float64) *RetryBudget {
 	return &RetryBudget{ratio: ratio, window: max(window, time.Millisecond), slack: slack, windows: map[rpc.ServiceName]*retryWindows{}}
 }
 
@@ -42,7 +41,7 @@
 	return found
 }
 
-// RecordRequest notes a request for a service.
+// RecordRequest counts a request for a service.
 func (b *RetryBudget) RecordRequest(now time.Duration, service rpc.ServiceName) {
 	if b.operatorLimit != nil {
 		b.operatorLimit.FirstAttempt(now, service)
@@ -52,33 +51,33 @@
 	b.serviceWindows(service).requests.Add(now)
 }
 
-// Spend takes one arrival beyond the first, if there is room for it.
+// Spend takes one attempt beyond the first, if the budget allows it.
 func (b *RetryBudget) Spend(now time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool { return true })
 }
 
-// SpendRetry is Spend under the written limit too, for an attempt that would be
-// answered at a time and must be by another.
-func (b *RetryBudget) SpendRetry(now, answered, till time.Duration, service rpc.ServiceName) (granted bool) {
+// SpendRetry is Spend under the operator's limit too, for an attempt that would be answered at a time and
+// must be by its deadline.
+func (b *RetryBudget) SpendRetry(now, answered, deadline time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool {
-		return b.operatorLimit == nil || b.operatorLimit.AllowRetry(now, answered, till, service) == retry.Allowed
+		return b.operatorLimit == nil || b.operatorLimit.AllowRetry(now, answered, deadline, service) == retry.Allowed
 	})
 }
 
-func (b *RetryBudget) spend(now time.Duration, service rpc.ServiceName, may func() bool) (granted bool) {
+func (b *RetryBudget) spend(now time.Duration, service rpc.ServiceName, allowed func() bool) (granted bool) {
 	slack := b.slack()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	found := b.serviceWindows(service)
-	room := budgetShare*b.ratio*float64(found.requests.Sum(now)) + slack/2
-	if float64(found.retries.Sum(now)+1) > room || !may() {
+	available := budgetShare*b.ratio*float64(found.requests.Sum(now)) + slack/2
+	if float64(found.retries.Sum(now)+1) > available || !allowed() {
 		return false
 	}
 	found.retries.Add(now)
 	return true
 }
 
-// RecordOutcome takes what became of an attempt.
+// RecordOutcome tells the operator's limit what became of an attempt.
 func (b *RetryBudget) RecordOutcome(now time.Duration, service rpc.ServiceName, inTime bool) {
 	if b.operatorLimit != nil {
 		b.operatorLimit.RecordOutcome(now, service, inTime)
--- a/internal/proxy/service_stats.go
+++ b/internal/proxy/service_stats.go
@@ -1,8 +1,3 @@
-// Habit is what a daemon knows of a service as a whole: how long its answers
-// take when it is calm, and how long a stream to it may rest before its backends have
-// been seen to forget it. A backend that forgets says nothing; whatever goes
-// out next on the stream is reset. So streams are retired before that age, and
-// the age is tried longer again once nothing was forgotten for a while.
 package proxy
 
 import (
@@ -11,134 +6,144 @@
 )
 
 const (
+	// defaultMaxIdle is how long a connection may stay idle while none was found stale.
 	defaultMaxIdle = time.Minute
+	// A stale connection lowers the limit to maxIdleBackoff of the time it was idle, not below
+	// minMaxIdle, for maxIdleMemory.
 	minMaxIdle     = 40 * time.Millisecond
 	maxIdleBackoff = 0.6
 	maxIdleMemory  = 6 * time.Second
-	latencyWeight  = 0.05
-	// baselineGrowth is the part by which the calm time may grow in a second.
+	// latencyWeight is the weight of one response in the mean latency, after the first warmUpSamples.
+	latencyWeight = 0.05
+	warmUpSamples = 20
+	// baselineGrowth is the part by which the baseline latency may grow in a second.
 	baselineGrowth = 0.02
+	// baselineMargin makes up for the least of many means being too low by about the spread of a mean.
 	baselineMargin = 1.25
-	warmUpSamples  = 20
 )
 
-// ServiceStats of one service.
+// ServiceStats is what a node knows of a service as a whole: how long its responses take, and how long
+// a connection may stay idle before its backends have been seen to close it without a word. A request
+// on such a connection is lost to a reset; so connections expire before that age, and the age is raised
+// again once none was found stale for a while.
 type ServiceStats struct {
+	mu sync.Mutex
+	// good and bad count outcomes since they were reported.
 	good, bad uint32
-	mu        sync.Mutex
-	// reportable are the backends of which there may be something to tell.
-	reportable      map[*Backend]bool
+	// reportable are the backends whose outcomes may have to be reported.
+	reportable map[*Backend]bool
+	// meanLatency is a moving average in milliseconds, baselineLatency its least lately, as of baselineAt.
 	meanLatency     float64
 	baselineLatency float64
-	samples         int
 	baselineAt      time.Duration
-	maxIdle         time.Duration
-	maxIdleUntil    time.Duration
+	samples         int
+	// maxIdle is the limit until maxIdleUntil, 0 for none.
+	maxIdle      time.Duration
+	maxIdleUntil time.Duration
 }
 
-// countOutcome notes an outcome.
-func (h *ServiceStats) countOutcome(good bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// countOutcome counts an outcome.
+func (s *ServiceStats) countOutcome(good bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if good {
-		h.good++
+		s.good++
 	} else {
-		h.bad++
+		s.bad++
 	}
 }
 
-// markReportable notes that there may be something to tell of a backend.
-func (h *ServiceStats) markReportable(server *Backend) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.reportable == nil {
-		h.reportable = map[*Backend]bool{}
+// markReportable notes that the outcomes of a backend may have to be reported.
+func (s *ServiceStats) markReportable(backend *Backend) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reportable == nil {
+		s.reportable = map[*Backend]bool{}
 	}
-	h.reportable[server] = true
+	s.reportable[backend] = true
 }
 
-// reportableBackends lists them.
-func (h *ServiceStats) reportableBackends() (servers []*Backend) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for server := range h.reportable {
-		servers = append(servers, server)
+// reportableBackends lists the backends whose outcomes may have to be reported.
+func (s *ServiceStats) reportableBackends() (backends []*Backend) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for backend := range s.reportable {
+		backends = append(backends, backend)
 	}
-	return servers
+	return backends
 }
 
-// clearReportable forgets one that has nothing to tell any more.
-func (h *ServiceStats) clearReportable(server *Backend) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.reportable, server)
+// clearReportable takes back markReportable.
+func (s *ServiceStats) clearReportable(backend *Backend) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.reportable, backend)
 }
 
-// takeCounts gives the sums since it was last asked.
-func (h *ServiceStats) takeCounts() (good, bad uint32) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	good, bad = h.good, h.bad
-	h.good, h.bad = 0, 0
+// takeCounts gives the counts since it was last called.
+func (s *ServiceStats) takeCounts() (good, bad uint32) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	good, bad = s.good, s.bad
+	s.good, s.bad = 0, 0
 	return good, bad
 }
 
-// ObserveLatency learns from one whole answer.
-func (h *ServiceStats) ObserveLatency(now, took time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// ObserveLatency takes how long one complete response took.
+func (s *ServiceStats) ObserveLatency(now, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	spent := float64(took) / float64(time.Millisecond)
-	if h.meanLatency == 0 {
-		h.meanLatency, h.baselineLatency, h.baselineAt = spent, spent, now
+	if s.meanLatency == 0 {
+		s.meanLatency, s.baselineLatency, s.baselineAt = spent, spent, now
 		return
 	}
-	if h.samples++; h.samples < warmUpSamples {
-		h.meanLatency += (spent - h.meanLatency) / float64(h.samples+1)
-		h.baselineLatency, h.baselineAt = h.meanLatency, now
+	if s.samples++; s.samples < warmUpSamples {
+		s.meanLatency += (spent - s.meanLatency) / float64(s.samples+1)
+		s.baselineLatency, s.baselineAt = s.meanLatency, now
 		return
 	}
-	h.meanLatency += (spent - h.meanLatency) * latencyWeight
-	h.baselineLatency = min(h.meanLatency, h.baselineLatency*(1+baselineGrowth*(now-h.baselineAt).Seconds()))
-	h.baselineAt = now
+	s.meanLatency += (spent - s.meanLatency) * latencyWeight
+	s.baselineLatency = min(s.meanLatency, s.baselineLatency*(1+baselineGrowth*(now-s.baselineAt).Seconds()))
+	s.baselineAt = now
 }
 
-// BaselineLatency is how many milliseconds an answer took on average while the service
-// was least pressed lately, where nothing is known yet the given. It is what
-// may be expected of a backend that was not asked for a while.
-func (h *ServiceStats) BaselineLatency(unknown float64) (calm float64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.samples < warmUpSamples {
+// BaselineLatency is how many milliseconds a response took on average while the service was least
+// loaded lately, or the given while little is known. It is what may be expected of a backend that was
+// not asked for a while.
+func (s *ServiceStats) BaselineLatency(unknown float64) (calm float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.samples < warmUpSamples {
 		return unknown
 	}
-	// The least of many means is too little by about the spread of a mean.
-	return min(h.meanLatency, h.baselineLatency*baselineMargin)
+	return min(s.meanLatency, s.baselineLatency*baselineMargin)
 }
 
-// MeanLatency is how many milliseconds an answer takes now.
-func (h *ServiceStats) MeanLatency() (usual float64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.meanLatency
+// MeanLatency is how many milliseconds a response takes now.
+func (s *ServiceStats) MeanLatency() (usual float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.meanLatency
 }
 
-// ObserveStaleConn learns that a stream that had rested so long was forgotten.
-func (h *ServiceStats) ObserveStaleConn(now, rested time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// ObserveStaleConn takes how long a connection had been idle that its backend had closed.
+func (s *ServiceStats) ObserveStaleConn(now, rested time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	rest := max(minMaxIdle, time.Duration(float64(rested)*maxIdleBackoff))
-	if now >= h.maxIdleUntil || rest < h.maxIdle {
-		h.maxIdle = rest
+	if now >= s.maxIdleUntil || rest < s.maxIdle {
+		s.maxIdle = rest
 	}
-	h.maxIdleUntil = now + maxIdleMemory
+	s.maxIdleUntil = now + maxIdleMemory
 }
 
-// MaxIdle is how long a stream may rest now.
-func (h *ServiceStats) MaxIdle(now time.Duration) (rest time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.maxIdle == 0 || now >= h.maxIdleUntil {
+// MaxIdle is how long a connection may stay idle now.
+func (s *ServiceStats) MaxIdle(now time.Duration) (rest time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.maxIdle == 0 || now >= s.maxIdleUntil {
 		return defaultMaxIdle
 	}
-	return h.maxIdle
+	return s.maxIdle
 }
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -1,6 +1,3 @@
-// A stand-in for a backend: it reads requests as the protocol says and answers
-// each by a script, so that tests can bring about what real backends in
-// trouble do.
 package proxy
 
 import (
--- a/internal/proxy/tenant_limits.go
+++ b/internal/proxy/tenant_limits.go
@@ -1,5 +1,3 @@
-// Limits admits requests of tenants under the fleet's bounds, with a bucket
-// per tenant that fills at this daemon's leased parts of the limit.
 package proxy
 
 import (
@@ -11,31 +9,35 @@
 	"tinpin/internal/rpc"
 )
 
-// wantMoreInterval is the least time between two beats that a refusal brings about.
+// wantMoreInterval is the least time between two heartbeats that a rejection brings about.
 const wantMoreInterval = 150 * time.Millisecond
 
 const (
-	// maxIdleDemands idle tenants are told of with one beat; below idleRate requests
-	// a second a tenant is idle.
+	// maxIdleDemands idle tenants are reported with one heartbeat; below idleRate requests a second a
+	// tenant is idle.
 	maxIdleDemands = 256
 	idleRate       = 0.01
 )
 
-// TenantLimits keeps a bucket per tenant.
+// TenantLimits admits requests of tenants under the fleet's limits, with a token bucket per tenant that
+// fills at this node's leased parts of the limit.
 type TenantLimits struct {
+	// leasedPart is the part of a tenant's limit that this node may use now, in requests a second.
 	leasedPart func(kind rpc.LeaseKind, tenant string) float64
-	wantMore   func()
+	// wantMore is called without the lock when a rejection might bring a larger part.
+	wantMore func()
 
 	mu           sync.Mutex
 	buckets      map[string]*quota.TokenBucket
 	wantedMoreAt time.Duration
+	// nextReported is the first idle tenant to report next.
 	nextReported int
 }
 
-// NewTenantLimits draws on leased parts; hunger is called when a request was refused
-// and a beat might bring a larger part.
-func NewTenantLimits(part func(kind rpc.LeaseKind, tenant string) float64, hunger func()) (limits *TenantLimits) {
-	return &TenantLimits{leasedPart: part, wantMore: hunger, buckets: map[string]*quota.TokenBucket{}}
+// NewTenantLimits draws on leased parts; wantMore is called when a request was rejected and a heartbeat
+// might bring a larger part.
+func NewTenantLimits(leasedPart func(kind rpc.LeaseKind, tenant string) float64, wantMore func()) *TenantLimits {
+	return &TenantLimits{leasedPart: leasedPart, wantMore: wantMore, buckets: map[string]*quota.TokenBucket{}}
 }
 
 func (l *TenantLimits) leasedRate(tenant string) (part float64) {
@@ -51,11 +53,11 @@
 	return bucket
 }
 
-// Admit takes one of a tenant's requests in, or tells when to come back.
-func (l *TenantLimits) Admit(now time.Duration, tenant *config.Tenant) (admitted bool, back time.Duration) {
+// Admit admits one of a tenant's requests, or tells when to retry.
+func (l *TenantLimits) Admit(now time.Duration, tenant *config.Tenant) (admitted bool, retryAfter time.Duration) {
 	part := l.leasedRate(tenant.Name)
 	l.mu.Lock()
-	admitted, back = l.bucket(tenant.Name).Admit(now, quota.TenantLimit(tenant), part)
+	admitted, retryAfter = l.bucket(tenant.Name).Admit(now, quota.TenantLimit(tenant), part)
 	call := !admitted && now-l.wantedMoreAt >= wantMoreInterval
 	if call {
 		l.wantedMoreAt = now
@@ -64,17 +66,17 @@
 	if call && l.wantMore != nil {
 		l.wantMore()
 	}
-	return admitted, back
+	return admitted, retryAfter
 }
 
-// Fill brings all buckets up to now; it is called before parts change.
+// Fill fills all buckets up to now; it is called before leased parts change.
 func (l *TenantLimits) Fill(now time.Duration, tenants []*config.Tenant) {
 	for _, tenant := range tenants {
 		l.mu.Lock()
 		bucket := l.buckets[tenant.Name]
 		l.mu.Unlock()
 		if bucket == nil && len(tenants) > maxIdleDemands {
-			// One that was never asked for has nothing to fill.
+			// A tenant without requests has nothing to fill.
 			continue
 		}
 		part := l.leasedRate(tenant.Name)
@@ -84,9 +86,9 @@
 	}
 }
 
-// Demands tells what tenants ask of this daemon: all that were asked for lately,
-// and of the others so many in turn that a beat stays small however many tenants
-// there are. What an idle tenant holds then is its floor.
+// Demands reports the demand of tenants at this node: all that had requests lately, and of the others so
+// many in turn that a heartbeat stays small however many tenants there are. What an idle tenant holds
+// then is its guaranteed minimum.
 func (l *TenantLimits) Demands(tenants []*config.Tenant) (demands []rpc.RateDemand) {
 	l.mu.Lock()
 	from := l.nextReported
