--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,6 +6,7 @@
 	"tinpin/internal/coordinator"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 	"tinpin/internal/statusjson"
 )
 
@@ -71,7 +72,7 @@
 	status.IsLeader, status.Settled, term, leader, status.Members = c.node.Status()
 	status.InContact = c.node.HoldsLease(term, 0)
 	status.Term, status.Leader = uint64(term), leader.Control
-	c.node.ReadState(func(state *raft.State) {
+	c.node.ReadState(func(state *statemachine.State) {
 		status.Revision, status.Claims = state.Rev, state.Claims()
 		status.AcceptedRequests, status.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
 		status.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
