--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -1,7 +1,3 @@
-// Roll is the leader's view of the passage daemons, fed by their beats. A
-// daemon whose beats stop is held absent after a short bound and struck off
-// after a longer one; the members of the shard map are those that are not
-// struck off and not stopping.
 package registry
 
 import (
@@ -11,48 +7,57 @@
 	"tinpin/internal/rpc"
 )
 
-// NodeTimeouts are the waits of the roll.
+// NodeTimeouts are how long a node may send no heartbeat before it counts as absent,
+// and before it is removed.
 type NodeTimeouts struct{ Absent, Expired time.Duration }
 
+// presence is what the registry knows of a node's heartbeats.
 type presence struct {
 	lastHeartbeat time.Duration
 	absent        bool
 }
 
-// NodeRegistry keeps the fellows.
+// NodeRegistry is the leader's view of the nodes. A node whose heartbeats stop is
+// absent after a short time and removed after a longer one. Members of the shard map
+// are the nodes that are neither removed nor stopping.
 type NodeRegistry struct {
 	timeouts  NodeTimeouts
 	Nodes     *ChangeLog[rpc.NodeID, rpc.Node]
 	presences map[rpc.NodeID]*presence
 }
 
-// NewNodeRegistry is an empty roll.
-func NewNodeRegistry(clock *RevisionCounter, bounds NodeTimeouts) (roll *NodeRegistry) {
-	return &NodeRegistry{timeouts: bounds, Nodes: NewChangeLog[rpc.NodeID, rpc.Node](clock), presences: map[rpc.NodeID]*presence{}}
+// NewNodeRegistry makes an empty registry.
+func NewNodeRegistry(counter *RevisionCounter, timeouts NodeTimeouts) (registry *NodeRegistry) {
+	return &NodeRegistry{
+		timeouts:  timeouts,
+		Nodes:     NewChangeLog[rpc.NodeID, rpc.Node](counter),
+		presences: map[rpc.NodeID]*presence{},
+	}
 }
 
-// Heartbeat notes a beat.
-func (r *NodeRegistry) Heartbeat(now time.Duration, fellow rpc.Node) (joined, changed bool) {
-	seen := r.presences[fellow.ID]
-	if seen == nil {
-		seen = &presence{}
-		r.presences[fellow.ID] = seen
+// Heartbeat notes a heartbeat. It reports whether the node is new, and whether
+// anything that others should know has changed.
+func (r *NodeRegistry) Heartbeat(now time.Duration, node rpc.Node) (joined, changed bool) {
+	known := r.presences[node.ID]
+	if known == nil {
+		known = &presence{}
+		r.presences[node.ID] = known
 		joined = true
 	}
-	changed = seen.absent
-	seen.lastHeartbeat, seen.absent = now, false
-	if r.Nodes.Set(fellow.ID, fellow) {
+	changed = known.absent
+	known.lastHeartbeat, known.absent = now, false
+	if r.Nodes.Set(node.ID, node) {
 		changed = true
 	}
 	return joined, changed
 }
 
-// Tick strikes off who was not heard.
+// Tick finds the nodes that have become absent, and removes those that have expired.
 func (r *NodeRegistry) Tick(now time.Duration) (lost []rpc.NodeID, changed bool) {
-	for id, seen := range r.presences {
-		silence := now - seen.lastHeartbeat
-		if silence > r.timeouts.Absent && !seen.absent {
-			seen.absent, changed = true, true
+	for id, known := range r.presences {
+		silence := now - known.lastHeartbeat
+		if silence > r.timeouts.Absent && !known.absent {
+			known.absent, changed = true, true
 			lost = append(lost, id)
 		}
 		if silence > r.timeouts.Expired {
@@ -64,10 +69,10 @@
 	return lost, changed
 }
 
-// Absent lists the fellows on the roll that are not heard or are stopping.
+// Absent lists the registered nodes that are absent or stopping, in order.
 func (r *NodeRegistry) Absent() (absent []rpc.NodeID) {
-	for id, seen := range r.presences {
-		if fellow, known := r.Nodes.Get(id); known && (seen.absent || fellow.Stopping) {
+	for id, known := range r.presences {
+		if node, found := r.Nodes.Get(id); found && (known.absent || node.Stopping) {
 			absent = append(absent, id)
 		}
 	}
@@ -75,19 +80,19 @@
 	return absent
 }
 
-// Count is how many fellows are on the roll.
+// Count is how many nodes are registered, absent ones included.
 func (r *NodeRegistry) Count() (count int) { return len(r.presences) }
 
-// Present tells whether a fellow is heard.
-func (r *NodeRegistry) Present(id rpc.NodeID) bool {
-	seen := r.presences[id]
-	return seen != nil && !seen.absent
+// Present reports whether a node is registered and not absent.
+func (r *NodeRegistry) Present(id rpc.NodeID) (present bool) {
+	known := r.presences[id]
+	return known != nil && !known.absent
 }
 
-// Members lists who belongs to the shard map.
+// Members lists the nodes that belong to the shard map, in order.
 func (r *NodeRegistry) Members() (members []rpc.NodeID) {
-	r.Nodes.Each(func(id rpc.NodeID, fellow rpc.Node) {
-		if !fellow.Stopping {
+	r.Nodes.Each(func(id rpc.NodeID, node rpc.Node) {
+		if !node.Stopping {
 			members = append(members, id)
 		}
 	})
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -11,84 +12,84 @@
 	"tinpin/internal/rpc"
 )
 
-func TestLedgerTellsOnlyWhatCameAfter(t *testing.T) {
-	clock := &RevisionCounter{}
-	ledger := NewChangeLog[string, int](clock)
-	since := func(epoch rpc.Revision) (told string) {
+func TestChangeLogGivesOnlyLaterChanges(t *testing.T) {
+	counter := &RevisionCounter{}
+	log := NewChangeLog[string, int](counter)
+	since := func(revision rpc.Revision) (changes string) {
 		for _, key := range []string{"a", "b", "c"} {
-			ledger.Since(epoch, func(k string, value int, gone bool) {
+			log.Since(revision, func(k string, value int, gone bool) {
 				if k == key {
-					told += fmt.Sprint(k, value, gone, " ")
+					changes += fmt.Sprint(k, value, gone, " ")
 				}
 			})
 		}
-		return told
+		return changes
 	}
-	ledger.Set("a", 1)
-	ledger.Set("b", 2)
-	seen := clock.Current()
-	if ledger.Set("a", 1) || clock.Current() != seen {
+	log.Set("a", 1)
+	log.Set("b", 2)
+	seen := counter.Current()
+	if log.Set("a", 1) || counter.Current() != seen {
 		t.Fatal("the same value is no change")
 	}
-	ledger.Set("c", 3)
-	ledger.Remove("a")
+	log.Set("c", 3)
+	log.Remove("a")
 	if got := since(seen); got != "a1 true c3 false " {
 		t.Fatalf("since %d: %q", seen, got)
 	}
 	if got := since(0); got != "b2 false c3 false " {
-		t.Fatalf("to a newcomer: %q", got)
+		t.Fatalf("since the start: %q", got)
 	}
 }
 
-func TestRoll(t *testing.T) {
-	roll := NewNodeRegistry(&RevisionCounter{}, NodeTimeouts{Absent: time.Second, Expired: 5 * time.Second})
-	roll.Heartbeat(0, rpc.Node{ID: "a"})
-	roll.Heartbeat(0, rpc.Node{ID: "b"})
-	roll.Heartbeat(2*time.Second, rpc.Node{ID: "b"})
-	roll.Tick(2 * time.Second)
-	if len(roll.Absent()) != 1 || roll.Present("a") || len(roll.Members()) != 2 {
-		t.Fatal("a silent fellow is absent and stays in the map for now")
-	}
-	roll.Heartbeat(2500*time.Millisecond, rpc.Node{ID: "b", Stopping: true})
-	if len(roll.Members()) != 1 || len(roll.Absent()) != 2 {
-		t.Fatal("a stopping fellow leaves the map and is told absent at once")
-	}
-	roll.Tick(6 * time.Second)
-	if len(roll.Members()) != 0 {
-		t.Fatal("a long silent fellow is struck off")
+func TestNodeRegistry(t *testing.T) {
+	registry := NewNodeRegistry(&RevisionCounter{}, NodeTimeouts{Absent: time.Second, Expired: 5 * time.Second})
+	registry.Heartbeat(0, rpc.Node{ID: "a"})
+	registry.Heartbeat(0, rpc.Node{ID: "b"})
+	registry.Heartbeat(2*time.Second, rpc.Node{ID: "b"})
+	registry.Tick(2 * time.Second)
+	if len(registry.Absent()) != 1 || registry.Present("a") || len(registry.Members()) != 2 {
+		t.Fatal("a silent node is absent and stays in the map for now")
+	}
+	registry.Heartbeat(2500*time.Millisecond, rpc.Node{ID: "b", Stopping: true})
+	if len(registry.Members()) != 1 || len(registry.Absent()) != 2 {
+		t.Fatal("a stopping node leaves the map and is absent at once")
+	}
+	registry.Tick(6 * time.Second)
+	if len(registry.Members()) != 0 {
+		t.Fatal("an expired node is removed")
 	}
 }
 
-func TestList(t *testing.T) {
+func TestEndpointList(t *testing.T) {
 	list := NewEndpointList(&RevisionCounter{})
-	server := func(id string, draining bool) rpc.Endpoint {
+	endpoint := func(id string, draining bool) rpc.Endpoint {
 		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1", Draining: draining}
 	}
 	has := func(id string) bool { _, known := list.Endpoints.Get(rpc.EndpointID(id)); return known }
-	walk := func(servers ...rpc.Endpoint) {
-		list.ApplyPage(servers)
-		list.FinishWalk(servers)
+	walk := func(endpoints ...rpc.Endpoint) {
+		list.ApplyPage(endpoints)
+		list.FinishWalk(endpoints)
 	}
-	walk(server("a", false), server("b", false))
-	list.ApplyPage([]rpc.Endpoint{server("a", true)})
+	walk(endpoint("a", false), endpoint("b", false))
+	list.ApplyPage([]rpc.Endpoint{endpoint("a", true)})
 	if a, _ := list.Endpoints.Get("a"); !a.Draining || !has("b") {
-		t.Fatal("what a page shows counts at once, what it does not show is nothing")
+		t.Fatal("what a page shows counts at once, what it lacks does not")
 	}
-	walk(server("a", true))
+	walk(endpoint("a", true))
 	if !has("b") {
-		t.Fatal("one walk without an entry is not its end")
+		t.Fatal("one walk without an endpoint does not remove it")
 	}
-	walk(server("a", false))
+	walk(endpoint("a", false))
 	if a, _ := list.Endpoints.Get("a"); has("b") || !a.Draining {
-		t.Fatal("two walks without it are; what drains does not come back")
+		t.Fatal("two walks without it do; what drains does not come back")
 	}
 	walk()
 	if has("a") {
-		t.Fatal("a draining entry is gone with the first walk without it")
+		t.Fatal("a draining endpoint is removed by the first walk without it")
 	}
 }
 
-func TestWalkIsWholeOrNothing(t *testing.T) {
+func TestWalkIsCompleteOrFails(t *testing.T) {
 	page := func(id, next string) string {
 		return fmt.Sprintf(`{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","1500ms",%q,3]]},"next_page_token":%s}`, id, next)
 	}
@@ -106,22 +107,22 @@
 		}
 	}))
 	defer platform.Close()
-	caller := NewPlatformClient(strings.TrimPrefix(platform.URL, "http://"))
+	client := NewPlatformClient(strings.TrimPrefix(platform.URL, "http://"))
 	shown := 0
-	servers, pages, err := caller.Walk(0, func(page []rpc.Endpoint) { shown += len(page) })
-	if err != nil || pages != 2 || len(servers) != 2 || servers[1].ID != "i-2" || servers[0].WarmupRemaining != 1500*time.Millisecond || servers[0].Slots != 3 {
-		t.Fatal(servers, pages, err)
+	endpoints, pages, err := client.Walk(0, func(page []rpc.Endpoint) { shown += len(page) })
+	if err != nil || pages != 2 || len(endpoints) != 2 || endpoints[1].ID != "i-2" || endpoints[0].WarmupRemaining != 1500*time.Millisecond || endpoints[0].Slots != 3 {
+		t.Fatal(endpoints, pages, err)
 	}
 	broken = true
-	if servers, _, err = caller.Walk(0, func(page []rpc.Endpoint) { shown += len(page) }); err == nil || servers != nil {
-		t.Fatal("a walk that broke off gave something")
+	if endpoints, _, err = client.Walk(0, func(page []rpc.Endpoint) { shown += len(page) }); err == nil || endpoints != nil {
+		t.Fatal("a walk that failed gave something")
 	}
 	if shown != 3 {
-		t.Fatalf("%d entries were shown by pages", shown)
+		t.Fatalf("%d endpoints were shown by pages", shown)
 	}
 	for _, body := range []string{"", "{}", `{"instances":{"column_names":["a"],"row_values":[[1,2]]}}`, page("", "null")} {
-		if _, _, err = ParsePage([]byte(body)); err == nil {
-			t.Errorf("%q was read", body)
+		if _, _, err = ParsePage([]byte(body)); !errors.Is(err, ErrInvalidPage) {
+			t.Errorf("%q: %v", body, err)
 		}
 	}
 }
