--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -11,6 +11,7 @@
 	"syscall"
 	"time"
 
+	"tinpin/internal/balancer"
 	"tinpin/internal/quota"
 	"tinpin/internal/rpc"
 )
@@ -314,7 +315,7 @@
 func (s *Backend) suspect(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now < s.unavailableUntil || now < s.warmUpUntil || s.overdue(now, s.stats.BaselineLatency(defaultLatencyMS))
+	return now < s.unavailableUntil || now < s.warmUpUntil || s.overdue(now, s.stats.BaselineLatency(balancer.DefaultLatencyMS))
 }
 
 // isWarmingUp tells that the backend bears little.
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"tinpin/internal/balancer"
 	"tinpin/internal/config"
 	"tinpin/internal/rpc"
 )
@@ -79,7 +80,7 @@
 // splitBySubset parts the backends of each service into those of this node's subset
 // and the others.
 func (s *ClusterState) splitBySubset(snapshot *Snapshot) {
-	subset := NewSubset(rpc.NodeID(s.settings.Name), rpc.ZoneName(s.settings.Zone), s.nodes, s.settings.SubsetSize)
+	subset := balancer.NewSubset(rpc.NodeID(s.settings.Name), rpc.ZoneName(s.settings.Zone), s.nodes, s.settings.SubsetSize)
 	for service, backends := range snapshot.Services {
 		inZone := 0
 		for _, backend := range backends {
