--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,122 @@
+// Package controller is the controller role put together: one member of the
+// controllers' group with its disk, the handler for nodes' calls, a coordinator
+// while this controller leads, and the operator's API on them. Consensus, what a
+// leader does in its term, and the HTTP server are other packages' business.
+//
+// Exported methods and the API's handlers may be called from any goroutine.
+package controller
+
+import (
+	"net/http"
+	"time"
+
+	"tinpin/internal/coordinator"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
+	"tinpin/internal/httpapi"
+	"tinpin/internal/notify"
+	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
+	"tinpin/internal/settings"
+)
+
+// proposalTimeout is how long an operator's call waits for the outcome of its
+// proposal before that is unclear; the callers give up after a second.
+const proposalTimeout = 900 * time.Millisecond
+
+// Controller is a running controller.
+type Controller struct {
+	settings settings.Settings
+	log      *eventlog.Logger
+	node     *raft.Node
+	// nodeCalls answers the nodes, and holds the coordinator while this one leads.
+	nodeCalls       *coordinator.Handler
+	proposalTimeout time.Duration
+
+	internalListener *rpc.Server
+	apiServer        *http.Server
+}
+
+// Start opens the disk and the listeners and begins to work.
+func Start(p settings.Settings, log *eventlog.Logger) (c *Controller, err error) {
+	node, err := raft.OpenNode(p, log)
+	if err != nil {
+		return nil, err
+	}
+	c = &Controller{settings: p, log: log, node: node, proposalTimeout: proposalTimeout, nodeCalls: coordinator.NewHandler(node, node)}
+	node.OnLeadership = c.roleChanged
+	node.OnChange = c.stateChanged
+	if p.EventsURL != "" {
+		if err = c.notifyOfChanges(); err != nil {
+			return nil, err
+		}
+	}
+	if err = c.listen(); err != nil {
+		return nil, err
+	}
+	node.Run()
+	return c, nil
+}
+
+// roleChanged starts a coordinator for a term that this controller leads, and
+// closes that of the term before.
+func (c *Controller) roleChanged(leads bool, term raft.Term) {
+	var started *coordinator.Coordinator
+	if leads {
+		started = coordinator.Start(c.settings, c.log, c.node, term)
+	}
+	c.replaceCoordinator(started)
+}
+
+func (c *Controller) replaceCoordinator(next *coordinator.Coordinator) {
+	if old := c.nodeCalls.SetCoordinator(next); old != nil {
+		old.Close()
+	}
+}
+
+func (c *Controller) stateChanged() {
+	if current := c.nodeCalls.Coordinator(); current != nil {
+		current.StateChanged()
+	}
+}
+
+// notifyOfChanges sends CloudEvents of changes. Each change is sent once, by the
+// controller that leads when it is applied.
+func (c *Controller) notifyOfChanges() (err error) {
+	notifier, err := notify.New(c.settings.EventsURL, c.settings.Name, c.log)
+	if err != nil {
+		return err
+	}
+	c.node.History.OnChange = func(mark history.Change) {
+		if mark.Action != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
+			notifier.Notify(mark)
+		}
+	}
+	return nil
+}
+
+// listen opens the listeners for nodes and other controllers, and for operators.
+func (c *Controller) listen() (err error) {
+	// The names of the receivers are those on the wire, frozen in package rpc.
+	if c.internalListener, err = rpc.Serve(c.settings.ControllerInternalAddress(), map[string]any{
+		"Accord": c.node.Service(), "Forum": c.nodeCalls, "Status": &StatusHandler{c},
+	}); err != nil {
+		return err
+	}
+	c.apiServer, err = httpapi.Serve(c.settings.ControlAddress, httpapi.Handlers{
+		UpdateConfig: c.updateConfig, DescribeConfig: c.describeConfig, Evacuate: c.evacuate,
+		SetDocument: c.setDocument, WithdrawDocument: c.withdrawDocument, ShowDocument: c.showDocument, RetireBackend: c.retireBackend,
+	})
+	return err
+}
+
+// Reload takes changed settings up: only the seeds may change while it runs.
+func (c *Controller) Reload(p settings.Settings) { c.node.SetSeeds(p.Seeds) }
+
+// Stop hands leadership over and ends all work.
+func (c *Controller) Stop() {
+	c.node.Close()
+	_ = c.apiServer.Close()
+	c.internalListener.Close()
+	c.replaceCoordinator(nil)
+}
