--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -75,7 +75,7 @@
 func (s *ClusterState) chooseEndpoint(snapshot *Snapshot, criteria Criteria) (chosen *Backend, anyUsable bool) {
 	c := &selection{state: s, snapshot: snapshot, criteria: criteria, now: s.clock.Now()}
 	if service := snapshot.View.Services[string(criteria.Service)]; service != nil {
-		c.maxConnections = service.Streams
+		c.maxConnections = service.MaxConnections
 	}
 	if criteria.Bound != "" {
 		return c.chooseBound()
