--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -242,7 +242,7 @@
 }
 
 // pickTarget picks a route's service by weight, with a number from 0 to 1.
-func pickTarget(route *config.Way, draw float64) (service rpc.ServiceName) {
+func pickTarget(route *config.Route, draw float64) (service rpc.ServiceName) {
 	if len(route.Targets) == 1 {
 		return rpc.ServiceName(route.Targets[0].Service)
 	}
