--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"tinpin/internal/balancer"
 	"tinpin/internal/quota"
 	"tinpin/internal/rpc"
 )
@@ -190,7 +191,7 @@
 func (b *Backend) suspect(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now < b.unavailableUntil || now < b.warmUpUntil || b.overdue(now, b.stats.BaselineLatency(defaultLatencyMS))
+	return now < b.unavailableUntil || now < b.warmUpUntil || b.overdue(now, b.stats.BaselineLatency(balancer.DefaultLatencyMS))
 }
 
 // isWarmingUp tells that the backend is in its slow start.
