--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -86,7 +86,7 @@
 		bad := statemachine.NewState()
 		m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 			if m.luck.Intn(4) > 0 {
-				bad.Apply(1, statemachine.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Server, IdleTimeout: binding.Idle}), m.now)
+				bad.Apply(1, statemachine.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Endpoint, IdleTimeout: binding.IdleTimeout}), m.now)
 			}
 		})
 		m.state = bad
@@ -100,7 +100,7 @@
 		panic(err)
 	}
 	m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
-		m.desk.Add(m.now, binding.Service, session, binding.Idle, binding.Seq)
+		m.desk.Add(m.now, binding.Service, session, binding.IdleTimeout, binding.Sequence)
 	})
 }
 
@@ -117,7 +117,7 @@
 // ask is the leader's answer to a node, as the forum gives it.
 func (m *morning) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
 	standing, bound := m.state.Binding(bind.Session)
-	server, propose, answered := m.desk.Lookup(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
+	server, propose, answered := m.desk.Lookup(m.now, bind, standing.Endpoint, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
 		return rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
 	}
@@ -129,11 +129,11 @@
 		return rpc.BindResult{}
 	}
 	result := m.apply(statemachine.BindCommand(propose))
-	if result.Problem != "" {
+	if result.Err != nil {
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
-	m.desk.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
-	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Server}
+	m.desk.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Sequence)
+	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Endpoint}
 }
 
 // tend unbinds what is past its time; a call that was lost is sent again a
@@ -150,7 +150,7 @@
 	for _, session := range m.unbinds {
 		if m.fault.staleUnbind {
 			standing, _ := m.state.Binding(session.Session)
-			session.Seq = standing.Seq
+			session.Seq = standing.Sequence
 		}
 		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Number: session.Seq})
 	}
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	if result.Problem != "" {
+	if result.Err != nil {
 		return c.reject(history.Item, rejectedResult(apierror.InvalidConfig, result))
 	}
 	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -8,6 +8,7 @@
 
 	"tinpin/internal/apierror"
 	"tinpin/internal/coordinator"
+	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
@@ -66,7 +67,11 @@
 		conflict bool
 		status   int
 	}{{apierror.InvalidConfig, false, 400}, {apierror.RequestRejected, false, 422}, {apierror.InvalidConfig, true, 409}, {apierror.RequestRejected, true, 409}} {
-		if status := statusOf(t, rejectedResult(c.kind, statemachine.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
+		err := errors.New("no")
+		if c.conflict {
+			err = dedup.ErrConflict.New("no")
+		}
+		if status := statusOf(t, rejectedResult(c.kind, statemachine.Result{Err: err})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
 	}
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -30,10 +30,10 @@
 // rejectedResult is the answer to a request that was rejected where it was
 // applied; kind is that of rejections other than conflicts.
 func rejectedResult(kind apierror.Kind, result statemachine.Result) (answer *httpapi.Error) {
-	if result.Conflict {
+	if result.Conflict() {
 		kind = apierror.VersionConflict
 	}
-	return &httpapi.Error{Kind: kind, Text: result.Problem}
+	return &httpapi.Error{Kind: kind, Text: result.Err.Error()}
 }
 
 // reject logs a rejection as the caller is told it.
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	if result.Problem != "" {
+	if result.Err != nil {
 		return c.reject(subject, rejectedResult(apierror.RequestRejected, result))
 	}
 	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, subject, eventlog.KeyName, name, eventlog.KeyChange, change)
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	if result.Problem != "" {
+	if result.Err != nil {
 		return c.reject(history.Evacuation, rejectedResult(apierror.RequestRejected, result))
 	}
 	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, zone, "active", start)
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -76,7 +76,7 @@
 		c.policies.proposing = false
 		// The step is the last of the batch.
 		last := answers[len(answers)-1]
-		if stepped && last.Known && last.Result.Problem == "" {
+		if stepped && last.Known && last.Result.Err == nil {
 			c.policies.schedule.stepper.Committed(c.now())
 		}
 	}()
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -64,7 +64,7 @@
 func (s *sessionTable) scan(now time.Duration, state *statemachine.State) {
 	state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 		if !s.expiry.Known(binding.Service, session) {
-			s.expiry.Add(now, binding.Service, session, binding.Idle, binding.Seq)
+			s.expiry.Add(now, binding.Service, session, binding.IdleTimeout, binding.Sequence)
 		}
 	})
 }
@@ -175,7 +175,7 @@
 		var standing statemachine.Binding
 		var bound bool
 		c.node.ReadState(func(state *statemachine.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
+		server, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Endpoint, bound, func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
@@ -194,17 +194,17 @@
 	switch {
 	case answer.Rejected || !answer.Known:
 		return rpc.BindResult{}
-	case answer.Result.Problem != "":
+	case answer.Result.Err != nil:
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
 	binding := answer.Result.Binding
-	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
+	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Sequence)
 	if answer.Result.Moved {
 		c.sessions.moved++
-		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
-		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
+		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Endpoint), eventlog.KeyReason, reason)
+		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Endpoint), binding.Sequence, false)
 	}
-	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Server}
+	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Endpoint}
 }
 
 // sessionLimit is how many sessions a service may have.
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -117,8 +117,8 @@
 		update.ScheduleStep = &move
 	}
 	for _, evacuation := range state.Evacuations {
-		if evacuation.Rev >= seen.LogIndex {
-			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Zone: rpc.ZoneName(evacuation.Site), Active: evacuation.Active, LogIndex: evacuation.Rev})
+		if evacuation.Revision >= seen.LogIndex {
+			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Zone: rpc.ZoneName(evacuation.Zone), Active: evacuation.Active, LogIndex: evacuation.Revision})
 		}
 	}
 }
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -63,7 +63,7 @@
 		}
 		return
 	}
-	claim := statemachine.Claim{Key: key, Request: request, Holder: edge.name, Life: edge.life}
+	claim := statemachine.Claim{Key: key, Request: request, Holder: edge.name, Incarnation: edge.life}
 	alive := func() bool { return edge.life == life }
 	giveBack := func() {
 		edge.book.Release(op)
@@ -129,7 +129,7 @@
 		if edge.name != held.Holder {
 			continue
 		}
-		if edge.life != held.Life {
+		if edge.life != held.Incarnation {
 			if s.fault.oldAnswers {
 				s.apply(statemachine.CommandReleaseClaim, held)
 			}
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		o.documents[document.Kind] = document
-		memory.Record(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
+		memory.Record(history.Document, string(document.Kind), "applied", document.Summary(), document.Rev, quiet)
 		if document.Kind == policy.DrainPolicy {
 			o.drainPolicy = nil
 			if document.Active() {
@@ -241,7 +241,7 @@
 	switch kind {
 	case history.Document:
 		document, known := o.documents[policy.Kind(name)]
-		return document.Stamp(), document.Rev, known
+		return document.Summary(), document.Rev, known
 	case history.Retirement:
 		retired, known := o.retirements[rpc.EndpointID(name)]
 		return retired.Summary(), retired.Rev, known
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -268,7 +268,7 @@
 		"a configuration in force":  storedstate.Commands[1],
 		"a claim by its own holder": storedstate.Commands[22],
 	} {
-		if result := state.Apply(99, command, 0); !result.Granted && result.Held != command.Claim || result.Problem != "" {
+		if result := state.Apply(99, command, 0); !result.Granted && result.Held != command.Claim || result.Err != nil {
 			t.Errorf("%s, sent again: %+v", name, result)
 		}
 	}
@@ -280,7 +280,7 @@
 		"a policy":      {Kind: statemachine.CommandDocument, Subject: "drain-policy", Body: bytes.Replace([]byte(storedstate.OvertakenPolicy), []byte("serve"), []byte("stop"), 1)},
 		"a route":       {Kind: statemachine.CommandConfig, Body: bytes.Replace([]byte(storedstate.OvertakenRoute), []byte("2s"), []byte("4s"), 1)},
 	} {
-		if result := state.Apply(99, command, 0); !result.Conflict {
+		if result := state.Apply(99, command, 0); !result.Conflict() {
 			t.Errorf("%s with other content under a number that was taken: %+v", name, result)
 		}
 	}
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -83,8 +83,8 @@
 		t.Fatal(err)
 	}
 	d.state.Config = items
-	if result := d.apply(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
-		t.Fatal(result.Problem)
+	if result := d.apply(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Err != nil {
+		t.Fatal(result.Err)
 	}
 	for _, region := range regions {
 		for i := range 2 {
@@ -132,7 +132,7 @@
 		return
 	}
 	body, _ := json.Marshal(move)
-	if d.apply(statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}).Problem == "" {
+	if d.apply(statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}).Err == nil {
 		d.stepper.Committed(d.now)
 	}
 	// Something is often lost just at a step.
@@ -209,12 +209,12 @@
 	if old != nil {
 		return old.Response().State == rpc.OperationCompleted
 	}
-	claim := statemachine.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
+	claim := statemachine.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Incarnation: edge.life}
 	result := d.apply(statemachine.Command{Kind: statemachine.CommandClaim, Claim: claim})
 	if !result.Granted && !d.unsafe {
 		edge.book.Abandon(op)
 		for _, holder := range d.edges {
-			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Life {
+			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Incarnation {
 				return holder.book.Find(tap.key, result.Held.Request).State == rpc.OperationCompleted
 			}
 		}
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -5,6 +5,7 @@
 package simulation
 
 import (
+	"errors"
 	"math/rand"
 	"time"
 
@@ -316,7 +317,7 @@
 func (c *Core) forsake() {
 	for _, index := range sortedKeys(c.pending) {
 		for _, waiting := range c.pending[index].wishes {
-			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: statemachine.Result{Problem: "not carried out"}})
+			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: statemachine.Result{Err: errors.New("not carried out")}})
 		}
 	}
 	clear(c.pending)
--- a/internal/simulation/order.go
+++ b/internal/simulation/order.go
@@ -3,6 +3,7 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -43,7 +44,7 @@
 		}
 		return statemachine.Command{Kind: statemachine.CommandEndEvacuation, Subject: name}
 	}
-	return statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
+	return statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: name, Request: o.call.content, Holder: "edge", Incarnation: 1}}
 }
 
 func itemText(name string, call call, another bool) (text string) {
@@ -81,7 +82,7 @@
 		}
 	case "evacuation":
 		if standing := state.Evacuations[name]; standing.Active {
-			seen.content = standing.Stamp()
+			seen.content = standing.Summary()
 		}
 	case "key":
 		claim, _ := state.ClaimOf(name)
@@ -96,7 +97,7 @@
 	switch {
 	case !answer.Clear:
 		told.outcome = unclear
-	case sort == "key" && !answer.Result.Granted, sort != "key" && answer.Result.Problem != "":
+	case sort == "key" && !answer.Result.Granted, sort != "key" && answer.Result.Err != nil:
 		told.outcome = refused
 	default:
 		told.outcome = confirmed
@@ -108,7 +109,7 @@
 func (p Plant) bend(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
 	switch {
 	case p == TwoContents && command.Kind == statemachine.CommandConfig:
-		result.Problem = ""
+		result.Err = nil
 	case p == TwoRuns && command.Kind == statemachine.CommandClaim:
 		result.Granted = true
 	case p == ResentRefused && command.Kind == statemachine.CommandDocument && len(command.Body) > 0:
@@ -117,7 +118,7 @@
 		number, _, _ := strings.Cut(behind, ",")
 		version, _ = strconv.ParseUint(number, 10, 64)
 		if uint64(state.Documents[policy.Kind(command.Subject)].Version) > version {
-			result.Problem = "the version is not above the one that holds"
+			result.Err = errors.New("the version is not above the one that holds")
 		}
 	}
 	return result
--- a/internal/statemachine/orders_test.go
+++ b/internal/statemachine/accepted_test.go
@@ -31,7 +31,7 @@
 	return Command{Kind: CommandDocument, Subject: string(policy.DrainPolicy), Number: uint64(version)}
 }
 
-func thawed(t *testing.T, state *State) (again *State) {
+func restored(t *testing.T, state *State) (again *State) {
 	t.Helper()
 	data, err := state.Snapshot()
 	if err != nil {
@@ -43,7 +43,7 @@
 	return again
 }
 
-func TestADocumentSentAgainIsConfirmed(t *testing.T) {
+func TestADocumentSentAgainIsAccepted(t *testing.T) {
 	state := NewState()
 	const yes, no, conflict = "yes", "no", "conflict"
 	steps := []struct {
@@ -79,23 +79,23 @@
 		before := state.Revision
 		result := state.Apply(uint64(i+1), step.command, 0)
 		got := yes
-		if result.Problem != "" {
+		if result.Err != nil {
 			got = no
 		}
-		if result.Conflict {
+		if result.Conflict() {
 			got = conflict
 		}
 		if got != step.want || state.Documents[policy.DrainPolicy].Version != step.version {
-			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Problem, state.Documents[policy.DrainPolicy].Version)
+			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Err, state.Documents[policy.DrainPolicy].Version)
 		}
 		if got != yes && state.Revision != before {
 			t.Errorf("%s: refused and changed something", step.name)
 		}
-		state = thawed(t, state)
+		state = restored(t, state)
 	}
 }
 
-func TestARetirementTakenIsRemembered(t *testing.T) {
+func TestAnAcceptedRetirementIsRemembered(t *testing.T) {
 	state := NewState()
 	id := rpc.EndpointID("i-1")
 	at := func(kind CommandKind, by string) Command {
@@ -111,17 +111,17 @@
 		{at(CommandCancelRetire, ""), false, true},
 		{at(CommandCancelRetire, ""), false, true},
 	} {
-		if result := state.Apply(uint64(i+1), step.command, 0); result.Problem != "" {
-			t.Errorf("step %d: %s", i, result.Problem)
+		if result := state.Apply(uint64(i+1), step.command, 0); result.Err != nil {
+			t.Errorf("step %d: %s", i, result.Err)
 		}
-		state = thawed(t, state)
+		state = restored(t, state)
 		if stands, taken := state.RetirementStatus(id); stands != step.stands || taken != step.taken {
 			t.Errorf("step %d: stands %v, taken %v", i, stands, taken)
 		}
 	}
 }
 
-func TestANamedOrderTakesEffectOnce(t *testing.T) {
+func TestANamedRequestTakesEffectOnce(t *testing.T) {
 	state := NewState()
 	order := func(kind CommandKind, site, name string) Command {
 		return Command{Kind: kind, Subject: site, Body: []byte("pay"), Claim: Claim{Holder: drain.ByOperator, Key: name}}
@@ -145,19 +145,19 @@
 		{command: order(CommandCancelRetire, "i-1", "d"), evacuated: true, stands: true},
 	} {
 		result := state.Apply(uint64(i+1), step.command, 0)
-		state = thawed(t, state)
+		state = restored(t, state)
 		stands, _ := state.RetirementStatus("i-1")
-		if result.Conflict != step.conflict || (result.Problem != "") != step.conflict || state.Evacuations["z"].Active != step.evacuated || stands != step.stands {
+		if result.Conflict() != step.conflict || (result.Err != nil) != step.conflict || state.Evacuations["z"].Active != step.evacuated || stands != step.stands {
 			t.Errorf("step %d: %+v, evacuated %v, retired %v", i, result, state.Evacuations["z"].Active, stands)
 		}
 	}
 }
 
 // A snapshot as versions without the record wrote it.
-func TestASnapshotWithoutTheRecordIsRead(t *testing.T) {
+func TestASnapshotWithoutAcceptedRequestsIsRead(t *testing.T) {
 	type older struct {
 		Canon       []config.Item
-		Evacuations map[string]Evacuation
+		Evacuations map[string]storedEvacuation
 		Documents   map[policy.Kind]policy.Document
 		Seq, Rev    uint64
 	}
@@ -173,11 +173,11 @@
 		t.Fatal(err)
 	}
 	for i, command := range []Command{drainPolicyCommand(5, "pay", "1s"), drainPolicyCommand(6, "desk", "1s"), drainPolicyCommand(5, "pay", "1s"), {Kind: CommandConfig, Body: []byte(services)}} {
-		if result := state.Apply(uint64(i+3), command, 0); result.Problem != "" {
-			t.Errorf("order %d: %s", i, result.Problem)
+		if result := state.Apply(uint64(i+3), command, 0); result.Err != nil {
+			t.Errorf("order %d: %s", i, result.Err)
 		}
 	}
-	if !state.Apply(9, drainPolicyCommand(5, "pay", "2s"), 0).Conflict {
+	if !state.Apply(9, drainPolicyCommand(5, "pay", "2s"), 0).Conflict() {
 		t.Error("other content under the version that stood was taken")
 	}
 }
@@ -234,10 +234,10 @@
 // stands is all that orders have brought about.
 func stands(state *State) (text string) {
 	document := state.Documents[policy.DrainPolicy]
-	return fmt.Sprint(state.Config.Items(), document.Stamp(), document.Body, state.Evacuations["z"].Active)
+	return fmt.Sprint(state.Config.Items(), document.Summary(), document.Body, state.Evacuations["z"].Active)
 }
 
-func TestOrdersOfTwoOperatorsKeepTheirWord(t *testing.T) {
+func TestRequestsOfTwoOperatorsAreConsistent(t *testing.T) {
 	for seed := int64(1); seed <= 40; seed++ {
 		luck := rand.New(rand.NewSource(seed))
 		state, log := NewState(), [][]byte{}
@@ -264,13 +264,13 @@
 			if changed {
 				now.effects++
 			}
-			if now.confirmed && result.Problem != "" {
-				t.Fatalf("seed %d step %d: confirmed before, now %s", seed, step, result.Problem)
+			if now.confirmed && result.Err != nil {
+				t.Fatalf("seed %d step %d: confirmed before, now %s", seed, step, result.Err)
 			}
-			if result.Problem != "" && changed || now.effects > 1 {
-				t.Fatalf("seed %d step %d: %d effects, %q", seed, step, now.effects, result.Problem)
+			if result.Err != nil && changed || now.effects > 1 {
+				t.Fatalf("seed %d step %d: %d effects, %q", seed, step, now.effects, result.Err)
 			}
-			if result.Problem == "" {
+			if result.Err == nil {
 				now.confirmed = true
 				for i, number := range now.numbers {
 					if content, known := confirmed[number]; known && content != now.contents[i] {
@@ -281,7 +281,7 @@
 				held++
 			}
 			if luck.Intn(20) == 0 {
-				state = thawed(t, state)
+				state = restored(t, state)
 			}
 		}
 		if held < 50 {
--- a/internal/statemachine/orders_fuzz_test.go
+++ b/internal/statemachine/documents_fuzz_test.go
@@ -20,15 +20,15 @@
 		kind := policy.Kinds[int(pick)%len(policy.Kinds)]
 		state := NewState()
 		state.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
-		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Stamp(), state.Documents[kind].Body) }
+		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Summary(), state.Documents[kind].Body) }
 		command := Command{Kind: CommandDocument, Subject: string(kind), Body: body}
 		before := stands()
 		if len(body) == 0 {
 			return
 		}
-		if result := state.Apply(2, command, 0); result.Problem != "" {
+		if result := state.Apply(2, command, 0); result.Err != nil {
 			if stands() != before {
-				t.Fatalf("refused with %s, and changed", result.Problem)
+				t.Fatalf("refused with %s, and changed", result.Err)
 			}
 			return
 		}
@@ -36,10 +36,10 @@
 		if version+1 > version {
 			state.Apply(3, Command{Kind: CommandDocument, Subject: string(kind), Number: version + 1}, 0)
 		}
-		state = thawed(t, state)
+		state = restored(t, state)
 		after := stands()
-		if result := state.Apply(4, command, 0); result.Problem != "" || stands() != after {
-			t.Fatalf("version %d sent again: %q", version, result.Problem)
+		if result := state.Apply(4, command, 0); result.Err != nil || stands() != after {
+			t.Fatalf("version %d sent again: %q", version, result.Err)
 		}
 	})
 }
--- a/internal/statemachine/export_test.go
+++ b/internal/statemachine/export_test.go
@@ -1,4 +1,4 @@
 package statemachine
 
 // SnapshotFormat is the form of a stored state.
-type SnapshotFormat = frozen
+type SnapshotFormat = snapshotFormat
--- a/internal/statemachine/fixtures_test.go
+++ b/internal/statemachine/fixtures_test.go
@@ -21,7 +21,7 @@
 )
 
 func TestStoredSnapshotsAreReadAsTheyWere(t *testing.T) {
-	wiretest.Check(t, []wiretest.Fixture{{Name: "snapshot_state", Value: statemachine.SnapshotFormat(storedstate.Filled())}})
+	wiretest.Check(t, []wiretest.Fixture{{Name: "snapshot_state", Value: wiretest.DecodeGob(t, wiretest.EncodeGob(t, storedstate.Filled()), statemachine.SnapshotFormat{})}})
 }
 
 // Numbers that are stored are the ones that were.
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestScribe(t *testing.T) {
+func TestCommandsAreDecodedAsEncoded(t *testing.T) {
 	commands := []Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpireClaims, Number: 77}}
 	read, err := DecodeCommands(EncodeCommands(commands))
 	if err != nil || len(read) != 3 || read[0].Claim != commands[0].Claim || string(read[1].Body) != "{}" || read[2].Number != 77 {
@@ -19,19 +19,19 @@
 	}
 }
 
-func TestStateKeys(t *testing.T) {
+func TestAKeyIsGrantedToItsFirstRequest(t *testing.T) {
 	state := NewState()
 	claim := func(key, request string, at time.Duration) Result {
-		return state.Apply(1, Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: request, Holder: "h", Life: 1}}, at)
+		return state.Apply(1, Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: request, Holder: "h", Incarnation: 1}}, at)
 	}
 	if !claim("a", "r1", 0).Granted || claim("a", "r2", time.Second).Granted || !claim("a", "r1", time.Second).Granted {
 		t.Fatal("a key is granted to its first request alone, however often that asks")
 	}
-	state.Apply(2, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Life: 1}}, 0)
+	state.Apply(2, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Incarnation: 1}}, 0)
 	if claim("a", "r3", 0).Granted {
 		t.Fatal("only its own holder may free a key")
 	}
-	state.Apply(3, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Life: 1}}, 0)
+	state.Apply(3, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Incarnation: 1}}, 0)
 	if !claim("a", "r3", 5*time.Second).Granted {
 		t.Fatal("a freed key can be claimed")
 	}
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	thawed, err := Restore(data, 100*time.Second)
-	if err != nil || thawed.ClaimCount() != 2 {
-		t.Fatalf("thawed %d claims, %v", thawed.ClaimCount(), err)
+	restored, err := Restore(data, 100*time.Second)
+	if err != nil || restored.ClaimCount() != 2 {
+		t.Fatalf("restored %d claims, %v", restored.ClaimCount(), err)
 	}
-	if thawed.ExpiredClaims(159*time.Second, 60*time.Second) != 0 || thawed.ExpiredClaims(161*time.Second, 60*time.Second) == 0 {
+	if restored.ExpiredClaims(159*time.Second, 60*time.Second) != 0 || restored.ExpiredClaims(161*time.Second, 60*time.Second) == 0 {
 		t.Fatal("after a restart ages count from the restart")
 	}
 }
--- a/internal/testutil/storedstate/storedstate.go
+++ b/internal/testutil/storedstate/storedstate.go
@@ -56,12 +56,12 @@
 	{Kind: statemachine.CommandBind, Subject: "pay", Number: uint64(5 * time.Minute), Claim: statemachine.Claim{Key: "session-1", Request: "pay-2", Holder: "pay-1"}},
 	{Kind: statemachine.CommandBind, Subject: "pay", Number: uint64(time.Minute), Claim: statemachine.Claim{Key: "session-3", Request: "pay-2"}},
 	{Kind: statemachine.CommandUnbind, Number: 4, Claim: statemachine.Claim{Key: "session-3"}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-0", Request: "digest-0", Holder: "node-1", Life: 1 << 40}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-1", Request: "digest-1", Holder: "node-1", Life: 1 << 40}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Life: 7}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-3", Request: "digest-3", Holder: "node-2", Life: 7}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-0", Request: "digest-0", Holder: "node-1", Incarnation: 1 << 40}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-1", Request: "digest-1", Holder: "node-1", Incarnation: 1 << 40}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Incarnation: 7}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-3", Request: "digest-3", Holder: "node-2", Incarnation: 7}},
 	{Kind: statemachine.CommandExpireClaims, Number: 5},
-	{Kind: statemachine.CommandReleaseClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Life: 7}},
+	{Kind: statemachine.CommandReleaseClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Incarnation: 7}},
 	{Kind: statemachine.CommandBarrier},
 }
 
@@ -82,7 +82,7 @@
 			{Name: "name", JSON: `"acme"`}, {Name: "version", JSON: `2`}, {Name: "hostnames", JSON: `["shop.example"]`}, {Name: "rate", JSON: `12.5`}, {Name: "burst", JSON: `50`},
 		}},
 	},
-	Evacuations: map[string]statemachine.Evacuation{"east-1": {Site: "east-1", Active: true, Rev: 4}, "west-1": {Site: "west-1", Rev: 6}},
+	Evacuations: map[string]Evacuation{"east-1": {Site: "east-1", Active: true, Rev: 4}, "west-1": {Site: "west-1", Rev: 6}},
 	Documents: map[policy.Kind]policy.Document{
 		"drain-policy":     {Kind: "drain-policy", Version: 2, Body: Documents["drain-policy"], Rev: 8},
 		"day-plan":         {Kind: "day-plan", Version: 3, Body: Documents["day-plan"], Rev: 9},
@@ -95,11 +95,11 @@
 		"book-1": {Server: "book-1", Service: "book", By: "operator", Announced: 15, Rev: 16, Gone: true},
 	},
 	Move: rpc.ScheduleStep{Version: 3, Count: 1, Instant: 1800000000, Rev: 17, Targets: []rpc.ScheduleTarget{{Host: "shop.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 750}, {Region: "west", Weight: 250}}}}},
-	Bindings: map[rpc.SessionID]statemachine.Binding{
+	Bindings: map[rpc.SessionID]Binding{
 		"session-1": {Service: "pay", Server: "pay-2", Idle: 5 * time.Minute, Seq: 3},
 		"session-2": {Service: "pay", Server: "pay-1", Idle: 10 * time.Minute, Seq: 2},
 	},
-	Claims: []statemachine.Claim{{Key: "key-1", Request: "digest-1", Holder: "node-1", Life: 1 << 40}, {Key: "key-3", Request: "digest-3", Holder: "node-2", Life: 7}},
+	Claims: []Claim{{Key: "key-1", Request: "digest-1", Holder: "node-1", Life: 1 << 40}, {Key: "key-3", Request: "digest-3", Holder: "node-2", Life: 7}},
 	Seqs:   []uint64{6, 8}, Seq: 8, Rev: 17,
 	Columns: map[config.Set][]string{
 		"limits":   {"version", "max_header_bytes", "idle_timeout"},
@@ -116,12 +116,12 @@
 // Form has the fields of a snapshot's state, by the names that are stored.
 type Form struct {
 	Canon       []config.Item
-	Evacuations map[string]statemachine.Evacuation
+	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
 	Retired     map[rpc.EndpointID]rpc.Retirement
 	Move        rpc.ScheduleStep
-	Bindings    map[rpc.SessionID]statemachine.Binding
-	Claims      []statemachine.Claim
+	Bindings    map[rpc.SessionID]Binding
+	Claims      []Claim
 	Seqs        []uint64
 	Seq, Rev    uint64
 	Columns     map[config.Set][]string
@@ -129,16 +129,38 @@
 	Orders      dedup.Snapshot
 }
 
+// The parts of a stored state that are no types of other packages.
+type (
+	// Evacuation is that of one zone.
+	Evacuation struct {
+		Site   string
+		Active bool
+		Rev    uint64
+	}
+	// Binding is that of one session.
+	Binding struct {
+		Service rpc.ServiceName
+		Server  rpc.EndpointID
+		Idle    time.Duration
+		Seq     uint64
+	}
+	// Claim is that of one operation key.
+	Claim struct {
+		Key, Request, Holder string
+		Life                 uint64
+	}
+)
+
 // OlderForm is a snapshot's state as versions wrote it that knew neither columns
 // nor records of orders.
 type OlderForm struct {
 	Canon       []config.Item
-	Evacuations map[string]statemachine.Evacuation
+	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
 	Retired     map[rpc.EndpointID]rpc.Retirement
 	Move        rpc.ScheduleStep
-	Bindings    map[rpc.SessionID]statemachine.Binding
-	Claims      []statemachine.Claim
+	Bindings    map[rpc.SessionID]Binding
+	Claims      []Claim
 	Seqs        []uint64
 	Seq, Rev    uint64
 }
@@ -175,7 +197,7 @@
 		text := func(what string) string { return what + "-" + string(rune('a'+kind-1)) }
 		commands = append(commands, statemachine.Command{
 			Kind: kind, Body: []byte(text("body\x00\xff")), Subject: text("site"), Number: 1<<63 + uint64(kind),
-			Claim: statemachine.Claim{Key: text("key"), Request: text("request"), Holder: text("holder"), Life: 300 * uint64(kind)},
+			Claim: statemachine.Claim{Key: text("key"), Request: text("request"), Holder: text("holder"), Incarnation: 300 * uint64(kind)},
 		})
 	}
 	return commands
@@ -186,8 +208,8 @@
 	t.Helper()
 	state = statemachine.NewState()
 	for i, command := range commands {
-		if result := state.Apply(uint64(i+2), command, 0); result.Problem != "" {
-			t.Fatalf("command %d: %s", i, result.Problem)
+		if result := state.Apply(uint64(i+2), command, 0); result.Err != nil {
+			t.Fatalf("command %d: %s", i, result.Err)
 		}
 	}
 	return state
