--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -13,8 +13,8 @@
 func (h *StatusHandler) Trace(request rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	c := h.controller
 	reply.Name = c.settings.Name
-	for _, told := range c.node.History.Changes(history.Subject{Kind: request.Kind, Name: request.Name}) {
-		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.Action, Summary: told.State, LogIndex: told.Revision, Age: told.Age})
+	for _, change := range c.node.History.Changes(history.Subject{Kind: request.Kind, Name: request.Name}) {
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: change.Action, Summary: change.State, LogIndex: change.Revision, Age: change.Age})
 	}
 	switch request.Kind {
 	case history.Item, history.Document, history.Retirement, history.ScheduleStep, history.Evacuation:
@@ -24,17 +24,17 @@
 	default:
 		// Only the leader knows backends and their health.
 		if current := c.nodeCalls.Coordinator(); current != nil {
-			stamp, has := current.CurrentStamp(request.Kind, rpc.EndpointID(request.Name))
+			summary, has := current.CurrentSummary(request.Kind, rpc.EndpointID(request.Name))
 			if c.nodeCalls.ConfirmLeadership(current) {
-				reply.Summary, reply.Present = stamp, has
+				reply.Summary, reply.Present = summary, has
 			}
 		}
 	}
 	return nil
 }
 
-// traceState gives the stamp and revision of a subject in the replicated state.
-func traceState(state *raft.State, request rpc.TraceRequest) (stamp string, revision uint64, has bool) {
+// traceState gives the summary and log index of a subject in the replicated state.
+func traceState(state *raft.State, request rpc.TraceRequest) (summary string, logIndex uint64, has bool) {
 	switch request.Kind {
 	case history.Item:
 		var item config.Item
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -34,8 +34,8 @@
 	// changed is closed and replaced whenever open heartbeats should look again.
 	changed chan struct{}
 
-	// clock numbers the changes of the tables that updates are made from.
-	clock     *registry.RevisionCounter
+	// revisions numbers the changes of the tables that updates are made from.
+	revisions *registry.RevisionCounter
 	nodes     nodeTable
 	endpoints *registry.EndpointList
 	health    *healthcheck.StateCache
@@ -43,7 +43,7 @@
 	// view and revision are the replicated configuration as last read,
 	// evacuatedZones what is evacuated by it.
 	view           *config.View
-	revision       uint64
+	logIndex       uint64
 	evacuatedZones map[rpc.ZoneName]bool
 
 	encoded     encodedParts
@@ -69,15 +69,15 @@
 
 // newCoordinator is one whose loops do not run.
 func newCoordinator(p settings.Settings, log *eventlog.Logger, term rpc.Term) (c *Coordinator) {
-	clock := &registry.RevisionCounter{}
-	clock.Next()
+	revisions := &registry.RevisionCounter{}
+	revisions.Next()
 	return &Coordinator{
 		settings: p, log: log, term: term, started: time.Now(),
 		changed: make(chan struct{}), closed: make(chan struct{}),
-		clock:          clock,
-		nodes:          newNodeTable(clock, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
-		endpoints:      registry.NewEndpointList(clock),
-		health:         healthcheck.NewStateCache(clock, 3*p.HealthCheckInterval+time.Second),
+		revisions:      revisions,
+		nodes:          newNodeTable(revisions, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
+		endpoints:      registry.NewEndpointList(revisions),
+		health:         healthcheck.NewStateCache(revisions, 3*p.HealthCheckInterval+time.Second),
 		view:           config.New().View(),
 		evacuatedZones: map[rpc.ZoneName]bool{},
 		outcomes:       newOutcomeRelay(),
@@ -108,8 +108,8 @@
 	var view *config.View
 	active := map[rpc.ZoneName]bool{}
 	c.node.ReadState(func(state *raft.State) {
-		if state.Rev != c.revision {
-			c.revision = state.Rev
+		if state.Rev != c.logIndex {
+			c.logIndex = state.Rev
 			view = state.Canon.View()
 			c.policies.load(state)
 			c.sessions.load(state)
@@ -135,12 +135,12 @@
 // suspectWarmUp treats the backends of a zone that takes traffic again as
 // possibly warming up: they may have restarted while nobody looked.
 func (c *Coordinator) suspectWarmUp(zone rpc.ZoneName) {
-	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
-		if server.Zone != zone {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
+		if endpoint.Zone != zone {
 			return
 		}
-		if service := c.view.Services[string(server.Service)]; service != nil {
-			c.health.Suspect(c.now(), id, server.Service, service.Cold)
+		if service := c.view.Services[string(endpoint.Service)]; service != nil {
+			c.health.Suspect(c.now(), id, endpoint.Service, service.Cold)
 		}
 	})
 }
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -17,12 +17,12 @@
 	// policy is nil where none is in force.
 	policy   *drain.Policy
 	retired  map[rpc.EndpointID]rpc.Retirement
-	tracker  *drain.Planner
+	planner  *drain.Planner
 	statuses []drain.RetirementStatus
 }
 
 func newDrainState() (d drainState) {
-	return drainState{retired: map[rpc.EndpointID]rpc.Retirement{}, tracker: drain.NewPlanner()}
+	return drainState{retired: map[rpc.EndpointID]rpc.Retirement{}, planner: drain.NewPlanner()}
 }
 
 func (d *drainState) load(state *raft.State) {
@@ -50,9 +50,9 @@
 		return commands
 	}
 	// Under a policy, backends that the platform drains are retired as well.
-	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
-		if _, retired := d.retired[id]; server.Draining && !retired {
-			commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
+		if _, retired := d.retired[id]; endpoint.Draining && !retired {
+			commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(endpoint.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
 		}
 	})
 	return commands
@@ -73,7 +73,7 @@
 		list = append(list, retired)
 	}
 	var stops []rpc.EndpointID
-	stops, d.statuses = d.tracker.Plan(now, d.policy, list, c.listFollowers(now), c.stockOf)
+	stops, d.statuses = d.planner.Plan(now, d.policy, list, c.listFollowers(now), c.stockOf)
 	for _, id := range stops {
 		commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 	}
@@ -102,14 +102,14 @@
 func (c *Coordinator) ValidateRetirement(id rpc.EndpointID) (service rpc.ServiceName, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	server, listed := c.endpoints.Endpoints.Get(id)
+	endpoint, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
 		return "", policy.Class.Wrap(fmt.Errorf("backend %q is %w", id, ErrUnknownBackend))
 	}
-	if stock := c.stockOf(server.Service); stock.Usable <= 1 {
-		return "", policy.Class.New("backend %q is the last of service %q that is useful", id, server.Service)
+	if stock := c.stockOf(endpoint.Service); stock.Usable <= 1 {
+		return "", policy.Class.New("backend %q is the last of service %q that is useful", id, endpoint.Service)
 	}
-	return server.Service, nil
+	return endpoint.Service, nil
 }
 
 // RetirementStatus gives how each retirement stands.
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -28,13 +28,13 @@
 	pause := time.Duration(float64(time.Second) / max(c.settings.PlatformRate*leaderRateShare, minPlatformRate))
 	for {
 		begun := time.Now()
-		servers, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Endpoint) { c.mergeEndpoints(page, false) })
+		endpoints, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Endpoint) { c.mergeEndpoints(page, false) })
 		interval := listInterval(c.settings.EndpointListInterval, pause, pages)
 		if err != nil {
 			c.log.Emit(eventlog.EndpointListFailed, eventlog.KeyError, err.Error())
 			interval = max(interval/2, time.Duration(pages)*pause)
 		} else {
-			c.mergeEndpoints(servers, true)
+			c.mergeEndpoints(endpoints, true)
 		}
 		select {
 		case <-c.closed:
@@ -53,28 +53,28 @@
 
 // mergeEndpoints takes up one page of the list, or all of a complete walk. Only
 // a complete walk can tell that a backend is gone.
-func (c *Coordinator) mergeEndpoints(servers []rpc.Endpoint, complete bool) {
+func (c *Coordinator) mergeEndpoints(endpoints []rpc.Endpoint, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before, first := c.clock.Current(), !c.endpoints.Complete
+	before, first := c.revisions.Current(), !c.endpoints.Complete
 	var changed bool
 	var added []rpc.Endpoint
 	if complete {
-		changed = c.endpoints.FinishWalk(servers)
+		changed = c.endpoints.FinishWalk(endpoints)
 	} else {
-		changed, added = c.endpoints.ApplyPage(servers)
+		changed, added = c.endpoints.ApplyPage(endpoints)
 	}
-	c.endpoints.Endpoints.Since(before, func(id rpc.EndpointID, server rpc.Endpoint, gone bool) {
-		stamp := server.Summary()
+	c.endpoints.Endpoints.Since(before, func(id rpc.EndpointID, endpoint rpc.Endpoint, gone bool) {
+		summary := endpoint.Summary()
 		if gone {
-			stamp = "gone"
+			summary = "gone"
 		}
-		c.history.Record(history.Backend, string(id), "listed", stamp, 0, first)
+		c.history.Record(history.Backend, string(id), "listed", summary, 0, first)
 	})
 	now := c.now()
-	for _, server := range added {
-		if server.WarmupRemaining > 0 {
-			c.health.Suspect(now, server.ID, server.Service, server.WarmupRemaining)
+	for _, endpoint := range added {
+		if endpoint.WarmupRemaining > 0 {
+			c.health.Suspect(now, endpoint.ID, endpoint.Service, endpoint.WarmupRemaining)
 		}
 	}
 	if changed {
@@ -128,10 +128,10 @@
 		}
 	}
 	request.States = listed
-	before := c.clock.Current()
+	before := c.revisions.Current()
 	taken, changed := c.health.Report(c.now(), request, absent)
 	c.health.States.Since(before, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) {
-		c.history.Record(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.clock.Current()), true)
+		c.history.Record(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.revisions.Current()), true)
 	})
 	if changed {
 		c.wakeHeartbeats()
--- a/internal/coordinator/followers.go
+++ b/internal/coordinator/followers.go
@@ -14,7 +14,7 @@
 
 // follower is how far one node follows the agreed state, by its last heartbeat.
 type follower struct {
-	revision  uint64
+	logIndex  uint64
 	lastHeard time.Duration
 }
 
@@ -34,12 +34,12 @@
 
 // observe notes how far a node follows, by its own heartbeat.
 func (t *followerTable) observe(now time.Duration, request rpc.HeartbeatRequest) {
-	revision := request.LogIndex
-	if request.LastItem != rpc.AfterAllItems && revision > 0 {
+	logIndex := request.LogIndex
+	if request.LastItem != rpc.AfterAllItems && logIndex > 0 {
 		// It has the items of that revision only in part.
-		revision--
+		logIndex--
 	}
-	t.byNode[request.ID] = follower{revision, now}
+	t.byNode[request.ID] = follower{logIndex, now}
 	t.knownNodes = max(t.knownNodes, request.KnownNodes)
 	if request.Stopping {
 		delete(t.byNode, request.ID)
@@ -57,7 +57,7 @@
 			delete(t.loadByNode, id)
 			continue
 		}
-		followers = append(followers, drain.Follower{ID: id, Revision: known.revision, Connected: connected(id)})
+		followers = append(followers, drain.Follower{ID: id, Revision: known.logIndex, Connected: connected(id)})
 	}
 	// Those that older leaders knew of and this one has not heard yet.
 	for len(followers) < t.knownNodes && now < rememberNode {
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -64,7 +64,7 @@
 	c.node, c.endpoints.Complete = &raft.Node{}, true
 	handler.SetCoordinator(c)
 	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", InternalAddress: "e:1", Ready: true}, MaxWait: time.Minute}
-	request.Term, request.Revision, request.LastItem, request.EndpointsComplete = 7, c.clock.Current()+8, rpc.AfterAllItems, true
+	request.Term, request.Revision, request.LastItem, request.EndpointsComplete = 7, c.revisions.Current()+8, rpc.AfterAllItems, true
 	done := make(chan rpc.Update)
 	go func() {
 		var update rpc.Update
@@ -77,8 +77,8 @@
 	}
 	leadership.lost.Store(true)
 	c.mu.Lock()
-	for c.clock.Current() <= request.Revision {
-		c.clock.Next()
+	for c.revisions.Current() <= request.Revision {
+		c.revisions.Next()
 	}
 	c.wakeHeartbeats()
 	c.mu.Unlock()
--- a/internal/coordinator/heartbeat.go
+++ b/internal/coordinator/heartbeat.go
@@ -20,7 +20,7 @@
 )
 
 // Heartbeat notes a node's heartbeat and fills the update once there is
-// something to tell, or when the heartbeat was held long enough. It leaves the
+// something to send, or when the heartbeat was held long enough. It leaves the
 // update empty where the term ended meanwhile.
 func (c *Coordinator) Heartbeat(request rpc.HeartbeatRequest, update *rpc.Update) (err error) {
 	if err = validateHeartbeat(request); err != nil {
@@ -60,19 +60,19 @@
 	if joined {
 		c.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(request.ID), eventlog.KeyIncarnation, uint64(request.Incarnation))
 	}
-	// Other nodes are told with the next reconciliation: after a change of
+	// Other nodes are notified with the next reconciliation: after a change of
 	// leader all nodes come at once, and each would wake all the others.
 	c.nodes.pending = c.nodes.pending || changed || joined
 	c.relayOutcomes(request)
 	c.followers.observe(c.now(), request)
 }
 
-// updateDue tells whether there is something to tell; the caller holds mu.
+// updateDue tells whether there is something to send; the caller holds mu.
 func (c *Coordinator) updateDue(request rpc.HeartbeatRequest) bool {
 	switch {
 	case request.Term != c.term, request.MaxWait <= 0:
 		return true
-	case request.Revision < c.clock.Current(), c.lacksItems(request.KnownState):
+	case request.Revision < c.revisions.Current(), c.lacksItems(request.KnownState):
 		return true
 	}
 	return !request.EndpointsComplete && c.endpoints.Complete
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -77,15 +77,15 @@
 
 // grantWarmUp gives a node its share of the rate of a backend that is warming up.
 func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.NodeID, id rpc.EndpointID) (lease rpc.Lease, granted bool) {
-	server, listed := c.endpoints.Endpoints.Get(id)
-	if !listed || server.Draining || c.health.WarmupUntil(id)+time.Second < now {
+	endpoint, listed := c.endpoints.Endpoints.Get(id)
+	if !listed || endpoint.Draining || c.health.WarmupUntil(id)+time.Second < now {
 		return lease, false
 	}
-	service := c.warmUpLimited(server)
+	service := c.warmUpLimited(endpoint)
 	if service == nil {
 		return lease, false
 	}
-	shares, sharers := c.nodes.sharesWarmUp(node, server, service.ColdRate, c.settings.ZoneRegions)
+	shares, sharers := c.nodes.sharesWarmUp(node, endpoint, service.ColdRate, c.settings.ZoneRegions)
 	if !shares {
 		return lease, false
 	}
@@ -95,8 +95,8 @@
 
 // warmUpLimited gives a backend's service where that limits the rate of backends
 // that are warming up, else nil.
-func (c *Coordinator) warmUpLimited(server rpc.Endpoint) (service *config.Service) {
-	service = c.view.Services[string(server.Service)]
+func (c *Coordinator) warmUpLimited(endpoint rpc.Endpoint) (service *config.Service) {
+	service = c.view.Services[string(endpoint.Service)]
 	if service == nil || service.ColdRate <= 0 {
 		return nil
 	}
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -18,13 +18,13 @@
 // computed once a change, so that a heartbeat costs nothing that grows with the
 // fleet.
 type nodeTable struct {
-	clock    *registry.RevisionCounter
-	registry *registry.NodeRegistry
+	revisions *registry.RevisionCounter
+	registry  *registry.NodeRegistry
 	// pending tells that a heartbeat changed the registry since the last refresh.
 	pending bool
 
-	shardMap      rpc.ShardMap
-	shardMapEpoch rpc.Revision
+	shardMap         rpc.ShardMap
+	shardMapRevision rpc.Revision
 	// members holds those of the shard map, for updates by difference.
 	members *registry.ChangeLog[rpc.NodeID, bool]
 	// absent lists nodes in the shard map that are not heard, or are stopping.
@@ -35,10 +35,10 @@
 	nearestByZone map[rpc.ZoneName][]rpc.NodeID
 }
 
-func newNodeTable(clock *registry.RevisionCounter, bounds registry.NodeTimeouts) (t nodeTable) {
+func newNodeTable(revisions *registry.RevisionCounter, bounds registry.NodeTimeouts) (t nodeTable) {
 	return nodeTable{
-		clock: clock, registry: registry.NewNodeRegistry(clock, bounds),
-		members:       registry.NewChangeLog[rpc.NodeID, bool](clock),
+		revisions: revisions, registry: registry.NewNodeRegistry(revisions, bounds),
+		members:       registry.NewChangeLog[rpc.NodeID, bool](revisions),
 		nearestByZone: map[rpc.ZoneName][]rpc.NodeID{},
 	}
 }
@@ -61,7 +61,7 @@
 func (c *Coordinator) refreshNodes() {
 	if c.nodes.refresh(c.term) {
 		c.health.SetShardMap(c.nodes.shardMap)
-		c.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(c.nodes.shardMapEpoch), eventlog.KeyMembers, len(c.nodes.shardMap.Members))
+		c.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(c.nodes.shardMapRevision), eventlog.KeyMembers, len(c.nodes.shardMap.Members))
 	}
 	c.outcomes.forgetOwners()
 }
@@ -81,8 +81,8 @@
 	}
 	if absent := t.registry.Absent(); !slices.Equal(absent, t.absent) {
 		t.absent = absent
-		// A new epoch, so that all open heartbeats are told.
-		t.clock.Next()
+		// A new revision, so that all open heartbeats are answered.
+		t.revisions.Next()
 	}
 	return mapChanged
 }
@@ -98,25 +98,25 @@
 			t.members.Remove(member)
 		}
 	}
-	// The epochs of all changes that made this map lie after the last map's
-	// epoch and before this one's.
-	t.shardMapEpoch = t.clock.Next()
-	t.shardMap = rpc.ShardMap{Term: term, Revision: t.shardMapEpoch, Members: members}
+	// The revisions of all changes that made this map lie after the last map's
+	// revision and before this one's.
+	t.shardMapRevision = t.revisions.Next()
+	t.shardMap = rpc.ShardMap{Term: term, Revision: t.shardMapRevision, Members: members}
 }
 
 // addShardMap adds to an update what changed of the shard map, or all of it for
 // a node that knows none.
-func (t *nodeTable) addShardMap(seen rpc.KnownState, update *rpc.Update) {
-	if update.Full || seen.ShardMapRevision == 0 {
+func (t *nodeTable) addShardMap(known rpc.KnownState, update *rpc.Update) {
+	if update.Full || known.ShardMapRevision == 0 {
 		shardMap := t.shardMap
 		update.ShardMap = &shardMap
 		return
 	}
-	if t.shardMapEpoch <= seen.ShardMapRevision {
+	if t.shardMapRevision <= known.ShardMapRevision {
 		return
 	}
-	delta := &rpc.ShardMapDelta{BaseRevision: seen.ShardMapRevision, Revision: t.shardMapEpoch}
-	t.members.Since(seen.ShardMapRevision, func(id rpc.NodeID, _ bool, gone bool) {
+	delta := &rpc.ShardMapDelta{BaseRevision: known.ShardMapRevision, Revision: t.shardMapRevision}
+	t.members.Since(known.ShardMapRevision, func(id rpc.NodeID, _ bool, gone bool) {
 		if gone {
 			delta.Removed = append(delta.Removed, id)
 		} else {
@@ -159,15 +159,15 @@
 // that is warming up is split between, and how many they are: those of the
 // nearest nodes that rank highest for it, as they do for its ordinary use, so
 // that the load of many such backends is spread.
-func (t *nodeTable) sharesWarmUp(node rpc.NodeID, server rpc.Endpoint, rate float64, regions map[string]string) (shares bool, sharers int) {
-	nearest := t.nearest(server.Zone, regions)
+func (t *nodeTable) sharesWarmUp(node rpc.NodeID, endpoint rpc.Endpoint, rate float64, regions map[string]string) (shares bool, sharers int) {
+	nearest := t.nearest(endpoint.Zone, regions)
 	sharers = min(len(nearest), max(1, int(rate/ratePerSharer)))
-	rank := healthcheck.Rank(string(node), string(server.ID))
+	rank := healthcheck.Rank(string(node), string(endpoint.ID))
 	isNear, before := false, 0
 	for _, id := range nearest {
 		if id == node {
 			isNear = true
-		} else if healthcheck.Rank(string(id), string(server.ID)) < rank {
+		} else if healthcheck.Rank(string(id), string(endpoint.ID)) < rank {
 			before++
 		}
 	}
--- a/internal/coordinator/outcomes.go
+++ b/internal/coordinator/outcomes.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if row.Endpoint != "" {
-			if server, listed := c.endpoints.Endpoints.Get(row.Endpoint); !listed || server.Service != row.Service {
+			if endpoint, listed := c.endpoints.Endpoints.Get(row.Endpoint); !listed || endpoint.Service != row.Service {
 				continue
 			}
 		}
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -36,7 +36,7 @@
 // that it was written at.
 type retryState struct {
 	limit    *retry.Policy
-	revision uint64
+	logIndex uint64
 }
 
 func newPolicies() (p policies) {
@@ -54,7 +54,7 @@
 	r.limit = nil
 	if document := state.Documents[policy.RetryLimit]; document.InForce() {
 		r.limit, _ = retry.Parse([]byte(document.Body))
-		r.revision = document.Rev
+		r.logIndex = document.Rev
 	}
 }
 
@@ -99,12 +99,12 @@
 
 // eachBackend visits the listed backends of a service. Useful ones are neither
 // draining nor down nor stopped by a retirement.
-func (c *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Endpoint, useful bool)) {
-	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
-		if server.Service != service {
+func (c *Coordinator) eachBackend(service rpc.ServiceName, visit func(endpoint rpc.Endpoint, useful bool)) {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
+		if endpoint.Service != service {
 			return
 		}
 		state, _ := c.health.States.Get(id)
-		visit(server, !server.Draining && state.Health != rpc.Unhealthy && !c.policies.drain.stopped(id))
+		visit(endpoint, !endpoint.Draining && state.Health != rpc.Unhealthy && !c.policies.drain.stopped(id))
 	})
 }
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -36,7 +36,7 @@
 	followers, missing, everywhere := 0, []string{}, true
 	nodes := c.listFollowers(now)
 	for _, node := range nodes {
-		if node.Revision >= c.policies.retry.revision {
+		if node.Revision >= c.policies.retry.logIndex {
 			followers++
 			continue
 		}
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -88,13 +88,13 @@
 
 // addStock adds the backends of a service to those of their regions.
 func (c *Coordinator) addStock(service rpc.ServiceName, state *schedule.State) {
-	c.eachBackend(service, func(server rpc.Endpoint, useful bool) {
-		region := c.regionOf(server.Zone)
+	c.eachBackend(service, func(endpoint rpc.Endpoint, useful bool) {
+		region := c.regionOf(endpoint.Zone)
 		stock := state.Stock[region]
 		stock.Listed++
-		if useful && !c.evacuatedZones[server.Zone] {
+		if useful && !c.evacuatedZones[endpoint.Zone] {
 			stock.Useful++
-			stock.Slots += max(1, server.Slots)
+			stock.Slots += max(1, endpoint.Slots)
 		}
 		state.Stock[region] = stock
 	})
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -86,7 +86,7 @@
 
 // validateBind checks one request for a binding; the caller holds mu.
 func (c *Coordinator) validateBind(bind rpc.SessionBinding) (err error) {
-	server, listed := c.endpoints.Endpoints.Get(bind.Endpoint)
+	endpoint, listed := c.endpoints.Endpoints.Get(bind.Endpoint)
 	_, ruled := c.sessions.policy.RuleFor(bind.Service)
 	switch {
 	case !affinity.ValidID(bind.Session):
@@ -97,7 +97,7 @@
 		return errLongName
 	case c.view.Services[string(bind.Service)] == nil || !ruled:
 		return errors.New("no affinity rule for the service")
-	case !listed || server.Service != bind.Service || server.Draining:
+	case !listed || endpoint.Service != bind.Service || endpoint.Draining:
 		return errors.New("the backend is not one that may be bound")
 	}
 	return nil
@@ -106,14 +106,14 @@
 // backendEnded tells whether and why a session may not stay on a backend; the
 // caller holds mu.
 func (c *Coordinator) backendEnded(now time.Duration, id rpc.EndpointID, service rpc.ServiceName) (ended bool, why string) {
-	server, listed := c.endpoints.Endpoints.Get(id)
+	endpoint, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
 		return c.endpoints.Complete, "gone"
 	}
-	if server.Draining {
+	if endpoint.Draining {
 		return true, "leaving"
 	}
-	if c.evacuatedZones[server.Zone] {
+	if c.evacuatedZones[endpoint.Zone] {
 		return true, "evacuated"
 	}
 	if !c.policies.drain.stopped(id) {
@@ -174,12 +174,12 @@
 		var standing raft.Binding
 		var bound bool
 		c.node.ReadState(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
+		endpoint, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
 		if answered {
-			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
+			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: endpoint}
 			continue
 		}
 		proposals.indexes = append(proposals.indexes, i)
--- a/internal/coordinator/shardmap_test.go
+++ b/internal/coordinator/shardmap_test.go
@@ -28,10 +28,10 @@
 			c.refreshNodes()
 		}
 		at := &nodes[rng.Intn(len(nodes))]
-		seen := at.seen
+		known := at.seen
 		for again := rng.Intn(2); again >= 0; again-- {
 			var update rpc.Update
-			c.nodes.addShardMap(seen, &update)
+			c.nodes.addShardMap(known, &update)
 			if update.ShardMap != nil {
 				at.m = *update.ShardMap
 			} else if delta := update.ShardMapDelta; delta != nil && delta.BaseRevision <= at.m.Revision && delta.Revision > at.m.Revision {
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -118,14 +118,14 @@
 	return grants
 }
 
-// CurrentStamp gives the stamp of a backend or of its health, by the kind of
+// CurrentSummary gives the summary of a backend or of its health, by the kind of
 // subject, and whether the leader knows it.
-func (c *Coordinator) CurrentStamp(kind string, id rpc.EndpointID) (stamp string, has bool) {
+func (c *Coordinator) CurrentSummary(kind string, id rpc.EndpointID) (summary string, has bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == history.Backend {
-		server, known := c.endpoints.Endpoints.Get(id)
-		return server.Summary(), known
+		endpoint, known := c.endpoints.Endpoints.Get(id)
+		return endpoint.Summary(), known
 	}
 	state, known := c.health.States.Get(id)
 	return c.health.WithRemainingWarmup(c.now(), state).Summary(), known
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -40,7 +40,7 @@
 type encodedParts struct {
 	// items are parts of the configuration, by where they begin.
 	items partCache[uint64, itemPosition, itemPart]
-	// nodes are compressed rows of the node registry, by the epoch known.
+	// nodes are compressed rows of the node registry, by the revision known.
 	nodes partCache[rpc.Revision, rpc.Revision, []byte]
 	// endpoints are pages of the endpoint list, by the id before them.
 	endpoints partCache[rpc.Revision, rpc.EndpointID, *rpc.EndpointChunk]
@@ -49,7 +49,7 @@
 // itemPosition is a position among the items in the order of their revisions
 // and paths.
 type itemPosition struct {
-	revision uint64
+	logIndex uint64
 	path     string
 }
 
@@ -64,9 +64,9 @@
 func (c *Coordinator) fillUpdate(request rpc.HeartbeatRequest, update *rpc.Update) {
 	now := c.now()
 	since := request.Revision
-	update.IsLeader, update.Term, update.Revision = true, c.term, c.clock.Current()
+	update.IsLeader, update.Term, update.Revision = true, c.term, c.revisions.Current()
 	if request.Term != c.term {
-		// Epochs of another leader mean nothing here.
+		// Revisions of another leader mean nothing here.
 		since, update.Full = 0, true
 		update.Controllers = controllersOf(c.node)
 	}
@@ -93,30 +93,30 @@
 }
 
 // lacksItems tells whether a node lacks some of the configuration.
-func (c *Coordinator) lacksItems(seen rpc.KnownState) bool {
-	return seen.LogIndex < c.revision || seen.LastItem != rpc.AfterAllItems
+func (c *Coordinator) lacksItems(known rpc.KnownState) bool {
+	return known.LogIndex < c.logIndex || known.LastItem != rpc.AfterAllItems
 }
 
 // addItems adds the next part of what a node lacks of the configuration, and of
 // the other replicated state what is newer than the node knows.
-func (c *Coordinator) addItems(state *raft.State, seen rpc.KnownState, update *rpc.Update) {
-	part := c.itemPart(state, itemPosition{seen.LogIndex, seen.LastItem})
-	update.Items, update.CompressedItems, update.LogIndex, update.LastItem = part.items, part.packed, part.next.revision, part.next.path
+func (c *Coordinator) addItems(state *raft.State, known rpc.KnownState, update *rpc.Update) {
+	part := c.itemPart(state, itemPosition{known.LogIndex, known.LastItem})
+	update.Items, update.CompressedItems, update.LogIndex, update.LastItem = part.items, part.packed, part.next.logIndex, part.next.path
 	for _, document := range state.Documents {
-		if document.Rev >= seen.LogIndex {
+		if document.Rev >= known.LogIndex {
 			update.Documents = append(update.Documents, document)
 		}
 	}
 	for _, retired := range state.Retired {
-		if retired.Rev >= seen.LogIndex {
+		if retired.Rev >= known.LogIndex {
 			update.Retirements = append(update.Retirements, retired)
 		}
 	}
-	if move := state.Move; move.Rev >= seen.LogIndex && move.Rev > 0 {
+	if move := state.Move; move.Rev >= known.LogIndex && move.Rev > 0 {
 		update.ScheduleStep = &move
 	}
 	for _, evacuation := range state.Evacuations {
-		if evacuation.Rev >= seen.LogIndex {
+		if evacuation.Rev >= known.LogIndex {
 			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Zone: rpc.ZoneName(evacuation.Site), Active: evacuation.Active, LogIndex: evacuation.Rev})
 		}
 	}
@@ -136,10 +136,10 @@
 }
 
 func buildItemPart(state *raft.State, position itemPosition) (part itemPart) {
-	items, done := state.Canon.After(position.revision, position.path, itemPartBytes)
+	items, done := state.Canon.After(position.logIndex, position.path, itemPartBytes)
 	part = itemPart{items: items, next: position}
 	if done {
-		part.next = itemPosition{max(position.revision, state.Rev), rpc.AfterAllItems}
+		part.next = itemPosition{max(position.logIndex, state.Rev), rpc.AfterAllItems}
 	} else if last := len(items) - 1; last >= 0 {
 		part.next = itemPosition{items[last].Rev, items[last].Path()}
 	}
@@ -161,8 +161,8 @@
 	if request.Term != c.term || !request.EndpointsComplete && !c.endpoints.Complete {
 		return
 	}
-	c.endpoints.Endpoints.Since(request.Revision, func(_ rpc.EndpointID, server rpc.Endpoint, gone bool) {
-		update.Endpoints = append(update.Endpoints, rpc.EndpointChange{Endpoint: server, Removed: gone})
+	c.endpoints.Endpoints.Since(request.Revision, func(_ rpc.EndpointID, endpoint rpc.Endpoint, gone bool) {
+		update.Endpoints = append(update.Endpoints, rpc.EndpointChange{Endpoint: endpoint, Removed: gone})
 	})
 	c.health.States.Since(request.Revision, func(_ rpc.EndpointID, state rpc.EndpointState, gone bool) {
 		state = c.health.WithRemainingWarmup(now, state)
@@ -183,7 +183,7 @@
 // endpointPage gives the page after an id.
 func (c *Coordinator) endpointPage(now time.Duration, after rpc.EndpointID) (page *rpc.EndpointChunk) {
 	cache := &c.encoded.endpoints
-	cache.use(c.clock.Current())
+	cache.use(c.revisions.Current())
 	if page = cache.parts[after]; page != nil {
 		return page
 	}
@@ -206,8 +206,8 @@
 	slices.Sort(ids)
 	page = &rpc.EndpointChunk{After: after, Last: after, Complete: len(ids) <= pageRows}
 	for _, id := range ids[:min(len(ids), pageRows)] {
-		server, _ := c.endpoints.Endpoints.Get(id)
-		page.Endpoints = append(page.Endpoints, server)
+		endpoint, _ := c.endpoints.Endpoints.Get(id)
+		page.Endpoints = append(page.Endpoints, endpoint)
 		if state, known := c.health.States.Get(id); known {
 			page.States = append(page.States, c.health.WithRemainingWarmup(now, state))
 		}
@@ -219,7 +219,7 @@
 // addNodes adds what changed of the node registry; many rows are compressed.
 func (c *Coordinator) addNodes(since rpc.Revision, update *rpc.Update) {
 	cache := &c.encoded.nodes
-	cache.use(c.clock.Current())
+	cache.use(c.revisions.Current())
 	if packed, known := cache.parts[since]; known {
 		update.CompressedNodes = packed
 		return
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -21,8 +21,8 @@
 func newTestCoordinator() (c *Coordinator) {
 	c = newCoordinator(settings.Settings{}, eventlog.Discard(), 7)
 	c.history = history.New(eventlog.Discard())
-	c.nodes = newNodeTable(c.clock, registry.NodeTimeouts{Absent: time.Minute, Expired: time.Hour})
-	c.health = healthcheck.NewStateCache(c.clock, time.Minute)
+	c.nodes = newNodeTable(c.revisions, registry.NodeTimeouts{Absent: time.Minute, Expired: time.Hour})
+	c.health = healthcheck.NewStateCache(c.revisions, time.Minute)
 	c.leases = newLeaseTable(true)
 	return c
 }
@@ -32,24 +32,24 @@
 // changes meanwhile.
 func TestNodeThatJoinedBeforeTheListIsCompleteGetsAllOfIt(t *testing.T) {
 	c := newTestCoordinator()
-	server := func(id string) rpc.Endpoint {
+	endpoint := func(id string) rpc.Endpoint {
 		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1"}
 	}
-	c.mergeEndpoints([]rpc.Endpoint{server("a"), server("b")}, false)
+	c.mergeEndpoints([]rpc.Endpoint{endpoint("a"), endpoint("b")}, false)
 	if c.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true, States: []rpc.EndpointState{{Endpoint: "a", Health: rpc.Healthy}}}) {
 		t.Fatal("a report was taken before the list is complete, and would not be sent again")
 	}
 	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Ready: true}}
 	// Its first heartbeat made it known; this one brings no change of term.
-	request.Term, request.Revision, request.LastItem = 7, c.clock.Current(), rpc.AfterAllItems
+	request.Term, request.Revision, request.LastItem = 7, c.revisions.Current(), rpc.AfterAllItems
 	var first rpc.Update
 	c.fillUpdate(request, &first)
 	if first.EndpointChunk != nil || len(first.Endpoints) != 0 {
 		t.Fatalf("an incomplete list was sent: %+v", first)
 	}
-	walk := []rpc.Endpoint{server("a"), server("b")}
+	walk := []rpc.Endpoint{endpoint("a"), endpoint("b")}
 	for i := range 3*pageRows - 2 {
-		walk = append(walk, server(fmt.Sprintf("c-%03d", i)))
+		walk = append(walk, endpoint(fmt.Sprintf("c-%03d", i)))
 	}
 	c.mergeEndpoints(walk, false)
 	c.mergeEndpoints(walk, true)
@@ -79,14 +79,14 @@
 		request.Revision, request.LastEndpoint, request.EndpointsComplete = update.Revision, update.EndpointChunk.Last, update.EndpointChunk.Complete
 		if parts == 0 {
 			// One more that sorts before what was sent, and one that goes.
-			c.mergeEndpoints([]rpc.Endpoint{server("aa")}, false)
+			c.mergeEndpoints([]rpc.Endpoint{endpoint("aa")}, false)
 			c.endpoints.Endpoints.Remove("a")
 		}
 	}
 	if len(known) != 3*pageRows+1 || !known["aa"] || known["a"] {
 		t.Fatalf("%d backends are known, aa: %v, a: %v", len(known), known["aa"], known["a"])
 	}
-	c.mergeEndpoints([]rpc.Endpoint{server("d")}, false)
+	c.mergeEndpoints([]rpc.Endpoint{endpoint("d")}, false)
 	var last rpc.Update
 	c.fillUpdate(request, &last)
 	if last.EndpointChunk != nil || len(last.Endpoints) != 1 {
@@ -109,13 +109,13 @@
 	state := raft.NewState()
 	state.Canon, state.Rev = items, 5
 	c := newTestCoordinator()
-	c.revision = 5
+	c.logIndex = 5
 	sent := 0
 	known := map[string]bool{}
-	var seen rpc.KnownState
-	for parts := 0; c.lacksItems(seen); parts++ {
+	var position rpc.KnownState
+	for parts := 0; c.lacksItems(position); parts++ {
 		var update rpc.Update
-		c.addItems(state, seen, &update)
+		c.addItems(state, position, &update)
 		size := 0
 		items := update.Items
 		if update.CompressedItems != nil {
@@ -136,14 +136,14 @@
 		if size > itemPartBytes || parts > 100 {
 			t.Fatalf("part %d has %d bytes", parts, size)
 		}
-		seen.LogIndex, seen.LastItem = update.LogIndex, update.LastItem
+		position.LogIndex, position.LastItem = update.LogIndex, update.LastItem
 		sent++
 	}
 	if sent < 3 || len(c.encoded.items.parts) != sent {
 		t.Fatalf("sent in %d parts, %d of them kept for the next node", sent, len(c.encoded.items.parts))
 	}
-	if len(known) != 4001 || seen.LogIndex != 5 {
-		t.Fatalf("%d items sent, up to %d", len(known), seen.LogIndex)
+	if len(known) != 4001 || position.LogIndex != 5 {
+		t.Fatalf("%d items sent, up to %d", len(known), position.LogIndex)
 	}
 }
 
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -99,16 +99,16 @@
 	switch {
 	case request.Node == "" || !namesFit(string(request.Node), string(request.Service)):
 		return errBadName
-	case request.Term > c.term || request.Term == c.term && request.ShardMapRevision > c.nodes.shardMapEpoch:
+	case request.Term > c.term || request.Term == c.term && request.ShardMapRevision > c.nodes.shardMapRevision:
 		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.ShardMapRevision, request.Term)
 	}
 	for _, state := range request.States {
-		server, listed := c.endpoints.Endpoints.Get(state.Endpoint)
+		endpoint, listed := c.endpoints.Endpoints.Get(state.Endpoint)
 		switch {
 		case !namesFit(string(state.Endpoint), state.EjectedFor):
 			return errLongName
-		case listed && server.Service != request.Service:
-			return fmt.Errorf("findings on a backend of service %q", server.Service)
+		case listed && endpoint.Service != request.Service:
+			return fmt.Errorf("findings on a backend of service %q", endpoint.Service)
 		case state.Health > rpc.Unhealthy:
 			return fmt.Errorf("unknown health state %d", state.Health)
 		case state.WarmupRemaining < 0 || state.WarmupRemaining > maxWarmUp:
--- a/internal/coordinator/validate_test.go
+++ b/internal/coordinator/validate_test.go
@@ -51,12 +51,12 @@
 		c := newTestCoordinator()
 		request := good
 		spoil(&request)
-		epoch := c.clock.Current()
+		revision := c.revisions.Current()
 		var update rpc.Update
 		if err := c.Heartbeat(request, &update); !errors.As(err, new(*InvalidCallError)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if c.nodes.registry.Count() != 0 || c.clock.Current() != epoch || len(c.outcomes.pendingByOwner) != 0 || len(c.followers.byNode) != 0 || !reflect.DeepEqual(update, rpc.Update{}) {
+		if c.nodes.registry.Count() != 0 || c.revisions.Current() != revision || len(c.outcomes.pendingByOwner) != 0 || len(c.followers.byNode) != 0 || !reflect.DeepEqual(update, rpc.Update{}) {
 			t.Errorf("%s has changed something", name)
 		}
 	}
@@ -87,8 +87,8 @@
 		}
 		request := report()
 		spoil(&request)
-		epoch := c.clock.Current()
-		if c.Report(request) || c.clock.Current() != epoch {
+		revision := c.revisions.Current()
+		if c.Report(request) || c.revisions.Current() != revision {
 			t.Errorf("%s was taken", name)
 		}
 		if !c.Report(report()) {
--- a/internal/coordinator/zonebalance.go
+++ b/internal/coordinator/zonebalance.go
@@ -34,10 +34,10 @@
 // zone that has only others is there with none.
 func (c *Coordinator) slotsByZone(now time.Duration) (slots map[healthcheck.ServiceZone]float64) {
 	slots = map[healthcheck.ServiceZone]float64{}
-	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
-		place := healthcheck.ServiceZone{Service: server.Service, Zone: server.Zone}
-		if c.takesFullLoad(now, id, server) {
-			slots[place] += float64(max(1, server.Slots))
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
+		place := healthcheck.ServiceZone{Service: endpoint.Service, Zone: endpoint.Zone}
+		if c.takesFullLoad(now, id, endpoint) {
+			slots[place] += float64(max(1, endpoint.Slots))
 		} else {
 			slots[place] += 0
 		}
@@ -45,10 +45,10 @@
 	return slots
 }
 
-func (c *Coordinator) takesFullLoad(now time.Duration, id rpc.EndpointID, server rpc.Endpoint) bool {
+func (c *Coordinator) takesFullLoad(now time.Duration, id rpc.EndpointID, endpoint rpc.Endpoint) bool {
 	state, _ := c.health.States.Get(id)
 	switch {
-	case server.Draining, c.evacuatedZones[server.Zone], c.policies.drain.stopped(id):
+	case endpoint.Draining, c.evacuatedZones[endpoint.Zone], c.policies.drain.stopped(id):
 		return false
 	case state.Health == rpc.Unhealthy, state.EjectedFor != "", c.health.WarmupUntil(id) > now:
 		return false
