--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -8,7 +8,7 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
-	"tinpin/internal/raft"
+	"tinpin/internal/statemachine"
 )
 
 // updateConfig answers Config.Update.
@@ -21,7 +21,7 @@
 	if err != nil {
 		return c.reject(history.Item, &httpapi.Error{Kind: apierror.InvalidConfig, Text: err.Error()})
 	}
-	result, err := c.propose(raft.Command{Kind: raft.CommandConfig, Body: body})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	// A settled leader has applied all that it or an older leader acknowledged
 	// before the call; contact after the reading proves that no later leader has
 	// acknowledged anything.
-	c.node.ReadState(func(state *raft.State) { text = state.Canon.Describe() })
+	c.node.ReadState(func(state *statemachine.State) { text = state.Canon.Describe() })
 	if err = c.confirmed(current, nil); err != nil {
 		return nil, err
 	}
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -9,8 +9,8 @@
 	"tinpin/internal/drain"
 	"tinpin/internal/history"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/schedule"
+	"tinpin/internal/statemachine"
 )
 
 // setDocument answers Orders.Set. The document is checked by the leader, which
@@ -46,7 +46,7 @@
 			return c.reject(history.Document, invalidRequest(invalid))
 		}
 	}
-	result, err := c.propose(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Body: body})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(kind), Body: body})
 	return c.acknowledge(history.Document, string(kind), "set", result, err)
 }
 
@@ -54,7 +54,7 @@
 // whatever changed since.
 func (c *Controller) checkDocument(current *coordinator.Coordinator, kind policy.Kind, body []byte) (err error) {
 	accepted := false
-	c.node.ReadState(func(state *raft.State) {
+	c.node.ReadState(func(state *statemachine.State) {
 		_, accepted, err = state.CheckDocument(policy.Document{Kind: kind, Body: string(body)})
 	})
 	if err == nil && !accepted && kind == policy.DayPlan {
@@ -71,7 +71,7 @@
 	if _, err = c.leading(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
 	}
-	result, err := c.propose(raft.Command{Kind: raft.CommandOrder, Site: string(kind), Upto: uint64(version)})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(kind), Upto: uint64(version)})
 	return c.acknowledge(history.Document, string(kind), "withdrawn", result, err)
 }
 
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	status := DocumentStatus{Kind: kind}
-	c.node.ReadState(func(state *raft.State) {
+	c.node.ReadState(func(state *statemachine.State) {
 		document := state.Documents[kind]
 		status.Version, status.InForce, status.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -5,7 +5,7 @@
 	"tinpin/internal/dedup"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/httpapi"
-	"tinpin/internal/raft"
+	"tinpin/internal/statemachine"
 )
 
 // changeAcknowledged is the change that history notes where an operator's
@@ -29,7 +29,7 @@
 
 // rejectedResult is the answer to a request that was rejected where it was
 // applied; kind is that of rejections other than conflicts.
-func rejectedResult(kind apierror.Kind, result raft.Result) (answer *httpapi.Error) {
+func rejectedResult(kind apierror.Kind, result statemachine.Result) (answer *httpapi.Error) {
 	if result.Conflict {
 		kind = apierror.VersionConflict
 	}
@@ -45,7 +45,7 @@
 
 // acknowledge logs and notes what became of a proposed request on a document or
 // a backend; err is that of the proposal.
-func (c *Controller) acknowledge(subject, name, change string, result raft.Result, err error) error {
+func (c *Controller) acknowledge(subject, name, change string, result statemachine.Result, err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -7,7 +7,7 @@
 	"tinpin/internal/apierror"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
-	"tinpin/internal/raft"
+	"tinpin/internal/statemachine"
 )
 
 // withRequestName adds to a path the name that the operator gave the request.
@@ -20,14 +20,14 @@
 
 // evacuate answers Evacuations.Start and Evacuations.Stop.
 func (c *Controller) evacuate(_ context.Context, zone string, start bool, requestName string) (err error) {
-	kind, verb := raft.CommandReturn, "Stop"
+	kind, verb := statemachine.CommandReturn, "Stop"
 	if start {
-		kind, verb = raft.CommandEvacuate, "Start"
+		kind, verb = statemachine.CommandEvacuate, "Start"
 	}
 	if err = c.requireLeader(withRequestName("/-/Evacuations."+verb+"/"+url.PathEscape(zone), requestName)); err != nil {
 		return err
 	}
-	result, err := c.propose(raft.Command{Kind: kind, Site: zone, Claim: raft.Claim{Key: requestName}})
+	result, err := c.propose(statemachine.Command{Kind: kind, Site: zone, Claim: statemachine.Claim{Key: requestName}})
 	if err != nil {
 		return err
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -4,7 +4,7 @@
 	"tinpin/internal/apierror"
 	"tinpin/internal/coordinator"
 	"tinpin/internal/httpapi"
-	"tinpin/internal/raft"
+	"tinpin/internal/statemachine"
 )
 
 // requireLeader redirects a call on path to the leader unless this controller
@@ -42,7 +42,7 @@
 }
 
 // propose puts a command before the controllers and waits for its outcome.
-func (c *Controller) propose(command raft.Command) (result raft.Result, err error) {
+func (c *Controller) propose(command statemachine.Command) (result statemachine.Result, err error) {
 	answer := c.node.Propose(command, c.proposalTimeout)
 	if !answer.Known {
 		return result, &httpapi.Error{Kind: apierror.OutcomeUnknown}
@@ -53,6 +53,6 @@
 // applyBarrier waits until all that this controller proposed is applied. Only
 // after it is a rejection from a look at this controller's own state a proven one.
 func (c *Controller) applyBarrier() (err error) {
-	_, err = c.propose(raft.Command{Kind: raft.CommandBarrier})
+	_, err = c.propose(statemachine.Command{Kind: statemachine.CommandBarrier})
 	return err
 }
--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -11,8 +11,8 @@
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
 	"tinpin/internal/httpapi"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 // retireBackend answers Backends.Retire and, with restore, Backends.Restore. It
@@ -30,7 +30,7 @@
 	}
 	r := &retirement{
 		controller: c, current: current, id: id,
-		command: raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: requestName}},
+		command: statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Claim: statemachine.Claim{Holder: drain.ByOperator, Key: requestName}},
 	}
 	return r.carryOut()
 }
@@ -39,7 +39,7 @@
 	if _, err = c.leading(withRequestName("/-/Backends.Restore/"+url.PathEscape(string(id)), requestName)); err != nil {
 		return "", err
 	}
-	result, err := c.propose(raft.Command{Kind: raft.CommandRestore, Site: string(id), Claim: raft.Claim{Key: requestName}})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandRestore, Site: string(id), Claim: statemachine.Claim{Key: requestName}})
 	return "restored", c.acknowledge(history.Retirement, string(id), "restored", result, err)
 }
 
@@ -48,7 +48,7 @@
 	controller *Controller
 	current    *coordinator.Coordinator
 	id         rpc.EndpointID
-	command    raft.Command
+	command    statemachine.Command
 	earlier    earlierRetirement
 }
 
@@ -84,7 +84,7 @@
 
 // readEarlier reads what is agreed on this backend and request.
 func (r *retirement) readEarlier() {
-	r.controller.node.ReadState(func(state *raft.State) {
+	r.controller.node.ReadState(func(state *statemachine.State) {
 		r.earlier.active, r.earlier.accepted = state.RetireTaken(r.id)
 		r.earlier.named, _ = state.TakenByName(r.command)
 	})
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -4,8 +4,8 @@
 	"tinpin/internal/config"
 	"tinpin/internal/history"
 	"tinpin/internal/policy"
-	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
+	"tinpin/internal/statemachine"
 )
 
 // Trace tells what this controller knows of a subject: the changes it noted, and
@@ -18,7 +18,7 @@
 	}
 	switch request.Kind {
 	case history.Item, history.Document, history.Retirement, history.ScheduleStep, history.Evacuation:
-		c.node.ReadState(func(state *raft.State) {
+		c.node.ReadState(func(state *statemachine.State) {
 			reply.Summary, reply.LogIndex, reply.Present = traceState(state, request)
 		})
 	default:
@@ -34,7 +34,7 @@
 }
 
 // traceState gives the summary and log index of a subject in the replicated state.
-func traceState(state *raft.State, request rpc.TraceRequest) (summary string, logIndex uint64, has bool) {
+func traceState(state *statemachine.State, request rpc.TraceRequest) (summary string, logIndex uint64, has bool) {
 	switch request.Kind {
 	case history.Item:
 		var item config.Item
--- a/internal/raft/seal.go
+++ b/internal/raft/seal.go
@@ -8,10 +8,11 @@
 import (
 	"encoding/binary"
 	"errors"
-	"hash/crc32"
 
 	"github.com/cockroachdb/pebble"
 	"github.com/zeebo/errs"
+
+	"tinpin/internal/binaryformat"
 )
 
 // Spoiled marks records that are not what was written.
@@ -26,7 +27,7 @@
 var keyForm = []byte("f")
 
 func sealSum(key, value []byte) uint32 {
-	return crc32.Update(checksum(append(append([]byte(nil), key...), sealVersion)), castagnoli, value)
+	return binaryformat.ExtendChecksum(binaryformat.Checksum(append(append([]byte(nil), key...), sealVersion)), value)
 }
 
 func seal(key, value []byte) (data []byte) {
