--- a/internal/affinity/binder.go
+++ b/internal/affinity/binder.go
@@ -1,7 +1,3 @@
-// Binder is a node's side of binding a session: by what it remembers, or by
-// asking the leader. It asks anew where the backend it knows of has ended, and
-// takes the leader's word for where the session is then. It never gives a
-// backend that the leader has not named.
 package affinity
 
 import (
@@ -11,38 +7,42 @@
 	"tinpin/internal/rpc"
 )
 
-// Outcome of a binding.
+// Outcome of binding a session.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Bound: the session is on the backend that is given.
+	// Bound means that the session is on the backend that is returned.
 	Bound Outcome = iota
-	// Unbound: there are too many sessions; the request goes without one.
+	// Unbound means that there are too many sessions; the request goes without one.
 	Unbound
-	// NoAnswer: nobody could say where the session is.
+	// NoAnswer means that no leader could say where the session is.
 	NoAnswer
-	// NoBackend: there is none to begin on.
+	// NoBackend means that there is none to begin on.
 	NoBackend
-	// BackendUnusable: the leader has the session on a backend that this node may not use.
+	// BackendUnusable means that the leader has the session on a backend that this
+	// node may not use.
 	BackendUnusable
 )
 
-// maxBindAttempts is how often a binding may turn out to have ended.
+// maxBindAttempts is how often the leader is asked where each binding it gives
+// turns out to have ended.
 const maxBindAttempts = 3
 
-// Binder of one node.
+// Binder binds sessions at one node: by what it remembers, or by asking the
+// leader. It asks again where the backend it knows of has ended, and follows the
+// leader's answer. It never returns a backend that the leader has not named.
 type Binder struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // not held while the leader is asked
 	cache *BindingCache
 	moved uint64
 }
 
-// NewBinder remembers so many sessions.
-func NewBinder(most int) (binder *Binder) { return &Binder{cache: NewBindingCache(most)} }
+// NewBinder makes a binder that remembers up to capacity sessions.
+func NewBinder(capacity int) (binder *Binder) { return &Binder{cache: NewBindingCache(capacity)} }
 
-// Stats tells how many are remembered, were dropped, and were seen to move.
-func (b *Binder) Stats() (remembered int, dropped, moved uint64) {
+// Stats counts the sessions that are remembered, were evicted, and were seen to move.
+func (b *Binder) Stats() (remembered int, evicted, moved uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cache.Len(), b.cache.Evicted, b.moved
@@ -51,14 +51,16 @@
 // RequestView is what a node sees and may ask for one request.
 type RequestView struct {
 	Now func() time.Duration
-	// MustLeave tells that a session may not stay on a backend, Begin where it would
-	// begin, Ask what the leader says.
+	// MustLeave tells that a session may not stay on a backend.
 	MustLeave func(server rpc.EndpointID) bool
+	// ChooseNew is where a new session would begin, empty for nowhere.
 	ChooseNew func() rpc.EndpointID
+	// AskLeader binds the session to choice unless it is bound already; from is the
+	// backend that the session must leave, if any.
 	AskLeader func(from, choice rpc.EndpointID) rpc.BindResult
 }
 
-// Bind gives the backend of a session.
+// Bind finds the backend of a session that lasts for idle after each use.
 func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view RequestView) (server rpc.EndpointID, outcome Outcome) {
 	now := view.Now()
 	b.mu.Lock()
@@ -71,14 +73,14 @@
 		}
 		from = known
 	}
-	for tries := 0; tries < maxBindAttempts; tries++ {
+	for attempt := 0; attempt < maxBindAttempts; attempt++ {
 		choice := view.ChooseNew()
 		if choice == "" {
 			return "", NoBackend
 		}
 		asked := view.Now()
-		found := view.AskLeader(from, choice)
-		switch found.Outcome {
+		result := view.AskLeader(from, choice)
+		switch result.Outcome {
 		case rpc.Bound:
 		case rpc.BindTableFull:
 			return "", Unbound
@@ -86,17 +88,18 @@
 			return "", NoAnswer
 		}
 		b.mu.Lock()
-		if known != "" && known != found.Endpoint {
+		if known != "" && known != result.Endpoint {
 			b.moved++
 		}
-		known = found.Endpoint
+		known = result.Endpoint
 		b.cache.Store(asked, session, known, idle)
 		b.mu.Unlock()
 		if !view.MustLeave(known) {
 			return known, Bound
 		}
 		if known == from {
-			// The leader does not know yet that it has ended, or knows better.
+			// The leader does not know yet that the backend has ended, or knows that it
+			// has not.
 			break
 		}
 		from = known
--- a/internal/affinity/cache.go
+++ b/internal/affinity/cache.go
@@ -1,6 +1,3 @@
-// Table is a node's memory of bindings. A binding that was asked for lately may
-// be used without asking again; the leader counts on that and keeps a session
-// for so much longer. The table has a cap; what is dropped is asked for again.
 package affinity
 
 import (
@@ -11,10 +8,12 @@
 	"tinpin/internal/rpc"
 )
 
-// freshFraction is the part of the idle time for which a node may rely on an answer.
+// freshFraction divides the idle time: for that part of it a node may use a binding
+// without asking the leader again.
 const freshFraction = 4
 
-// FreshFor is how long a node may rely on an answer.
+// FreshFor is how long a node may rely on a binding. The leader keeps a session for
+// so much longer than its idle time.
 func FreshFor(idle time.Duration) (span time.Duration) { return idle / freshFraction }
 
 type cachedBinding struct {
@@ -22,36 +21,38 @@
 	freshUntil time.Duration
 }
 
-// BindingCache of one node.
+// BindingCache remembers the bindings that a node has asked for lately. What is
+// evicted is asked for again.
 type BindingCache struct {
 	bindings *simplelru.LRU[rpc.SessionID, cachedBinding]
+	// Evicted counts bindings that made room for others.
 	Evicted  uint64
-	counting bool
+	counting bool // an eviction now is for want of room
 }
 
-// NewBindingCache remembers so many sessions.
-func NewBindingCache(most int) (table *BindingCache) {
-	table = &BindingCache{}
-	table.bindings, _ = simplelru.NewLRU(max(1, most), func(rpc.SessionID, cachedBinding) {
-		if table.counting {
-			table.Evicted++
+// NewBindingCache makes a cache of up to capacity sessions, one at least.
+func NewBindingCache(capacity int) (cache *BindingCache) {
+	cache = &BindingCache{}
+	cache.bindings, _ = simplelru.NewLRU(max(1, capacity), func(rpc.SessionID, cachedBinding) {
+		if cache.counting {
+			cache.Evicted++
 		}
 	})
-	return table
+	return cache
 }
 
-// Find gives where a session is bound, and whether that may be relied on.
-func (t *BindingCache) Find(now time.Duration, session rpc.SessionID) (server rpc.EndpointID, fresh bool) {
-	found, known := t.bindings.Get(session)
+// Find is where a session was bound last, and whether that may be relied on.
+func (c *BindingCache) Find(now time.Duration, session rpc.SessionID) (server rpc.EndpointID, fresh bool) {
+	found, known := c.bindings.Get(session)
 	return found.server, known && now < found.freshUntil
 }
 
-// Store notes what was answered to what was asked at a time.
-func (t *BindingCache) Store(asked time.Duration, session rpc.SessionID, server rpc.EndpointID, idle time.Duration) {
-	t.counting = true
-	t.bindings.Add(session, cachedBinding{server, asked + FreshFor(idle)})
-	t.counting = false
+// Store remembers the binding that answers a request sent at the time asked.
+func (c *BindingCache) Store(asked time.Duration, session rpc.SessionID, server rpc.EndpointID, idle time.Duration) {
+	c.counting = true
+	c.bindings.Add(session, cachedBinding{server, asked + FreshFor(idle)})
+	c.counting = false
 }
 
 // Len is how many are remembered.
-func (t *BindingCache) Len() (length int) { return t.bindings.Len() }
+func (c *BindingCache) Len() (length int) { return c.bindings.Len() }
--- a/internal/affinity/name.go
+++ b/internal/affinity/name.go
@@ -1,7 +1,3 @@
-// Name finds what names a session in a request. Only a hash of it is kept or
-// sent anywhere, since it may be a secret of the caller's, and so that its
-// length does not matter. A name that is missing, there twice with other
-// content, malformed or too long names no session, and that is counted.
 package affinity
 
 import (
@@ -14,10 +10,11 @@
 	"tinpin/internal/rpc"
 )
 
-// NameResult says how a session's name was found.
+// NameResult tells how a session's name was found. All but Named are counted and
+// name no session.
 type NameResult uint8
 
-// The findings.
+// The results.
 const (
 	Named NameResult = iota
 	Missing
@@ -26,65 +23,77 @@
 	TooLong
 )
 
-// MaxNameLength is how long the name of a session may be.
+// MaxNameLength is the longest name of a session, in bytes.
 const MaxNameLength = 1024
 
-// NameSources is the part of a request that may name a session.
+// NameSources are the parts of a request that may name a session.
 type NameSources struct {
 	Headers [][2]string
 	Key     string
 	Tenant  string
 }
 
-// FindName gives the name of the request's session.
-func (r Rule) FindName(asked NameSources) (name string, finding NameResult) {
-	var names []string
+// FindName finds the name of the request's session. A name that is missing, there
+// twice with other content, malformed or too long is none.
+func (r Rule) FindName(sources NameSources) (name string, result NameResult) {
+	found := r.namesIn(sources)
+	for _, other := range found[min(1, len(found)):] {
+		if other != found[0] {
+			return "", Conflicting
+		}
+	}
+	switch {
+	case len(found) == 0 || found[0] == "":
+		return "", Missing
+	case len(found[0]) > MaxNameLength:
+		return "", TooLong
+	}
+	for _, character := range []byte(found[0]) {
+		if character < ' ' || character == 0x7f {
+			return "", Malformed
+		}
+	}
+	return found[0], Named
+}
+
+// namesIn lists every value at the rule's source, in the request's order.
+func (r Rule) namesIn(sources NameSources) (names []string) {
 	switch r.Source {
 	case FromHeader:
 		wanted := textproto.CanonicalMIMEHeaderKey(r.Name)
-		for _, line := range asked.Headers {
-			if line[0] == wanted {
-				names = append(names, line[1])
+		for _, header := range sources.Headers {
+			if header[0] == wanted {
+				names = append(names, header[1])
 			}
 		}
 	case FromCookie:
-		for _, line := range asked.Headers {
-			if line[0] != "Cookie" {
-				continue
-			}
-			for _, pair := range strings.Split(line[1], ";") {
-				if key, value, _ := strings.Cut(strings.TrimSpace(pair), "="); key == r.Name {
-					names = append(names, strings.Trim(value, `"`))
-				}
+		for _, header := range sources.Headers {
+			if header[0] == "Cookie" {
+				names = appendCookies(names, header[1], r.Name)
 			}
 		}
 	case FromKey:
-		names = append(names, asked.Key)
+		names = append(names, sources.Key)
 	case FromTenant:
-		names = append(names, asked.Tenant)
-	}
-	for _, other := range names[min(1, len(names)):] {
-		if other != names[0] {
-			return "", Conflicting
-		}
+		names = append(names, sources.Tenant)
 	}
-	switch {
-	case len(names) == 0 || names[0] == "":
-		return "", Missing
-	case len(names[0]) > MaxNameLength:
-		return "", TooLong
-	}
-	for _, letter := range []byte(names[0]) {
-		if letter < ' ' || letter == 0x7f {
-			return "", Malformed
+	return names
+}
+
+// appendCookies adds the values of the cookies of one name in a Cookie header.
+func appendCookies(values []string, header, name string) []string {
+	for _, pair := range strings.Split(header, ";") {
+		if key, value, _ := strings.Cut(strings.TrimSpace(pair), "="); key == name {
+			values = append(values, strings.Trim(value, `"`))
 		}
 	}
-	return names[0], Named
+	return values
 }
 
-// SessionIDOf gives the id of a session at a service. Ways that are bound to other
-// homes have sessions of their own, since a backend of one may be forbidden to
-// the other.
+// SessionIDOf is the id of a session at a service. Only this hash of the name is
+// kept or sent anywhere, since the name may be a secret of the client's. Routes
+// that are bound to other regions have sessions of their own, since a backend of
+// one may be forbidden to the other.
 func SessionIDOf(service rpc.ServiceName, homes []string, name string) (session rpc.SessionID) {
 	sorted := append([]string{}, homes...)
 	sort.Strings(sorted)
@@ -96,11 +105,11 @@
 	return rpc.SessionID(base64.RawURLEncoding.EncodeToString(hash.Sum(nil)[:16]))
 }
 
-// SessionIDLength is how long an id is.
+// SessionIDLength is the length of an id in bytes.
 const SessionIDLength = 22
 
-// ValidID tells that an id can have come from SessionOf.
-func ValidID(session rpc.SessionID) (good bool) {
+// ValidID tells whether an id can have come from SessionIDOf.
+func ValidID(session rpc.SessionID) (valid bool) {
 	if len(session) != SessionIDLength {
 		return false
 	}
--- a/internal/affinity/policy.go
+++ b/internal/affinity/policy.go
@@ -1,12 +1,16 @@
 // Package affinity keeps a session on the backend where it began, whichever
-// node answers. The operator's policy says, service by service, what names a
-// session in a request. A new session begins on the backend that a hash of its
-// name and the backends gives, and is bound there by agreement of the cores;
-// every node follows the binding. This file is the written policy.
+// node answers. It owns the operator's document, which says service by service
+// what names a session in a request; the node's side (Binder, BindingCache); and
+// the leader's record of use (Tracker). The bindings themselves are replicated
+// state and not owned here. A new session begins on the backend that a hash of
+// its name and the backends gives, the leader commits the binding, and every
+// node follows it. Binder may be used by any goroutine, the other types by one at
+// a time.
 package affinity
 
 import (
 	"fmt"
+	"strings"
 	"time"
 
 	"tinpin/internal/policy"
@@ -24,8 +28,8 @@
 	FromTenant Source = "tenant"
 )
 
-// What requests that may be repeated do while no leader can be asked where
-// their session is; others are refused.
+// What becomes of idempotent requests while no leader can be asked where their
+// session is; others are rejected.
 const (
 	WithoutLeaderRefuse = "refuse"
 	WithoutLeaderServe  = "serve"
@@ -37,10 +41,11 @@
 	Source  Source `json:"from"`
 	// Name of the header or cookie.
 	Name string `json:"name,omitempty"`
-	// Idle is how long a session lasts that nothing is heard of.
-	Idle          policy.Duration `json:"idle"`
-	WithoutLeader string          `json:"alone"`
-	// MaxSessions is how many sessions are kept; over it the least recently used go.
+	// Idle is how long a session lasts after its last request.
+	Idle policy.Duration `json:"idle"`
+	// WithoutLeader is "refuse" or "serve".
+	WithoutLeader string `json:"alone"`
+	// MaxSessions is how many sessions are kept; above it the least recently used expire.
 	MaxSessions int `json:"most"`
 }
 
@@ -68,61 +73,67 @@
 	if err = policy.Decode(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &policy.ValidationErrors{}
-	faults.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
-	named, sum := map[string]bool{}, 0
+	invalid := &policy.ValidationErrors{}
+	invalid.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
+	named, total := map[string]bool{}, 0
 	for i, rule := range parsed.Rules {
-		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || len(rule.Service) > policy.MaxNameLength || named[rule.Service] {
-			faults.Add(where("service"), "is missing, too long or named twice")
-		}
+		prefix := fmt.Sprintf("rules.%d.", i)
+		rule.validate(invalid, prefix, named[rule.Service])
 		named[rule.Service] = true
-		switch rule.Source {
-		case FromHeader, FromCookie:
-			if !validName(rule.Name) {
-				faults.Add(where("name"), "must be the name of a header or cookie")
-			}
-		case FromKey, FromTenant:
-			if rule.Name != "" {
-				faults.Add(where("name"), "goes with header and cookie only")
-			}
-		default:
-			faults.Add(where("from"), `must be "header", "cookie", "key" or "tenant"`)
+		if rule.MaxSessions < 1 || rule.MaxSessions > MaxSessionsTotal {
+			invalid.Add(prefix+"most", fmt.Sprintf("must be a whole number from 1 to %d", MaxSessionsTotal))
+		} else if total += rule.MaxSessions; total > MaxSessionsTotal {
+			invalid.Add(prefix+"most", fmt.Sprintf("brings the sum above %d", MaxSessionsTotal))
 		}
-		if rule.Idle < minIdle || rule.Idle > maxIdle {
-			faults.Add(where("idle"), "must be a time from 10s to 24h")
+	}
+	return parsed, invalid.Err()
+}
+
+// validate adds what is wrong with a rule but its MaxSessions, which count
+// together; repeated tells that an earlier rule is for the same service.
+func (r Rule) validate(invalid *policy.ValidationErrors, prefix string, repeated bool) {
+	if r.Service == "" || len(r.Service) > policy.MaxNameLength || repeated {
+		invalid.Add(prefix+"service", "is missing, too long or named twice")
+	}
+	switch r.Source {
+	case FromHeader, FromCookie:
+		if !validName(r.Name) {
+			invalid.Add(prefix+"name", "must be the name of a header or cookie")
 		}
-		if rule.WithoutLeader != WithoutLeaderRefuse && rule.WithoutLeader != WithoutLeaderServe {
-			faults.Add(where("alone"), `must be "refuse" or "serve"`)
-		}
-		if rule.MaxSessions < 1 || rule.MaxSessions > MaxSessionsTotal {
-			faults.Add(where("most"), fmt.Sprintf("must be a whole number from 1 to %d", MaxSessionsTotal))
-		} else if sum += rule.MaxSessions; sum > MaxSessionsTotal {
-			faults.Add(where("most"), fmt.Sprintf("brings the sum above %d", MaxSessionsTotal))
+	case FromKey, FromTenant:
+		if r.Name != "" {
+			invalid.Add(prefix+"name", "goes with header and cookie only")
 		}
+	default:
+		invalid.Add(prefix+"from", `must be "header", "cookie", "key" or "tenant"`)
+	}
+	if r.Idle < minIdle || r.Idle > maxIdle {
+		invalid.Add(prefix+"idle", "must be a time from 10s to 24h")
+	}
+	if r.WithoutLeader != WithoutLeaderRefuse && r.WithoutLeader != WithoutLeaderServe {
+		invalid.Add(prefix+"alone", `must be "refuse" or "serve"`)
 	}
-	return parsed, faults.Err()
 }
 
+// maxSourceName is the longest name of a header or cookie, in bytes.
+const maxSourceName = 64
+
 // validName tells whether a text may name a header or cookie.
-func validName(text string) (good bool) {
-	if text == "" || len(text) > 64 {
+func validName(text string) (valid bool) {
+	if text == "" || len(text) > maxSourceName {
 		return false
 	}
-	for _, letter := range text {
-		if letter <= ' ' || letter > '~' || letter == ':' || letter == '=' || letter == ';' || letter == ',' || letter == '"' {
-			return false
-		}
-	}
-	return true
+	return !strings.ContainsFunc(text, func(character rune) bool {
+		return character <= ' ' || character > '~' || strings.ContainsRune(`:=;,"`, character)
+	})
 }
 
-// CheckServices tells which services a policy names that are not known.
+// CheckServices is an error that lists the services that are named but not known.
 func (p *Policy) CheckServices(known func(service string) bool) (err error) {
 	return policy.CheckServices(p.Rules, known)
 }
 
-// RuleFor gives the rule of a service; without one it knows no sessions.
+// RuleFor is the rule of a service; without one it has no sessions.
 func (p *Policy) RuleFor(service rpc.ServiceName) (rule Rule, ruled bool) {
 	if p == nil {
 		return rule, false
--- a/internal/affinity/tracker.go
+++ b/internal/affinity/tracker.go
@@ -1,8 +1,3 @@
-// Desk is the leader's side: it knows when each session was last asked for. The
-// bindings themselves are agreed state and outlast it; a new leader counts all
-// as asked for when it begins, which can only lengthen a session. A session
-// that is taken off the desk is unbound through the log, and whoever asks for
-// it from then on goes through the log too, behind the unbinding.
 package affinity
 
 import (
@@ -13,105 +8,114 @@
 	"tinpin/internal/rpc"
 )
 
-// callMargin is what is added to a session's time for calls on their way.
+// callMargin is added to a session's time for calls in flight.
 const callMargin = 2 * time.Second
 
+// lastUse is when a session was used last, how long it lasts idle, and the number
+// of its binding.
 type lastUse struct {
-	at   time.Duration
-	idle time.Duration
-	seq  uint64
+	at       time.Duration
+	idle     time.Duration
+	sequence uint64
 }
 
-// ExpiredSession is a session that is off the desk, with the number of its binding.
+// ExpiredSession is a session that is not tracked any more, with the number of its
+// binding.
 type ExpiredSession struct {
-	Session rpc.SessionID
-	Seq     uint64
+	Session  rpc.SessionID
+	Sequence uint64
 }
 
-// Tracker of one leadership.
+// Tracker knows when each session was used last, for one leader in one term. The
+// bindings outlast it; a new leader counts all as used when it begins, which can
+// only lengthen a session. A session that is not tracked any more is unbound
+// through the log, and whoever asks for it from then on goes through the log too,
+// behind the unbinding.
 type Tracker struct {
 	sessions map[rpc.ServiceName]*simplelru.LRU[rpc.SessionID, lastUse]
-	// Evicted counts sessions that went because there were too many.
+	// Evicted counts sessions that expired because there were too many.
 	Evicted uint64
 }
 
-// NewTracker knows no session.
-func NewTracker() (desk *Tracker) {
+// NewTracker makes a tracker that knows no session.
+func NewTracker() (tracker *Tracker) {
 	return &Tracker{sessions: map[rpc.ServiceName]*simplelru.LRU[rpc.SessionID, lastUse]{}}
 }
 
-func (d *Tracker) sessionsOf(service rpc.ServiceName) (roll *simplelru.LRU[rpc.SessionID, lastUse]) {
-	roll = d.sessions[service]
-	if roll == nil {
-		// Its size is bounded by the state, which refuses what is too many.
-		roll, _ = simplelru.NewLRU[rpc.SessionID, lastUse](2*MaxSessionsTotal, nil)
-		d.sessions[service] = roll
+func (t *Tracker) sessionsOf(service rpc.ServiceName) (sessions *simplelru.LRU[rpc.SessionID, lastUse]) {
+	sessions = t.sessions[service]
+	if sessions == nil {
+		// The replicated state rejects what is too many, so that nothing is evicted here.
+		sessions, _ = simplelru.NewLRU[rpc.SessionID, lastUse](2*MaxSessionsTotal, nil)
+		t.sessions[service] = sessions
 	}
-	return roll
+	return sessions
 }
 
-// Add notes a session that is bound.
-func (d *Tracker) Add(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration, seq uint64) {
-	d.sessionsOf(service).Add(session, lastUse{now, idle, seq})
+// Add tracks a session that was bound.
+func (t *Tracker) Add(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration, seq uint64) {
+	t.sessionsOf(service).Add(session, lastUse{now, idle, seq})
 }
 
-// Known tells that a session is on the desk.
-func (d *Tracker) Known(service rpc.ServiceName, session rpc.SessionID) (known bool) {
-	return d.sessionsOf(service).Contains(session)
+// Known tells whether a session is tracked.
+func (t *Tracker) Known(service rpc.ServiceName, session rpc.SessionID) (known bool) {
+	return t.sessionsOf(service).Contains(session)
 }
 
-// Touch notes that a session is in use; a session that is not on the desk must
-// go through the log.
-func (d *Tracker) Touch(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration) (known bool) {
-	roll := d.sessionsOf(service)
-	last, known := roll.Get(session)
+// Touch notes that a session is in use; one that is not tracked must be bound
+// through the log.
+func (t *Tracker) Touch(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration) (known bool) {
+	sessions := t.sessionsOf(service)
+	last, known := sessions.Get(session)
 	if known {
-		// Who relies on an answer may do so for as long as it asked for.
-		roll.Add(session, lastUse{now, max(idle, last.idle), last.seq})
+		// A node may rely on the binding for as long as it asked for.
+		sessions.Add(session, lastUse{now, max(idle, last.idle), last.sequence})
 	}
 	return known
 }
 
-// Lookup gives where an asked session is, where the log need not be asked; else
-// it gives the ask as it is to go into the log. Ended tells that a session may
-// not stay on a backend.
-func (d *Tracker) Lookup(now time.Duration, bind rpc.SessionBinding, standing rpc.EndpointID, bound bool, ended func(server rpc.EndpointID) bool) (server rpc.EndpointID, propose rpc.SessionBinding, answered bool) {
+// Lookup is where a session is if the log need not be asked; else it is the
+// binding to propose. Current is the backend of the session in the replicated
+// state, if bound; ended tells that a session may not stay on a backend.
+func (t *Tracker) Lookup(
+	now time.Duration, bind rpc.SessionBinding, current rpc.EndpointID, bound bool, ended func(server rpc.EndpointID) bool,
+) (server rpc.EndpointID, propose rpc.SessionBinding, answered bool) {
 	if bind.EndedEndpoint != "" && !ended(bind.EndedEndpoint) {
 		bind.EndedEndpoint = ""
 	}
-	if bound && d.Touch(now, bind.Service, bind.Session, bind.IdleTimeout) && (bind.EndedEndpoint == "" || bind.EndedEndpoint != standing) {
-		return standing, bind, true
+	if bound && t.Touch(now, bind.Service, bind.Session, bind.IdleTimeout) && (bind.EndedEndpoint == "" || bind.EndedEndpoint != current) {
+		return current, bind, true
 	}
 	return "", bind, false
 }
 
-// Count is how many sessions of a service there are.
-func (d *Tracker) Count(service rpc.ServiceName) (count int) {
-	if roll := d.sessions[service]; roll != nil {
-		return roll.Len()
+// Count is how many sessions of a service are tracked.
+func (t *Tracker) Count(service rpc.ServiceName) (count int) {
+	if sessions := t.sessions[service]; sessions != nil {
+		return sessions.Len()
 	}
 	return 0
 }
 
-// Expire takes sessions off the desk that are past their time, or that are the
-// least recently used of too many, up to a number at once.
-func (d *Tracker) Expire(now time.Duration, most func(service rpc.ServiceName) int, atOnce int) (over []ExpiredSession) {
-	for service, roll := range d.sessions {
-		for len(over) < atOnce {
-			session, last, any := roll.GetOldest()
+// Expire stops tracking the sessions that are past their time, or that are the
+// least recently used where a service has more than its limit, up to maxExpired.
+func (t *Tracker) Expire(now time.Duration, limit func(service rpc.ServiceName) int, maxExpired int) (expired []ExpiredSession) {
+	for service, sessions := range t.sessions {
+		for len(expired) < maxExpired {
+			session, last, any := sessions.GetOldest()
 			if !any {
 				break
 			}
-			crowded := roll.Len() > most(service)
-			if !crowded && now-last.at <= last.idle+FreshFor(last.idle)+callMargin {
+			overLimit := sessions.Len() > limit(service)
+			if !overLimit && now-last.at <= last.idle+FreshFor(last.idle)+callMargin {
 				break
 			}
-			if crowded {
-				d.Evicted++
+			if overLimit {
+				t.Evicted++
 			}
-			roll.Remove(session)
-			over = append(over, ExpiredSession{session, last.seq})
+			sessions.Remove(session)
+			expired = append(expired, ExpiredSession{session, last.sequence})
 		}
 	}
-	return over
+	return expired
 }
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -1,8 +1,3 @@
-// Desk is the leader's side of retiring: it looks at what is agreed, at the
-// daemons' confirmations, which their beats bring, and at the list, and says
-// which epoch to commit next, or why an order waits. It holds nothing that a
-// new leader would lack: notice is counted anew by each leader, which can only
-// lengthen it.
 package drain
 
 import (
@@ -14,44 +9,46 @@
 	"tinpin/internal/rpc"
 )
 
-// ByPlatform marks orders that follow the platform's word that a backend
-// leaves; others are an operator's.
+// Who began a retirement: the platform, which says that a backend leaves, or an
+// operator.
 const (
 	ByPlatform = "platform"
 	ByOperator = "operator"
 )
 
-// Phase is how far an order is.
+// Phase is how far a retirement is. The texts are shown to operators.
 type Phase string
 
-// The phases, in their order. Held may come before Stopping.
+// The phases, in their order. Waiting may come before Stopping.
 const (
 	Announced Phase = "announced"
 	Waiting   Phase = "held"
 	Stopping  Phase = "stopping"
 	Complete  Phase = "together"
-	// Removed is told of a backend that is gone from the list.
+	// Removed is reported of a backend that is on the endpoint list no more.
 	Removed Phase = "left"
-	// Withdrawn is told of an order that was taken, and taken back since.
+	// Withdrawn is reported of a retirement that was accepted and taken back since.
 	Withdrawn Phase = "taken back"
 )
 
-// Follower is one daemon as the leader hears it.
+// Follower is one node as the leader knows it.
 type Follower struct {
 	ID rpc.NodeID
-	// Revision is how far it has confirmed to follow; Here that it is heard now.
-	Revision  uint64
+	// Revision is the last that the node has confirmed to follow.
+	Revision uint64
+	// Connected tells that its heartbeats come.
 	Connected bool
 }
 
 // EndpointCounts is one service's backends as the leader sees them.
 type EndpointCounts struct {
-	// Listed counts them all, Useful those that are neither leaving nor down nor
-	// already stopped.
+	// Listed counts them all, Usable those that are neither draining nor unhealthy
+	// nor stopped.
 	Listed, Usable int
 }
 
-// RetirementStatus is one order's standing, for operators.
+// RetirementStatus is one retirement as operators see it; Missing names the nodes
+// that have not confirmed.
 type RetirementStatus struct {
 	Backend   string   `json:"backend"`
 	Service   string   `json:"service"`
@@ -63,92 +60,110 @@
 	Missing   []string `json:"missing,omitempty"`
 }
 
-// Planner counts notice.
+// Planner decides at the leader which retirements to stop next, by the agreed
+// state, the nodes' confirmations, which their heartbeats bring, and the endpoint
+// list. It holds nothing that a new leader would lack: notice is counted anew by
+// each leader, which can only lengthen it.
 type Planner struct {
+	// firstSeen is when each retirement's notice began.
 	firstSeen map[rpc.EndpointID]time.Duration
 }
 
-// NewPlanner has seen no order.
-func NewPlanner() (desk *Planner) { return &Planner{firstSeen: map[rpc.EndpointID]time.Duration{}} }
+// NewPlanner makes a planner that has seen no retirement.
+func NewPlanner() (planner *Planner) { return &Planner{firstSeen: map[rpc.EndpointID]time.Duration{}} }
 
-// Plan looks at all orders. It gives the backends whose stop is to be
-// committed now, and the account of each order.
-func (d *Planner) Plan(now time.Duration, policy *Policy, orders []rpc.Retirement, followers []Follower, stock func(rpc.ServiceName) EndpointCounts) (stops []rpc.EndpointID, accounts []RetirementStatus) {
-	sort.Slice(orders, func(i, k int) bool { return orders[i].Announced < orders[k].Announced })
+// Plan looks at all retirements. It returns the backends whose stop is to be
+// committed now, and the status of each retirement. It sorts retirements.
+func (p *Planner) Plan(
+	now time.Duration, policy *Policy, retirements []rpc.Retirement, followers []Follower, countsOf func(rpc.ServiceName) EndpointCounts,
+) (stops []rpc.EndpointID, statuses []RetirementStatus) {
+	sort.Slice(retirements, func(i, k int) bool { return retirements[i].Announced < retirements[k].Announced })
 	stopped := map[rpc.ServiceName]int{}
-	standing := map[rpc.EndpointID]bool{}
-	for _, retired := range orders {
-		if retired.Gone {
+	current := map[rpc.EndpointID]bool{}
+	for _, retirement := range retirements {
+		if retirement.Gone {
 			continue
 		}
-		standing[retired.Server] = true
-		account := RetirementStatus{Backend: string(retired.Server), Service: string(retired.Service), By: retired.By, Nodes: len(followers)}
-		rule := policy.RuleFor(retired.Service)
-		if _, known := d.firstSeen[retired.Server]; !known {
-			d.firstSeen[retired.Server] = now
+		current[retirement.Server] = true
+		if _, known := p.firstSeen[retirement.Server]; !known {
+			p.firstSeen[retirement.Server] = now
 		}
-		account.Phase, account.Reason = d.phase(now, policy, rule, retired, followers, stock(retired.Service), stopped[retired.Service])
-		if account.Phase == Stopping && retired.Stopped == 0 {
-			stops = append(stops, retired.Server)
-			stopped[retired.Service]++
+		status := newStatus(retirement, followers)
+		counts := countsOf(retirement.Service)
+		counts.Usable -= stopped[retirement.Service]
+		status.Phase, status.Reason = p.phase(now, policy, retirement, followers, counts)
+		if status.Phase == Stopping && retirement.Stopped == 0 {
+			stops = append(stops, retirement.Server)
+			stopped[retirement.Service]++
 		}
-		upto := max(retired.Announced, retired.Stopped)
-		for _, follower := range followers {
-			if follower.Revision >= upto {
-				account.Confirmed++
-			} else {
-				account.Missing = append(account.Missing, string(follower.ID))
-			}
-		}
-		sort.Strings(account.Missing)
-		accounts = append(accounts, account)
+		statuses = append(statuses, status)
 	}
-	for id := range d.firstSeen {
-		if !standing[id] {
-			delete(d.firstSeen, id)
+	for id := range p.firstSeen {
+		if !current[id] {
+			delete(p.firstSeen, id)
 		}
 	}
-	return stops, accounts
+	return stops, statuses
 }
 
-func (d *Planner) phase(now time.Duration, policy *Policy, rule Rule, retired rpc.Retirement, followers []Follower, stock EndpointCounts, stoppedNow int) (phase Phase, why string) {
-	confirmed, here, behind := 0, 0, 0
-	upto := max(retired.Announced, retired.Stopped)
+// newStatus counts who confirms a retirement as it stands.
+func newStatus(retirement rpc.Retirement, followers []Follower) (status RetirementStatus) {
+	status = RetirementStatus{
+		Backend: string(retirement.Server), Service: string(retirement.Service), By: retirement.By, Nodes: len(followers),
+	}
+	revision := max(retirement.Announced, retirement.Stopped)
 	for _, follower := range followers {
-		if follower.Connected {
-			here++
+		if follower.Revision >= revision {
+			status.Confirmed++
+		} else {
+			status.Missing = append(status.Missing, string(follower.ID))
 		}
+	}
+	sort.Strings(status.Missing)
+	return status
+}
+
+// phase is how far a retirement is and, unless it goes on, why. The counts leave
+// out what is stopped in the same plan.
+func (p *Planner) phase(
+	now time.Duration, policy *Policy, retirement rpc.Retirement, followers []Follower, counts EndpointCounts,
+) (phase Phase, reason string) {
+	confirmed, behind := 0, 0
+	revision := max(retirement.Announced, retirement.Stopped)
+	for _, follower := range followers {
 		switch {
-		case follower.Revision >= upto:
+		case follower.Revision >= revision:
 			confirmed++
 		case follower.Connected:
 			behind++
 		}
 	}
-	if retired.Stopped > 0 {
+	if retirement.Stopped > 0 {
 		if behind > 0 {
 			return Stopping, fmt.Sprintf("%d daemons in touch have not confirmed", behind)
 		}
 		return Complete, ""
 	}
-	if retired.By == ByPlatform {
-		// It ends whatever is said here.
+	if retirement.By == ByPlatform {
+		// The platform ends the backend whatever is decided here.
 		return Stopping, ""
 	}
-	left := time.Duration(rule.Notice) - (now - d.firstSeen[retired.Server])
+	rule := policy.RuleFor(retirement.Service)
+	noticeLeft := time.Duration(rule.Notice) - (now - p.firstSeen[retirement.Server])
 	switch {
 	case behind > 0:
 		return Announced, fmt.Sprintf("%d daemons in touch have not heard of it", behind)
-	case left > 0:
+	case noticeLeft > 0:
 		return Announced, "notice is running"
-	// Daemons that hear neither a leader nor more than half of the others stop
-	// by themselves; so no more than half may be out of touch here.
+	// Nodes that hear neither a leader nor more than half of the others stop by
+	// themselves; so no more than half may be unconfirmed here.
 	case policy != nil && policy.WhenIsolated == IsolatedStop && 2*confirmed <= len(followers):
 		return Waiting, fmt.Sprintf("only %d of %d daemons confirm", confirmed, len(followers))
 	}
-	least := max(1, int(math.Ceil(rule.LeastShare*float64(stock.Listed))))
-	if remain := stock.Usable - stoppedNow - 1; remain < least {
-		return Waiting, fmt.Sprintf("%d of %d backends would be left, the least share is %d", max(0, remain), stock.Listed, least)
+	least := max(1, int(math.Ceil(rule.LeastShare*float64(counts.Listed))))
+	if remaining := counts.Usable - 1; remaining < least {
+		return Waiting, fmt.Sprintf("%d of %d backends would be left, the least share is %d",
+			max(0, remaining), counts.Listed, least)
 	}
 	return Stopping, ""
 }
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -1,8 +1,10 @@
-// Package drain retires backends by one policy that every daemon reads alike.
-// An order passes through agreed epochs: announced, so that all know of it;
-// stopped, from which on no daemon sends a new caller there; and it counts as
-// together once every daemon in touch has confirmed that epoch. This file is
-// the written policy.
+// Package drain retires backends by one policy that every daemon reads alike. It
+// owns the operator's document (Policy), the leader's planning (Planner) and the
+// node's side (Permit); the retirements themselves are replicated state. A
+// retirement passes through revisions that are committed: announced, so that all
+// know of it; stopped, from which on no node sends a new session or request
+// there; and it is complete once every connected node has confirmed that
+// revision. No type here may be used by two goroutines at once.
 package drain
 
 import (
@@ -16,13 +18,13 @@
 // AllServices is the rule that holds where a service has none of its own.
 const AllServices = policy.AllServices
 
-// What keyed requests at work do when their backend leaves.
+// What becomes of keyed requests in flight when their backend drains.
 const (
 	KeyedFinish   = "finish"
 	KeyedDeadline = "deadline"
 )
 
-// What a daemon does that has lost touch with the others.
+// What an isolated node does.
 const (
 	IsolatedStop  = "stop"
 	IsolatedServe = "serve"
@@ -36,11 +38,12 @@
 	Service string `json:"service"`
 	// Notice is how long before the stop all daemons know of it.
 	Notice Span `json:"notice"`
-	// Finish is how long requests at work may go on after the stop.
+	// Finish is how long requests in flight may go on after the stop.
 	Finish Span `json:"finish"`
-	// KeyedRequests is "finish", or "deadline" to let keyed requests run until their own.
+	// KeyedRequests is "finish", or "deadline" to let keyed requests run until their
+	// own deadline.
 	KeyedRequests string `json:"keyed"`
-	// LeastShare is the part of the service that must stay in use.
+	// LeastShare is the fraction of the service's backends that must stay in use.
 	LeastShare float64 `json:"least_share"`
 }
 
@@ -51,8 +54,8 @@
 type Policy struct {
 	Version policy.Version `json:"version"`
 	Rules   []Rule         `json:"rules"`
-	// IsolatedAfter is after how long a daemon that hears neither a leader nor more
-	// than half of its fellows counts itself as cut off, and CutOff what it does.
+	// IsolatedAfter is after how long a node that hears neither a leader nor more
+	// than half of its peers counts as isolated, and WhenIsolated what it does.
 	IsolatedAfter Span   `json:"lost_touch"`
 	WhenIsolated  string `json:"cut_off"`
 }
@@ -69,38 +72,43 @@
 	if err = policy.Decode(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &policy.ValidationErrors{}
-	faults.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
+	invalid := &policy.ValidationErrors{}
+	invalid.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
-		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || named[rule.Service] {
-			faults.Add(where("service"), "is missing or named twice")
-		}
+		rule.validate(invalid, fmt.Sprintf("rules.%d.", i), named[rule.Service])
 		named[rule.Service] = true
-		if rule.Notice < 0 || rule.Notice > maxSpan {
-			faults.Add(where("notice"), "must be a time up to 1h")
-		}
-		if rule.Finish <= 0 || rule.Finish > maxSpan {
-			faults.Add(where("finish"), "must be a time above 0 and up to 1h")
-		}
-		if rule.KeyedRequests != KeyedFinish && rule.KeyedRequests != KeyedDeadline {
-			faults.Add(where("keyed"), `must be "finish" or "deadline"`)
-		}
-		if !(rule.LeastShare >= 0 && rule.LeastShare < 1) {
-			faults.Add(where("least_share"), "must be 0 or more and below 1")
-		}
 	}
 	if parsed.IsolatedAfter < minIsolatedAfter || parsed.IsolatedAfter > maxSpan {
-		faults.Add("lost_touch", "must be a time from 1s to 1h")
+		invalid.Add("lost_touch", "must be a time from 1s to 1h")
 	}
 	if parsed.WhenIsolated != IsolatedStop && parsed.WhenIsolated != IsolatedServe {
-		faults.Add("cut_off", `must be "stop" or "serve"`)
+		invalid.Add("cut_off", `must be "stop" or "serve"`)
 	}
-	return parsed, faults.Err()
+	return parsed, invalid.Err()
 }
 
-// CheckServices tells which services a policy names that are not known.
+// validate adds what is wrong with a rule; repeated tells that an earlier rule is
+// for the same service. The conditions are written so that NaN fails them.
+func (r Rule) validate(invalid *policy.ValidationErrors, prefix string, repeated bool) {
+	if r.Service == "" || repeated {
+		invalid.Add(prefix+"service", "is missing or named twice")
+	}
+	if r.Notice < 0 || r.Notice > maxSpan {
+		invalid.Add(prefix+"notice", "must be a time up to 1h")
+	}
+	if r.Finish <= 0 || r.Finish > maxSpan {
+		invalid.Add(prefix+"finish", "must be a time above 0 and up to 1h")
+	}
+	if r.KeyedRequests != KeyedFinish && r.KeyedRequests != KeyedDeadline {
+		invalid.Add(prefix+"keyed", `must be "finish" or "deadline"`)
+	}
+	if !(r.LeastShare >= 0 && r.LeastShare < 1) {
+		invalid.Add(prefix+"least_share", "must be 0 or more and below 1")
+	}
+}
+
+// CheckServices is an error that lists the services that are named but not known.
 func (p *Policy) CheckServices(known func(service string) bool) (err error) {
 	return policy.CheckServices(p.Rules, known)
 }
@@ -108,14 +116,14 @@
 // defaultRule holds where no policy or no rule does.
 var defaultRule = Rule{Service: AllServices, Finish: Span(30 * time.Second), KeyedRequests: KeyedDeadline, LeastShare: 0}
 
-// RuleFor gives the rule of a service.
+// RuleFor is the rule of a service.
 func (p *Policy) RuleFor(service rpc.ServiceName) (rule Rule) {
 	rule = defaultRule
 	if p == nil {
 		return rule
 	}
-	if written, ruled := policy.RuleFor(p.Rules, string(service)); ruled {
-		return written
+	if own, found := policy.RuleFor(p.Rules, string(service)); found {
+		return own
 	}
 	return rule
 }
--- a/internal/retry/gate.go
+++ b/internal/retry/gate.go
@@ -1,20 +1,27 @@
-// Gate closes a service to retries while the service as a whole is slow or
-// fails: repeats would only lengthen its queues, and first attempts must not
-// suffer for them. A trickle stays, and once answers come in time again the
-// way is opened over some seconds, so that retries come back without a jump.
 package retry
 
 import "time"
 
 const (
-	gateSamples     = 10
-	closeAbove      = 0.5
-	reopenBelow     = 0.2
+	// gateSamples is how many attempts are judged together.
+	gateSamples = 10
+	// closeAbove and reopenBelow are fractions of late attempts; the distance
+	// between them keeps the gate from swinging.
+	closeAbove  = 0.5
+	reopenBelow = 0.2
+	// trickleFraction of the retries pass a closed gate.
 	trickleFraction = 0.05
-	rampTime        = 5 * time.Second
+	// rampTime is how long a reopened gate takes to let all retries pass.
+	rampTime = 5 * time.Second
+	// roundingSlack: sums of fractions fall short of whole numbers by a little.
+	roundingSlack = 1e-9
 )
 
-// CircuitGate of one service at one node.
+// CircuitGate holds back the retries of one service at one node while the
+// service as a whole is slow or fails: repeats would only lengthen its queues,
+// and first attempts must not suffer for them. A trickle passes, and once
+// attempts are in time again the gate opens over rampTime, so that retries come
+// back without a jump. Closed means here that retries do not pass.
 type CircuitGate struct {
 	inTime, late int
 	closed       bool
@@ -23,33 +30,33 @@
 	credit       float64
 }
 
-// Record takes what became of one attempt: whether it was answered in time. It
-// tells whether the gate was shut or opened by that.
-func (g *CircuitGate) Record(now time.Duration, inTime bool) (turned bool) {
+// Record counts one attempt by whether its response came in time, and tells
+// whether the gate closed or reopened by that.
+func (g *CircuitGate) Record(now time.Duration, inTime bool) (changed bool) {
 	if inTime {
 		g.inTime++
 	} else {
 		g.late++
 	}
-	seen := g.inTime + g.late
-	if seen < gateSamples {
+	samples := g.inTime + g.late
+	if samples < gateSamples {
 		return false
 	}
-	part := float64(g.late) / float64(seen)
+	lateFraction := float64(g.late) / float64(samples)
 	g.inTime, g.late = 0, 0
 	switch {
-	case part > closeAbove:
-		turned = !g.closed
+	case lateFraction > closeAbove:
+		changed = !g.closed
 		g.closed, g.ramping, g.credit = true, false, 0
-	case part < reopenBelow && g.closed:
-		turned = true
+	case lateFraction < reopenBelow && g.closed:
+		changed = true
 		g.closed, g.ramping, g.reopenedAt = false, true, now
 	}
-	return turned
+	return changed
 }
 
-// PassFraction is the part of the retries that may pass now.
-func (g *CircuitGate) PassFraction(now time.Duration) (part float64) {
+// PassFraction is the fraction of the retries that may pass now.
+func (g *CircuitGate) PassFraction(now time.Duration) (fraction float64) {
 	switch {
 	case g.closed:
 		return trickleFraction
@@ -59,10 +66,10 @@
 	return 1
 }
 
-// Allow lets one retry through or not.
-func (g *CircuitGate) Allow(now time.Duration) (passes bool) {
+// Allow tells whether one retry may pass.
+func (g *CircuitGate) Allow(now time.Duration) (allowed bool) {
 	g.credit = min(2, g.credit+g.PassFraction(now))
-	if g.credit < 1-1e-9 {
+	if g.credit < 1-roundingSlack {
 		return false
 	}
 	g.credit--
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -1,9 +1,3 @@
-// Limiter is a node's side of the written limit: for each service under a rule
-// it keeps what first attempts have earned, the bucket that fills at the node's
-// leased parts of the least rate, and the gate. In touch with the leader a node
-// earns the whole ratio; out of touch a small floor of it and the floor that
-// was lent, and after a minute nothing, so that a lowered limit holds for nodes
-// that have not heard of it.
 package retry
 
 import (
@@ -16,16 +10,17 @@
 )
 
 const (
-	// contactTime is how long after it asked for news a node counts as in touch.
+	// contactTime is how long after a heartbeat that the leader answered a node
+	// counts as connected.
 	contactTime = 2 * time.Second
-	// isolatedRatio is the part of the ratio that is earned out of touch.
+	// isolatedRatio is the fraction of the ratio that is earned while not connected.
 	isolatedRatio = 0.2
 )
 
-// Decision says why a retry was not let.
+// Decision on one retry.
 type Decision uint8
 
-// The reasons; Granted is none.
+// The decisions; all but Allowed say why not.
 const (
 	Allowed Decision = iota
 	LimitReached
@@ -33,6 +28,7 @@
 	DeadlineTooShort
 )
 
+// serviceState is what a limiter holds for one service under a rule.
 type serviceState struct {
 	rule     Rule
 	budget   Budget
@@ -47,123 +43,131 @@
 	Service string  `json:"service"`
 	Ratio   float64 `json:"ratio"`
 	Used    uint64  `json:"used"`
-	// Rejected for want of a share, Slow because the service is, Late because no
-	// answer could have been in time.
+	// Rejected counts those over the limit, RejectedSlow those that the gate held
+	// back, RejectedLate those whose response could not have been in time.
 	Rejected     uint64  `json:"refused"`
 	RejectedSlow uint64  `json:"refused_slow"`
 	RejectedLate uint64  `json:"refused_late"`
 	PassFraction float64 `json:"open"`
 }
 
-// Limiter of one node.
+// Limiter keeps the written limit at one node. While connected to the leader the
+// node earns the whole ratio; after that isolatedRatio of it and the guaranteed
+// minimum of its leases, and after a minute nothing, so that a lowered limit
+// holds for nodes that have not heard of it.
 type Limiter struct {
+	// leased is the rate a second that this node holds of a service's least rate.
 	leased func(kind rpc.LeaseKind, service string) float64
-	// OnGateChange is told when retries of a service are held back or let again.
+	// OnGateChange is called, under the limiter's lock, when the retries of a
+	// service are held back or pass again. It is set before the first use.
 	OnGateChange func(service rpc.ServiceName, open bool)
-	mu           sync.Mutex
-	policy       *Policy
-	leaderHeard  time.Duration
-	services     map[rpc.ServiceName]*serviceState
+
+	mu          sync.Mutex
+	policy      *Policy
+	leaderHeard time.Duration
+	services    map[rpc.ServiceName]*serviceState
 }
 
-// NewLimiter draws on leased parts.
-func NewLimiter(part func(kind rpc.LeaseKind, service string) float64) (limiter *Limiter) {
-	return &Limiter{leased: part, OnGateChange: func(rpc.ServiceName, bool) {}, services: map[rpc.ServiceName]*serviceState{}}
+// NewLimiter makes a limiter that draws on the rates leased to this node.
+func NewLimiter(leased func(kind rpc.LeaseKind, service string) float64) (limiter *Limiter) {
+	return &Limiter{leased: leased, OnGateChange: func(rpc.ServiceName, bool) {}, services: map[rpc.ServiceName]*serviceState{}}
 }
 
-// SetPolicy takes the policy in force, nil for none. What was earned under another
-// rule is lost, so that a lowered limit holds at once here.
+// SetPolicy sets the policy in force, nil for none. What was earned under another
+// rule is dropped, so that a lowered limit holds at once here.
 func (l *Limiter) SetPolicy(policy *Policy) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.policy = policy
-	for service, held := range l.services {
-		rule, written := policy.RuleFor(service)
+	for service, state := range l.services {
+		rule, limited := policy.RuleFor(service)
 		switch {
-		case !written:
+		case !limited:
 			delete(l.services, service)
-		case rule != held.rule:
-			held.rule, held.budget, held.bucket = rule, Budget{}, quota.TokenBucket{}
+		case rule != state.rule:
+			state.rule, state.budget, state.bucket = rule, Budget{}, quota.TokenBucket{}
 		}
 	}
 }
 
-// LeaderHeard notes that the leader was asked at a time and answered.
+// LeaderHeard notes that the leader answered a heartbeat that was sent at a time.
 func (l *Limiter) LeaderHeard(asked time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaderHeard = max(l.leaderHeard, asked)
 }
 
-// stateOf gives a service's standing, nil where no rule holds; the caller holds the lock.
-func (l *Limiter) stateOf(service rpc.ServiceName) (held *serviceState) {
+// stateOf is a service's state, nil where no rule holds. The caller holds l.mu.
+func (l *Limiter) stateOf(service rpc.ServiceName) (state *serviceState) {
 	if l.policy == nil {
 		return nil
 	}
-	held = l.services[service]
-	if held == nil {
-		rule, written := l.policy.RuleFor(service)
-		if !written {
+	state = l.services[service]
+	if state == nil {
+		rule, limited := l.policy.RuleFor(service)
+		if !limited {
 			return nil
 		}
-		held = &serviceState{rule: rule}
-		l.services[service] = held
+		state = &serviceState{rule: rule}
+		l.services[service] = state
 	}
-	return held
+	return state
 }
 
-// leasedRate is what this node holds of a service's least rate.
-func (l *Limiter) leasedRate(service rpc.ServiceName) (part float64) {
+// leasedRate is what this node holds of a service's least rate, a second.
+func (l *Limiter) leasedRate(service rpc.ServiceName) (rate float64) {
 	return l.leased(rpc.RetryShare, string(service)) + l.leased(rpc.RetryMinimum, string(service))
 }
 
-// FirstAttempt notes a first attempt.
+// FirstAttempt credits the budget for the first attempt of a request.
 func (l *Limiter) FirstAttempt(now time.Duration, service rpc.ServiceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.stateOf(service)
-	if held == nil {
+	state := l.stateOf(service)
+	if state == nil {
 		return
 	}
-	earned := held.rule.Ratio
+	earned := state.rule.Ratio
 	switch silence := now - l.leaderHeard; {
 	case silence > quota.RetryMinimumDuration:
 		earned = 0
 	case silence > contactTime:
 		earned *= isolatedRatio
 	}
-	held.budget.Earn(now, time.Duration(held.rule.Window), earned)
+	state.budget.Earn(now, time.Duration(state.rule.Window), earned)
 }
 
-// RecordOutcome takes what became of an attempt.
+// RecordOutcome tells the gate whether the response to an attempt came in time.
 func (l *Limiter) RecordOutcome(now time.Duration, service rpc.ServiceName, inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if held := l.stateOf(service); held != nil && held.gate.Record(now, inTime) {
-		l.OnGateChange(service, !held.gate.closed)
+	if state := l.stateOf(service); state != nil && state.gate.Record(now, inTime) {
+		l.OnGateChange(service, !state.gate.closed)
 	}
 }
 
-// AllowRetry takes one retry that would be answered at a time and must be by
-// another, or says why not.
-func (l *Limiter) AllowRetry(now, answered, till time.Duration, service rpc.ServiceName) (refusal Decision) {
+// AllowRetry takes one retry off the limit, or says why not. The retry is expected
+// to complete at one time and is of use until the deadline.
+func (l *Limiter) AllowRetry(now, completion, deadline time.Duration, service rpc.ServiceName) (decision Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.stateOf(service)
-	if held == nil {
+	state := l.stateOf(service)
+	if state == nil {
 		return Allowed
 	}
-	refusal = held.allow(now, answered, till, service, l.leasedRate(service))
-	if refusal == Allowed {
-		held.used++
+	decision = state.allow(now, completion, deadline, service, l.leasedRate(service))
+	if decision == Allowed {
+		state.used++
 	} else {
-		held.rejected[refusal]++
+		state.rejected[decision]++
 	}
-	return refusal
+	return decision
 }
 
-func (s *serviceState) allow(now, answered, till time.Duration, service rpc.ServiceName, part float64) (refusal Decision) {
-	if answered > till {
+func (s *serviceState) allow(
+	now, completion, deadline time.Duration, service rpc.ServiceName, leasedRate float64,
+) (decision Decision) {
+	if completion > deadline {
 		return DeadlineTooShort
 	}
 	if !s.gate.Allow(now) {
@@ -172,41 +176,43 @@
 	if s.budget.Spend(now, time.Duration(s.rule.Window)) {
 		return Allowed
 	}
-	if admitted, _ := s.bucket.Admit(now, s.rule.Bound(service), part); admitted {
+	if admitted, _ := s.bucket.Admit(now, s.rule.Bound(service), leasedRate); admitted {
 		return Allowed
 	}
 	return LimitReached
 }
 
-// Refill brings the buckets up to now; it is called before parts change.
+// Refill brings the buckets up to now; it is called before leases change.
 func (l *Limiter) Refill(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for service, held := range l.services {
-		held.bucket.Refill(now, held.rule.Bound(service), l.leasedRate(service))
+	for service, state := range l.services {
+		state.bucket.Refill(now, state.rule.Bound(service), l.leasedRate(service))
 	}
 }
 
-// Demands tells what each service's retries ask of this node.
+// Demands lists the rates that this node asks the leader for.
 func (l *Limiter) Demands() (demands []rpc.RateDemand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for service, held := range l.services {
-		demands = append(demands, rpc.RateDemand{Name: string(service), Rate: held.bucket.Demand(), Minimum: l.leased(rpc.RetryMinimum, string(service))})
+	for service, state := range l.services {
+		demands = append(demands, rpc.RateDemand{
+			Name: string(service), Rate: state.bucket.Demand(), Minimum: l.leased(rpc.RetryMinimum, string(service)),
+		})
 	}
 	return demands
 }
 
-// Status tells how each service stands here.
-func (l *Limiter) Status(now time.Duration) (accounts []ServiceStatus) {
+// Status lists the services under a rule, by name.
+func (l *Limiter) Status(now time.Duration) (statuses []ServiceStatus) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for service, held := range l.services {
-		accounts = append(accounts, ServiceStatus{
-			Service: string(service), Ratio: held.rule.Ratio, Used: held.used, Rejected: held.rejected[LimitReached],
-			RejectedSlow: held.rejected[ServiceSlow], RejectedLate: held.rejected[DeadlineTooShort], PassFraction: held.gate.PassFraction(now),
+	for service, state := range l.services {
+		statuses = append(statuses, ServiceStatus{
+			Service: string(service), Ratio: state.rule.Ratio, Used: state.used, Rejected: state.rejected[LimitReached],
+			RejectedSlow: state.rejected[ServiceSlow], RejectedLate: state.rejected[DeadlineTooShort], PassFraction: state.gate.PassFraction(now),
 		})
 	}
-	sort.Slice(accounts, func(i, j int) bool { return accounts[i].Service < accounts[j].Service })
-	return accounts
+	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
+	return statuses
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -1,7 +1,11 @@
-// Package retry keeps the one written limit on retries that all nodes keep
-// together, service by service. A retry is any arrival at a backend beyond the
-// first of a request: another attempt, a hedge, the repeat of what a backend
-// turned away. This file is the written limit.
+// Package retry owns a node's side of the written limit on retries that all
+// nodes keep together, service by service: the operator's document, the budget
+// that first attempts earn, the leased least rate, and the gate that holds
+// retries back while a service is slow. It does not send anything, and it does
+// not divide the least rate among nodes; the leader does (quota). A retry is any
+// arrival at a backend beyond the first of a request: another attempt, a hedged
+// request, the repeat of what a backend rejected. Limiter may be used by any
+// goroutine; the other types belong to their Limiter.
 package retry
 
 import (
@@ -18,10 +22,10 @@
 	Service string `json:"service"`
 	// Ratio of retries to first attempts.
 	Ratio float64 `json:"ratio"`
-	// LeastPerSecond is what all nodes together may retry beside that, however
+	// LeastPerSecond is what all nodes together may retry besides, however
 	// few first attempts there are.
 	LeastPerSecond float64 `json:"least_per_s"`
-	// Window is the span over which the limit is counted; it slides.
+	// Window is the sliding time over which the limit is counted.
 	Window policy.Duration `json:"window"`
 }
 
@@ -48,29 +52,34 @@
 	if err = policy.Decode(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &policy.ValidationErrors{}
-	faults.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
+	invalid := &policy.ValidationErrors{}
+	invalid.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
-		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || len(rule.Service) > policy.MaxNameLength || named[rule.Service] {
-			faults.Add(where("service"), "is missing, too long or named twice")
-		}
+		rule.validate(invalid, fmt.Sprintf("rules.%d.", i), named[rule.Service])
 		named[rule.Service] = true
-		if !(rule.Ratio >= 0 && rule.Ratio <= maxRatio) {
-			faults.Add(where("ratio"), fmt.Sprintf("must be a number from 0 to %d", maxRatio))
-		}
-		if !(rule.LeastPerSecond >= 0 && rule.LeastPerSecond <= maxLeastPerSecond) {
-			faults.Add(where("least_per_s"), fmt.Sprintf("must be a number from 0 to %d", maxLeastPerSecond))
-		}
-		if rule.Window < minWindow || rule.Window > maxWindow {
-			faults.Add(where("window"), "must be a time from 1s to 10m")
-		}
 	}
-	return parsed, faults.Err()
+	return parsed, invalid.Err()
 }
 
-// CheckServices tells which services a policy names that are not known.
+// validate adds what is wrong with a rule; repeated tells that an earlier rule is
+// for the same service. The conditions are written so that NaN fails them.
+func (r Rule) validate(invalid *policy.ValidationErrors, prefix string, repeated bool) {
+	if r.Service == "" || len(r.Service) > policy.MaxNameLength || repeated {
+		invalid.Add(prefix+"service", "is missing, too long or named twice")
+	}
+	if !(r.Ratio >= 0 && r.Ratio <= maxRatio) {
+		invalid.Add(prefix+"ratio", fmt.Sprintf("must be a number from 0 to %d", maxRatio))
+	}
+	if !(r.LeastPerSecond >= 0 && r.LeastPerSecond <= maxLeastPerSecond) {
+		invalid.Add(prefix+"least_per_s", fmt.Sprintf("must be a number from 0 to %d", maxLeastPerSecond))
+	}
+	if r.Window < minWindow || r.Window > maxWindow {
+		invalid.Add(prefix+"window", "must be a time from 1s to 10m")
+	}
+}
+
+// CheckServices is an error that lists the services that are named but not known.
 func (p *Policy) CheckServices(known func(service string) bool) (err error) {
 	return policy.CheckServices(p.Rules, known)
 }
@@ -83,7 +92,7 @@
 	return policy.RuleFor(p.Rules, string(service))
 }
 
-// Bound is what is lent of the rule: half of the least may come at once and
+// Bound is the least rate as the leader leases it: half of it may come at once and
 // half of it as a rate, so that no window holds more than the whole.
 func (r Rule) Bound(service rpc.ServiceName) (bound quota.RateLimit) {
 	return quota.RateLimit{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
