--- a/internal/adminclient/print.go
+++ b/internal/adminclient/print.go
@@ -44,9 +44,11 @@
 
 func printSessions(table io.Writer, sessions *coordinator.SessionStatus) {
 	for _, service := range sessions.Services {
-		_, _ = fmt.Fprintf(table, "%s\tby %s\tidle %s\t%d of %d sessions\n", service.Service, service.Source, service.Idle, service.Sessions, service.Limit)
+		_, _ = fmt.Fprintf(table, "%s\tby %s\tidle %s\t%d of %d sessions\n",
+			service.Service, service.Source, service.Idle, service.Sessions, service.Limit)
 	}
-	_, _ = fmt.Fprintf(table, "moved %d\tdropped for want of room %d\trefused %d\n", sessions.Moved, sessions.Evicted, sessions.Rejected)
+	_, _ = fmt.Fprintf(table, "moved %d\tdropped for want of room %d\trefused %d\n",
+		sessions.Moved, sessions.Evicted, sessions.Rejected)
 }
 
 func printRetryLimit(table io.Writer, limit coordinator.RetryStatus) {
--- a/internal/adminclient/retire.go
+++ b/internal/adminclient/retire.go
@@ -38,7 +38,8 @@
 		if retirement, found := c.retirementStatus(ctx, backend); found {
 			if now := string(retirement.Phase) + " " + retirement.Reason; now != last {
 				last = now
-				line := fmt.Sprintf("%s, %d of %d daemons follow %s", retirement.Phase, retirement.Confirmed, retirement.Nodes, retirement.Reason)
+				line := fmt.Sprintf("%s, %d of %d daemons follow %s",
+					retirement.Phase, retirement.Confirmed, retirement.Nodes, retirement.Reason)
 				_, _ = fmt.Fprintln(out, strings.TrimSpace(line))
 			}
 			if retirement.Phase == drain.Complete {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -43,7 +43,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c = &Controller{settings: p, log: log, node: node, proposalTimeout: proposalTimeout, nodeCalls: coordinator.NewHandler(node, node)}
+	c = &Controller{
+		settings: p, log: log, node: node, proposalTimeout: proposalTimeout,
+		nodeCalls: coordinator.NewHandler(node, node),
+	}
 	node.OnLeadership = c.roleChanged
 	node.OnChange = c.stateChanged
 	if p.EventsURL != "" {
--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -17,7 +17,9 @@
 
 // retireBackend answers Backends.Retire and, with restore, Backends.Restore. It
 // gives the phase that the retirement has reached.
-func (c *Controller) retireBackend(_ context.Context, id rpc.EndpointID, restore bool, requestName string) (phase string, err error) {
+func (c *Controller) retireBackend(
+	_ context.Context, id rpc.EndpointID, restore bool, requestName string,
+) (phase string, err error) {
 	if restore {
 		return c.restore(id, requestName)
 	}
@@ -30,7 +32,10 @@
 	}
 	r := &retirement{
 		controller: c, current: current, id: id,
-		command: statemachine.Command{Kind: statemachine.CommandRetire, Subject: string(id), Claim: statemachine.Claim{Holder: drain.ByOperator, Key: requestName}},
+		command: statemachine.Command{
+			Kind: statemachine.CommandRetire, Subject: string(id),
+			Claim: statemachine.Claim{Holder: drain.ByOperator, Key: requestName},
+		},
 	}
 	return r.carryOut()
 }
@@ -39,7 +44,9 @@
 	if _, err = c.leading(withRequestName("/-/Backends.Restore/"+url.PathEscape(string(id)), requestName)); err != nil {
 		return "", err
 	}
-	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandCancelRetire, Subject: string(id), Claim: statemachine.Claim{Key: requestName}})
+	result, err := c.propose(statemachine.Command{
+		Kind: statemachine.CommandCancelRetire, Subject: string(id), Claim: statemachine.Claim{Key: requestName},
+	})
 	return "restored", c.acknowledge(history.Retirement, string(id), "restored", result, err)
 }
 
@@ -96,7 +103,8 @@
 		return "", err
 	}
 	if phase, err = r.earlier.answer(invalid); err != nil {
-		c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, history.Retirement, eventlog.KeyName, string(r.id), eventlog.KeyReason, err.Error())
+		c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, history.Retirement,
+			eventlog.KeyName, string(r.id), eventlog.KeyReason, err.Error())
 	}
 	return phase, err
 }
@@ -127,7 +135,10 @@
 	case e.accepted && errors.Is(invalid, coordinator.ErrUnknownBackend):
 		return string(drain.Removed), nil
 	case e.accepted:
-		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "this retirement was accepted and taken back before; as a new one it is rejected: " + invalid.Error()}
+		return "", &httpapi.Error{
+			Kind: apierror.OutcomeUnknown,
+			Text: "this retirement was accepted and taken back before; as a new one it is rejected: " + invalid.Error(),
+		}
 	}
 	return "", invalidRequest(invalid)
 }
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -14,7 +14,9 @@
 	c := h.controller
 	reply.Name = c.settings.Name
 	for _, change := range c.node.History.Changes(history.Subject{Kind: request.Kind, Name: request.Name}) {
-		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: change.Action, Summary: change.State, LogIndex: change.Revision, Age: change.Age})
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{
+			Event: change.Action, Summary: change.State, LogIndex: change.Revision, Age: change.Age,
+		})
 	}
 	switch request.Kind {
 	case history.Item, history.Document, history.Retirement, history.ScheduleStep, history.Evacuation:
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -41,9 +41,9 @@
 	endpoints *registry.EndpointList
 	health    *healthcheck.StateCache
 
-	// view and revision are the replicated configuration as last read,
+	// routingTable and revision are the replicated configuration as last read,
 	// evacuatedZones what is evacuated by it.
-	view           *config.RoutingTable
+	routingTable   *config.RoutingTable
 	logIndex       uint64
 	evacuatedZones map[rpc.ZoneName]bool
 
@@ -79,7 +79,7 @@
 		nodes:          newNodeTable(revisions, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
 		endpoints:      registry.NewEndpointList(revisions),
 		health:         healthcheck.NewStateCache(revisions, 3*p.HealthCheckInterval+time.Second),
-		view:           config.New().RoutingTable(),
+		routingTable:   config.New().RoutingTable(),
 		evacuatedZones: map[rpc.ZoneName]bool{},
 		outcomes:       newOutcomeRelay(),
 		leases:         newLeaseTable(term == 1),
@@ -106,12 +106,12 @@
 func (c *Coordinator) StateChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var view *config.RoutingTable
+	var routingTable *config.RoutingTable
 	active := map[rpc.ZoneName]bool{}
 	c.node.ReadState(func(state *statemachine.State) {
 		if state.Revision != c.logIndex {
 			c.logIndex = state.Revision
-			view = state.Config.RoutingTable()
+			routingTable = state.Config.RoutingTable()
 			c.policies.load(state)
 			c.sessions.load(state)
 		}
@@ -121,8 +121,8 @@
 			}
 		}
 	})
-	if view != nil {
-		c.view = view
+	if routingTable != nil {
+		c.routingTable = routingTable
 	}
 	for zone := range c.evacuatedZones {
 		if !active[zone] {
@@ -140,7 +140,7 @@
 		if endpoint.Zone != zone {
 			return
 		}
-		if service := c.view.Services[string(endpoint.Service)]; service != nil {
+		if service := c.routingTable.Services[string(endpoint.Service)]; service != nil {
 			c.health.Suspect(c.now(), id, endpoint.Service, service.SlowStart)
 		}
 	})
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -52,7 +52,10 @@
 	// Under a policy, backends that the platform drains are retired as well.
 	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
 		if _, retired := d.retired[id]; endpoint.Draining && !retired {
-			commands = append(commands, statemachine.Command{Kind: statemachine.CommandRetire, Subject: string(id), Body: []byte(endpoint.Service), Claim: statemachine.Claim{Holder: drain.ByPlatform}})
+			commands = append(commands, statemachine.Command{
+				Kind: statemachine.CommandRetire, Subject: string(id), Body: []byte(endpoint.Service),
+				Claim: statemachine.Claim{Holder: drain.ByPlatform},
+			})
 		}
 	})
 	return commands
@@ -78,7 +81,8 @@
 		commands = append(commands, statemachine.Command{Kind: statemachine.CommandStopRetired, Subject: string(id)})
 	}
 	for _, status := range d.statuses {
-		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Backend, string(status.Phase), eventlog.KeyReason, status.Reason)
+		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Backend, string(status.Phase),
+			eventlog.KeyReason, status.Reason)
 	}
 	return commands
 }
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -28,7 +28,9 @@
 	pause := time.Duration(float64(time.Second) / max(c.settings.PlatformRate*leaderRateShare, minPlatformRate))
 	for {
 		begun := time.Now()
-		endpoints, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Endpoint) { c.mergeEndpoints(page, false) })
+		endpoints, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Endpoint) {
+			c.mergeEndpoints(page, false)
+		})
 		interval := listInterval(c.settings.EndpointListInterval, pause, pages)
 		if err != nil {
 			c.log.Emit(eventlog.EndpointListFailed, eventlog.KeyError, err.Error())
@@ -131,7 +133,8 @@
 	before := c.revisions.Current()
 	taken, changed := c.health.Report(c.now(), request, absent)
 	c.health.States.Since(before, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) {
-		c.history.Record(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.revisions.Current()), true)
+		by := "reported by " + string(request.Node)
+		c.history.Record(history.Health, string(id), by, state.Summary(), uint64(c.revisions.Current()), true)
 	})
 	if changed {
 		c.wakeHeartbeats()
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -78,7 +78,8 @@
 
 // Lead tells whether this controller leads.
 func (h *Handler) Lead(_ rpc.LeaderRequest, reply *rpc.LeaderResponse) (err error) {
-	if coordinator := h.coordinator.Load(); coordinator != nil && h.leadership.HoldsLease(raft.Term(coordinator.term), seekerConfirmTimeout) {
+	coordinator := h.coordinator.Load()
+	if coordinator != nil && h.leadership.HoldsLease(raft.Term(coordinator.term), seekerConfirmTimeout) {
 		reply.IsLeader, reply.Term = true, coordinator.term
 	}
 	reply.Controllers = append(reply.Controllers, controllersOf(h.node)...)
--- a/internal/coordinator/heartbeat.go
+++ b/internal/coordinator/heartbeat.go
@@ -58,7 +58,8 @@
 func (c *Coordinator) observe(request rpc.HeartbeatRequest) {
 	joined, changed := c.nodes.registry.Heartbeat(c.now(), request.Node)
 	if joined {
-		c.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(request.ID), eventlog.KeyIncarnation, uint64(request.Incarnation))
+		c.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(request.ID),
+			eventlog.KeyIncarnation, uint64(request.Incarnation))
 	}
 	// Other nodes are notified with the next reconciliation: after a change of
 	// leader all nodes come at once, and each would wake all the others.
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -51,19 +51,20 @@
 		return nil
 	}
 	slack := c.settings.Bounds.RetryBudgetSlack * retrySlackShare
-	lease, granted := c.leases.rates.Grant(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow, request.ID, slack/float64(nodes))
+	lease, granted := c.leases.rates.Grant(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow,
+		request.ID, slack/float64(nodes))
 	if granted {
 		leases = append(leases, lease)
 	}
 	for _, demand := range request.TenantDemands {
-		if tenant := c.view.TenantByName(demand.Name); tenant != nil {
+		if tenant := c.routingTable.TenantByName(demand.Name); tenant != nil {
 			leases = append(leases, c.leases.tenants.Grant(now, quota.TenantLimit(tenant), request.ID, nodes, demand)...)
 		}
 	}
 	for _, demand := range request.RetryDemands {
 		service := rpc.ServiceName(demand.Name)
 		rule, limited := c.policies.retry.limit.RuleFor(service)
-		if limited && rule.LeastPerSecond > 0 && c.view.Services[demand.Name] != nil {
+		if limited && rule.LeastPerSecond > 0 && c.routingTable.Services[demand.Name] != nil {
 			leases = append(leases, c.leases.retries.Grant(now, rule.Bound(service), request.ID, nodes, demand)...)
 		}
 	}
@@ -96,7 +97,7 @@
 // warmUpLimited gives a backend's service where that limits the rate of backends
 // that are warming up, else nil.
 func (c *Coordinator) warmUpLimited(endpoint rpc.Endpoint) (service *config.Service) {
-	service = c.view.Services[string(endpoint.Service)]
+	service = c.routingTable.Services[string(endpoint.Service)]
 	if service == nil || service.SlowStartRate <= 0 {
 		return nil
 	}
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -61,7 +61,8 @@
 func (c *Coordinator) refreshNodes() {
 	if c.nodes.refresh(c.term) {
 		c.health.SetShardMap(c.nodes.shardMap)
-		c.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(c.nodes.shardMapRevision), eventlog.KeyMembers, len(c.nodes.shardMap.Members))
+		c.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(c.nodes.shardMapRevision),
+			eventlog.KeyMembers, len(c.nodes.shardMap.Members))
 	}
 	c.outcomes.forgetOwners()
 }
@@ -159,7 +160,9 @@
 // that is warming up is split between, and how many they are: those of the
 // nearest nodes that rank highest for it, as they do for its ordinary use, so
 // that the load of many such backends is spread.
-func (t *nodeTable) sharesWarmUp(node rpc.NodeID, endpoint rpc.Endpoint, rate float64, regions map[string]string) (shares bool, sharers int) {
+func (t *nodeTable) sharesWarmUp(
+	node rpc.NodeID, endpoint rpc.Endpoint, rate float64, regions map[string]string,
+) (shares bool, sharers int) {
 	nearest := t.nearest(endpoint.Zone, regions)
 	sharers = min(len(nearest), max(1, int(rate/ratePerSharer)))
 	rank := healthcheck.Rank(string(node), string(endpoint.ID))
--- a/internal/coordinator/outcomes.go
+++ b/internal/coordinator/outcomes.go
@@ -41,7 +41,7 @@
 // out what names an unknown service or a backend of another; the caller holds mu.
 func (c *Coordinator) relayOutcomes(request rpc.HeartbeatRequest) {
 	for _, row := range request.Outcomes[:min(len(request.Outcomes), maxOutcomeRows)] {
-		if c.view.Services[string(row.Service)] == nil {
+		if c.routingTable.Services[string(row.Service)] == nil {
 			continue
 		}
 		if row.Endpoint != "" {
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -47,14 +47,15 @@
 		}
 	}
 	sort.Strings(missing)
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name))
 		if !limited {
 			continue
 		}
 		statuses = append(statuses, RetryStatus{
 			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
-			Granted: c.leases.retries.Granted(now, name), Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
+			Granted:   c.leases.retries.Granted(now, name),
+			Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -63,7 +63,7 @@
 	services := []rpc.ServiceName{target.Service}
 	if target.Host != "" {
 		services = nil
-		for _, named := range c.view.ServicesOf(target.Host) {
+		for _, named := range c.routingTable.ServicesOf(target.Host) {
 			services = append(services, rpc.ServiceName(named))
 		}
 	}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -96,7 +96,7 @@
 		return errors.New("the idle time is out of bounds")
 	case len(bind.EndedEndpoint) > policy.MaxNameLength:
 		return errLongName
-	case c.view.Services[string(bind.Service)] == nil || !ruled:
+	case c.routingTable.Services[string(bind.Service)] == nil || !ruled:
 		return errors.New("no affinity rule for the service")
 	case !listed || endpoint.Service != bind.Service || endpoint.Draining:
 		return errors.New("the backend is not one that may be bound")
@@ -175,10 +175,11 @@
 		var standing statemachine.Binding
 		var bound bool
 		c.node.ReadState(func(state *statemachine.State) { standing, bound = state.Binding(bind.Session) })
-		endpoint, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
+		hasEnded := func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
-		})
+		}
+		endpoint, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, hasEnded)
 		if answered {
 			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: endpoint}
 			continue
@@ -201,7 +202,8 @@
 	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
 	if answer.Result.Moved {
 		c.sessions.moved++
-		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
+		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service),
+			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
 		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Server}
@@ -209,7 +211,7 @@
 
 // sessionLimit is how many sessions a service may have.
 func (c *Coordinator) sessionLimit(service rpc.ServiceName) (limit int) {
-	if rule, ruled := c.sessions.policy.RuleFor(service); ruled && c.view.Services[string(service)] != nil {
+	if rule, ruled := c.sessions.policy.RuleFor(service); ruled && c.routingTable.Services[string(service)] != nil {
 		return rule.MaxSessions
 	}
 	return 0
@@ -227,7 +229,9 @@
 		c.scanBindings()
 	}
 	for _, over := range s.expiry.Expire(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
-		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Sequence})
+		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{
+			Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Sequence,
+		})
 	}
 	if len(s.pendingUnbinds) == 0 {
 		return
@@ -276,7 +280,7 @@
 	// So that a leader whose term has just begun counts all of them as well.
 	c.buildSessionTable()
 	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Evicted, Rejected: c.sessions.rejected}
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		rule, ruled := c.sessions.policy.RuleFor(rpc.ServiceName(name))
 		if !ruled {
 			continue
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -42,7 +42,9 @@
 var (
 	earlierNodeNames   = map[string]string{"site": "zone", "inner": "internal_address", "here": "connected"}
 	earlierGrantNames  = map[string]string{"bound": "limit", "lent": "granted"}
-	earlierStatusNames = map[string]string{"fellows": "nodes", "map_count": "shard_map_version", "map_members": "shard_map_members", "lent": "granted"}
+	earlierStatusNames = map[string]string{
+		"fellows": "nodes", "map_count": "shard_map_version", "map_members": "shard_map_members", "lent": "granted",
+	}
 )
 
 // UnmarshalJSON reads the status of this release and of the one before.
@@ -74,7 +76,7 @@
 	for _, member := range c.nodes.shardMap.Members {
 		status.ShardMapMembers = append(status.ShardMapMembers, string(member))
 	}
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.nodes.absent))
 	}
 	c.endpoints.Endpoints.Each(func(rpc.EndpointID, rpc.Endpoint) { status.Backends++ })
@@ -105,13 +107,13 @@
 		grants = append(grants, GrantStatus{Limit: limit, Granted: granted})
 	}
 	add("retry slack", c.leases.rates.Granted(now, quota.Key{Kind: rpc.RetrySlack}))
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		if rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name)); limited {
 			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
 			add(limit, c.leases.retries.Granted(now, name))
 		}
 	}
-	for _, tenant := range c.view.Tenants() {
+	for _, tenant := range c.routingTable.Tenants() {
 		add("tenant "+tenant.Name, c.leases.tenants.Granted(now, tenant.Name))
 	}
 	sort.Slice(grants, func(i, j int) bool { return grants[i].Limit < grants[j].Limit })
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -102,7 +102,8 @@
 // the other replicated state what is newer than the node knows.
 func (c *Coordinator) addItems(state *statemachine.State, known rpc.KnownState, update *rpc.Update) {
 	part := c.itemPart(state, itemPosition{known.LogIndex, known.LastItem})
-	update.Items, update.CompressedItems, update.LogIndex, update.LastItem = part.items, part.packed, part.next.logIndex, part.next.path
+	update.Items, update.CompressedItems = part.items, part.packed
+	update.LogIndex, update.LastItem = part.next.logIndex, part.next.path
 	for _, document := range state.Documents {
 		if document.Rev >= known.LogIndex {
 			update.Documents = append(update.Documents, document)
@@ -118,7 +119,9 @@
 	}
 	for _, evacuation := range state.Evacuations {
 		if evacuation.Rev >= known.LogIndex {
-			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Zone: rpc.ZoneName(evacuation.Site), Active: evacuation.Active, LogIndex: evacuation.Rev})
+			update.Evacuations = append(update.Evacuations, rpc.Evacuation{
+				Zone: rpc.ZoneName(evacuation.Site), Active: evacuation.Active, LogIndex: evacuation.Rev,
+			})
 		}
 	}
 }
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -68,7 +68,8 @@
 
 func validateHeartbeat(request rpc.HeartbeatRequest) (err error) {
 	switch {
-	case request.ID == "" || !namesFit(string(request.ID), string(request.Zone), string(request.Region), request.FrontendAddress, request.InternalAddress):
+	case request.ID == "" || !namesFit(string(request.ID), string(request.Zone), string(request.Region),
+		request.FrontendAddress, request.InternalAddress):
 		return errBadName
 	case request.MaxWait < 0 || request.MaxWait > maxRequestedHold:
 		return fmt.Errorf("hold time of %s", request.MaxWait)
@@ -129,7 +130,9 @@
 func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.NodeID, reason error) (err error) {
 	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
-		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.MaxNameLength)], eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
+		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call,
+			eventlog.KeyNode, string(by)[:min(len(by), policy.MaxNameLength)],
+			eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
 	}
 	return &InvalidCallError{Call: call, Reason: reason}
 }
