--- a/internal/proxy/batcher.go
+++ b/internal/proxy/batcher.go
@@ -1,9 +1,3 @@
-// Batcher gathers what many requests ask of one place and asks it in few calls:
-// all that waits goes into the next one. What waits is bounded; beyond it an
-// ask is not taken at all, which its caller may tell apart from an ask whose
-// answer did not come. What nobody waits for any more is not sent, and a call
-// says how long somebody waits for it. A reply that has not an answer for each
-// ask answers none: whose is whose would be a guess.
 package proxy
 
 import "time"
@@ -14,7 +8,12 @@
 	reply    chan R
 }
 
-// Batcher of one kind of ask.
+// Batcher gathers what many requests ask of one place and asks it in few calls: all
+// that waits goes into the next one. The queue is bounded; a request that finds it full
+// is not taken at all, which its caller may tell apart from one whose reply did not
+// come. What nobody waits for any more is not sent, and a call says how long somebody
+// waits for it. Replies that are not as many as the requests answer none: which
+// belongs to which would be a guess.
 type Batcher[A, R any] struct {
 	queue    chan pendingRequest[A, R]
 	slots    chan struct{}
--- a/internal/proxy/cluster_state.go
+++ b/internal/proxy/cluster_state.go
@@ -277,3 +277,10 @@
 	}
 	return rpc.EndpointState{Health: backend.health, WarmupRemaining: max(0, backend.warmUpUntil-s.clock.Now())}.Summary(), 0, true
 }
+
+// appliedShards is the shard map in use.
+func (s *ClusterState) appliedShards() rpc.ShardMap {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.assignment.AppliedMap()
+}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -1,7 +1,10 @@
-// Package passage is the daemon on every edge: it answers name queries,
-// carries requests to backends, probes what the shard map gives it, and keeps
-// its tie to the leader. This file puts its duties together and takes them
-// down in order.
+// Package proxy is one node of the data plane: it takes requests in, sends them to
+// backends, probes the backends that the shard map gives it, answers name queries and
+// keeps its tie to the leading controller. It owns the connections of clients and to
+// backends and the node's copy of the cluster's state; what is pure arithmetic lives in
+// packages of its own (balancer, directory, quota, retry, affinity, healthcheck). A Daemon
+// is started once by Start and stopped once by Stop; what it exports may be called from
+// any goroutine.
 package proxy
 
 import (
@@ -23,7 +26,7 @@
 	"tinpin/internal/settings"
 )
 
-// Daemon is a running passage daemon.
+// Daemon is a running node.
 type Daemon struct {
 	settings       settings.Settings
 	log            *eventlog.Logger
@@ -46,14 +49,14 @@
 	disabledChecks DisabledChecks
 }
 
-// Start takes up the work.
+// Start starts a node.
 func Start(p settings.Settings, log *eventlog.Logger) (daemon *Daemon, err error) {
-	var luck [8]byte
-	_, _ = rand.Read(luck[:])
-	d := &Daemon{settings: p, log: log, clock: NewClock(), incarnation: rpc.Incarnation(binary.LittleEndian.Uint64(luck[:])), recallPause: 60 * time.Millisecond}
+	var random [8]byte
+	_, _ = rand.Read(random[:])
+	d := &Daemon{settings: p, log: log, clock: NewClock(), incarnation: rpc.Incarnation(binary.LittleEndian.Uint64(random[:])), recallPause: 60 * time.Millisecond}
 	d.state = NewClusterState(p, log, d.clock)
 	d.operations = idempotency.NewStore(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
-	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
+	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.incarnation, d.self)
 	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
 	d.retryBudget.operatorLimit = d.state.Policies.Retries
 	d.retryBudget.operatorLimit.OnGateChange = func(service rpc.ServiceName, open bool) {
@@ -96,7 +99,7 @@
 	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.CutOff()
 }
 
-// self is this daemon as it tells of itself.
+// self is what this node tells of itself.
 func (d *Daemon) self() rpc.Node {
 	return rpc.Node{
 		ID: rpc.NodeID(d.settings.Name), Incarnation: d.incarnation, Zone: rpc.ZoneName(d.settings.Zone), Region: rpc.RegionName(d.settings.Region),
@@ -104,7 +107,7 @@
 	}
 }
 
-// reconcile is the duty for what comes round slowly.
+// reconcile does what is due from time to time, until the node stops.
 func (d *Daemon) reconcile() {
 	ticker := time.NewTicker(250 * time.Millisecond)
 	defer ticker.Stop()
@@ -122,7 +125,7 @@
 	}
 }
 
-// becomeReady makes the daemon ready once it knows what it needs to carry requests.
+// becomeReady makes the node ready once it has the configuration and the endpoint list.
 func (d *Daemon) becomeReady() {
 	if d.ready.Load() {
 		return
@@ -132,7 +135,7 @@
 	}
 }
 
-// Reload takes changed settings up.
+// Reload applies changed settings.
 func (d *Daemon) Reload(p settings.Settings) { d.leader.SetSeeds(p.Seeds) }
 
 // Stop ends in order: told to the leader first, so that no directory names
--- a/internal/proxy/leader_timeout_test.go
+++ b/internal/proxy/leader_timeout_test.go
@@ -53,14 +53,14 @@
 	if d.leader.findLeader("", 0) {
 		t.Fatal("found a leader that has not answered")
 	}
-	if wait := d.leader.patience.Duration(); wait <= minLeaderQueryTimeout {
+	if wait := d.leader.queryTimeout.Duration(); wait <= minLeaderQueryTimeout {
 		t.Fatalf("the next question may take only %s", wait)
 	}
 	close(slow.let)
 	if !d.leader.findLeader("", 0) || *d.leader.leader.Load() != cores[0].InternalAddress {
 		t.Fatal("the leader was not found")
 	}
-	if wait := d.leader.patience.Duration(); wait != minLeaderQueryTimeout {
+	if wait := d.leader.queryTimeout.Duration(); wait != minLeaderQueryTimeout {
 		t.Fatalf("after a leader was found: %s", wait)
 	}
 }
--- a/internal/proxy/orders.go
+++ b/internal/proxy/policies.go
@@ -1,7 +1,3 @@
-// Orders is a daemon's side of retiring and of the day's plan: what is agreed
-// comes with the news and is kept here for the request path, which asks it only
-// about backends under an order and hosts or services under a plan. Where no
-// leader is heard, the fellows are asked, since some of them may know more.
 package proxy
 
 import (
@@ -39,7 +35,11 @@
 	Services map[rpc.ServiceName]schedule.Weights
 }
 
-// Policies of one daemon.
+// Policies are the operator's policies at this node and what was decided under them:
+// retirements, the schedule's step, overflow between zones, affinity and the limit on
+// retries. They come with the leader's updates; the request path asks only about
+// backends that are being retired and hosts or services under a schedule. Where no
+// leader is heard the other nodes are asked, since some of them may know more.
 type Policies struct {
 	mu          sync.Mutex
 	drainPolicy *drain.Policy
--- a/internal/proxy/probe.go
+++ b/internal/proxy/prober.go
@@ -1,8 +1,3 @@
-// Prober probes the backends of the services that the watch gives this daemon
-// and reports what it finds: changes at once, and with each round of a service
-// that the round was made, so that the cache can tell a stalled owner. Probes
-// go over the same pools as requests and are spread over the interval, which
-// grows with the size of the service for backends that are well.
 package proxy
 
 import (
@@ -48,7 +43,11 @@
 	nextProbe time.Duration
 }
 
-// Prober probes.
+// Prober probes the backends of the services that the shard map gives this node and
+// reports what it finds: changes at once, and with each round of a service that the
+// round was made, so that the state cache can tell a stalled owner. Probes use the
+// same connections as requests and are spread over the interval, which grows with the
+// size of the service for backends that are healthy.
 type Prober struct {
 	daemon         *Daemon
 	mu             sync.Mutex
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -1,8 +1,3 @@
-// Sessions keeps a caller on the backend where its session began. A plan whose
-// request names a session is bound to one backend before anything is sent: by
-// what was asked for lately, or by asking the leader, who binds a new session
-// to the backend that its hash gives. While the leader cannot be asked the
-// request is refused, unless it may be repeated and the policy has it served.
 package proxy
 
 import (
@@ -21,7 +16,11 @@
 // maxRememberedSessions is how many sessions a node remembers.
 const maxRememberedSessions = 20_000
 
-// Sessions of one node.
+// Sessions keep a client on the backend where its session began. A plan whose request
+// names a session is bound to one backend before anything is sent: by what was asked
+// for lately, or by asking the leader, which binds a new session to the backend that
+// its hash gives. While the leader cannot be asked the request is refused, unless it
+// is idempotent and the policy has it served.
 type Sessions struct {
 	policy atomic.Pointer[affinity.Policy]
 
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -1,4 +1,3 @@
-// Status is a passage daemon's account of itself for operators' tools.
 package proxy
 
 import (
@@ -12,7 +11,7 @@
 // StatusService answers calls about this daemon.
 type StatusService struct{ daemon *Daemon }
 
-// NodeStatus is what a passage daemon tells of itself.
+// NodeStatus is what a node reports of itself to the operator's tools.
 type NodeStatus struct {
 	Role      string   `json:"role"`
 	Name      string   `json:"name"`
