--- a/internal/healthcheck/assignment.go
+++ b/internal/healthcheck/assignment.go
@@ -1,10 +1,3 @@
-// Watch decides, on one daemon, which services it probes. It is the shard
-// client of the source: a changed map is not acted on at once but send_interval
-// later, and then only real moves of ownership count; maps that arrive within
-// that time are taken in one go; a service that no settled map has covered is
-// probed by everybody; without a leader for send_interval everything is
-// probed. The one exception: while the leader says an owner is absent, the
-// next on the ring stands in for it at once, with the map left as it is.
 package healthcheck
 
 import (
@@ -15,159 +8,178 @@
 	"tinpin/internal/rpc"
 )
 
-// ProbeAssignment is the shard client's state.
+// TakeoverDelay is how long an owner may be missing before the next on the ring takes
+// over. The design that sharded probing follows knows no such limit.
+const TakeoverDelay = 1300 * time.Millisecond
+
+// ProbeAssignment decides, on one node, which services the node probes. It follows
+// the shard map as "Health Monitor Sharding" has its client do: a changed map is not
+// applied at once but an interval later, and maps that arrive meanwhile are applied
+// with it; a service that no applied map has covered is probed by every node; and a
+// node that has had no leader for an interval probes everything. There is one
+// exception: while the leader says that an owner is absent, the next on the ring takes
+// over at once, and the map stays as it is.
 type ProbeAssignment struct {
-	self          rpc.NodeID
-	interval      time.Duration
-	ring          *Ring
-	applied       rpc.ShardMap
-	pending       *rpc.ShardMap
-	due           time.Duration
-	absent        map[rpc.NodeID]bool
-	missing       map[rpc.NodeID]time.Duration
-	now           time.Duration
-	covered       map[rpc.ServiceName]bool
-	services      map[rpc.ServiceName]bool
-	leaderLostAt  time.Duration
-	hasLeader     bool
+	self     rpc.NodeID
+	interval time.Duration
+	now      time.Duration
+
+	// applied is the map in use with its ring; pending is to be applied when due.
+	applied rpc.ShardMap
+	ring    *Ring
+	pending *rpc.ShardMap
+	due     time.Duration
+
+	// absent are the nodes that the leader does not hear; missing are the members of
+	// the applied map that the newest one lacks, with the time since when.
+	absent  map[rpc.NodeID]bool
+	missing map[rpc.NodeID]time.Duration
+
+	services map[rpc.ServiceName]bool
+	// covered are the services that an applied map has covered.
+	covered map[rpc.ServiceName]bool
+
+	hasLeader    bool
+	leaderLostAt time.Duration
+	// withoutLeader tells that there was no leader for an interval.
 	withoutLeader bool
 }
 
 // NewProbeAssignment starts without a map and without a leader.
-func NewProbeAssignment(self rpc.NodeID, interval, now time.Duration) (watch *ProbeAssignment) {
-	return &ProbeAssignment{self: self, interval: interval, ring: NewRing(nil), absent: map[rpc.NodeID]bool{}, missing: map[rpc.NodeID]time.Duration{}, covered: map[rpc.ServiceName]bool{}, services: map[rpc.ServiceName]bool{}, leaderLostAt: now}
+func NewProbeAssignment(self rpc.NodeID, interval, now time.Duration) (assignment *ProbeAssignment) {
+	return &ProbeAssignment{
+		self: self, interval: interval, ring: NewRing(nil),
+		absent: map[rpc.NodeID]bool{}, missing: map[rpc.NodeID]time.Duration{},
+		services: map[rpc.ServiceName]bool{}, covered: map[rpc.ServiceName]bool{},
+		leaderLostAt: now,
+	}
 }
 
-// TakeoverDelay is how long an owner may be silent before the next on the ring stands
-// in for it. The source knows no such bound.
-const TakeoverDelay = 1300 * time.Millisecond
-
-// SetShardMap takes a map from the leader; the first since the last one applied
-// starts the timer, later ones only replace what it will apply. A member of
-// the map in use that the newest one lacks is stood in for meanwhile: at once
-// if it was absent before, else after a moment, since a new leader's map grows
-// as the fellows find it.
-func (w *ProbeAssignment) SetShardMap(now time.Duration, shards rpc.ShardMap) {
-	w.now = now
-	if w.pending == nil {
-		w.due = now + w.interval
+// SetShardMap takes a map from the leader. The first since a map was applied starts
+// the interval, later ones only replace what will be applied. The service of a member
+// that the newest map lacks is taken over meanwhile: at once if it was absent before,
+// else after TakeoverDelay, since a new leader's map grows as the nodes find it.
+func (a *ProbeAssignment) SetShardMap(now time.Duration, shards rpc.ShardMap) {
+	a.now = now
+	if a.pending == nil {
+		a.due = now + a.interval
 	}
-	w.pending = &shards
+	a.pending = &shards
 	present := make(map[rpc.NodeID]bool, len(shards.Members))
 	for _, member := range shards.Members {
 		present[member] = true
-		delete(w.missing, member)
+		delete(a.missing, member)
 	}
-	for _, member := range w.applied.Members {
-		if _, known := w.missing[member]; !present[member] && !known {
-			w.missing[member] = now
-			if w.absent[member] {
-				w.missing[member] = now - TakeoverDelay
+	for _, member := range a.applied.Members {
+		if _, known := a.missing[member]; !present[member] && !known {
+			a.missing[member] = now
+			if a.absent[member] {
+				a.missing[member] = now - TakeoverDelay
 			}
 		}
 	}
 }
 
-// SetAbsent takes the leader's word on who is not heard.
-func (w *ProbeAssignment) SetAbsent(ids []rpc.NodeID) {
-	w.absent = make(map[rpc.NodeID]bool, len(ids))
+// SetAbsent takes the nodes that the leader does not hear.
+func (a *ProbeAssignment) SetAbsent(ids []rpc.NodeID) {
+	a.absent = make(map[rpc.NodeID]bool, len(ids))
 	for _, id := range ids {
-		w.absent[id] = true
+		a.absent[id] = true
 	}
 }
 
 // SetServices takes the configured services.
-func (w *ProbeAssignment) SetServices(names []rpc.ServiceName) {
-	w.services = make(map[rpc.ServiceName]bool, len(names))
+func (a *ProbeAssignment) SetServices(names []rpc.ServiceName) {
+	a.services = make(map[rpc.ServiceName]bool, len(names))
 	for _, name := range names {
-		w.services[name] = true
+		a.services[name] = true
 	}
-	for name := range w.covered {
-		if !w.services[name] {
-			delete(w.covered, name)
+	for name := range a.covered {
+		if !a.services[name] {
+			delete(a.covered, name)
 		}
 	}
 }
 
 // SetHasLeader notes whether there is a leader.
-func (w *ProbeAssignment) SetHasLeader(now time.Duration, led bool) {
-	if w.hasLeader && !led {
-		w.leaderLostAt = now
+func (a *ProbeAssignment) SetHasLeader(now time.Duration, hasLeader bool) {
+	if a.hasLeader && !hasLeader {
+		a.leaderLostAt = now
 	}
-	w.hasLeader = led
-	if led {
-		w.withoutLeader = false
+	a.hasLeader = hasLeader
+	if hasLeader {
+		a.withoutLeader = false
 	}
 }
 
-// WithoutLeader tells whether the daemon probes everything for want of a leader.
-func (w *ProbeAssignment) WithoutLeader() bool { return w.withoutLeader }
+// WithoutLeader reports whether the node probes everything for want of a leader.
+func (a *ProbeAssignment) WithoutLeader() (without bool) { return a.withoutLeader }
 
 // AppliedMap is the map in use.
-func (w *ProbeAssignment) AppliedMap() rpc.ShardMap { return w.applied }
-
-// Tick moves time on.
-func (w *ProbeAssignment) Tick(now time.Duration) (applied, wentHeadless bool) {
-	w.now = now
-	if !w.hasLeader && !w.withoutLeader && now-w.leaderLostAt >= w.interval {
-		w.withoutLeader, wentHeadless = true, true
+func (a *ProbeAssignment) AppliedMap() (shards rpc.ShardMap) { return a.applied }
+
+// Tick moves time on. It reports whether a map was applied, and whether the node has
+// been without a leader for an interval just now.
+func (a *ProbeAssignment) Tick(now time.Duration) (applied, lostLeader bool) {
+	a.now = now
+	if !a.hasLeader && !a.withoutLeader && now-a.leaderLostAt >= a.interval {
+		a.withoutLeader, lostLeader = true, true
 	}
-	if w.pending != nil && now >= w.due {
-		w.applied, w.pending = *w.pending, nil
-		w.ring = NewRing(w.applied.Members)
-		w.missing = map[rpc.NodeID]time.Duration{}
+	if a.pending != nil && now >= a.due {
+		a.applied, a.pending = *a.pending, nil
+		a.ring = NewRing(a.applied.Members)
+		a.missing = map[rpc.NodeID]time.Duration{}
 		applied = true
 	}
-	if w.applied.Revision > 0 && (applied || w.pending == nil) {
-		for name := range w.services {
-			if !w.covered[name] && applied {
-				w.covered[name] = true
-			}
+	if applied && a.applied.Revision > 0 {
+		for name := range a.services {
+			a.covered[name] = true
 		}
 	}
-	return applied, wentHeadless
+	return applied, lostLeader
 }
 
-// HasUncovered tells whether a service waits for a map to cover it.
-func (w *ProbeAssignment) HasUncovered() bool { return len(w.covered) < len(w.services) }
+// HasUncovered reports whether a service waits for a map to cover it.
+func (a *ProbeAssignment) HasUncovered() (has bool) { return len(a.covered) < len(a.services) }
 
-// CoverNewServices starts the timer for services that came without a change of map.
-func (w *ProbeAssignment) CoverNewServices(now time.Duration) {
-	if w.HasUncovered() && w.pending == nil && w.applied.Revision > 0 {
-		again := w.applied
-		w.SetShardMap(now, again)
+// CoverNewServices starts the interval for services that came without a change of the
+// map: the map in use will cover them.
+func (a *ProbeAssignment) CoverNewServices(now time.Duration) {
+	if a.HasUncovered() && a.pending == nil && a.applied.Revision > 0 {
+		again := a.applied
+		a.SetShardMap(now, again)
 	}
 }
 
-// Owner names who watches a service by the map in use, or who stands in.
-func (w *ProbeAssignment) Owner(service rpc.ServiceName) (owner rpc.NodeID) {
-	away := w.absent
-	if len(w.missing) > 0 {
-		away = maps.Clone(w.absent)
-		for member, since := range w.missing {
-			if w.now-since >= TakeoverDelay {
-				away[member] = true
+// Owner is the node that probes a service by the map in use, or that has taken over.
+func (a *ProbeAssignment) Owner(service rpc.ServiceName) (owner rpc.NodeID) {
+	absent := a.absent
+	if len(a.missing) > 0 {
+		absent = maps.Clone(a.absent)
+		for member, since := range a.missing {
+			if a.now-since >= TakeoverDelay {
+				absent[member] = true
 			}
 		}
 	}
-	return w.ring.Owner(service, away)
+	return a.ring.Owner(service, absent)
 }
 
-// Probes tells whether this daemon probes a service now.
-func (w *ProbeAssignment) Probes(service rpc.ServiceName) bool {
-	return w.withoutLeader || !w.covered[service] || w.Owner(service) == w.self
+// Probes reports whether this node probes a service now.
+func (a *ProbeAssignment) Probes(service rpc.ServiceName) (probes bool) {
+	return a.withoutLeader || !a.covered[service] || a.Owner(service) == a.self
 }
 
-// AssignedServices lists what this daemon probes now, in order.
-func (w *ProbeAssignment) AssignedServices() (duties []rpc.ServiceName) {
-	for name := range w.services {
-		if w.Probes(name) {
-			duties = append(duties, name)
+// AssignedServices lists what this node probes now, in order.
+func (a *ProbeAssignment) AssignedServices() (services []rpc.ServiceName) {
+	for name := range a.services {
+		if a.Probes(name) {
+			services = append(services, name)
 		}
 	}
-	sort.Slice(duties, func(i, j int) bool { return duties[i] < duties[j] })
-	return duties
+	sort.Slice(services, func(i, j int) bool { return services[i] < services[j] })
+	return services
 }
 
-// AbsentNodes is the leader's last word on who is not heard.
-func (w *ProbeAssignment) AbsentNodes() (absent map[rpc.NodeID]bool) { return w.absent }
+// AbsentNodes are the nodes that the leader does not hear. The map must not be changed.
+func (a *ProbeAssignment) AbsentNodes() (absent map[rpc.NodeID]bool) { return a.absent }
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -16,7 +16,7 @@
 	return ids
 }
 
-// The hash is part of the inner protocol: another version must not change it.
+// The hash is part of the protocol between nodes: another version must not change it.
 func TestRingGolden(t *testing.T) {
 	ring := NewRing(members(5))
 	got := ""
@@ -56,87 +56,87 @@
 	}
 }
 
-func watchOf(self string, names ...rpc.ServiceName) (watch *ProbeAssignment) {
-	watch = NewProbeAssignment(rpc.NodeID(self), 4*time.Second, 0)
-	watch.SetServices(names)
-	watch.SetHasLeader(0, true)
-	return watch
+func assignmentOf(self string, names ...rpc.ServiceName) (assignment *ProbeAssignment) {
+	assignment = NewProbeAssignment(rpc.NodeID(self), 4*time.Second, 0)
+	assignment.SetServices(names)
+	assignment.SetHasLeader(0, true)
+	return assignment
 }
 
-func TestNewServicesAreProbedByAllTillTheMapSettles(t *testing.T) {
+func TestNewServicesAreProbedByAllUntilAMapCoversThem(t *testing.T) {
 	owners := 0
 	for _, id := range members(4) {
-		watch := watchOf(string(id), "s")
-		if !watch.Probes("s") {
+		assignment := assignmentOf(string(id), "s")
+		if !assignment.Probes("s") {
 			t.Fatalf("%s does not probe a new service", id)
 		}
-		watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(4)})
-		if watch.Tick(3 * time.Second); !watch.Probes("s") {
+		assignment.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(4)})
+		if assignment.Tick(3 * time.Second); !assignment.Probes("s") {
 			t.Fatalf("%s stopped before send_interval", id)
 		}
-		watch.Tick(4 * time.Second)
-		if watch.Probes("s") {
+		assignment.Tick(4 * time.Second)
+		if assignment.Probes("s") {
 			owners++
 		}
 	}
 	if owners != 1 {
-		t.Fatalf("%d owners once settled", owners)
+		t.Fatalf("%d owners once covered", owners)
 	}
 }
 
-func TestMapChangesWaitAndOnlyTheLastCounts(t *testing.T) {
-	watch := watchOf("edge-0", "s")
-	watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(3)})
-	watch.Tick(4 * time.Second)
-	before := watch.Owner("s")
+func TestMapChangesWaitAndOnlyTheLastIsApplied(t *testing.T) {
+	assignment := assignmentOf("edge-0", "s")
+	assignment.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(3)})
+	assignment.Tick(4 * time.Second)
+	before := assignment.Owner("s")
 	// A member flaps: away and back within the interval.
-	watch.SetShardMap(10*time.Second, rpc.ShardMap{Revision: 2, Members: members(2)})
-	watch.Tick(11 * time.Second)
-	if watch.Owner("s") != before || watch.AppliedMap().Revision != 1 {
-		t.Fatal("a change of the map was acted on at once")
-	}
-	watch.SetShardMap(11200*time.Millisecond, rpc.ShardMap{Revision: 3, Members: members(3)})
-	applied, _ := watch.Tick(14 * time.Second)
-	if !applied || watch.AppliedMap().Revision != 3 || watch.Owner("s") != before {
+	assignment.SetShardMap(10*time.Second, rpc.ShardMap{Revision: 2, Members: members(2)})
+	assignment.Tick(11 * time.Second)
+	if assignment.Owner("s") != before || assignment.AppliedMap().Revision != 1 {
+		t.Fatal("a change of the map was applied at once")
+	}
+	assignment.SetShardMap(11200*time.Millisecond, rpc.ShardMap{Revision: 3, Members: members(3)})
+	applied, _ := assignment.Tick(14 * time.Second)
+	if !applied || assignment.AppliedMap().Revision != 3 || assignment.Owner("s") != before {
 		t.Fatal("after the interval the last map counts, and nothing has moved")
 	}
 }
 
-func TestWithoutALeaderEverythingIsProbed(t *testing.T) {
-	watch := watchOf("edge-0", "a", "b", "c", "d", "e", "f")
-	watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(3)})
-	watch.Tick(4 * time.Second)
-	mine := len(watch.AssignedServices())
-	watch.SetHasLeader(10*time.Second, false)
-	if watch.Tick(13900 * time.Millisecond); len(watch.AssignedServices()) != mine {
-		t.Fatal("headless before send_interval")
-	}
-	if watch.Tick(14 * time.Second); len(watch.AssignedServices()) != 6 {
-		t.Fatalf("headless, but only %d of 6 are probed", len(watch.AssignedServices()))
-	}
-	watch.SetHasLeader(15*time.Second, true)
-	if watch.Tick(15 * time.Second); len(watch.AssignedServices()) != mine {
+func TestWithoutLeaderEverythingIsProbed(t *testing.T) {
+	assignment := assignmentOf("edge-0", "a", "b", "c", "d", "e", "f")
+	assignment.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(3)})
+	assignment.Tick(4 * time.Second)
+	mine := len(assignment.AssignedServices())
+	assignment.SetHasLeader(10*time.Second, false)
+	if assignment.Tick(13900 * time.Millisecond); len(assignment.AssignedServices()) != mine {
+		t.Fatal("without a leader before send_interval")
+	}
+	if assignment.Tick(14 * time.Second); len(assignment.AssignedServices()) != 6 {
+		t.Fatalf("without a leader, but only %d of 6 are probed", len(assignment.AssignedServices()))
+	}
+	assignment.SetHasLeader(15*time.Second, true)
+	if assignment.Tick(15 * time.Second); len(assignment.AssignedServices()) != mine {
 		t.Fatal("with a leader back, the map in use counts again")
 	}
 }
 
-func TestAnAbsentOwnerIsStoodInForAtOnce(t *testing.T) {
+func TestAbsentOwnerIsTakenOverAtOnce(t *testing.T) {
 	all := members(4)
-	watch := watchOf("edge-0", "s")
-	watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: all})
-	watch.Tick(4 * time.Second)
-	owner := watch.Owner("s")
-	watch.SetAbsent([]rpc.NodeID{owner})
-	if watch.Owner("s") == owner || watch.AppliedMap().Revision != 1 {
-		t.Fatal("the next on the ring stands in, the map stays")
-	}
-	watch.SetAbsent(nil)
-	if watch.Owner("s") != owner {
+	assignment := assignmentOf("edge-0", "s")
+	assignment.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: all})
+	assignment.Tick(4 * time.Second)
+	owner := assignment.Owner("s")
+	assignment.SetAbsent([]rpc.NodeID{owner})
+	if assignment.Owner("s") == owner || assignment.AppliedMap().Revision != 1 {
+		t.Fatal("the next on the ring takes over, the map stays")
+	}
+	assignment.SetAbsent(nil)
+	if assignment.Owner("s") != owner {
 		t.Fatal("the owner takes its own again")
 	}
 }
 
-func TestCacheRefusesTheReplacedOwner(t *testing.T) {
+func TestStateCacheRejectsTheReplacedOwner(t *testing.T) {
 	cache := NewStateCache(&registry.RevisionCounter{}, 4*time.Second)
 	cache.SetShardMap(rpc.ShardMap{Revision: 1, Members: members(2)})
 	rightful := cache.ring.Owner("s", nil)
@@ -149,16 +149,16 @@
 		return taken
 	}
 	if !report(other, true, rpc.Healthy, 0) {
-		t.Fatal("the old owner is heard until the new one has reported in full")
+		t.Fatal("the old owner's reports count until the new one has reported in full")
 	}
 	if !report(rightful, true, rpc.Unhealthy, time.Second) {
-		t.Fatal("the owner is heard")
+		t.Fatal("the owner's reports count")
 	}
 	if report(other, true, rpc.Healthy, time.Second) {
-		t.Fatal("the replaced owner is refused")
+		t.Fatal("the replaced owner is rejected")
 	}
 	if state, _ := cache.States.Get("b"); state.Health != rpc.Unhealthy {
-		t.Fatal("the owner's finding stands")
+		t.Fatal("the owner's report holds")
 	}
 	if cache.Tick(4 * time.Second); true {
 		if state, _ := cache.States.Get("b"); state.Health != rpc.Unhealthy {
@@ -172,25 +172,25 @@
 	}
 }
 
-func TestWatchersGetOnlyChanges(t *testing.T) {
-	clock := &registry.RevisionCounter{}
-	cache := NewStateCache(clock, time.Minute)
+func TestStateCacheNotesOnlyChanges(t *testing.T) {
+	counter := &registry.RevisionCounter{}
+	cache := NewStateCache(counter, time.Minute)
 	cache.SetShardMap(rpc.ShardMap{Revision: 1, Members: members(1)})
-	tell := func(health rpc.Health, cold time.Duration, at time.Duration) {
+	report := func(health rpc.Health, cold time.Duration, at time.Duration) {
 		cache.Report(at, rpc.HealthReport{Node: "edge-0", Service: "s", States: []rpc.EndpointState{{Endpoint: "b", Health: health, WarmupRemaining: cold}}}, nil)
 	}
-	tell(rpc.Healthy, 0, 0)
-	seen := clock.Current()
-	tell(rpc.Healthy, 0, time.Second)
-	if clock.Current() != seen {
-		t.Fatal("the same state told again is no change")
+	report(rpc.Healthy, 0, 0)
+	seen := counter.Current()
+	report(rpc.Healthy, 0, time.Second)
+	if counter.Current() != seen {
+		t.Fatal("the same state reported again is no change")
 	}
-	tell(rpc.Healthy, 3*time.Second, 2*time.Second)
-	tell(rpc.Healthy, 2*time.Second, 3*time.Second)
-	if clock.Current() != seen+1 {
-		t.Fatal("a cold spell is told once, its shrinking is no change")
+	report(rpc.Healthy, 3*time.Second, 2*time.Second)
+	report(rpc.Healthy, 2*time.Second, 3*time.Second)
+	if counter.Current() != seen+1 {
+		t.Fatal("a warm-up is a change once, its shrinking is none")
 	}
 	if state, _ := cache.States.Get("b"); cache.WithRemainingWarmup(4*time.Second, state).WarmupRemaining != time.Second {
-		t.Fatal("what is left of a cold spell counts down")
+		t.Fatal("what is left of a warm-up counts down")
 	}
 }
--- a/internal/healthcheck/outlier_test.go
+++ b/internal/healthcheck/outlier_test.go
@@ -8,113 +8,113 @@
 	"tinpin/internal/rpc"
 )
 
-// hearing plays outcomes of a service of so many backends into a judge; bad
-// tells what part of a backend's requests from a site fail.
-type hearing struct {
-	judge *OutlierDetector
-	now   time.Duration
-	size  int
-	luck  uint64
-	aside map[rpc.EndpointID]string
-	seen  map[string]bool
+// outlierSimulation reports outcomes of a service of so many endpoints to a detector; failing
+// is the part of an endpoint's requests from a zone that fail.
+type outlierSimulation struct {
+	detector *OutlierDetector
+	now      time.Duration
+	size     int
+	state    uint64
+	ejected  map[rpc.EndpointID]string
+	seen     map[string]bool
 }
 
-func newHearing(size int) *hearing {
-	return &hearing{judge: NewOutlierDetector(), size: size, aside: map[rpc.EndpointID]string{}, seen: map[string]bool{}, luck: 1}
+func newOutlierSimulation(size int) *outlierSimulation {
+	return &outlierSimulation{detector: NewOutlierDetector(), size: size, ejected: map[rpc.EndpointID]string{}, seen: map[string]bool{}, state: 1}
 }
 
-func (h *hearing) roll() float64 {
-	h.luck = h.luck*6364136223846793005 + 1442695040888963407
-	return float64(h.luck>>11) / (1 << 53)
+func (h *outlierSimulation) random() float64 {
+	h.state = h.state*6364136223846793005 + 1442695040888963407
+	return float64(h.state>>11) / (1 << 53)
 }
 
-func (h *hearing) play(span time.Duration, sites []rpc.ZoneName, bad func(n int, site rpc.ZoneName) float64) {
+func (h *outlierSimulation) run(span time.Duration, zones []rpc.ZoneName, failing func(n int, zone rpc.ZoneName) float64) {
 	for end := h.now + span; h.now < end; h.now += 500 * time.Millisecond {
-		for _, site := range sites {
-			whole := rpc.OutcomeCount{Service: "s", Zone: site}
+		for _, zone := range zones {
+			sum := rpc.OutcomeCount{Service: "s", Zone: zone}
 			for n := range h.size {
-				row := rpc.OutcomeCount{Endpoint: rpc.EndpointID(fmt.Sprint("i-", n)), Service: "s", Zone: site}
+				row := rpc.OutcomeCount{Endpoint: rpc.EndpointID(fmt.Sprint("i-", n)), Service: "s", Zone: zone}
 				for range 2 {
-					if h.roll() < bad(n, site) {
+					if h.random() < failing(n, zone) {
 						row.Failed++
 					} else {
 						row.Succeeded++
 					}
 				}
-				whole.Succeeded, whole.Failed = whole.Succeeded+row.Succeeded, whole.Failed+row.Failed
-				if row.Failed > 0 || h.aside[row.Endpoint] != "" {
-					h.judge.Add(h.now, row)
+				sum.Succeeded, sum.Failed = sum.Succeeded+row.Succeeded, sum.Failed+row.Failed
+				if row.Failed > 0 || h.ejected[row.Endpoint] != "" {
+					h.detector.Add(h.now, row)
 				}
 			}
-			h.judge.Add(h.now, whole)
+			h.detector.Add(h.now, sum)
 		}
-		for id, aside := range h.judge.Tick(h.now, map[rpc.ServiceName]int{"s": h.size}) {
-			h.seen[string(id)+" "+aside] = true
-			if h.aside[id] = aside; aside == "" {
-				delete(h.aside, id)
+		for id, ejected := range h.detector.Tick(h.now, map[rpc.ServiceName]int{"s": h.size}) {
+			h.seen[string(id)+" "+ejected] = true
+			if h.ejected[id] = ejected; ejected == "" {
+				delete(h.ejected, id)
 			}
 		}
 	}
 }
 
-var oneSite = []rpc.ZoneName{"here"}
+var oneZone = []rpc.ZoneName{"here"}
 
-func TestJudgeSetsAsideWhatStandsOut(t *testing.T) {
-	h := newHearing(20)
-	h.play(20*time.Second, oneSite, func(int, rpc.ZoneName) float64 { return 0.005 })
-	if len(h.aside) != 0 {
-		t.Fatalf("rare failures set aside %v", h.aside)
+func TestOutlierIsEjected(t *testing.T) {
+	h := newOutlierSimulation(20)
+	h.run(20*time.Second, oneZone, func(int, rpc.ZoneName) float64 { return 0.005 })
+	if len(h.ejected) != 0 {
+		t.Fatalf("rare failures: ejected %v", h.ejected)
 	}
-	grey := func(n int, _ rpc.ZoneName) float64 {
+	failingThree := func(n int, _ rpc.ZoneName) float64 {
 		if n < 3 {
 			return 0.45
 		}
 		return 0.005
 	}
-	h.play(3*time.Second, oneSite, grey)
-	if len(h.aside) != 3 || h.aside["i-0"] != rpc.EjectedForAllZones {
-		t.Fatalf("of three grey backends %v are set aside", h.aside)
+	h.run(3*time.Second, oneZone, failingThree)
+	if len(h.ejected) != 3 || h.ejected["i-0"] != rpc.EjectedForAllZones {
+		t.Fatalf("of three failing endpoints %v are ejected", h.ejected)
 	}
-	h.play(12*time.Second, oneSite, func(int, rpc.ZoneName) float64 { return 0 })
-	if len(h.aside) != 0 {
-		t.Fatalf("well again, but still aside: %v", h.aside)
+	h.run(12*time.Second, oneZone, func(int, rpc.ZoneName) float64 { return 0 })
+	if len(h.ejected) != 0 {
+		t.Fatalf("healthy again, but still ejected: %v", h.ejected)
 	}
 }
 
-func TestJudgeSpareWhatFailsAlike(t *testing.T) {
-	h := newHearing(20)
-	h.play(10*time.Second, oneSite, func(int, rpc.ZoneName) float64 { return 0.6 })
-	if len(h.aside) != 0 {
-		t.Fatalf("everything fails, yet %v are set aside", h.aside)
+func TestNothingIsEjectedWhenAllFail(t *testing.T) {
+	h := newOutlierSimulation(20)
+	h.run(10*time.Second, oneZone, func(int, rpc.ZoneName) float64 { return 0.6 })
+	if len(h.ejected) != 0 {
+		t.Fatalf("everything fails, yet %v are ejected", h.ejected)
 	}
-	h = newHearing(20)
-	h.play(10*time.Second, oneSite, func(n int, _ rpc.ZoneName) float64 {
+	h = newOutlierSimulation(20)
+	h.run(10*time.Second, oneZone, func(n int, _ rpc.ZoneName) float64 {
 		if n < 7 {
 			return 0.9
 		}
 		return 0
 	})
-	if most := int(maxEjectedPart * float64(h.size)); len(h.aside) > most {
-		t.Fatalf("%d are set aside, the bound is %d", len(h.aside), most)
+	if most := int(maxEjectedPart * float64(h.size)); len(h.ejected) > most {
+		t.Fatalf("%d are ejected, the limit is %d", len(h.ejected), most)
 	}
 }
 
-func TestJudgeTellsAskingSitesApart(t *testing.T) {
-	h := newHearing(20)
-	h.play(5*time.Second, []rpc.ZoneName{"here", "there"}, func(n int, site rpc.ZoneName) float64 {
-		if n == 0 && site == "there" {
+func TestOutlierForOneZone(t *testing.T) {
+	h := newOutlierSimulation(20)
+	h.run(5*time.Second, []rpc.ZoneName{"here", "there"}, func(n int, zone rpc.ZoneName) float64 {
+		if n == 0 && zone == "there" {
 			return 0.8
 		}
 		return 0.005
 	})
 	if !h.seen["i-0 there"] || h.seen["i-0 here"] {
-		t.Fatalf("set aside: %v", h.seen)
+		t.Fatalf("ejected: %v", h.seen)
 	}
 }
 
-// A backend that relapses waits longer each time.
-func TestJudgeWaitsLongerAtEachRelapse(t *testing.T) {
-	h := newHearing(20)
+// An endpoint that relapses is ejected for longer each time.
+func TestEjectionGrowsWithEachRelapse(t *testing.T) {
+	h := newOutlierSimulation(20)
 	always := func(n int, _ rpc.ZoneName) float64 {
 		if n == 0 {
 			return 1
@@ -122,13 +122,13 @@
 		return 0
 	}
 	in := 0
-	h.play(40*time.Second, oneSite, func(n int, site rpc.ZoneName) float64 {
-		if n == 0 && h.aside["i-0"] == "" {
+	h.run(40*time.Second, oneZone, func(n int, zone rpc.ZoneName) float64 {
+		if n == 0 && h.ejected["i-0"] == "" {
 			in++
 		}
-		return always(n, site)
+		return always(n, zone)
 	})
 	if in > 40 {
-		t.Fatalf("a backend that fails all was in use for %d of 160 draws", in)
+		t.Fatalf("an endpoint that always fails was in use for %d of 160 draws", in)
 	}
 }
--- a/internal/healthcheck/ring.go
+++ b/internal/healthcheck/ring.go
@@ -1,9 +1,3 @@
-// Package vigil shares the watch over the backends among the directory
-// daemons, after "Health Monitor Sharding". This file is the consistent hash
-// that every daemon computes alike: each member stands at a fixed number of
-// points, a service belongs to the first point at or after its own hash, and
-// a member more or less moves only its own share. The hash and the number of
-// points are part of the inner protocol; a golden test holds them.
 package healthcheck
 
 import (
@@ -13,6 +7,9 @@
 	"tinpin/internal/rpc"
 )
 
+// pointsPerMember is at how many points each member stands on the ring. Nodes of
+// different versions must compute the same ring, so it and the hash are part of the
+// protocol between nodes; a test holds them.
 const pointsPerMember = 64
 
 type point struct {
@@ -20,22 +17,26 @@
 	member   rpc.NodeID
 }
 
-// Ring is the consistent hash over one list of members.
+// Ring is the consistent hash over the members of a shard map, which every node
+// computes alike. A service belongs to the first point at or after its own hash, and
+// a member more or less moves only its own share of the services.
 type Ring struct{ points []point }
 
-func hashPosition(text string, n uint64) (at uint64) {
+// hashPosition is the n-th position of a text. FNV spreads short texts badly, so its
+// sum is mixed further.
+func hashPosition(text string, n uint64) (position uint64) {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(text))
-	at = hash.Sum64() + n*0x9e3779b97f4a7c15
-	at ^= at >> 33
-	at *= 0xff51afd7ed558ccd
-	at ^= at >> 33
-	at *= 0xc4ceb9fe1a85ec53
-	at ^= at >> 33
-	return at
+	position = hash.Sum64() + n*0x9e3779b97f4a7c15
+	position ^= position >> 33
+	position *= 0xff51afd7ed558ccd
+	position ^= position >> 33
+	position *= 0xc4ceb9fe1a85ec53
+	position ^= position >> 33
+	return position
 }
 
-// NewRing places the members.
+// NewRing makes the ring of some members.
 func NewRing(members []rpc.NodeID) (ring *Ring) {
 	ring = &Ring{}
 	for _, member := range members {
@@ -52,14 +53,14 @@
 	return ring
 }
 
-// Owner names the member that watches a service; absent ones are passed over
-// in favour of the next on the ring.
+// Owner is the member that probes a service: the first one on the ring that is not
+// absent, or none.
 func (r *Ring) Owner(service rpc.ServiceName, absent map[rpc.NodeID]bool) (owner rpc.NodeID) {
 	if len(r.points) == 0 {
 		return ""
 	}
-	at := hashPosition(string(service), 0)
-	first := sort.Search(len(r.points), func(i int) bool { return r.points[i].position >= at })
+	position := hashPosition(string(service), 0)
+	first := sort.Search(len(r.points), func(i int) bool { return r.points[i].position >= position })
 	for i := range r.points {
 		member := r.points[(first+i)%len(r.points)].member
 		if !absent[member] {
--- a/internal/healthcheck/statecache.go
+++ b/internal/healthcheck/statecache.go
@@ -1,8 +1,3 @@
-// Cache is the state cache beside the leader. It takes reports, keeps the
-// newest state of each backend in a ledger so that watchers get each change,
-// and refuses a daemon that the newest map has replaced as owner, except until
-// the successor's first full report. A state whose owner has not finished a
-// round for too long is told as unknown: the source sets no such bound.
 package healthcheck
 
 import (
@@ -12,13 +7,27 @@
 	"tinpin/internal/rpc"
 )
 
+// warmupTolerance is by how much the end of a warm-up may move without being a change:
+// reports of the same end differ by their way to the leader.
+const warmupTolerance = 400 * time.Millisecond
+
+// neverReported is the time of the last report of an owner whose states have aged.
+const neverReported = -1
+
+// serviceOwner is the node whose reports on a service are taken.
 type serviceOwner struct {
 	node       rpc.NodeID
 	lastReport time.Duration
-	complete   bool
+	// complete tells that the node has reported on all endpoints of the service.
+	complete bool
 }
 
-// StateCache is the leader's collection of states.
+// StateCache is the leader's collection of the states of endpoints. It keeps the last
+// report of each in a change log, so that nodes are sent each change. It rejects the
+// reports of a node that the newest shard map has replaced as owner, once the
+// successor has made its first complete report. A state whose owner has not reported
+// for too long becomes unknown; the design that sharded probing follows sets no such
+// limit.
 type StateCache struct {
 	States    *registry.ChangeLog[rpc.EndpointID, rpc.EndpointState]
 	warmUntil map[rpc.EndpointID]time.Duration
@@ -28,42 +37,47 @@
 	maxAge    time.Duration
 }
 
-// NewStateCache is an empty cache; states older than age are unknown.
-func NewStateCache(clock *registry.RevisionCounter, age time.Duration) (cache *StateCache) {
+// NewStateCache makes an empty cache. States older than maxAge are unknown.
+func NewStateCache(counter *registry.RevisionCounter, maxAge time.Duration) (cache *StateCache) {
 	return &StateCache{
-		States: registry.NewChangeLog[rpc.EndpointID, rpc.EndpointState](clock), warmUntil: map[rpc.EndpointID]time.Duration{},
-		serviceOf: map[rpc.EndpointID]rpc.ServiceName{}, owners: map[rpc.ServiceName]*serviceOwner{}, ring: NewRing(nil), maxAge: age,
+		States:    registry.NewChangeLog[rpc.EndpointID, rpc.EndpointState](counter),
+		warmUntil: map[rpc.EndpointID]time.Duration{},
+		serviceOf: map[rpc.EndpointID]rpc.ServiceName{},
+		owners:    map[rpc.ServiceName]*serviceOwner{},
+		ring:      NewRing(nil),
+		maxAge:    maxAge,
 	}
 }
 
 // SetShardMap takes the newest map.
 func (c *StateCache) SetShardMap(shards rpc.ShardMap) { c.ring = NewRing(shards.Members) }
 
-// Owner names who should watch a service by the newest map.
+// Owner is the node that should probe a service by the newest map.
 func (c *StateCache) Owner(service rpc.ServiceName, absent []rpc.NodeID) (owner rpc.NodeID) {
-	away := make(map[rpc.NodeID]bool, len(absent))
+	isAbsent := make(map[rpc.NodeID]bool, len(absent))
 	for _, id := range absent {
-		away[id] = true
+		isAbsent[id] = true
 	}
-	return c.ring.Owner(service, away)
+	return c.ring.Owner(service, isAbsent)
 }
 
-// Report takes an owner's findings; absent are the fellows not heard.
-func (c *StateCache) Report(now time.Duration, report rpc.HealthReport, absent map[rpc.NodeID]bool) (taken, changed bool) {
+// Report takes the report of a node. It says whether the report was accepted and
+// whether it changed a state.
+func (c *StateCache) Report(now time.Duration, report rpc.HealthReport, absent map[rpc.NodeID]bool) (accepted, changed bool) {
 	rightful := c.ring.Owner(report.Service, absent)
-	held := c.owners[report.Service]
-	if held == nil {
-		held = &serviceOwner{}
-		c.owners[report.Service] = held
+	owner := c.owners[report.Service]
+	if owner == nil {
+		owner = &serviceOwner{}
+		c.owners[report.Service] = owner
 	}
-	if report.Node != rightful && held.node == rightful && held.complete {
+	if report.Node != rightful && owner.node == rightful && owner.complete {
 		return false, false
 	}
-	if held.node != report.Node {
-		held.node, held.complete = report.Node, false
+	if owner.node != report.Node {
+		owner.node, owner.complete = report.Node, false
 	}
-	held.complete = held.complete || report.Full
-	held.lastReport = now
+	owner.complete = owner.complete || report.Full
+	owner.lastReport = now
 	for _, state := range report.States {
 		c.serviceOf[state.Endpoint] = report.Service
 		if c.store(now, state) {
@@ -73,79 +87,86 @@
 	return true, changed
 }
 
+// store keeps a state unless it says what the cache has already.
 func (c *StateCache) store(now time.Duration, state rpc.EndpointState) (changed bool) {
 	until := time.Duration(0)
 	if state.WarmupRemaining > 0 {
 		until = now + state.WarmupRemaining
 	}
 	old, known := c.States.Get(state.Endpoint)
-	shift := until - c.warmUntil[state.Endpoint]
-	if shift < 0 {
-		shift = -shift
-	}
-	if known && old.Health == state.Health && old.EjectedFor == state.EjectedFor && (old.WarmupRemaining > 0) == (state.WarmupRemaining > 0) && (state.WarmupRemaining == 0 || shift < 400*time.Millisecond) {
+	sameWarmup := (old.WarmupRemaining > 0) == (state.WarmupRemaining > 0) &&
+		(state.WarmupRemaining == 0 || (until-c.warmUntil[state.Endpoint]).Abs() < warmupTolerance)
+	if known && old.Health == state.Health && old.EjectedFor == state.EjectedFor && sameWarmup {
 		return false
 	}
 	c.warmUntil[state.Endpoint] = until
 	return c.States.Set(state.Endpoint, state)
 }
 
-// Suspect marks backends as cold till their owner says otherwise.
-func (c *StateCache) Suspect(now time.Duration, server rpc.EndpointID, service rpc.ServiceName, cold time.Duration) {
-	if cold <= 0 {
+// MarkWarmingUp notes that an endpoint is warming up until its owner says otherwise.
+func (c *StateCache) MarkWarmingUp(now time.Duration, endpoint rpc.EndpointID, service rpc.ServiceName, remaining time.Duration) {
+	if remaining <= 0 {
 		return
 	}
-	old, _ := c.States.Get(server)
-	c.serviceOf[server] = service
-	c.store(now, rpc.EndpointState{Endpoint: server, Health: old.Health, EjectedFor: old.EjectedFor, WarmupRemaining: cold})
+	old, _ := c.States.Get(endpoint)
+	c.serviceOf[endpoint] = service
+	c.store(now, rpc.EndpointState{Endpoint: endpoint, Health: old.Health, EjectedFor: old.EjectedFor, WarmupRemaining: remaining})
 }
 
-// WarmupUntil gives the end of a backend's cold spell on the leader's clock.
-func (c *StateCache) WarmupUntil(server rpc.EndpointID) (until time.Duration) {
-	return c.warmUntil[server]
+// WarmupUntil is the end of an endpoint's warm-up, 0 for none.
+func (c *StateCache) WarmupUntil(endpoint rpc.EndpointID) (until time.Duration) {
+	return c.warmUntil[endpoint]
 }
 
-// WarmingUp lists the backends whose cold spell ends after a moment.
-func (c *StateCache) WarmingUp(after time.Duration, into []rpc.EndpointID) (cold []rpc.EndpointID) {
-	for server, until := range c.warmUntil {
+// WarmingUp appends the endpoints whose warm-up does not end before a time.
+func (c *StateCache) WarmingUp(after time.Duration, into []rpc.EndpointID) (endpoints []rpc.EndpointID) {
+	for endpoint, until := range c.warmUntil {
 		if until > 0 && until >= after {
-			into = append(into, server)
+			into = append(into, endpoint)
 		}
 	}
 	return into
 }
 
-// Tick ages the states.
+// Tick lets the states of owners that have not reported for too long become unknown.
 func (c *StateCache) Tick(now time.Duration) (changed bool) {
-	for service, held := range c.owners {
-		if held.lastReport < 0 || now-held.lastReport <= c.maxAge {
+	for service, owner := range c.owners {
+		if owner.lastReport < 0 || now-owner.lastReport <= c.maxAge {
 			continue
 		}
-		held.lastReport, held.complete = -1, false
-		for server, of := range c.serviceOf {
-			if of != service {
-				continue
-			}
-			if old, known := c.States.Get(server); known && old.Health != rpc.HealthUnknown {
-				old.Health, old.WarmupRemaining = rpc.HealthUnknown, max(0, c.warmUntil[server]-now)
-				if c.States.Set(server, old) {
-					changed = true
-				}
+		owner.lastReport, owner.complete = neverReported, false
+		if c.forgetHealth(now, service) {
+			changed = true
+		}
+	}
+	return changed
+}
+
+// forgetHealth makes the health of a service's endpoints unknown.
+func (c *StateCache) forgetHealth(now time.Duration, service rpc.ServiceName) (changed bool) {
+	for endpoint, of := range c.serviceOf {
+		if of != service {
+			continue
+		}
+		if state, known := c.States.Get(endpoint); known && state.Health != rpc.HealthUnknown {
+			state.Health, state.WarmupRemaining = rpc.HealthUnknown, max(0, c.warmUntil[endpoint]-now)
+			if c.States.Set(endpoint, state) {
+				changed = true
 			}
 		}
 	}
 	return changed
 }
 
-// Remove forgets a backend that is gone.
-func (c *StateCache) Remove(server rpc.EndpointID) {
-	c.States.Remove(server)
-	delete(c.warmUntil, server)
-	delete(c.serviceOf, server)
+// Remove forgets an endpoint that has left the list.
+func (c *StateCache) Remove(endpoint rpc.EndpointID) {
+	c.States.Remove(endpoint)
+	delete(c.warmUntil, endpoint)
+	delete(c.serviceOf, endpoint)
 }
 
-// WithRemainingWarmup turns a state's cold spell into what is left of it now.
-func (c *StateCache) WithRemainingWarmup(now time.Duration, state rpc.EndpointState) (left rpc.EndpointState) {
+// WithRemainingWarmup replaces the warm-up time of a state by what is left of it now.
+func (c *StateCache) WithRemainingWarmup(now time.Duration, state rpc.EndpointState) (current rpc.EndpointState) {
 	if state.WarmupRemaining > 0 {
 		state.WarmupRemaining = max(0, c.warmUntil[state.Endpoint]-now)
 	}
--- a/internal/healthcheck/zonebalance.go
+++ b/internal/healthcheck/zonebalance.go
@@ -1,14 +1,7 @@
-// Balance levels the burden between the sites of a region. Clients come to
-// sites unevenly, and a daemon sees neither what others have at work nor how
-// full the backends of another site are. So daemons tell what they have at
-// work, by service, with their beats; the leader sets it against the slots of
-// each site, and tells a site that is pressed well above its region which part
-// of its requests to keep and where to send the rest. It follows from what the
-// clients of each site bring, not from where it was served, so that daemons do
-// not run after each other.
 package healthcheck
 
 import (
+	"slices"
 	"sort"
 	"time"
 
@@ -16,134 +9,155 @@
 )
 
 const (
-	// freeUtilization is the part of its slots a site may always have at work,
-	// balanceOver how far it may be above its region before it sends some away.
+	// freeUtilization is the part of its slots that a zone may always have in flight,
+	// maxRelativeUtilization how far above its region it may be before it sends
+	// requests away.
 	freeUtilization        = 0.6
 	maxRelativeUtilization = 1.1
-	// demandSmoothing is how fast the reckoned demand follows, a turn.
+	// demandSmoothing is the weight of the newest demand, balanceInterval the time
+	// between two updates.
 	demandSmoothing = 0.25
 	balanceInterval = 200 * time.Millisecond
+	// forgottenDemand is the demand below which a zone without requests is forgotten.
+	forgottenDemand = 0.05
 	// minOverflowPermille is the least part worth sending away, in thousandths.
 	minOverflowPermille = 40
 )
 
-// ServiceZone is one service at one site.
+// ServiceZone is one service in one zone.
 type ServiceZone struct {
 	Service rpc.ServiceName
 	Zone    rpc.ZoneName
 }
 
-// ZoneBalancer keeps the demand of each place.
+// ZoneBalancer levels the load between the zones of a region. Clients come to zones
+// unevenly, and a node sees neither what others have in flight nor how full the
+// endpoints of another zone are. So nodes report what they have in flight by service
+// with their heartbeats, and the leader compares it with the slots of each zone. A
+// zone well above its region is told which part of its requests to keep and where to
+// send the rest. The demand of a zone is what its clients bring, not what is served
+// there, so that nodes do not follow each other's moves.
 type ZoneBalancer struct {
 	demand    map[ServiceZone]float64
 	overflows map[ServiceZone]rpc.ZoneOverflow
 	updatedAt time.Duration
 }
 
-// NewZoneBalancer knows of no demand.
-func NewZoneBalancer() (balance *ZoneBalancer) {
+// NewZoneBalancer makes a balancer without any demand.
+func NewZoneBalancer() (balancer *ZoneBalancer) {
 	return &ZoneBalancer{demand: map[ServiceZone]float64{}, overflows: map[ServiceZone]rpc.ZoneOverflow{}, updatedAt: -time.Hour}
 }
 
-// Due tells whether it is time for a turn.
-func (b *ZoneBalancer) Due(now time.Duration) bool { return now-b.updatedAt >= balanceInterval }
+// Due reports whether it is time for an update.
+func (b *ZoneBalancer) Due(now time.Duration) (due bool) { return now-b.updatedAt >= balanceInterval }
 
-// Update takes what is at work by the site it came to, and the slots of use at
-// each, and reckons anew.
-func (b *ZoneBalancer) Update(now time.Duration, atWork, slots map[ServiceZone]float64, region func(rpc.ZoneName) string) {
+// regionLoad is the load of one service in one region.
+type regionLoad struct {
+	demand, slots float64
+	zones         []rpc.ZoneName
+}
+
+// Update takes the requests in flight by the zone that their clients came to, and the
+// usable slots of each zone, and computes the overflows anew.
+func (b *ZoneBalancer) Update(now time.Duration, inFlight, slots map[ServiceZone]float64, region func(rpc.ZoneName) string) {
 	b.updatedAt = now
+	b.smooth(inFlight)
+	b.overflows = map[ServiceZone]rpc.ZoneOverflow{}
+	for service, regions := range b.loads(slots, region) {
+		for _, load := range regions {
+			if load.slots > 0 {
+				most := max(freeUtilization, maxRelativeUtilization*load.demand/load.slots)
+				b.level(service, load.zones, most, slots)
+			}
+		}
+	}
+}
+
+// smooth lets the demand follow the requests in flight.
+func (b *ZoneBalancer) smooth(inFlight map[ServiceZone]float64) {
 	for place := range b.demand {
-		if _, told := atWork[place]; !told {
-			if b.demand[place] *= 1 - demandSmoothing; b.demand[place] < 0.05 {
+		if _, reported := inFlight[place]; !reported {
+			if b.demand[place] *= 1 - demandSmoothing; b.demand[place] < forgottenDemand {
 				delete(b.demand, place)
 			}
 		}
 	}
-	for place, work := range atWork {
-		b.demand[place] += (work - b.demand[place]) * demandSmoothing
+	for place, requests := range inFlight {
+		b.demand[place] += (requests - b.demand[place]) * demandSmoothing
 	}
-	type pool struct {
-		demand, slots float64
-		sites         []rpc.ZoneName
-	}
-	pools := map[rpc.ServiceName]map[string]*pool{}
-	note := func(place ServiceZone, demand, slots float64) {
-		if pools[place.Service] == nil {
-			pools[place.Service] = map[string]*pool{}
+}
+
+// loads sums demand and slots by service and region.
+func (b *ZoneBalancer) loads(slots map[ServiceZone]float64, region func(rpc.ZoneName) string) (loads map[rpc.ServiceName]map[string]*regionLoad) {
+	loads = map[rpc.ServiceName]map[string]*regionLoad{}
+	add := func(place ServiceZone, demand, slots float64) {
+		if loads[place.Service] == nil {
+			loads[place.Service] = map[string]*regionLoad{}
 		}
-		in := region(place.Zone)
-		if pools[place.Service][in] == nil {
-			pools[place.Service][in] = &pool{}
+		name := region(place.Zone)
+		load := loads[place.Service][name]
+		if load == nil {
+			load = &regionLoad{}
+			loads[place.Service][name] = load
 		}
-		held := pools[place.Service][in]
-		held.demand += demand
-		held.slots += slots
-		for _, site := range held.sites {
-			if site == place.Zone {
-				return
-			}
+		load.demand += demand
+		load.slots += slots
+		if !slices.Contains(load.zones, place.Zone) {
+			load.zones = append(load.zones, place.Zone)
 		}
-		held.sites = append(held.sites, place.Zone)
 	}
 	for place, demand := range b.demand {
-		note(place, demand, 0)
+		add(place, demand, 0)
 	}
 	for place, count := range slots {
-		note(place, 0, count)
-	}
-	b.overflows = map[ServiceZone]rpc.ZoneOverflow{}
-	for service, regions := range pools {
-		for _, held := range regions {
-			if held.slots > 0 {
-				b.level(service, held.sites, max(freeUtilization, maxRelativeUtilization*held.demand/held.slots), slots)
-			}
-		}
+		add(place, 0, count)
 	}
+	return loads
 }
 
-// level reckons the spills of one service within one region, so that no site
-// has more than a part of its slots at work.
-func (b *ZoneBalancer) level(service rpc.ServiceName, sites []rpc.ZoneName, most float64, slots map[ServiceZone]float64) {
-	sort.Slice(sites, func(i, k int) bool { return sites[i] < sites[k] })
+// level computes the overflows of one service within one region, so that no zone has
+// more than a part of its slots in flight.
+func (b *ZoneBalancer) level(service rpc.ServiceName, zones []rpc.ZoneName, most float64, slots map[ServiceZone]float64) {
+	sort.Slice(zones, func(i, k int) bool { return zones[i] < zones[k] })
 	spare := map[rpc.ZoneName]float64{}
 	total := 0.0
-	for _, site := range sites {
-		place := ServiceZone{service, site}
+	for _, zone := range zones {
+		place := ServiceZone{service, zone}
 		if left := most*slots[place] - b.demand[place]; left > 0 {
-			spare[site] = left
+			spare[zone] = left
 			total += left
 		}
 	}
 	if total <= 0 {
 		return
 	}
-	for _, site := range sites {
-		place := ServiceZone{service, site}
-		over := b.demand[place] - most*slots[place]
-		if over <= 0 || b.demand[place] <= 0 {
+	for _, zone := range zones {
+		place := ServiceZone{service, zone}
+		excess := b.demand[place] - most*slots[place]
+		if excess <= 0 || b.demand[place] <= 0 {
 			continue
 		}
-		spill := rpc.ZoneOverflow{Service: service}
-		for _, other := range sites {
-			part := int(1000 * over / b.demand[place] * spare[other] / total)
+		overflow := rpc.ZoneOverflow{Service: service}
+		for _, other := range zones {
+			part := int(1000 * excess / b.demand[place] * spare[other] / total)
 			if part > 0 {
-				spill.Targets = append(spill.Targets, rpc.ZoneWeight{Zone: other, Weight: part})
-				spill.Permille += part
+				overflow.Targets = append(overflow.Targets, rpc.ZoneWeight{Zone: other, Weight: part})
+				overflow.Permille += part
 			}
 		}
-		if spill.Permille >= minOverflowPermille {
-			b.overflows[place] = spill
+		if overflow.Permille >= minOverflowPermille {
+			b.overflows[place] = overflow
 		}
 	}
 }
 
-// Overflows lists what a site is to send away.
-func (b *ZoneBalancer) Overflows(site rpc.ZoneName) (spills []rpc.ZoneOverflow) {
-	for place, spill := range b.overflows {
-		if place.Zone == site {
-			spills = append(spills, spill)
+// Overflows lists what the nodes of a zone send to other zones, in order of services.
+func (b *ZoneBalancer) Overflows(zone rpc.ZoneName) (overflows []rpc.ZoneOverflow) {
+	for place, overflow := range b.overflows {
+		if place.Zone == zone {
+			overflows = append(overflows, overflow)
 		}
 	}
-	sort.Slice(spills, func(i, k int) bool { return spills[i].Service < spills[k].Service })
-	return spills
+	sort.Slice(overflows, func(i, k int) bool { return overflows[i].Service < overflows[k].Service })
+	return overflows
 }
