--- a/internal/affinity/choice_test.go
+++ b/internal/affinity/choice_test.go
@@ -20,7 +20,7 @@
 
 func session(n int) rpc.SessionID { return SessionIDOf("s", nil, fmt.Sprint("caller ", n)) }
 
-func TestSessionsBeginEvenly(t *testing.T) {
+func TestNewSessionsSpreadEvenly(t *testing.T) {
 	all, counts := candidates(20, 3), map[rpc.EndpointID]int{}
 	for n := 0; n < 4000; n++ {
 		counts[Choose(session(n), all)]++
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestABackendMoreTakesItsShareAndNothingElseChanges(t *testing.T) {
+func TestAddedBackendTakesItsShareOnly(t *testing.T) {
 	before, after := candidates(19, 3), candidates(20, 3)
 	taken := 0
 	for n := 0; n < 4000; n++ {
--- a/internal/affinity/policy_test.go
+++ b/internal/affinity/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPoliciesWithFaultsAreRefusedWhole(t *testing.T) {
+func TestInvalidPoliciesAreRejectedWhole(t *testing.T) {
 	for body, wants := range map[string][]string{
 		`{"version":1,"rulez":[]}`: {"rulez"},
 		`{"version":0,"rules":[]}`: {"version", "rules must hold"},
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestWhatNamesASession(t *testing.T) {
+func TestFindName(t *testing.T) {
 	header := Rule{Source: FromHeader, Name: "x-caller"}
 	cookie := Rule{Source: FromCookie, Name: "sid"}
 	for _, c := range []struct {
--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -11,14 +11,14 @@
 	"tinpin/internal/statemachine"
 )
 
-// morning plays a busy morning under a seeded clock: callers partway through
-// their sessions come to any node, while nodes join, stop, are killed and cut
-// off, leaders change, and backends end and appear. The stand-in backends record
-// which session and operation they ran.
-type morning struct {
+// simulation runs clients, nodes, a leader and backends by seed on a clock of its
+// own: clients in the middle of their sessions come to any node, while nodes
+// join, stop, are killed and partitioned, leaders change, and backends end and
+// appear. The backends record which session and operation they ran.
+type simulation struct {
 	luck     *rand.Rand
 	now      time.Duration
-	fault    plantedFault
+	fault    injectedBug
 	state    *statemachine.State
 	rev      uint64
 	desk     *affinity.Tracker
@@ -33,7 +33,7 @@
 	faults   []string
 }
 
-type plantedFault struct {
+type injectedBug struct {
 	ownSubset   bool // a node that begins sessions where it likes and asks nobody
 	lostAtHand  bool // a new leader lacks some of the bindings
 	staleUnbind bool // an unbinding that was sent before a new use counts
@@ -69,18 +69,18 @@
 	service = rpc.ServiceName("booking")
 )
 
-func (m *morning) addBackend() {
+func (m *simulation) addBackend() {
 	m.made++
 	id := rpc.EndpointID(fmt.Sprint("i-", m.made))
 	m.backends[id] = &backend{id: id}
 }
 
-func (m *morning) addNode() {
+func (m *simulation) addNode() {
 	m.nodes = append(m.nodes, &node{binder: affinity.NewBinder(500), lag: time.Duration(m.luck.Intn(400)) * time.Millisecond, odd: m.fault.ownSubset && len(m.nodes) == 2})
 }
 
 // lead opens a new leader's desk on what is agreed.
-func (m *morning) lead() {
+func (m *simulation) lead() {
 	m.desk, m.unbinds = affinity.NewTracker(), nil
 	if m.fault.lostAtHand {
 		bad := statemachine.NewState()
@@ -104,18 +104,18 @@
 	})
 }
 
-func (m *morning) apply(command statemachine.Command) (result statemachine.Result) {
+func (m *simulation) apply(command statemachine.Command) (result statemachine.Result) {
 	m.rev++
 	return m.state.Apply(m.rev, command, m.now)
 }
 
-func (m *morning) ended(id rpc.EndpointID, lag time.Duration) (ended bool) {
+func (m *simulation) ended(id rpc.EndpointID, lag time.Duration) (ended bool) {
 	b := m.backends[id]
 	return b == nil || b.ended > 0 && m.now >= b.ended+lag
 }
 
 // ask is the leader's answer to a node, as the forum gives it.
-func (m *morning) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
+func (m *simulation) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
 	standing, bound := m.state.Binding(bind.Session)
 	server, propose, answered := m.desk.Lookup(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
@@ -138,7 +138,7 @@
 
 // tend unbinds what is past its time; a call that was lost is sent again a
 // while later.
-func (m *morning) tend() {
+func (m *simulation) tend() {
 	m.unbinds = append(m.unbinds, m.desk.Expire(m.now, func(rpc.ServiceName) int { return 5000 }, 64)...)
 	if m.now < m.unbindAt {
 		return
@@ -158,7 +158,7 @@
 }
 
 // visit is one request of a caller at one node.
-func (m *morning) visit(c *caller, n *node) (done bool) {
+func (m *simulation) visit(c *caller, n *node) (done bool) {
 	var all []affinity.Candidate
 	for id, b := range m.backends {
 		if b.ended == 0 || m.now < b.ended+n.lag {
@@ -195,8 +195,8 @@
 	return true
 }
 
-func play(seed int64, fault plantedFault) (m *morning) {
-	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
+func simulate(seed int64, fault injectedBug) (m *simulation) {
+	m = &simulation{luck: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
 	m.lead()
 	for i := 0; i < 12; i++ {
 		m.addBackend()
@@ -206,77 +206,101 @@
 	}
 	for m.now < 3*time.Minute {
 		m.now += 20 * time.Millisecond
-		if len(m.callers) < 200 && m.luck.Intn(2) == 0 {
-			name := fmt.Sprint("caller-", len(m.runs), "-", len(m.callers), "-", m.now)
-			m.callers = append(m.callers, &caller{name: name, session: affinity.SessionIDOf(service, nil, name), next: m.now, steps: 4 + m.luck.Intn(12)})
+		m.callClients()
+		m.tend()
+		m.injectFault()
+	}
+	return m
+}
+
+// callClients lets clients appear, and each whose time has come call any node.
+func (m *simulation) callClients() {
+	if len(m.callers) < 200 && m.luck.Intn(2) == 0 {
+		name := fmt.Sprint("caller-", len(m.runs), "-", len(m.callers), "-", m.now)
+		m.callers = append(m.callers, &caller{
+			name: name, session: affinity.SessionIDOf(service, nil, name), next: m.now, steps: 4 + m.luck.Intn(12),
+		})
+	}
+	left := m.callers[:0]
+	for _, c := range m.callers {
+		if m.now >= c.next {
+			m.callAnyNode(c)
 		}
-		left := m.callers[:0]
-		for _, c := range m.callers {
-			if m.now >= c.next {
-				n := m.nodes[m.luck.Intn(len(m.nodes))]
-				for n.gone {
-					n = m.nodes[m.luck.Intn(len(m.nodes))]
-				}
-				if m.visit(c, n) {
-					c.step++
-					c.next = m.now + time.Duration(200+m.luck.Intn(9000))*time.Millisecond
-					if m.luck.Intn(6) == 0 {
-						// Some come back when their session may be over.
-						c.next += 8 * time.Second
-					}
-				} else {
-					m.refused++
-					c.next = m.now + 100*time.Millisecond
-				}
-			}
-			if c.step < c.steps {
-				left = append(left, c)
-			}
+		if c.step < c.steps {
+			left = append(left, c)
 		}
-		m.callers = left
-		m.tend()
-		n := m.nodes[m.luck.Intn(len(m.nodes))]
-		switch m.luck.Intn(300) {
-		case 0:
-			if len(m.nodes) < 14 {
-				m.addNode()
-			}
-		case 1:
-			left := 0
-			for _, other := range m.nodes {
-				if !other.gone {
-					left++
-				}
-			}
-			n.gone = left > 3
-		case 2:
-			// Killed and started anew: it remembers nothing.
-			n.binder, n.gone = affinity.NewBinder(500), false
-		case 3:
-			n.cut = m.now + time.Duration(m.luck.Intn(8000))*time.Millisecond
-		case 4:
-			m.lead()
-		case 5:
-			m.addBackend()
-		case 6:
-			var live []*backend
-			for n := 1; n <= m.made; n++ {
-				if b := m.backends[rpc.EndpointID(fmt.Sprint("i-", n))]; b.ended == 0 {
-					live = append(live, b)
-				}
-			}
-			if len(live) > 8 {
-				live[m.luck.Intn(len(live))].ended = m.now
-			}
+	}
+	m.callers = left
+}
+
+func (m *simulation) callAnyNode(c *caller) {
+	n := m.nodes[m.luck.Intn(len(m.nodes))]
+	for n.gone {
+		n = m.nodes[m.luck.Intn(len(m.nodes))]
+	}
+	if !m.visit(c, n) {
+		m.refused++
+		c.next = m.now + 100*time.Millisecond
+		return
+	}
+	c.step++
+	c.next = m.now + time.Duration(200+m.luck.Intn(9000))*time.Millisecond
+	if m.luck.Intn(6) == 0 {
+		// Some come back when their session may have expired.
+		c.next += 8 * time.Second
+	}
+}
+
+// injectFault draws one fault or none.
+func (m *simulation) injectFault() {
+	n := m.nodes[m.luck.Intn(len(m.nodes))]
+	switch m.luck.Intn(300) {
+	case 0:
+		if len(m.nodes) < 14 {
+			m.addNode()
 		}
+	case 1:
+		n.gone = m.running() > 3
+	case 2:
+		// Killed and started again: it remembers nothing.
+		n.binder, n.gone = affinity.NewBinder(500), false
+	case 3:
+		n.cut = m.now + time.Duration(m.luck.Intn(8000))*time.Millisecond
+	case 4:
+		m.lead()
+	case 5:
+		m.addBackend()
+	case 6:
+		m.endBackend()
+	}
+}
+
+func (m *simulation) running() (count int) {
+	for _, n := range m.nodes {
+		if !n.gone {
+			count++
+		}
+	}
+	return count
+}
+
+// endBackend ends any one backend while more than eight are live.
+func (m *simulation) endBackend() {
+	var live []*backend
+	for i := 1; i <= m.made; i++ {
+		if b := m.backends[rpc.EndpointID(fmt.Sprint("i-", i))]; b.ended == 0 {
+			live = append(live, b)
+		}
+	}
+	if len(live) > 8 {
+		live[m.luck.Intn(len(live))].ended = m.now
 	}
-	return m
 }
 
-func TestNoSessionMovesOnABusyMorning(t *testing.T) {
+func TestNoSessionMovesUnderFaults(t *testing.T) {
 	steps := 0
 	for seed := int64(1); seed <= 12; seed++ {
-		m := play(seed, plantedFault{})
+		m := simulate(seed, injectedBug{})
 		for _, fault := range m.faults {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
@@ -290,16 +314,16 @@
 			t.Errorf("seed %d: %d refusals for %d steps", seed, m.refused, len(m.runs))
 		}
 	}
-	t.Logf("%d steps on twelve mornings", steps)
+	t.Logf("%d steps in twelve simulations", steps)
 }
 
-func TestPlantedFaultsOfSessionsAreFound(t *testing.T) {
-	for name, fault := range map[string]plantedFault{
+func TestInjectedBugsAreFound(t *testing.T) {
+	for name, fault := range map[string]injectedBug{
 		"own subset": {ownSubset: true}, "lost at hand-over": {lostAtHand: true}, "stale unbinding": {staleUnbind: true}, "always fresh": {alwaysFresh: true},
 	} {
 		found := false
 		for seed := int64(1); seed <= 12 && !found; seed++ {
-			found = len(play(seed, fault).faults) > 0
+			found = len(simulate(seed, fault).faults) > 0
 		}
 		if !found {
 			t.Errorf("%s was not found by any seed", name)
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -1,10 +1,3 @@
-// The simulation retires backends on a busy morning: daemons that join, are
-// cut off and start anew, a leader that changes in between, clients that keep
-// coming, keyed ones among them. The real agreed state, desk and permits meet
-// under a seeded clock. Runs are counted at the stand-in backend. Once the
-// leader has told that all follow together, no daemon in touch may send a new
-// caller there, and one that is cut off must stop within its bound; every
-// request is completed once or refused.
 package drain
 
 import (
@@ -16,13 +9,21 @@
 	"tinpin/internal/rpc"
 )
 
-type simFault struct {
-	deaf  bool // permits do not heed the stop
-	blind bool // a daemon that is cut off goes on
-	hasty bool // the desk commits the stop with nobody confirming
+// The simulation retires backends under load and faults: nodes that join, are
+// partitioned and restart, a leader that changes in between, clients that keep
+// coming, keyed ones among them. The real planner and permits meet by seed on a
+// clock of its own. Runs are counted at the stand-in backend. Once the leader
+// has reported that all follow, no connected node may send a new request there,
+// and one that is isolated must stop within its bound; every request is completed
+// once or rejected.
+
+type injectedBug struct {
+	deaf  bool // permits ignore the stop
+	blind bool // an isolated node goes on
+	hasty bool // the planner commits the stop with nobody confirming
 }
 
-type simDaemon struct {
+type simNode struct {
 	id      rpc.NodeID
 	permit  *Permit
 	rev     uint64
@@ -32,15 +33,15 @@
 	beatAt  time.Duration
 }
 
-type simDrain struct {
+type simulation struct {
 	t       *testing.T
 	luck    *rand.Rand
-	fault   simFault
+	fault   injectedBug
 	now     time.Duration
 	rev     uint64
 	agreed  map[rpc.EndpointID]rpc.Retirement
 	policy  *Policy
-	daemons []*simDaemon
+	daemons []*simNode
 	desk    *Planner
 	heard   map[rpc.NodeID]Follower
 	heardAt map[rpc.NodeID]time.Duration
@@ -53,27 +54,27 @@
 	sent     int
 	refused  int
 	unclear  int
-	atWork   map[rpc.EndpointID][]simRun
+	atWork   map[rpc.EndpointID][]runningRequest
 	ended    map[rpc.EndpointID]bool
 	emptied  bool
 }
 
-type simRun struct {
+type runningRequest struct {
 	key string
 	end time.Duration
 }
 
 const simLost = 3 * time.Second
 
-func newSimDrain(t *testing.T, seed int64, fault simFault) *simDrain {
+func newSimulation(t *testing.T, seed int64, fault injectedBug) *simulation {
 	policy, err := Parse([]byte(`{"version":1,"rules":[{"service":"*","notice":"500ms","finish":"10s","keyed":"deadline","least_share":0.3}],"lost_touch":"3s","cut_off":"stop"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &simDrain{
+	s := &simulation{
 		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.EndpointID]rpc.Retirement{}, policy: policy, desk: NewPlanner(),
 		heard: map[rpc.NodeID]Follower{}, heardAt: map[rpc.NodeID]time.Duration{}, led: true, together: map[rpc.EndpointID]time.Duration{},
-		runs: map[string]int{}, atWork: map[rpc.EndpointID][]simRun{}, ended: map[rpc.EndpointID]bool{},
+		runs: map[string]int{}, atWork: map[rpc.EndpointID][]runningRequest{}, ended: map[rpc.EndpointID]bool{},
 	}
 	for i := range 12 {
 		s.join(i)
@@ -81,16 +82,16 @@
 	return s
 }
 
-func (s *simDrain) join(i int) {
-	daemon := &simDaemon{id: rpc.NodeID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
+func (s *simulation) join(i int) {
+	daemon := &simNode{id: rpc.NodeID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
 	daemon.permit.SetPolicy(s.policy)
 	s.daemons = append(s.daemons, daemon)
 }
 
-func (s *simDrain) inTouch(d *simDaemon) bool { return s.now >= d.cutTill && s.now >= d.downTil }
+func (s *simulation) inTouch(d *simNode) bool { return s.now >= d.cutTill && s.now >= d.downTil }
 
 // beat lets a daemon in touch tell how far it is and take what is agreed.
-func (s *simDrain) beat(d *simDaemon) {
+func (s *simulation) beat(d *simNode) {
 	if !s.inTouch(d) {
 		return
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-func (s *simDrain) lead() {
+func (s *simulation) lead() {
 	if !s.led {
 		if s.now >= s.newLead {
 			// A new leader has what is agreed, and has heard nobody yet.
@@ -174,7 +175,7 @@
 }
 
 // call is one client's keyed operation at one daemon.
-func (s *simDrain) call(n int) {
+func (s *simulation) call(n int) {
 	d := s.daemons[s.luck.Intn(len(s.daemons))]
 	if s.now < d.downTil || !d.fresh {
 		s.refused++
@@ -203,14 +204,14 @@
 		}
 		key := fmt.Sprint("k-", n)
 		s.runs[key]++
-		s.atWork[id] = append(s.atWork[id], simRun{key, s.now + time.Duration(s.luck.Intn(800))*time.Millisecond})
+		s.atWork[id] = append(s.atWork[id], runningRequest{key, s.now + time.Duration(s.luck.Intn(800))*time.Millisecond})
 		return
 	}
 	s.emptied = true
 	s.refused++
 }
 
-func (s *simDrain) play() {
+func (s *simulation) play() {
 	const step = 50 * time.Millisecond
 	ops := 0
 	for s.now = 0; s.now < 40*time.Second; s.now += step {
@@ -261,10 +262,10 @@
 	}
 }
 
-func TestABusyMorning(t *testing.T) {
+func TestRetirementsUnderFaults(t *testing.T) {
 	stopped, useful := 0, 0
 	for seed := int64(1); seed <= 60; seed++ {
-		s := newSimDrain(t, seed, simFault{})
+		s := newSimulation(t, seed, injectedBug{})
 		s.play()
 		if s.late > 0 {
 			t.Fatalf("seed %d: %d new callers were sent to a backend after all were said to follow", seed, s.late)
@@ -288,11 +289,11 @@
 	}
 }
 
-func TestTheSimulationFindsPlantedFaults(t *testing.T) {
-	for name, fault := range map[string]simFault{"deaf": {deaf: true}, "blind": {blind: true}} {
+func TestInjectedBugsAreFound(t *testing.T) {
+	for name, fault := range map[string]injectedBug{"deaf": {deaf: true}, "blind": {blind: true}} {
 		found := false
 		for seed := int64(1); seed <= 60 && !found; seed++ {
-			s := newSimDrain(t, seed, fault)
+			s := newSimulation(t, seed, fault)
 			s.play()
 			found = s.late > 0
 		}
@@ -304,7 +305,7 @@
 
 // The least share holds an order back and says so; it goes on when there is
 // room again. The platform's own word is not held back.
-func TestTheLeastShareHoldsAnOrder(t *testing.T) {
+func TestLeastShareHoldsARetirement(t *testing.T) {
 	policy, _ := Parse([]byte(sound))
 	desk := NewPlanner()
 	all := []Follower{{ID: "a", Revision: 9, Connected: true}, {ID: "b", Revision: 9, Connected: true}, {ID: "c"}}
--- a/internal/retry/gate_test.go
+++ b/internal/retry/gate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTheGateLeavesATrickleAndOpensSlowly(t *testing.T) {
+func TestGateLeavesATrickleAndReopensSlowly(t *testing.T) {
 	var gate CircuitGate
 	passed := func(now time.Duration, of int) (passes int) {
 		for i := 0; i < of; i++ {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestWhatIsEarnedLapses(t *testing.T) {
+func TestEarnedBudgetExpires(t *testing.T) {
 	var purse Budget
 	window := 8 * time.Second
 	for i := 0; i < 20; i++ {
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -11,13 +11,13 @@
 	"tinpin/internal/rpc"
 )
 
-// cluster plays many nodes before one sluggish backend under a seeded clock:
-// nodes join, restart and are cut off, leaders change, the limit is written
-// anew. First attempts and retries are counted at the backend.
-type cluster struct {
+// simulation runs many nodes before one slow backend by seed on a clock of its
+// own: nodes join, restart and are partitioned, leaders change, the limit is
+// changed. First attempts and retries are counted at the backend.
+type simulation struct {
 	luck    *rand.Rand
 	now     time.Duration
-	fault   plantedFault
+	fault   injectedBug
 	limited bool
 	lender  *quota.RateAllocator
 	version int
@@ -29,7 +29,7 @@
 	calls   []*call
 }
 
-type plantedFault struct {
+type injectedBug struct {
 	secondSpender bool // a node retries beside the limiter
 	noWait        bool // a new leader lends at once
 	deafNode      bool // a node out of touch keeps the whole ratio for good
@@ -74,13 +74,13 @@
 	attempt int
 }
 
-func (c *cluster) join() {
+func (c *simulation) join() {
 	n := &node{id: rpc.NodeID(fmt.Sprint("node-", len(c.nodes)))}
 	c.nodes = append(c.nodes, n)
 	c.restart(n)
 }
 
-func (c *cluster) restart(n *node) {
+func (c *simulation) restart(n *node) {
 	n.shares, n.version = quota.NewLeases(), 0
 	n.limiter = NewLimiter(func(kind rpc.LeaseKind, service string) float64 {
 		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *cluster) write(version int, ratio, least float64) {
+func (c *simulation) write(version int, ratio, least float64) {
 	policy, err := Parse([]byte(fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","ratio":%g,"least_per_s":%g,"window":"10s"}]}`, version, ratio, least)))
 	if err != nil {
 		panic(err)
@@ -100,7 +100,7 @@
 	c.policy, c.version = policy, version
 }
 
-func (c *cluster) step() {
+func (c *simulation) step() {
 	c.now += 10 * time.Millisecond
 	present := 0
 	for _, n := range c.nodes {
@@ -147,7 +147,7 @@
 }
 
 // serve lets the backend work for the length of a step.
-func (c *cluster) serve() {
+func (c *simulation) serve() {
 	c.backend.free = max(c.backend.free, c.now-10*time.Millisecond)
 	for len(c.backend.queue) > 0 && c.backend.free < c.now {
 		next := c.backend.queue[0]
@@ -160,7 +160,7 @@
 	}
 }
 
-func (c *cluster) arrive(call *call) {
+func (c *simulation) arrive(call *call) {
 	call.attempts++
 	call.sent = c.now
 	if len(c.backend.queue) < queueMost {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (c *cluster) first() (made *call) {
+func (c *simulation) first() (made *call) {
 	n := c.nodes[c.luck.Intn(len(c.nodes))]
 	for n.version == 0 {
 		// A node that knows no configuration takes no request.
@@ -182,7 +182,7 @@
 	return made
 }
 
-func (c *cluster) retry(call *call) {
+func (c *simulation) retry(call *call) {
 	second := c.fault.secondSpender && c.luck.Intn(5) == 0
 	if c.limited && !second && call.node.limiter.AllowRetry(c.now, c.now+work, call.born+deadline, "s") != Allowed {
 		return
@@ -192,7 +192,7 @@
 }
 
 // worst is the most by which a window between two times passes the limit.
-func (c *cluster) worst(from, upto time.Duration, ratio, least float64) (worst float64) {
+func (c *simulation) worst(from, upto time.Duration, ratio, least float64) (worst float64) {
 	window := 10 * time.Second
 	count := func(times []time.Duration, after, till time.Duration) (n float64) {
 		lo := sort.Search(len(times), func(i int) bool { return times[i] > after })
@@ -209,10 +209,12 @@
 	return worst
 }
 
-// morning plays two minutes: the backend is sluggish from 20 s to 50 s; the
-// limit is lowered at 70 s and counts as kept 71 s after that.
-func morning(seed int64, limited, trouble bool, fault plantedFault) (c *cluster, goodAfter float64) {
-	c = &cluster{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: quota.NewRateAllocator(quota.RetryLeases, 0, 1600*time.Millisecond, true)}
+// simulate runs 170 s: the backend is slow from 20 s to 50 s and from 145 s; the
+// limit is lowered at 70 s, and what is sent from 142 s on is judged by the lowered
+// limit. It returns the fraction of the requests begun ten seconds after the
+// recovery that were answered in time.
+func simulate(seed int64, limited, trouble bool, fault injectedBug) (c *simulation, goodAfter float64) {
+	c = &simulation{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: quota.NewRateAllocator(quota.RetryLeases, 0, 1600*time.Millisecond, true)}
 	c.backend.slow = 1
 	c.write(1, 0.1, 2)
 	for i := 0; i < 20; i++ {
@@ -223,47 +225,15 @@
 		c.step()
 	}
 	for c.now < 170*time.Second {
-		c.backend.slow = 1
-		if c.now > 20*time.Second && c.now < 50*time.Second || c.now > 145*time.Second {
-			c.backend.slow = 3
-		}
-		if c.now == 70*time.Second {
-			c.write(2, 0.02, 0.5)
-		}
-		if c.luck.Float64() < 1 {
-			for i := c.luck.Intn(4); i > 0; i-- {
-				if made := c.first(); c.now > 60*time.Second && c.now < 68*time.Second {
-					after = append(after, made)
-				}
+		c.schedule()
+		for i := c.luck.Intn(4); i > 0; i-- {
+			if made := c.first(); c.now > 60*time.Second && c.now < 68*time.Second {
+				after = append(after, made)
 			}
 		}
 		c.step()
-		if !trouble {
-			continue
-		}
-		n := c.nodes[c.luck.Intn(len(c.nodes))]
-		switch c.luck.Intn(600) {
-		case 0:
-			n.cut = c.now + time.Duration(c.luck.Intn(20000))*time.Millisecond
-		case 1:
-			c.restart(n)
-		case 2:
-			if len(c.nodes) < 30 {
-				c.join()
-			}
-		case 3:
-			c.lender = quota.NewRateAllocator(quota.RetryLeases, c.now, 1600*time.Millisecond, fault.noWait)
-		case 4:
-			if fault.deafNode {
-				n.cut = time.Hour
-			}
-		}
-		if fault.deafNode {
-			for _, n := range c.nodes {
-				if n.cut == time.Hour {
-					n.limiter.LeaderHeard(c.now)
-				}
-			}
+		if trouble {
+			c.injectFault()
 		}
 	}
 	good := 0
@@ -275,14 +245,56 @@
 	return c, float64(good) / float64(len(after))
 }
 
-func (c *cluster) passes() (passed float64) {
+// schedule sets the backend's speed and the limit of the moment.
+func (c *simulation) schedule() {
+	c.backend.slow = 1
+	if c.now > 20*time.Second && c.now < 50*time.Second || c.now > 145*time.Second {
+		c.backend.slow = 3
+	}
+	if c.now == 70*time.Second {
+		c.write(2, 0.02, 0.5)
+	}
+	// A draw that decides nothing; without it all seeds would play other days.
+	c.luck.Float64()
+}
+
+// injectFault draws one fault or none, and keeps up the injected bug.
+func (c *simulation) injectFault() {
+	n := c.nodes[c.luck.Intn(len(c.nodes))]
+	switch c.luck.Intn(600) {
+	case 0:
+		n.cut = c.now + time.Duration(c.luck.Intn(20000))*time.Millisecond
+	case 1:
+		c.restart(n)
+	case 2:
+		if len(c.nodes) < 30 {
+			c.join()
+		}
+	case 3:
+		c.lender = quota.NewRateAllocator(quota.RetryLeases, c.now, 1600*time.Millisecond, c.fault.noWait)
+	case 4:
+		if c.fault.deafNode {
+			n.cut = time.Hour
+		}
+	}
+	if !c.fault.deafNode {
+		return
+	}
+	for _, n := range c.nodes {
+		if n.cut == time.Hour {
+			n.limiter.LeaderHeard(c.now)
+		}
+	}
+}
+
+func (c *simulation) excess() (passed float64) {
 	return max(c.worst(0, 70*time.Second, 0.1, 2), c.worst(142*time.Second, 170*time.Second, 0.02, 0.5))
 }
 
-func TestTheWrittenLimitHoldsInEveryWindow(t *testing.T) {
+func TestLimitHoldsInEveryWindow(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
-		c, good := morning(seed, true, true, plantedFault{})
-		if over := c.passes(); over > 1e-6 {
+		c, good := simulate(seed, true, true, injectedBug{})
+		if over := c.excess(); over > 1e-6 {
 			t.Errorf("seed %d: some window passes the limit by %.2f", seed, over)
 		}
 		if len(c.retries) < 100 {
@@ -294,12 +306,12 @@
 	}
 }
 
-func TestPlantedSpendersAreFound(t *testing.T) {
-	for name, fault := range map[string]plantedFault{"second spender": {secondSpender: true}, "deaf node": {deafNode: true}} {
+func TestInjectedBugsAreFound(t *testing.T) {
+	for name, fault := range map[string]injectedBug{"second spender": {secondSpender: true}, "deaf node": {deafNode: true}} {
 		found := false
 		for seed := int64(1); seed <= 12 && !found; seed++ {
-			c, _ := morning(seed, true, true, fault)
-			found = c.passes() > 1e-6
+			c, _ := simulate(seed, true, true, fault)
+			found = c.excess() > 1e-6
 		}
 		if !found {
 			t.Errorf("%s was not found by any seed", name)
@@ -309,9 +321,9 @@
 
 // Without the limit the same backend does not come back to its feet: what it
 // is sent again keeps it busy with what nobody waits for.
-func TestWithoutALimitRetriesOutlastTheTrouble(t *testing.T) {
-	_, limited := morning(3, true, false, plantedFault{})
-	_, free := morning(3, false, false, plantedFault{})
+func TestWithoutALimitRetriesOutlastTheSlowdown(t *testing.T) {
+	_, limited := simulate(3, true, false, injectedBug{})
+	_, free := simulate(3, false, false, injectedBug{})
 	t.Logf("ten seconds after the recovery, answered in time: %.3f with the limit, %.3f without", limited, free)
 	if limited < 0.99 || free > 0.9 {
 		t.Fatalf("answered in time: %.3f with the limit, %.3f without", limited, free)
