--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -35,16 +35,16 @@
 	// changed is closed and replaced whenever open heartbeats should look again.
 	changed chan struct{}
 
-	// clock numbers the changes of the tables that updates are made from.
-	clock     *registry.RevisionCounter
+	// revisions numbers the changes of the tables that updates are made from.
+	revisions *registry.RevisionCounter
 	nodes     nodeTable
 	endpoints *registry.EndpointList
 	health    *healthcheck.StateCache
 
-	// view and revision are the replicated configuration as last read,
+	// routingTable and revision are the replicated configuration as last read,
 	// evacuatedZones what is evacuated by it.
-	view           *config.RoutingTable
-	revision       uint64
+	routingTable   *config.RoutingTable
+	logIndex       uint64
 	evacuatedZones map[rpc.ZoneName]bool
 
 	encoded     encodedParts
@@ -70,16 +70,16 @@
 
 // newCoordinator is one whose loops do not run.
 func newCoordinator(p settings.Settings, log *eventlog.Logger, term rpc.Term) (c *Coordinator) {
-	clock := &registry.RevisionCounter{}
-	clock.Next()
+	revisions := &registry.RevisionCounter{}
+	revisions.Next()
 	return &Coordinator{
 		settings: p, log: log, term: term, started: time.Now(),
 		changed: make(chan struct{}), closed: make(chan struct{}),
-		clock:          clock,
-		nodes:          newNodeTable(clock, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
-		endpoints:      registry.NewEndpointList(clock),
-		health:         healthcheck.NewStateCache(clock, 3*p.HealthCheckInterval+time.Second),
-		view:           config.New().RoutingTable(),
+		revisions:      revisions,
+		nodes:          newNodeTable(revisions, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
+		endpoints:      registry.NewEndpointList(revisions),
+		health:         healthcheck.NewStateCache(revisions, 3*p.HealthCheckInterval+time.Second),
+		routingTable:   config.New().RoutingTable(),
 		evacuatedZones: map[rpc.ZoneName]bool{},
 		outcomes:       newOutcomeRelay(),
 		leases:         newLeaseTable(term == 1),
@@ -106,12 +106,12 @@
 func (c *Coordinator) StateChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var view *config.RoutingTable
+	var routingTable *config.RoutingTable
 	active := map[rpc.ZoneName]bool{}
 	c.node.ReadState(func(state *statemachine.State) {
-		if state.Revision != c.revision {
-			c.revision = state.Revision
-			view = state.Config.RoutingTable()
+		if state.Revision != c.logIndex {
+			c.logIndex = state.Revision
+			routingTable = state.Config.RoutingTable()
 			c.policies.load(state)
 			c.sessions.load(state)
 		}
@@ -121,8 +121,8 @@
 			}
 		}
 	})
-	if view != nil {
-		c.view = view
+	if routingTable != nil {
+		c.routingTable = routingTable
 	}
 	for zone := range c.evacuatedZones {
 		if !active[zone] {
@@ -136,12 +136,12 @@
 // suspectWarmUp treats the backends of a zone that takes traffic again as
 // possibly warming up: they may have restarted while nobody looked.
 func (c *Coordinator) suspectWarmUp(zone rpc.ZoneName) {
-	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
-		if server.Zone != zone {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
+		if endpoint.Zone != zone {
 			return
 		}
-		if service := c.view.Services[string(server.Service)]; service != nil {
-			c.health.MarkWarmingUp(c.now(), id, server.Service, service.SlowStart)
+		if service := c.routingTable.Services[string(endpoint.Service)]; service != nil {
+			c.health.MarkWarmingUp(c.now(), id, endpoint.Service, service.SlowStart)
 		}
 	})
 }
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -51,19 +51,20 @@
 		return nil
 	}
 	slack := c.settings.Bounds.RetryBudgetSlack * retrySlackShare
-	lease, granted := c.leases.rates.Grant(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow, request.ID, slack/float64(nodes))
+	lease, granted := c.leases.rates.Grant(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow,
+		request.ID, slack/float64(nodes))
 	if granted {
 		leases = append(leases, lease)
 	}
 	for _, demand := range request.TenantDemands {
-		if tenant := c.view.TenantByName(demand.Name); tenant != nil {
+		if tenant := c.routingTable.TenantByName(demand.Name); tenant != nil {
 			leases = append(leases, c.leases.tenants.Grant(now, quota.TenantLimit(tenant), request.ID, nodes, demand)...)
 		}
 	}
 	for _, demand := range request.RetryDemands {
 		service := rpc.ServiceName(demand.Name)
 		rule, limited := c.policies.retry.limit.RuleFor(service)
-		if limited && rule.LeastPerSecond > 0 && c.view.Services[demand.Name] != nil {
+		if limited && rule.LeastPerSecond > 0 && c.routingTable.Services[demand.Name] != nil {
 			leases = append(leases, c.leases.retries.Grant(now, rule.Bound(service), request.ID, nodes, demand)...)
 		}
 	}
@@ -77,15 +78,15 @@
 
 // grantWarmUp gives a node its share of the rate of a backend that is warming up.
 func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.NodeID, id rpc.EndpointID) (lease rpc.Lease, granted bool) {
-	server, listed := c.endpoints.Endpoints.Get(id)
-	if !listed || server.Draining || c.health.WarmupUntil(id)+time.Second < now {
+	endpoint, listed := c.endpoints.Endpoints.Get(id)
+	if !listed || endpoint.Draining || c.health.WarmupUntil(id)+time.Second < now {
 		return lease, false
 	}
-	service := c.warmUpLimited(server)
+	service := c.warmUpLimited(endpoint)
 	if service == nil {
 		return lease, false
 	}
-	shares, sharers := c.nodes.sharesWarmUp(node, server, service.SlowStartRate, c.settings.ZoneRegions)
+	shares, sharers := c.nodes.sharesWarmUp(node, endpoint, service.SlowStartRate, c.settings.ZoneRegions)
 	if !shares {
 		return lease, false
 	}
@@ -95,8 +96,8 @@
 
 // warmUpLimited gives a backend's service where that limits the rate of backends
 // that are warming up, else nil.
-func (c *Coordinator) warmUpLimited(server rpc.Endpoint) (service *config.Service) {
-	service = c.view.Services[string(server.Service)]
+func (c *Coordinator) warmUpLimited(endpoint rpc.Endpoint) (service *config.Service) {
+	service = c.routingTable.Services[string(endpoint.Service)]
 	if service == nil || service.SlowStartRate <= 0 {
 		return nil
 	}
--- a/internal/coordinator/outcomes.go
+++ b/internal/coordinator/outcomes.go
@@ -41,11 +41,11 @@
 // out what names an unknown service or a backend of another; the caller holds mu.
 func (c *Coordinator) relayOutcomes(request rpc.HeartbeatRequest) {
 	for _, row := range request.Outcomes[:min(len(request.Outcomes), maxOutcomeRows)] {
-		if c.view.Services[string(row.Service)] == nil {
+		if c.routingTable.Services[string(row.Service)] == nil {
 			continue
 		}
 		if row.Endpoint != "" {
-			if server, listed := c.endpoints.Endpoints.Get(row.Endpoint); !listed || server.Service != row.Service {
+			if endpoint, listed := c.endpoints.Endpoints.Get(row.Endpoint); !listed || endpoint.Service != row.Service {
 				continue
 			}
 		}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -87,7 +87,7 @@
 
 // validateBind checks one request for a binding; the caller holds mu.
 func (c *Coordinator) validateBind(bind rpc.SessionBinding) (err error) {
-	server, listed := c.endpoints.Endpoints.Get(bind.Endpoint)
+	endpoint, listed := c.endpoints.Endpoints.Get(bind.Endpoint)
 	_, ruled := c.sessions.policy.RuleFor(bind.Service)
 	switch {
 	case !affinity.ValidID(bind.Session):
@@ -96,9 +96,9 @@
 		return errors.New("the idle time is out of bounds")
 	case len(bind.EndedEndpoint) > policy.MaxNameLength:
 		return errLongName
-	case c.view.Services[string(bind.Service)] == nil || !ruled:
+	case c.routingTable.Services[string(bind.Service)] == nil || !ruled:
 		return errors.New("no affinity rule for the service")
-	case !listed || server.Service != bind.Service || server.Draining:
+	case !listed || endpoint.Service != bind.Service || endpoint.Draining:
 		return errors.New("the backend is not one that may be bound")
 	}
 	return nil
@@ -107,14 +107,14 @@
 // backendEnded tells whether and why a session may not stay on a backend; the
 // caller holds mu.
 func (c *Coordinator) backendEnded(now time.Duration, id rpc.EndpointID, service rpc.ServiceName) (ended bool, why string) {
-	server, listed := c.endpoints.Endpoints.Get(id)
+	endpoint, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
 		return c.endpoints.Complete, "gone"
 	}
-	if server.Draining {
+	if endpoint.Draining {
 		return true, "leaving"
 	}
-	if c.evacuatedZones[server.Zone] {
+	if c.evacuatedZones[endpoint.Zone] {
 		return true, "evacuated"
 	}
 	if !c.policies.drain.stopped(id) {
@@ -175,12 +175,13 @@
 		var standing statemachine.Binding
 		var bound bool
 		c.node.ReadState(func(state *statemachine.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Endpoint, bound, func(id rpc.EndpointID) (ended bool) {
+		hasEnded := func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
-		})
+		}
+		endpoint, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Endpoint, bound, hasEnded)
 		if answered {
-			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
+			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: endpoint}
 			continue
 		}
 		proposals.indexes = append(proposals.indexes, i)
@@ -201,7 +202,8 @@
 	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Sequence)
 	if answer.Result.Moved {
 		c.sessions.moved++
-		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Endpoint), eventlog.KeyReason, reason)
+		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service),
+			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Endpoint), eventlog.KeyReason, reason)
 		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Endpoint), binding.Sequence, false)
 	}
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Endpoint}
@@ -209,7 +211,7 @@
 
 // sessionLimit is how many sessions a service may have.
 func (c *Coordinator) sessionLimit(service rpc.ServiceName) (limit int) {
-	if rule, ruled := c.sessions.policy.RuleFor(service); ruled && c.view.Services[string(service)] != nil {
+	if rule, ruled := c.sessions.policy.RuleFor(service); ruled && c.routingTable.Services[string(service)] != nil {
 		return rule.MaxSessions
 	}
 	return 0
@@ -227,7 +229,9 @@
 		c.scanBindings()
 	}
 	for _, over := range s.expiry.Expire(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
-		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Sequence})
+		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{
+			Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Sequence,
+		})
 	}
 	if len(s.pendingUnbinds) == 0 {
 		return
@@ -276,7 +280,7 @@
 	// So that a leader whose term has just begun counts all of them as well.
 	c.buildSessionTable()
 	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Evicted, Rejected: c.sessions.rejected}
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		rule, ruled := c.sessions.policy.RuleFor(rpc.ServiceName(name))
 		if !ruled {
 			continue
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -42,7 +42,9 @@
 var (
 	earlierNodeNames   = map[string]string{"site": "zone", "inner": "internal_address", "here": "connected"}
 	earlierGrantNames  = map[string]string{"bound": "limit", "lent": "granted"}
-	earlierStatusNames = map[string]string{"fellows": "nodes", "map_count": "shard_map_version", "map_members": "shard_map_members", "lent": "granted"}
+	earlierStatusNames = map[string]string{
+		"fellows": "nodes", "map_count": "shard_map_version", "map_members": "shard_map_members", "lent": "granted",
+	}
 )
 
 // UnmarshalJSON reads the status of this release and of the one before.
@@ -74,7 +76,7 @@
 	for _, member := range c.nodes.shardMap.Members {
 		status.ShardMapMembers = append(status.ShardMapMembers, string(member))
 	}
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.nodes.absent))
 	}
 	c.endpoints.Endpoints.Each(func(rpc.EndpointID, rpc.Endpoint) { status.Backends++ })
@@ -105,27 +107,27 @@
 		grants = append(grants, GrantStatus{Limit: limit, Granted: granted})
 	}
 	add("retry slack", c.leases.rates.Granted(now, quota.Key{Kind: rpc.RetrySlack}))
-	for name := range c.view.Services {
+	for name := range c.routingTable.Services {
 		if rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name)); limited {
 			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
 			add(limit, c.leases.retries.Granted(now, name))
 		}
 	}
-	for _, tenant := range c.view.Tenants() {
+	for _, tenant := range c.routingTable.Tenants() {
 		add("tenant "+tenant.Name, c.leases.tenants.Granted(now, tenant.Name))
 	}
 	sort.Slice(grants, func(i, j int) bool { return grants[i].Limit < grants[j].Limit })
 	return grants
 }
 
-// CurrentStamp gives the stamp of a backend or of its health, by the kind of
+// CurrentSummary gives the summary of a backend or of its health, by the kind of
 // subject, and whether the leader knows it.
-func (c *Coordinator) CurrentStamp(kind string, id rpc.EndpointID) (stamp string, has bool) {
+func (c *Coordinator) CurrentSummary(kind string, id rpc.EndpointID) (summary string, has bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == history.Backend {
-		server, known := c.endpoints.Endpoints.Get(id)
-		return server.Summary(), known
+		endpoint, known := c.endpoints.Endpoints.Get(id)
+		return endpoint.Summary(), known
 	}
 	state, known := c.health.States.Get(id)
 	return c.health.WithRemainingWarmup(c.now(), state).Summary(), known
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -68,7 +68,8 @@
 
 func validateHeartbeat(request rpc.HeartbeatRequest) (err error) {
 	switch {
-	case request.ID == "" || !namesFit(string(request.ID), string(request.Zone), string(request.Region), request.FrontendAddress, request.InternalAddress):
+	case request.ID == "" || !namesFit(string(request.ID), string(request.Zone), string(request.Region),
+		request.FrontendAddress, request.InternalAddress):
 		return errBadName
 	case request.MaxWait < 0 || request.MaxWait > maxRequestedHold:
 		return fmt.Errorf("hold time of %s", request.MaxWait)
@@ -99,16 +100,16 @@
 	switch {
 	case request.Node == "" || !namesFit(string(request.Node), string(request.Service)):
 		return errBadName
-	case request.Term > c.term || request.Term == c.term && request.ShardMapRevision > c.nodes.shardMapEpoch:
+	case request.Term > c.term || request.Term == c.term && request.ShardMapRevision > c.nodes.shardMapRevision:
 		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.ShardMapRevision, request.Term)
 	}
 	for _, state := range request.States {
-		server, listed := c.endpoints.Endpoints.Get(state.Endpoint)
+		endpoint, listed := c.endpoints.Endpoints.Get(state.Endpoint)
 		switch {
 		case !namesFit(string(state.Endpoint), state.EjectedFor):
 			return errLongName
-		case listed && server.Service != request.Service:
-			return fmt.Errorf("findings on a backend of service %q", server.Service)
+		case listed && endpoint.Service != request.Service:
+			return fmt.Errorf("findings on a backend of service %q", endpoint.Service)
 		case state.Health > rpc.Unhealthy:
 			return fmt.Errorf("unknown health state %d", state.Health)
 		case state.WarmupRemaining < 0 || state.WarmupRemaining > maxWarmUp:
@@ -129,7 +130,9 @@
 func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.NodeID, reason error) (err error) {
 	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
-		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.MaxNameLength)], eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
+		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call,
+			eventlog.KeyNode, string(by)[:min(len(by), policy.MaxNameLength)],
+			eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
 	}
 	return &InvalidCallError{Call: call, Reason: reason}
 }
