--- /dev/null
+++ b/tools/lint/words.go
@@ -0,0 +1,3 @@
+package main
+
+func runWords(t *tree, dirs []string) ([]finding, error) { return nil, nil }
