--- a/tools/lint/run.go
+++ b/tools/lint/run.go
@@ -64,27 +64,42 @@
 		if err != nil {
 			return nil, err
 		}
-		decoder := json.NewDecoder(bytes.NewReader(out))
-		for decoder.More() {
-			var report struct {
-				Code     string
-				Message  string
-				Location struct {
-					File string
-					Line int
-				}
-			}
-			if err := decoder.Decode(&report); err != nil {
-				return nil, err
-			}
-			file, err := filepath.Rel(t.root, report.Location.File)
-			if err != nil {
-				return nil, err
-			}
-			file = filepath.ToSlash(file)
-			if !t.holds(file) && report.Code != "compile" {
-				continue // generated
+		found, err := t.parseStaticcheck(out)
+		if err != nil {
+			return nil, err
+		}
+		findings = append(findings, found...)
+	}
+	return findings, nil
+}
+
+func (t *tree) parseStaticcheck(out []byte) ([]finding, error) {
+	var findings []finding
+	decoder := json.NewDecoder(bytes.NewReader(out))
+	for decoder.More() {
+		var report struct {
+			Code     string
+			Message  string
+			Location struct {
+				File string
+				Line int
 			}
+		}
+		if err := decoder.Decode(&report); err != nil {
+			return nil, err
+		}
+		if report.Code == "compile" {
+			// The message is the compiler's, with its own positions; the
+			// location is empty.
+			findings = append(findings, newFinding("staticcheck", "build", 0, report.Code, report.Message))
+			continue
+		}
+		file, err := filepath.Rel(t.root, report.Location.File)
+		if err != nil {
+			return nil, err
+		}
+		file = filepath.ToSlash(file)
+		if t.holds(file) { // not generated
 			findings = append(findings,
 				newFinding("staticcheck", file, report.Location.Line, report.Code, report.Message))
 		}
