--- a/tools/lint/run.go
+++ b/tools/lint/run.go
@@ -150,7 +150,9 @@
 }
 
 // goTool runs one of the tools that tools/go.mod pins, in a directory below the
-// root. A tool that ends with status 1 has findings, which is no error here.
+// root. A tool that ends with status 1 and prints has findings, which is no error
+// here; one that prints nothing has failed. The go command's own messages, of
+// downloads say, are on the error output.
 func (t *tree) goTool(dir string, args ...string) ([]byte, error) {
 	modfile := filepath.Join(t.root, "tools", "go.mod")
 	cmd := exec.Command("go", append([]string{"tool", "-modfile=" + modfile}, args...)...)
@@ -159,7 +161,7 @@
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	err := cmd.Run()
 	var exit *exec.ExitError
-	if errors.As(err, &exit) && exit.ExitCode() == 1 && stderr.Len() == 0 {
+	if errors.As(err, &exit) && exit.ExitCode() == 1 && stdout.Len() > 0 {
 		err = nil
 	}
 	if err != nil {
