--- a/internal/proxy/update.go
+++ b/internal/proxy/update.go
@@ -94,7 +94,7 @@
 	if chunk == nil || s.continuesList(update.Term, chunk) {
 		return
 	}
-	s.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, "news", eventlog.KeyReason, "a part of the list that does not follow",
+	s.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, "update", eventlog.KeyReason, "a part of the list that does not follow",
 		eventlog.KeyFrom, string(chunk.After), "position", string(chunk.Last))
 	update.EndpointChunk = nil
 }
