--- a/internal/affinity/tracker.go
+++ b/internal/affinity/tracker.go
@@ -83,7 +83,9 @@
 	if bind.EndedEndpoint != "" && !ended(bind.EndedEndpoint) {
 		bind.EndedEndpoint = ""
 	}
-	if bound && t.Touch(now, bind.Service, bind.Session, bind.IdleTimeout) && (bind.EndedEndpoint == "" || bind.EndedEndpoint != current) {
+	// Touch comes first: it notes the use also where the session must move.
+	tracked := bound && t.Touch(now, bind.Service, bind.Session, bind.IdleTimeout)
+	if tracked && (bind.EndedEndpoint == "" || bind.EndedEndpoint != current) {
 		return current, bind, true
 	}
 	return "", bind, false
@@ -99,7 +101,9 @@
 
 // Expire stops tracking the sessions that are past their time, or that are the
 // least recently used where a service has more than its limit, up to maxExpired.
-func (t *Tracker) Expire(now time.Duration, limit func(service rpc.ServiceName) int, maxExpired int) (expired []ExpiredSession) {
+func (t *Tracker) Expire(
+	now time.Duration, limit func(service rpc.ServiceName) int, maxExpired int,
+) (expired []ExpiredSession) {
 	for service, sessions := range t.sessions {
 		for len(expired) < maxExpired {
 			session, last, any := sessions.GetOldest()
--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -39,7 +39,9 @@
 
 // callAll calls a method on all addresses at once and hands each response to
 // handle, one at a time.
-func callAll[Response any](addresses []string, method string, request any, handle func(address string, response Response, err error)) {
+func callAll[Response any](
+	addresses []string, method string, request any, handle func(address string, response Response, err error),
+) {
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, address := range addresses {
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -159,7 +159,8 @@
 	}
 	sort.SliceStable(found, func(i, j int) bool { return found[i].TS < found[j].TS })
 	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintf(writer, "%s %s, by the daemons' times of day, which may differ\n\nAT\tDAEMON\tCHANGE\tSTATE\tREVISION\n", kind, name)
+	_, _ = fmt.Fprintf(writer, "%s %s, by the daemons' times of day, which may differ\n\n", kind, name)
+	_, _ = fmt.Fprintln(writer, "AT\tDAEMON\tCHANGE\tSTATE\tREVISION")
 	for _, line := range found {
 		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\t%s\t%d\n", line.TS, line.Daemon, cmp.Or(line.Change, line.EarlierChange),
 			cmp.Or(line.State, line.EarlierState), cmp.Or(line.Revision, line.EarlierRevision))
@@ -184,7 +185,10 @@
 			continue
 		}
 		var line logLine
-		if json.Unmarshal(text[brace:], &line) == nil && line.Event == int(eventlog.ChangeObserved) && line.Kind == kind && line.Name == name {
+		if json.Unmarshal(text[brace:], &line) != nil || line.Event != int(eventlog.ChangeObserved) {
+			continue
+		}
+		if line.Kind == kind && line.Name == name {
 			found = append(found, line)
 		}
 	}
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -210,7 +210,8 @@
 	for service, state := range l.services {
 		statuses = append(statuses, ServiceStatus{
 			Service: string(service), Ratio: state.rule.Ratio, Used: state.used, Rejected: state.rejected[LimitReached],
-			RejectedSlow: state.rejected[ServiceSlow], RejectedLate: state.rejected[DeadlineTooShort], PassFraction: state.gate.PassFraction(now),
+			RejectedSlow: state.rejected[ServiceSlow], RejectedLate: state.rejected[DeadlineTooShort],
+			PassFraction: state.gate.PassFraction(now),
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -95,5 +95,6 @@
 // Bound is the least rate as the leader leases it: half of it may come at once and
 // half of it as a rate, so that no window holds more than the whole.
 func (r Rule) Bound(service rpc.ServiceName) (bound quota.RateLimit) {
-	return quota.RateLimit{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
+	rate := r.LeastPerSecond / 2
+	return quota.RateLimit{Name: string(service), Rate: rate, Burst: rate * time.Duration(r.Window).Seconds()}
 }
