--- a/internal/raft/catchup_test.go
+++ b/internal/raft/catchup_test.go
@@ -48,7 +48,7 @@
 func behind(t *testing.T, seed int64, trouble string, thin bool, tail LogTail) (ticks int) {
 	t.Helper()
 	s := newSim(seed, 3, planted{})
-	s.shape = func(r *Replica) { r.tail, r.partSize = tail, partSize }
+	s.shape = func(r *Replica) { r.logTail, r.chunkBytes = tail, snapshotChunkBytes }
 	for _, host := range s.order {
 		s.shape(s.cores[host].raft)
 	}
@@ -86,7 +86,7 @@
 	s.heal()
 	held := func() bool {
 		leader := s.settledLeader()
-		return leader != nil && core.raft.voter(core.disk.id) && leader.raft.CaughtUp(core.disk.id)
+		return leader != nil && core.raft.isVoter(core.disk.id) && leader.raft.CaughtUp(core.disk.id)
 	}
 	for ; ticks < 4000 && s.broken == "" && !held(); ticks++ {
 		if ticks%3 == 0 {
--- a/internal/raft/check.go
+++ b/internal/raft/check.go
@@ -4,21 +4,21 @@
 package raft
 
 const (
-	// mostTerm and mostIndex are beyond what any group reaches.
-	mostTerm  Term  = 1 << 56
-	mostIndex Index = 1 << 56
+	// maxTerm and mostIndex are beyond what any group reaches.
+	maxTerm  Term  = 1 << 56
+	maxIndex Index = 1 << 56
 )
 
-// impossible tells why a message cannot be, or nothing.
-func (r *Replica) impossible(m *Message) (why string) {
+// rejectReason tells why a message cannot be, or nothing.
+func (r *Replica) rejectReason(m *Message) (why string) {
 	switch {
 	case m.Kind < MsgPreVote || m.Kind > MsgSnapshotChunkResponse:
 		return "unknown kind"
 	case m.From == "" || m.From == r.id:
 		return "impossible sender"
-	case m.Term == 0 || m.Term > mostTerm || m.LogTerm > m.Term && m.Kind != MsgAppendResponse:
+	case m.Term == 0 || m.Term > maxTerm || m.LogTerm > m.Term && m.Kind != MsgAppendResponse:
 		return "impossible term"
-	case m.Index > mostIndex || m.Commit > mostIndex || m.Hint > mostIndex:
+	case m.Index > maxIndex || m.Commit > maxIndex || m.Hint > maxIndex:
 		return "impossible index"
 	case len(m.Entries) > 0 && m.Kind != MsgAppend || (m.Snapshot != nil) != (m.Kind == MsgSnapshot) || (m.Part != nil) != (m.Kind == MsgSnapshotChunk):
 		return "content of another kind"
@@ -29,35 +29,35 @@
 			return "impossible end of a log"
 		}
 	case MsgAppend:
-		return r.impossibleAppend(m)
+		return r.appendRejectReason(m)
 	case MsgSnapshot:
-		return r.impossibleSnapshot(m, place{m.Snapshot.Index, m.Snapshot.Term}, m.Snapshot.Members)
+		return r.snapshotRejectReason(m, position{m.Snapshot.Index, m.Snapshot.Term}, m.Snapshot.Members)
 	case MsgSnapshotChunk:
 		part := m.Part
-		if part.Total > mostSnapshot || part.Offset > part.Total || uint64(len(part.Data)) > part.Total-part.Offset {
+		if part.Total > maxSnapshotBytes || part.Offset > part.Total || uint64(len(part.Data)) > part.Total-part.Offset {
 			return "part lies outside its snapshot"
 		}
-		return r.impossibleSnapshot(m, place{part.Index, part.Term}, part.Members)
+		return r.snapshotRejectReason(m, position{part.Index, part.Term}, part.Members)
 	case MsgAppendResponse, MsgHeartbeatResponse, MsgSnapshotChunkResponse:
-		if r.role == Leader && m.Term == r.hard.Term && (m.Round > r.round || m.Kind == MsgAppendResponse && !m.Reject && m.Index > r.lastIndex()) {
+		if r.role == Leader && m.Term == r.hardState.Term && (m.Round > r.heartbeatRound || m.Kind == MsgAppendResponse && !m.Reject && m.Index > r.lastIndex()) {
 			return "answer to what was not sent"
 		}
 	}
 	return ""
 }
 
-// rival tells that another is known to lead the message's term.
-func (r *Replica) rival(m *Message) bool {
-	return m.Term == r.hard.Term && r.leader != "" && r.leader != m.From
+// knowsOtherLeader tells that another is known to lead the message's term.
+func (r *Replica) knowsOtherLeader(m *Message) bool {
+	return m.Term == r.hardState.Term && r.leader != "" && r.leader != m.From
 }
 
-func (r *Replica) impossibleAppend(m *Message) (why string) {
+func (r *Replica) appendRejectReason(m *Message) (why string) {
 	switch {
-	case r.rival(m):
+	case r.knowsOtherLeader(m):
 		return "two leaders in a term"
 	case (m.Index == 0) != (m.LogTerm == 0) || m.Index == 0 && len(m.Entries) > 0:
 		return "impossible place in the log"
-	case r.undoes(m.Index, m.LogTerm):
+	case r.contradictsCommitted(m.Index, m.LogTerm):
 		return "would undo what is committed"
 	}
 	term := m.LogTerm
@@ -68,9 +68,9 @@
 			return "entries do not follow each other"
 		case entry.Term < term || entry.Term > m.Term:
 			return "impossible term of an entry"
-		case entry.Members != nil && !possibleMembers(entry.Members):
+		case entry.Members != nil && !validMembers(entry.Members):
 			return "impossible members"
-		case r.undoes(entry.Index, entry.Term):
+		case r.contradictsCommitted(entry.Index, entry.Term):
 			return "would undo what is committed"
 		}
 		term = entry.Term
@@ -78,26 +78,26 @@
 	return ""
 }
 
-func (r *Replica) impossibleSnapshot(m *Message, end place, members []Member) (why string) {
+func (r *Replica) snapshotRejectReason(m *Message, end position, members []Member) (why string) {
 	switch {
-	case r.rival(m):
+	case r.knowsOtherLeader(m):
 		return "two leaders in a term"
-	case end.index == 0 || end.index > mostIndex || end.term == 0 || end.term > m.Term || end.index > r.commit && end.term < r.termAt(r.commit) || r.undoes(end.index, end.term):
+	case end.index == 0 || end.index > maxIndex || end.term == 0 || end.term > m.Term || end.index > r.commitIndex && end.term < r.termAt(r.commitIndex) || r.contradictsCommitted(end.index, end.term):
 		return "impossible end of a snapshot"
-	case !possibleMembers(members):
+	case !validMembers(members):
 		return "impossible members"
 	}
 	return ""
 }
 
-// undoes tells that another term is claimed for a committed place than the one it
+// contradictsCommitted tells that another term is claimed for a committed place than the one it
 // has.
-func (r *Replica) undoes(index Index, term Term) bool {
-	return index > 0 && index <= r.commit && index >= r.start.index && r.termAt(index) != term
+func (r *Replica) contradictsCommitted(index Index, term Term) bool {
+	return index > 0 && index <= r.commitIndex && index >= r.logStart.index && r.termAt(index) != term
 }
 
-// possibleMembers tells that each has an id of its own and somebody votes.
-func possibleMembers(members []Member) bool {
+// validMembers tells that each has an id of its own and somebody votes.
+func validMembers(members []Member) bool {
 	voters := 0
 	for i, member := range members {
 		if _, twice := FindMember(members[:i], member.ID); twice || member.ID == "" {
--- a/internal/raft/check_test.go
+++ b/internal/raft/check_test.go
@@ -12,7 +12,7 @@
 // mark is all of a core that a refused message may not change.
 func (b *bench) mark() string {
 	r := b.raft
-	return fmt.Sprint(r.hard, r.role, r.leader, r.members, r.base, r.log, r.commit, r.applied, r.synced, r.elapsed, r.silence, len(b.queued), r.gathering == nil, r.peers["c"])
+	return fmt.Sprint(r.hardState, r.role, r.leader, r.members, r.snapshot, r.entries, r.commitIndex, r.appliedIndex, r.syncedIndex, r.elapsedTicks, r.leaderSilentTicks, len(b.queued), r.incoming == nil, r.peers["c"])
 }
 
 func TestImpossibleMessagesAreRefusedAndChangeNothing(t *testing.T) {
@@ -39,7 +39,7 @@
 		"a snapshot that goes back":     {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 1, Members: trio}},
 		"a part without members":        {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Members = nil })},
 		"a part beyond its end":         {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Offset = 2 })},
-		"a part of too much":            {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Total = mostSnapshot + 1 })},
+		"a part of too much":            {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Total = maxSnapshotBytes + 1 })},
 		"a part with a wrong checksum":  {Kind: MsgSnapshotChunk, Part: &part},
 		"a part and a snapshot at once": {Kind: MsgSnapshotChunk, Part: &part, Snapshot: &good},
 	}
@@ -112,7 +112,7 @@
 			for i, count := 0, next()%4; i < count; i++ {
 				m.Entries = append(m.Entries, Entry{Term: Term(next() % 6), Index: m.Index + Index(i+next()%9/8) + 1})
 			}
-			end := place{Index(next() % 16), Term(next() % 6)}
+			end := position{Index(next() % 16), Term(next() % 6)}
 			if m.Kind == MsgSnapshot || next()%16 == 0 {
 				m.Snapshot = &Snapshot{Index: end.index, Term: end.term, Members: trio[:next()%4]}
 			}
@@ -135,17 +135,17 @@
 				b.take(b.raft.Tick())
 			}
 			r := b.raft
-			if r.commit > r.lastIndex() || r.applied > r.commit || r.base.Index > r.commit || r.synced > r.lastIndex() {
-				t.Fatalf("base %d, applied %d, commit %d, synced %d, last %d", r.base.Index, r.applied, r.commit, r.synced, r.lastIndex())
+			if r.commitIndex > r.lastIndex() || r.appliedIndex > r.commitIndex || r.snapshot.Index > r.commitIndex || r.syncedIndex > r.lastIndex() {
+				t.Fatalf("base %d, applied %d, commit %d, synced %d, last %d", r.snapshot.Index, r.appliedIndex, r.commitIndex, r.syncedIndex, r.lastIndex())
 			}
-			term := r.start.term
-			for i, each := range r.log {
-				if each.Index != r.start.index+Index(i)+1 || each.Term < term || each.Term > r.hard.Term {
-					t.Fatalf("entry %d of term %d behind term %d in term %d", each.Index, each.Term, term, r.hard.Term)
+			term := r.logStart.term
+			for i, each := range r.entries {
+				if each.Index != r.logStart.index+Index(i)+1 || each.Term < term || each.Term > r.hardState.Term {
+					t.Fatalf("entry %d of term %d behind term %d in term %d", each.Index, each.Term, term, r.hardState.Term)
 				}
 				term = each.Term
 			}
-			for index := r.start.index + 1; index <= r.commit; index++ {
+			for index := r.logStart.index + 1; index <= r.commitIndex; index++ {
 				if was, known := committed[index]; known && was != r.termAt(index) {
 					t.Fatalf("committed %d went from term %d to %d", index, was, r.termAt(index))
 				}
--- a/internal/raft/contact.go
+++ b/internal/raft/contact.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// roundsKept is how many rounds are remembered by the time they went out.
-	roundsKept = 64
-	// shortTicks is by how much a lease is shorter than an election: a ticker that
+	// recordedRounds is how many rounds are remembered by the time they went out.
+	recordedRounds = 64
+	// leaseMarginTicks is by how much a lease is shorter than an election: a ticker that
 	// was held up gives two ticks at once, and the clocks of two machines may go
 	// at a slightly different pace.
-	shortTicks = 3
-	// hintElections is for how many elections a leader that is not heard is named.
-	hintElections = 2
+	leaseMarginTicks = 3
+	// leaderHintElections is for how many elections a leader that is not heard is named.
+	leaderHintElections = 2
 )
 
 // LeaseTicks is for how many ticks a round that was answered proves leadership.
-func (p Timing) LeaseTicks() (ticks int) { return max(0, p.ElectionTicks-shortTicks) }
+func (p Timing) LeaseTicks() (ticks int) { return max(0, p.ElectionTicks-leaseMarginTicks) }
 
 // At gives the machine the steady time of its driver, for what it does next.
 func (r *Replica) At(now time.Duration) (same *Replica) {
 	r.now = now
-	if !r.timed {
-		r.born, r.timed = now, true
+	if !r.startKnown {
+		r.startedAt, r.startKnown = now, true
 	}
 	return r
 }
 
-func (r *Replica) beginRound() {
-	r.round++
-	r.sent[r.round%roundsKept] = r.now
+func (r *Replica) startHeartbeatRound() {
+	r.heartbeatRound++
+	r.roundSentAt[r.heartbeatRound%recordedRounds] = r.now
 }
 
 // LastQuorumContact tells when the newest round went out that a majority of the voters
 // has answered in this term; the leader itself counts if it votes.
 func (r *Replica) LastQuorumContact() (sent time.Duration, known bool) {
-	if r.role != Leader || r.yielded {
+	if r.role != Leader || r.timeoutNowSent {
 		return 0, false
 	}
 	rounds := make([]uint64, 0, len(r.members))
@@ -53,9 +53,9 @@
 		}
 		answered := uint64(0)
 		if p := r.peers[member.ID]; member.ID == r.id {
-			answered = r.round
+			answered = r.heartbeatRound
 		} else if p != nil {
-			answered = p.ackRound
+			answered = p.ackedRound
 		}
 		rounds = append(rounds, answered)
 	}
@@ -64,42 +64,44 @@
 	}
 	slices.Sort(rounds)
 	agreed := rounds[(len(rounds)-1)/2]
-	if agreed == 0 || agreed > r.round || r.round-agreed >= roundsKept {
+	if agreed == 0 || agreed > r.heartbeatRound || r.heartbeatRound-agreed >= recordedRounds {
 		return 0, false
 	}
-	return r.sent[agreed%roundsKept], true
+	return r.roundSentAt[agreed%recordedRounds], true
 }
 
-// bound tells that this core may not help another to lead yet: it leads, or it
+// withholdsVote tells that this core may not help another to lead yet: it leads, or it
 // heard a leader, or it has started and may have heard one before.
-func (r *Replica) bound() bool { return r.role == Leader || r.silence < r.pace.ElectionTicks }
+func (r *Replica) withholdsVote() bool {
+	return r.role == Leader || r.leaderSilentTicks < r.timing.ElectionTicks
+}
 
-// heardRound is the round that may be told as heard: none before the term is on
+// confirmRound is the round that may be told as heard: none before the term is on
 // disk, as a core that has forgotten the term would not know that it is bound.
-func (r *Replica) heardRound(round uint64) (heard uint64) {
-	if r.done < r.hardAt {
+func (r *Replica) confirmRound(round uint64) (heard uint64) {
+	if r.writesDone < r.hardStateWrite {
 		return 0
 	}
-	r.told = max(r.told, round)
+	r.confirmedRound = max(r.confirmedRound, round)
 	return round
 }
 
-// tellHeard tells at once that a round was heard, where the answer to what came
+// sendHeartbeatResponse tells at once that a round was heard, where the answer to what came
 // with it waits for the disk and the round's beat has not been answered yet. It
 // tells no match.
-func (r *Replica) tellHeard(to ID, round uint64) {
-	if round <= r.told {
+func (r *Replica) sendHeartbeatResponse(to ID, round uint64) {
+	if round <= r.confirmedRound {
 		return
 	}
-	if heard := r.heardRound(round); heard > 0 {
+	if heard := r.confirmRound(round); heard > 0 {
 		r.send(Message{Kind: MsgHeartbeatResponse, To: to, Round: heard})
 	}
 }
 
-func (r *Replica) takeHeard(m Message) {
+func (r *Replica) handleHeartbeatResponse(m Message) {
 	if p := r.peers[m.From]; r.role == Leader && p != nil {
-		p.heard = 0
-		p.ackRound = max(p.ackRound, m.Round)
+		p.silentTicks = 0
+		p.ackedRound = max(p.ackedRound, m.Round)
 	}
 }
 
@@ -126,7 +128,7 @@
 	if !known {
 		return n.raft.Term(), 0
 	}
-	return n.raft.Term(), sent + time.Duration(n.raft.pace.LeaseTicks())*tickInterval
+	return n.raft.Term(), sent + time.Duration(n.raft.timing.LeaseTicks())*tickInterval
 }
 
 // endLease takes back what does not hold any more; it comes before anything is
--- a/internal/raft/contact_test.go
+++ b/internal/raft/contact_test.go
@@ -81,7 +81,7 @@
 func (m *contactModel) start(core *contactCore) {
 	core.raft = New(core.id, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
 	if m.fault.forgets {
-		core.raft.silence, core.raft.timeout = electTicks, 2
+		core.raft.leaderSilentTicks, core.raft.timeoutTicks = electTicks, 2
 	}
 	core.up, core.queue, core.inbox, core.ticked, core.held, core.slow, core.lease = true, nil, nil, false, 0, 0, lease{}
 	core.tick = m.now + 25
@@ -119,12 +119,12 @@
 	if !core.raft.CommittedInTerm() {
 		return
 	}
-	yielded := core.raft.yielded
-	core.raft.yielded = yielded && !m.fault.keeps
+	yielded := core.raft.timeoutNowSent
+	core.raft.timeoutNowSent = yielded && !m.fault.keeps
 	sent, known := core.raft.LastQuorumContact()
-	core.raft.yielded = yielded
+	core.raft.timeoutNowSent = yielded
 	if known {
-		span := core.raft.pace.LeaseTicks()
+		span := core.raft.timing.LeaseTicks()
 		if m.fault.long {
 			span = electTicks
 		}
@@ -205,7 +205,7 @@
 		message := core.inbox[0]
 		core.inbox = core.inbox[1:]
 		if m.fault.receipt && message.Kind >= MsgAppendResponse && message.Round > 0 && core.raft.Role() == Leader {
-			core.raft.sent[message.Round%roundsKept] = m.at()
+			core.raft.roundSentAt[message.Round%recordedRounds] = m.at()
 		}
 		m.carry(core, core.raft.At(m.at()).Step(message))
 	}
@@ -271,7 +271,7 @@
 	next := append([]Member(nil), core.raft.Members()...)
 	at := m.luck.Intn(len(next))
 	next[at].Voter = !next[at].Voter
-	if voters := core.raft.voters(); next[at].ID == core.id || voters <= 2 && !next[at].Voter {
+	if voters := core.raft.voterCount(); next[at].ID == core.id || voters <= 2 && !next[at].Voter {
 		return
 	}
 	if accepted, out := core.raft.At(m.at()).ProposeMembers(next); accepted {
@@ -417,10 +417,10 @@
 	m.until(100, func() bool { return false })
 	old := m.leader()
 	m.carry(old, old.raft.At(m.at()).TransferLeadership())
-	if !old.raft.yielded || old.lease.until != 0 {
+	if !old.raft.timeoutNowSent || old.lease.until != 0 {
 		t.Fatal("a leader that has told another to stand still answers")
 	}
-	successor, term := old.raft.transfer, old.raft.Term()
+	successor, term := old.raft.transferTarget, old.raft.Term()
 	for _, core := range m.cores {
 		if core.id == successor {
 			m.crash(core)
@@ -456,9 +456,9 @@
 // Contact is with the voters alone, the leader among them only if it votes.
 func TestContactCountsVoters(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}, {ID: "l"}}
-	raft := &Replica{id: "a", pace: Timing{beatTicks, electTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
+	raft := &Replica{id: "a", timing: Timing{beatTicks, electTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
 	for round := range 5 {
-		raft.At(time.Duration(round) * time.Second).beginRound()
+		raft.At(time.Duration(round) * time.Second).startHeartbeatRound()
 	}
 	for _, c := range []struct {
 		b, c, l uint64
@@ -466,7 +466,7 @@
 		sent    time.Duration
 		known   bool
 	}{{0, 0, 5, true, 0, false}, {3, 0, 5, true, 2 * time.Second, true}, {3, 4, 5, true, 3 * time.Second, true}, {3, 0, 5, false, 0, false}, {3, 4, 5, false, 2 * time.Second, true}, {6, 6, 0, true, 0, false}} {
-		raft.peers["b"].ackRound, raft.peers["c"].ackRound, raft.peers["l"].ackRound = c.b, c.c, c.l
+		raft.peers["b"].ackedRound, raft.peers["c"].ackedRound, raft.peers["l"].ackedRound = c.b, c.c, c.l
 		members[0].Voter = c.votes
 		if sent, known := raft.LastQuorumContact(); sent != c.sent || known != c.known {
 			t.Errorf("%+v: %v, %v", c, sent, known)
@@ -507,7 +507,7 @@
 	if _, _, _, leader, _ := n.Status(); leader.ID != "a" {
 		t.Fatalf("named %+v", leader)
 	}
-	n.heard -= hintElections * electTicks * tickInterval
+	n.heard -= leaderHintElections * electTicks * tickInterval
 	if _, _, _, leader, _ := n.Status(); leader.ID != "" {
 		t.Fatalf("named %+v", leader)
 	}
@@ -519,13 +519,13 @@
 	n := wishing(t, 3)
 	term := n.raft.Term()
 	tell := func() {
-		n.carry(n.raft.At(n.Now()).ReportSynced(int(n.raft.issued - n.raft.done)))
-		n.carry(n.raft.At(n.Now()).Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: term, Index: n.raft.LastIndex(), Round: n.raft.round}))
+		n.carry(n.raft.At(n.Now()).ReportSynced(int(n.raft.writesIssued - n.raft.writesDone)))
+		n.carry(n.raft.At(n.Now()).Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: term, Index: n.raft.LastIndex(), Round: n.raft.heartbeatRound}))
 	}
 	// So that nothing here depends on how fast this machine is, rounds go out in the
 	// hour to come but where a freeze is played.
 	ahead := func() {
-		n.raft.At(n.Now() + time.Hour).beginRound()
+		n.raft.At(n.Now() + time.Hour).startHeartbeatRound()
 		tell()
 	}
 	if n.HoldsLease(term, 0) {
@@ -548,7 +548,7 @@
 		t.Fatal("after a new round it does not answer")
 	}
 	n.carry(n.raft.At(n.Now()).TransferLeadership())
-	if n.raft.transfer != "b" || n.HoldsLease(term, 0) {
+	if n.raft.transferTarget != "b" || n.HoldsLease(term, 0) {
 		t.Fatal("a leader that hands over answers")
 	}
 	if ahead(); n.HoldsLease(term, 0) {
@@ -561,9 +561,9 @@
 func TestWhoIsCutOffPartsWithNobody(t *testing.T) {
 	n := wishing(t, 3)
 	n.tells, n.joiners, n.refused = make(chan func(), 8), map[ID]joiner{}, map[ID]int{}
-	n.carry(n.raft.At(n.Now() + time.Hour).ReportSynced(int(n.raft.issued - n.raft.done)))
-	n.raft.beginRound()
-	n.carry(n.raft.Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.LastIndex(), Round: n.raft.round}))
+	n.carry(n.raft.At(n.Now() + time.Hour).ReportSynced(int(n.raft.writesIssued - n.raft.writesDone)))
+	n.raft.startHeartbeatRound()
+	n.carry(n.raft.Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.LastIndex(), Round: n.raft.heartbeatRound}))
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
--- a/internal/raft/courier.go
+++ b/internal/raft/courier.go
@@ -39,7 +39,7 @@
 
 // callTime is how long a call of some bytes may take.
 func callTime(bytes int) (limit time.Duration) {
-	return callFloor + time.Duration(bytes)*time.Second/slowLink
+	return callFloor + time.Duration(bytes)*time.Second/slowLinkBytesPerSecond
 }
 
 func (n *Node) post(message Message) {
--- a/internal/raft/drive.go
+++ b/internal/raft/drive.go
@@ -14,7 +14,7 @@
 func (r *Replica) TermAt(index Index) (term Term) { return r.termAt(index) }
 
 // SetLogTail sets what is kept of the log behind the snapshot.
-func (r *Replica) SetLogTail(tail LogTail) { r.tail = tail }
+func (r *Replica) SetLogTail(tail LogTail) { r.logTail = tail }
 
-// Changing tells whether a change of members is under way.
-func (r *Replica) Changing() (changing bool) { return r.changing() }
+// MembersChanging tells whether a change of members is under way.
+func (r *Replica) MembersChanging() (changing bool) { return r.membersChanging() }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -3,26 +3,26 @@
 package raft
 
 func (r *Replica) campaign(pre, force bool) {
-	r.role, r.leader, r.pre = Candidate, "", pre
-	r.askLater()
+	r.role, r.leader, r.preVoting = Candidate, "", pre
+	r.delayCampaign()
 	r.votes = map[ID]bool{r.id: true}
-	term := r.hard.Term + 1
+	term := r.hardState.Term + 1
 	kind := MsgPreVote
 	if pre {
-		r.beginAsking()
+		r.startPreVoteRound()
 	} else {
 		kind = MsgVote
-		r.hard = HardState{Term: term, Vote: r.id}
+		r.hardState = HardState{Term: term, Vote: r.id}
 	}
-	lives := r.lives()
+	lives := r.idleIncarnations()
 	var asks []Message
 	for _, member := range r.members {
-		if member.ID == r.id || !member.Voter && !(pre && r.fresh) {
+		if member.ID == r.id || !member.Voter && !(pre && r.leaderless) {
 			continue
 		}
 		ask := Message{Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()), Force: force, Life: lives[member.ID]}
 		if pre {
-			ask.Round = r.attempt
+			ask.Round = r.preVoteRound
 		}
 		asks = append(asks, ask)
 	}
@@ -31,60 +31,60 @@
 			r.send(ask)
 		}
 	} else {
-		hard := r.hard
+		hard := r.hardState
 		r.write(Write{HardState: &hard, AfterSync: asks})
 	}
 	r.countVotes()
 }
 
-// askLater sets when this core asks again. Where no leader was known since the
+// delayCampaign sets when this core asks again. Where no leader was known since the
 // start that is soon, as others that have started a moment later may say no now;
 // but a vote gets its time, since terms and disks are used up by it.
-func (r *Replica) askLater() {
+func (r *Replica) delayCampaign() {
 	r.resetTimer()
-	if r.fresh && r.pre {
-		r.timeout = r.soon()
+	if r.leaderless && r.preVoting {
+		r.timeoutTicks = r.shortTimeout()
 	}
 }
 
-// standBack leaves the vote to another that asks at the same time and is as good:
+// withdrawCandidacy leaves the vote to another that asks at the same time and is as good:
 // of two that stand, neither would win. One that stands already goes on.
-func (r *Replica) standBack() {
-	if !r.pre {
+func (r *Replica) withdrawCandidacy() {
+	if !r.preVoting {
 		return
 	}
-	r.askLater()
-	r.role, r.votes, r.pre = Follower, nil, false
+	r.delayCampaign()
+	r.role, r.votes, r.preVoting = Follower, nil, false
 }
 
 func (r *Replica) countVotes() {
 	yes := 0
 	for id, granted := range r.votes {
-		if granted && r.voter(id) {
+		if granted && r.isVoter(id) {
 			yes++
 		}
 	}
-	if r.pre && r.lives() != nil {
+	if r.preVoting && r.idleIncarnations() != nil {
 		r.campaign(false, false)
 		return
 	}
-	if yes <= r.voters()/2 || r.pre && r.bound() {
+	if yes <= r.voterCount()/2 || r.preVoting && r.withholdsVote() {
 		return
 	}
-	if r.pre {
+	if r.preVoting {
 		r.campaign(false, false)
 		return
 	}
-	r.lead()
+	r.becomeLeader()
 }
 
-func (r *Replica) lead() {
-	r.role, r.leader, r.transfer, r.yielded, r.fresh = Leader, r.id, "", false, false
-	r.elapsed, r.quorumAt, r.lag = 0, 0, 0
+func (r *Replica) becomeLeader() {
+	r.role, r.leader, r.transferTarget, r.timeoutNowSent, r.leaderless = Leader, r.id, "", false, false
+	r.elapsedTicks, r.quorumLostTicks, r.diskLagTicks = 0, 0, 0
 	r.peers = map[ID]*progress{}
 	r.refreshMembers()
-	r.beginRound()
-	r.push(Entry{})
+	r.startHeartbeatRound()
+	r.appendEntry(Entry{})
 }
 
 // startTransfer asks the best caught-up voter to take the leadership.
@@ -96,45 +96,45 @@
 	var bestMatch Index
 	for _, member := range r.members {
 		p := r.peers[member.ID]
-		if p != nil && member.Voter && p.heard < r.pace.ElectionTicks && p.match >= r.commit && (best == "" || p.match > bestMatch) {
+		if p != nil && member.Voter && p.silentTicks < r.timing.ElectionTicks && p.match >= r.commitIndex && (best == "" || p.match > bestMatch) {
 			best, bestMatch = member.ID, p.match
 		}
 	}
 	if best != "" {
-		r.transfer, r.transferAt = best, 0
-		r.relieve()
+		r.transferTarget, r.transferTicks = best, 0
+		r.completeTransfer()
 	}
 }
 
-// relieve tells the successor to stand once it has the whole log.
-func (r *Replica) relieve() {
-	if p := r.peers[r.transfer]; p != nil && p.match == r.lastIndex() {
-		r.yielded = true
-		r.send(Message{Kind: MsgTimeoutNow, To: r.transfer})
+// completeTransfer tells the successor to stand once it has the whole log.
+func (r *Replica) completeTransfer() {
+	if p := r.peers[r.transferTarget]; p != nil && p.match == r.lastIndex() {
+		r.timeoutNowSent = true
+		r.send(Message{Kind: MsgTimeoutNow, To: r.transferTarget})
 	}
 }
 
-// renewTerm ends a hand-over that came to nothing. The one who was told to stand
+// abortTransfer ends a hand-over that came to nothing. The one who was told to stand
 // may yet do so, and voters that heard this leader will let it: only in a later
 // term, in which that word is void, is contact a proof again.
-func (r *Replica) renewTerm() {
-	if r.stuck >= r.pace.ElectionTicks || !r.voter(r.id) {
-		r.follow(r.hard.Term, "")
+func (r *Replica) abortTransfer() {
+	if r.diskStuckTicks >= r.timing.ElectionTicks || !r.isVoter(r.id) {
+		r.becomeFollower(r.hardState.Term, "")
 		return
 	}
 	r.campaign(false, true)
 }
 
 // AcceptsProposals tells whether the leader takes proposals now, or hands over.
-func (r *Replica) AcceptsProposals() bool { return r.role == Leader && r.transfer == "" }
+func (r *Replica) AcceptsProposals() bool { return r.role == Leader && r.transferTarget == "" }
 
 // TransferLeadership hands the leadership over and returns what to send.
 func (r *Replica) TransferLeadership() (out Output) {
 	r.startTransfer()
-	return r.flush()
+	return r.takeOutput()
 }
 
-func (r *Replica) upToDate(m Message) bool {
+func (r *Replica) isUpToDate(m Message) bool {
 	last := r.lastIndex()
 	lastTerm := r.termAt(last)
 	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
--- a/internal/raft/flapping_test.go
+++ b/internal/raft/flapping_test.go
@@ -156,14 +156,14 @@
 		s, host := calm(t, seed, true)
 		s.crash(host, true)
 		s.run(200)
-		if s.settledLeader().raft.voter(s.cores[host].disk.id) {
+		if s.settledLeader().raft.isVoter(s.cores[host].disk.id) {
 			t.Fatalf("seed %d: it was not struck out", seed)
 		}
 		s.undisturbed(t, "believes that it votes", seed, 1, func() {
 			s.mute = true
 			s.start(host)
 			s.run(400)
-			if !s.cores[host].raft.voter(s.cores[host].disk.id) {
+			if !s.cores[host].raft.isVoter(s.cores[host].disk.id) {
 				t.Errorf("seed %d: it does not believe that it votes", seed)
 			}
 			s.mute = false
@@ -192,7 +192,7 @@
 			s.run(200)
 		})
 		leader := s.settledLeader()
-		if !leader.raft.voter(kept.id) || leader.raft.voter(newer) || len(leader.raft.Members()) != 3 {
+		if !leader.raft.isVoter(kept.id) || leader.raft.isVoter(newer) || len(leader.raft.Members()) != 3 {
 			t.Errorf("seed %d: members %+v", seed, leader.raft.Members())
 		}
 	}
--- a/internal/raft/house_test.go
+++ b/internal/raft/house_test.go
@@ -101,9 +101,9 @@
 			break
 		}
 	}
-	answer(r.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: r.id, Term: r.hard.Term + 1}))
-	answer(r.Step(Message{Kind: MsgVoteResponse, From: "b", To: r.id, Term: r.hard.Term}))
-	answer(r.Step(Message{Kind: MsgAppendResponse, From: "b", To: r.id, Term: r.hard.Term, Index: r.lastIndex(), Round: r.round}))
+	answer(r.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: r.id, Term: r.hardState.Term + 1}))
+	answer(r.Step(Message{Kind: MsgVoteResponse, From: "b", To: r.id, Term: r.hardState.Term}))
+	answer(r.Step(Message{Kind: MsgAppendResponse, From: "b", To: r.id, Term: r.hardState.Term, Index: r.lastIndex(), Round: r.heartbeatRound}))
 	answer(r.ReportSynced(issued))
 	if !r.CommittedInTerm() {
 		t.Fatal("it does not lead")
--- a/internal/raft/install.go
+++ b/internal/raft/install.go
@@ -7,12 +7,12 @@
 import "hash/crc32"
 
 const (
-	// partSize passes a link of 1 Mbit/s well within the time of a call.
-	partSize = 32 << 10
-	// partsUnderWay keeps the link busy while an answer is on its way.
-	partsUnderWay = 2
-	// mostSnapshot bounds what a member gathers.
-	mostSnapshot = 256 << 20
+	// snapshotChunkBytes passes a link of 1 Mbit/s well within the time of a call.
+	snapshotChunkBytes = 32 << 10
+	// maxInflightChunks keeps the link busy while an answer is on its way.
+	maxInflightChunks = 2
+	// maxSnapshotBytes bounds what a member gathers.
+	maxSnapshotBytes = 256 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -51,125 +51,125 @@
 	return crc32.Update(checksum(head), castagnoli, p.Data)
 }
 
-// sending is a snapshot on its way to one member.
-type sending struct {
-	snapshot    Snapshot
-	whole       uint32
-	acked, sent uint64
-	underWay    int
+// outgoingSnapshot is a snapshot on its way to one member.
+type outgoingSnapshot struct {
+	snapshot                Snapshot
+	checksum                uint32
+	ackedOffset, sentOffset uint64
+	inflightChunks          int
 }
 
-func (s *sending) total() uint64 { return uint64(len(s.snapshot.Data)) }
+func (s *outgoingSnapshot) total() uint64 { return uint64(len(s.snapshot.Data)) }
 
 // rewind sends again what has not been acknowledged; where all has, the last
 // part, so that the member says what it has.
-func (s *sending) rewind(size uint64) {
-	s.sent, s.underWay = s.acked, 0
-	if s.acked == s.total() {
-		s.sent -= min(s.sent, size)
+func (s *outgoingSnapshot) rewind(size uint64) {
+	s.sentOffset, s.inflightChunks = s.ackedOffset, 0
+	if s.ackedOffset == s.total() {
+		s.sentOffset -= min(s.sentOffset, size)
 	}
 }
 
-// sendParts keeps parts of a snapshot under way. One that is being taken in is
+// sendChunks keeps parts of a snapshot under way. One that is being taken in is
 // not given up for a newer one.
-func (r *Replica) sendParts(id ID, p *progress) {
-	if p.sending == nil || p.sending.snapshot.Index <= p.match || p.sending.acked == 0 && p.sending.snapshot.Index < r.base.Index {
-		p.sending = &sending{snapshot: r.base, whole: checksum(r.base.Data)}
-		p.idle = 0
+func (r *Replica) sendChunks(id ID, p *progress) {
+	if p.outgoing == nil || p.outgoing.snapshot.Index <= p.match || p.outgoing.ackedOffset == 0 && p.outgoing.snapshot.Index < r.snapshot.Index {
+		p.outgoing = &outgoingSnapshot{snapshot: r.snapshot, checksum: checksum(r.snapshot.Data)}
+		p.stalledTicks = 0
 	}
-	s := p.sending
-	for s.underWay < partsUnderWay && (s.sent < s.total() || s.total() == 0 && s.underWay == 0) {
-		end := min(s.sent+r.partSize, s.total())
+	s := p.outgoing
+	for s.inflightChunks < maxInflightChunks && (s.sentOffset < s.total() || s.total() == 0 && s.inflightChunks == 0) {
+		end := min(s.sentOffset+r.chunkBytes, s.total())
 		part := &SnapshotChunk{
 			Index: s.snapshot.Index, Term: s.snapshot.Term, Members: s.snapshot.Members,
-			Total: s.total(), Offset: s.sent, Whole: s.whole, Data: s.snapshot.Data[s.sent:end:end],
+			Total: s.total(), Offset: s.sentOffset, Whole: s.checksum, Data: s.snapshot.Data[s.sentOffset:end:end],
 		}
 		part.Sum = part.sum()
-		r.send(Message{Kind: MsgSnapshotChunk, To: id, Part: part, Round: r.round})
-		s.sent = end
-		s.underWay++
+		r.send(Message{Kind: MsgSnapshotChunk, To: id, Part: part, Round: r.heartbeatRound})
+		s.sentOffset = end
+		s.inflightChunks++
 	}
 }
 
-// takePartTell hears how far a member is with a snapshot.
-func (r *Replica) takePartTell(m Message, p *progress) {
-	s := p.sending
+// handleChunkResponse hears how far a member is with a snapshot.
+func (r *Replica) handleChunkResponse(m Message, p *progress) {
+	s := p.outgoing
 	if s == nil || m.Index != s.snapshot.Index || m.LogTerm != s.snapshot.Term || uint64(m.Hint) > s.total() {
 		return
 	}
 	offset := uint64(m.Hint)
-	if offset > s.acked {
-		p.idle = 0
+	if offset > s.ackedOffset {
+		p.stalledTicks = 0
 	}
-	if m.Reject || offset < s.acked {
-		s.sent, s.underWay = offset, 0
+	if m.Reject || offset < s.ackedOffset {
+		s.sentOffset, s.inflightChunks = offset, 0
 	}
-	s.acked = offset
-	s.sent = max(s.sent, offset)
-	s.underWay = max(s.underWay-1, 0)
-	r.sendParts(m.From, p)
+	s.ackedOffset = offset
+	s.sentOffset = max(s.sentOffset, offset)
+	s.inflightChunks = max(s.inflightChunks-1, 0)
+	r.sendChunks(m.From, p)
 }
 
-// gathering is what a member has of a snapshot.
-type gathering struct {
+// incomingSnapshot is what a member has of a snapshot.
+type incomingSnapshot struct {
 	leaderTerm Term
-	part       SnapshotChunk
+	chunk      SnapshotChunk
 	data       []byte
 }
 
-func (g *gathering) of(m Message) bool {
-	return g != nil && g.leaderTerm == m.Term && g.part.Index == m.Part.Index && g.part.Term == m.Part.Term &&
-		g.part.Total == m.Part.Total && g.part.Whole == m.Part.Whole
+func (g *incomingSnapshot) matches(m Message) bool {
+	return g != nil && g.leaderTerm == m.Term && g.chunk.Index == m.Part.Index && g.chunk.Term == m.Part.Term &&
+		g.chunk.Total == m.Part.Total && g.chunk.Whole == m.Part.Whole
 }
 
-// newer tells that a part is of a snapshot that replaces the one gathered.
-func (g *gathering) newer(m Message) bool {
-	return g == nil || m.Term > g.leaderTerm || m.Term == g.leaderTerm && m.Part.Index > g.part.Index
+// supersededBy tells that a part is of a snapshot that replaces the one gathered.
+func (g *incomingSnapshot) supersededBy(m Message) bool {
+	return g == nil || m.Term > g.leaderTerm || m.Term == g.leaderTerm && m.Part.Index > g.chunk.Index
 }
 
-func (r *Replica) tellPart(m Message, offset uint64, refused bool) {
-	r.send(Message{Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused, Round: r.heardRound(m.Round)})
+func (r *Replica) sendChunkResponse(m Message, offset uint64, refused bool) {
+	r.send(Message{Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused, Round: r.confirmRound(m.Round)})
 }
 
-func (r *Replica) takePart(m Message) {
+func (r *Replica) handleSnapshotChunk(m Message) {
 	part := m.Part
 	if part.Sum != part.sum() {
-		r.refuse(m, "part's checksum is wrong")
+		r.reject(m, "part's checksum is wrong")
 		return
 	}
-	r.heed(m)
-	if part.Index <= r.commit || r.termAt(part.Index) == part.Term {
-		r.gathering = nil
-		r.takeInstall(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members}})
+	r.observeLeader(m)
+	if part.Index <= r.commitIndex || r.termAt(part.Index) == part.Term {
+		r.incoming = nil
+		r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members}})
 		return
 	}
-	if !r.gathering.of(m) {
-		if !r.gathering.newer(m) {
-			r.refuse(m, "part of another snapshot")
+	if !r.incoming.matches(m) {
+		if !r.incoming.supersededBy(m) {
+			r.reject(m, "part of another snapshot")
 			return
 		}
 		if part.Offset != 0 {
-			r.tellPart(m, 0, true)
+			r.sendChunkResponse(m, 0, true)
 			return
 		}
-		r.gathering = &gathering{leaderTerm: m.Term, part: *part}
-		r.gathering.part.Data = nil
+		r.incoming = &incomingSnapshot{leaderTerm: m.Term, chunk: *part}
+		r.incoming.chunk.Data = nil
 	}
-	g := r.gathering
+	g := r.incoming
 	if have := uint64(len(g.data)); part.Offset != have {
-		r.tellPart(m, have, part.Offset > have)
+		r.sendChunkResponse(m, have, part.Offset > have)
 		return
 	}
 	g.data = append(g.data, part.Data...)
 	if uint64(len(g.data)) < part.Total {
-		r.tellPart(m, uint64(len(g.data)), false)
+		r.sendChunkResponse(m, uint64(len(g.data)), false)
 		return
 	}
-	r.gathering = nil
+	r.incoming = nil
 	if checksum(g.data) != part.Whole {
-		r.refuse(m, "snapshot's checksum is wrong")
-		r.tellPart(m, 0, true)
+		r.reject(m, "snapshot's checksum is wrong")
+		r.sendChunkResponse(m, 0, true)
 		return
 	}
-	r.takeInstall(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members, Data: g.data}})
+	r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members, Data: g.data}})
 }
--- a/internal/raft/install_test.go
+++ b/internal/raft/install_test.go
@@ -10,7 +10,7 @@
 func pairForInstall(t *testing.T) (leader, follower *bench, state []byte) {
 	state = bytes.Repeat([]byte("0123456789"), 100)
 	leader = newBench(t, "a", HardState{Term: 2}, run(2, 50, 2)...)
-	leader.raft.partSize, leader.raft.tail = 100, LogTail{}
+	leader.raft.chunkBytes, leader.raft.logTail = 100, LogTail{}
 	leader.elect()
 	leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 51})
 	_, out := leader.raft.Compact(50, state)
@@ -18,8 +18,8 @@
 	leader.syncAll()
 	follower = newBench(t, "b", HardState{Term: 2})
 	leader.told = nil
-	leader.raft.resume("b", leader.raft.peers["b"])
-	leader.take(leader.raft.flush())
+	leader.raft.restartReplication("b", leader.raft.peers["b"])
+	leader.take(leader.raft.takeOutput())
 	return leader, follower, state
 }
 
@@ -51,7 +51,7 @@
 				}
 			}
 		}
-		if parts += now; now > partsUnderWay {
+		if parts += now; now > maxInflightChunks {
 			t.Fatalf("%d parts at a time", now)
 		}
 		if len(follower.rest) == 0 && (leader.raft.CaughtUp("b") || leader.raft.peers["b"].match > 1) {
@@ -86,7 +86,7 @@
 		if !cut {
 			leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 51})
 		}
-		leader.raft.peers["c"].heard = 0
+		leader.raft.peers["c"].silentTicks = 0
 		count(pass(leader, follower, lost))
 		pass(follower, leader, lost)
 		follower.syncAll()
@@ -128,7 +128,7 @@
 		}
 		return tell, len(out.Rejected)
 	}
-	if tell, _ := give(Message{Part: part(20, 100)}); !tell.Reject || tell.Hint != 0 || b.raft.gathering != nil {
+	if tell, _ := give(Message{Part: part(20, 100)}); !tell.Reject || tell.Hint != 0 || b.raft.incoming != nil {
 		t.Fatalf("a part from the middle: %+v", tell)
 	}
 	if tell, _ := give(Message{Part: part(20, 0)}); tell.Kind != MsgSnapshotChunkResponse || tell.Reject || tell.Hint != 100 {
@@ -142,7 +142,7 @@
 	beyond.Offset, beyond.Sum = 240, 0
 	beyond.Sum = beyond.sum()
 	huge := part(20, 0)
-	huge.Total, huge.Sum = mostSnapshot+1, 0
+	huge.Total, huge.Sum = maxSnapshotBytes+1, 0
 	huge.Sum = huge.sum()
 	for name, m := range map[string]Message{
 		"no part": {}, "spoiled": {Part: spoiled}, "renamed": {Part: renamed}, "beyond the end": {Part: beyond},
@@ -160,7 +160,7 @@
 			t.Errorf("%s: %+v", name, tell)
 		}
 	}
-	if have := len(b.raft.gathering.data); have != 100 || len(b.queued) != 0 || b.raft.LastIndex() != 1 {
+	if have := len(b.raft.incoming.data); have != 100 || len(b.queued) != 0 || b.raft.LastIndex() != 1 {
 		t.Fatalf("%d bytes are kept, %d orders", have, len(b.queued))
 	}
 	give(Message{Part: part(20, 100)})
@@ -195,7 +195,7 @@
 			}
 			out := follower.raft.Step(m)
 			if refused += len(out.Rejected); len(out.Rejected) > 0 {
-				if len(out.Writes) != 0 || follower.raft.gathering != nil || out.Restore != nil || out.Rejected[0].Reason != "snapshot's checksum is wrong" {
+				if len(out.Writes) != 0 || follower.raft.incoming != nil || out.Restore != nil || out.Rejected[0].Reason != "snapshot's checksum is wrong" {
 					t.Fatalf("%+v", out)
 				}
 			}
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -3,10 +3,10 @@
 package raft
 
 func (r *Replica) refreshMembers() {
-	r.members = r.base.Members
-	for i := range r.log {
-		if r.log[i].Members != nil {
-			r.members = r.log[i].Members
+	r.members = r.snapshot.Members
+	for i := range r.entries {
+		if r.entries[i].Members != nil {
+			r.members = r.entries[i].Members
 		}
 	}
 	if r.role != Leader {
@@ -33,12 +33,12 @@
 	return Member{}, false
 }
 
-func (r *Replica) voter(id ID) bool {
+func (r *Replica) isVoter(id ID) bool {
 	member, known := FindMember(r.members, id)
 	return known && member.Voter
 }
 
-func (r *Replica) voters() (count int) {
+func (r *Replica) voterCount() (count int) {
 	for _, member := range r.members {
 		if member.Voter {
 			count++
@@ -51,16 +51,16 @@
 // only once the leader has committed in its own term, and not while it hands
 // over: the one who is told to stand would lack the change.
 func (r *Replica) ProposeMembers(members []Member) (accepted bool, out Output) {
-	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.changing() {
+	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.membersChanging() {
 		return false, Output{}
 	}
-	r.push(Entry{Members: members})
-	return true, r.flush()
+	r.appendEntry(Entry{Members: members})
+	return true, r.takeOutput()
 }
 
-func (r *Replica) changing() bool {
-	for i := len(r.log) - 1; i >= 0 && r.log[i].Index > r.commit; i-- {
-		if r.log[i].Members != nil {
+func (r *Replica) membersChanging() bool {
+	for i := len(r.entries) - 1; i >= 0 && r.entries[i].Index > r.commitIndex; i-- {
+		if r.entries[i].Members != nil {
 			return true
 		}
 	}
@@ -70,7 +70,7 @@
 // CaughtUp tells whether a member's disk has all that is committed.
 func (r *Replica) CaughtUp(id ID) bool {
 	p, known := r.peers[id]
-	return known && p.match >= r.commit && p.heard < 2*r.pace.ElectionTicks
+	return known && p.match >= r.commitIndex && p.silentTicks < 2*r.timing.ElectionTicks
 }
 
 // SinceHeard gives the ticks since a member was last heard, for the leader.
@@ -79,5 +79,5 @@
 	if !known {
 		return 0, false
 	}
-	return p.heard, true
+	return p.silentTicks, true
 }
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if _, member := FindMember(leader.raft.Members(), id); !member {
-			if left = !leader.raft.changing(); left {
+			if left = !leader.raft.membersChanging(); left {
 				break
 			}
 			continue
@@ -126,7 +126,7 @@
 		s.losses = 2
 		s.setCatchUp(simCatchUp)
 		s.run(200)
-		if leader := s.settledLeader(); leader == nil || leader.raft.voters() != 5 {
+		if leader := s.settledLeader(); leader == nil || leader.raft.voterCount() != 5 {
 			t.Fatalf("seed %d: five do not vote to begin with", seed)
 		}
 		for n := range 2 {
@@ -147,8 +147,8 @@
 		if broken := s.whole(); broken != "" {
 			t.Errorf("seed %d: %s", seed, broken)
 		}
-		if leader := s.settledLeader(); leader != nil && leader.raft.voters() != 5 {
-			t.Errorf("seed %d: %d vote at the end", seed, leader.raft.voters())
+		if leader := s.settledLeader(); leader != nil && leader.raft.voterCount() != 5 {
+			t.Errorf("seed %d: %d vote at the end", seed, leader.raft.voterCount())
 		}
 	}
 }
@@ -175,7 +175,7 @@
 			started := s.now
 			for s.now < started+400 {
 				leader := s.settledLeader()
-				if leader != nil && leader.raft.voter(s.cores[host].disk.id) && leader.raft.voters() == 3 && !leader.raft.changing() {
+				if leader != nil && leader.raft.isVoter(s.cores[host].disk.id) && leader.raft.voterCount() == 3 && !leader.raft.membersChanging() {
 					break
 				}
 				s.run(1)
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -86,9 +86,9 @@
 
 // size is about what a message weighs on its way.
 func (m *Message) size() (size int) {
-	size = entryCost
+	size = entryOverhead
 	for i := range m.Entries {
-		size += len(m.Entries[i].Data) + entryCost
+		size += len(m.Entries[i].Data) + entryOverhead
 	}
 	if m.Snapshot != nil {
 		size += len(m.Snapshot.Data)
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -177,7 +177,7 @@
 func (n *Node) Status() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	if n.role == Leader || n.Now()-n.heard < hintElections*electTicks*tickInterval {
+	if n.role == Leader || n.Now()-n.heard < leaderHintElections*electTicks*tickInterval {
 		leader, _ = FindMember(n.members, n.leader)
 	}
 	return n.role == Leader, n.settled, n.term, leader, n.members
@@ -355,7 +355,7 @@
 	n.mu.Lock()
 	before := n.role == Leader && n.settled
 	was := n.term
-	n.role, n.leader, n.term, n.settled, n.heard = role, leader, term, settled, n.raft.heardAt
+	n.role, n.leader, n.term, n.settled, n.heard = role, leader, term, settled, n.raft.leaderHeardAt
 	members := n.raft.Members()
 	if len(members) != len(n.members) || len(members) > 0 && &members[0] != &n.members[0] {
 		n.members = members
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -30,68 +30,68 @@
 
 // Replica is one core's part of the agreement.
 type Replica struct {
-	id        ID
-	pace      Timing
-	luck      *rand.Rand
-	hard      HardState
-	role      Role
-	leader    ID
-	members   []Member
-	base      Snapshot
-	start     place
-	tail      LogTail
-	log       []Entry
-	commit    Index
-	applied   Index
-	synced    Index
-	marks     []mark
-	partSize  uint64
-	gathering *gathering
-	elapsed   int
-	timeout   int
-	votes     map[ID]bool
-	pre       bool
-	peers     map[ID]*progress
-	round     uint64
-	sent      [roundsKept]time.Duration
-	now       time.Duration
-	heardAt   time.Duration
-	// silence counts the ticks since a leader was heard, or since the start.
-	silence int
-	restart
-	// yielded tells that another was told to stand in this term.
-	yielded bool
-	hardAt  uint64
-	// told is the newest round of this term's leader that was told as heard.
-	told       uint64
-	quorumAt   int
-	lag        int
-	transfer   ID
-	transferAt int
-	issued     uint64
-	done       uint64
-	stuck      int
-	out        Output
+	id             ID
+	timing         Timing
+	rng            *rand.Rand
+	hardState      HardState
+	role           Role
+	leader         ID
+	members        []Member
+	snapshot       Snapshot
+	logStart       position
+	logTail        LogTail
+	entries        []Entry
+	commitIndex    Index
+	appliedIndex   Index
+	syncedIndex    Index
+	pendingSyncs   []pendingSync
+	chunkBytes     uint64
+	incoming       *incomingSnapshot
+	elapsedTicks   int
+	timeoutTicks   int
+	votes          map[ID]bool
+	preVoting      bool
+	peers          map[ID]*progress
+	heartbeatRound uint64
+	roundSentAt    [recordedRounds]time.Duration
+	now            time.Duration
+	leaderHeardAt  time.Duration
+	// leaderSilentTicks counts the ticks since a leader was heard, or since the start.
+	leaderSilentTicks int
+	startState
+	// timeoutNowSent tells that another was told to stand in this term.
+	timeoutNowSent bool
+	hardStateWrite uint64
+	// confirmedRound is the newest round of this term's leader that was told as heard.
+	confirmedRound  uint64
+	quorumLostTicks int
+	diskLagTicks    int
+	transferTarget  ID
+	transferTicks   int
+	writesIssued    uint64
+	writesDone      uint64
+	diskStuckTicks  int
+	output          Output
 }
 
 // New starts from what the disk holds.
 func New(id ID, pace Timing, luck *rand.Rand, hard HardState, base Snapshot, log []Entry) (raft *Replica) {
-	raft = &Replica{id: id, pace: pace, luck: luck, hard: hard, base: base, log: log}
-	raft.start = place{base.Index, base.Term}
-	raft.partSize = partSize
-	raft.tail = LogTail{Entries: 4000, Bytes: 4 << 20}
-	raft.commit, raft.applied = base.Index, base.Index
-	raft.synced = raft.lastIndex()
+	raft = &Replica{id: id, timing: pace, rng: luck, hardState: hard, snapshot: base, entries: log}
+	raft.logStart = position{base.Index, base.Term}
+	raft.chunkBytes = snapshotChunkBytes
+	raft.logTail = LogTail{Entries: 4000, Bytes: 4 << 20}
+	raft.commitIndex, raft.appliedIndex = base.Index, base.Index
+	raft.syncedIndex = raft.lastIndex()
 	raft.refreshMembers()
 	// A core that has started again has forgotten whom it heard last, and waits
 	// until what that one was told has run out, or all others say that they know of
 	// nobody either. One that never knew a term has heard nobody. Both ask at once;
 	// where there is a leader, the pre-vote fails and harms nothing.
-	raft.restart = restart{fresh: true, life: luck.Uint64() | 1}
-	raft.timeout = raft.soon()
-	raft.silence = pace.ElectionTicks
+	raft.startState = startState{leaderless: true, incarnation: luck.Uint64() | 1}
+	raft.timeoutTicks = raft.shortTimeout()
+	raft.leaderSilentTicks = pace.ElectionTicks
 	if hard.Term > 0 {
-		raft.silence -= pace.LeaseTicks() + 1
+		raft.leaderSilentTicks -= pace.LeaseTicks() + 1
 	}
 	return raft
 }
@@ -101,32 +101,32 @@
 
 func (r *Replica) LeaderID() ID { return r.leader }
 
-func (r *Replica) Term() Term { return r.hard.Term }
+func (r *Replica) Term() Term { return r.hardState.Term }
 
 func (r *Replica) Members() []Member { return r.members }
 
-func (r *Replica) CommitIndex() Index { return r.commit }
+func (r *Replica) CommitIndex() Index { return r.commitIndex }
 
 func (r *Replica) LastIndex() Index { return r.lastIndex() }
 
-func (r *Replica) SnapshotIndex() Index { return r.base.Index }
+func (r *Replica) SnapshotIndex() Index { return r.snapshot.Index }
 
 // CommittedInTerm tells whether the leader has committed an entry of its own term.
 func (r *Replica) CommittedInTerm() bool {
-	return r.role == Leader && r.termAt(r.commit) == r.hard.Term
+	return r.role == Leader && r.termAt(r.commitIndex) == r.hardState.Term
 }
 
 func (r *Replica) resetTimer() {
-	r.elapsed = 0
-	r.timeout = r.pace.ElectionTicks + r.luck.Intn(r.pace.ElectionTicks+1)
+	r.elapsedTicks = 0
+	r.timeoutTicks = r.timing.ElectionTicks + r.rng.Intn(r.timing.ElectionTicks+1)
 }
 
 func (r *Replica) send(m Message) {
 	m.From = r.id
 	if m.Term == 0 {
-		m.Term = r.hard.Term
+		m.Term = r.hardState.Term
 	}
-	r.out.Messages = append(r.out.Messages, m)
+	r.output.Messages = append(r.output.Messages, m)
 }
 
 // write queues an order for the disk; the answers behind it wait for the sync.
@@ -134,107 +134,107 @@
 	for i := range w.AfterSync {
 		w.AfterSync[i].From = r.id
 		if w.AfterSync[i].Term == 0 {
-			w.AfterSync[i].Term = r.hard.Term
+			w.AfterSync[i].Term = r.hardState.Term
 		}
 	}
-	r.issued++
+	r.writesIssued++
 	if len(w.Entries) > 0 || w.Snapshot != nil {
-		r.marks = append(r.marks, mark{r.issued, r.lastIndex()})
+		r.pendingSyncs = append(r.pendingSyncs, pendingSync{r.writesIssued, r.lastIndex()})
 	}
 	if w.HardState != nil {
-		r.hardAt = r.issued
+		r.hardStateWrite = r.writesIssued
 	}
-	r.out.Writes = append(r.out.Writes, w)
+	r.output.Writes = append(r.output.Writes, w)
 }
 
-// refuse notes a message of which nothing is taken.
-func (r *Replica) refuse(m Message, why string) {
-	r.out.Rejected = append(r.out.Rejected, Rejection{m.From, m.Kind, why})
+// reject notes a message of which nothing is taken.
+func (r *Replica) reject(m Message, why string) {
+	r.output.Rejected = append(r.output.Rejected, Rejection{m.From, m.Kind, why})
 }
 
-func (r *Replica) flush() (out Output) {
-	r.advance()
-	out = r.out
-	r.out = Output{}
+func (r *Replica) takeOutput() (out Output) {
+	r.advanceCommit()
+	out = r.output
+	r.output = Output{}
 	return out
 }
 
-func (r *Replica) follow(term Term, leader ID) {
-	if term > r.hard.Term {
-		r.hard = HardState{Term: term}
-		hard := r.hard
+func (r *Replica) becomeFollower(term Term, leader ID) {
+	if term > r.hardState.Term {
+		r.hardState = HardState{Term: term}
+		hard := r.hardState
 		r.write(Write{HardState: &hard})
 	}
-	r.role, r.leader, r.pre, r.transfer, r.told = Follower, leader, false, "", 0
+	r.role, r.leader, r.preVoting, r.transferTarget, r.confirmedRound = Follower, leader, false, "", 0
 	r.peers, r.votes = nil, nil
 	r.resetTimer()
 }
 
 // Tick moves the steady clock on by one tick.
 func (r *Replica) Tick() (out Output) {
-	r.elapsed++
-	r.silence++
-	if r.issued > r.done {
-		r.stuck++
+	r.elapsedTicks++
+	r.leaderSilentTicks++
+	if r.writesIssued > r.writesDone {
+		r.diskStuckTicks++
 	} else {
-		r.stuck = 0
+		r.diskStuckTicks = 0
 	}
 	if r.role != Leader {
 		// A core whose disk stands still could not win and would only raise terms.
-		if r.elapsed >= r.timeout && (r.fresh || !r.bound()) && r.voter(r.id) && r.stuck < r.pace.ElectionTicks {
+		if r.elapsedTicks >= r.timeoutTicks && (r.leaderless || !r.withholdsVote()) && r.isVoter(r.id) && r.diskStuckTicks < r.timing.ElectionTicks {
 			r.campaign(true, false)
 		}
-		return r.flush()
+		return r.takeOutput()
 	}
 	alive := 0
 	for _, member := range r.members {
 		p := r.peers[member.ID]
 		if p != nil {
-			p.heard++
-			r.recover(member.ID, p)
+			p.silentTicks++
+			r.resendIfStalled(member.ID, p)
 		}
-		if member.Voter && (member.ID == r.id || p != nil && p.heard < r.pace.ElectionTicks) {
+		if member.Voter && (member.ID == r.id || p != nil && p.silentTicks < r.timing.ElectionTicks) {
 			alive++
 		}
 	}
-	if alive <= r.voters()/2 || !r.voter(r.id) {
-		r.quorumAt++
-		if r.quorumAt > r.pace.ElectionTicks/2 {
-			r.follow(r.hard.Term, "")
-			return r.flush()
+	if alive <= r.voterCount()/2 || !r.isVoter(r.id) {
+		r.quorumLostTicks++
+		if r.quorumLostTicks > r.timing.ElectionTicks/2 {
+			r.becomeFollower(r.hardState.Term, "")
+			return r.takeOutput()
 		}
 	} else {
-		r.quorumAt = 0
+		r.quorumLostTicks = 0
 	}
-	if r.synced < r.commit {
-		r.lag++
+	if r.syncedIndex < r.commitIndex {
+		r.diskLagTicks++
 	} else {
-		r.lag = 0
+		r.diskLagTicks = 0
 	}
-	if r.transfer != "" {
-		if r.transferAt++; r.transferAt > r.pace.ElectionTicks {
-			r.transfer = ""
-			if r.yielded {
-				r.renewTerm()
-				return r.flush()
+	if r.transferTarget != "" {
+		if r.transferTicks++; r.transferTicks > r.timing.ElectionTicks {
+			r.transferTarget = ""
+			if r.timeoutNowSent {
+				r.abortTransfer()
+				return r.takeOutput()
 			}
 		} else {
-			r.relieve()
+			r.completeTransfer()
 		}
 	}
-	if r.lag > r.pace.ElectionTicks && r.transfer == "" {
+	if r.diskLagTicks > r.timing.ElectionTicks && r.transferTarget == "" {
 		r.startTransfer()
 	}
-	if r.elapsed >= r.pace.HeartbeatTicks {
-		r.elapsed = 0
-		r.beginRound()
+	if r.elapsedTicks >= r.timing.HeartbeatTicks {
+		r.elapsedTicks = 0
+		r.startHeartbeatRound()
 		for _, member := range r.members {
 			if p := r.peers[member.ID]; p != nil {
-				r.beat(member.ID, p)
+				r.sendHeartbeat(member.ID, p)
 			}
 		}
 	}
-	return r.flush()
+	return r.takeOutput()
 }
 
 // Step takes a message from another core.
@@ -242,87 +242,87 @@
 	if m.To != r.id {
 		return Output{}
 	}
-	if why := r.impossible(&m); why != "" {
-		r.refuse(m, why)
-		return r.flush()
+	if why := r.rejectReason(&m); why != "" {
+		r.reject(m, why)
+		return r.takeOutput()
 	}
 	switch m.Kind {
 	case MsgPreVote:
-		good := m.Term > r.hard.Term && r.upToDate(m)
-		granted, idle := good && !r.bound(), good && r.knowsNobody()
+		good := m.Term > r.hardState.Term && r.isUpToDate(m)
+		granted, idle := good && !r.withholdsVote(), good && r.knowsNoLeader()
 		if (granted || idle) && r.role == Candidate && m.From < r.id {
-			r.standBack()
+			r.withdrawCandidacy()
 		}
-		tell := Message{Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term), Round: m.Round}
+		tell := Message{Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hardState.Term), Round: m.Round}
 		if idle {
-			tell.Idle, tell.Life, tell.Age = true, r.life, r.age()
+			tell.Idle, tell.Life, tell.Age = true, r.incarnation, r.sinceStart()
 		}
 		r.send(tell)
-		return r.flush()
+		return r.takeOutput()
 	case MsgPreVoteResponse:
-		if r.role == Candidate && r.pre && m.Term == r.hard.Term+1 {
+		if r.role == Candidate && r.preVoting && m.Term == r.hardState.Term+1 {
 			r.votes[m.From] = !m.Reject
-			r.noteIdle(m)
-			if m.Reject && Term(m.Hint) > r.hard.Term {
-				r.follow(Term(m.Hint), "")
+			r.recordIdlePeer(m)
+			if m.Reject && Term(m.Hint) > r.hardState.Term {
+				r.becomeFollower(Term(m.Hint), "")
 			} else {
 				r.countVotes()
 			}
 		}
-		return r.flush()
+		return r.takeOutput()
 	case MsgVote:
-		if m.Term > r.hard.Term {
-			if !m.Force && r.bound() && !(r.knowsNobody() && m.Life == r.life) {
+		if m.Term > r.hardState.Term {
+			if !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Life == r.incarnation) {
 				return Output{}
 			}
-			r.follow(m.Term, "")
+			r.becomeFollower(m.Term, "")
 		}
 	default:
-		if m.Term > r.hard.Term {
+		if m.Term > r.hardState.Term {
 			leader := ID("")
 			if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
 				leader = m.From
 			}
-			r.follow(m.Term, leader)
+			r.becomeFollower(m.Term, leader)
 		}
 	}
-	if m.Term < r.hard.Term {
+	if m.Term < r.hardState.Term {
 		if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
 			r.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true, Index: m.Index, Hint: r.lastIndex()})
 		}
-		return r.flush()
+		return r.takeOutput()
 	}
 	switch m.Kind {
 	case MsgVote:
-		granted := (r.hard.Vote == "" || r.hard.Vote == m.From) && r.upToDate(m)
+		granted := (r.hardState.Vote == "" || r.hardState.Vote == m.From) && r.isUpToDate(m)
 		tell := Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}
 		if granted {
-			r.hard.Vote = m.From
-			hard := r.hard
+			r.hardState.Vote = m.From
+			hard := r.hardState
 			r.resetTimer()
 			r.write(Write{HardState: &hard, AfterSync: []Message{tell}})
 		} else {
 			r.send(tell)
 		}
 	case MsgVoteResponse:
-		if r.role == Candidate && !r.pre {
+		if r.role == Candidate && !r.preVoting {
 			r.votes[m.From] = !m.Reject
 			r.countVotes()
 		}
 	case MsgAppend:
-		r.takeAppend(m)
+		r.handleAppend(m)
 	case MsgSnapshot:
-		r.takeInstall(m)
+		r.installSnapshot(m)
 	case MsgSnapshotChunk:
-		r.takePart(m)
+		r.handleSnapshotChunk(m)
 	case MsgAppendResponse, MsgSnapshotChunkResponse:
-		r.takeTell(m)
+		r.handleFollowerResponse(m)
 	case MsgHeartbeatResponse:
-		r.takeHeard(m)
+		r.handleHeartbeatResponse(m)
 	case MsgTimeoutNow:
-		if r.voter(r.id) {
+		if r.isVoter(r.id) {
 			r.campaign(false, true)
 		}
 	}
-	return r.flush()
+	return r.takeOutput()
 }
--- a/internal/raft/raftlog.go
+++ b/internal/raft/raftlog.go
@@ -6,45 +6,45 @@
 // LogTail bounds what is kept of the log behind the snapshot.
 type LogTail struct{ Entries, Bytes int }
 
-// entryCost is what an entry weighs beside its data.
-const entryCost = 64
+// entryOverhead is what an entry weighs beside its data.
+const entryOverhead = 64
 
-// place is where the log begins: the entry before its first.
-type place struct {
+// position is where the log begins: the entry before its first.
+type position struct {
 	index Index
 	term  Term
 }
 
 func (r *Replica) lastIndex() Index {
-	return r.start.index + Index(len(r.log))
+	return r.logStart.index + Index(len(r.entries))
 }
 
-func (r *Replica) at(index Index) (entry *Entry) { return &r.log[index-r.start.index-1] }
+func (r *Replica) entry(index Index) (entry *Entry) { return &r.entries[index-r.logStart.index-1] }
 
 func (r *Replica) termAt(index Index) Term {
-	if index == r.start.index {
-		return r.start.term
+	if index == r.logStart.index {
+		return r.logStart.term
 	}
-	if index < r.start.index || index > r.lastIndex() {
+	if index < r.logStart.index || index > r.lastIndex() {
 		return 0
 	}
-	return r.at(index).Term
+	return r.entry(index).Term
 }
 
-// firstOf is the first place of the run of one term that reaches up to index.
-func (r *Replica) firstOf(term Term, index Index) (first Index) {
-	for first = index; first > r.start.index+1 && r.termAt(first-1) == term; first-- {
+// firstIndexOfTerm is the first place of the run of one term that reaches up to index.
+func (r *Replica) firstIndexOfTerm(term Term, index Index) (first Index) {
+	for first = index; first > r.logStart.index+1 && r.termAt(first-1) == term; first-- {
 	}
 	return first
 }
 
-// lastOf is the last place of a term that lies above low and below high, or
+// lastIndexOfTerm is the last place of a term that lies above low and below high, or
 // none.
-func (r *Replica) lastOf(term Term, low, high Index) (last Index) {
+func (r *Replica) lastIndexOfTerm(term Term, low, high Index) (last Index) {
 	if term == 0 {
 		return 0
 	}
-	for last = min(high-1, r.lastIndex()); last > low && last > r.start.index; last-- {
+	for last = min(high-1, r.lastIndex()); last > low && last > r.logStart.index; last-- {
 		if found := r.termAt(last); found == term {
 			return last
 		} else if found < term {
@@ -55,13 +55,13 @@
 }
 
 func (r *Replica) entriesFrom(index Index, most int) (entries []Entry) {
-	if index <= r.start.index || index > r.lastIndex() {
+	if index <= r.logStart.index || index > r.lastIndex() {
 		return nil
 	}
-	rest := r.log[index-r.start.index-1:]
+	rest := r.entries[index-r.logStart.index-1:]
 	size := 0
 	for i := range rest {
-		size += len(rest[i].Data) + entryCost
+		size += len(rest[i].Data) + entryOverhead
 		if i > 0 && size > most {
 			return rest[:i:i]
 		}
@@ -69,60 +69,60 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// mark tells up to where the disk holds the log once an order is carried out.
-type mark struct {
-	order uint64
-	last  Index
+// pendingSync tells up to where the disk holds the log once an order is carried out.
+type pendingSync struct {
+	write     uint64
+	lastIndex Index
 }
 
-// undo notes that the log behind a place is given up: no order that is done or
+// discardSyncs notes that the log behind a place is given up: no order that is done or
 // under way counts for more.
-func (r *Replica) undo(behind Index) {
-	r.synced = min(r.synced, behind)
-	for i := range r.marks {
-		r.marks[i].last = min(r.marks[i].last, behind)
+func (r *Replica) discardSyncs(behind Index) {
+	r.syncedIndex = min(r.syncedIndex, behind)
+	for i := range r.pendingSyncs {
+		r.pendingSyncs[i].lastIndex = min(r.pendingSyncs[i].lastIndex, behind)
 	}
 }
 
 // ReportSynced reports that the disk has carried out so many more orders.
 func (r *Replica) ReportSynced(orders int) (out Output) {
-	r.done += uint64(orders)
-	for len(r.marks) > 0 && r.marks[0].order <= r.done {
-		r.synced = max(r.synced, r.marks[0].last)
-		r.marks = r.marks[1:]
+	r.writesDone += uint64(orders)
+	for len(r.pendingSyncs) > 0 && r.pendingSyncs[0].write <= r.writesDone {
+		r.syncedIndex = max(r.syncedIndex, r.pendingSyncs[0].lastIndex)
+		r.pendingSyncs = r.pendingSyncs[1:]
 	}
-	return r.flush()
+	return r.takeOutput()
 }
 
 // Compact cuts the log behind an applied place.
 func (r *Replica) Compact(index Index, data []byte) (done bool, out Output) {
-	if index <= r.base.Index || index > r.applied {
+	if index <= r.snapshot.Index || index > r.appliedIndex {
 		return false, out
 	}
-	members := r.base.Members
-	for i := range r.log {
-		if r.log[i].Index <= index && r.log[i].Members != nil {
-			members = r.log[i].Members
+	members := r.snapshot.Members
+	for i := range r.entries {
+		if r.entries[i].Index <= index && r.entries[i].Members != nil {
+			members = r.entries[i].Members
 		}
 	}
 	snapshot := Snapshot{Index: index, Term: r.termAt(index), Members: members, Data: data}
-	r.base = snapshot
-	r.trim()
+	r.snapshot = snapshot
+	r.trimLog()
 	r.write(Write{Snapshot: &snapshot})
-	return true, r.flush()
+	return true, r.takeOutput()
 }
 
-// trim gives up what lies behind the snapshot beyond the tail.
-func (r *Replica) trim() {
-	begin, bytes := r.base.Index, 0
-	for begin > r.start.index {
-		bytes += len(r.at(begin).Data) + entryCost
-		if int(r.base.Index-begin) >= r.tail.Entries || bytes > r.tail.Bytes {
+// trimLog gives up what lies behind the snapshot beyond the tail.
+func (r *Replica) trimLog() {
+	begin, bytes := r.snapshot.Index, 0
+	for begin > r.logStart.index {
+		bytes += len(r.entry(begin).Data) + entryOverhead
+		if int(r.snapshot.Index-begin) >= r.logTail.Entries || bytes > r.logTail.Bytes {
 			break
 		}
 		begin--
 	}
-	start := place{begin, r.termAt(begin)}
-	r.log = append([]Entry(nil), r.log[begin-r.start.index:]...)
-	r.start = start
+	start := position{begin, r.termAt(begin)}
+	r.entries = append([]Entry(nil), r.entries[begin-r.logStart.index:]...)
+	r.logStart = start
 }
--- a/internal/raft/replicate.go
+++ b/internal/raft/replicate.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// appended is an append that was not yet answered.
-type appended struct {
-	last Index
-	size int
+// inflightAppend is an append that was not yet answered.
+type inflightAppend struct {
+	lastIndex Index
+	size      int
 }
 
 // progress is what the leader knows of a member. Until it is steady, one append
 // is asked and its answer awaited, to find the place where both logs agree;
 // then appends follow each other, up to a window.
 type progress struct {
-	match, next Index
-	heard       int
-	ackRound    uint64
-	steady      bool
-	asked       bool
-	under       []appended
-	flight      int
-	idle        int
-	sending     *sending
+	match, next   Index
+	silentTicks   int
+	ackedRound    uint64
+	pipelined     bool
+	probed        bool
+	inflight      []inflightAppend
+	inflightBytes int
+	stalledTicks  int
+	outgoing      *outgoingSnapshot
 }
 
 const (
-	// maxBatch passes a link of 1 Mbit/s well within the time of a call.
-	maxBatch = 32 << 10
-	// window and appendsUnderWay bound what may be under way to one member; what
+	// maxAppendBytes passes a link of 1 Mbit/s well within the time of a call.
+	maxAppendBytes = 32 << 10
+	// maxInflightBytes and appendsUnderWay bound what may be under way to one member; what
 	// comes in the meantime goes together in the next append.
-	window          = 64 << 10
-	appendsUnderWay = 16
-	// slowLink is the speed, in bytes a second, at which nothing is yet thought
+	maxInflightBytes   = 64 << 10
+	maxInflightAppends = 16
+	// slowLinkBytesPerSecond is the speed, in bytes a second, at which nothing is yet thought
 	// lost.
-	slowLink = 50_000
+	slowLinkBytesPerSecond = 50_000
 )
 
-func (r *Replica) push(entry Entry) (index Index) {
-	entry.Term, entry.Index = r.hard.Term, r.lastIndex()+1
-	r.log = append(r.log, entry)
+func (r *Replica) appendEntry(entry Entry) (index Index) {
+	entry.Term, entry.Index = r.hardState.Term, r.lastIndex()+1
+	r.entries = append(r.entries, entry)
 	if entry.Members != nil {
 		r.refreshMembers()
 	}
@@ -61,94 +61,94 @@
 	if !r.AcceptsProposals() {
 		return 0, 0, false, Output{}
 	}
-	index = r.push(Entry{Data: data})
-	return index, r.hard.Term, true, r.flush()
+	index = r.appendEntry(Entry{Data: data})
+	return index, r.hardState.Term, true, r.takeOutput()
 }
 
 func (r *Replica) replicate(id ID, p *progress) {
-	if p.next <= r.start.index {
-		r.sendParts(id, p)
+	if p.next <= r.logStart.index {
+		r.sendChunks(id, p)
 		return
 	}
-	p.sending = nil
-	if !p.steady {
-		if !p.asked {
-			p.asked, p.idle = true, 0
-			r.sendEntries(id, p)
+	p.outgoing = nil
+	if !p.pipelined {
+		if !p.probed {
+			p.probed, p.stalledTicks = true, 0
+			r.sendAppend(id, p)
 		}
 		return
 	}
-	for p.next <= r.lastIndex() && p.flight < window && len(p.under) < appendsUnderWay {
-		r.sendEntries(id, p)
+	for p.next <= r.lastIndex() && p.inflightBytes < maxInflightBytes && len(p.inflight) < maxInflightAppends {
+		r.sendAppend(id, p)
 	}
 }
 
-// sendEntries sends a batch.
-func (r *Replica) sendEntries(id ID, p *progress) {
-	m := Message{Kind: MsgAppend, To: id, Index: p.next - 1, LogTerm: r.termAt(p.next - 1), Commit: r.commit, Entries: r.entriesFrom(p.next, maxBatch), Round: r.round}
+// sendAppend sends a batch.
+func (r *Replica) sendAppend(id ID, p *progress) {
+	m := Message{Kind: MsgAppend, To: id, Index: p.next - 1, LogTerm: r.termAt(p.next - 1), Commit: r.commitIndex, Entries: r.entriesFrom(p.next, maxAppendBytes), Round: r.heartbeatRound}
 	r.send(m)
-	p.under = append(p.under, appended{m.Index + Index(len(m.Entries)), m.size()})
-	p.flight += m.size()
-	if p.steady {
+	p.inflight = append(p.inflight, inflightAppend{m.Index + Index(len(m.Entries)), m.size()})
+	p.inflightBytes += m.size()
+	if p.pipelined {
 		p.next += Index(len(m.Entries))
 	}
 }
 
-// ask makes a member unsteady: what is under way to it counts no more.
-func (p *progress) ask() {
-	p.under, p.flight, p.steady, p.asked, p.idle = nil, 0, false, false, 0
+// probe makes a member unsteady: what is under way to it counts no more.
+func (p *progress) probe() {
+	p.inflight, p.inflightBytes, p.pipelined, p.probed, p.stalledTicks = nil, 0, false, false, 0
 }
 
-// answered takes out what a match answers.
-func (p *progress) answered() {
-	for len(p.under) > 0 && p.under[0].last <= p.match {
-		p.flight -= p.under[0].size
-		p.under = p.under[1:]
+// releaseAcknowledged takes out what a match answers.
+func (p *progress) releaseAcknowledged() {
+	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= p.match {
+		p.inflightBytes -= p.inflight[0].size
+		p.inflight = p.inflight[1:]
 	}
 }
 
-// beat tells a member that the leader lives, and the commit as far as the member
+// sendHeartbeat tells a member that the leader lives, and the commit as far as the member
 // is known to hold the log; it never runs into what is still under way.
-func (r *Replica) beat(id ID, p *progress) {
-	m := Message{Kind: MsgAppend, To: id, Commit: r.commit, Round: r.round}
-	if p.match >= r.start.index {
+func (r *Replica) sendHeartbeat(id ID, p *progress) {
+	m := Message{Kind: MsgAppend, To: id, Commit: r.commitIndex, Round: r.heartbeatRound}
+	if p.match >= r.logStart.index {
 		m.Index, m.LogTerm = p.match, r.termAt(p.match)
 	}
 	r.send(m)
 }
 
-// recover sends again what must have been lost: a member that speaks has made no
+// resendIfStalled sends again what must have been lost: a member that speaks has made no
 // progress for as long as even a slow link takes.
-func (r *Replica) recover(id ID, p *progress) {
-	waits := p.sending != nil || p.asked || p.next > p.match+1
-	if !waits || p.heard >= r.pace.ElectionTicks {
-		p.idle = 0
+func (r *Replica) resendIfStalled(id ID, p *progress) {
+	waits := p.outgoing != nil || p.probed || p.next > p.match+1
+	if !waits || p.silentTicks >= r.timing.ElectionTicks {
+		p.stalledTicks = 0
 		return
 	}
-	p.idle++
-	flight, messages := p.flight, len(p.under)
-	if p.sending != nil {
-		flight, messages = p.sending.underWay*int(r.partSize), p.sending.underWay
+	p.stalledTicks++
+	flight, messages := p.inflightBytes, len(p.inflight)
+	if p.outgoing != nil {
+		flight, messages = p.outgoing.inflightChunks*int(r.chunkBytes), p.outgoing.inflightChunks
 	}
-	if p.idle > r.pace.ElectionTicks+messages+flight*int(time.Second/tickInterval)/slowLink {
-		r.resume(id, p)
+	if p.stalledTicks > r.timing.ElectionTicks+messages+flight*int(time.Second/tickInterval)/slowLinkBytesPerSecond {
+		r.restartReplication(id, p)
 	}
 }
 
 // ReportLost reports that what was on its way to a member is gone.
 func (r *Replica) ReportLost(id ID) (out Output) {
-	if p := r.peers[id]; r.role == Leader && p != nil && p.heard < r.pace.ElectionTicks && (p.sending != nil || len(p.under) > 0) {
-		r.resume(id, p)
+	if p := r.peers[id]; r.role == Leader && p != nil && p.silentTicks < r.timing.ElectionTicks && (p.outgoing != nil || len(p.inflight) > 0) {
+		r.restartReplication(id, p)
 	}
-	return r.flush()
+	return r.takeOutput()
 }
 
-// resume goes on from what a member is known to hold.
-func (r *Replica) resume(id ID, p *progress) {
-	p.ask()
-	if p.sending != nil {
-		p.sending.rewind(r.partSize)
-	} else if p.match >= r.start.index {
+// restartReplication goes on from what a member is known to hold.
+func (r *Replica) restartReplication(id ID, p *progress) {
+	p.probe()
+	if p.outgoing != nil {
+		p.outgoing.rewind(r.chunkBytes)
+	} else if p.match >= r.logStart.index {
 		p.next = p.match + 1
 	} else {
 		p.next = r.lastIndex() + 1
@@ -156,7 +156,7 @@
 	r.replicate(id, p)
 }
 
-func (r *Replica) advance() {
+func (r *Replica) advanceCommit() {
 	if r.role == Leader {
 		var matches []Index
 		for _, member := range r.members {
@@ -164,7 +164,7 @@
 				continue
 			}
 			if member.ID == r.id {
-				matches = append(matches, r.synced)
+				matches = append(matches, r.syncedIndex)
 			} else if p := r.peers[member.ID]; p != nil {
 				matches = append(matches, p.match)
 			}
@@ -172,35 +172,35 @@
 		if len(matches) > 0 {
 			sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
 			agreed := matches[len(matches)/2]
-			if agreed > r.commit && r.termAt(agreed) == r.hard.Term {
-				r.commit = agreed
+			if agreed > r.commitIndex && r.termAt(agreed) == r.hardState.Term {
+				r.commitIndex = agreed
 			}
 		}
 	}
-	if r.gathering != nil && r.gathering.part.Index <= r.commit {
-		r.gathering = nil
+	if r.incoming != nil && r.incoming.chunk.Index <= r.commitIndex {
+		r.incoming = nil
 	}
-	for r.applied < r.commit && r.applied < r.lastIndex() {
-		r.applied++
-		r.out.Committed = append(r.out.Committed, *r.at(r.applied))
+	for r.appliedIndex < r.commitIndex && r.appliedIndex < r.lastIndex() {
+		r.appliedIndex++
+		r.output.Committed = append(r.output.Committed, *r.entry(r.appliedIndex))
 	}
 }
 
-func (r *Replica) heed(m Message) {
+func (r *Replica) observeLeader(m Message) {
 	if r.role != Follower {
-		r.role, r.votes, r.pre = Follower, nil, false
+		r.role, r.votes, r.preVoting = Follower, nil, false
 	}
 	r.leader = m.From
-	r.elapsed, r.silence, r.heardAt, r.fresh = 0, 0, r.now, false
-	if r.timeout < r.pace.ElectionTicks {
+	r.elapsedTicks, r.leaderSilentTicks, r.leaderHeardAt, r.leaderless = 0, 0, r.now, false
+	if r.timeoutTicks < r.timing.ElectionTicks {
 		r.resetTimer()
 	}
 }
 
-func (r *Replica) takeAppend(m Message) {
-	r.heed(m)
-	if m.Index < r.base.Index {
-		r.tell(m, r.base.Index)
+func (r *Replica) handleAppend(m Message) {
+	r.observeLeader(m)
+	if m.Index < r.snapshot.Index {
+		r.sendAppendResponse(m, r.snapshot.Index)
 		return
 	}
 	if m.Index > r.lastIndex() || r.termAt(m.Index) != m.LogTerm {
@@ -209,9 +209,9 @@
 		hint, conflict := r.lastIndex(), Term(0)
 		if m.Index <= hint {
 			conflict = r.termAt(m.Index)
-			hint = r.firstOf(conflict, m.Index) - 1
+			hint = r.firstIndexOfTerm(conflict, m.Index) - 1
 		}
-		r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commit), LogTerm: conflict, Round: r.heardRound(m.Round)})
+		r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commitIndex), LogTerm: conflict, Round: r.confirmRound(m.Round)})
 		return
 	}
 	var fresh []Entry
@@ -225,17 +225,17 @@
 	matched := m.Index + Index(len(m.Entries))
 	if len(fresh) > 0 {
 		first := fresh[0].Index
-		if first <= r.commit {
+		if first <= r.commitIndex {
 			return
 		}
 		var cut Index
 		if first <= r.lastIndex() {
 			cut = first
-			r.undo(first - 1)
+			r.discardSyncs(first - 1)
 			// What is on its way to others still points to what is cut off.
-			r.log = slices.Clone(r.log[:first-r.start.index-1])
+			r.entries = slices.Clone(r.entries[:first-r.logStart.index-1])
 		}
-		r.log = append(r.log, fresh...)
+		r.entries = append(r.entries, fresh...)
 		changed := cut > 0
 		for i := range fresh {
 			changed = changed || fresh[i].Members != nil
@@ -243,74 +243,74 @@
 		if changed {
 			r.refreshMembers()
 		}
-		r.tellHeard(m.From, m.Round)
+		r.sendHeartbeatResponse(m.From, m.Round)
 		r.write(Write{TruncateFrom: cut, Entries: fresh, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: matched, Round: m.Round}}})
 	} else {
-		r.tell(m, matched)
+		r.sendAppendResponse(m, matched)
 	}
 	commit := m.Commit
 	if commit > matched {
 		commit = matched
 	}
-	if commit > r.commit {
-		r.commit = commit
+	if commit > r.commitIndex {
+		r.commitIndex = commit
 	}
 }
 
-// tell answers at once, with no more than the disk holds: that the core lives is
+// sendAppendResponse answers at once, with no more than the disk holds: that the core lives is
 // told also while its disk is busy, and what it holds behind the write.
-func (r *Replica) tell(m Message, index Index) {
-	r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: min(index, r.synced), Round: r.heardRound(m.Round)})
+func (r *Replica) sendAppendResponse(m Message, index Index) {
+	r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: min(index, r.syncedIndex), Round: r.confirmRound(m.Round)})
 }
 
-func (r *Replica) takeInstall(m Message) {
-	r.heed(m)
+func (r *Replica) installSnapshot(m Message) {
+	r.observeLeader(m)
 	snapshot := m.Snapshot
-	if snapshot == nil || snapshot.Index <= r.commit {
-		r.tell(m, r.commit)
+	if snapshot == nil || snapshot.Index <= r.commitIndex {
+		r.sendAppendResponse(m, r.commitIndex)
 		return
 	}
 	// The log holds its last entry, and so all that it stands for: what lies
 	// behind may have been counted by the leader and stays.
 	if r.termAt(snapshot.Index) == snapshot.Term {
-		r.commit = snapshot.Index
-		r.tell(m, snapshot.Index)
+		r.commitIndex = snapshot.Index
+		r.sendAppendResponse(m, snapshot.Index)
 		return
 	}
-	r.base = *snapshot
-	r.start, r.log = place{snapshot.Index, snapshot.Term}, nil
-	r.undo(0)
-	r.commit, r.applied = snapshot.Index, snapshot.Index
+	r.snapshot = *snapshot
+	r.logStart, r.entries = position{snapshot.Index, snapshot.Term}, nil
+	r.discardSyncs(0)
+	r.commitIndex, r.appliedIndex = snapshot.Index, snapshot.Index
 	r.refreshMembers()
-	r.out.Restore = snapshot
-	r.tellHeard(m.From, m.Round)
+	r.output.Restore = snapshot
+	r.sendHeartbeatResponse(m.From, m.Round)
 	r.write(Write{TruncateFrom: 1, Snapshot: snapshot, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: snapshot.Index, Round: m.Round}}})
 }
 
-func (r *Replica) takeTell(m Message) {
+func (r *Replica) handleFollowerResponse(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil {
 		return
 	}
-	silent := p.heard >= r.pace.ElectionTicks
-	p.heard = 0
-	if m.Round > p.ackRound {
-		p.ackRound = m.Round
+	silent := p.silentTicks >= r.timing.ElectionTicks
+	p.silentTicks = 0
+	if m.Round > p.ackedRound {
+		p.ackedRound = m.Round
 	}
 	if m.Kind == MsgSnapshotChunkResponse {
-		r.takePartTell(m, p)
+		r.handleChunkResponse(m, p)
 		return
 	}
 	if m.Reject {
 		if m.Index == p.match && m.Index > 0 {
 			// An older disk was put back: it holds less than it told.
-			p.match, p.sending = 0, nil
-		} else if m.Index <= p.match || m.Index > r.lastIndex() || !p.steady && m.Index != p.next-1 || p.sending != nil {
+			p.match, p.outgoing = 0, nil
+		} else if m.Index <= p.match || m.Index > r.lastIndex() || !p.pipelined && m.Index != p.next-1 || p.outgoing != nil {
 			// Only the answer to what was asked last tells something new.
 			return
 		}
-		p.next = min(max(r.lastOf(m.LogTerm, m.Hint, m.Index), m.Hint, p.match)+1, m.Index)
-		p.ask()
+		p.next = min(max(r.lastIndexOfTerm(m.LogTerm, m.Hint, m.Index), m.Hint, p.match)+1, m.Index)
+		p.probe()
 		r.replicate(m.From, p)
 		return
 	}
@@ -318,21 +318,21 @@
 		return
 	}
 	if m.Index > p.match {
-		p.match, p.idle = m.Index, 0
-		if m.From == r.transfer {
-			r.relieve()
+		p.match, p.stalledTicks = m.Index, 0
+		if m.From == r.transferTarget {
+			r.completeTransfer()
 		}
 	}
 	// A beat's answer says nothing of the append that was asked.
-	if !p.steady && len(p.under) > 0 && m.Index >= p.under[0].last {
-		p.steady, p.asked = true, false
+	if !p.pipelined && len(p.inflight) > 0 && m.Index >= p.inflight[0].lastIndex {
+		p.pipelined, p.probed = true, false
 	}
-	p.answered()
+	p.releaseAcknowledged()
 	if p.next <= p.match {
 		p.next = p.match + 1
 	}
-	if silent && (p.next > p.match+1 || p.sending != nil) {
-		r.resume(m.From, p)
+	if silent && (p.next > p.match+1 || p.outgoing != nil) {
+		r.restartReplication(m.From, p)
 		return
 	}
 	if p.next <= r.lastIndex() {
--- a/internal/raft/replicate_test.go
+++ b/internal/raft/replicate_test.go
@@ -76,12 +76,12 @@
 		{60, 0, LogTail{Entries: 50, Bytes: 1 << 20}},
 		{50, 0, LogTail{Entries: 50, Bytes: 1 << 20}},
 		{49, 1, LogTail{Entries: 50, Bytes: 1 << 20}},
-		{95, 0, LogTail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
-		{94, 1, LogTail{Entries: 50, Bytes: 5 * (entryCost + 2)}},
+		{95, 0, LogTail{Entries: 50, Bytes: 5 * (entryOverhead + 2)}},
+		{94, 1, LogTail{Entries: 50, Bytes: 5 * (entryOverhead + 2)}},
 		{60, 1, LogTail{}},
 	} {
 		leader := newBench(t, "a", HardState{Term: 2}, run(2, 105, 2)...)
-		leader.raft.tail = c.tail
+		leader.raft.logTail = c.tail
 		leader.elect()
 		leader.step(Message{Kind: MsgAppendResponse, Term: 3, From: "c", Index: 106})
 		done, out := leader.raft.Compact(100, []byte("state"))
@@ -89,7 +89,7 @@
 		leader.syncAll()
 		follower := newBench(t, "b", HardState{Term: 2}, run(2, Index(c.has), 2)...)
 		installs := talk(leader, follower, MsgSnapshotChunk)
-		if !done || installs != c.installs || follower.raft.LastIndex() != 106 || follower.raft.synced != 106 {
+		if !done || installs != c.installs || follower.raft.LastIndex() != 106 || follower.raft.syncedIndex != 106 {
 			t.Errorf("%v: %d installs, want %d; ends at %d", c, installs, c.installs, follower.raft.LastIndex())
 		}
 		if held := leader.held(); len(held) != 6 || leader.disk.base.Index != 100 || leader.raft.SnapshotIndex() != 100 {
@@ -99,7 +99,7 @@
 		if done, _ = leader.raft.Compact(106, nil); !done || leader.raft.LastIndex() != 106 || leader.raft.termAt(106) != 3 {
 			t.Errorf("%v: ends at %d after a second cut", c, leader.raft.LastIndex())
 		}
-		if kept := len(leader.raft.log); kept > c.tail.Entries {
+		if kept := len(leader.raft.entries); kept > c.tail.Entries {
 			t.Errorf("%v: %d entries are kept", c, kept)
 		}
 	}
@@ -121,7 +121,7 @@
 		for _, m := range leader.told {
 			if m.Kind == MsgAppend && m.To == "b" && len(m.Entries) > 0 {
 				entries, bytes = entries+len(m.Entries), bytes+m.size()
-				if m.size() > maxBatch+2*entryCost+1000 {
+				if m.size() > maxAppendBytes+2*entryOverhead+1000 {
 					t.Errorf("an append of %d bytes", m.size())
 				}
 			}
@@ -134,26 +134,26 @@
 		leader.take(out)
 		leader.syncAll()
 	}
-	if entries, bytes := sent(); entries != appendsUnderWay || bytes > window+maxBatch {
+	if entries, bytes := sent(); entries != maxInflightAppends || bytes > maxInflightBytes+maxAppendBytes {
 		t.Fatalf("%d entries of %d bytes are under way", entries, bytes)
 	}
-	for i := 0; i < electTicks+appendsUnderWay; i++ {
+	for i := 0; i < electTicks+maxInflightAppends; i++ {
 		leader.take(leader.raft.Tick())
 		beat(11)
 	}
 	if entries, _ := sent(); entries != 0 {
 		t.Fatalf("%d entries were sent again while they may still arrive", entries)
 	}
-	for i := 0; i < 40 && peer.steady; i++ {
+	for i := 0; i < 40 && peer.pipelined; i++ {
 		leader.take(leader.raft.Tick())
 		beat(11)
 	}
-	if entries, bytes := sent(); entries == 0 || bytes > maxBatch+2*entryCost {
+	if entries, bytes := sent(); entries == 0 || bytes > maxAppendBytes+2*entryOverhead {
 		t.Fatalf("%d entries of %d bytes were sent again", entries, bytes)
 	}
 	beat(leader.raft.LastIndex())
-	if entries, _ := sent(); entries != 0 || !peer.steady || peer.flight != 0 {
-		t.Fatalf("%d entries are sent to a member that has all, %d bytes count as under way", entries, peer.flight)
+	if entries, _ := sent(); entries != 0 || !peer.pipelined || peer.inflightBytes != 0 {
+		t.Fatalf("%d entries are sent to a member that has all, %d bytes count as under way", entries, peer.inflightBytes)
 	}
 	_, _, _, out := leader.raft.Propose([]byte("x"))
 	leader.take(out)
@@ -170,10 +170,10 @@
 	b := newBench(t, "b", HardState{Term: 2}, run(2, 4000, 2)...)
 	last, moved := Index(4000), 0
 	for range 400 {
-		before := &b.raft.log[0]
+		before := &b.raft.entries[0]
 		b.step(Message{Kind: MsgAppend, Term: 2, Index: last, LogTerm: 2, Entries: run(last+1, last+1, 2)})
 		last++
-		if before != &b.raft.log[0] {
+		if before != &b.raft.entries[0] {
 			moved++
 		}
 	}
--- a/internal/raft/restart.go
+++ b/internal/raft/restart.go
@@ -10,56 +10,56 @@
 
 import "time"
 
-// restart is what a core knows of its own start, and of that of others.
-type restart struct {
-	// fresh tells that no leader was known since the start.
-	fresh bool
-	// life tells this start from others.
-	life uint64
-	// born is when it was, once the time is known.
-	born  time.Duration
-	timed bool
-	// attempt counts the askings, asked is when the last began; idle are the
+// startState is what a core knows of its own start, and of that of others.
+type startState struct {
+	// leaderless tells that no leader was known since the start.
+	leaderless bool
+	// incarnation tells this start from others.
+	incarnation uint64
+	// startedAt is when it was, once the time is known.
+	startedAt  time.Duration
+	startKnown bool
+	// preVoteRound counts the askings, asked is when the last began; idle are the
 	// starts of those who have known nobody.
-	attempt uint64
-	asked   time.Duration
-	idle    map[ID]uint64
+	preVoteRound uint64
+	preVoteAt    time.Duration
+	idlePeers    map[ID]uint64
 }
 
-// soon is when to ask again where nobody is known to lead.
-func (r *Replica) soon() (ticks int) { return 2 + r.luck.Intn(r.pace.ElectionTicks/2+1) }
+// shortTimeout is when to ask again where nobody is known to lead.
+func (r *Replica) shortTimeout() (ticks int) { return 2 + r.rng.Intn(r.timing.ElectionTicks/2+1) }
 
-// age is how long ago this core started, at least.
-func (r *Replica) age() (age time.Duration) { return r.now - r.born }
+// sinceStart is how long ago this core started, at least.
+func (r *Replica) sinceStart() (age time.Duration) { return r.now - r.startedAt }
 
-// knowsNobody tells that no leader was known since the start, this one included,
+// knowsNoLeader tells that no leader was known since the start, this one included,
 // and that it does not stand itself.
-func (r *Replica) knowsNobody() (nobody bool) {
-	return r.fresh && r.role != Leader && (r.role != Candidate || r.pre)
+func (r *Replica) knowsNoLeader() (nobody bool) {
+	return r.leaderless && r.role != Leader && (r.role != Candidate || r.preVoting)
 }
 
-func (r *Replica) beginAsking() {
-	r.attempt++
-	r.asked, r.idle = r.now, map[ID]uint64{}
+func (r *Replica) startPreVoteRound() {
+	r.preVoteRound++
+	r.preVoteAt, r.idlePeers = r.now, map[ID]uint64{}
 }
 
-// noteIdle keeps the word of a member that had started before it was asked.
-func (r *Replica) noteIdle(m Message) {
-	if m.Idle && m.Round == r.attempt && m.Life != 0 && m.Age >= r.now-r.asked {
-		r.idle[m.From] = m.Life
+// recordIdlePeer keeps the word of a member that had started before it was asked.
+func (r *Replica) recordIdlePeer(m Message) {
+	if m.Idle && m.Round == r.preVoteRound && m.Life != 0 && m.Age >= r.now-r.preVoteAt {
+		r.idlePeers[m.From] = m.Life
 	}
 }
 
-// lives gives the starts of all other members where each has said that it knows
+// idleIncarnations gives the starts of all other members where each has said that it knows
 // nobody, and this core does not either.
-func (r *Replica) lives() (lives map[ID]uint64) {
-	if !r.fresh || !r.voter(r.id) {
+func (r *Replica) idleIncarnations() (lives map[ID]uint64) {
+	if !r.leaderless || !r.isVoter(r.id) {
 		return nil
 	}
 	for _, member := range r.members {
-		if _, idle := r.idle[member.ID]; !idle && member.ID != r.id {
+		if _, idle := r.idlePeers[member.ID]; !idle && member.ID != r.id {
 			return nil
 		}
 	}
-	return r.idle
+	return r.idlePeers
 }
--- a/internal/raft/restart_test.go
+++ b/internal/raft/restart_test.go
@@ -50,7 +50,7 @@
 		for _, write := range out.Writes {
 			asks = append(asks, write.AfterSync...)
 		}
-		if stands := r.role == Candidate && !r.pre; stands != c.stands {
+		if stands := r.role == Candidate && !r.preVoting; stands != c.stands {
 			t.Errorf("%s: stands %v", name, stands)
 		}
 		for _, ask := range asks {
@@ -78,13 +78,13 @@
 			r.Step(Message{Kind: MsgAppend, From: "b", To: "a", Term: 6, Index: 9, LogTerm: 5, Round: 1})
 		}, 0, false},
 		"it stands itself":  {func(r *Replica) { r.campaign(false, false) }, 0, false},
-		"no start is named": {func(r *Replica) { r.life = 4 }, 4, false},
+		"no start is named": {func(r *Replica) { r.incarnation = 4 }, 4, false},
 	} {
 		r := restarted(time.Millisecond, false)
-		life := r.life
+		life := r.incarnation
 		c.do(r)
 		r.Step(ask(r, life^c.other))
-		if granted := r.hard.Term == 7 && r.hard.Vote == "c"; granted != c.grants {
+		if granted := r.hardState.Term == 7 && r.hardState.Vote == "c"; granted != c.grants {
 			t.Errorf("%s: granted %v", name, granted)
 		}
 	}
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -146,7 +146,7 @@
 	core.member.ID = disk.id
 	core.raft = New(disk.id, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
 	// Short, so that snapshots are needed often.
-	core.raft.tail, core.raft.partSize = LogTail{Entries: 20, Bytes: 1 << 12}, 200
+	core.raft.logTail, core.raft.chunkBytes = LogTail{Entries: 20, Bytes: 1 << 12}, 200
 	if s.shape != nil {
 		s.shape(core.raft)
 	}
@@ -457,7 +457,7 @@
 // or not heard, which is a loss like any other: so one disk may be lost.
 func (s *sim) caughtUp() bool {
 	leader := s.settledLeader()
-	if leader == nil || leader.raft.voters() < 3 || leader.raft.changing() {
+	if leader == nil || leader.raft.voterCount() < 3 || leader.raft.membersChanging() {
 		return false
 	}
 	for _, host := range s.order {
@@ -569,8 +569,8 @@
 	if len(s.acked) == 0 {
 		return "nothing was ever acknowledged"
 	}
-	if leader.raft.voters() < 3 {
-		return fmt.Sprintf("only %d voters after all is healed", leader.raft.voters())
+	if leader.raft.voterCount() < 3 {
+		return fmt.Sprintf("only %d voters after all is healed", leader.raft.voterCount())
 	}
 	return ""
 }
@@ -642,7 +642,7 @@
 	s.crash("core-1", true)
 	s.wipe("core-1")
 	s.start("core-1")
-	if s.cores["core-1"].raft.voter(s.cores["core-1"].disk.id) {
+	if s.cores["core-1"].raft.isVoter(s.cores["core-1"].disk.id) {
 		t.Fatal("a wiped core votes before it was taken in")
 	}
 	for i := 0; i < 300; i++ {
--- a/internal/raft/store_test.go
+++ b/internal/raft/store_test.go
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	b := newBench(t, "b", HardState{Term: 6}, run(2, 8, 1)...)
-	_ = store.Found("b", b.raft.base)
+	_ = store.Found("b", b.raft.snapshot)
 	_ = store.Write([]Write{{Entries: run(2, 8, 1)}})
 	write := func() {
 		if err = store.Write(b.queued); err != nil {
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -57,11 +57,11 @@
 			t.Errorf("a wish that was given up: %+v, answered %v", answer, now)
 		}
 	}
-	n.raft.transfer = "b"
+	n.raft.transferTarget = "b"
 	if answer, now := answered(n.put(0, time.Second)); !now || !answer.Rejected {
 		t.Errorf("a wish while the leadership is handed over: %+v, answered %v", answer, now)
 	}
-	n.raft.transfer = ""
+	n.raft.transferTarget = ""
 	// The first two wait, the third finds no room.
 	answers := n.ProposeAll(make([]Command, 3), time.Millisecond)
 	if answers[0] != (Outcome{}) || answers[1] != (Outcome{}) || !answers[2].Rejected {
--- a/internal/simulation/house.go
+++ b/internal/simulation/house.go
@@ -188,7 +188,7 @@
 	member, known := c.memberOf(id)
 	switch {
 	case !known:
-		return !c.raft.Changing()
+		return !c.raft.MembersChanging()
 	case !member.Voter || !c.membership.HasSuccessor(c.roll(), id):
 		delete(c.leaving, id)
 		return true
