--- a/internal/affinity/binder.go
+++ b/internal/affinity/binder.go
@@ -53,18 +53,18 @@
 	Now func() time.Duration
 	// Over tells that a session may not stay on a backend, Begin where it would
 	// begin, Ask what the leader says.
-	Over  func(server rpc.ServerID) bool
-	Begin func() rpc.ServerID
-	Ask   func(from, choice rpc.ServerID) rpc.BindFound
+	Over  func(server rpc.EndpointID) bool
+	Begin func() rpc.EndpointID
+	Ask   func(from, choice rpc.EndpointID) rpc.BindResult
 }
 
 // Bind gives the backend of a session.
-func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view View) (server rpc.ServerID, outcome Outcome) {
+func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view View) (server rpc.EndpointID, outcome Outcome) {
 	now := view.Now()
 	b.mu.Lock()
 	known, fresh := b.table.Find(now, session)
 	b.mu.Unlock()
-	var from rpc.ServerID
+	var from rpc.EndpointID
 	if fresh {
 		if !view.Over(known) {
 			return known, Kept
@@ -80,16 +80,16 @@
 		found := view.Ask(from, choice)
 		switch found.Outcome {
 		case rpc.Bound:
-		case rpc.BindFull:
+		case rpc.BindTableFull:
 			return "", Unkept
 		default:
 			return "", NoAnswer
 		}
 		b.mu.Lock()
-		if known != "" && known != found.Server {
+		if known != "" && known != found.Endpoint {
 			b.moved++
 		}
-		known = found.Server
+		known = found.Endpoint
 		b.table.Take(asked, session, known, idle)
 		b.mu.Unlock()
 		if !view.Over(known) {
--- a/internal/affinity/choice.go
+++ b/internal/affinity/choice.go
@@ -14,12 +14,12 @@
 
 // Candidate is a backend that a session may begin on, weighted by its slots.
 type Candidate struct {
-	ID     rpc.ServerID
+	ID     rpc.EndpointID
 	Weight int
 }
 
 // Choose picks one, or none where there is none.
-func Choose(session rpc.SessionID, candidates []Candidate) (chosen rpc.ServerID) {
+func Choose(session rpc.SessionID, candidates []Candidate) (chosen rpc.EndpointID) {
 	best := math.Inf(-1)
 	for _, candidate := range candidates {
 		// The hash as a number above 0 and below 1.
--- a/internal/affinity/choice_test.go
+++ b/internal/affinity/choice_test.go
@@ -13,7 +13,7 @@
 
 func candidates(count, weight int) (all []Candidate) {
 	for i := 0; i < count; i++ {
-		all = append(all, Candidate{rpc.ServerID(fmt.Sprint("i-", i)), weight})
+		all = append(all, Candidate{rpc.EndpointID(fmt.Sprint("i-", i)), weight})
 	}
 	return all
 }
@@ -21,7 +21,7 @@
 func session(n int) rpc.SessionID { return SessionOf("s", nil, fmt.Sprint("caller ", n)) }
 
 func TestSessionsBeginEvenly(t *testing.T) {
-	all, counts := candidates(20, 3), map[rpc.ServerID]int{}
+	all, counts := candidates(20, 3), map[rpc.EndpointID]int{}
 	for n := 0; n < 4000; n++ {
 		counts[Choose(session(n), all)]++
 	}
--- a/internal/affinity/desk.go
+++ b/internal/affinity/desk.go
@@ -75,11 +75,11 @@
 // Answer gives where an asked session is, where the log need not be asked; else
 // it gives the ask as it is to go into the log. Ended tells that a session may
 // not stay on a backend.
-func (d *Desk) Answer(now time.Duration, bind rpc.Bind, standing rpc.ServerID, bound bool, ended func(server rpc.ServerID) bool) (server rpc.ServerID, propose rpc.Bind, answered bool) {
-	if bind.From != "" && !ended(bind.From) {
-		bind.From = ""
+func (d *Desk) Answer(now time.Duration, bind rpc.SessionBinding, standing rpc.EndpointID, bound bool, ended func(server rpc.EndpointID) bool) (server rpc.EndpointID, propose rpc.SessionBinding, answered bool) {
+	if bind.EndedEndpoint != "" && !ended(bind.EndedEndpoint) {
+		bind.EndedEndpoint = ""
 	}
-	if bound && d.Touch(now, bind.Service, bind.Session, bind.Idle) && (bind.From == "" || bind.From != standing) {
+	if bound && d.Touch(now, bind.Service, bind.Session, bind.IdleTimeout) && (bind.EndedEndpoint == "" || bind.EndedEndpoint != standing) {
 		return standing, bind, true
 	}
 	return "", bind, false
--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -24,7 +24,7 @@
 	desk     *affinity.Desk
 	unbinds  []affinity.Ended
 	unbindAt time.Duration
-	backends map[rpc.ServerID]*backend
+	backends map[rpc.EndpointID]*backend
 	made     int
 	nodes    []*node
 	callers  []*caller
@@ -41,7 +41,7 @@
 }
 
 type backend struct {
-	id    rpc.ServerID
+	id    rpc.EndpointID
 	ended time.Duration
 }
 
@@ -60,7 +60,7 @@
 	next    time.Duration
 	step    int
 	steps   int
-	on      rpc.ServerID
+	on      rpc.EndpointID
 	last    time.Duration
 }
 
@@ -71,7 +71,7 @@
 
 func (m *morning) addBackend() {
 	m.made++
-	id := rpc.ServerID(fmt.Sprint("i-", m.made))
+	id := rpc.EndpointID(fmt.Sprint("i-", m.made))
 	m.backends[id] = &backend{id: id}
 }
 
@@ -86,7 +86,7 @@
 		bad := raft.NewState()
 		m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
 			if m.luck.Intn(4) > 0 {
-				bad.Apply(1, raft.BindCommand(rpc.Bind{Session: session, Service: binding.Service, Server: binding.Server, Idle: binding.Idle}), m.now)
+				bad.Apply(1, raft.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Server, IdleTimeout: binding.Idle}), m.now)
 			}
 		})
 		m.state = bad
@@ -109,31 +109,31 @@
 	return m.state.Apply(m.rev, command, m.now)
 }
 
-func (m *morning) ended(id rpc.ServerID, lag time.Duration) (ended bool) {
+func (m *morning) ended(id rpc.EndpointID, lag time.Duration) (ended bool) {
 	b := m.backends[id]
 	return b == nil || b.ended > 0 && m.now >= b.ended+lag
 }
 
 // ask is the leader's answer to a node, as the forum gives it.
-func (m *morning) ask(bind rpc.Bind) (found rpc.BindFound) {
+func (m *morning) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
 	standing, bound := m.state.Binding(bind.Session)
-	server, propose, answered := m.desk.Answer(m.now, bind, standing.Server, bound, func(id rpc.ServerID) bool { return m.ended(id, 50*time.Millisecond) })
+	server, propose, answered := m.desk.Answer(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
-		return rpc.BindFound{Outcome: rpc.Bound, Server: server}
+		return rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
 	}
 	if m.luck.Intn(50) == 0 {
 		// It may have been carried out and nobody knows.
 		if m.luck.Intn(2) == 0 {
 			m.apply(raft.BindCommand(propose))
 		}
-		return rpc.BindFound{}
+		return rpc.BindResult{}
 	}
 	result := m.apply(raft.BindCommand(propose))
 	if result.Problem != "" {
-		return rpc.BindFound{Outcome: rpc.BindFull}
+		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
-	m.desk.Put(m.now, bind.Service, bind.Session, bind.Idle, result.Binding.Seq)
-	return rpc.BindFound{Outcome: rpc.Bound, Server: result.Binding.Server}
+	m.desk.Put(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
+	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Server}
 }
 
 // tend unbinds what is past its time; a call that was lost is sent again a
@@ -171,16 +171,16 @@
 	}
 	server, outcome := n.binder.Bind(c.session, span, affinity.View{
 		Now:   func() time.Duration { return m.now },
-		Over:  func(id rpc.ServerID) bool { return m.ended(id, n.lag) },
-		Begin: func() rpc.ServerID { return affinity.Choose(c.session, all) },
-		Ask: func(from, choice rpc.ServerID) rpc.BindFound {
+		Over:  func(id rpc.EndpointID) bool { return m.ended(id, n.lag) },
+		Begin: func() rpc.EndpointID { return affinity.Choose(c.session, all) },
+		Ask: func(from, choice rpc.EndpointID) rpc.BindResult {
 			if n.odd {
-				return rpc.BindFound{Outcome: rpc.Bound, Server: all[m.luck.Intn(len(all))].ID}
+				return rpc.BindResult{Outcome: rpc.Bound, Endpoint: all[m.luck.Intn(len(all))].ID}
 			}
 			if m.now < n.cut {
-				return rpc.BindFound{}
+				return rpc.BindResult{}
 			}
-			return m.ask(rpc.Bind{Session: c.session, Service: service, Server: choice, From: from, Idle: idle})
+			return m.ask(rpc.SessionBinding{Session: c.session, Service: service, Endpoint: choice, EndedEndpoint: from, IdleTimeout: idle})
 		},
 	})
 	if outcome != affinity.Kept || m.ended(server, 0) {
@@ -196,7 +196,7 @@
 }
 
 func play(seed int64, fault plantedFault) (m *morning) {
-	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: raft.NewState(), backends: map[rpc.ServerID]*backend{}, runs: map[string]int{}}
+	m = &morning{luck: rand.New(rand.NewSource(seed)), fault: fault, state: raft.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
 	m.lead()
 	for i := 0; i < 12; i++ {
 		m.addBackend()
@@ -261,7 +261,7 @@
 		case 6:
 			var live []*backend
 			for n := 1; n <= m.made; n++ {
-				if b := m.backends[rpc.ServerID(fmt.Sprint("i-", n))]; b.ended == 0 {
+				if b := m.backends[rpc.EndpointID(fmt.Sprint("i-", n))]; b.ended == 0 {
 					live = append(live, b)
 				}
 			}
--- a/internal/affinity/table.go
+++ b/internal/affinity/table.go
@@ -18,7 +18,7 @@
 func Fresh(idle time.Duration) (span time.Duration) { return idle / freshPart }
 
 type remembered struct {
-	server rpc.ServerID
+	server rpc.EndpointID
 	till   time.Duration
 }
 
@@ -41,13 +41,13 @@
 }
 
 // Find gives where a session is bound, and whether that may be relied on.
-func (t *Table) Find(now time.Duration, session rpc.SessionID) (server rpc.ServerID, fresh bool) {
+func (t *Table) Find(now time.Duration, session rpc.SessionID) (server rpc.EndpointID, fresh bool) {
 	found, known := t.held.Get(session)
 	return found.server, known && now < found.till
 }
 
 // Take notes what was answered to what was asked at a time.
-func (t *Table) Take(asked time.Duration, session rpc.SessionID, server rpc.ServerID, idle time.Duration) {
+func (t *Table) Take(asked time.Duration, session rpc.SessionID, server rpc.EndpointID, idle time.Duration) {
 	t.drops = true
 	t.held.Add(session, remembered{server, asked + Fresh(idle)})
 	t.drops = false
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -160,7 +160,7 @@
 	return json.Marshal(shown)
 }
 
-func (c *Controller) retire(_ context.Context, id rpc.ServerID, back bool, named string) (phase string, err error) {
+func (c *Controller) retire(_ context.Context, id rpc.EndpointID, back bool, named string) (phase string, err error) {
 	if back {
 		if _, err = c.open(withOrder("/-/Backends.Restore/"+url.PathEscape(string(id)), named)); err != nil {
 			return "", err
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -126,13 +126,13 @@
 	c, _ := alone(t)
 	none := context.Background()
 	phase := ""
-	retire := func(id rpc.ServerID, back bool) func() error {
+	retire := func(id rpc.EndpointID, back bool) func() error {
 		return func() (err error) {
 			phase, err = c.retire(none, id, back, "")
 			return err
 		}
 	}
-	for _, id := range []rpc.ServerID{"one", "two"} {
+	for _, id := range []rpc.EndpointID{"one", "two"} {
 		if err := sure(t, retire(id, false)); statusOf(t, err) != 422 {
 			t.Fatalf("%s, never taken: %v", id, err)
 		}
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	phase := ""
-	retire := func(id rpc.ServerID, back bool, name string) func() error {
+	retire := func(id rpc.EndpointID, back bool, name string) func() error {
 		return func() (err error) {
 			phase, err = c.retire(none, id, back, name)
 			return err
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -41,7 +41,7 @@
 }
 
 // Tell gives the account.
-func (s *StatusHandler) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
+func (s *StatusHandler) Tell(_ rpc.StatusRequest, reply *rpc.StatusResponse) (err error) {
 	c := s.council
 	account := Status{Role: "accord", Name: c.props.Name, ID: string(c.node.Self().ID)}
 	var leader raft.Member
@@ -63,44 +63,44 @@
 }
 
 // Trace tells what this daemon knows of a subject.
-func (s *StatusHandler) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
+func (s *StatusHandler) Trace(ask rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	c := s.council
 	reply.Name = c.props.Name
 	for _, told := range c.node.History.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.What, Summary: told.Stamp, LogIndex: told.Rev, Age: told.Age})
 	}
 	switch ask.Kind {
 	case history.Item:
 		c.node.ReadState(func(state *raft.State) {
 			var item config.Item
-			item, reply.Has = state.Canon.Find(ask.Name)
-			reply.Stamp, reply.Rev = item.Stamp(), item.Rev
+			item, reply.Present = state.Canon.Find(ask.Name)
+			reply.Summary, reply.LogIndex = item.Stamp(), item.Rev
 		})
 	case history.Document, history.Retirement, history.Move:
 		s.council.node.ReadState(func(state *raft.State) {
 			switch ask.Kind {
 			case history.Document:
 				document, has := state.Documents[policy.Kind(ask.Name)]
-				reply.Stamp, reply.Rev, reply.Has = document.Stamp(), document.Rev, has
+				reply.Summary, reply.LogIndex, reply.Present = document.Stamp(), document.Rev, has
 			case history.Retirement:
-				retired, has := state.Retired[rpc.ServerID(ask.Name)]
-				reply.Stamp, reply.Rev, reply.Has = retired.Stamp(), retired.Rev, has
+				retired, has := state.Retired[rpc.EndpointID(ask.Name)]
+				reply.Summary, reply.LogIndex, reply.Present = retired.Summary(), retired.Rev, has
 			default:
-				reply.Stamp, reply.Rev, reply.Has = state.Move.Stamp(), state.Move.Rev, state.Move.Rev > 0
+				reply.Summary, reply.LogIndex, reply.Present = state.Move.Summary(), state.Move.Rev, state.Move.Rev > 0
 			}
 		})
 	case history.Evacuation:
 		c.node.ReadState(func(state *raft.State) {
 			var evacuation raft.Evacuation
-			evacuation, reply.Has = state.Evacuations[ask.Name]
-			reply.Stamp, reply.Rev = evacuation.Stamp(), evacuation.Rev
+			evacuation, reply.Present = state.Evacuations[ask.Name]
+			reply.Summary, reply.LogIndex = evacuation.Stamp(), evacuation.Rev
 		})
 	default:
 		// Only the leader knows backends and their health.
 		if open := c.desk.Coordinator(); open != nil {
-			stamp, has := open.CurrentStamp(ask.Kind, rpc.ServerID(ask.Name))
+			stamp, has := open.CurrentStamp(ask.Kind, rpc.EndpointID(ask.Name))
 			if c.desk.ConfirmLeadership(open) {
-				reply.Stamp, reply.Has = stamp, has
+				reply.Summary, reply.Present = stamp, has
 			}
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -44,7 +44,7 @@
 	// evacuatedZones what is evacuated by it.
 	view           *config.View
 	revision       uint64
-	evacuatedZones map[rpc.SiteName]bool
+	evacuatedZones map[rpc.ZoneName]bool
 
 	encoded     encodedParts
 	outcomes    outcomeRelay
@@ -79,7 +79,7 @@
 		endpoints:      registry.NewList(clock),
 		health:         healthcheck.NewCache(clock, 3*p.HealthCheckInterval+time.Second),
 		view:           config.New().View(),
-		evacuatedZones: map[rpc.SiteName]bool{},
+		evacuatedZones: map[rpc.ZoneName]bool{},
 		outcomes:       newOutcomeRelay(),
 		leases:         newLeaseTable(term == 1),
 		followers:      newFollowerTable(),
@@ -106,7 +106,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var view *config.View
-	active := map[rpc.SiteName]bool{}
+	active := map[rpc.ZoneName]bool{}
 	c.node.ReadState(func(state *raft.State) {
 		if state.Rev != c.revision {
 			c.revision = state.Rev
@@ -116,7 +116,7 @@
 		}
 		for zone, evacuation := range state.Evacuations {
 			if evacuation.Active {
-				active[rpc.SiteName(zone)] = true
+				active[rpc.ZoneName(zone)] = true
 			}
 		}
 	})
@@ -134,9 +134,9 @@
 
 // suspectWarmUp treats the backends of a zone that takes traffic again as
 // possibly warming up: they may have restarted while nobody looked.
-func (c *Coordinator) suspectWarmUp(zone rpc.SiteName) {
-	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
-		if server.Site != zone {
+func (c *Coordinator) suspectWarmUp(zone rpc.ZoneName) {
+	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+		if server.Zone != zone {
 			return
 		}
 		if service := c.view.Services[string(server.Service)]; service != nil {
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -16,13 +16,13 @@
 type drainState struct {
 	// policy is nil where none is in force.
 	policy   *drain.Policy
-	retired  map[rpc.ServerID]rpc.Retirement
+	retired  map[rpc.EndpointID]rpc.Retirement
 	tracker  *drain.Desk
 	statuses []drain.Account
 }
 
 func newDrainState() (d drainState) {
-	return drainState{retired: map[rpc.ServerID]rpc.Retirement{}, tracker: drain.NewDesk()}
+	return drainState{retired: map[rpc.EndpointID]rpc.Retirement{}, tracker: drain.NewDesk()}
 }
 
 func (d *drainState) load(state *raft.State) {
@@ -30,14 +30,14 @@
 	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
 		d.policy, _ = drain.Read([]byte(document.Body))
 	}
-	d.retired = make(map[rpc.ServerID]rpc.Retirement, len(state.Retired))
+	d.retired = make(map[rpc.EndpointID]rpc.Retirement, len(state.Retired))
 	for id, retired := range state.Retired {
 		d.retired[id] = retired
 	}
 }
 
 // stopped tells that a backend was retired and its stop is agreed.
-func (d *drainState) stopped(id rpc.ServerID) bool {
+func (d *drainState) stopped(id rpc.EndpointID) bool {
 	retired := d.retired[id]
 	return retired.Stopped > 0 && !retired.Gone
 }
@@ -50,7 +50,7 @@
 		return commands
 	}
 	// Under a policy, backends that the platform drains are retired as well.
-	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if _, retired := d.retired[id]; server.Draining && !retired {
 			commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
 		}
@@ -72,7 +72,7 @@
 		}
 		list = append(list, retired)
 	}
-	var stops []rpc.ServerID
+	var stops []rpc.EndpointID
 	stops, d.statuses = d.tracker.Step(now, d.policy, list, c.listFollowers(now), c.stockOf)
 	for _, id := range stops {
 		commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
@@ -85,7 +85,7 @@
 
 // stockOf counts a service's backends.
 func (c *Coordinator) stockOf(service rpc.ServiceName) (stock drain.Stock) {
-	c.eachBackend(service, func(_ rpc.Server, useful bool) {
+	c.eachBackend(service, func(_ rpc.Endpoint, useful bool) {
 		stock.Listed++
 		if useful {
 			stock.Useful++
@@ -99,7 +99,7 @@
 
 // ValidateRetirement gives the service of a backend, or tells why it may not be
 // retired. It does not look at whether the backend is retired already.
-func (c *Coordinator) ValidateRetirement(id rpc.ServerID) (service rpc.ServiceName, err error) {
+func (c *Coordinator) ValidateRetirement(id rpc.EndpointID) (service rpc.ServiceName, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	server, listed := c.endpoints.Servers.Get(id)
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -28,7 +28,7 @@
 	pause := time.Duration(float64(time.Second) / max(c.settings.PlatformRate*leaderRateShare, minPlatformRate))
 	for {
 		begun := time.Now()
-		servers, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Server) { c.mergeEndpoints(page, false) })
+		servers, pages, err := platform.Walk(min(pause, maxPagePause), func(page []rpc.Endpoint) { c.mergeEndpoints(page, false) })
 		interval := listInterval(c.settings.EndpointListInterval, pause, pages)
 		if err != nil {
 			c.log.Emit(eventlog.EndpointListFailed, eventlog.KeyError, err.Error())
@@ -53,19 +53,19 @@
 
 // mergeEndpoints takes up one page of the list, or all of a complete walk. Only
 // a complete walk can tell that a backend is gone.
-func (c *Coordinator) mergeEndpoints(servers []rpc.Server, complete bool) {
+func (c *Coordinator) mergeEndpoints(servers []rpc.Endpoint, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before, first := c.clock.Now(), !c.endpoints.Walked
 	var changed bool
-	var added []rpc.Server
+	var added []rpc.Endpoint
 	if complete {
 		changed = c.endpoints.Whole(servers)
 	} else {
 		changed, added = c.endpoints.Page(servers)
 	}
-	c.endpoints.Servers.Since(before, func(id rpc.ServerID, server rpc.Server, gone bool) {
-		stamp := server.Stamp()
+	c.endpoints.Servers.Since(before, func(id rpc.EndpointID, server rpc.Endpoint, gone bool) {
+		stamp := server.Summary()
 		if gone {
 			stamp = "gone"
 		}
@@ -73,8 +73,8 @@
 	})
 	now := c.now()
 	for _, server := range added {
-		if server.Cold > 0 {
-			c.health.Suspect(now, server.ID, server.Service, server.Cold)
+		if server.WarmupRemaining > 0 {
+			c.health.Suspect(now, server.ID, server.Service, server.WarmupRemaining)
 		}
 	}
 	if changed {
@@ -85,15 +85,15 @@
 
 // forgetUnlisted drops health and leases of backends that left the list.
 func (c *Coordinator) forgetUnlisted() {
-	var gone []rpc.ServerID
-	c.health.States.Each(func(id rpc.ServerID, _ rpc.State) {
+	var gone []rpc.EndpointID
+	c.health.States.Each(func(id rpc.EndpointID, _ rpc.EndpointState) {
 		if _, listed := c.endpoints.Servers.Get(id); !listed {
 			gone = append(gone, id)
 		}
 	})
 	for _, id := range gone {
 		c.health.Drop(id)
-		c.leases.rates.Forget(quota.Key{Kind: rpc.ColdRate, Name: string(id)})
+		c.leases.rates.Forget(quota.Key{Kind: rpc.WarmupRate, Name: string(id)})
 	}
 }
 
@@ -107,31 +107,31 @@
 // Report takes up an owner's findings on the health of its backends, and tells
 // whether it did. Before the list is complete it takes none, since findings on
 // backends not listed yet would be lost.
-func (c *Coordinator) Report(request rpc.ReportAsk) (taken bool) {
+func (c *Coordinator) Report(request rpc.HealthReport) (taken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.endpoints.Walked {
 		return false
 	}
 	if err := c.validateReport(request); err != nil {
-		_ = c.rejections.reject(c.log, "report", request.Fellow, err)
+		_ = c.rejections.reject(c.log, "report", request.Node, err)
 		return false
 	}
-	absent := map[rpc.FellowID]bool{}
+	absent := map[rpc.NodeID]bool{}
 	for _, id := range c.nodes.absent {
 		absent[id] = true
 	}
 	listed := request.States[:0:0]
 	for _, state := range request.States {
-		if _, known := c.endpoints.Servers.Get(state.Server); known {
+		if _, known := c.endpoints.Servers.Get(state.Endpoint); known {
 			listed = append(listed, state)
 		}
 	}
 	request.States = listed
 	before := c.clock.Now()
 	taken, changed := c.health.Report(c.now(), request, absent)
-	c.health.States.Since(before, func(id rpc.ServerID, state rpc.State, _ bool) {
-		c.history.Note(history.Health, string(id), "reported by "+string(request.Fellow), state.Stamp(), uint64(c.clock.Now()), true)
+	c.health.States.Since(before, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) {
+		c.history.Note(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.clock.Now()), true)
 	})
 	if changed {
 		c.wakeHeartbeats()
--- a/internal/coordinator/followers.go
+++ b/internal/coordinator/followers.go
@@ -21,36 +21,36 @@
 // followerTable is what heartbeats prove of how far the nodes follow, and the
 // load that they report.
 type followerTable struct {
-	byNode     map[rpc.FellowID]follower
-	loadByNode map[rpc.FellowID][]rpc.Burden
+	byNode     map[rpc.NodeID]follower
+	loadByNode map[rpc.NodeID][]rpc.Load
 	// knownNodes is the largest number of nodes that any node knew of, which a
 	// new leader has not all heard yet.
 	knownNodes int
 }
 
 func newFollowerTable() (t followerTable) {
-	return followerTable{byNode: map[rpc.FellowID]follower{}, loadByNode: map[rpc.FellowID][]rpc.Burden{}}
+	return followerTable{byNode: map[rpc.NodeID]follower{}, loadByNode: map[rpc.NodeID][]rpc.Load{}}
 }
 
 // observe notes how far a node follows, by its own heartbeat.
-func (t *followerTable) observe(now time.Duration, request rpc.BeatAsk) {
-	revision := request.Rev
-	if request.ItemAt != rpc.AllItems && revision > 0 {
+func (t *followerTable) observe(now time.Duration, request rpc.HeartbeatRequest) {
+	revision := request.LogIndex
+	if request.LastItem != rpc.AfterAllItems && revision > 0 {
 		// It has the items of that revision only in part.
 		revision--
 	}
 	t.byNode[request.ID] = follower{revision, now}
-	t.knownNodes = max(t.knownNodes, request.Known)
+	t.knownNodes = max(t.knownNodes, request.KnownNodes)
 	if request.Stopping {
 		delete(t.byNode, request.ID)
 	}
-	if len(request.Burdens) > 0 || t.loadByNode[request.ID] != nil {
-		t.loadByNode[request.ID] = request.Burdens
+	if len(request.Loads) > 0 || t.loadByNode[request.ID] != nil {
+		t.loadByNode[request.ID] = request.Loads
 	}
 }
 
 // list gives the nodes that count, and forgets those not heard for long.
-func (t *followerTable) list(now time.Duration, connected func(id rpc.FellowID) bool) (followers []drain.Follower) {
+func (t *followerTable) list(now time.Duration, connected func(id rpc.NodeID) bool) (followers []drain.Follower) {
 	for id, known := range t.byNode {
 		if now-known.lastHeard > rememberNode {
 			delete(t.byNode, id)
@@ -61,7 +61,7 @@
 	}
 	// Those that older leaders knew of and this one has not heard yet.
 	for len(followers) < t.knownNodes && now < rememberNode {
-		followers = append(followers, drain.Follower{ID: rpc.FellowID(fmt.Sprint("not heard yet ", len(followers)))})
+		followers = append(followers, drain.Follower{ID: rpc.NodeID(fmt.Sprint("not heard yet ", len(followers)))})
 	}
 	return followers
 }
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -58,49 +58,49 @@
 func (h *Handler) Coordinator() (coordinator *Coordinator) { return h.coordinator.Load() }
 
 // Beat answers a heartbeat.
-func (h *Handler) Beat(request rpc.BeatAsk, update *rpc.News) (err error) {
+func (h *Handler) Beat(request rpc.HeartbeatRequest, update *rpc.Update) (err error) {
 	if coordinator := h.coordinator.Load(); coordinator != nil {
 		if err = coordinator.Heartbeat(request, update); err != nil {
 			return err
 		}
-		if update.Leader && !h.ConfirmLeadership(coordinator) {
-			*update = rpc.News{}
+		if update.IsLeader && !h.ConfirmLeadership(coordinator) {
+			*update = rpc.Update{}
 		}
 	}
-	if !update.Leader {
+	if !update.IsLeader {
 		_, _, _, leader, _ := h.node.Status()
-		update.Hint = leader.Inner
-		update.Cores = append(update.Cores, controllersOf(h.node)...)
+		update.LeaderAddress = leader.Inner
+		update.Controllers = append(update.Controllers, controllersOf(h.node)...)
 	}
 	return nil
 }
 
 // Lead tells whether this controller leads.
-func (h *Handler) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
+func (h *Handler) Lead(_ rpc.LeaderRequest, reply *rpc.LeaderResponse) (err error) {
 	if coordinator := h.coordinator.Load(); coordinator != nil && h.leadership.HoldsLease(raft.Term(coordinator.term), seekerConfirmTimeout) {
-		reply.Leader, reply.Term = true, coordinator.term
+		reply.IsLeader, reply.Term = true, coordinator.term
 	}
-	reply.Cores = append(reply.Cores, controllersOf(h.node)...)
+	reply.Controllers = append(reply.Controllers, controllersOf(h.node)...)
 	return nil
 }
 
 // Report takes up an owner's findings.
-func (h *Handler) Report(request rpc.ReportAsk, reply *rpc.ReportReply) (err error) {
+func (h *Handler) Report(request rpc.HealthReport, reply *rpc.HealthReportResponse) (err error) {
 	if coordinator := h.coordinator.Load(); coordinator != nil {
 		taken := coordinator.Report(request)
-		if reply.Leader = h.ConfirmLeadership(coordinator); reply.Leader {
-			reply.Taken = taken
+		if reply.IsLeader = h.ConfirmLeadership(coordinator); reply.IsLeader {
+			reply.Accepted = taken
 		}
 	}
 	return nil
 }
 
 // Bind tells where sessions are bound.
-func (h *Handler) Bind(request rpc.BindAsk, reply *rpc.BindReply) (err error) {
+func (h *Handler) Bind(request rpc.BindRequest, reply *rpc.BindResponse) (err error) {
 	if coordinator := h.coordinator.Load(); coordinator != nil && h.ConfirmLeadership(coordinator) {
 		found := coordinator.Bind(request)
-		if reply.Leader = h.ConfirmLeadership(coordinator); reply.Leader {
-			reply.Found, reply.Term = found, coordinator.term
+		if reply.IsLeader = h.ConfirmLeadership(coordinator); reply.IsLeader {
+			reply.Results, reply.Term = found, coordinator.term
 		}
 	}
 	return nil
@@ -110,33 +110,33 @@
 // Out of contact it takes none of them: that is a clear no, where a proposal that
 // nobody can commit has no outcome. Its answers come from the log and need no
 // further proof.
-func (h *Handler) Claim(request rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
+func (h *Handler) Claim(request rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
 	coordinator, begun := h.coordinator.Load(), time.Now()
 	if coordinator == nil || !h.ConfirmLeadership(coordinator) {
 		return nil
 	}
-	reply.Leader = true
+	reply.IsLeader = true
 	answers := h.node.ProposeAll(claimCommands(request), claimWait(request)-time.Since(begun))
-	releases := len(request.Frees)
-	reply.Freed = true
+	releases := len(request.Releases)
+	reply.Released = true
 	for _, answer := range answers[:releases] {
-		reply.Freed = reply.Freed && answer.Known
+		reply.Released = reply.Released && answer.Known
 	}
 	for _, answer := range answers[releases:] {
-		reply.Found = append(reply.Found, claimOutcome(answer, coordinator))
+		reply.Results = append(reply.Results, claimOutcome(answer, coordinator))
 	}
 	return nil
 }
 
 // claimCommands gives the releases first, then the claims.
-func claimCommands(request rpc.ClaimAsk) (commands []raft.Command) {
-	commands = make([]raft.Command, 0, len(request.Frees)+len(request.Claims))
+func claimCommands(request rpc.ClaimRequest) (commands []raft.Command) {
+	commands = make([]raft.Command, 0, len(request.Releases)+len(request.Claims))
 	add := func(kind raft.CommandKind, claim rpc.KeyClaim) {
 		commands = append(commands, raft.Command{Kind: kind, Claim: raft.Claim{
-			Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Life: uint64(request.Life),
+			Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Life: uint64(request.Incarnation),
 		}})
 	}
-	for _, release := range request.Frees {
+	for _, release := range request.Releases {
 		add(raft.CommandFree, release)
 	}
 	for _, claim := range request.Claims {
@@ -146,30 +146,30 @@
 }
 
 // claimWait is how long the caller of a batch waits for its outcome.
-func claimWait(request rpc.ClaimAsk) (wait time.Duration) {
+func claimWait(request rpc.ClaimRequest) (wait time.Duration) {
 	wait = releaseTimeout
 	if len(request.Claims) > 0 {
 		wait = claimTimeout
 	}
-	if request.Left > 0 {
-		wait = min(wait, request.Left)
+	if request.TimeLeft > 0 {
+		wait = min(wait, request.TimeLeft)
 	}
 	return wait
 }
 
-func claimOutcome(answer raft.Outcome, coordinator *Coordinator) (found rpc.ClaimFound) {
+func claimOutcome(answer raft.Outcome, coordinator *Coordinator) (found rpc.ClaimResult) {
 	switch {
 	case answer.Rejected:
-		found.Outcome = rpc.Refused
+		found.Outcome = rpc.ClaimRejected
 	case !answer.Known:
-		found.Outcome = rpc.Unclear
+		found.Outcome = rpc.ClaimUnknown
 	case answer.Result.Granted:
-		found.Outcome = rpc.Granted
+		found.Outcome = rpc.ClaimGranted
 	default:
 		held := answer.Result.Held
-		found.Outcome = rpc.Held
-		found.Holder, found.Life, found.Request = rpc.FellowID(held.Holder), rpc.Life(held.Life), held.Request
-		found.Inner, _ = coordinator.NodeAddress(found.Holder)
+		found.Outcome = rpc.ClaimHeld
+		found.Holder, found.Incarnation, found.Request = rpc.NodeID(held.Holder), rpc.Incarnation(held.Life), held.Request
+		found.InternalAddress, _ = coordinator.NodeAddress(found.Holder)
 	}
 	return found
 }
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -31,26 +31,26 @@
 		c.node, c.endpoints.Walked = &raft.Node{}, true
 		handler.SetCoordinator(c)
 
-		var update rpc.News
-		request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}, Seen: rpc.Seen{ItemAt: rpc.AllItems}}
-		if err := handler.Beat(request, &update); err != nil || update.Leader == lost || lost && (update.Term != 0 || update.Map != nil || len(update.Leases) > 0 || len(update.Fellows) > 0) {
+		var update rpc.Update
+		request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Ready: true}, KnownState: rpc.KnownState{LastItem: rpc.AfterAllItems}}
+		if err := handler.Beat(request, &update); err != nil || update.IsLeader == lost || lost && (update.Term != 0 || update.ShardMap != nil || len(update.Leases) > 0 || len(update.Nodes) > 0) {
 			t.Errorf("lost %v: news %+v, %v", lost, update, err)
 		}
-		var lead rpc.LeadReply
-		if err := handler.Lead(rpc.LeadAsk{}, &lead); err != nil || lead.Leader == lost || lost && lead.Term != 0 {
+		var lead rpc.LeaderResponse
+		if err := handler.Lead(rpc.LeaderRequest{}, &lead); err != nil || lead.IsLeader == lost || lost && lead.Term != 0 {
 			t.Errorf("lost %v: lead %+v, %v", lost, lead, err)
 		}
-		var report rpc.ReportReply
-		if err := handler.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true}, &report); err != nil || report.Leader == lost || lost && report.Taken {
+		var report rpc.HealthReportResponse
+		if err := handler.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true}, &report); err != nil || report.IsLeader == lost || lost && report.Accepted {
 			t.Errorf("lost %v: report %+v, %v", lost, report, err)
 		}
-		var bind rpc.BindReply
-		if err := handler.Bind(rpc.BindAsk{Binds: []rpc.Bind{{Session: "x"}}}, &bind); err != nil || bind.Leader == lost || lost && len(bind.Found) > 0 {
+		var bind rpc.BindResponse
+		if err := handler.Bind(rpc.BindRequest{Bindings: []rpc.SessionBinding{{Session: "x"}}}, &bind); err != nil || bind.IsLeader == lost || lost && len(bind.Results) > 0 {
 			t.Errorf("lost %v: bind %+v, %v", lost, bind, err)
 		}
 		// A claim that is not taken is a clear no: it is in no log.
-		var claim rpc.ClaimReply
-		if err := handler.Claim(rpc.ClaimAsk{Holder: "e", Claims: []rpc.KeyClaim{{Key: "k", Request: "r"}}}, &claim); err != nil || claim.Leader == lost || lost && len(claim.Found) > 0 {
+		var claim rpc.ClaimResponse
+		if err := handler.Claim(rpc.ClaimRequest{Holder: "e", Claims: []rpc.KeyClaim{{Key: "k", Request: "r"}}}, &claim); err != nil || claim.IsLeader == lost || lost && len(claim.Results) > 0 {
 			t.Errorf("lost %v: claim %+v, %v", lost, claim, err)
 		}
 	}
@@ -63,11 +63,11 @@
 	c := newTestCoordinator()
 	c.node, c.endpoints.Walked = &raft.Node{}, true
 	handler.SetCoordinator(c)
-	request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Inner: "e:1", Ready: true}, Hold: time.Minute}
-	request.Term, request.Epoch, request.ItemAt, request.Listed = 7, c.clock.Now()+8, rpc.AllItems, true
-	done := make(chan rpc.News)
+	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", InternalAddress: "e:1", Ready: true}, MaxWait: time.Minute}
+	request.Term, request.Revision, request.LastItem, request.EndpointsComplete = 7, c.clock.Now()+8, rpc.AfterAllItems, true
+	done := make(chan rpc.Update)
 	go func() {
-		var update rpc.News
+		var update rpc.Update
 		_ = handler.Beat(request, &update)
 		done <- update
 	}()
@@ -77,12 +77,12 @@
 	}
 	leadership.lost.Store(true)
 	c.mu.Lock()
-	for c.clock.Now() <= request.Epoch {
+	for c.clock.Now() <= request.Revision {
 		c.clock.Next()
 	}
 	c.wakeHeartbeats()
 	c.mu.Unlock()
-	if update := <-done; update.Leader || update.Term != 0 {
+	if update := <-done; update.IsLeader || update.Term != 0 {
 		t.Fatalf("after contact was lost: %+v", update)
 	}
 	if leadership.checks.Load() == 0 {
--- a/internal/coordinator/heartbeat.go
+++ b/internal/coordinator/heartbeat.go
@@ -22,11 +22,11 @@
 // Heartbeat notes a node's heartbeat and fills the update once there is
 // something to tell, or when the heartbeat was held long enough. It leaves the
 // update empty where the term ended meanwhile.
-func (c *Coordinator) Heartbeat(request rpc.BeatAsk, update *rpc.News) (err error) {
+func (c *Coordinator) Heartbeat(request rpc.HeartbeatRequest, update *rpc.Update) (err error) {
 	if err = validateHeartbeat(request); err != nil {
 		return c.rejections.reject(c.log, "heartbeat", request.ID, err)
 	}
-	hold := time.NewTimer(min(request.Hold, maxHold))
+	hold := time.NewTimer(min(request.MaxWait, maxHold))
 	defer hold.Stop()
 	c.mu.Lock()
 	c.observe(request)
@@ -55,10 +55,10 @@
 }
 
 // observe takes up what a heartbeat says of its node; the caller holds mu.
-func (c *Coordinator) observe(request rpc.BeatAsk) {
-	joined, changed := c.nodes.registry.Beat(c.now(), request.Fellow)
+func (c *Coordinator) observe(request rpc.HeartbeatRequest) {
+	joined, changed := c.nodes.registry.Beat(c.now(), request.Node)
 	if joined {
-		c.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(request.ID), eventlog.KeyIncarnation, uint64(request.Life))
+		c.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(request.ID), eventlog.KeyIncarnation, uint64(request.Incarnation))
 	}
 	// Other nodes are told with the next reconciliation: after a change of
 	// leader all nodes come at once, and each would wake all the others.
@@ -68,19 +68,19 @@
 }
 
 // updateDue tells whether there is something to tell; the caller holds mu.
-func (c *Coordinator) updateDue(request rpc.BeatAsk) bool {
+func (c *Coordinator) updateDue(request rpc.HeartbeatRequest) bool {
 	switch {
-	case request.Term != c.term, request.Hold <= 0:
+	case request.Term != c.term, request.MaxWait <= 0:
 		return true
-	case request.Epoch < c.clock.Now(), c.lacksItems(request.Seen):
+	case request.Revision < c.clock.Now(), c.lacksItems(request.KnownState):
 		return true
 	}
-	return !request.Listed && c.endpoints.Walked
+	return !request.EndpointsComplete && c.endpoints.Walked
 }
 
 // gatherTime is how long to wait for more changes; the caller holds mu.
-func (c *Coordinator) gatherTime(request rpc.BeatAsk) (wait time.Duration) {
-	if !request.Listed || request.ItemAt != rpc.AllItems {
+func (c *Coordinator) gatherTime(request rpc.HeartbeatRequest) (wait time.Duration) {
+	if !request.EndpointsComplete || request.LastItem != rpc.AfterAllItems {
 		// The node is in the middle of what is sent in parts.
 		return gatherBase
 	}
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -27,7 +27,7 @@
 	// tenants and retries hold the tenants' limits and the limit on retries.
 	tenants, retries *quota.Lender
 	// warmingUp lists the backends whose rate is granted now.
-	warmingUp []rpc.ServerID
+	warmingUp []rpc.EndpointID
 }
 
 // newLeaseTable is empty. Unless this is the first term of all, nothing is
@@ -45,7 +45,7 @@
 }
 
 // grantLeases gives a node its share of every limit; the caller holds mu.
-func (c *Coordinator) grantLeases(now time.Duration, request rpc.BeatAsk) (leases []rpc.Lease) {
+func (c *Coordinator) grantLeases(now time.Duration, request rpc.HeartbeatRequest) (leases []rpc.Lease) {
 	nodes := c.nodes.available
 	if request.Stopping || nodes == 0 {
 		return nil
@@ -55,15 +55,15 @@
 	if granted {
 		leases = append(leases, lease)
 	}
-	for _, demand := range request.Demands {
-		if tenant := c.view.TenantNamed(demand.Tenant); tenant != nil {
+	for _, demand := range request.TenantDemands {
+		if tenant := c.view.TenantNamed(demand.Name); tenant != nil {
 			leases = append(leases, c.leases.tenants.Lend(now, quota.BoundOf(tenant), request.ID, nodes, demand)...)
 		}
 	}
-	for _, demand := range request.Retries {
-		service := rpc.ServiceName(demand.Tenant)
+	for _, demand := range request.RetryDemands {
+		service := rpc.ServiceName(demand.Name)
 		rule, limited := c.policies.retry.limit.For(service)
-		if limited && rule.LeastPerSecond > 0 && c.view.Services[demand.Tenant] != nil {
+		if limited && rule.LeastPerSecond > 0 && c.view.Services[demand.Name] != nil {
 			leases = append(leases, c.leases.retries.Lend(now, rule.Bound(service), request.ID, nodes, demand)...)
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // grantWarmUp gives a node its share of the rate of a backend that is warming up.
-func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.FellowID, id rpc.ServerID) (lease rpc.Lease, granted bool) {
+func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.NodeID, id rpc.EndpointID) (lease rpc.Lease, granted bool) {
 	server, listed := c.endpoints.Servers.Get(id)
 	if !listed || server.Draining || c.health.ColdUntil(id)+time.Second < now {
 		return lease, false
@@ -89,13 +89,13 @@
 	if !shares {
 		return lease, false
 	}
-	key := quota.Key{Kind: rpc.ColdRate, Name: string(id)}
+	key := quota.Key{Kind: rpc.WarmupRate, Name: string(id)}
 	return c.leases.rates.Lend(now, key, service.ColdRate, warmUpWindow, node, service.ColdRate/float64(sharers))
 }
 
 // warmUpLimited gives a backend's service where that limits the rate of backends
 // that are warming up, else nil.
-func (c *Coordinator) warmUpLimited(server rpc.Server) (service *config.Service) {
+func (c *Coordinator) warmUpLimited(server rpc.Endpoint) (service *config.Service) {
 	service = c.view.Services[string(server.Service)]
 	if service == nil || service.ColdRate <= 0 {
 		return nil
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -24,22 +24,22 @@
 	pending bool
 
 	shardMap      rpc.ShardMap
-	shardMapEpoch rpc.Epoch
+	shardMapEpoch rpc.Revision
 	// members holds those of the shard map, for updates by difference.
-	members *registry.Ledger[rpc.FellowID, bool]
+	members *registry.Ledger[rpc.NodeID, bool]
 	// absent lists nodes in the shard map that are not heard, or are stopping.
-	absent []rpc.FellowID
+	absent []rpc.NodeID
 	// available counts nodes that are heard and not stopping.
 	available int
 	// nearestByZone caches nearest.
-	nearestByZone map[rpc.SiteName][]rpc.FellowID
+	nearestByZone map[rpc.ZoneName][]rpc.NodeID
 }
 
 func newNodeTable(clock *registry.Clock, bounds registry.RollBounds) (t nodeTable) {
 	return nodeTable{
 		clock: clock, registry: registry.NewRoll(clock, bounds),
-		members:       registry.NewLedger[rpc.FellowID, bool](clock),
-		nearestByZone: map[rpc.SiteName][]rpc.FellowID{},
+		members:       registry.NewLedger[rpc.NodeID, bool](clock),
+		nearestByZone: map[rpc.ZoneName][]rpc.NodeID{},
 	}
 }
 
@@ -69,8 +69,8 @@
 // refresh recomputes all that follows from the registry and tells whether the
 // shard map changed.
 func (t *nodeTable) refresh(term rpc.Term) (mapChanged bool) {
-	t.nearestByZone, t.available = map[rpc.SiteName][]rpc.FellowID{}, 0
-	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+	t.nearestByZone, t.available = map[rpc.ZoneName][]rpc.NodeID{}, 0
+	t.registry.Fellows.Each(func(id rpc.NodeID, node rpc.Node) {
 		if t.registry.Here(id) && !node.Stopping {
 			t.available++
 		}
@@ -87,8 +87,8 @@
 	return mapChanged
 }
 
-func (t *nodeTable) replaceShardMap(term rpc.Term, members []rpc.FellowID) {
-	remaining := make(map[rpc.FellowID]bool, len(members))
+func (t *nodeTable) replaceShardMap(term rpc.Term, members []rpc.NodeID) {
+	remaining := make(map[rpc.NodeID]bool, len(members))
 	for _, member := range members {
 		remaining[member] = true
 		t.members.Set(member, true)
@@ -101,52 +101,52 @@
 	// The epochs of all changes that made this map lie after the last map's
 	// epoch and before this one's.
 	t.shardMapEpoch = t.clock.Next()
-	t.shardMap = rpc.ShardMap{Term: term, Count: t.shardMapEpoch, Members: members}
+	t.shardMap = rpc.ShardMap{Term: term, Revision: t.shardMapEpoch, Members: members}
 }
 
 // addShardMap adds to an update what changed of the shard map, or all of it for
 // a node that knows none.
-func (t *nodeTable) addShardMap(seen rpc.Seen, update *rpc.News) {
-	if update.Full || seen.MapAt == 0 {
+func (t *nodeTable) addShardMap(seen rpc.KnownState, update *rpc.Update) {
+	if update.Full || seen.ShardMapRevision == 0 {
 		shardMap := t.shardMap
-		update.Map = &shardMap
+		update.ShardMap = &shardMap
 		return
 	}
-	if t.shardMapEpoch <= seen.MapAt {
+	if t.shardMapEpoch <= seen.ShardMapRevision {
 		return
 	}
-	delta := &rpc.MapDelta{Base: seen.MapAt, Count: t.shardMapEpoch}
-	t.members.Since(seen.MapAt, func(id rpc.FellowID, _ bool, gone bool) {
+	delta := &rpc.ShardMapDelta{BaseRevision: seen.ShardMapRevision, Revision: t.shardMapEpoch}
+	t.members.Since(seen.ShardMapRevision, func(id rpc.NodeID, _ bool, gone bool) {
 		if gone {
 			delta.Removed = append(delta.Removed, id)
 		} else {
 			delta.Added = append(delta.Added, id)
 		}
 	})
-	update.MapDelta = delta
+	update.ShardMapDelta = delta
 }
 
 // nearest lists the ready nodes heard in a zone, or else in its region, or else
 // all. regions gives the region of each zone.
-func (t *nodeTable) nearest(zone rpc.SiteName, regions map[string]string) (ids []rpc.FellowID) {
+func (t *nodeTable) nearest(zone rpc.ZoneName, regions map[string]string) (ids []rpc.NodeID) {
 	if ids, known := t.nearestByZone[zone]; known {
 		return ids
 	}
 	region := regions[string(zone)]
-	var inZone, inRegion, all []rpc.FellowID
-	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+	var inZone, inRegion, all []rpc.NodeID
+	t.registry.Fellows.Each(func(id rpc.NodeID, node rpc.Node) {
 		if !t.registry.Here(id) || node.Stopping || !node.Ready {
 			return
 		}
 		all = append(all, id)
-		if node.Site == zone {
+		if node.Zone == zone {
 			inZone = append(inZone, id)
 		}
 		if string(node.Region) == region {
 			inRegion = append(inRegion, id)
 		}
 	})
-	for _, ids = range [][]rpc.FellowID{inZone, inRegion, all} {
+	for _, ids = range [][]rpc.NodeID{inZone, inRegion, all} {
 		if len(ids) > 0 {
 			break
 		}
@@ -159,8 +159,8 @@
 // that is warming up is split between, and how many they are: those of the
 // nearest nodes that rank highest for it, as they do for its ordinary use, so
 // that the load of many such backends is spread.
-func (t *nodeTable) sharesWarmUp(node rpc.FellowID, server rpc.Server, rate float64, regions map[string]string) (shares bool, sharers int) {
-	nearest := t.nearest(server.Site, regions)
+func (t *nodeTable) sharesWarmUp(node rpc.NodeID, server rpc.Endpoint, rate float64, regions map[string]string) (shares bool, sharers int) {
+	nearest := t.nearest(server.Zone, regions)
 	sharers = min(len(nearest), max(1, int(rate/ratePerSharer)))
 	rank := healthcheck.Rank(string(node), string(server.ID))
 	isNear, before := false, 0
@@ -176,9 +176,9 @@
 
 // NodeAddress gives a node's internal address and the incarnation it was last
 // heard with, zero where it is not known.
-func (c *Coordinator) NodeAddress(id rpc.FellowID) (address string, incarnation rpc.Life) {
+func (c *Coordinator) NodeAddress(id rpc.NodeID) (address string, incarnation rpc.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	node, _ := c.nodes.registry.Fellows.Get(id)
-	return node.Inner, node.Life
+	return node.InternalAddress, node.Incarnation
 }
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -99,12 +99,12 @@
 
 // eachBackend visits the listed backends of a service. Useful ones are neither
 // draining nor down nor stopped by a retirement.
-func (c *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Server, useful bool)) {
-	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+func (c *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Endpoint, useful bool)) {
+	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if server.Service != service {
 			return
 		}
 		state, _ := c.health.States.Get(id)
-		visit(server, !server.Draining && state.Health != rpc.Down && !c.policies.drain.stopped(id))
+		visit(server, !server.Draining && state.Health != rpc.Unhealthy && !c.policies.drain.stopped(id))
 	})
 }
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -15,7 +15,7 @@
 type scheduleState struct {
 	// plan is nil where none is in force, step the last agreed change of weights.
 	plan     *schedule.Plan
-	step     rpc.Move
+	step     rpc.ScheduleStep
 	stepper  *schedule.Stepper
 	statuses []schedule.Account
 	// wallClock tells the time of day.
@@ -42,7 +42,7 @@
 	if s.plan == nil || !c.endpoints.Walked {
 		return command, false
 	}
-	var next *rpc.Move
+	var next *rpc.ScheduleStep
 	next, s.statuses = s.stepper.Step(now, s.wallClock(), s.plan, s.step, c.targetState)
 	for _, status := range s.statuses {
 		c.policies.logged.record(c.log, eventlog.ScheduleProgress, status.Target, status.Waiting, "wanted", status.Wanted)
@@ -72,7 +72,7 @@
 		for _, loads := range c.followers.loadByNode {
 			for _, load := range loads {
 				if load.Service == service {
-					state.AtWork += load.AtWork
+					state.AtWork += load.InFlight
 				}
 			}
 		}
@@ -88,11 +88,11 @@
 
 // addStock adds the backends of a service to those of their regions.
 func (c *Coordinator) addStock(service rpc.ServiceName, state *schedule.State) {
-	c.eachBackend(service, func(server rpc.Server, useful bool) {
-		region := c.regionOf(server.Site)
+	c.eachBackend(service, func(server rpc.Endpoint, useful bool) {
+		region := c.regionOf(server.Zone)
 		stock := state.Stock[region]
 		stock.Listed++
-		if useful && !c.evacuatedZones[server.Site] {
+		if useful && !c.evacuatedZones[server.Zone] {
 			stock.Useful++
 			stock.Slots += max(1, server.Slots)
 		}
@@ -100,7 +100,7 @@
 	})
 }
 
-func (c *Coordinator) regionOf(zone rpc.SiteName) (region rpc.RegionName) {
+func (c *Coordinator) regionOf(zone rpc.ZoneName) (region rpc.RegionName) {
 	return rpc.RegionName(c.settings.ZoneRegions[string(zone)])
 }
 
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -43,11 +43,11 @@
 	moved          uint64
 	rejected       uint64
 	// stoppedSince is when a retired backend was first found to be stopped.
-	stoppedSince map[rpc.ServerID]time.Duration
+	stoppedSince map[rpc.EndpointID]time.Duration
 }
 
 func newSessionTable() (s sessionTable) {
-	return sessionTable{expiry: affinity.NewDesk(), stoppedSince: map[rpc.ServerID]time.Duration{}}
+	return sessionTable{expiry: affinity.NewDesk(), stoppedSince: map[rpc.EndpointID]time.Duration{}}
 }
 
 // load reads what is agreed; the caller holds the Coordinator's mu.
@@ -85,15 +85,15 @@
 }
 
 // validateBind checks one request for a binding; the caller holds mu.
-func (c *Coordinator) validateBind(bind rpc.Bind) (err error) {
-	server, listed := c.endpoints.Servers.Get(bind.Server)
+func (c *Coordinator) validateBind(bind rpc.SessionBinding) (err error) {
+	server, listed := c.endpoints.Servers.Get(bind.Endpoint)
 	_, ruled := c.sessions.policy.For(bind.Service)
 	switch {
 	case !affinity.GoodID(bind.Session):
 		return errors.New("invalid session id")
-	case bind.Idle <= 0 || bind.Idle > maxIdle:
+	case bind.IdleTimeout <= 0 || bind.IdleTimeout > maxIdle:
 		return errors.New("the idle time is out of bounds")
-	case len(bind.From) > policy.NameMost:
+	case len(bind.EndedEndpoint) > policy.NameMost:
 		return errLongName
 	case c.view.Services[string(bind.Service)] == nil || !ruled:
 		return errors.New("no affinity rule for the service")
@@ -105,7 +105,7 @@
 
 // backendEnded tells whether and why a session may not stay on a backend; the
 // caller holds mu.
-func (c *Coordinator) backendEnded(now time.Duration, id rpc.ServerID, service rpc.ServiceName) (ended bool, why string) {
+func (c *Coordinator) backendEnded(now time.Duration, id rpc.EndpointID, service rpc.ServiceName) (ended bool, why string) {
 	server, listed := c.endpoints.Servers.Get(id)
 	if !listed {
 		return c.endpoints.Walked, "gone"
@@ -113,7 +113,7 @@
 	if server.Draining {
 		return true, "leaving"
 	}
-	if c.evacuatedZones[server.Site] {
+	if c.evacuatedZones[server.Zone] {
 		return true, "evacuated"
 	}
 	if !c.policies.drain.stopped(id) {
@@ -137,8 +137,8 @@
 
 // Bind answers a batch of requests for bindings. Those it cannot answer for now
 // keep the zero outcome.
-func (c *Coordinator) Bind(request rpc.BindAsk) (found []rpc.BindFound) {
-	found = make([]rpc.BindFound, len(request.Binds))
+func (c *Coordinator) Bind(request rpc.BindRequest) (found []rpc.BindResult) {
+	found = make([]rpc.BindResult, len(request.Bindings))
 	if _, settled, _, _, _ := c.node.Status(); !settled {
 		return found
 	}
@@ -150,13 +150,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, i := range proposals.indexes {
-		found[i] = c.bindOutcome(request.Binds[i], answers[k], proposals.reasons[i])
+		found[i] = c.bindOutcome(request.Bindings[i], answers[k], proposals.reasons[i])
 	}
 	return found
 }
 
 // answerBinds answers what it can from the agreed state, and gives the rest.
-func (c *Coordinator) answerBinds(request rpc.BindAsk, found []rpc.BindFound) (proposals bindProposals) {
+func (c *Coordinator) answerBinds(request rpc.BindRequest, found []rpc.BindResult) (proposals bindProposals) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.buildSessionTable() {
@@ -164,22 +164,22 @@
 	}
 	now := c.now()
 	proposals.reasons = map[int]string{}
-	for i, bind := range request.Binds[:min(len(request.Binds), maxBinds)] {
+	for i, bind := range request.Bindings[:min(len(request.Bindings), maxBinds)] {
 		if err := c.validateBind(bind); err != nil {
 			c.sessions.rejected++
 			_ = c.rejections.reject(c.log, "bind", "", err)
-			found[i].Outcome = rpc.BindRefused
+			found[i].Outcome = rpc.BindRejected
 			continue
 		}
 		var standing raft.Binding
 		var bound bool
 		c.node.ReadState(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.ServerID) (ended bool) {
+		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
 		if answered {
-			found[i] = rpc.BindFound{Outcome: rpc.Bound, Server: server}
+			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
 			continue
 		}
 		proposals.indexes = append(proposals.indexes, i)
@@ -189,21 +189,21 @@
 }
 
 // bindOutcome takes up what became of a proposed bind; the caller holds mu.
-func (c *Coordinator) bindOutcome(bind rpc.Bind, answer raft.Outcome, reason string) (found rpc.BindFound) {
+func (c *Coordinator) bindOutcome(bind rpc.SessionBinding, answer raft.Outcome, reason string) (found rpc.BindResult) {
 	switch {
 	case answer.Rejected || !answer.Known:
-		return rpc.BindFound{}
+		return rpc.BindResult{}
 	case answer.Result.Problem != "":
-		return rpc.BindFound{Outcome: rpc.BindFull}
+		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
 	binding := answer.Result.Binding
-	c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.Idle, binding.Seq)
+	c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
 	if answer.Result.Moved {
 		c.sessions.moved++
-		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.From), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
+		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
 		c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
-	return rpc.BindFound{Outcome: rpc.Bound, Server: binding.Server}
+	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Server}
 }
 
 // sessionLimit is how many sessions a service may have.
--- a/internal/coordinator/shardmap_test.go
+++ b/internal/coordinator/shardmap_test.go
@@ -16,29 +16,29 @@
 	rng := rand.New(rand.NewSource(3))
 	c := newTestCoordinator()
 	type nodeState struct {
-		seen rpc.Seen
+		seen rpc.KnownState
 		m    rpc.ShardMap
 	}
 	nodes := make([]nodeState, 8)
 	for step := 0; step < 400; step++ {
 		now := time.Duration(step) * time.Second
-		id := rpc.FellowID(fmt.Sprint("e", rng.Intn(30)))
-		c.nodes.registry.Beat(now, rpc.Fellow{ID: id, Ready: true, Stopping: rng.Intn(3) == 0})
+		id := rpc.NodeID(fmt.Sprint("e", rng.Intn(30)))
+		c.nodes.registry.Beat(now, rpc.Node{ID: id, Ready: true, Stopping: rng.Intn(3) == 0})
 		if rng.Intn(2) == 0 {
 			c.refreshNodes()
 		}
 		at := &nodes[rng.Intn(len(nodes))]
 		seen := at.seen
 		for again := rng.Intn(2); again >= 0; again-- {
-			var update rpc.News
+			var update rpc.Update
 			c.nodes.addShardMap(seen, &update)
-			if update.Map != nil {
-				at.m = *update.Map
-			} else if delta := update.MapDelta; delta != nil && delta.Base <= at.m.Count && delta.Count > at.m.Count {
+			if update.ShardMap != nil {
+				at.m = *update.ShardMap
+			} else if delta := update.ShardMapDelta; delta != nil && delta.BaseRevision <= at.m.Revision && delta.Revision > at.m.Revision {
 				at.m = at.m.Apply(*delta)
 			}
-			at.seen.MapAt = at.m.Count
-			if len(c.nodes.shardMap.Members)+len(at.m.Members) > 0 && !reflect.DeepEqual(at.m.Members, c.nodes.shardMap.Members) || at.m.Count != c.nodes.shardMap.Count {
+			at.seen.ShardMapRevision = at.m.Revision
+			if len(c.nodes.shardMap.Members)+len(at.m.Members) > 0 && !reflect.DeepEqual(at.m.Members, c.nodes.shardMap.Members) || at.m.Revision != c.nodes.shardMap.Revision {
 				t.Fatalf("step %d: sent %v, it is %v", step, at.m, c.nodes.shardMap)
 			}
 			if rng.Intn(2) == 0 {
@@ -52,16 +52,16 @@
 func TestManyNodesAreSentCompressed(t *testing.T) {
 	c := newTestCoordinator()
 	for n := 0; n < 300; n++ {
-		c.nodes.registry.Beat(0, rpc.Fellow{ID: rpc.FellowID(fmt.Sprintf("edge-somewhere-%d", n)), Site: "somewhere", Region: "there", Front: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), Inner: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
+		c.nodes.registry.Beat(0, rpc.Node{ID: rpc.NodeID(fmt.Sprintf("edge-somewhere-%d", n)), Zone: "somewhere", Region: "there", FrontendAddress: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), InternalAddress: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
 	}
-	var update, again rpc.News
+	var update, again rpc.Update
 	c.addNodes(0, &update)
 	c.addNodes(0, &again)
-	rows, err := rpc.UnpackRows[rpc.FellowChange](update.Crowd)
-	if err != nil || len(rows) != 300 || len(update.Fellows) != 0 || &again.Crowd[0] != &update.Crowd[0] {
+	rows, err := rpc.UnpackRows[rpc.NodeChange](update.CompressedNodes)
+	if err != nil || len(rows) != 300 || len(update.Nodes) != 0 || &again.CompressedNodes[0] != &update.CompressedNodes[0] {
 		t.Fatal(len(rows), err)
 	}
-	if each := len(update.Crowd) / 300; each > 40 {
+	if each := len(update.CompressedNodes) / 300; each > 40 {
 		t.Errorf("%d bytes a row", each)
 	}
 }
@@ -81,19 +81,19 @@
 // the beginning.
 func TestListBegunByAnotherLeaderIsSentAnew(t *testing.T) {
 	c := newTestCoordinator()
-	var walk []rpc.Server
+	var walk []rpc.Endpoint
 	for n := 0; n < 3*pageRows; n++ {
-		walk = append(walk, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("i-%03d", n)), Service: "s", Address: "x:1"})
+		walk = append(walk, rpc.Endpoint{ID: rpc.EndpointID(fmt.Sprintf("i-%03d", n)), Service: "s", Address: "x:1"})
 	}
 	for _, complete := range []bool{false, true} {
 		c.mergeEndpoints(walk, complete)
 	}
-	request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e"}, Seen: rpc.Seen{Term: 6, ItemAt: rpc.AllItems, ListAt: "i-100"}}
-	if from := c.nextEndpointPage(c.now(), request).From; from != "" {
+	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e"}, KnownState: rpc.KnownState{Term: 6, LastItem: rpc.AfterAllItems, LastEndpoint: "i-100"}}
+	if from := c.nextEndpointPage(c.now(), request).After; from != "" {
 		t.Errorf("another leader's node is sent what follows %s", from)
 	}
 	request.Term = 7
-	if from := c.nextEndpointPage(c.now(), request).From; from != "i-100" {
+	if from := c.nextEndpointPage(c.now(), request).After; from != "i-100" {
 		t.Errorf("one's own node is sent what follows %q", from)
 	}
 }
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -42,7 +42,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	status = &Status{
-		Nodes: c.nodes.status(), ShardMapVersion: uint64(c.nodes.shardMap.Count),
+		Nodes: c.nodes.status(), ShardMapVersion: uint64(c.nodes.shardMap.Revision),
 		Owners: map[string]string{}, Granted: c.grantStatus(),
 	}
 	for _, member := range c.nodes.shardMap.Members {
@@ -51,9 +51,9 @@
 	for name := range c.view.Services {
 		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.nodes.absent))
 	}
-	c.endpoints.Servers.Each(func(rpc.ServerID, rpc.Server) { status.Backends++ })
-	c.health.States.Each(func(_ rpc.ServerID, state rpc.State) {
-		if state.Health == rpc.Down {
+	c.endpoints.Servers.Each(func(rpc.EndpointID, rpc.Endpoint) { status.Backends++ })
+	c.health.States.Each(func(_ rpc.EndpointID, state rpc.EndpointState) {
+		if state.Health == rpc.Unhealthy {
 			status.Down++
 		}
 	})
@@ -62,9 +62,9 @@
 
 // status lists the nodes by name.
 func (t *nodeTable) status() (nodes []NodeStatus) {
-	t.registry.Fellows.Each(func(id rpc.FellowID, node rpc.Fellow) {
+	t.registry.Fellows.Each(func(id rpc.NodeID, node rpc.Node) {
 		nodes = append(nodes, NodeStatus{
-			Name: string(id), Zone: string(node.Site), InternalAddress: node.Inner,
+			Name: string(id), Zone: string(node.Zone), InternalAddress: node.InternalAddress,
 			Ready: node.Ready && !node.Stopping, Connected: t.registry.Here(id),
 		})
 	})
@@ -94,13 +94,13 @@
 
 // CurrentStamp gives the stamp of a backend or of its health, by the kind of
 // subject, and whether the leader knows it.
-func (c *Coordinator) CurrentStamp(kind string, id rpc.ServerID) (stamp string, has bool) {
+func (c *Coordinator) CurrentStamp(kind string, id rpc.EndpointID) (stamp string, has bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == history.Backend {
 		server, known := c.endpoints.Servers.Get(id)
-		return server.Stamp(), known
+		return server.Summary(), known
 	}
 	state, known := c.health.States.Get(id)
-	return c.health.Remaining(c.now(), state).Stamp(), known
+	return c.health.Remaining(c.now(), state).Summary(), known
 }
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -41,9 +41,9 @@
 	// items are parts of the configuration, by where they begin.
 	items partCache[uint64, itemPosition, itemPart]
 	// nodes are compressed rows of the node registry, by the epoch known.
-	nodes partCache[rpc.Epoch, rpc.Epoch, []byte]
+	nodes partCache[rpc.Revision, rpc.Revision, []byte]
 	// endpoints are pages of the endpoint list, by the id before them.
-	endpoints partCache[rpc.Epoch, rpc.ServerID, *rpc.ListPart]
+	endpoints partCache[rpc.Revision, rpc.EndpointID, *rpc.EndpointChunk]
 }
 
 // itemPosition is a position among the items in the order of their revisions
@@ -61,63 +61,63 @@
 }
 
 // fillUpdate writes all that a node lacks; the caller holds mu.
-func (c *Coordinator) fillUpdate(request rpc.BeatAsk, update *rpc.News) {
+func (c *Coordinator) fillUpdate(request rpc.HeartbeatRequest, update *rpc.Update) {
 	now := c.now()
-	since := request.Epoch
-	update.Leader, update.Term, update.Epoch = true, c.term, c.clock.Now()
+	since := request.Revision
+	update.IsLeader, update.Term, update.Revision = true, c.term, c.clock.Now()
 	if request.Term != c.term {
 		// Epochs of another leader mean nothing here.
 		since, update.Full = 0, true
-		update.Cores = controllersOf(c.node)
+		update.Controllers = controllersOf(c.node)
 	}
-	update.Rev, update.ItemAt = request.Rev, request.ItemAt
-	if c.lacksItems(request.Seen) {
-		c.node.ReadState(func(state *raft.State) { c.addItems(state, request.Seen, update) })
+	update.LogIndex, update.LastItem = request.LogIndex, request.LastItem
+	if c.lacksItems(request.KnownState) {
+		c.node.ReadState(func(state *raft.State) { c.addItems(state, request.KnownState, update) })
 	}
 	c.addEndpoints(now, request, update)
 	c.addNodes(since, update)
-	c.nodes.addShardMap(request.Seen, update)
+	c.nodes.addShardMap(request.KnownState, update)
 	update.Absent = c.nodes.absent
-	update.Spills = c.zoneBalance.Spills(request.Site)
-	update.Tallies = c.outcomes.take(request.ID)
+	update.ZoneOverflows = c.zoneBalance.Spills(request.Zone)
+	update.Outcomes = c.outcomes.take(request.ID)
 	update.Leases = c.grantLeases(now, request)
 }
 
 // controllersOf lists the addresses of all controllers.
-func controllersOf(node *raft.Node) (controllers []rpc.Core) {
+func controllersOf(node *raft.Node) (controllers []rpc.Controller) {
 	_, _, _, _, members := node.Status()
 	for _, member := range members {
-		controllers = append(controllers, rpc.Core{Inner: member.Inner, Control: member.Control})
+		controllers = append(controllers, rpc.Controller{InternalAddress: member.Inner, ControlAddress: member.Control})
 	}
 	return controllers
 }
 
 // lacksItems tells whether a node lacks some of the configuration.
-func (c *Coordinator) lacksItems(seen rpc.Seen) bool {
-	return seen.Rev < c.revision || seen.ItemAt != rpc.AllItems
+func (c *Coordinator) lacksItems(seen rpc.KnownState) bool {
+	return seen.LogIndex < c.revision || seen.LastItem != rpc.AfterAllItems
 }
 
 // addItems adds the next part of what a node lacks of the configuration, and of
 // the other replicated state what is newer than the node knows.
-func (c *Coordinator) addItems(state *raft.State, seen rpc.Seen, update *rpc.News) {
-	part := c.itemPart(state, itemPosition{seen.Rev, seen.ItemAt})
-	update.Items, update.Packed, update.Rev, update.ItemAt = part.items, part.packed, part.next.revision, part.next.path
+func (c *Coordinator) addItems(state *raft.State, seen rpc.KnownState, update *rpc.Update) {
+	part := c.itemPart(state, itemPosition{seen.LogIndex, seen.LastItem})
+	update.Items, update.CompressedItems, update.LogIndex, update.LastItem = part.items, part.packed, part.next.revision, part.next.path
 	for _, document := range state.Documents {
-		if document.Rev >= seen.Rev {
+		if document.Rev >= seen.LogIndex {
 			update.Documents = append(update.Documents, document)
 		}
 	}
 	for _, retired := range state.Retired {
-		if retired.Rev >= seen.Rev {
-			update.Retired = append(update.Retired, retired)
+		if retired.Rev >= seen.LogIndex {
+			update.Retirements = append(update.Retirements, retired)
 		}
 	}
-	if move := state.Move; move.Rev >= seen.Rev && move.Rev > 0 {
-		update.Move = &move
+	if move := state.Move; move.Rev >= seen.LogIndex && move.Rev > 0 {
+		update.ScheduleStep = &move
 	}
 	for _, evacuation := range state.Evacuations {
-		if evacuation.Rev >= seen.Rev {
-			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Site: rpc.SiteName(evacuation.Site), Active: evacuation.Active, Rev: evacuation.Rev})
+		if evacuation.Rev >= seen.LogIndex {
+			update.Evacuations = append(update.Evacuations, rpc.Evacuation{Zone: rpc.ZoneName(evacuation.Site), Active: evacuation.Active, LogIndex: evacuation.Rev})
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	items, done := state.Canon.After(position.revision, position.path, itemPartBytes)
 	part = itemPart{items: items, next: position}
 	if done {
-		part.next = itemPosition{max(position.revision, state.Rev), rpc.AllItems}
+		part.next = itemPosition{max(position.revision, state.Rev), rpc.AfterAllItems}
 	} else if last := len(items) - 1; last >= 0 {
 		part.next = itemPosition{items[last].Rev, items[last].Path()}
 	}
@@ -154,84 +154,84 @@
 // addEndpoints adds the endpoint list once it is complete, in pages for a node
 // that lacks it, and what changed of it and of the health states since the node
 // first got a page. The caller holds mu.
-func (c *Coordinator) addEndpoints(now time.Duration, request rpc.BeatAsk, update *rpc.News) {
-	if !request.Listed && c.endpoints.Walked {
-		update.Part = c.nextEndpointPage(now, request)
+func (c *Coordinator) addEndpoints(now time.Duration, request rpc.HeartbeatRequest, update *rpc.Update) {
+	if !request.EndpointsComplete && c.endpoints.Walked {
+		update.EndpointChunk = c.nextEndpointPage(now, request)
 	}
-	if request.Term != c.term || !request.Listed && !c.endpoints.Walked {
+	if request.Term != c.term || !request.EndpointsComplete && !c.endpoints.Walked {
 		return
 	}
-	c.endpoints.Servers.Since(request.Epoch, func(_ rpc.ServerID, server rpc.Server, gone bool) {
-		update.Servers = append(update.Servers, rpc.ServerChange{Server: server, Gone: gone})
+	c.endpoints.Servers.Since(request.Revision, func(_ rpc.EndpointID, server rpc.Endpoint, gone bool) {
+		update.Endpoints = append(update.Endpoints, rpc.EndpointChange{Endpoint: server, Removed: gone})
 	})
-	c.health.States.Since(request.Epoch, func(_ rpc.ServerID, state rpc.State, gone bool) {
+	c.health.States.Since(request.Revision, func(_ rpc.EndpointID, state rpc.EndpointState, gone bool) {
 		state = c.health.Remaining(now, state)
-		state.Gone = gone
+		state.Removed = gone
 		update.States = append(update.States, state)
 	})
 }
 
 // nextEndpointPage gives the first page that a node lacks. Pages of another
 // leader's list are no part of this one's.
-func (c *Coordinator) nextEndpointPage(now time.Duration, request rpc.BeatAsk) (page *rpc.ListPart) {
+func (c *Coordinator) nextEndpointPage(now time.Duration, request rpc.HeartbeatRequest) (page *rpc.EndpointChunk) {
 	if request.Term != c.term {
 		return c.endpointPage(now, "")
 	}
-	return c.endpointPage(now, request.ListAt)
+	return c.endpointPage(now, request.LastEndpoint)
 }
 
 // endpointPage gives the page after an id.
-func (c *Coordinator) endpointPage(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
+func (c *Coordinator) endpointPage(now time.Duration, after rpc.EndpointID) (page *rpc.EndpointChunk) {
 	cache := &c.encoded.endpoints
 	cache.use(c.clock.Now())
 	if page = cache.parts[after]; page != nil {
 		return page
 	}
 	page = c.buildEndpointPage(now, after)
-	warmingUp := slices.ContainsFunc(page.States, func(state rpc.State) bool { return state.Cold > 0 })
+	warmingUp := slices.ContainsFunc(page.States, func(state rpc.EndpointState) bool { return state.WarmupRemaining > 0 })
 	// The remaining time of a warm-up is different a moment later.
-	if len(page.Servers) > packThreshold && page.Pack() == nil && !warmingUp && !cache.full() {
+	if len(page.Endpoints) > packThreshold && page.Compress() == nil && !warmingUp && !cache.full() {
 		cache.parts[after] = page
 	}
 	return page
 }
 
-func (c *Coordinator) buildEndpointPage(now time.Duration, after rpc.ServerID) (page *rpc.ListPart) {
-	var ids []rpc.ServerID
-	c.endpoints.Servers.Each(func(id rpc.ServerID, _ rpc.Server) {
+func (c *Coordinator) buildEndpointPage(now time.Duration, after rpc.EndpointID) (page *rpc.EndpointChunk) {
+	var ids []rpc.EndpointID
+	c.endpoints.Servers.Each(func(id rpc.EndpointID, _ rpc.Endpoint) {
 		if id > after {
 			ids = append(ids, id)
 		}
 	})
 	slices.Sort(ids)
-	page = &rpc.ListPart{From: after, At: after, Done: len(ids) <= pageRows}
+	page = &rpc.EndpointChunk{After: after, Last: after, Complete: len(ids) <= pageRows}
 	for _, id := range ids[:min(len(ids), pageRows)] {
 		server, _ := c.endpoints.Servers.Get(id)
-		page.Servers = append(page.Servers, server)
+		page.Endpoints = append(page.Endpoints, server)
 		if state, known := c.health.States.Get(id); known {
 			page.States = append(page.States, c.health.Remaining(now, state))
 		}
-		page.At = id
+		page.Last = id
 	}
 	return page
 }
 
 // addNodes adds what changed of the node registry; many rows are compressed.
-func (c *Coordinator) addNodes(since rpc.Epoch, update *rpc.News) {
+func (c *Coordinator) addNodes(since rpc.Revision, update *rpc.Update) {
 	cache := &c.encoded.nodes
 	cache.use(c.clock.Now())
 	if packed, known := cache.parts[since]; known {
-		update.Crowd = packed
+		update.CompressedNodes = packed
 		return
 	}
-	c.nodes.registry.Fellows.Since(since, func(_ rpc.FellowID, node rpc.Fellow, gone bool) {
-		update.Fellows = append(update.Fellows, rpc.FellowChange{Fellow: node, Gone: gone})
+	c.nodes.registry.Fellows.Since(since, func(_ rpc.NodeID, node rpc.Node, gone bool) {
+		update.Nodes = append(update.Nodes, rpc.NodeChange{Node: node, Removed: gone})
 	})
-	if len(update.Fellows) <= packThreshold {
+	if len(update.Nodes) <= packThreshold {
 		return
 	}
-	if packed, err := rpc.Pack(update.Fellows); err == nil {
-		update.Fellows, update.Crowd = nil, packed
+	if packed, err := rpc.Pack(update.Nodes); err == nil {
+		update.Nodes, update.CompressedNodes = nil, packed
 		cache.parts[since] = packed
 	}
 }
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -32,65 +32,65 @@
 // changes meanwhile.
 func TestNodeThatJoinedBeforeTheListIsCompleteGetsAllOfIt(t *testing.T) {
 	c := newTestCoordinator()
-	server := func(id string) rpc.Server {
-		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1"}
+	server := func(id string) rpc.Endpoint {
+		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1"}
 	}
-	c.mergeEndpoints([]rpc.Server{server("a"), server("b")}, false)
-	if c.Report(rpc.ReportAsk{Fellow: "e", Service: "s", Full: true, States: []rpc.State{{Server: "a", Health: rpc.Up}}}) {
+	c.mergeEndpoints([]rpc.Endpoint{server("a"), server("b")}, false)
+	if c.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true, States: []rpc.EndpointState{{Endpoint: "a", Health: rpc.Healthy}}}) {
 		t.Fatal("a report was taken before the list is complete, and would not be sent again")
 	}
-	request := rpc.BeatAsk{Fellow: rpc.Fellow{ID: "e", Ready: true}}
+	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Ready: true}}
 	// Its first heartbeat made it known; this one brings no change of term.
-	request.Term, request.Epoch, request.ItemAt = 7, c.clock.Now(), rpc.AllItems
-	var first rpc.News
+	request.Term, request.Revision, request.LastItem = 7, c.clock.Now(), rpc.AfterAllItems
+	var first rpc.Update
 	c.fillUpdate(request, &first)
-	if first.Part != nil || len(first.Servers) != 0 {
+	if first.EndpointChunk != nil || len(first.Endpoints) != 0 {
 		t.Fatalf("an incomplete list was sent: %+v", first)
 	}
-	walk := []rpc.Server{server("a"), server("b")}
+	walk := []rpc.Endpoint{server("a"), server("b")}
 	for i := range 3*pageRows - 2 {
 		walk = append(walk, server(fmt.Sprintf("c-%03d", i)))
 	}
 	c.mergeEndpoints(walk, false)
 	c.mergeEndpoints(walk, true)
-	known := map[rpc.ServerID]bool{}
-	request.Term, request.Epoch = first.Term, first.Epoch
-	for parts := 0; !request.Listed; parts++ {
+	known := map[rpc.EndpointID]bool{}
+	request.Term, request.Revision = first.Term, first.Revision
+	for parts := 0; !request.EndpointsComplete; parts++ {
 		if !c.updateDue(request) || parts > 3 {
 			t.Fatalf("after %d parts: due %v", parts, c.updateDue(request))
 		}
-		var update rpc.News
+		var update rpc.Update
 		c.fillUpdate(request, &update)
-		if update.Part == nil {
+		if update.EndpointChunk == nil {
 			t.Fatalf("part %d is missing", parts)
 		}
 		// A page is made once for all nodes that are as far, so it is unpacked in a copy.
-		part := *update.Part
-		if err := part.Unpack(); err != nil || len(part.Servers) > pageRows {
-			t.Fatalf("part %d has %d rows: %v", parts, len(part.Servers), err)
+		part := *update.EndpointChunk
+		if err := part.Decompress(); err != nil || len(part.Endpoints) > pageRows {
+			t.Fatalf("part %d has %d rows: %v", parts, len(part.Endpoints), err)
 		}
-		update.Part = &part
-		for _, row := range update.Part.Servers {
+		update.EndpointChunk = &part
+		for _, row := range update.EndpointChunk.Endpoints {
 			known[row.ID] = true
 		}
-		for _, row := range update.Servers {
-			known[row.ID] = !row.Gone
+		for _, row := range update.Endpoints {
+			known[row.ID] = !row.Removed
 		}
-		request.Epoch, request.ListAt, request.Listed = update.Epoch, update.Part.At, update.Part.Done
+		request.Revision, request.LastEndpoint, request.EndpointsComplete = update.Revision, update.EndpointChunk.Last, update.EndpointChunk.Complete
 		if parts == 0 {
 			// One more that sorts before what was sent, and one that goes.
-			c.mergeEndpoints([]rpc.Server{server("aa")}, false)
+			c.mergeEndpoints([]rpc.Endpoint{server("aa")}, false)
 			c.endpoints.Servers.Drop("a")
 		}
 	}
 	if len(known) != 3*pageRows+1 || !known["aa"] || known["a"] {
 		t.Fatalf("%d backends are known, aa: %v, a: %v", len(known), known["aa"], known["a"])
 	}
-	c.mergeEndpoints([]rpc.Server{server("d")}, false)
-	var last rpc.News
+	c.mergeEndpoints([]rpc.Endpoint{server("d")}, false)
+	var last rpc.Update
 	c.fillUpdate(request, &last)
-	if last.Part != nil || len(last.Servers) != 1 {
-		t.Fatalf("then only what changed: %d sent", len(last.Servers))
+	if last.EndpointChunk != nil || len(last.Endpoints) != 1 {
+		t.Fatalf("then only what changed: %d sent", len(last.Endpoints))
 	}
 }
 
@@ -112,15 +112,15 @@
 	c.revision = 5
 	sent := 0
 	known := map[string]bool{}
-	var seen rpc.Seen
+	var seen rpc.KnownState
 	for parts := 0; c.lacksItems(seen); parts++ {
-		var update rpc.News
+		var update rpc.Update
 		c.addItems(state, seen, &update)
 		size := 0
 		items := update.Items
-		if update.Packed != nil {
+		if update.CompressedItems != nil {
 			var err error
-			if items, err = rpc.Unpack(update.Packed); err != nil {
+			if items, err = rpc.Unpack(update.CompressedItems); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -136,14 +136,14 @@
 		if size > itemPartBytes || parts > 100 {
 			t.Fatalf("part %d has %d bytes", parts, size)
 		}
-		seen.Rev, seen.ItemAt = update.Rev, update.ItemAt
+		seen.LogIndex, seen.LastItem = update.LogIndex, update.LastItem
 		sent++
 	}
 	if sent < 3 || len(c.encoded.items.parts) != sent {
 		t.Fatalf("sent in %d parts, %d of them kept for the next node", sent, len(c.encoded.items.parts))
 	}
-	if len(known) != 4001 || seen.Rev != 5 {
-		t.Fatalf("%d items sent, up to %d", len(known), seen.Rev)
+	if len(known) != 4001 || seen.LogIndex != 5 {
+		t.Fatalf("%d items sent, up to %d", len(known), seen.LogIndex)
 	}
 }
 
@@ -151,9 +151,9 @@
 // not end the leader.
 func TestEmptyConfigurationSendsNoItems(t *testing.T) {
 	c := newTestCoordinator()
-	var update rpc.News
-	c.addItems(raft.NewState(), rpc.Seen{}, &update)
-	if update.Rev != 0 || update.ItemAt != rpc.AllItems || len(update.Items) != 0 || update.Packed != nil {
+	var update rpc.Update
+	c.addItems(raft.NewState(), rpc.KnownState{}, &update)
+	if update.LogIndex != 0 || update.LastItem != rpc.AfterAllItems || len(update.Items) != 0 || update.CompressedItems != nil {
 		t.Fatalf("%+v", update)
 	}
 }
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -49,70 +49,70 @@
 	return true
 }
 
-func validateDemands(what string, demands []rpc.Demand) (err error) {
+func validateDemands(what string, demands []rpc.RateDemand) (err error) {
 	if len(demands) > maxDemands {
 		return fmt.Errorf("too many rows of %s", what)
 	}
 	for _, demand := range demands {
 		switch {
-		case !namesFit(demand.Tenant):
+		case !namesFit(demand.Name):
 			return fmt.Errorf("%s: %w", what, errLongName)
 		case !(demand.Rate >= 0 && demand.Rate <= maxRate):
 			return fmt.Errorf("%s at a rate of %g", what, demand.Rate)
-		case !(demand.Floor >= 0 && demand.Floor <= 1):
-			return fmt.Errorf("%s with a guaranteed minimum of %g", what, demand.Floor)
+		case !(demand.Minimum >= 0 && demand.Minimum <= 1):
+			return fmt.Errorf("%s with a guaranteed minimum of %g", what, demand.Minimum)
 		}
 	}
 	return nil
 }
 
-func validateHeartbeat(request rpc.BeatAsk) (err error) {
+func validateHeartbeat(request rpc.HeartbeatRequest) (err error) {
 	switch {
-	case request.ID == "" || !namesFit(string(request.ID), string(request.Site), string(request.Region), request.Front, request.Inner):
+	case request.ID == "" || !namesFit(string(request.ID), string(request.Zone), string(request.Region), request.FrontendAddress, request.InternalAddress):
 		return errBadName
-	case request.Hold < 0 || request.Hold > maxRequestedHold:
-		return fmt.Errorf("hold time of %s", request.Hold)
-	case request.Known < 0 || request.Known > maxCount:
-		return fmt.Errorf("knows %d nodes", request.Known)
+	case request.MaxWait < 0 || request.MaxWait > maxRequestedHold:
+		return fmt.Errorf("hold time of %s", request.MaxWait)
+	case request.KnownNodes < 0 || request.KnownNodes > maxCount:
+		return fmt.Errorf("knows %d nodes", request.KnownNodes)
 	}
-	if err = validateDemands("demand", request.Demands); err != nil {
+	if err = validateDemands("demand", request.TenantDemands); err != nil {
 		return err
 	}
-	if err = validateDemands("retries", request.Retries); err != nil {
+	if err = validateDemands("retries", request.RetryDemands); err != nil {
 		return err
 	}
-	for _, load := range request.Burdens {
-		if !namesFit(string(load.Service)) || load.AtWork < 0 || load.AtWork > maxCount {
-			return fmt.Errorf("%d requests in flight", load.AtWork)
+	for _, load := range request.Loads {
+		if !namesFit(string(load.Service)) || load.InFlight < 0 || load.InFlight > maxCount {
+			return fmt.Errorf("%d requests in flight", load.InFlight)
 		}
 	}
-	for _, row := range request.Tallies {
-		if !namesFit(string(row.Server), string(row.Service)) || row.Good > maxOutcomes || row.Bad > maxOutcomes {
-			return fmt.Errorf("outcomes of %d good and %d bad requests", row.Good, row.Bad)
+	for _, row := range request.Outcomes {
+		if !namesFit(string(row.Endpoint), string(row.Service)) || row.Succeeded > maxOutcomes || row.Failed > maxOutcomes {
+			return fmt.Errorf("outcomes of %d good and %d bad requests", row.Succeeded, row.Failed)
 		}
 	}
 	return nil
 }
 
 // validateReport checks an owner's findings; the caller holds mu.
-func (c *Coordinator) validateReport(request rpc.ReportAsk) (err error) {
+func (c *Coordinator) validateReport(request rpc.HealthReport) (err error) {
 	switch {
-	case request.Fellow == "" || !namesFit(string(request.Fellow), string(request.Service)):
+	case request.Node == "" || !namesFit(string(request.Node), string(request.Service)):
 		return errBadName
-	case request.Term > c.term || request.Term == c.term && request.Count > c.nodes.shardMapEpoch:
-		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.Count, request.Term)
+	case request.Term > c.term || request.Term == c.term && request.ShardMapRevision > c.nodes.shardMapEpoch:
+		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.ShardMapRevision, request.Term)
 	}
 	for _, state := range request.States {
-		server, listed := c.endpoints.Servers.Get(state.Server)
+		server, listed := c.endpoints.Servers.Get(state.Endpoint)
 		switch {
-		case !namesFit(string(state.Server), state.Aside):
+		case !namesFit(string(state.Endpoint), state.EjectedFor):
 			return errLongName
 		case listed && server.Service != request.Service:
 			return fmt.Errorf("findings on a backend of service %q", server.Service)
-		case state.Health > rpc.Down:
+		case state.Health > rpc.Unhealthy:
 			return fmt.Errorf("unknown health state %d", state.Health)
-		case state.Cold < 0 || state.Cold > maxWarmUp:
-			return fmt.Errorf("warm-up of %s", state.Cold)
+		case state.WarmupRemaining < 0 || state.WarmupRemaining > maxWarmUp:
+			return fmt.Errorf("warm-up of %s", state.WarmupRemaining)
 		}
 	}
 	return nil
@@ -126,7 +126,7 @@
 type rejectionLog struct{ count atomic.Int64 }
 
 // reject logs a rejected call and gives the error for its caller.
-func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.FellowID, reason error) (err error) {
+func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.NodeID, reason error) (err error) {
 	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
 		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.NameMost)], eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
--- a/internal/coordinator/zonebalance.go
+++ b/internal/coordinator/zonebalance.go
@@ -10,7 +10,7 @@
 // balanceZones recomputes which part of their requests zones should send to the
 // backends of others; the caller holds mu.
 func (c *Coordinator) balanceZones(now time.Duration) {
-	c.zoneBalance.Turn(now, c.loadByZone(), c.slotsByZone(now), func(zone rpc.SiteName) string { return string(c.regionOf(zone)) })
+	c.zoneBalance.Turn(now, c.loadByZone(), c.slotsByZone(now), func(zone rpc.ZoneName) string { return string(c.regionOf(zone)) })
 }
 
 // loadByZone sums the requests in flight that connected nodes report.
@@ -22,8 +22,8 @@
 			continue
 		}
 		for _, load := range loads {
-			if load.AtWork > 0 {
-				inFlight[healthcheck.Place{Service: load.Service, Site: node.Site}] += float64(load.AtWork)
+			if load.InFlight > 0 {
+				inFlight[healthcheck.Place{Service: load.Service, Site: node.Zone}] += float64(load.InFlight)
 			}
 		}
 	}
@@ -34,8 +34,8 @@
 // zone that has only others is there with none.
 func (c *Coordinator) slotsByZone(now time.Duration) (slots map[healthcheck.Place]float64) {
 	slots = map[healthcheck.Place]float64{}
-	c.endpoints.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
-		place := healthcheck.Place{Service: server.Service, Site: server.Site}
+	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+		place := healthcheck.Place{Service: server.Service, Site: server.Zone}
 		if c.takesFullLoad(now, id, server) {
 			slots[place] += float64(max(1, server.Slots))
 		} else {
@@ -45,12 +45,12 @@
 	return slots
 }
 
-func (c *Coordinator) takesFullLoad(now time.Duration, id rpc.ServerID, server rpc.Server) bool {
+func (c *Coordinator) takesFullLoad(now time.Duration, id rpc.EndpointID, server rpc.Endpoint) bool {
 	state, _ := c.health.States.Get(id)
 	switch {
-	case server.Draining, c.evacuatedZones[server.Site], c.policies.drain.stopped(id):
+	case server.Draining, c.evacuatedZones[server.Zone], c.policies.drain.stopped(id):
 		return false
-	case state.Health == rpc.Down, state.Aside != "", c.health.ColdUntil(id) > now:
+	case state.Health == rpc.Unhealthy, state.EjectedFor != "", c.health.ColdUntil(id) > now:
 		return false
 	}
 	return true
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -63,7 +63,7 @@
 		for _, address := range wave {
 			asked[address] = true
 		}
-		each(wave, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
+		each(wave, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
 			var account controller.Status
 			if callErr == nil {
 				callErr = json.Unmarshal(reply.JSON, &account)
@@ -97,7 +97,7 @@
 		names[fellow.InternalAddress] = fellow.Name
 		addresses = append(addresses, fellow.InternalAddress)
 	}
-	each(addresses, rpc.MethodStatus, rpc.StatusAsk{}, func(address string, reply rpc.StatusReply, callErr error) {
+	each(addresses, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
 		var account proxy.NodeStatus
 		if callErr == nil {
 			callErr = json.Unmarshal(reply.JSON, &account)
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -26,7 +26,7 @@
 type traced struct {
 	daemon string
 	ago    time.Duration
-	mark   rpc.TraceMark
+	mark   rpc.TraceEntry
 }
 
 // Known tells whether the tracer knows a kind of subject.
@@ -37,18 +37,18 @@
 func (f *Fleet) Trace(out io.Writer, kind, name string) (good bool, err error) {
 	var marks []traced
 	var lacks []string
-	replies := map[string]rpc.TraceReply{}
+	replies := map[string]rpc.TraceResponse{}
 	addresses := make([]string, 0, len(f.inners))
 	for _, address := range f.inners {
 		addresses = append(addresses, address)
 	}
-	each(addresses, rpc.MethodTrace, rpc.TraceAsk{Kind: kind, Name: name}, func(address string, reply rpc.TraceReply, callErr error) {
+	each(addresses, rpc.MethodTrace, rpc.TraceRequest{Kind: kind, Name: name}, func(address string, reply rpc.TraceResponse, callErr error) {
 		if callErr != nil {
 			f.Unreachable = append(f.Unreachable, address)
 			return
 		}
 		replies[reply.Name] = reply
-		for _, mark := range reply.Marks {
+		for _, mark := range reply.Entries {
 			marks = append(marks, traced{reply.Name, mark.Age, mark})
 		}
 	})
@@ -57,7 +57,7 @@
 		return false, Class.New("there is no leader to compare with")
 	}
 	right := replies[leader.Name]
-	if !right.Has && len(marks) == 0 {
+	if !right.Present && len(marks) == 0 {
 		return false, Class.New("no daemon knows a %s named %q", kind, name)
 	}
 	sort.Slice(marks, func(i, j int) bool { return marks[i].ago > marks[j].ago })
@@ -65,10 +65,10 @@
 	_, _ = fmt.Fprintf(table, "%s %s\n\nAFTER\tDAEMON\tWHAT\tSTAMP\tREV\n", kind, name)
 	for _, each := range marks {
 		rev := ""
-		if each.mark.Rev > 0 {
-			rev = fmt.Sprint(each.mark.Rev)
+		if each.mark.LogIndex > 0 {
+			rev = fmt.Sprint(each.mark.LogIndex)
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", (marks[0].ago - each.ago).Round(time.Millisecond), each.daemon, each.mark.What, each.mark.Stamp, rev)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", (marks[0].ago - each.ago).Round(time.Millisecond), each.daemon, each.mark.Event, each.mark.Summary, rev)
 	}
 	_, _ = fmt.Fprintf(table, "\nNOW\t%s\tleads\t%s\n", leader.Name, stands(right))
 	names := make([]string, 0, len(replies))
@@ -82,9 +82,9 @@
 		if daemon == leader.Name || core && (kind == history.Backend || kind == history.Health) {
 			continue
 		}
-		same := reply.Has == right.Has && reply.Stamp == right.Stamp || reply.Rev > 0 && reply.Rev == right.Rev
+		same := reply.Present == right.Present && reply.Summary == right.Summary || reply.LogIndex > 0 && reply.LogIndex == right.LogIndex
 		if kind == history.Health {
-			same = strings.HasPrefix(reply.Stamp, strings.Fields(right.Stamp + " ")[0])
+			same = strings.HasPrefix(reply.Summary, strings.Fields(right.Summary + " ")[0])
 		}
 		if !same {
 			lacks = append(lacks, fmt.Sprintf("%s lacks it: %s", daemon, stands(reply)))
@@ -102,11 +102,11 @@
 	return len(lacks) == 0 && len(f.Unreachable) == 0, Class.Wrap(table.Flush())
 }
 
-func stands(reply rpc.TraceReply) (text string) {
-	if !reply.Has {
+func stands(reply rpc.TraceResponse) (text string) {
+	if !reply.Present {
 		return "not there"
 	}
-	return reply.Stamp
+	return reply.Summary
 }
 
 // logLine is the part of a log line that the tracer reads. The earlier names
--- a/internal/drain/desk.go
+++ b/internal/drain/desk.go
@@ -38,7 +38,7 @@
 
 // Follower is one daemon as the leader hears it.
 type Follower struct {
-	ID rpc.FellowID
+	ID rpc.NodeID
 	// Rev is how far it has confirmed to follow; Here that it is heard now.
 	Rev  uint64
 	Here bool
@@ -65,18 +65,18 @@
 
 // Desk counts notice.
 type Desk struct {
-	seen map[rpc.ServerID]time.Duration
+	seen map[rpc.EndpointID]time.Duration
 }
 
 // NewDesk has seen no order.
-func NewDesk() (desk *Desk) { return &Desk{seen: map[rpc.ServerID]time.Duration{}} }
+func NewDesk() (desk *Desk) { return &Desk{seen: map[rpc.EndpointID]time.Duration{}} }
 
 // Step looks at all orders. It gives the backends whose stop is to be
 // committed now, and the account of each order.
-func (d *Desk) Step(now time.Duration, policy *Policy, orders []rpc.Retirement, followers []Follower, stock func(rpc.ServiceName) Stock) (stops []rpc.ServerID, accounts []Account) {
+func (d *Desk) Step(now time.Duration, policy *Policy, orders []rpc.Retirement, followers []Follower, stock func(rpc.ServiceName) Stock) (stops []rpc.EndpointID, accounts []Account) {
 	sort.Slice(orders, func(i, k int) bool { return orders[i].Announced < orders[k].Announced })
 	stopped := map[rpc.ServiceName]int{}
-	standing := map[rpc.ServerID]bool{}
+	standing := map[rpc.EndpointID]bool{}
 	for _, retired := range orders {
 		if retired.Gone {
 			continue
--- a/internal/drain/permit.go
+++ b/internal/drain/permit.go
@@ -20,13 +20,13 @@
 	stops    bool
 	led      time.Duration
 	fellows  time.Duration
-	retired  map[rpc.ServerID]rpc.Retirement
-	stoppedA map[rpc.ServerID]time.Duration
+	retired  map[rpc.EndpointID]rpc.Retirement
+	stoppedA map[rpc.EndpointID]time.Duration
 }
 
 // NewPermit begins in touch.
 func NewPermit(now time.Duration) (permit *Permit) {
-	return &Permit{led: now, fellows: now, retired: map[rpc.ServerID]rpc.Retirement{}, stoppedA: map[rpc.ServerID]time.Duration{}}
+	return &Permit{led: now, fellows: now, retired: map[rpc.EndpointID]rpc.Retirement{}, stoppedA: map[rpc.EndpointID]time.Duration{}}
 }
 
 // Policy takes the policy in force, nil for none.
@@ -58,7 +58,7 @@
 }
 
 // Forget drops a backend that is on no list any more.
-func (p *Permit) Forget(server rpc.ServerID) {
+func (p *Permit) Forget(server rpc.EndpointID) {
 	delete(p.retired, server)
 	delete(p.stoppedA, server)
 }
@@ -74,7 +74,7 @@
 }
 
 // Sends tells whether a new caller may be sent to a backend.
-func (p *Permit) Sends(now time.Duration, server rpc.ServerID) (sends bool) {
+func (p *Permit) Sends(now time.Duration, server rpc.EndpointID) (sends bool) {
 	retired, ordered := p.retired[server]
 	if !ordered || retired.Gone {
 		return true
@@ -86,7 +86,7 @@
 }
 
 // Finishing tells that a backend was stopped and what is there may go on.
-func (p *Permit) Finishing(now time.Duration, server rpc.ServerID, finish time.Duration) (finishing bool) {
+func (p *Permit) Finishing(now time.Duration, server rpc.EndpointID, finish time.Duration) (finishing bool) {
 	since, stopped := p.stoppedA[server]
 	return stopped && now-since < finish
 }
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -23,7 +23,7 @@
 }
 
 type simDaemon struct {
-	id      rpc.FellowID
+	id      rpc.NodeID
 	permit  *Permit
 	rev     uint64
 	fresh   bool // has what is agreed
@@ -38,23 +38,23 @@
 	fault   simFault
 	now     time.Duration
 	rev     uint64
-	agreed  map[rpc.ServerID]rpc.Retirement
+	agreed  map[rpc.EndpointID]rpc.Retirement
 	policy  *Policy
 	daemons []*simDaemon
 	desk    *Desk
-	heard   map[rpc.FellowID]Follower
-	heardAt map[rpc.FellowID]time.Duration
+	heard   map[rpc.NodeID]Follower
+	heardAt map[rpc.NodeID]time.Duration
 	led     bool
 	newLead time.Duration
 	// together is when the leader told that all follow.
-	together map[rpc.ServerID]time.Duration
+	together map[rpc.EndpointID]time.Duration
 	late     int
 	runs     map[string]int
 	sent     int
 	refused  int
 	unclear  int
-	atWork   map[rpc.ServerID][]simRun
-	ended    map[rpc.ServerID]bool
+	atWork   map[rpc.EndpointID][]simRun
+	ended    map[rpc.EndpointID]bool
 	emptied  bool
 }
 
@@ -71,9 +71,9 @@
 		t.Fatal(err)
 	}
 	s := &simDrain{
-		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.ServerID]rpc.Retirement{}, policy: policy, desk: NewDesk(),
-		heard: map[rpc.FellowID]Follower{}, heardAt: map[rpc.FellowID]time.Duration{}, led: true, together: map[rpc.ServerID]time.Duration{},
-		runs: map[string]int{}, atWork: map[rpc.ServerID][]simRun{}, ended: map[rpc.ServerID]bool{},
+		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.EndpointID]rpc.Retirement{}, policy: policy, desk: NewDesk(),
+		heard: map[rpc.NodeID]Follower{}, heardAt: map[rpc.NodeID]time.Duration{}, led: true, together: map[rpc.EndpointID]time.Duration{},
+		runs: map[string]int{}, atWork: map[rpc.EndpointID][]simRun{}, ended: map[rpc.EndpointID]bool{},
 	}
 	for i := range 12 {
 		s.join(i)
@@ -82,7 +82,7 @@
 }
 
 func (s *simDrain) join(i int) {
-	daemon := &simDaemon{id: rpc.FellowID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
+	daemon := &simDaemon{id: rpc.NodeID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
 	daemon.permit.Policy(s.policy)
 	s.daemons = append(s.daemons, daemon)
 }
@@ -126,7 +126,7 @@
 	if !s.led {
 		if s.now >= s.newLead {
 			// A new leader has what is agreed, and has heard nobody yet.
-			s.led, s.desk, s.heard = true, NewDesk(), map[rpc.FellowID]Follower{}
+			s.led, s.desk, s.heard = true, NewDesk(), map[rpc.NodeID]Follower{}
 		}
 		return
 	}
@@ -166,7 +166,7 @@
 		s.agreed[id] = order
 	}
 	for _, account := range accounts {
-		id := rpc.ServerID(account.Server)
+		id := rpc.EndpointID(account.Server)
 		if _, told := s.together[id]; !told && account.Phase == Together {
 			s.together[id] = s.now
 		}
@@ -187,7 +187,7 @@
 	}
 	first := s.luck.Intn(8)
 	for i := range 8 {
-		id := rpc.ServerID(fmt.Sprint("i-", (first+i)%8))
+		id := rpc.EndpointID(fmt.Sprint("i-", (first+i)%8))
 		if !d.permit.Sends(s.now, id) && !s.fault.deaf {
 			continue
 		}
@@ -233,7 +233,7 @@
 			}
 		case 4:
 			if s.led && len(s.agreed) < 7 {
-				id := rpc.ServerID(fmt.Sprint("i-", len(s.agreed)))
+				id := rpc.EndpointID(fmt.Sprint("i-", len(s.agreed)))
 				s.rev++
 				s.agreed[id] = rpc.Retirement{Server: id, Service: "pay", By: ByOperator, Announced: s.rev, Rev: s.rev}
 			}
@@ -310,7 +310,7 @@
 	all := []Follower{{ID: "a", Rev: 9, Here: true}, {ID: "b", Rev: 9, Here: true}, {ID: "c"}}
 	orders := []rpc.Retirement{{Server: "i", Service: "book", By: ByOperator, Announced: 9, Rev: 9}}
 	stock := Stock{Listed: 4, Useful: 2}
-	step := func(now time.Duration) (stops []rpc.ServerID, account Account) {
+	step := func(now time.Duration) (stops []rpc.EndpointID, account Account) {
 		stops, accounts := desk.Step(now, policy, orders, all, func(rpc.ServiceName) Stock { return stock })
 		return stops, accounts[0]
 	}
--- a/internal/healthcheck/balance.go
+++ b/internal/healthcheck/balance.go
@@ -30,19 +30,19 @@
 // Place is one service at one site.
 type Place struct {
 	Service rpc.ServiceName
-	Site    rpc.SiteName
+	Site    rpc.ZoneName
 }
 
 // Balance keeps the demand of each place.
 type Balance struct {
 	demand map[Place]float64
-	spills map[Place]rpc.Spill
+	spills map[Place]rpc.ZoneOverflow
 	turned time.Duration
 }
 
 // NewBalance knows of no demand.
 func NewBalance() (balance *Balance) {
-	return &Balance{demand: map[Place]float64{}, spills: map[Place]rpc.Spill{}, turned: -time.Hour}
+	return &Balance{demand: map[Place]float64{}, spills: map[Place]rpc.ZoneOverflow{}, turned: -time.Hour}
 }
 
 // Due tells whether it is time for a turn.
@@ -50,7 +50,7 @@
 
 // Turn takes what is at work by the site it came to, and the slots of use at
 // each, and reckons anew.
-func (b *Balance) Turn(now time.Duration, atWork, slots map[Place]float64, region func(rpc.SiteName) string) {
+func (b *Balance) Turn(now time.Duration, atWork, slots map[Place]float64, region func(rpc.ZoneName) string) {
 	b.turned = now
 	for place := range b.demand {
 		if _, told := atWork[place]; !told {
@@ -64,7 +64,7 @@
 	}
 	type pool struct {
 		demand, slots float64
-		sites         []rpc.SiteName
+		sites         []rpc.ZoneName
 	}
 	pools := map[rpc.ServiceName]map[string]*pool{}
 	note := func(place Place, demand, slots float64) {
@@ -91,7 +91,7 @@
 	for place, count := range slots {
 		note(place, 0, count)
 	}
-	b.spills = map[Place]rpc.Spill{}
+	b.spills = map[Place]rpc.ZoneOverflow{}
 	for service, regions := range pools {
 		for _, held := range regions {
 			if held.slots > 0 {
@@ -103,9 +103,9 @@
 
 // level reckons the spills of one service within one region, so that no site
 // has more than a part of its slots at work.
-func (b *Balance) level(service rpc.ServiceName, sites []rpc.SiteName, most float64, slots map[Place]float64) {
+func (b *Balance) level(service rpc.ServiceName, sites []rpc.ZoneName, most float64, slots map[Place]float64) {
 	sort.Slice(sites, func(i, k int) bool { return sites[i] < sites[k] })
-	spare := map[rpc.SiteName]float64{}
+	spare := map[rpc.ZoneName]float64{}
 	total := 0.0
 	for _, site := range sites {
 		place := Place{service, site}
@@ -123,22 +123,22 @@
 		if over <= 0 || b.demand[place] <= 0 {
 			continue
 		}
-		spill := rpc.Spill{Service: service}
+		spill := rpc.ZoneOverflow{Service: service}
 		for _, other := range sites {
 			part := int(1000 * over / b.demand[place] * spare[other] / total)
 			if part > 0 {
-				spill.To = append(spill.To, rpc.SiteWeight{Site: other, Weight: part})
-				spill.Away += part
+				spill.Targets = append(spill.Targets, rpc.ZoneWeight{Zone: other, Weight: part})
+				spill.Permille += part
 			}
 		}
-		if spill.Away >= balanceLeast {
+		if spill.Permille >= balanceLeast {
 			b.spills[place] = spill
 		}
 	}
 }
 
 // Spills lists what a site is to send away.
-func (b *Balance) Spills(site rpc.SiteName) (spills []rpc.Spill) {
+func (b *Balance) Spills(site rpc.ZoneName) (spills []rpc.ZoneOverflow) {
 	for place, spill := range b.spills {
 		if place.Site == site {
 			spills = append(spills, spill)
--- a/internal/healthcheck/balance_test.go
+++ b/internal/healthcheck/balance_test.go
@@ -7,7 +7,7 @@
 	"tinpin/internal/rpc"
 )
 
-func land(site rpc.SiteName) string {
+func land(site rpc.ZoneName) string {
 	if site == "isle" {
 		return "sea"
 	}
@@ -25,7 +25,7 @@
 		}
 	}
 	turn(50, 52, 48)
-	for _, site := range []rpc.SiteName{"a", "b", "c", "isle"} {
+	for _, site := range []rpc.ZoneName{"a", "b", "c", "isle"} {
 		if spills := balance.Spills(site); len(spills) != 0 {
 			t.Fatalf("%s: %+v though the sites are alike", site, spills)
 		}
@@ -36,22 +36,22 @@
 		t.Fatalf("%+v", spills)
 	}
 	away := 0
-	for _, to := range spills[0].To {
-		if to.Site == "isle" || to.Site == "a" {
-			t.Errorf("sent to %s", to.Site)
+	for _, to := range spills[0].Targets {
+		if to.Zone == "isle" || to.Zone == "a" {
+			t.Errorf("sent to %s", to.Zone)
 		}
 		away += to.Weight
 	}
-	if after := 120 * (1 - float64(away)/1000); away != spills[0].Away || after < 60 || after > 75 {
+	if after := 120 * (1 - float64(away)/1000); away != spills[0].Permille || after < 60 || after > 75 {
 		t.Errorf("%d thousandths are sent away, %.0f stay", away, after)
 	}
-	if to := spills[0].To; len(to) < 1 || to[len(to)-1].Site != "c" || to[len(to)-1].Weight < away*2/3 {
+	if to := spills[0].Targets; len(to) < 1 || to[len(to)-1].Zone != "c" || to[len(to)-1].Weight < away*2/3 {
 		t.Errorf("most must go where most room is: %+v", to)
 	}
 	// A site whose backends are all gone sends everything.
 	slots[Place{"s", "a"}] = 0
 	turn(40, 30, 30)
-	if spills = balance.Spills("a"); len(spills) != 1 || spills[0].Away < 990 {
+	if spills = balance.Spills("a"); len(spills) != 1 || spills[0].Permille < 990 {
 		t.Errorf("%+v", spills)
 	}
 	turn(0, 0, 0)
--- a/internal/healthcheck/judge.go
+++ b/internal/healthcheck/judge.go
@@ -68,7 +68,7 @@
 
 type accused struct {
 	service rpc.ServiceName
-	sites   map[rpc.SiteName]*span
+	sites   map[rpc.ZoneName]*span
 	aside   string
 	since   time.Duration
 	wait    time.Duration
@@ -78,20 +78,20 @@
 
 // Judge keeps the sums of what one daemon owns.
 type Judge struct {
-	servers map[rpc.ServerID]*accused
+	servers map[rpc.EndpointID]*accused
 	norms   map[rpc.ServiceName]*span
 }
 
 // NewJudge has heard nothing.
 func NewJudge() (judge *Judge) {
-	return &Judge{servers: map[rpc.ServerID]*accused{}, norms: map[rpc.ServiceName]*span{}}
+	return &Judge{servers: map[rpc.EndpointID]*accused{}, norms: map[rpc.ServiceName]*span{}}
 }
 
 // Add takes what a daemon of a site told. A row without a backend is the
 // daemon's sum over the whole service.
-func (j *Judge) Add(now time.Duration, tally rpc.Tally) {
-	more := count{float64(tally.Good), float64(tally.Bad)}
-	if tally.Server == "" {
+func (j *Judge) Add(now time.Duration, tally rpc.OutcomeCount) {
+	more := count{float64(tally.Succeeded), float64(tally.Failed)}
+	if tally.Endpoint == "" {
 		norm := j.norms[tally.Service]
 		if norm == nil {
 			norm = &span{}
@@ -100,16 +100,16 @@
 		norm.add(now, more)
 		return
 	}
-	held := j.servers[tally.Server]
+	held := j.servers[tally.Endpoint]
 	if held == nil {
-		held = &accused{service: tally.Service, sites: map[rpc.SiteName]*span{}}
-		j.servers[tally.Server] = held
+		held = &accused{service: tally.Service, sites: map[rpc.ZoneName]*span{}}
+		j.servers[tally.Endpoint] = held
 	}
-	if held.sites[tally.Site] == nil {
-		held.sites[tally.Site] = &span{}
+	if held.sites[tally.Zone] == nil {
+		held.sites[tally.Zone] = &span{}
 	}
-	held.sites[tally.Site].add(now, more)
-	if held.aside == rpc.AsideForAll || held.aside == string(tally.Site) {
+	held.sites[tally.Zone].add(now, more)
+	if held.aside == rpc.EjectedForAllZones || held.aside == string(tally.Zone) {
 		if held.good += more.good; more.bad > 0 {
 			held.good = 0
 		}
@@ -127,7 +127,7 @@
 		return sum.bad >= judgeLeast && sum.bad >= judgePart*sum.all() && sum.bad >= judgeNorm*usual*sum.all()
 	}
 	var total count
-	var bad, sound []rpc.SiteName
+	var bad, sound []rpc.ZoneName
 	for site, spans := range held.sites {
 		sum := spans.sum(now)
 		total.good += sum.good
@@ -144,17 +144,17 @@
 	case len(bad) == 1 && len(sound) > 0:
 		return string(bad[0]), part
 	case out(total) || len(bad) > 1:
-		return rpc.AsideForAll, part
+		return rpc.EjectedForAllZones, part
 	}
 	return "", part
 }
 
 // Tick moves time on; sizes are the numbers of backends of the services that
 // this daemon owns. It gives the backends whose standing changed.
-func (j *Judge) Tick(now time.Duration, sizes map[rpc.ServiceName]int) (changed map[rpc.ServerID]string) {
-	changed = map[rpc.ServerID]string{}
+func (j *Judge) Tick(now time.Duration, sizes map[rpc.ServiceName]int) (changed map[rpc.EndpointID]string) {
+	changed = map[rpc.EndpointID]string{}
 	type finding struct {
-		id    rpc.ServerID
+		id    rpc.EndpointID
 		aside string
 		part  float64
 	}
@@ -168,13 +168,13 @@
 		if held.aside != "" {
 			if now-held.since >= held.wait && held.good >= asideGood || now-held.since >= 2*held.wait {
 				held.aside, held.freed = "", now
-				held.sites = map[rpc.SiteName]*span{}
+				held.sites = map[rpc.ZoneName]*span{}
 				changed[id] = ""
 				continue
 			}
 			out[held.service]++
 			// Trials from elsewhere may show that only one site's requests fail.
-			if aside, _ := j.stands(now, held); aside != "" && aside != held.aside && held.aside == rpc.AsideForAll {
+			if aside, _ := j.stands(now, held); aside != "" && aside != held.aside && held.aside == rpc.EjectedForAllZones {
 				held.aside = aside
 				changed[id] = aside
 			}
@@ -213,7 +213,7 @@
 }
 
 // Aside tells for whom a backend is set aside.
-func (j *Judge) Aside(id rpc.ServerID) (aside string) {
+func (j *Judge) Aside(id rpc.EndpointID) (aside string) {
 	if held := j.servers[id]; held != nil {
 		return held.aside
 	}
--- a/internal/healthcheck/judge_test.go
+++ b/internal/healthcheck/judge_test.go
@@ -15,12 +15,12 @@
 	now   time.Duration
 	size  int
 	luck  uint64
-	aside map[rpc.ServerID]string
+	aside map[rpc.EndpointID]string
 	seen  map[string]bool
 }
 
 func newHearing(size int) *hearing {
-	return &hearing{judge: NewJudge(), size: size, aside: map[rpc.ServerID]string{}, seen: map[string]bool{}, luck: 1}
+	return &hearing{judge: NewJudge(), size: size, aside: map[rpc.EndpointID]string{}, seen: map[string]bool{}, luck: 1}
 }
 
 func (h *hearing) roll() float64 {
@@ -28,21 +28,21 @@
 	return float64(h.luck>>11) / (1 << 53)
 }
 
-func (h *hearing) play(span time.Duration, sites []rpc.SiteName, bad func(n int, site rpc.SiteName) float64) {
+func (h *hearing) play(span time.Duration, sites []rpc.ZoneName, bad func(n int, site rpc.ZoneName) float64) {
 	for end := h.now + span; h.now < end; h.now += 500 * time.Millisecond {
 		for _, site := range sites {
-			whole := rpc.Tally{Service: "s", Site: site}
+			whole := rpc.OutcomeCount{Service: "s", Zone: site}
 			for n := range h.size {
-				row := rpc.Tally{Server: rpc.ServerID(fmt.Sprint("i-", n)), Service: "s", Site: site}
+				row := rpc.OutcomeCount{Endpoint: rpc.EndpointID(fmt.Sprint("i-", n)), Service: "s", Zone: site}
 				for range 2 {
 					if h.roll() < bad(n, site) {
-						row.Bad++
+						row.Failed++
 					} else {
-						row.Good++
+						row.Succeeded++
 					}
 				}
-				whole.Good, whole.Bad = whole.Good+row.Good, whole.Bad+row.Bad
-				if row.Bad > 0 || h.aside[row.Server] != "" {
+				whole.Succeeded, whole.Failed = whole.Succeeded+row.Succeeded, whole.Failed+row.Failed
+				if row.Failed > 0 || h.aside[row.Endpoint] != "" {
 					h.judge.Add(h.now, row)
 				}
 			}
@@ -57,25 +57,25 @@
 	}
 }
 
-var oneSite = []rpc.SiteName{"here"}
+var oneSite = []rpc.ZoneName{"here"}
 
 func TestJudgeSetsAsideWhatStandsOut(t *testing.T) {
 	h := newHearing(20)
-	h.play(20*time.Second, oneSite, func(int, rpc.SiteName) float64 { return 0.005 })
+	h.play(20*time.Second, oneSite, func(int, rpc.ZoneName) float64 { return 0.005 })
 	if len(h.aside) != 0 {
 		t.Fatalf("rare failures set aside %v", h.aside)
 	}
-	grey := func(n int, _ rpc.SiteName) float64 {
+	grey := func(n int, _ rpc.ZoneName) float64 {
 		if n < 3 {
 			return 0.45
 		}
 		return 0.005
 	}
 	h.play(3*time.Second, oneSite, grey)
-	if len(h.aside) != 3 || h.aside["i-0"] != rpc.AsideForAll {
+	if len(h.aside) != 3 || h.aside["i-0"] != rpc.EjectedForAllZones {
 		t.Fatalf("of three grey backends %v are set aside", h.aside)
 	}
-	h.play(12*time.Second, oneSite, func(int, rpc.SiteName) float64 { return 0 })
+	h.play(12*time.Second, oneSite, func(int, rpc.ZoneName) float64 { return 0 })
 	if len(h.aside) != 0 {
 		t.Fatalf("well again, but still aside: %v", h.aside)
 	}
@@ -83,12 +83,12 @@
 
 func TestJudgeSpareWhatFailsAlike(t *testing.T) {
 	h := newHearing(20)
-	h.play(10*time.Second, oneSite, func(int, rpc.SiteName) float64 { return 0.6 })
+	h.play(10*time.Second, oneSite, func(int, rpc.ZoneName) float64 { return 0.6 })
 	if len(h.aside) != 0 {
 		t.Fatalf("everything fails, yet %v are set aside", h.aside)
 	}
 	h = newHearing(20)
-	h.play(10*time.Second, oneSite, func(n int, _ rpc.SiteName) float64 {
+	h.play(10*time.Second, oneSite, func(n int, _ rpc.ZoneName) float64 {
 		if n < 7 {
 			return 0.9
 		}
@@ -101,7 +101,7 @@
 
 func TestJudgeTellsAskingSitesApart(t *testing.T) {
 	h := newHearing(20)
-	h.play(5*time.Second, []rpc.SiteName{"here", "there"}, func(n int, site rpc.SiteName) float64 {
+	h.play(5*time.Second, []rpc.ZoneName{"here", "there"}, func(n int, site rpc.ZoneName) float64 {
 		if n == 0 && site == "there" {
 			return 0.8
 		}
@@ -115,14 +115,14 @@
 // A backend that relapses waits longer each time.
 func TestJudgeWaitsLongerAtEachRelapse(t *testing.T) {
 	h := newHearing(20)
-	always := func(n int, _ rpc.SiteName) float64 {
+	always := func(n int, _ rpc.ZoneName) float64 {
 		if n == 0 {
 			return 1
 		}
 		return 0
 	}
 	in := 0
-	h.play(40*time.Second, oneSite, func(n int, site rpc.SiteName) float64 {
+	h.play(40*time.Second, oneSite, func(n int, site rpc.ZoneName) float64 {
 		if n == 0 && h.aside["i-0"] == "" {
 			in++
 		}
--- a/internal/healthcheck/ring.go
+++ b/internal/healthcheck/ring.go
@@ -17,7 +17,7 @@
 
 type point struct {
 	at     uint64
-	member rpc.FellowID
+	member rpc.NodeID
 }
 
 // Ring is the consistent hash over one list of members.
@@ -36,7 +36,7 @@
 }
 
 // NewRing places the members.
-func NewRing(members []rpc.FellowID) (ring *Ring) {
+func NewRing(members []rpc.NodeID) (ring *Ring) {
 	ring = &Ring{}
 	for _, member := range members {
 		for n := uint64(0); n < pointsPerMember; n++ {
@@ -54,7 +54,7 @@
 
 // Owner names the member that watches a service; absent ones are passed over
 // in favour of the next on the ring.
-func (r *Ring) Owner(service rpc.ServiceName, absent map[rpc.FellowID]bool) (owner rpc.FellowID) {
+func (r *Ring) Owner(service rpc.ServiceName, absent map[rpc.NodeID]bool) (owner rpc.NodeID) {
 	if len(r.points) == 0 {
 		return ""
 	}
--- a/internal/healthcheck/sim_test.go
+++ b/internal/healthcheck/sim_test.go
@@ -23,16 +23,16 @@
 }
 
 type simDaemon struct {
-	id     rpc.FellowID
+	id     rpc.NodeID
 	up     bool
 	cut    time.Duration
 	watch  *Watch
 	heard  time.Duration
 	next   time.Duration
-	seen   rpc.Epoch
+	seen   rpc.Revision
 	term   int
-	states map[rpc.ServerID]rpc.Health
-	known  map[rpc.ServerID]rpc.Health
+	states map[rpc.EndpointID]rpc.Health
+	known  map[rpc.EndpointID]rpc.Health
 }
 
 type simFleet struct {
@@ -64,7 +64,7 @@
 		f.addService(i)
 	}
 	for i := range 6 {
-		f.daemons = append(f.daemons, &simDaemon{id: rpc.FellowID(fmt.Sprint("edge-", i))})
+		f.daemons = append(f.daemons, &simDaemon{id: rpc.NodeID(fmt.Sprint("edge-", i))})
 		f.start(f.daemons[i])
 	}
 	f.lead()
@@ -86,7 +86,7 @@
 	d.up, d.seen, d.term, d.heard = true, 0, 0, -time.Hour
 	d.watch = NewWatch(d.id, simInterval, f.now)
 	d.watch.Services(f.services)
-	d.states, d.known = map[rpc.ServerID]rpc.Health{}, map[rpc.ServerID]rpc.Health{}
+	d.states, d.known = map[rpc.EndpointID]rpc.Health{}, map[rpc.EndpointID]rpc.Health{}
 }
 
 func (f *simFleet) lead() {
@@ -102,7 +102,7 @@
 func (f *simFleet) members() {
 	members := f.roll.Members()
 	if fmt.Sprint(members) != fmt.Sprint(f.shards.Members) {
-		f.shards = rpc.ShardMap{Term: rpc.Term(f.term), Count: f.clock.Next(), Members: members}
+		f.shards = rpc.ShardMap{Term: rpc.Term(f.term), Revision: f.clock.Next(), Members: members}
 		f.cache.Shards(f.shards)
 	}
 }
@@ -136,13 +136,13 @@
 func (f *simFleet) beat(d *simDaemon) {
 	d.next = f.now + time.Duration(100+f.luck.Intn(600))*time.Millisecond
 	d.heard = f.now
-	f.roll.Beat(f.now, rpc.Fellow{ID: d.id, Ready: true})
+	f.roll.Beat(f.now, rpc.Node{ID: d.id, Ready: true})
 	f.members()
 	if d.term != f.term {
 		d.term, d.seen = f.term, 0
 	}
-	f.cache.States.Since(d.seen, func(id rpc.ServerID, state rpc.State, _ bool) { d.known[id] = state.Health })
-	if f.shards.Count > d.seen && !f.fault.noDebounce {
+	f.cache.States.Since(d.seen, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) { d.known[id] = state.Health })
+	if f.shards.Revision > d.seen && !f.fault.noDebounce {
 		d.watch.Map(f.now, f.shards)
 	}
 	d.seen = f.clock.Now()
@@ -152,7 +152,7 @@
 }
 
 func (f *simFleet) probe(d *simDaemon) {
-	absent := map[rpc.FellowID]bool{}
+	absent := map[rpc.NodeID]bool{}
 	if f.leads {
 		for _, id := range f.roll.Absent() {
 			absent[id] = true
@@ -160,17 +160,17 @@
 	}
 	for _, service := range d.watch.Duties() {
 		f.probed[service] = f.now
-		health := rpc.Up
+		health := rpc.Healthy
 		if !f.alive[service] {
-			health = rpc.Down
+			health = rpc.Unhealthy
 		}
-		id := rpc.ServerID(service)
+		id := rpc.EndpointID(service)
 		d.known[id] = health
 		if f.leads && f.now >= d.cut && d.term == f.term {
 			if f.fault.keepStale && f.cache.owners[service] != nil && f.cache.owners[service].by != d.id {
 				continue
 			}
-			f.cache.Report(f.now, rpc.ReportAsk{Fellow: d.id, Service: service, Full: true, States: []rpc.State{{Server: id, Health: health}}}, absent)
+			f.cache.Report(f.now, rpc.HealthReport{Node: d.id, Service: service, Full: true, States: []rpc.EndpointState{{Endpoint: id, Health: health}}}, absent)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 		}
 	case 3:
 		if len(f.daemons) < 9 {
-			fresh := &simDaemon{id: rpc.FellowID(fmt.Sprint("edge-", len(f.daemons)))}
+			fresh := &simDaemon{id: rpc.NodeID(fmt.Sprint("edge-", len(f.daemons)))}
 			f.daemons = append(f.daemons, fresh)
 			f.start(fresh)
 		}
@@ -266,11 +266,11 @@
 	}
 	for _, d := range f.daemons {
 		for _, service := range f.services {
-			want := rpc.Up
+			want := rpc.Healthy
 			if !f.alive[service] {
-				want = rpc.Down
+				want = rpc.Unhealthy
 			}
-			if d.known[rpc.ServerID(service)] != want {
+			if d.known[rpc.EndpointID(service)] != want {
 				return fmt.Sprintf("%s does not know how %s is", d.id, service)
 			}
 		}
--- a/internal/healthcheck/vigil_test.go
+++ b/internal/healthcheck/vigil_test.go
@@ -9,9 +9,9 @@
 	"tinpin/internal/rpc"
 )
 
-func members(n int) (ids []rpc.FellowID) {
+func members(n int) (ids []rpc.NodeID) {
 	for i := 0; i < n; i++ {
-		ids = append(ids, rpc.FellowID(fmt.Sprint("edge-", i)))
+		ids = append(ids, rpc.NodeID(fmt.Sprint("edge-", i)))
 	}
 	return ids
 }
@@ -33,14 +33,14 @@
 	for n := 2; n <= 12; n++ {
 		before, after := NewRing(members(n)), NewRing(members(n+1))
 		moved := 0
-		loads := map[rpc.FellowID]int{}
+		loads := map[rpc.NodeID]int{}
 		for i := 0; i < services; i++ {
 			name := rpc.ServiceName(fmt.Sprint("s", i))
 			was, is := before.Owner(name, nil), after.Owner(name, nil)
 			loads[is]++
 			if was != is {
 				moved++
-				if is != rpc.FellowID(fmt.Sprint("edge-", n)) {
+				if is != rpc.NodeID(fmt.Sprint("edge-", n)) {
 					t.Fatalf("%s moved from %s to %s, not to the new member", name, was, is)
 				}
 			}
@@ -57,7 +57,7 @@
 }
 
 func watchOf(self string, names ...rpc.ServiceName) (watch *Watch) {
-	watch = NewWatch(rpc.FellowID(self), 4*time.Second, 0)
+	watch = NewWatch(rpc.NodeID(self), 4*time.Second, 0)
 	watch.Services(names)
 	watch.Led(0, true)
 	return watch
@@ -70,7 +70,7 @@
 		if !watch.Probes("s") {
 			t.Fatalf("%s does not probe a new service", id)
 		}
-		watch.Map(0, rpc.ShardMap{Count: 1, Members: members(4)})
+		watch.Map(0, rpc.ShardMap{Revision: 1, Members: members(4)})
 		if watch.Tick(3 * time.Second); !watch.Probes("s") {
 			t.Fatalf("%s stopped before send_interval", id)
 		}
@@ -86,25 +86,25 @@
 
 func TestMapChangesWaitAndOnlyTheLastCounts(t *testing.T) {
 	watch := watchOf("edge-0", "s")
-	watch.Map(0, rpc.ShardMap{Count: 1, Members: members(3)})
+	watch.Map(0, rpc.ShardMap{Revision: 1, Members: members(3)})
 	watch.Tick(4 * time.Second)
 	before := watch.Owner("s")
 	// A member flaps: away and back within the interval.
-	watch.Map(10*time.Second, rpc.ShardMap{Count: 2, Members: members(2)})
+	watch.Map(10*time.Second, rpc.ShardMap{Revision: 2, Members: members(2)})
 	watch.Tick(11 * time.Second)
-	if watch.Owner("s") != before || watch.Applied().Count != 1 {
+	if watch.Owner("s") != before || watch.Applied().Revision != 1 {
 		t.Fatal("a change of the map was acted on at once")
 	}
-	watch.Map(11200*time.Millisecond, rpc.ShardMap{Count: 3, Members: members(3)})
+	watch.Map(11200*time.Millisecond, rpc.ShardMap{Revision: 3, Members: members(3)})
 	applied, _ := watch.Tick(14 * time.Second)
-	if !applied || watch.Applied().Count != 3 || watch.Owner("s") != before {
+	if !applied || watch.Applied().Revision != 3 || watch.Owner("s") != before {
 		t.Fatal("after the interval the last map counts, and nothing has moved")
 	}
 }
 
 func TestWithoutALeaderEverythingIsProbed(t *testing.T) {
 	watch := watchOf("edge-0", "a", "b", "c", "d", "e", "f")
-	watch.Map(0, rpc.ShardMap{Count: 1, Members: members(3)})
+	watch.Map(0, rpc.ShardMap{Revision: 1, Members: members(3)})
 	watch.Tick(4 * time.Second)
 	mine := len(watch.Duties())
 	watch.Led(10*time.Second, false)
@@ -123,11 +123,11 @@
 func TestAnAbsentOwnerIsStoodInForAtOnce(t *testing.T) {
 	all := members(4)
 	watch := watchOf("edge-0", "s")
-	watch.Map(0, rpc.ShardMap{Count: 1, Members: all})
+	watch.Map(0, rpc.ShardMap{Revision: 1, Members: all})
 	watch.Tick(4 * time.Second)
 	owner := watch.Owner("s")
-	watch.Absent([]rpc.FellowID{owner})
-	if watch.Owner("s") == owner || watch.Applied().Count != 1 {
+	watch.Absent([]rpc.NodeID{owner})
+	if watch.Owner("s") == owner || watch.Applied().Revision != 1 {
 		t.Fatal("the next on the ring stands in, the map stays")
 	}
 	watch.Absent(nil)
@@ -138,35 +138,35 @@
 
 func TestCacheRefusesTheReplacedOwner(t *testing.T) {
 	cache := NewCache(&registry.Clock{}, 4*time.Second)
-	cache.Shards(rpc.ShardMap{Count: 1, Members: members(2)})
+	cache.Shards(rpc.ShardMap{Revision: 1, Members: members(2)})
 	rightful := cache.ring.Owner("s", nil)
-	other := rpc.FellowID("edge-0")
+	other := rpc.NodeID("edge-0")
 	if rightful == other {
 		other = "edge-1"
 	}
-	report := func(by rpc.FellowID, full bool, health rpc.Health, at time.Duration) bool {
-		taken, _ := cache.Report(at, rpc.ReportAsk{Fellow: by, Service: "s", Full: full, States: []rpc.State{{Server: "b", Health: health}}}, nil)
+	report := func(by rpc.NodeID, full bool, health rpc.Health, at time.Duration) bool {
+		taken, _ := cache.Report(at, rpc.HealthReport{Node: by, Service: "s", Full: full, States: []rpc.EndpointState{{Endpoint: "b", Health: health}}}, nil)
 		return taken
 	}
-	if !report(other, true, rpc.Up, 0) {
+	if !report(other, true, rpc.Healthy, 0) {
 		t.Fatal("the old owner is heard until the new one has reported in full")
 	}
-	if !report(rightful, true, rpc.Down, time.Second) {
+	if !report(rightful, true, rpc.Unhealthy, time.Second) {
 		t.Fatal("the owner is heard")
 	}
-	if report(other, true, rpc.Up, time.Second) {
+	if report(other, true, rpc.Healthy, time.Second) {
 		t.Fatal("the replaced owner is refused")
 	}
-	if state, _ := cache.States.Get("b"); state.Health != rpc.Down {
+	if state, _ := cache.States.Get("b"); state.Health != rpc.Unhealthy {
 		t.Fatal("the owner's finding stands")
 	}
 	if cache.Tick(4 * time.Second); true {
-		if state, _ := cache.States.Get("b"); state.Health != rpc.Down {
+		if state, _ := cache.States.Get("b"); state.Health != rpc.Unhealthy {
 			t.Fatal("a state within its age is kept")
 		}
 	}
 	if cache.Tick(6 * time.Second); true {
-		if state, _ := cache.States.Get("b"); state.Health != rpc.Unknown {
+		if state, _ := cache.States.Get("b"); state.Health != rpc.HealthUnknown {
 			t.Fatal("a state over its age is unknown")
 		}
 	}
@@ -175,22 +175,22 @@
 func TestWatchersGetOnlyChanges(t *testing.T) {
 	clock := &registry.Clock{}
 	cache := NewCache(clock, time.Minute)
-	cache.Shards(rpc.ShardMap{Count: 1, Members: members(1)})
+	cache.Shards(rpc.ShardMap{Revision: 1, Members: members(1)})
 	tell := func(health rpc.Health, cold time.Duration, at time.Duration) {
-		cache.Report(at, rpc.ReportAsk{Fellow: "edge-0", Service: "s", States: []rpc.State{{Server: "b", Health: health, Cold: cold}}}, nil)
+		cache.Report(at, rpc.HealthReport{Node: "edge-0", Service: "s", States: []rpc.EndpointState{{Endpoint: "b", Health: health, WarmupRemaining: cold}}}, nil)
 	}
-	tell(rpc.Up, 0, 0)
+	tell(rpc.Healthy, 0, 0)
 	seen := clock.Now()
-	tell(rpc.Up, 0, time.Second)
+	tell(rpc.Healthy, 0, time.Second)
 	if clock.Now() != seen {
 		t.Fatal("the same state told again is no change")
 	}
-	tell(rpc.Up, 3*time.Second, 2*time.Second)
-	tell(rpc.Up, 2*time.Second, 3*time.Second)
+	tell(rpc.Healthy, 3*time.Second, 2*time.Second)
+	tell(rpc.Healthy, 2*time.Second, 3*time.Second)
 	if clock.Now() != seen+1 {
 		t.Fatal("a cold spell is told once, its shrinking is no change")
 	}
-	if state, _ := cache.States.Get("b"); cache.Remaining(4*time.Second, state).Cold != time.Second {
+	if state, _ := cache.States.Get("b"); cache.Remaining(4*time.Second, state).WarmupRemaining != time.Second {
 		t.Fatal("what is left of a cold spell counts down")
 	}
 }
--- a/internal/healthcheck/watch.go
+++ b/internal/healthcheck/watch.go
@@ -17,14 +17,14 @@
 
 // Watch is the shard client's state.
 type Watch struct {
-	self     rpc.FellowID
+	self     rpc.NodeID
 	interval time.Duration
 	ring     *Ring
 	applied  rpc.ShardMap
 	waiting  *rpc.ShardMap
 	due      time.Duration
-	absent   map[rpc.FellowID]bool
-	missing  map[rpc.FellowID]time.Duration
+	absent   map[rpc.NodeID]bool
+	missing  map[rpc.NodeID]time.Duration
 	now      time.Duration
 	settled  map[rpc.ServiceName]bool
 	services map[rpc.ServiceName]bool
@@ -34,8 +34,8 @@
 }
 
 // NewWatch starts without a map and without a leader.
-func NewWatch(self rpc.FellowID, interval, now time.Duration) (watch *Watch) {
-	return &Watch{self: self, interval: interval, ring: NewRing(nil), absent: map[rpc.FellowID]bool{}, missing: map[rpc.FellowID]time.Duration{}, settled: map[rpc.ServiceName]bool{}, services: map[rpc.ServiceName]bool{}, lostAt: now}
+func NewWatch(self rpc.NodeID, interval, now time.Duration) (watch *Watch) {
+	return &Watch{self: self, interval: interval, ring: NewRing(nil), absent: map[rpc.NodeID]bool{}, missing: map[rpc.NodeID]time.Duration{}, settled: map[rpc.ServiceName]bool{}, services: map[rpc.ServiceName]bool{}, lostAt: now}
 }
 
 // StandIn is how long an owner may be silent before the next on the ring stands
@@ -53,7 +53,7 @@
 		w.due = now + w.interval
 	}
 	w.waiting = &shards
-	present := make(map[rpc.FellowID]bool, len(shards.Members))
+	present := make(map[rpc.NodeID]bool, len(shards.Members))
 	for _, member := range shards.Members {
 		present[member] = true
 		delete(w.missing, member)
@@ -69,8 +69,8 @@
 }
 
 // Absent takes the leader's word on who is not heard.
-func (w *Watch) Absent(ids []rpc.FellowID) {
-	w.absent = make(map[rpc.FellowID]bool, len(ids))
+func (w *Watch) Absent(ids []rpc.NodeID) {
+	w.absent = make(map[rpc.NodeID]bool, len(ids))
 	for _, id := range ids {
 		w.absent[id] = true
 	}
@@ -115,10 +115,10 @@
 	if w.waiting != nil && now >= w.due {
 		w.applied, w.waiting = *w.waiting, nil
 		w.ring = NewRing(w.applied.Members)
-		w.missing = map[rpc.FellowID]time.Duration{}
+		w.missing = map[rpc.NodeID]time.Duration{}
 		applied = true
 	}
-	if w.applied.Count > 0 && (applied || w.waiting == nil) {
+	if w.applied.Revision > 0 && (applied || w.waiting == nil) {
 		for name := range w.services {
 			if !w.settled[name] && applied {
 				w.settled[name] = true
@@ -133,14 +133,14 @@
 
 // Settle starts the timer for services that came without a change of map.
 func (w *Watch) Settle(now time.Duration) {
-	if w.Unsettled() && w.waiting == nil && w.applied.Count > 0 {
+	if w.Unsettled() && w.waiting == nil && w.applied.Revision > 0 {
 		again := w.applied
 		w.Map(now, again)
 	}
 }
 
 // Owner names who watches a service by the map in use, or who stands in.
-func (w *Watch) Owner(service rpc.ServiceName) (owner rpc.FellowID) {
+func (w *Watch) Owner(service rpc.ServiceName) (owner rpc.NodeID) {
 	away := w.absent
 	if len(w.missing) > 0 {
 		away = maps.Clone(w.absent)
@@ -170,4 +170,4 @@
 }
 
 // AbsentNow is the leader's last word on who is not heard.
-func (w *Watch) AbsentNow() (absent map[rpc.FellowID]bool) { return w.absent }
+func (w *Watch) AbsentNow() (absent map[rpc.NodeID]bool) { return w.absent }
--- a/internal/httpapi/office.go
+++ b/internal/httpapi/office.go
@@ -47,7 +47,7 @@
 	WithdrawDocument func(ctx context.Context, kind policy.Kind, version policy.Version) error
 	ShowDocument     func(ctx context.Context, kind policy.Kind) ([]byte, error)
 	// RetireBackend orders that a backend be retired, or takes that back; id may name the order.
-	RetireBackend func(ctx context.Context, server rpc.ServerID, back bool, id string) (phase string, err error)
+	RetireBackend func(ctx context.Context, server rpc.EndpointID, back bool, id string) (phase string, err error)
 }
 
 type office struct{ duties Handlers }
@@ -145,7 +145,7 @@
 	if o.duties.RetireBackend == nil {
 		return nil, errElsewhere
 	}
-	phase, err := o.duties.RetireBackend(ctx, rpc.ServerID(server), back, id)
+	phase, err := o.duties.RetireBackend(ctx, rpc.EndpointID(server), back, id)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -15,7 +15,7 @@
 // Operation is one keyed request held here.
 type Operation struct {
 	Key, Request string
-	standing     rpc.Standing
+	standing     rpc.OperationState
 	status       int
 	lines        [][2]string
 	body         []byte
@@ -50,10 +50,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forget()
-	if found := b.held[key]; found != nil && found.standing != rpc.Freed {
+	if found := b.held[key]; found != nil && found.standing != rpc.OperationReleased {
 		return nil, &Held{b, found}
 	}
-	fresh := &Operation{Key: key, Request: request, standing: rpc.Running, at: b.now()}
+	fresh := &Operation{Key: key, Request: request, standing: rpc.OperationRunning, at: b.now()}
 	b.held[key] = fresh
 	b.order = append(b.order, fresh)
 	return &Held{b, fresh}, nil
@@ -66,7 +66,7 @@
 }
 
 // Recall tells how the operation stands.
-func (h *Held) Recall() (reply rpc.RecallReply) {
+func (h *Held) Recall() (reply rpc.StoredResponse) {
 	h.book.mu.Lock()
 	defer h.book.mu.Unlock()
 	return h.op.reply()
@@ -75,8 +75,8 @@
 // Request is the request that holds the key.
 func (h *Held) Request() (request string) { return h.op.Request }
 
-func (o *Operation) reply() (reply rpc.RecallReply) {
-	return rpc.RecallReply{Standing: o.standing, Status: o.status, Header: o.lines, Body: o.body, Inner: o.inner}
+func (o *Operation) reply() (reply rpc.StoredResponse) {
+	return rpc.StoredResponse{State: o.standing, Status: o.status, Headers: o.lines, Body: o.body, InternalAddress: o.inner}
 }
 
 // forget drops what is past the window.
@@ -85,15 +85,15 @@
 	cut := 0
 	for cut < len(b.order) && (now-b.order[cut].at > b.window || b.size > b.room) {
 		op := b.order[cut]
-		if op.standing == rpc.Running && now-op.at <= b.window {
+		if op.standing == rpc.OperationRunning && now-op.at <= b.window {
 			break
 		}
 		b.size -= len(op.body)
 		op.body = nil
 		delete(b.kept, [2]string{op.Key, op.Request})
-		if now-op.at <= b.window && op.standing == rpc.Answered {
+		if now-op.at <= b.window && op.standing == rpc.OperationCompleted {
 			// Its body is gone for want of room; the operation stays run.
-			op.standing = rpc.Lost
+			op.standing = rpc.OperationLost
 		} else if b.held[op.Key] == op {
 			delete(b.held, op.Key)
 		}
@@ -104,10 +104,10 @@
 	}
 }
 
-func (b *Book) settle(held *Held, standing rpc.Standing) {
+func (b *Book) settle(held *Held, standing rpc.OperationState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if held.op.standing == rpc.Running {
+	if held.op.standing == rpc.OperationRunning {
 		held.op.standing = standing
 	}
 }
@@ -118,7 +118,7 @@
 	held.op.status, held.op.lines, held.op.body = status, lines, body
 	b.size += len(body)
 	b.mu.Unlock()
-	b.settle(held, rpc.Answered)
+	b.settle(held, rpc.OperationCompleted)
 }
 
 // Move notes that the operation was answered and who keeps its answer.
@@ -126,22 +126,22 @@
 	b.mu.Lock()
 	held.op.inner = inner
 	b.mu.Unlock()
-	b.settle(held, rpc.Moved)
+	b.settle(held, rpc.OperationMoved)
 }
 
 // Keep stores an answer for a fellow that may not keep it itself.
-func (b *Book) Keep(key, request string, answer rpc.RecallReply) {
+func (b *Book) Keep(key, request string, answer rpc.StoredResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forget()
-	op := &Operation{Key: key, Request: request, standing: rpc.Answered, status: answer.Status, lines: answer.Header, body: answer.Body, at: b.now()}
+	op := &Operation{Key: key, Request: request, standing: rpc.OperationCompleted, status: answer.Status, lines: answer.Headers, body: answer.Body, at: b.now()}
 	b.kept[[2]string{key, request}] = op
 	b.order = append(b.order, op)
 	b.size += len(op.body)
 }
 
 // Kept gives an answer that is stored for another.
-func (b *Book) Kept(key, request string) (reply rpc.RecallReply) {
+func (b *Book) Kept(key, request string) (reply rpc.StoredResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if op := b.kept[[2]string{key, request}]; op != nil {
@@ -151,15 +151,15 @@
 }
 
 // Lose notes that nobody knows whether the operation ran.
-func (b *Book) Lose(held *Held) { b.settle(held, rpc.Lost) }
+func (b *Book) Lose(held *Held) { b.settle(held, rpc.OperationLost) }
 
 // Free notes that the operation has not run and will not; what became of it
 // before stands.
 func (b *Book) Free(held *Held) {
-	b.settle(held, rpc.Freed)
+	b.settle(held, rpc.OperationReleased)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if held.op.standing != rpc.Freed {
+	if held.op.standing != rpc.OperationReleased {
 		return
 	}
 	now := b.now()
@@ -184,7 +184,7 @@
 
 // Abandon strikes out an operation that never got its key.
 func (b *Book) Abandon(held *Held) {
-	b.settle(held, rpc.Freed)
+	b.settle(held, rpc.OperationReleased)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.held[held.op.Key] == held.op {
@@ -194,14 +194,14 @@
 
 // Find looks an operation up by key and request; what is not known here any
 // more counts as lost.
-func (b *Book) Find(key, request string) (reply rpc.RecallReply) {
+func (b *Book) Find(key, request string) (reply rpc.StoredResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, freed := b.freed[[2]string{key, request}]; freed {
-		return rpc.RecallReply{Standing: rpc.Freed}
+		return rpc.StoredResponse{State: rpc.OperationReleased}
 	}
 	if op := b.held[key]; op != nil && op.Request == request {
 		return op.reply()
 	}
-	return rpc.RecallReply{Standing: rpc.Lost}
+	return rpc.StoredResponse{State: rpc.OperationLost}
 }
--- a/internal/idempotency/keys_test.go
+++ b/internal/idempotency/keys_test.go
@@ -14,15 +14,15 @@
 	if op == nil || old != nil {
 		t.Fatal("a new key opens")
 	}
-	if again, running := book.Open("k", "r2"); again != nil || running.Recall().Standing != rpc.Running {
+	if again, running := book.Open("k", "r2"); again != nil || running.Recall().State != rpc.OperationRunning {
 		t.Fatal("a running key does not open again")
 	}
 	book.Answer(op, 200, [][2]string{{"A", "b"}}, []byte("body"))
 	book.Lose(op)
-	if reply := book.Find("k", "r1"); reply.Standing != rpc.Answered || string(reply.Body) != "body" {
+	if reply := book.Find("k", "r1"); reply.State != rpc.OperationCompleted || string(reply.Body) != "body" {
 		t.Fatalf("answered once, always answered: %v", reply)
 	}
-	if reply := book.Find("k", "r2"); reply.Standing != rpc.Lost {
+	if reply := book.Find("k", "r2"); reply.State != rpc.OperationLost {
 		t.Fatal("a request that never held the key is not known")
 	}
 	now = 2 * time.Minute
@@ -30,13 +30,13 @@
 		t.Fatal("past the window the key opens again")
 	}
 	book.Free(op)
-	if book.Find("k", "r3").Standing != rpc.Freed || !book.Freed("k", "r3") {
+	if book.Find("k", "r3").State != rpc.OperationReleased || !book.Freed("k", "r3") {
 		t.Fatal("freed is remembered by request")
 	}
 	if op, _ = book.Open("k", "r4"); op == nil {
 		t.Fatal("a freed key opens again")
 	}
-	if book.Find("k", "r3").Standing != rpc.Freed || book.Find("k", "r4").Standing != rpc.Running {
+	if book.Find("k", "r3").State != rpc.OperationReleased || book.Find("k", "r4").State != rpc.OperationRunning {
 		t.Fatal("the old request stays freed beside the new one")
 	}
 }
@@ -48,7 +48,7 @@
 		book.Answer(op, 200, nil, make([]byte, 400))
 	}
 	_, _ = book.Open("e", "e")
-	if book.Find("a", "a").Standing != rpc.Lost || book.Find("d", "d").Standing != rpc.Answered {
+	if book.Find("a", "a").State != rpc.OperationLost || book.Find("d", "d").State != rpc.OperationCompleted {
 		t.Fatal("the oldest body goes first, and its operation stays run")
 	}
 	if op, _ := book.Open("a", "again"); op != nil {
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -58,7 +58,7 @@
 	life := edge.life
 	op, old := edge.book.Open(key, request)
 	if old != nil {
-		if old.Recall().Standing == rpc.Answered {
+		if old.Recall().State == rpc.OperationCompleted {
 			s.served++
 		}
 		return
@@ -135,7 +135,7 @@
 			}
 			return
 		}
-		if edge.book.Find(held.Key, held.Request).Standing == rpc.Freed {
+		if edge.book.Find(held.Key, held.Request).State == rpc.OperationReleased {
 			s.later(100, func() { s.apply(raft.CommandFree, held) })
 		}
 	}
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -300,8 +300,8 @@
 func (s *system) leader() (at int, account controller.Status, err error) {
 	for i, p := range s.props {
 		caller := rpc.NewCaller(p.ControllerInternalAddress())
-		var reply rpc.StatusReply
-		callErr := caller.Call(rpc.MethodStatus, rpc.StatusAsk{}, &reply, 5*time.Second)
+		var reply rpc.StatusResponse
+		callErr := caller.Call(rpc.MethodStatus, rpc.StatusRequest{}, &reply, 5*time.Second)
 		caller.Close()
 		if callErr != nil {
 			continue
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -69,7 +69,7 @@
 		p.Name = fmt.Sprintf("node-%05d", t.First+i)
 		p.Zone = fmt.Sprint("z", (t.First+i)%3)
 		p.Region = p.ZoneRegions[p.Zone]
-		nodes[i].Store(proxy.StartStubNode(p, rpc.Life(rand.Uint64())))
+		nodes[i].Store(proxy.StartStubNode(p, rpc.Incarnation(rand.Uint64())))
 	}
 	for i := range nodes {
 		begin(i)
@@ -104,7 +104,7 @@
 		switch word {
 		case "listed":
 			for i := range nodes {
-				for !nodes[i].Load().Known().Listed {
+				for !nodes[i].Load().Known().EndpointsComplete {
 					time.Sleep(pollPause)
 				}
 			}
@@ -127,7 +127,7 @@
 			go every(t.Reports, func(n int) {
 				node, backend := nodes[n%len(nodes)].Load(), n%t.Size.Backends
 				go func() {
-					if node.Report(rpc.ServiceName(serviceName(backend%t.Size.Services)), rpc.ServerID(backendName(backend)), rpc.Up+rpc.Health(n/t.Size.Backends%2)) {
+					if node.Report(rpc.ServiceName(serviceName(backend%t.Size.Services)), rpc.EndpointID(backendName(backend)), rpc.Healthy+rpc.Health(n/t.Size.Backends%2)) {
 						done.Add(1)
 					}
 				}()
@@ -139,7 +139,7 @@
 			rev, _ := strconv.ParseUint(value, 10, 64)
 			begun := time.Now()
 			for i := range nodes {
-				for nodes[i].Load().Known().Rev < rev {
+				for nodes[i].Load().Known().LogIndex < rev {
 					time.Sleep(pollPause)
 				}
 			}
--- a/internal/proxy/batcher_test.go
+++ b/internal/proxy/batcher_test.go
@@ -10,20 +10,20 @@
 // Of a reply that has not an answer for each ask none is taken.
 func TestAReplyOfAnotherLengthAnswersNobody(t *testing.T) {
 	for _, size := range []int{0, 1, 3} {
-		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []rpc.ClaimFound) {
+		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []rpc.ClaimResult) {
 			for range size {
-				replies = append(replies, rpc.ClaimFound{Outcome: rpc.Granted})
+				replies = append(replies, rpc.ClaimResult{Outcome: rpc.ClaimGranted})
 			}
 			return replies
 		})
-		batch := make([]pendingRequest[int, rpc.ClaimFound], 2)
+		batch := make([]pendingRequest[int, rpc.ClaimResult], 2)
 		for i := range batch {
-			batch[i] = pendingRequest[int, rpc.ClaimFound]{i, time.Now().Add(time.Hour), make(chan rpc.ClaimFound, 1)}
+			batch[i] = pendingRequest[int, rpc.ClaimResult]{i, time.Now().Add(time.Hour), make(chan rpc.ClaimResult, 1)}
 		}
 		batcher.slots <- struct{}{}
 		batcher.sendBatch(batch)
 		for i := range batch {
-			if found := <-batch[i].reply; found.Outcome != rpc.Unclear {
+			if found := <-batch[i].reply; found.Outcome != rpc.ClaimUnknown {
 				t.Errorf("%d answers to 2 claims: the one at %d is %+v", size, i, found)
 			}
 		}
@@ -57,13 +57,13 @@
 // shortForum leads and answers a batch with no rows.
 type shortForum struct{}
 
-func (shortForum) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
-	reply.Leader = true
+func (shortForum) Claim(ask rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
+	reply.IsLeader = true
 	return nil
 }
 
-func (shortForum) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
-	reply.Leader = true
+func (shortForum) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
+	reply.IsLeader = true
 	return nil
 }
 
@@ -76,10 +76,10 @@
 	go d.leader.RunClaims()
 	go d.leader.RunBinds()
 	t.Cleanup(func() { close(d.leader.Done) })
-	if found := d.leader.claimOnce(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != rpc.Unclear {
+	if found := d.leader.claimOnce(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != rpc.ClaimUnknown {
 		t.Errorf("%+v", found)
 	}
-	if found, taken, answered := d.leader.binds.Call(rpc.Bind{Session: "s"}, time.Second); !taken || !answered || found.Outcome != rpc.BindUnclear {
+	if found, taken, answered := d.leader.binds.Call(rpc.SessionBinding{Session: "s"}, time.Second); !taken || !answered || found.Outcome != rpc.BindUnknown {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -244,7 +244,7 @@
 			if !server.silentSince(sentAt) || now >= plan.Deadline {
 				continue
 			}
-			tried := append([]rpc.ServerID{server.ID}, plan.Tried...)
+			tried := append([]rpc.EndpointID{server.ID}, plan.Tried...)
 			second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, tried))
 			if second == nil || !d.allowRetry(now, plan, second) {
 				continue
@@ -276,7 +276,7 @@
 }
 
 // criteria says what backend a plan's next round is for.
-func (d *Daemon) criteria(plan *Plan, tried []rpc.ServerID) (wanted Criteria) {
+func (d *Daemon) criteria(plan *Plan, tried []rpc.EndpointID) (wanted Criteria) {
 	wanted = Criteria{
 		Service: plan.Service, TargetLatency: plan.Route.Aim, Homes: plan.Route.Homes, Tried: tried, Idempotent: plan.Route.Repeat.Repeatable(), Large: plan.Route.Repeat == config.Download,
 		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
@@ -298,7 +298,7 @@
 
 // warmUpLeased tells that a lease stands for a backend that is cold.
 func (d *Daemon) warmUpLeased(server *Backend) bool {
-	return !server.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.ColdRate, string(server.ID)) > 0
+	return !server.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.WarmupRate, string(server.ID)) > 0
 }
 
 // discard takes an answer that is not needed any more.
@@ -327,26 +327,26 @@
 		// the time in which a refusal still lets the client come back in time.
 		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.Aim/4, limit)
 		switch found.Outcome {
-		case rpc.Granted:
+		case rpc.ClaimGranted:
 			// The claim is worth its window from when it was asked for.
 			plan.Deadline = min(plan.Deadline, claimed+d.settings.Bounds.KeyWindow)
-		case rpc.Held:
-			var reply rpc.RecallReply
-			if found.Holder == rpc.FellowID(d.settings.Name) {
-				if found.Life == d.incarnation && d.operations.Freed(plan.Key, found.Request) {
-					reply.Standing = rpc.Freed
+		case rpc.ClaimHeld:
+			var reply rpc.StoredResponse
+			if found.Holder == rpc.NodeID(d.settings.Name) {
+				if found.Incarnation == d.incarnation && d.operations.Freed(plan.Key, found.Request) {
+					reply.State = rpc.OperationReleased
 					d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: found.Request})
 				}
 			} else {
 				reply = d.leader.Recall(found, plan.Key)
 			}
-			if reply.Standing == rpc.Freed && tries < 3 && d.clock.Now()+limit/2 < plan.Deadline {
+			if reply.State == rpc.OperationReleased && tries < 3 && d.clock.Now()+limit/2 < plan.Deadline {
 				time.Sleep(d.recallPause)
 				continue
 			}
 			d.operations.Abandon(op)
 			return d.replay(reply, request.ID)
-		case rpc.Unclear:
+		case rpc.ClaimUnknown:
 			// The claim may stand, but nothing will ever be sent under it.
 			d.operations.Free(op)
 			d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
@@ -402,11 +402,11 @@
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
-			chosenInner, best = fellow.Inner, rank
+			chosenInner, best = fellow.InternalAddress, rank
 		}
 	}
-	answer := rpc.RecallReply{Standing: rpc.Answered, Status: verdict.Status, Header: verdict.Headers, Body: verdict.Body}
-	if chosenInner == "" || !d.leader.StoreAt(chosenInner, rpc.KeepAsk{Key: plan.Key, Request: plan.Request.ID, Answer: answer}) {
+	answer := rpc.StoredResponse{State: rpc.OperationCompleted, Status: verdict.Status, Headers: verdict.Headers, Body: verdict.Body}
+	if chosenInner == "" || !d.leader.StoreAt(chosenInner, rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: answer}) {
 		d.operations.Lose(op)
 		return
 	}
@@ -414,13 +414,13 @@
 }
 
 // replay answers a repeat from what its holder told.
-func (d *Daemon) replay(reply rpc.RecallReply, request string) (verdict Response) {
-	switch reply.Standing {
-	case rpc.Running:
+func (d *Daemon) replay(reply rpc.StoredResponse, request string) (verdict Response) {
+	switch reply.State {
+	case rpc.OperationRunning:
 		return ErrorResponse(apierror.KeyAtWork, request)
-	case rpc.Answered:
+	case rpc.OperationCompleted:
 		verdict = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
-		for _, line := range reply.Header {
+		for _, line := range reply.Headers {
 			if line[0] == headerRequestID {
 				line[1] = request
 			}
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -47,7 +47,7 @@
 	// TargetLatency is the time within which the answer is wanted, 0 where none is set.
 	TargetLatency time.Duration
 	Homes         []string
-	Tried         []rpc.ServerID
+	Tried         []rpc.EndpointID
 	// Idempotent tells that the request may run twice.
 	Idempotent bool
 	// PlanWeights are the day's plan, nil where there is none: regions that it gives
@@ -55,9 +55,9 @@
 	PlanWeights schedule.Weights
 	// OverflowZone is another site that this request should go to, so that sites of a
 	// region are pressed alike.
-	OverflowZone rpc.SiteName
+	OverflowZone rpc.ZoneName
 	// Bound is the one backend that it may be, where the request's session is bound.
-	Bound rpc.ServerID
+	Bound rpc.EndpointID
 	// Large tells that the answer may be a large one.
 	Large bool
 }
@@ -71,7 +71,7 @@
 	return targetLatencyPart * float64(w.TargetLatency) / float64(time.Millisecond)
 }
 
-func (w Criteria) wasTried(id rpc.ServerID) bool {
+func (w Criteria) wasTried(id rpc.EndpointID) bool {
 	for _, tried := range w.Tried {
 		if tried == id {
 			return true
@@ -157,7 +157,7 @@
 // consider takes one backend into account.
 func (c *selection) consider(server *Backend, near bool) {
 	w, now := c.state, c.now
-	if c.snapshot.Evacuated[server.Site] || !regionAllowed(c.criteria.Homes, server.Region) || c.criteria.wasTried(server.ID) {
+	if c.snapshot.Evacuated[server.Zone] || !regionAllowed(c.criteria.Homes, server.Region) || c.criteria.wasTried(server.ID) {
 		return
 	}
 	if !w.Policies.AcceptsNew(now, server.ID) && (c.criteria.Bound == "" || !w.Policies.KeepsSessions(now, server.ID, c.criteria.Service)) {
@@ -197,7 +197,7 @@
 	}
 	cost *= 1 + failureWeight*server.recentFailures(now)
 	aside, trialDue := server.ejected, now >= server.nextTrialAt
-	out, down, burden := now < server.unavailableUntil, server.health == rpc.Down, server.inFlight
+	out, down, burden := now < server.unavailableUntil, server.health == rpc.Unhealthy, server.inFlight
 	allowance := 0
 	if cold {
 		allowance = server.warmUpSends.Sum(now)
@@ -207,7 +207,7 @@
 		return
 	}
 	if cold {
-		if float64(allowance)+1 > w.Leased(rpc.ColdRate, string(server.ID)) || burden > 0 {
+		if float64(allowance)+1 > w.Leased(rpc.WarmupRate, string(server.ID)) || burden > 0 {
 			return
 		}
 		cost = 2*cost + 100
@@ -218,11 +218,11 @@
 	}
 	switch {
 	case c.criteria.OverflowZone != "":
-		if server.Site != c.criteria.OverflowZone {
+		if server.Zone != c.criteria.OverflowZone {
 			cost += penaltyNotOverflowZone * c.calmLatencyMS
 		}
 	case near:
-	case string(server.Site) == w.settings.Zone:
+	case string(server.Zone) == w.settings.Zone:
 		cost += penaltyOutsideSubset * c.calmLatencyMS
 	case string(server.Region) == w.settings.Region:
 		cost += penaltyOtherZone * c.calmLatencyMS * c.borderFactor
--- a/internal/proxy/choose_bench_test.go
+++ b/internal/proxy/choose_bench_test.go
@@ -13,13 +13,13 @@
 // looked at because the request is to go to another zone.
 func BenchmarkChooseEndpoint(b *testing.B) {
 	d := daemonOf(b)
-	var rows []rpc.Server
+	var rows []rpc.Endpoint
 	for n := range 18 {
-		for _, zone := range []rpc.SiteName{"here", "there", "beyond"} {
-			rows = append(rows, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("%s-%d", zone, n)), Service: "s", Address: "x:1", Site: zone, Slots: 6})
+		for _, zone := range []rpc.ZoneName{"here", "there", "beyond"} {
+			rows = append(rows, rpc.Endpoint{ID: rpc.EndpointID(fmt.Sprintf("%s-%d", zone, n)), Service: "s", Address: "x:1", Zone: zone, Slots: 6})
 		}
 	}
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 2, Epoch: 2, Full: true, Rev: 1, ItemAt: rpc.AllItems, Part: &rpc.ListPart{Done: true, Servers: rows}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 2, Revision: 2, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, EndpointChunk: &rpc.EndpointChunk{Complete: true, Endpoints: rows}})
 	scene := d.state.Snapshot()
 	near := Criteria{Service: "s", TargetLatency: 600 * time.Millisecond, Idempotent: true}
 	far := near
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -27,7 +27,7 @@
 	settings       settings.Settings
 	log            *eventlog.Logger
 	clock          Clock
-	incarnation    rpc.Life
+	incarnation    rpc.Incarnation
 	recallPause    time.Duration
 	state          *ClusterState
 	leader         *LeaderClient
@@ -49,7 +49,7 @@
 func Start(p settings.Settings, log *eventlog.Logger) (daemon *Daemon, err error) {
 	var luck [8]byte
 	_, _ = rand.Read(luck[:])
-	d := &Daemon{settings: p, log: log, clock: NewClock(), incarnation: rpc.Life(binary.LittleEndian.Uint64(luck[:])), recallPause: 60 * time.Millisecond}
+	d := &Daemon{settings: p, log: log, clock: NewClock(), incarnation: rpc.Incarnation(binary.LittleEndian.Uint64(luck[:])), recallPause: 60 * time.Millisecond}
 	d.state = NewClusterState(p, log, d.clock)
 	d.operations = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
@@ -96,10 +96,10 @@
 }
 
 // self is this daemon as it tells of itself.
-func (d *Daemon) self() rpc.Fellow {
-	return rpc.Fellow{
-		ID: rpc.FellowID(d.settings.Name), Life: d.incarnation, Site: rpc.SiteName(d.settings.Zone), Region: rpc.RegionName(d.settings.Region),
-		Front: d.settings.FrontendAddress, Inner: d.settings.ProxyInternalAddress(), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
+func (d *Daemon) self() rpc.Node {
+	return rpc.Node{
+		ID: rpc.NodeID(d.settings.Name), Incarnation: d.incarnation, Zone: rpc.ZoneName(d.settings.Zone), Region: rpc.RegionName(d.settings.Region),
+		FrontendAddress: d.settings.FrontendAddress, InternalAddress: d.settings.ProxyInternalAddress(), Ready: d.ready.Load(), Stopping: d.stopping.Load(),
 	}
 }
 
@@ -167,13 +167,13 @@
 type PeerService struct{ daemon *Daemon }
 
 // Recall tells how an operation held here stands.
-func (k *PeerService) Recall(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
-	if ask.Life != k.daemon.incarnation {
-		reply.Standing = rpc.Lost
+func (k *PeerService) Recall(ask rpc.StoredResponseRequest, reply *rpc.StoredResponse) (err error) {
+	if ask.Incarnation != k.daemon.incarnation {
+		reply.State = rpc.OperationLost
 		return nil
 	}
 	*reply = k.daemon.operations.Find(ask.Key, ask.Request)
-	if reply.Standing == rpc.Freed {
+	if reply.State == rpc.OperationReleased {
 		// The one who asks was told that the claim stands: it may have been
 		// carried out behind the word that gave it back, which is said again.
 		k.daemon.leader.Release(rpc.KeyClaim{Key: ask.Key, Request: ask.Request})
@@ -182,14 +182,14 @@
 }
 
 // Keep stores an answer for a fellow that may not keep it itself.
-func (k *PeerService) Keep(ask rpc.KeepAsk, reply *rpc.KeepReply) (err error) {
-	k.daemon.operations.Keep(ask.Key, ask.Request, ask.Answer)
-	reply.Kept = true
+func (k *PeerService) Keep(ask rpc.StoreRequest, reply *rpc.StoreAcknowledgement) (err error) {
+	k.daemon.operations.Keep(ask.Key, ask.Request, ask.Response)
+	reply.Stored = true
 	return nil
 }
 
 // Kept gives such an answer back.
-func (k *PeerService) Kept(ask rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
+func (k *PeerService) Kept(ask rpc.StoredResponseRequest, reply *rpc.StoredResponse) (err error) {
 	*reply = k.daemon.operations.Kept(ask.Key, ask.Request)
 	return nil
 }
--- a/internal/proxy/directions.go
+++ b/internal/proxy/directions.go
@@ -32,14 +32,14 @@
 // Under a day's plan a region is drawn by the weights, within the homes, and
 // takes the place of the client's own; where nobody is ready there, the answer
 // is as it is without a plan.
-func DirectoryAnswer(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
+func DirectoryAnswer(fellows map[rpc.NodeID]rpc.Node, absent map[rpc.NodeID]bool, homes []string, weights schedule.Weights, region, site, client string) (addresses []string) {
 	if drawn := drawRegion(fellows, absent, homes, weights, region); drawn != "" && drawn != region {
 		region, site = drawn, ""
 	}
 	away := !regionAllowed(homes, rpc.RegionName(region))
-	distance := func(fellow rpc.Fellow) (far int) {
+	distance := func(fellow rpc.Node) (far int) {
 		switch {
-		case away && regionAllowed(homes, fellow.Region) || !away && string(fellow.Site) == site:
+		case away && regionAllowed(homes, fellow.Region) || !away && string(fellow.Zone) == site:
 			return 0
 		case string(fellow.Region) == region:
 			return 1
@@ -48,11 +48,11 @@
 	}
 	pick := func(unheard bool) (near [3][]directoryCandidate) {
 		for id, fellow := range fellows {
-			if !fellow.Ready || fellow.Stopping || fellow.Front == "" || absent[id] != unheard {
+			if !fellow.Ready || fellow.Stopping || fellow.FrontendAddress == "" || absent[id] != unheard {
 				continue
 			}
 			far := distance(fellow)
-			near[far] = append(near[far], directoryCandidate{fellow.Front, id})
+			near[far] = append(near[far], directoryCandidate{fellow.FrontendAddress, id})
 		}
 		return near
 	}
@@ -80,14 +80,14 @@
 // directoryCandidate is one daemon that an answer may name.
 type directoryCandidate struct {
 	address string
-	id      rpc.FellowID
+	id      rpc.NodeID
 }
 
 // pickForClient picks a client's own of many: those that rank highest for it, so that a
 // daemon more or less changes the answers of its own clients only.
 func pickForClient(all []directoryCandidate, client string, most int) (fronts []string) {
 	if len(all) > most {
-		ranks := make(map[rpc.FellowID]uint64, len(all))
+		ranks := make(map[rpc.NodeID]uint64, len(all))
 		for _, one := range all {
 			ranks[one.id] = healthcheck.Rank(string(one.id), client)
 		}
@@ -108,13 +108,13 @@
 
 // drawRegion picks a region by weight, of those that are homes and have a daemon that
 // is ready; a client's own region is kept where it has its part.
-func drawRegion(fellows map[rpc.FellowID]rpc.Fellow, absent map[rpc.FellowID]bool, homes []string, weights schedule.Weights, own string) (region string) {
+func drawRegion(fellows map[rpc.NodeID]rpc.Node, absent map[rpc.NodeID]bool, homes []string, weights schedule.Weights, own string) (region string) {
 	if weights == nil {
 		return ""
 	}
 	serving := map[rpc.RegionName]bool{}
 	for id, fellow := range fellows {
-		if fellow.Ready && !fellow.Stopping && fellow.Front != "" && !absent[id] {
+		if fellow.Ready && !fellow.Stopping && fellow.FrontendAddress != "" && !absent[id] {
 			serving[fellow.Region] = true
 		}
 	}
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -17,11 +17,11 @@
 	settings    settings.Settings
 	leader      *LeaderClient
 	state       *ClusterState
-	incarnation rpc.Life
+	incarnation rpc.Incarnation
 }
 
 // StartStubNode takes up the beats.
-func StartStubNode(p settings.Settings, life rpc.Life) (hollow *StubNode) {
+func StartStubNode(p settings.Settings, life rpc.Incarnation) (hollow *StubNode) {
 	log, clock := eventlog.Discard(), NewClock()
 	h := &StubNode{settings: p, incarnation: life, state: NewClusterState(p, log, clock)}
 	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
@@ -33,25 +33,25 @@
 	return h
 }
 
-func (h *StubNode) self() rpc.Fellow {
-	return rpc.Fellow{
-		ID: rpc.FellowID(h.settings.Name), Life: h.incarnation, Site: rpc.SiteName(h.settings.Zone), Region: rpc.RegionName(h.settings.Region),
-		Front: h.settings.Address + ":1", Inner: h.settings.ProxyInternalAddress(), Ready: true,
+func (h *StubNode) self() rpc.Node {
+	return rpc.Node{
+		ID: rpc.NodeID(h.settings.Name), Incarnation: h.incarnation, Zone: rpc.ZoneName(h.settings.Zone), Region: rpc.RegionName(h.settings.Region),
+		FrontendAddress: h.settings.Address + ":1", InternalAddress: h.settings.ProxyInternalAddress(), Ready: true,
 	}
 }
 
 // Known tells how far it has come.
-func (h *StubNode) Known() (seen rpc.Seen) { return h.state.Known() }
+func (h *StubNode) Known() (seen rpc.KnownState) { return h.state.Known() }
 
 // Claim claims one key.
 func (h *StubNode) Claim(key string) (granted bool) {
-	return h.leader.Claim(rpc.KeyClaim{Key: key, Request: key}, time.Second, time.Second).Outcome == rpc.Granted
+	return h.leader.Claim(rpc.KeyClaim{Key: key, Request: key}, time.Second, time.Second).Outcome == rpc.ClaimGranted
 }
 
 // Report tells of one backend's health as an owner would.
-func (h *StubNode) Report(service rpc.ServiceName, server rpc.ServerID, health rpc.Health) (taken bool) {
+func (h *StubNode) Report(service rpc.ServiceName, server rpc.EndpointID, health rpc.Health) (taken bool) {
 	shards := h.state.appliedShards()
-	return h.leader.Report(rpc.ReportAsk{Fellow: rpc.FellowID(h.settings.Name), Term: shards.Term, Count: shards.Count, Service: service, States: []rpc.State{{Server: server, Health: health}}})
+	return h.leader.Report(rpc.HealthReport{Node: rpc.NodeID(h.settings.Name), Term: shards.Term, ShardMapRevision: shards.Revision, Service: service, States: []rpc.EndpointState{{Endpoint: server, Health: health}}})
 }
 
 // Stop ends it without a word, as a loss would.
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -18,24 +18,24 @@
 	mu     sync.Mutex
 	claims int
 	freed  []rpc.KeyClaim
-	script func(n int, claim rpc.KeyClaim) rpc.ClaimFound
-	recall func(n int) rpc.RecallReply
+	script func(n int, claim rpc.KeyClaim) rpc.ClaimResult
+	recall func(n int) rpc.StoredResponse
 	asked  int
 }
 
-func (f *standInForum) Claim(ask rpc.ClaimAsk, reply *rpc.ClaimReply) (err error) {
+func (f *standInForum) Claim(ask rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.freed = append(f.freed, ask.Frees...)
-	reply.Leader, reply.Freed = true, true
+	f.freed = append(f.freed, ask.Releases...)
+	reply.IsLeader, reply.Released = true, true
 	for _, claim := range ask.Claims {
 		f.claims++
-		reply.Found = append(reply.Found, f.script(f.claims, claim))
+		reply.Results = append(reply.Results, f.script(f.claims, claim))
 	}
 	return nil
 }
 
-func (f *standInForum) Recall(_ rpc.RecallAsk, reply *rpc.RecallReply) (err error) {
+func (f *standInForum) Recall(_ rpc.StoredResponseRequest, reply *rpc.StoredResponse) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked++
@@ -76,8 +76,8 @@
 	return r
 }
 
-func grant(int, rpc.KeyClaim) rpc.ClaimFound {
-	return rpc.ClaimFound{Outcome: rpc.Granted}
+func grant(int, rpc.KeyClaim) rpc.ClaimResult {
+	return rpc.ClaimResult{Outcome: rpc.ClaimGranted}
 }
 
 func TestARepeatGetsTheFirstAnswer(t *testing.T) {
@@ -108,11 +108,11 @@
 		script   func(int, seen, net.Conn) bool
 		dedupes  bool
 		status   int
-		standing rpc.Standing
+		standing rpc.OperationState
 	}{
-		"broken":             {broken, false, 502, rpc.Lost},
-		"broken, own record": {broken, true, 502, rpc.Freed},
-		"turned away":        {turned, false, 503, rpc.Freed},
+		"broken":             {broken, false, 502, rpc.OperationLost},
+		"broken, own record": {broken, true, 502, rpc.OperationReleased},
+		"turned away":        {turned, false, 503, rpc.OperationReleased},
 	} {
 		backend := newStandIn(t, "i-1", c.script)
 		d := daemonOf(t, backend)
@@ -121,37 +121,37 @@
 		if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != c.status {
 			t.Errorf("%s: status %d", name, verdict.Status)
 		}
-		if standing := d.operations.Find("k", "a").Standing; standing != c.standing {
+		if standing := d.operations.Find("k", "a").State; standing != c.standing {
 			t.Errorf("%s: standing %d, want %d", name, standing, c.standing)
 		}
 		runs := backend.count()
-		if verdict := d.Handle(keyed("b", "k"), "2500"); c.standing == rpc.Lost && (verdict.Status != 503 || backend.count() != runs) {
+		if verdict := d.Handle(keyed("b", "k"), "2500"); c.standing == rpc.OperationLost && (verdict.Status != 503 || backend.count() != runs) {
 			t.Errorf("%s: a repeat got %d after %d runs", name, verdict.Status, backend.count())
 		}
 	}
 }
 
 func TestAKeyHeldElsewhere(t *testing.T) {
-	stored := rpc.RecallReply{Standing: rpc.Answered, Status: 200, Header: [][2]string{{headerResponseSignature, "first"}}, Body: []byte("first body")}
+	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: 200, Headers: [][2]string{{headerResponseSignature, "first"}}, Body: []byte("first body")}
 	for name, c := range map[string]struct {
-		recall func(int) rpc.RecallReply
+		recall func(int) rpc.StoredResponse
 		status int
 		runs   int
 	}{
-		"answered": {func(int) rpc.RecallReply { return stored }, 200, 0},
-		"running":  {func(int) rpc.RecallReply { return rpc.RecallReply{Standing: rpc.Running} }, 409, 0},
-		"lost":     {func(int) rpc.RecallReply { return rpc.RecallReply{Standing: rpc.Lost} }, 503, 0},
-		"freed":    {func(int) rpc.RecallReply { return rpc.RecallReply{Standing: rpc.Freed} }, 200, 1},
+		"answered": {func(int) rpc.StoredResponse { return stored }, 200, 0},
+		"running":  {func(int) rpc.StoredResponse { return rpc.StoredResponse{State: rpc.OperationRunning} }, 409, 0},
+		"lost":     {func(int) rpc.StoredResponse { return rpc.StoredResponse{State: rpc.OperationLost} }, 503, 0},
+		"freed":    {func(int) rpc.StoredResponse { return rpc.StoredResponse{State: rpc.OperationReleased} }, 200, 1},
 	} {
 		backend := newStandIn(t, "i-1", good)
 		d := daemonOf(t, backend)
 		forum := &standInForum{recall: c.recall}
 		inner := led(t, d, forum)
-		forum.script = func(n int, _ rpc.KeyClaim) rpc.ClaimFound {
+		forum.script = func(n int, _ rpc.KeyClaim) rpc.ClaimResult {
 			if name == "freed" && n > 1 {
-				return rpc.ClaimFound{Outcome: rpc.Granted}
+				return rpc.ClaimResult{Outcome: rpc.ClaimGranted}
 			}
-			return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-2", Inner: inner, Life: 7, Request: "z"}
+			return rpc.ClaimResult{Outcome: rpc.ClaimHeld, Holder: "edge-2", InternalAddress: inner, Incarnation: 7, Request: "z"}
 		}
 		verdict := d.Handle(keyed("a", "k"), "2500")
 		if verdict.Status != c.status || backend.count() != c.runs {
@@ -168,12 +168,12 @@
 func TestAnUnclearClaimIsGivenBack(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimFound { return rpc.ClaimFound{Outcome: rpc.Unclear} }}
+	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimResult { return rpc.ClaimResult{Outcome: rpc.ClaimUnknown} }}
 	led(t, d, forum)
 	if verdict := d.Handle(keyed("a", "k"), "300"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if d.operations.Find("k", "a").Standing != rpc.Freed {
+	if d.operations.Find("k", "a").State != rpc.OperationReleased {
 		t.Fatal("a fellow that asks must be told that the key is free")
 	}
 	for freed := false; !freed; {
@@ -201,8 +201,8 @@
 	led(t, d, forum)
 	op, _ := d.operations.Open("k", "a")
 	d.operations.Free(op)
-	var reply rpc.RecallReply
-	if err := (&PeerService{d}).Recall(rpc.RecallAsk{Key: "k", Request: "a", Life: d.incarnation}, &reply); err != nil || reply.Standing != rpc.Freed {
+	var reply rpc.StoredResponse
+	if err := (&PeerService{d}).Recall(rpc.StoredResponseRequest{Key: "k", Request: "a", Incarnation: d.incarnation}, &reply); err != nil || reply.State != rpc.OperationReleased {
 		t.Fatal(reply, err)
 	}
 	for freed := false; !freed; {
@@ -251,8 +251,8 @@
 func TestAClaimOfAnEarlierLifeIsUnknown(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimFound {
-		return rpc.ClaimFound{Outcome: rpc.Held, Holder: "edge-1", Life: d.incarnation + 1, Request: "z"}
+	forum := &standInForum{script: func(int, rpc.KeyClaim) rpc.ClaimResult {
+		return rpc.ClaimResult{Outcome: rpc.ClaimHeld, Holder: "edge-1", Incarnation: d.incarnation + 1, Request: "z"}
 	}}
 	led(t, d, forum)
 	if verdict := d.Handle(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
@@ -264,8 +264,8 @@
 			break
 		}
 		standing(op)
-		var reply rpc.RecallReply
-		if err := (&PeerService{d}).Recall(rpc.RecallAsk{Key: "other", Request: "z", Life: d.incarnation + 1}, &reply); err != nil || reply.Standing != rpc.Lost {
+		var reply rpc.StoredResponse
+		if err := (&PeerService{d}).Recall(rpc.StoredResponseRequest{Key: "other", Request: "z", Incarnation: d.incarnation + 1}, &reply); err != nil || reply.State != rpc.OperationLost {
 			t.Fatal(reply, err)
 		}
 		d.operations.Free(op)
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -39,7 +39,7 @@
 }
 
 func (l *TenantLimits) leasedRate(tenant string) (part float64) {
-	return l.leasedPart(rpc.TenantShare, tenant) + l.leasedPart(rpc.TenantFloor, tenant)
+	return l.leasedPart(rpc.TenantShare, tenant) + l.leasedPart(rpc.TenantMinimum, tenant)
 }
 
 func (l *TenantLimits) bucket(tenant string) (bucket *quota.Bucket) {
@@ -87,7 +87,7 @@
 // Demands tells what tenants ask of this daemon: all that were asked for lately,
 // and of the others so many in turn that a beat stays small however many tenants
 // there are. What an idle tenant holds then is its floor.
-func (l *TenantLimits) Demands(tenants []*config.Tenant) (demands []rpc.Demand) {
+func (l *TenantLimits) Demands(tenants []*config.Tenant) (demands []rpc.RateDemand) {
 	l.mu.Lock()
 	from := l.nextReported
 	if len(tenants) > maxIdleDemands {
@@ -103,7 +103,7 @@
 		}
 		l.mu.Unlock()
 		if inTurn || rate > idleRate {
-			demands = append(demands, rpc.Demand{Tenant: tenant.Name, Rate: rate, Floor: l.leasedPart(rpc.TenantFloor, tenant.Name)})
+			demands = append(demands, rpc.RateDemand{Name: tenant.Name, Rate: rate, Minimum: l.leasedPart(rpc.TenantMinimum, tenant.Name)})
 		}
 	}
 	return demands
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -26,7 +26,7 @@
 			t.Fatalf("%d demands in one beat", len(demands))
 		}
 		for _, demand := range demands {
-			told[demand.Tenant]++
+			told[demand.Name]++
 		}
 	}
 	if len(told) != len(tenants) || told[busy.Name] != 4 {
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -45,13 +45,13 @@
 	clock        Clock
 	state        *ClusterState
 	operations   *idempotency.Book
-	incarnation  rpc.Life
-	self         func() rpc.Fellow
+	incarnation  rpc.Incarnation
+	self         func() rpc.Node
 	seeds        atomic.Pointer[[]string]
 	lastHeard    atomic.Int64
 	leader       atomic.Pointer[string]
-	claims       *Batcher[rpc.KeyClaim, rpc.ClaimFound]
-	binds        *Batcher[rpc.Bind, rpc.BindFound]
+	claims       *Batcher[rpc.KeyClaim, rpc.ClaimResult]
+	binds        *Batcher[rpc.SessionBinding, rpc.BindResult]
 	wakeReleases chan struct{}
 	searching    atomic.Bool
 
@@ -60,7 +60,7 @@
 	// Done is closed when the daemon ends; all duties end with it.
 	Done chan struct{}
 	// Loads tells what is at work.
-	Loads func() []rpc.Burden
+	Loads func() []rpc.Load
 	// Limits tells the demand of tenants, where there are any.
 	Limits *TenantLimits
 
@@ -72,7 +72,7 @@
 }
 
 // NewLeaderClient is a link that has not found a leader yet.
-func NewLeaderClient(p settings.Settings, log *eventlog.Logger, clock Clock, world *ClusterState, book *idempotency.Book, life rpc.Life, self func() rpc.Fellow) (link *LeaderClient) {
+func NewLeaderClient(p settings.Settings, log *eventlog.Logger, clock Clock, world *ClusterState, book *idempotency.Book, life rpc.Incarnation, self func() rpc.Node) (link *LeaderClient) {
 	link = &LeaderClient{
 		settings: p, log: log, clock: clock, state: world, operations: book, incarnation: life, self: self,
 		wakeReleases: make(chan struct{}, 1),
@@ -153,29 +153,29 @@
 }
 
 // heartbeat asks one core for news and takes them if it leads.
-func (l *LeaderClient) heartbeat(target string, hold, limit time.Duration) (news *rpc.News, err error) {
+func (l *LeaderClient) heartbeat(target string, hold, limit time.Duration) (news *rpc.Update, err error) {
 	asked := l.clock.Now()
-	ask := rpc.BeatAsk{Fellow: l.self(), Seen: l.state.Known(), Hold: hold}
+	ask := rpc.HeartbeatRequest{Node: l.self(), KnownState: l.state.Known(), MaxWait: hold}
 	tenants := l.state.Snapshot().View.Tenants()
 	if l.Limits != nil {
-		ask.Demands = l.Limits.Demands(tenants)
+		ask.TenantDemands = l.Limits.Demands(tenants)
 	}
-	ask.Retries = l.state.Policies.Retries.Demands()
-	ask.Tallies = l.state.OutcomeCounts()
-	ask.Known = l.state.Policies.RecentNodes(asked)
+	ask.RetryDemands = l.state.Policies.Retries.Demands()
+	ask.Outcomes = l.state.OutcomeCounts()
+	ask.KnownNodes = l.state.Policies.RecentNodes(asked)
 	if l.Loads != nil {
-		ask.Burdens = l.Loads()
+		ask.Loads = l.Loads()
 	}
-	news = new(rpc.News)
+	news = new(rpc.Update)
 	if err = l.controllerClient(target).Call(rpc.MethodHeartbeat, &ask, news, limit); err != nil {
 		return nil, err
 	}
-	if !news.Leader {
-		l.state.AddControllers(news.Cores)
+	if !news.IsLeader {
+		l.state.AddControllers(news.Controllers)
 		return news, nil
 	}
 	if news.Term < l.state.Known().Term {
-		news.Leader = false
+		news.IsLeader = false
 		return news, nil
 	}
 	if l.Limits != nil {
@@ -183,7 +183,7 @@
 	}
 	l.state.Policies.Retries.Fill(l.clock.Now())
 	if !l.state.Apply(asked, news) || !l.noteLeader(target, news.Term) {
-		news.Leader = false
+		news.IsLeader = false
 		return news, nil
 	}
 	l.OnUpdate()
@@ -216,7 +216,7 @@
 			continue
 		}
 		news, err := l.heartbeat(target, heartbeatHold, heartbeatHold+heartbeatTimeout)
-		if err != nil || !news.Leader {
+		if err != nil || !news.IsLeader {
 			// The scout may have found another leader meanwhile.
 			if leader := *l.leader.Load(); leader == target {
 				l.findLeader(target, 0)
@@ -241,8 +241,8 @@
 		}
 		asked++
 		go func() {
-			var reply rpc.LeadReply
-			err := l.controllerClient(inner).Call(rpc.MethodLeader, rpc.LeadAsk{}, &reply, wait)
+			var reply rpc.LeaderResponse
+			err := l.controllerClient(inner).Call(rpc.MethodLeader, rpc.LeaderRequest{}, &reply, wait)
 			answers <- leaderReply{inner, reply, err}
 		}()
 	}
@@ -252,14 +252,14 @@
 			continue
 		}
 		answered++
-		l.state.AddControllers(answer.reply.Cores)
-		if answer.reply.Leader && answer.reply.Term > after && answer.reply.Term >= l.state.Known().Term {
+		l.state.AddControllers(answer.reply.Controllers)
+		if answer.reply.IsLeader && answer.reply.Term > after && answer.reply.Term >= l.state.Known().Term {
 			leader = answer.address
 		}
 	}
 	if leader != "" {
 		news, err := l.heartbeat(leader, 0, updateTimeout)
-		if err == nil && news.Leader {
+		if err == nil && news.IsLeader {
 			return true
 		}
 	}
@@ -275,7 +275,7 @@
 // leaderReply is one core's answer to the question who leads.
 type leaderReply struct {
 	address string
-	reply   rpc.LeadReply
+	reply   rpc.LeaderResponse
 	err     error
 }
 
@@ -326,7 +326,7 @@
 		if now < due {
 			continue
 		}
-		walk, pages, err := platform.Walk(100*time.Millisecond, func([]rpc.Server) {})
+		walk, pages, err := platform.Walk(100*time.Millisecond, func([]rpc.Endpoint) {})
 		if err == nil && !l.HasLeader() {
 			l.state.ApplyOwnList(walk)
 		}
@@ -344,15 +344,15 @@
 // Claim asks the cores for a key, again where a try had no clear outcome: to
 // claim twice for one request is the same as once. It waits for a leader no
 // longer than patience.
-func (l *LeaderClient) Claim(claim rpc.KeyClaim, patience, limit time.Duration) (found rpc.ClaimFound) {
+func (l *LeaderClient) Claim(claim rpc.KeyClaim, patience, limit time.Duration) (found rpc.ClaimResult) {
 	begun := l.clock.Now()
 	unclear := false
 	for pause := claimRetryPause; ; pause *= 2 {
 		found = l.claimOnce(claim, min(claimCallTimeout, limit-(l.clock.Now()-begun)))
 		switch found.Outcome {
-		case rpc.Granted, rpc.Held:
+		case rpc.ClaimGranted, rpc.ClaimHeld:
 			return found
-		case rpc.Unclear:
+		case rpc.ClaimUnknown:
 			unclear = true
 		}
 		go l.searchForLeader()
@@ -363,34 +363,34 @@
 		time.Sleep(pause)
 	}
 	if unclear {
-		found.Outcome = rpc.Unclear
+		found.Outcome = rpc.ClaimUnknown
 	}
 	return found
 }
 
-func (l *LeaderClient) claimOnce(claim rpc.KeyClaim, limit time.Duration) (found rpc.ClaimFound) {
+func (l *LeaderClient) claimOnce(claim rpc.KeyClaim, limit time.Duration) (found rpc.ClaimResult) {
 	if limit <= 0 || !l.HasLeader() {
-		return rpc.ClaimFound{Outcome: rpc.Refused}
+		return rpc.ClaimResult{Outcome: rpc.ClaimRejected}
 	}
 	found, taken, answered := l.claims.Call(claim, limit)
 	switch {
 	case !taken:
-		found.Outcome = rpc.Refused
+		found.Outcome = rpc.ClaimRejected
 	case !answered:
-		found.Outcome = rpc.Unclear
+		found.Outcome = rpc.ClaimUnknown
 	}
 	return found
 }
 
 // Bind asks where a session is bound, again where there was no clear outcome: to
 // ask twice is the same as once. It waits no longer than patience for a leader.
-func (l *LeaderClient) Bind(bind rpc.Bind, patience, limit time.Duration) (found rpc.BindFound) {
+func (l *LeaderClient) Bind(bind rpc.SessionBinding, patience, limit time.Duration) (found rpc.BindResult) {
 	begun := l.clock.Now()
 	for pause := claimRetryPause; ; pause *= 2 {
 		if wait := min(claimCallTimeout, limit-(l.clock.Now()-begun)); wait > 0 && l.HasLeader() {
 			found, _, _ = l.binds.Call(bind, wait)
 		}
-		if found.Outcome != rpc.BindUnclear {
+		if found.Outcome != rpc.BindUnknown {
 			return found
 		}
 		go l.searchForLeader()
@@ -420,25 +420,25 @@
 // RunBinds sends what asks where sessions are bound.
 func (l *LeaderClient) RunBinds() { l.binds.Run(l.Done) }
 
-func (l *LeaderClient) sendClaims(claims []rpc.KeyClaim, left time.Duration) (found []rpc.ClaimFound) {
-	ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.settings.Name), Life: l.incarnation, Claims: claims, Left: left}
-	var reply rpc.ClaimReply
+func (l *LeaderClient) sendClaims(claims []rpc.KeyClaim, left time.Duration) (found []rpc.ClaimResult) {
+	ask := rpc.ClaimRequest{Holder: rpc.NodeID(l.settings.Name), Incarnation: l.incarnation, Claims: claims, TimeLeft: left}
+	var reply rpc.ClaimResponse
 	err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, 2*claimCallTimeout)
-	if err == nil && reply.Leader {
-		return reply.Found
+	if err == nil && reply.IsLeader {
+		return reply.Results
 	}
-	found = make([]rpc.ClaimFound, len(claims))
+	found = make([]rpc.ClaimResult, len(claims))
 	if err == nil || rpc.Unsent.Has(err) {
 		for i := range found {
-			found[i].Outcome = rpc.Refused
+			found[i].Outcome = rpc.ClaimRejected
 		}
 	}
 	return found
 }
 
-func (l *LeaderClient) sendBinds(binds []rpc.Bind, _ time.Duration) (found []rpc.BindFound) {
-	var reply rpc.BindReply
-	if err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodBind, rpc.BindAsk{Binds: binds}, &reply, 2*claimCallTimeout); err != nil {
+func (l *LeaderClient) sendBinds(binds []rpc.SessionBinding, _ time.Duration) (found []rpc.BindResult) {
+	var reply rpc.BindResponse
+	if err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodBind, rpc.BindRequest{Bindings: binds}, &reply, 2*claimCallTimeout); err != nil {
 		return nil
 	}
 	if reply.Term > 0 && reply.Term < l.state.Known().Term {
@@ -446,7 +446,7 @@
 		// core of an earlier build names no term.
 		return nil
 	}
-	return reply.Found
+	return reply.Results
 }
 
 // RunReleases is the duty that gives keys back, in one call at a time: told again
@@ -470,10 +470,10 @@
 			if len(frees) == 0 {
 				break
 			}
-			ask := rpc.ClaimAsk{Holder: rpc.FellowID(l.settings.Name), Life: l.incarnation, Frees: frees}
-			var reply rpc.ClaimReply
+			ask := rpc.ClaimRequest{Holder: rpc.NodeID(l.settings.Name), Incarnation: l.incarnation, Releases: frees}
+			var reply rpc.ClaimResponse
 			err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodClaim, ask, &reply, time.Second)
-			if err != nil || !reply.Leader || !reply.Freed {
+			if err != nil || !reply.IsLeader || !reply.Released {
 				time.Sleep(releaseRetryPause)
 				continue
 			}
@@ -487,41 +487,41 @@
 }
 
 // Recall asks the holder of a key how the operation stands.
-func (l *LeaderClient) Recall(found rpc.ClaimFound, key string) (reply rpc.RecallReply) {
-	if found.Inner == "" {
+func (l *LeaderClient) Recall(found rpc.ClaimResult, key string) (reply rpc.StoredResponse) {
+	if found.InternalAddress == "" {
 		return reply
 	}
-	ask := rpc.RecallAsk{Key: key, Request: found.Request, Life: found.Life}
-	if err := l.peerClient(found.Inner).Call(rpc.MethodStoredResponse, ask, &reply, 600*time.Millisecond); err != nil {
-		return rpc.RecallReply{Standing: rpc.Lost}
+	ask := rpc.StoredResponseRequest{Key: key, Request: found.Request, Incarnation: found.Incarnation}
+	if err := l.peerClient(found.InternalAddress).Call(rpc.MethodStoredResponse, ask, &reply, 600*time.Millisecond); err != nil {
+		return rpc.StoredResponse{State: rpc.OperationLost}
 	}
 	return l.Fetch(reply, key, found.Request)
 }
 
 // Fetch gets an answer that was moved from the fellow that keeps it.
-func (l *LeaderClient) Fetch(reply rpc.RecallReply, key, request string) (fetched rpc.RecallReply) {
-	if reply.Standing != rpc.Moved {
+func (l *LeaderClient) Fetch(reply rpc.StoredResponse, key, request string) (fetched rpc.StoredResponse) {
+	if reply.State != rpc.OperationMoved {
 		return reply
 	}
-	if err := l.peerClient(reply.Inner).Call(rpc.MethodMovedResponse, rpc.RecallAsk{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
-		return rpc.RecallReply{Standing: rpc.Lost}
+	if err := l.peerClient(reply.InternalAddress).Call(rpc.MethodMovedResponse, rpc.StoredResponseRequest{Key: key, Request: request}, &fetched, 600*time.Millisecond); err != nil {
+		return rpc.StoredResponse{State: rpc.OperationLost}
 	}
 	return fetched
 }
 
 // StoreAt hands an answer to a fellow that may keep it.
-func (l *LeaderClient) StoreAt(inner string, ask rpc.KeepAsk) (kept bool) {
-	var reply rpc.KeepReply
+func (l *LeaderClient) StoreAt(inner string, ask rpc.StoreRequest) (kept bool) {
+	var reply rpc.StoreAcknowledgement
 	err := l.peerClient(inner).Call(rpc.MethodStoreResponse, ask, &reply, time.Second)
-	return err == nil && reply.Kept
+	return err == nil && reply.Stored
 }
 
 // Report brings an owner's findings to the state cache.
-func (l *LeaderClient) Report(ask rpc.ReportAsk) (taken bool) {
+func (l *LeaderClient) Report(ask rpc.HealthReport) (taken bool) {
 	if !l.HasLeader() {
 		return false
 	}
-	var reply rpc.ReportReply
+	var reply rpc.HealthReportResponse
 	err := l.controllerClient(*l.leader.Load()).Call(rpc.MethodHealthReport, ask, &reply, 500*time.Millisecond)
-	return err == nil && reply.Leader && reply.Taken
+	return err == nil && reply.IsLeader && reply.Accepted
 }
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -29,7 +29,7 @@
 )
 
 type metNode struct {
-	rpc.Fellow
+	rpc.Node
 	lastSeen time.Duration
 }
 
@@ -44,12 +44,12 @@
 	mu          sync.Mutex
 	drainPolicy *drain.Policy
 	drainPermit *drain.Permit
-	retirements map[rpc.ServerID]rpc.Retirement
+	retirements map[rpc.EndpointID]rpc.Retirement
 	documents   map[policy.Kind]policy.Document
-	planStep    rpc.Move
+	planStep    rpc.ScheduleStep
 	planWeights atomic.Pointer[PlanWeights]
-	overflow    atomic.Pointer[map[rpc.ServiceName]rpc.Spill]
-	recentNodes map[rpc.FellowID]metNode
+	overflow    atomic.Pointer[map[rpc.ServiceName]rpc.ZoneOverflow]
+	recentNodes map[rpc.NodeID]metNode
 	// Retries keeps the written limit on retries.
 	Retries *retry.Limiter
 	// Sessions keeps callers where they began.
@@ -60,26 +60,26 @@
 
 // NewPolicies follows nothing yet.
 func NewPolicies(now time.Duration) (orders *Policies) {
-	orders = &Policies{drainPermit: drain.NewPermit(now), retirements: map[rpc.ServerID]rpc.Retirement{}, documents: map[policy.Kind]policy.Document{}, recentNodes: map[rpc.FellowID]metNode{}, Sessions: NewSessions()}
+	orders = &Policies{drainPermit: drain.NewPermit(now), retirements: map[rpc.EndpointID]rpc.Retirement{}, documents: map[policy.Kind]policy.Document{}, recentNodes: map[rpc.NodeID]metNode{}, Sessions: NewSessions()}
 	orders.planWeights.Store(&PlanWeights{})
-	orders.overflow.Store(&map[rpc.ServiceName]rpc.Spill{})
+	orders.overflow.Store(&map[rpc.ServiceName]rpc.ZoneOverflow{})
 	return orders
 }
 
 // apply takes news that were asked for at a time.
-func (o *Policies) apply(now, asked time.Duration, news *rpc.News, memory *history.Chronicle, quiet bool) {
+func (o *Policies) apply(now, asked time.Duration, news *rpc.Update, memory *history.Chronicle, quiet bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.drainPermit.Led(asked)
 	o.Retries.Touch(asked)
-	spills := make(map[rpc.ServiceName]rpc.Spill, len(news.Spills))
-	for _, spill := range news.Spills {
+	spills := make(map[rpc.ServiceName]rpc.ZoneOverflow, len(news.ZoneOverflows))
+	for _, spill := range news.ZoneOverflows {
 		spills[spill.Service] = spill
 	}
 	o.overflow.Store(&spills)
-	for _, change := range news.Fellows {
-		if !change.Gone {
-			o.recentNodes[change.ID] = metNode{change.Fellow, now}
+	for _, change := range news.Nodes {
+		if !change.Removed {
+			o.recentNodes[change.ID] = metNode{change.Node, now}
 		}
 	}
 	for _, document := range news.Documents {
@@ -110,10 +110,10 @@
 			o.Retries.Set(limit)
 		}
 	}
-	o.applyRetirements(now, news.Retired, memory, quiet)
-	if move := news.Move; move != nil && move.Rev > o.planStep.Rev {
+	o.applyRetirements(now, news.Retirements, memory, quiet)
+	if move := news.ScheduleStep; move != nil && move.Rev > o.planStep.Rev {
 		o.planStep = *move
-		memory.Note(history.Move, string(policy.DayPlan), "applied", move.Stamp(), move.Rev, quiet)
+		memory.Note(history.Move, string(policy.DayPlan), "applied", move.Summary(), move.Rev, quiet)
 		o.planWeights.Store(newPlanWeights(*move))
 	}
 }
@@ -127,11 +127,11 @@
 		o.retirements[order.Server] = order
 		o.drainPermit.Take(now, order)
 		o.hasRetirements.Store(true)
-		memory.Note(history.Retirement, string(order.Server), "applied", order.Stamp(), order.Rev, quiet)
+		memory.Note(history.Retirement, string(order.Server), "applied", order.Summary(), order.Rev, quiet)
 	}
 }
 
-func newPlanWeights(move rpc.Move) (moves *PlanWeights) {
+func newPlanWeights(move rpc.ScheduleStep) (moves *PlanWeights) {
 	moves = &PlanWeights{Hosts: map[string]schedule.Weights{}, Services: map[rpc.ServiceName]schedule.Weights{}}
 	for _, target := range move.Targets {
 		weights := schedule.Weights{}
@@ -148,7 +148,7 @@
 }
 
 // AcceptsNew tells whether a new caller may be sent to a backend.
-func (o *Policies) AcceptsNew(now time.Duration, server rpc.ServerID) (sends bool) {
+func (o *Policies) AcceptsNew(now time.Duration, server rpc.EndpointID) (sends bool) {
 	if !o.hasRetirements.Load() {
 		return true
 	}
@@ -159,7 +159,7 @@
 
 // KeepsSessions tells whether a session that is there may stay on a backend: one that
 // was retired keeps its sessions as long as the policy lets requests finish.
-func (o *Policies) KeepsSessions(now time.Duration, server rpc.ServerID, service rpc.ServiceName) (keeps bool) {
+func (o *Policies) KeepsSessions(now time.Duration, server rpc.EndpointID, service rpc.ServiceName) (keeps bool) {
 	if !o.hasRetirements.Load() {
 		return true
 	}
@@ -184,7 +184,7 @@
 }
 
 // refreshNodes keeps fellows that still stand from being forgotten.
-func (o *Policies) refreshNodes(now time.Duration, fellows map[rpc.FellowID]rpc.Fellow) {
+func (o *Policies) refreshNodes(now time.Duration, fellows map[rpc.NodeID]rpc.Node) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, fellow := range fellows {
@@ -204,15 +204,15 @@
 }
 
 // OverflowZone draws the site that a request should be sent to, empty for one's own.
-func (o *Policies) OverflowZone(service rpc.ServiceName) (site rpc.SiteName) {
+func (o *Policies) OverflowZone(service rpc.ServiceName) (site rpc.ZoneName) {
 	spills := *o.overflow.Load()
 	if len(spills) == 0 {
 		return ""
 	}
 	at := rand.Intn(1000)
-	for _, to := range spills[service].To {
+	for _, to := range spills[service].Targets {
 		if at -= to.Weight; at < 0 {
-			return to.Site
+			return to.Zone
 		}
 	}
 	return ""
@@ -243,10 +243,10 @@
 		document, known := o.documents[policy.Kind(name)]
 		return document.Stamp(), document.Rev, known
 	case history.Retirement:
-		retired, known := o.retirements[rpc.ServerID(name)]
-		return retired.Stamp(), retired.Rev, known
+		retired, known := o.retirements[rpc.EndpointID(name)]
+		return retired.Summary(), retired.Rev, known
 	}
-	return o.planStep.Stamp(), o.planStep.Rev, o.planStep.Rev > 0
+	return o.planStep.Summary(), o.planStep.Rev, o.planStep.Rev > 0
 }
 
 // enforcePolicies is the duty that keeps to the policy by time: it asks fellows where
@@ -297,7 +297,7 @@
 	var inners []string
 	for id, met := range o.recentNodes {
 		if string(id) != d.settings.Name {
-			inners = append(inners, met.Inner)
+			inners = append(inners, met.InternalAddress)
 		}
 	}
 	o.mu.Unlock()
@@ -309,13 +309,13 @@
 		places <- struct{}{}
 		go func() {
 			defer func() { <-places; asked.Done() }()
-			var reply rpc.OrdersReply
-			if err := d.leader.peerClient(inner).Call(rpc.MethodRetirements, rpc.OrdersAsk{From: rpc.FellowID(d.settings.Name)}, &reply, peerCallTimeout); err != nil {
+			var reply rpc.RetirementsResponse
+			if err := d.leader.peerClient(inner).Call(rpc.MethodRetirements, rpc.RetirementsRequest{From: rpc.NodeID(d.settings.Name)}, &reply, peerCallTimeout); err != nil {
 				return
 			}
 			answers.Add(1)
 			o.mu.Lock()
-			o.applyRetirements(d.clock.Now(), reply.Retired, d.state.History, true)
+			o.applyRetirements(d.clock.Now(), reply.Retirements, d.state.History, true)
 			o.mu.Unlock()
 		}()
 	}
@@ -328,7 +328,7 @@
 }
 
 // Orders tells a fellow what this daemon follows.
-func (k *PeerService) Orders(_ rpc.OrdersAsk, reply *rpc.OrdersReply) (err error) {
-	reply.Retired = k.daemon.state.Policies.Retirements()
+func (k *PeerService) Orders(_ rpc.RetirementsRequest, reply *rpc.RetirementsResponse) (err error) {
+	reply.Retirements = k.daemon.state.Policies.Retirements()
 	return nil
 }
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -271,7 +271,7 @@
 func TestChooseKeepsToTheRules(t *testing.T) {
 	backends := []*standIn{newStandIn(t, "i-1", good), newStandIn(t, "i-2", good), newStandIn(t, "i-3", good)}
 	d := daemonOf(t, backends...)
-	pick := func(wanted Criteria) (id rpc.ServerID) {
+	pick := func(wanted Criteria) (id rpc.EndpointID) {
 		wanted.Service = "s"
 		if server, _ := d.state.chooseEndpoint(d.state.Snapshot(), wanted); server != nil {
 			id = server.ID
@@ -287,23 +287,23 @@
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
 		}
 	}
-	if pick(Criteria{Tried: []rpc.ServerID{"i-3"}}) != "" {
+	if pick(Criteria{Tried: []rpc.EndpointID{"i-3"}}) != "" {
 		t.Fatal("a backend was chosen twice")
 	}
 	if pick(Criteria{Homes: []string{"far"}}) != "" {
 		t.Fatal("a backend outside the homes was chosen")
 	}
-	three.health = rpc.Down
+	three.health = rpc.Unhealthy
 	if pick(Criteria{}) != "i-3" {
 		t.Fatal("the only one is taken even if it is held to be down")
 	}
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Evacuations: []rpc.Evacuation{{Site: "here", Active: true, Rev: 2}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Evacuations: []rpc.Evacuation{{Zone: "here", Active: true, LogIndex: 2}}})
 	if pick(Criteria{}) != "" {
 		t.Fatal("a backend of an evacuated site was chosen")
 	}
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 3, Evacuations: []rpc.Evacuation{{Site: "here", Rev: 3}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 3, LogIndex: 3, Evacuations: []rpc.Evacuation{{Zone: "here", LogIndex: 3}}})
 	one.Draining = false
-	three.health = rpc.Up
+	three.health = rpc.Healthy
 	if got := pick(Criteria{}); got == "" {
 		t.Fatal("none after the evacuation was taken back")
 	}
@@ -317,7 +317,7 @@
 		return good(n, r, conn)
 	}))
 	d.state.servers["i-1"].warmUpUntil = d.clock.Now() + time.Hour
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3.7, Span: time.Minute}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3.7, Duration: time.Minute}}})
 	for range 12 {
 		d.Handle(request("GET", "/safe/q", "c"), "2500")
 	}
@@ -357,9 +357,9 @@
 }
 
 func TestDirections(t *testing.T) {
-	fellows := map[rpc.FellowID]rpc.Fellow{}
+	fellows := map[rpc.NodeID]rpc.Node{}
 	add := func(id, site, region string, ready, stopping bool) {
-		fellows[rpc.FellowID(id)] = rpc.Fellow{ID: rpc.FellowID(id), Site: rpc.SiteName(site), Region: rpc.RegionName(region), Front: id, Ready: ready, Stopping: stopping}
+		fellows[rpc.NodeID(id)] = rpc.Node{ID: rpc.NodeID(id), Zone: rpc.ZoneName(site), Region: rpc.RegionName(region), FrontendAddress: id, Ready: ready, Stopping: stopping}
 	}
 	add("a1", "a", "north", true, false)
 	add("a2", "a", "north", true, false)
@@ -368,9 +368,9 @@
 	add("b1", "b", "north", true, false)
 	add("c1", "c", "south", true, false)
 	var homes []string
-	check := func(region, site, want string, absent ...rpc.FellowID) {
+	check := func(region, site, want string, absent ...rpc.NodeID) {
 		t.Helper()
-		away := map[rpc.FellowID]bool{}
+		away := map[rpc.NodeID]bool{}
 		for _, id := range absent {
 			away[id] = true
 		}
@@ -393,11 +393,11 @@
 // Of many daemons each client gets a few of its own that stay the same, and one
 // of another site, so that it is not lost with its own.
 func TestDirectionsOfManyDaemons(t *testing.T) {
-	fellows := map[rpc.FellowID]rpc.Fellow{}
+	fellows := map[rpc.NodeID]rpc.Node{}
 	for n := 0; n < 120; n++ {
 		site := fmt.Sprint("site-", n%3)
-		id := rpc.FellowID(fmt.Sprintf("%s-%d", site, n))
-		fellows[id] = rpc.Fellow{ID: id, Site: rpc.SiteName(site), Region: "north", Front: string(id), Ready: true}
+		id := rpc.NodeID(fmt.Sprintf("%s-%d", site, n))
+		fellows[id] = rpc.Node{ID: id, Zone: rpc.ZoneName(site), Region: "north", FrontendAddress: string(id), Ready: true}
 	}
 	named := map[string]int{}
 	changed := 0
@@ -417,7 +417,7 @@
 		if again := DirectoryAnswer(fellows, nil, nil, nil, "north", "site-0", client); strings.Join(again, " ") != strings.Join(answer, " ") {
 			t.Fatalf("%v, then %v", answer, again)
 		}
-		lost := DirectoryAnswer(fellows, map[rpc.FellowID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
+		lost := DirectoryAnswer(fellows, map[rpc.NodeID]bool{"site-0-0": true}, nil, nil, "north", "site-0", client)
 		if strings.Join(lost, " ") != strings.Join(answer, " ") {
 			changed++
 		}
@@ -444,7 +444,7 @@
 	if err := items.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
 	}
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 2, Rev: 2, Items: items.Items()})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Items: items.Items()})
 	conn, in := client(t, d)
 	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", headerOperationKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
 	for range 2 {
@@ -453,7 +453,7 @@
 			t.Fatalf("%v %v", response, err)
 		}
 	}
-	if reply := d.operations.Find("t/k", "x"); reply.Standing != rpc.Lost || backend.count() != 0 {
+	if reply := d.operations.Find("t/k", "x"); reply.State != rpc.OperationLost || backend.count() != 0 {
 		t.Fatal("a refused request left something behind")
 	}
 }
@@ -462,15 +462,15 @@
 func TestOvertakenNewsChangeNothing(t *testing.T) {
 	backend := newStandIn(t, "i-1", good)
 	d := daemonOf(t, backend)
-	server := d.state.servers["i-1"].Server
+	server := d.state.servers["i-1"].Endpoint
 	server.Draining = true
-	d.state.Apply(0, &rpc.News{Leader: true, Term: 3, Epoch: 9, Servers: []rpc.ServerChange{{Server: server}}})
+	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 3, Revision: 9, Endpoints: []rpc.EndpointChange{{Endpoint: server}}})
 	server.Draining = false
-	for _, old := range []rpc.News{{Term: 3, Epoch: 8}, {Term: 2, Epoch: 50, Full: true}} {
-		old.Leader, old.Servers = true, []rpc.ServerChange{{Server: server}}
+	for _, old := range []rpc.Update{{Term: 3, Revision: 8}, {Term: 2, Revision: 50, Full: true}} {
+		old.IsLeader, old.Endpoints = true, []rpc.EndpointChange{{Endpoint: server}}
 		d.state.Apply(0, &old)
 		if !d.state.servers["i-1"].Draining {
-			t.Fatalf("news of term %d, epoch %d undid a later one", old.Term, old.Epoch)
+			t.Fatalf("news of term %d, epoch %d undid a later one", old.Term, old.Revision)
 		}
 	}
 }
--- a/internal/proxy/patience_test.go
+++ b/internal/proxy/patience_test.go
@@ -27,14 +27,14 @@
 	lead bool
 }
 
-func (f *slowForum) Lead(_ rpc.LeadAsk, reply *rpc.LeadReply) (err error) {
+func (f *slowForum) Lead(_ rpc.LeaderRequest, reply *rpc.LeaderResponse) (err error) {
 	<-f.let
-	reply.Leader, reply.Term = f.lead, 7
+	reply.IsLeader, reply.Term = f.lead, 7
 	return nil
 }
 
-func (f *slowForum) Beat(_ rpc.BeatAsk, news *rpc.News) (err error) {
-	news.Leader, news.Term, news.Epoch = true, 7, 1
+func (f *slowForum) Beat(_ rpc.HeartbeatRequest, news *rpc.Update) (err error) {
+	news.IsLeader, news.Term, news.Revision = true, 7, 1
 	return nil
 }
 
@@ -45,9 +45,9 @@
 	d.leader.OnUpdate = func() {}
 	slow, mute := &slowForum{let: make(chan struct{}), lead: true}, &slowForum{let: make(chan struct{})}
 	t.Cleanup(func() { close(mute.let) })
-	var cores []rpc.Core
+	var cores []rpc.Controller
 	for _, forum := range []*slowForum{slow, mute} {
-		cores = append(cores, rpc.Core{Inner: serveInner(t, map[string]any{"Forum": forum})})
+		cores = append(cores, rpc.Controller{InternalAddress: serveInner(t, map[string]any{"Forum": forum})})
 	}
 	d.state.AddControllers(cores)
 	if d.leader.findLeader("", 0) {
@@ -57,7 +57,7 @@
 		t.Fatalf("the next question may take only %s", wait)
 	}
 	close(slow.let)
-	if !d.leader.findLeader("", 0) || *d.leader.leader.Load() != cores[0].Inner {
+	if !d.leader.findLeader("", 0) || *d.leader.leader.Load() != cores[0].InternalAddress {
 		t.Fatal("the leader was not found")
 	}
 	if wait := d.leader.patience.Duration(); wait != minLeaderQueryTimeout {
@@ -68,34 +68,34 @@
 // A part of the list that leaves a gap would make backends look gone.
 func TestAPartOfTheListThatDoesNotFollowIsRefused(t *testing.T) {
 	d := daemonOf(t)
-	server := func(id string) rpc.Server {
-		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1", Site: "here"}
+	server := func(id string) rpc.Endpoint {
+		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1", Zone: "here"}
 	}
-	tell := func(term rpc.Term, epoch rpc.Epoch, part *rpc.ListPart) {
-		d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: term, Epoch: epoch, Rev: 1, ItemAt: rpc.AllItems, Part: part})
+	tell := func(term rpc.Term, epoch rpc.Revision, part *rpc.EndpointChunk) {
+		d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: term, Revision: epoch, LogIndex: 1, LastItem: rpc.AfterAllItems, EndpointChunk: part})
 	}
-	tell(2, 1, &rpc.ListPart{At: "b", Servers: []rpc.Server{server("a"), server("b")}})
-	for i, bad := range []*rpc.ListPart{
-		{From: "d", At: "e", Servers: []rpc.Server{server("e")}, Done: true},
-		{From: "b", At: "c", Servers: []rpc.Server{server("a"), server("c")}},
+	tell(2, 1, &rpc.EndpointChunk{Last: "b", Endpoints: []rpc.Endpoint{server("a"), server("b")}})
+	for i, bad := range []*rpc.EndpointChunk{
+		{After: "d", Last: "e", Endpoints: []rpc.Endpoint{server("e")}, Complete: true},
+		{After: "b", Last: "c", Endpoints: []rpc.Endpoint{server("a"), server("c")}},
 	} {
-		tell(2, rpc.Epoch(2+i), bad)
-		if seen := d.state.Known(); seen.Listed || seen.ListAt != "b" || len(d.state.Snapshot().Services["s"]) != 2 {
+		tell(2, rpc.Revision(2+i), bad)
+		if seen := d.state.Known(); seen.EndpointsComplete || seen.LastEndpoint != "b" || len(d.state.Snapshot().Services["s"]) != 2 {
 			t.Fatalf("%+v was taken: %+v", bad, seen)
 		}
 		// The rest of the news is, or a daemon would ask for the same for ever.
-		if d.state.Known().Epoch != rpc.Epoch(2+i) {
+		if d.state.Known().Revision != rpc.Revision(2+i) {
 			t.Fatal("the rest of the news was refused too")
 		}
 	}
-	tell(2, 4, &rpc.ListPart{From: "b", At: "c", Servers: []rpc.Server{server("c")}, Done: true})
-	if !d.state.Known().Listed || len(d.state.Snapshot().Services["s"]) != 3 {
+	tell(2, 4, &rpc.EndpointChunk{After: "b", Last: "c", Endpoints: []rpc.Endpoint{server("c")}, Complete: true})
+	if !d.state.Known().EndpointsComplete || len(d.state.Snapshot().Services["s"]) != 3 {
 		t.Fatal("the part that follows was not taken")
 	}
 	// A new leader's list begins anew, also for one in the middle of the last's.
-	tell(3, 1, &rpc.ListPart{At: "a", Servers: []rpc.Server{server("a")}})
-	tell(4, 1, &rpc.ListPart{From: "a", At: "c", Servers: []rpc.Server{server("c")}, Done: true})
-	if seen := d.state.Known(); seen.Term != 4 || seen.Listed || seen.ListAt != "" || len(d.state.Snapshot().Services["s"]) != 3 {
+	tell(3, 1, &rpc.EndpointChunk{Last: "a", Endpoints: []rpc.Endpoint{server("a")}})
+	tell(4, 1, &rpc.EndpointChunk{After: "a", Last: "c", Endpoints: []rpc.Endpoint{server("c")}, Complete: true})
+	if seen := d.state.Known(); seen.Term != 4 || seen.EndpointsComplete || seen.LastEndpoint != "" || len(d.state.Snapshot().Services["s"]) != 3 {
 		t.Fatalf("a later leader's part was taken for the first one: %+v", seen)
 	}
 }
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -23,7 +23,7 @@
 	StartedAt    time.Duration
 	Deadline     time.Duration
 	AttemptsLeft int
-	Tried        []rpc.ServerID
+	Tried        []rpc.EndpointID
 	// MayHaveRun is set once a round ended without proof that nothing ran.
 	MayHaveRun bool
 	// LastServerError is the last answer in which a backend told of its own failure.
@@ -33,11 +33,11 @@
 	// that it may go to and no other.
 	Session      rpc.SessionID
 	Rule         affinity.Rule
-	BoundBackend rpc.ServerID
+	BoundBackend rpc.EndpointID
 }
 
 // wasTried tells that a backend was tried before.
-func (p *Plan) wasTried(server rpc.ServerID) bool { return slices.Contains(p.Tried, server) }
+func (p *Plan) wasTried(server rpc.EndpointID) bool { return slices.Contains(p.Tried, server) }
 
 // Step is what the plan wants next.
 type Step uint8
@@ -50,7 +50,7 @@
 )
 
 // Next takes the outcome of a round and tells what comes next.
-func (p *Plan) Next(now time.Duration, server rpc.ServerID, round Attempt) (step Step, kind apierror.Kind) {
+func (p *Plan) Next(now time.Duration, server rpc.EndpointID, round Attempt) (step Step, kind apierror.Kind) {
 	if round.Sent {
 		p.AttemptsLeft--
 	}
