--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -42,7 +42,7 @@
 )
 
 type probedServer struct {
-	state     rpc.State
+	state     rpc.EndpointState
 	timeouts  int
 	changed   bool
 	nextProbe time.Duration
@@ -52,7 +52,7 @@
 type Prober struct {
 	daemon         *Daemon
 	mu             sync.Mutex
-	probed         map[rpc.ServerID]*probedServer
+	probed         map[rpc.EndpointID]*probedServer
 	fullReportTerm map[rpc.ServiceName]rpc.Term
 	phase          int
 	pruned         time.Duration
@@ -60,7 +60,7 @@
 
 // NewProber has found nothing yet.
 func NewProber(d *Daemon) (prober *Prober) {
-	return &Prober{daemon: d, probed: map[rpc.ServerID]*probedServer{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
+	return &Prober{daemon: d, probed: map[rpc.EndpointID]*probedServer{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
 }
 
 // Run is the duty that probes.
@@ -121,13 +121,13 @@
 }
 
 // applyOutliers brings what the sums of all daemons tell into the states.
-func (p *Prober) applyOutliers(scene *Snapshot, duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
+func (p *Prober) applyOutliers(scene *Snapshot, duties []rpc.ServiceName, term rpc.Term, count rpc.Revision) {
 	d := p.daemon
 	changed := d.state.DetectOutliers(duties)
 	if len(changed) == 0 {
 		return
 	}
-	reports := map[rpc.ServiceName][]rpc.State{}
+	reports := map[rpc.ServiceName][]rpc.EndpointState{}
 	for _, service := range duties {
 		for _, server := range scene.Services[service] {
 			aside, moved := changed[server.ID]
@@ -136,27 +136,27 @@
 			}
 			p.mu.Lock()
 			held := p.record(server.ID)
-			held.state.Aside = aside
+			held.state.EjectedFor = aside
 			state := held.state
 			p.mu.Unlock()
 			server.update(d.clock.Now(), nil, &state)
 			d.log.Emit(eventlog.EjectionChanged, eventlog.KeyEndpoint, string(server.ID), "ejected_in", aside)
-			d.state.History.Note(history.Health, string(server.ID), "judged", state.Stamp(), 0, true)
+			d.state.History.Note(history.Health, string(server.ID), "judged", state.Summary(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
 	}
 	for service, states := range reports {
 		if d.leader.HasLeader() {
-			go d.leader.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: service, States: states})
+			go d.leader.Report(rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: count, Service: service, States: states})
 		}
 	}
 }
 
 // record gives what was found of a backend; the caller holds the lock.
-func (p *Prober) record(id rpc.ServerID) (held *probedServer) {
+func (p *Prober) record(id rpc.EndpointID) (held *probedServer) {
 	held = p.probed[id]
 	if held == nil {
-		held = &probedServer{state: rpc.State{Server: id}}
+		held = &probedServer{state: rpc.EndpointState{Endpoint: id}}
 		p.probed[id] = held
 	}
 	return held
@@ -192,12 +192,12 @@
 	defer p.mu.Unlock()
 	held := p.probed[server.ID]
 	if held == nil {
-		held = &probedServer{state: rpc.State{Server: server.ID}}
+		held = &probedServer{state: rpc.EndpointState{Endpoint: server.ID}}
 		held.nextProbe = now + time.Duration(rand.Float64()*float64(pace.suspectInterval))
 		p.probed[server.ID] = held
 	}
 	interval := pace.healthyInterval
-	if held.state.Health != rpc.Up || held.state.Cold > 0 || server.suspect(now) {
+	if held.state.Health != rpc.Healthy || held.state.WarmupRemaining > 0 || server.suspect(now) {
 		interval = pace.suspectInterval
 	}
 	// What is due later than the pace has it was set at another pace.
@@ -213,7 +213,7 @@
 func (p *Prober) prune(scene *Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	listed := make(map[rpc.ServerID]bool, len(p.probed))
+	listed := make(map[rpc.EndpointID]bool, len(p.probed))
 	for _, servers := range scene.Services {
 		for _, server := range servers {
 			listed[server.ID] = true
@@ -226,7 +226,7 @@
 	}
 }
 
-func (p *Prober) probe(server *Backend, path string, term rpc.Term, count rpc.Epoch) {
+func (p *Prober) probe(server *Backend, path string, term rpc.Term, count rpc.Revision) {
 	d := p.daemon
 	finding, cold := probeEndpoint(d.clock, server, path, false)
 	if finding == ProbeTimedOut {
@@ -246,51 +246,51 @@
 	switch finding {
 	case ProbeUp:
 		held.timeouts = 0
-		held.state.Health, held.state.Cold = rpc.Up, cold
+		held.state.Health, held.state.WarmupRemaining = rpc.Healthy, cold
 	case ProbeDown:
 		held.timeouts = 0
-		held.state.Health = rpc.Down
+		held.state.Health = rpc.Unhealthy
 	case ProbeTimedOut:
 		if held.timeouts++; held.timeouts >= 2 {
-			held.state.Health = rpc.Down
+			held.state.Health = rpc.Unhealthy
 		}
 	case ProbeBusy:
 		held.timeouts = 0
-		if held.state.Health != rpc.Up {
-			held.state.Health = rpc.Up
+		if held.state.Health != rpc.Healthy {
+			held.state.Health = rpc.Healthy
 		}
 	}
 	state := held.state
-	turned := before.Health != state.Health || (before.Cold > 0) != (state.Cold > 0) || state.Cold > 0
+	turned := before.Health != state.Health || (before.WarmupRemaining > 0) != (state.WarmupRemaining > 0) || state.WarmupRemaining > 0
 	held.changed = held.changed || turned
 	p.mu.Unlock()
-	if finding == ProbeInvalid || finding == ProbeTimedOut && state.Health != rpc.Down {
+	if finding == ProbeInvalid || finding == ProbeTimedOut && state.Health != rpc.Unhealthy {
 		return
 	}
 	server.update(d.clock.Now(), nil, &state)
 	if turned {
-		d.state.History.Note(history.Health, string(server.ID), "probed", state.Stamp(), 0, true)
+		d.state.History.Note(history.Health, string(server.ID), "probed", state.Summary(), 0, true)
 	}
 	if before.Health != state.Health {
-		if before.Health != rpc.Unknown || state.Health == rpc.Down {
+		if before.Health != rpc.HealthUnknown || state.Health == rpc.Unhealthy {
 			d.log.Emit(eventlog.EndpointHealthChanged, eventlog.KeyEndpoint, string(server.ID), "health", int(state.Health))
 		}
 	}
 	if turned && d.leader.HasLeader() {
-		d.leader.Report(rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: server.Service, States: []rpc.State{state}})
+		d.leader.Report(rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: count, Service: server.Service, States: []rpc.EndpointState{state}})
 	}
 }
 
 // report tells the cache that a round was made; the first to a leader is full.
-func (p *Prober) report(service rpc.ServiceName, servers []*Backend, term rpc.Term, count rpc.Epoch) {
+func (p *Prober) report(service rpc.ServiceName, servers []*Backend, term rpc.Term, count rpc.Revision) {
 	d := p.daemon
 	leader := d.state.Known().Term
-	ask := rpc.ReportAsk{Fellow: rpc.FellowID(d.settings.Name), Term: term, Count: count, Service: service}
+	ask := rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: count, Service: service}
 	p.mu.Lock()
 	ask.Full = p.fullReportTerm[service] != leader
 	if ask.Full {
 		for _, server := range servers {
-			if held := p.probed[server.ID]; held != nil && held.state.Health != rpc.Unknown {
+			if held := p.probed[server.ID]; held != nil && held.state.Health != rpc.HealthUnknown {
 				ask.States = append(ask.States, held.state)
 			}
 		}
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -154,7 +154,7 @@
 }
 
 // encode writes the request for one backend.
-func (r *Request) encode(left time.Duration, target rpc.ServerID) (data []byte) {
+func (r *Request) encode(left time.Duration, target rpc.EndpointID) (data []byte) {
 	r.headOnce.Do(r.buildCommonHead)
 	data = make([]byte, 0, len(r.commonHead)+len(r.Body)+96)
 	data = append(data, r.commonHead...)
--- a/internal/proxy/round_test.go
+++ b/internal/proxy/round_test.go
@@ -95,8 +95,8 @@
 				d.state.servers["i-1"].closed = false
 			}
 			sound := newStandIn(t, "i-2", good)
-			server := rpc.Server{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Site: "here", Slots: 4}
-			d.state.Apply(0, &rpc.News{Leader: true, Term: 1, Epoch: 2, Servers: []rpc.ServerChange{{Server: server}}})
+			server := rpc.Endpoint{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Zone: "here", Slots: 4}
+			d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Endpoints: []rpc.EndpointChange{{Endpoint: server}}})
 			d.state.servers["i-2"].latency, d.state.servers["i-2"].latencyAt = 1e6, 1
 			verdict := d.Handle(request("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
@@ -215,10 +215,10 @@
 	server := d.state.servers["i-1"]
 	server.warmUpUntil = d.clock.Now() + time.Hour
 	way := d.state.Snapshot().View.Find("a.example", "/once/x")
-	for _, bound := range []rpc.ServerID{"", "i-1"} {
+	for _, bound := range []rpc.EndpointID{"", "i-1"} {
 		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
 			now := d.clock.Now()
-			d.state.Apply(now, &rpc.News{Leader: true, Term: 1, Epoch: 1, Leases: []rpc.Lease{{Kind: rpc.ColdRate, Key: "i-1", Amount: 3, Span: span}}})
+			d.state.Apply(now, &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3, Duration: span}}})
 			plan := &Plan{Route: way, Service: "s", Deadline: now + time.Second, BoundBackend: bound}
 			if round := runAttempt(d.clock, server, request("POST", "/once/x", "a"), d.attemptOptions(plan, now)); round.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
@@ -239,7 +239,7 @@
 	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	if d.operations.Find("k", "a").Standing != rpc.Freed {
+	if d.operations.Find("k", "a").State != rpc.OperationReleased {
 		t.Fatal("the key is not given back")
 	}
 	// The same request again must not run under the claim that is given back.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -30,7 +30,7 @@
 
 // Backend is a backend and its pool.
 type Backend struct {
-	rpc.Server
+	rpc.Endpoint
 	Region    rpc.RegionName
 	lastStamp string
 
@@ -55,7 +55,7 @@
 	nextTrialAt      time.Duration
 	failureScore     float64
 	failureScoreAt   time.Duration
-	outcomes         rpc.Tally
+	outcomes         rpc.OutcomeCount
 	reportUntil      time.Duration
 	// activeConns are the streams that carry a request now, with whether it is keyed.
 	activeConns map[*Conn]bool
@@ -68,8 +68,8 @@
 	at        time.Duration
 }
 
-func newBackend(listed rpc.Server, region rpc.RegionName, asking string, habit *ServiceStats) (server *Backend) {
-	return &Backend{Server: listed, Region: region, localZone: asking, warmUpSends: quota.NewWindow(time.Second), stats: habit, activeConns: map[*Conn]bool{}}
+func newBackend(listed rpc.Endpoint, region rpc.RegionName, asking string, habit *ServiceStats) (server *Backend) {
+	return &Backend{Endpoint: listed, Region: region, localZone: asking, warmUpSends: quota.NewWindow(time.Second), stats: habit, activeConns: map[*Conn]bool{}}
 }
 
 // Conn is one connection to a backend; it carries one request at a time.
@@ -264,28 +264,28 @@
 	s.stats.countOutcome(good)
 	if good {
 		if s.ejected || now < s.reportUntil {
-			s.outcomes.Good++
+			s.outcomes.Succeeded++
 		}
 		return
 	}
-	s.outcomes.Bad++
+	s.outcomes.Failed++
 	s.reportUntil = now + outcomeReportSpan
 	s.stats.markReportable(s)
 }
 
 // takeOutcomes gives what is to be told of this backend, if it failed lately or is set
 // aside; of a backend that is well nothing is told.
-func (s *Backend) takeOutcomes(now time.Duration) (tally rpc.Tally, told bool) {
+func (s *Backend) takeOutcomes(now time.Duration) (tally rpc.OutcomeCount, told bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tally = s.outcomes
-	s.outcomes = rpc.Tally{}
-	tally.Server, tally.Service = s.ID, s.Service
+	s.outcomes = rpc.OutcomeCount{}
+	tally.Endpoint, tally.Service = s.ID, s.Service
 	if !s.ejected && now >= s.reportUntil || s.closed {
 		s.stats.clearReportable(s)
 		return tally, false
 	}
-	return tally, tally.Good+tally.Bad > 0
+	return tally, tally.Succeeded+tally.Failed > 0
 }
 
 // recentFailures is how much failed here lately, 0 to 1. The caller holds the lock.
@@ -369,7 +369,7 @@
 }
 
 // update takes what the list and the cache say.
-func (s *Backend) update(now time.Duration, listed *rpc.Server, state *rpc.State) {
+func (s *Backend) update(now time.Duration, listed *rpc.Endpoint, state *rpc.EndpointState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if listed != nil {
@@ -378,14 +378,14 @@
 	}
 	if state != nil {
 		s.health = state.Health
-		if s.ejected = state.Aside == rpc.AsideForAll || state.Aside != "" && state.Aside == s.localZone; s.ejected {
+		if s.ejected = state.EjectedFor == rpc.EjectedForAllZones || state.EjectedFor != "" && state.EjectedFor == s.localZone; s.ejected {
 			s.stats.markReportable(s)
 		}
 		s.warmUpUntil = 0
-		if state.Cold > 0 {
-			s.warmUpUntil = now + state.Cold
+		if state.WarmupRemaining > 0 {
+			s.warmUpUntil = now + state.WarmupRemaining
 		}
-		if state.Health == rpc.Up && s.unavailableUntil > now && s.unavailableSpan > minUnavailable {
+		if state.Health == rpc.Healthy && s.unavailableUntil > now && s.unavailableSpan > minUnavailable {
 			s.unavailableUntil = now
 		}
 	}
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -125,10 +125,10 @@
 	limit := min(900*time.Millisecond, plan.Deadline-d.clock.Now())
 	server, outcome := s.binder.Bind(plan.Session, idle, affinity.View{
 		Now:   d.clock.Now,
-		Over:  func(server rpc.ServerID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
-		Begin: func() rpc.ServerID { return d.placeSession(d.state.Snapshot(), plan) },
-		Ask: func(from, choice rpc.ServerID) rpc.BindFound {
-			return d.leader.Bind(rpc.Bind{Session: plan.Session, Service: plan.Service, Server: choice, From: from, Idle: idle}, plan.Route.Aim/4, limit)
+		Over:  func(server rpc.EndpointID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
+		Begin: func() rpc.EndpointID { return d.placeSession(d.state.Snapshot(), plan) },
+		Ask: func(from, choice rpc.EndpointID) rpc.BindResult {
+			return d.leader.Bind(rpc.SessionBinding{Session: plan.Session, Service: plan.Service, Endpoint: choice, EndedEndpoint: from, IdleTimeout: idle}, plan.Route.Aim/4, limit)
 		},
 	})
 	plan.BoundBackend = server
@@ -154,18 +154,18 @@
 
 // mustMove tells that a session may not stay on a backend: it has ended or is about
 // to, its site is evacuated, or it was retired and has had its time.
-func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.ServerID) (over bool) {
+func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.EndpointID) (over bool) {
 	server := scene.server(plan.Service, id)
-	return server == nil || server.isDraining() || scene.Evacuated[server.Site] || !regionAllowed(plan.Route.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+	return server == nil || server.isDraining() || scene.Evacuated[server.Zone] || !regionAllowed(plan.Route.Homes, server.Region) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
 // that are well and warm, else among those elsewhere, else among what there is.
-func (d *Daemon) placeSession(scene *Snapshot, plan *Plan) (chosen rpc.ServerID) {
+func (d *Daemon) placeSession(scene *Snapshot, plan *Plan) (chosen rpc.EndpointID) {
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
-		if server.isDraining() || scene.Evacuated[server.Site] || !regionAllowed(plan.Route.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
+		if server.isDraining() || scene.Evacuated[server.Zone] || !regionAllowed(plan.Route.Homes, server.Region) || !d.state.Policies.AcceptsNew(now, server.ID) {
 			continue
 		}
 		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
@@ -187,7 +187,7 @@
 }
 
 // server looks a backend of a service up; they are sorted by id.
-func (s *Snapshot) server(service rpc.ServiceName, id rpc.ServerID) (server *Backend) {
+func (s *Snapshot) server(service rpc.ServiceName, id rpc.EndpointID) (server *Backend) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
@@ -200,7 +200,7 @@
 func (s *Backend) healthyAndWarm(now time.Duration) (well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health != rpc.Down && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
+	return s.health != rpc.Unhealthy && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
 }
 
 // operationKey is the request's operation key.
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -16,33 +16,33 @@
 type agreedForum struct {
 	standInForum
 	bindMu sync.Mutex
-	bound  map[rpc.SessionID]rpc.ServerID
+	bound  map[rpc.SessionID]rpc.EndpointID
 	mute   bool
 	asks   int
 }
 
-func (f *agreedForum) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
+func (f *agreedForum) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
 	f.bindMu.Lock()
 	defer f.bindMu.Unlock()
-	reply.Leader = !f.mute
+	reply.IsLeader = !f.mute
 	if f.mute {
 		return nil
 	}
-	for _, bind := range ask.Binds {
+	for _, bind := range ask.Bindings {
 		f.asks++
 		standing, known := f.bound[bind.Session]
-		if !known || bind.From != "" && bind.From == standing {
-			standing = bind.Server
+		if !known || bind.EndedEndpoint != "" && bind.EndedEndpoint == standing {
+			standing = bind.Endpoint
 			f.bound[bind.Session] = standing
 		}
-		reply.Found = append(reply.Found, rpc.BindFound{Outcome: rpc.Bound, Server: standing})
+		reply.Results = append(reply.Results, rpc.BindResult{Outcome: rpc.Bound, Endpoint: standing})
 	}
 	return nil
 }
 
 // written sets a document at a node.
 func written(d *Daemon, rev uint64, kind policy.Kind, body string) {
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: rpc.Epoch(rev), Rev: rev, ItemAt: rpc.AllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: rpc.Revision(rev), LogIndex: rev, LastItem: rpc.AfterAllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
 }
 
 const byCaller = `{"version":2,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
@@ -57,7 +57,7 @@
 func nodesOf(t *testing.T, forum *agreedForum, views ...[]*standIn) (nodes []*Daemon) {
 	t.Helper()
 	forum.script = grant
-	forum.bound = map[rpc.SessionID]rpc.ServerID{}
+	forum.bound = map[rpc.SessionID]rpc.EndpointID{}
 	inner := serveInner(t, map[string]any{"Forum": forum, "Fellow": forum})
 	for _, view := range views {
 		d := daemonOf(t, view...)
@@ -82,7 +82,7 @@
 	}
 	forum := &agreedForum{}
 	nodes := nodesOf(t, forum, backends, []*standIn{backends[3], backends[2], backends[1], backends[0]})
-	nodes[1].state.Apply(nodes[1].clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 3, Rev: 2, ItemAt: rpc.AllItems, Fellows: []rpc.FellowChange{{Fellow: rpc.Fellow{ID: "edge-9", Site: "here", Ready: true}}}})
+	nodes[1].state.Apply(nodes[1].clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 3, LogIndex: 2, LastItem: rpc.AfterAllItems, Nodes: []rpc.NodeChange{{Node: rpc.Node{ID: "edge-9", Zone: "here", Ready: true}}}})
 	where := map[string]string{}
 	run := 0
 	visit := func(caller string, n int) (status int, server string) {
@@ -121,7 +121,7 @@
 	// One leaves: its sessions move, once, and the others stay.
 	gone := where["caller-0"]
 	for _, d := range nodes {
-		d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 1, Epoch: 4, Rev: 2, ItemAt: rpc.AllItems, Servers: []rpc.ServerChange{{Server: rpc.Server{ID: rpc.ServerID(gone), Service: "s"}, Gone: true}}})
+		d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 4, LogIndex: 2, LastItem: rpc.AfterAllItems, Endpoints: []rpc.EndpointChange{{Endpoint: rpc.Endpoint{ID: rpc.EndpointID(gone), Service: "s"}, Removed: true}}})
 	}
 	for step := 0; step < 4; step++ {
 		for c := 0; c < 12; c++ {
@@ -157,7 +157,7 @@
 	if verdict = d.Handle(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
-	if standing := d.operations.Find("k", "b").Standing; standing != rpc.Freed {
+	if standing := d.operations.Find("k", "b").State; standing != rpc.OperationReleased {
 		t.Fatalf("the key of an operation that was not sent stands at %d", standing)
 	}
 	written(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -127,9 +127,9 @@
 	if err := items.Apply([]byte(call), 1); err != nil {
 		t.Fatal(err)
 	}
-	news := &rpc.News{Leader: true, Term: 1, Epoch: 1, Full: true, Rev: 1, ItemAt: rpc.AllItems, Items: items.Items(), Part: &rpc.ListPart{Done: true}}
+	news := &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, Items: items.Items(), EndpointChunk: &rpc.EndpointChunk{Complete: true}}
 	for _, backend := range backends {
-		news.Part.Servers = append(news.Part.Servers, rpc.Server{ID: rpc.ServerID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Site: "here", Slots: 4})
+		news.EndpointChunk.Endpoints = append(news.EndpointChunk.Endpoints, rpc.Endpoint{ID: rpc.EndpointID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Zone: "here", Slots: 4})
 	}
 	d.state.Apply(0, news)
 	return d
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -32,12 +32,12 @@
 }
 
 // Tell gives the account.
-func (s *StatusService) Tell(_ rpc.StatusAsk, reply *rpc.StatusReply) (err error) {
+func (s *StatusService) Tell(_ rpc.StatusRequest, reply *rpc.StatusResponse) (err error) {
 	d := s.daemon
 	seen := d.state.Known()
 	account := NodeStatus{
 		Role: "passage", Name: d.settings.Name, Ready: d.isReady(), HasLeader: d.leader.HasLeader(), Leader: *d.leader.leader.Load(),
-		Term: uint64(seen.Term), Epoch: uint64(seen.Epoch), Revision: seen.Rev, Nodes: len(d.state.Snapshot().Nodes), InFlight: d.frontend.InFlight(),
+		Term: uint64(seen.Term), Epoch: uint64(seen.Revision), Revision: seen.LogIndex, Nodes: len(d.state.Snapshot().Nodes), InFlight: d.frontend.InFlight(),
 	}
 	account.Sessions = d.state.Policies.Sessions.Status()
 	account.Retries = d.state.Policies.Retries.Accounts(d.clock.Now())
@@ -49,12 +49,12 @@
 }
 
 // Trace tells what this daemon knows of a subject.
-func (s *StatusService) Trace(ask rpc.TraceAsk, reply *rpc.TraceReply) (err error) {
+func (s *StatusService) Trace(ask rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	w := s.daemon.state
 	reply.Name = s.daemon.settings.Name
 	for _, told := range w.History.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Marks = append(reply.Marks, rpc.TraceMark{What: told.What, Stamp: told.Stamp, Rev: told.Rev, Age: told.Age})
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.What, Summary: told.Stamp, LogIndex: told.Rev, Age: told.Age})
 	}
-	reply.Stamp, reply.Rev, reply.Has = w.StateOf(ask.Kind, ask.Name)
+	reply.Summary, reply.LogIndex, reply.Present = w.StateOf(ask.Kind, ask.Name)
 	return nil
 }
--- a/internal/proxy/subset.go
+++ b/internal/proxy/subset.go
@@ -14,8 +14,8 @@
 
 // Subset tells which backends of a site a daemon uses first.
 type Subset struct {
-	self            rpc.FellowID
-	nodes           []rpc.FellowID
+	self            rpc.NodeID
+	nodes           []rpc.NodeID
 	nodesPerBackend int
 }
 
@@ -24,10 +24,10 @@
 const minSubsetSize = 6
 
 // NewSubset reckons with the ready daemons of self's site, self among them.
-func NewSubset(self rpc.FellowID, site rpc.SiteName, fellows map[rpc.FellowID]rpc.Fellow, sharers int) (subset Subset) {
-	subset = Subset{self: self, nodes: []rpc.FellowID{self}}
+func NewSubset(self rpc.NodeID, site rpc.ZoneName, fellows map[rpc.NodeID]rpc.Node, sharers int) (subset Subset) {
+	subset = Subset{self: self, nodes: []rpc.NodeID{self}}
 	for id, fellow := range fellows {
-		if id != self && fellow.Site == site && fellow.Ready && !fellow.Stopping {
+		if id != self && fellow.Zone == site && fellow.Ready && !fellow.Stopping {
 			subset.nodes = append(subset.nodes, id)
 		}
 	}
@@ -43,7 +43,7 @@
 }
 
 // Contains tells whether self is among so many that use the backend first.
-func (s Subset) Contains(server rpc.ServerID, sharers int) (holds bool) {
+func (s Subset) Contains(server rpc.EndpointID, sharers int) (holds bool) {
 	if sharers >= len(s.nodes) {
 		return true
 	}
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -8,11 +8,11 @@
 	"tinpin/internal/rpc"
 )
 
-func siteOf(count int) (fellows map[rpc.FellowID]rpc.Fellow) {
-	fellows = map[rpc.FellowID]rpc.Fellow{}
+func siteOf(count int) (fellows map[rpc.NodeID]rpc.Node) {
+	fellows = map[rpc.NodeID]rpc.Node{}
 	for i := range count {
-		id := rpc.FellowID(fmt.Sprint("edge-", i))
-		fellows[id] = rpc.Fellow{ID: id, Site: "harbour", Ready: true}
+		id := rpc.NodeID(fmt.Sprint("edge-", i))
+		fellows[id] = rpc.Node{ID: id, Zone: "harbour", Ready: true}
 	}
 	return fellows
 }
@@ -22,14 +22,14 @@
 func TestSubsetsAreEven(t *testing.T) {
 	const daemons, backends, sharers = 14, 54, 3
 	fellows := siteOf(daemons)
-	fellows["far"] = rpc.Fellow{ID: "far", Site: "hill", Ready: true}
-	fellows["going"] = rpc.Fellow{ID: "going", Site: "harbour", Ready: true, Stopping: true}
-	users, sizes := map[rpc.ServerID]int{}, map[rpc.FellowID]int{}
+	fellows["far"] = rpc.Node{ID: "far", Zone: "hill", Ready: true}
+	fellows["going"] = rpc.Node{ID: "going", Zone: "harbour", Ready: true, Stopping: true}
+	users, sizes := map[rpc.EndpointID]int{}, map[rpc.NodeID]int{}
 	for i := range daemons {
-		self := rpc.FellowID(fmt.Sprint("edge-", i))
+		self := rpc.NodeID(fmt.Sprint("edge-", i))
 		subset := NewSubset(self, "harbour", fellows, sharers)
 		for j := range backends {
-			if id := rpc.ServerID(fmt.Sprint("i-", j)); subset.Contains(id, subset.NodesPerBackend(backends)) {
+			if id := rpc.EndpointID(fmt.Sprint("i-", j)); subset.Contains(id, subset.NodesPerBackend(backends)) {
 				users[id]++
 				sizes[self]++
 			}
@@ -56,10 +56,10 @@
 	before, after := siteOf(10), siteOf(11)
 	taken := NewSubset("edge-10", "harbour", after, sharers)
 	for i := range 10 {
-		self := rpc.FellowID(fmt.Sprint("edge-", i))
+		self := rpc.NodeID(fmt.Sprint("edge-", i))
 		old, now := NewSubset(self, "harbour", before, sharers), NewSubset(self, "harbour", after, sharers)
 		for j := range backends {
-			id := rpc.ServerID(fmt.Sprint("i-", j))
+			id := rpc.EndpointID(fmt.Sprint("i-", j))
 			if old.Contains(id, sharers) != now.Contains(id, sharers) && (now.Contains(id, sharers) || !taken.Contains(id, sharers)) {
 				t.Errorf("%s moved at %s though the new daemon did not take it", id, self)
 			}
@@ -84,16 +84,16 @@
 // work for dark.
 func TestADaemonThatKnowsNothingStaysNear(t *testing.T) {
 	d := daemonOf(t)
-	var rows []rpc.Server
+	var rows []rpc.Endpoint
 	for n := 0; n < 12; n++ {
-		rows = append(rows, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("near-%d", n)), Service: "s", Address: "x:1", Site: "here", Slots: 6}, rpc.Server{ID: rpc.ServerID(fmt.Sprintf("far-%d", n)), Service: "s", Address: "x:1", Site: "there", Slots: 6})
+		rows = append(rows, rpc.Endpoint{ID: rpc.EndpointID(fmt.Sprintf("near-%d", n)), Service: "s", Address: "x:1", Zone: "here", Slots: 6}, rpc.Endpoint{ID: rpc.EndpointID(fmt.Sprintf("far-%d", n)), Service: "s", Address: "x:1", Zone: "there", Slots: 6})
 	}
-	d.state.Apply(d.clock.Now(), &rpc.News{Leader: true, Term: 2, Epoch: 2, Full: true, Rev: 1, ItemAt: rpc.AllItems, Part: &rpc.ListPart{Done: true, Servers: rows}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 2, Revision: 2, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, EndpointChunk: &rpc.EndpointChunk{Complete: true, Endpoints: rows}})
 	scene := d.state.Snapshot()
 	wanted := Criteria{Service: "s", TargetLatency: 2 * time.Second, Idempotent: true}
 	for n := 0; n < 24; n++ {
 		server, _ := d.state.chooseEndpoint(scene, wanted)
-		if server == nil || server.Site != "here" {
+		if server == nil || server.Zone != "here" {
 			t.Fatalf("request %d goes to %+v", n, server)
 		}
 		// They are all still at work, a third of a second later.
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -102,14 +102,14 @@
 }
 
 // loads tells how many requests are at work at each service.
-func (t *concurrencyLimiters) loads() (burdens []rpc.Burden) {
+func (t *concurrencyLimiters) loads() (burdens []rpc.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for service, throttle := range t.byService {
 		throttle.mu.Lock()
 		atWork := throttle.inFlight
 		throttle.mu.Unlock()
-		burdens = append(burdens, rpc.Burden{Service: rpc.ServiceName(service), AtWork: atWork})
+		burdens = append(burdens, rpc.Load{Service: rpc.ServiceName(service), InFlight: atWork})
 	}
 	return burdens
 }
--- a/internal/proxy/throttle_test.go
+++ b/internal/proxy/throttle_test.go
@@ -98,16 +98,16 @@
 	servers[0].attemptStarted(now)
 	servers[0].attemptEnded(now, time.Millisecond, Complete)
 	tallies := d.state.OutcomeCounts()
-	if len(tallies) != 2 || tallies[0].Server != "i-1" || tallies[0].Bad != 1 || tallies[0].Good != 1 || tallies[1].Server != "" || tallies[1].Good != 11 || tallies[1].Bad != 1 {
+	if len(tallies) != 2 || tallies[0].Endpoint != "i-1" || tallies[0].Failed != 1 || tallies[0].Succeeded != 1 || tallies[1].Endpoint != "" || tallies[1].Succeeded != 11 || tallies[1].Failed != 1 {
 		t.Fatalf("%+v", tallies)
 	}
 	if _, told := servers[0].takeOutcomes(now + outcomeReportSpan + time.Second); told || len(servers[0].stats.reportableBackends()) != 0 {
 		t.Fatal("it is told for ever")
 	}
-	servers[1].update(now, nil, &rpc.State{Server: "i-2", Health: rpc.Up, Aside: rpc.AsideForAll})
+	servers[1].update(now, nil, &rpc.EndpointState{Endpoint: "i-2", Health: rpc.Healthy, EjectedFor: rpc.EjectedForAllZones})
 	servers[1].attemptStarted(now)
 	servers[1].attemptEnded(now, time.Millisecond, Complete)
-	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Server != "i-2" || tallies[0].Good != 1 {
+	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Endpoint != "i-2" || tallies[0].Succeeded != 1 {
 		t.Fatalf("%+v", tallies)
 	}
 }
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -32,8 +32,8 @@
 	// all others; Share is how many daemons use each of the near ones.
 	Preferred, Others map[rpc.ServiceName][]*Backend
 	NodesPerBackend   map[rpc.ServiceName]int
-	Evacuated         map[rpc.SiteName]bool
-	Nodes             map[rpc.FellowID]rpc.Fellow
+	Evacuated         map[rpc.ZoneName]bool
+	Nodes             map[rpc.NodeID]rpc.Node
 	// ReadyNodes counts the daemons that share the backends now.
 	ReadyNodes   int
 	Configured   bool
@@ -61,12 +61,12 @@
 
 	mu           sync.Mutex
 	config       *config.Canon
-	known        rpc.Seen
+	known        rpc.KnownState
 	configured   bool
-	namedInList  map[rpc.ServerID]bool
-	servers      map[rpc.ServerID]*Backend
-	evacuations  map[rpc.SiteName]rpc.Evacuation
-	nodes        map[rpc.FellowID]rpc.Fellow
+	namedInList  map[rpc.EndpointID]bool
+	servers      map[rpc.EndpointID]*Backend
+	evacuations  map[rpc.ZoneName]rpc.Evacuation
+	nodes        map[rpc.NodeID]rpc.Node
 	controllers  map[string]bool
 	assignment   *healthcheck.Watch
 	leaderMap    rpc.ShardMap
@@ -82,9 +82,9 @@
 // NewClusterState knows nothing yet.
 func NewClusterState(p settings.Settings, log *eventlog.Logger, clock Clock) (world *ClusterState) {
 	world = &ClusterState{
-		settings: p, log: log, clock: clock, History: history.New(log), Policies: NewPolicies(clock.Now()), config: config.New(), servers: map[rpc.ServerID]*Backend{},
-		evacuations: map[rpc.SiteName]rpc.Evacuation{}, nodes: map[rpc.FellowID]rpc.Fellow{}, controllers: map[string]bool{},
-		assignment: healthcheck.NewWatch(rpc.FellowID(p.Name), p.SendInterval, clock.Now()),
+		settings: p, log: log, clock: clock, History: history.New(log), Policies: NewPolicies(clock.Now()), config: config.New(), servers: map[rpc.EndpointID]*Backend{},
+		evacuations: map[rpc.ZoneName]rpc.Evacuation{}, nodes: map[rpc.NodeID]rpc.Node{}, controllers: map[string]bool{},
+		assignment: healthcheck.NewWatch(rpc.NodeID(p.Name), p.SendInterval, clock.Now()),
 		outliers:   healthcheck.NewJudge(), leases: quota.NewShares(), stats: map[rpc.ServiceName]*ServiceStats{},
 	}
 	world.Policies.Retries = retry.NewLimiter(world.Leased)
@@ -104,7 +104,7 @@
 }
 
 // Known is what a beat names.
-func (w *ClusterState) Known() (seen rpc.Seen) {
+func (w *ClusterState) Known() (seen rpc.KnownState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.known
@@ -121,28 +121,28 @@
 
 // Apply takes the news that was asked for at a time, and tells whether it is the
 // newest leader's: of an older one nothing is taken, however late its answer comes.
-func (w *ClusterState) Apply(asked time.Duration, news *rpc.News) (led bool) {
-	if news.Packed != nil {
-		items, err := rpc.Unpack(news.Packed)
+func (w *ClusterState) Apply(asked time.Duration, news *rpc.Update) (led bool) {
+	if news.CompressedItems != nil {
+		items, err := rpc.Unpack(news.CompressedItems)
 		if err != nil {
 			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
 		}
 		news.Items = items
 	}
-	if news.Part != nil {
-		if err := news.Part.Unpack(); err != nil {
+	if news.EndpointChunk != nil {
+		if err := news.EndpointChunk.Decompress(); err != nil {
 			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
 		}
 	}
-	if news.Crowd != nil {
-		fellows, err := rpc.UnpackRows[rpc.FellowChange](news.Crowd)
+	if news.CompressedNodes != nil {
+		fellows, err := rpc.UnpackRows[rpc.NodeChange](news.CompressedNodes)
 		if err != nil {
 			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
 		}
-		news.Fellows = append(news.Fellows, fellows...)
+		news.Nodes = append(news.Nodes, fellows...)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -151,34 +151,34 @@
 	if news.Term < w.known.Term {
 		return false
 	}
-	if news.Term == w.known.Term && news.Epoch < w.known.Epoch {
+	if news.Term == w.known.Term && news.Revision < w.known.Revision {
 		return true
 	}
 	w.takeLeases(asked, news.Leases)
-	if part := news.Part; part != nil && !w.continuesList(news.Term, part) {
+	if part := news.EndpointChunk; part != nil && !w.continuesList(news.Term, part) {
 		// Only the part is refused: the rest says where to go on from.
-		w.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, "news", eventlog.KeyReason, "a part of the list that does not follow", eventlog.KeyFrom, string(part.From), "position", string(part.At))
-		news.Part = nil
+		w.log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, "news", eventlog.KeyReason, "a part of the list that does not follow", eventlog.KeyFrom, string(part.After), "position", string(part.Last))
+		news.EndpointChunk = nil
 	}
-	first := w.known.Rev == 0
+	first := w.known.LogIndex == 0
 	if news.Term != w.known.Term {
-		w.known.Listed, w.known.ListAt, w.known.MapAt, w.namedInList = false, "", 0, map[rpc.ServerID]bool{}
+		w.known.EndpointsComplete, w.known.LastEndpoint, w.known.ShardMapRevision, w.namedInList = false, "", 0, map[rpc.EndpointID]bool{}
 	}
-	changed := news.Full || news.Part != nil || len(news.Servers) > 0 || len(news.Fellows) > 0 || len(news.Items) > 0 || len(news.Evacuations) > 0
-	for _, core := range news.Cores {
-		w.controllers[core.Inner] = true
+	changed := news.Full || news.EndpointChunk != nil || len(news.Endpoints) > 0 || len(news.Nodes) > 0 || len(news.Items) > 0 || len(news.Evacuations) > 0
+	for _, core := range news.Controllers {
+		w.controllers[core.InternalAddress] = true
 	}
 	if news.Full {
-		w.nodes = map[rpc.FellowID]rpc.Fellow{}
+		w.nodes = map[rpc.NodeID]rpc.Node{}
 	}
-	w.known.Term, w.known.Epoch = news.Term, news.Epoch
+	w.known.Term, w.known.Revision = news.Term, news.Revision
 	w.Policies.apply(now, asked, news, w.History, first)
-	back := map[rpc.SiteName]bool{}
+	back := map[rpc.ZoneName]bool{}
 	for _, evacuation := range news.Evacuations {
-		if old := w.evacuations[evacuation.Site]; old.Rev < evacuation.Rev {
-			w.evacuations[evacuation.Site] = evacuation
-			w.History.Note(history.Evacuation, string(evacuation.Site), "applied", evacuation.Stamp(), evacuation.Rev, first)
-			back[evacuation.Site] = old.Active && !evacuation.Active
+		if old := w.evacuations[evacuation.Zone]; old.LogIndex < evacuation.LogIndex {
+			w.evacuations[evacuation.Zone] = evacuation
+			w.History.Note(history.Evacuation, string(evacuation.Zone), "applied", evacuation.Summary(), evacuation.LogIndex, first)
+			back[evacuation.Zone] = old.Active && !evacuation.Active
 		}
 	}
 	for _, item := range news.Items {
@@ -189,8 +189,8 @@
 	for _, item := range news.Items {
 		w.History.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > maxLoggedItems)
 	}
-	if news.Rev > w.known.Rev || news.Rev == w.known.Rev && news.ItemAt > w.known.ItemAt {
-		w.known.Rev, w.known.ItemAt = news.Rev, news.ItemAt
+	if news.LogIndex > w.known.LogIndex || news.LogIndex == w.known.LogIndex && news.LastItem > w.known.LastItem {
+		w.known.LogIndex, w.known.LastItem = news.LogIndex, news.LastItem
 	}
 	if len(news.Items) > 0 {
 		w.view = w.config.View()
@@ -201,16 +201,16 @@
 		w.assignment.Services(names)
 		w.assignment.Settle(now)
 	}
-	if news.Part != nil && !w.known.Listed {
-		w.applyListPart(now, news.Part)
+	if news.EndpointChunk != nil && !w.known.EndpointsComplete {
+		w.applyListPart(now, news.EndpointChunk)
 	}
-	w.applyListChanges(now, news.Servers, false)
+	w.applyListChanges(now, news.Endpoints, false)
 	for site, returned := range back {
 		if !returned {
 			continue
 		}
 		for _, server := range w.servers {
-			if server.Site == site {
+			if server.Zone == site {
 				if service := w.view.Services[string(server.Service)]; service != nil {
 					server.startWarmUp(now, service.Cold)
 				}
@@ -218,27 +218,27 @@
 		}
 	}
 	for _, state := range news.States {
-		if server := w.servers[state.Server]; server != nil && !state.Gone {
-			w.History.Note(history.Health, string(state.Server), "heard", state.Stamp(), uint64(news.Epoch), true)
+		if server := w.servers[state.Endpoint]; server != nil && !state.Removed {
+			w.History.Note(history.Health, string(state.Endpoint), "heard", state.Summary(), uint64(news.Revision), true)
 			server.update(now, nil, &state)
 		}
 	}
-	for _, change := range news.Fellows {
-		if change.Gone {
+	for _, change := range news.Nodes {
+		if change.Removed {
 			delete(w.nodes, change.ID)
 		} else {
-			w.nodes[change.ID] = change.Fellow
+			w.nodes[change.ID] = change.Node
 		}
 	}
-	if delta := news.MapDelta; delta != nil && w.known.MapAt > 0 && delta.Base <= w.known.MapAt && delta.Count > w.known.MapAt {
+	if delta := news.ShardMapDelta; delta != nil && w.known.ShardMapRevision > 0 && delta.BaseRevision <= w.known.ShardMapRevision && delta.Revision > w.known.ShardMapRevision {
 		next := w.leaderMap.Apply(*delta)
-		news.Map = &next
+		news.ShardMap = &next
 	}
-	if news.Map != nil {
-		w.leaderMap, w.known.MapAt = *news.Map, news.Map.Count
-		w.assignment.Map(now, *news.Map)
+	if news.ShardMap != nil {
+		w.leaderMap, w.known.ShardMapRevision = *news.ShardMap, news.ShardMap.Revision
+		w.assignment.Map(now, *news.ShardMap)
 	}
-	for _, tally := range news.Tallies {
+	for _, tally := range news.Outcomes {
 		w.outliers.Add(now, tally)
 	}
 	w.assignment.Absent(news.Absent)
@@ -252,7 +252,7 @@
 // OutcomeCounts gives what is to be told of the backends' outcomes: nothing at all
 // while none fails. Only those are looked at of which there may be something to
 // tell, so that a beat costs no more where there are more backends.
-func (w *ClusterState) OutcomeCounts() (tallies []rpc.Tally) {
+func (w *ClusterState) OutcomeCounts() (tallies []rpc.OutcomeCount) {
 	now := w.clock.Now()
 	w.mu.Lock()
 	habits := maps.Clone(w.stats)
@@ -268,17 +268,17 @@
 			continue
 		}
 		good, bad := habit.takeCounts()
-		tallies = append(tallies, rpc.Tally{Service: service, Good: good, Bad: bad})
+		tallies = append(tallies, rpc.OutcomeCount{Service: service, Succeeded: good, Failed: bad})
 	}
 	return tallies
 }
 
 // AddControllers notes cores that were heard of.
-func (w *ClusterState) AddControllers(cores []rpc.Core) {
+func (w *ClusterState) AddControllers(cores []rpc.Controller) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, core := range cores {
-		w.controllers[core.Inner] = true
+		w.controllers[core.InternalAddress] = true
 	}
 }
 
@@ -294,33 +294,33 @@
 
 // continuesList tells that a part of the list follows what was told of it: a gap would
 // be taken for backends that are gone.
-func (w *ClusterState) continuesList(term rpc.Term, part *rpc.ListPart) (follows bool) {
-	told := w.known.ListAt
+func (w *ClusterState) continuesList(term rpc.Term, part *rpc.EndpointChunk) (follows bool) {
+	told := w.known.LastEndpoint
 	if term != w.known.Term {
 		told = ""
 	}
-	for _, server := range part.Servers {
-		if server.ID <= part.From {
+	for _, server := range part.Endpoints {
+		if server.ID <= part.After {
 			return false
 		}
 	}
-	return w.known.Listed && term == w.known.Term || part.From <= told
+	return w.known.EndpointsComplete && term == w.known.Term || part.After <= told
 }
 
 // applyListPart takes a part of the whole list; the last one drops what none named.
-func (w *ClusterState) applyListPart(now time.Duration, part *rpc.ListPart) {
-	changes := make([]rpc.ServerChange, len(part.Servers))
-	for i, server := range part.Servers {
-		changes[i].Server = server
+func (w *ClusterState) applyListPart(now time.Duration, part *rpc.EndpointChunk) {
+	changes := make([]rpc.EndpointChange, len(part.Endpoints))
+	for i, server := range part.Endpoints {
+		changes[i].Endpoint = server
 	}
 	w.applyListChanges(now, changes, true)
 	for i := range part.States {
-		if server := w.servers[part.States[i].Server]; server != nil {
+		if server := w.servers[part.States[i].Endpoint]; server != nil {
 			server.update(now, nil, &part.States[i])
 		}
 	}
-	w.known.ListAt = max(w.known.ListAt, part.At)
-	if !part.Done {
+	w.known.LastEndpoint = max(w.known.LastEndpoint, part.Last)
+	if !part.Complete {
 		return
 	}
 	for id, server := range w.servers {
@@ -329,15 +329,15 @@
 			delete(w.servers, id)
 		}
 	}
-	w.known.Listed, w.listComplete, w.namedInList = true, true, nil
+	w.known.EndpointsComplete, w.listComplete, w.namedInList = true, true, nil
 }
 
 // applyListChanges takes changes of the list; those of a whole telling are not logged.
-func (w *ClusterState) applyListChanges(now time.Duration, changes []rpc.ServerChange, quiet bool) {
+func (w *ClusterState) applyListChanges(now time.Duration, changes []rpc.EndpointChange, quiet bool) {
 	for i := range changes {
 		change := &changes[i]
 		server := w.servers[change.ID]
-		if change.Gone {
+		if change.Removed {
 			if server != nil {
 				w.History.Note(history.Backend, string(change.ID), "applied", "gone", 0, false)
 				server.closeIdle(now, true)
@@ -349,25 +349,25 @@
 			w.namedInList[change.ID] = true
 		}
 		if server == nil {
-			server = newBackend(change.Server, rpc.RegionName(w.settings.ZoneRegions[string(change.Site)]), w.settings.Zone, w.statsOf(change.Service))
-			if change.Cold > 0 {
-				server.startWarmUp(now, change.Cold)
+			server = newBackend(change.Endpoint, rpc.RegionName(w.settings.ZoneRegions[string(change.Zone)]), w.settings.Zone, w.statsOf(change.Service))
+			if change.WarmupRemaining > 0 {
+				server.startWarmUp(now, change.WarmupRemaining)
 			}
 			w.servers[change.ID] = server
 		}
-		if stamp := change.Stamp(); server.lastStamp != stamp {
+		if stamp := change.Summary(); server.lastStamp != stamp {
 			server.lastStamp = stamp
 			w.History.Note(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
 		}
-		server.update(now, &change.Server, nil)
+		server.update(now, &change.Endpoint, nil)
 	}
 }
 
 // ApplyOwnList takes a walk that this daemon made itself for want of a leader.
-func (w *ClusterState) ApplyOwnList(walk []rpc.Server) {
-	changes := make([]rpc.ServerChange, len(walk))
+func (w *ClusterState) ApplyOwnList(walk []rpc.Endpoint) {
+	changes := make([]rpc.EndpointChange, len(walk))
 	for i := range walk {
-		changes[i] = rpc.ServerChange{Server: walk[i]}
+		changes[i] = rpc.EndpointChange{Endpoint: walk[i]}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -379,7 +379,7 @@
 
 // publishSnapshot builds the scene anew.
 func (w *ClusterState) publishSnapshot() {
-	scene := &Snapshot{View: w.view, Services: map[rpc.ServiceName][]*Backend{}, Preferred: map[rpc.ServiceName][]*Backend{}, Others: map[rpc.ServiceName][]*Backend{}, Evacuated: map[rpc.SiteName]bool{}, Nodes: map[rpc.FellowID]rpc.Fellow{}, ListComplete: w.listComplete, Revision: w.known.Rev}
+	scene := &Snapshot{View: w.view, Services: map[rpc.ServiceName][]*Backend{}, Preferred: map[rpc.ServiceName][]*Backend{}, Others: map[rpc.ServiceName][]*Backend{}, Evacuated: map[rpc.ZoneName]bool{}, Nodes: map[rpc.NodeID]rpc.Node{}, ListComplete: w.listComplete, Revision: w.known.LogIndex}
 	for _, server := range w.servers {
 		scene.Services[server.Service] = append(scene.Services[server.Service], server)
 	}
@@ -397,18 +397,18 @@
 			scene.ReadyNodes++
 		}
 	}
-	subset := NewSubset(rpc.FellowID(w.settings.Name), rpc.SiteName(w.settings.Zone), w.nodes, w.settings.SubsetSize)
+	subset := NewSubset(rpc.NodeID(w.settings.Name), rpc.ZoneName(w.settings.Zone), w.nodes, w.settings.SubsetSize)
 	scene.NodesPerBackend = map[rpc.ServiceName]int{}
 	for service, servers := range scene.Services {
 		here := 0
 		for _, server := range servers {
-			if string(server.Site) == w.settings.Zone {
+			if string(server.Zone) == w.settings.Zone {
 				here++
 			}
 		}
 		scene.NodesPerBackend[service] = subset.NodesPerBackend(here)
 		for _, server := range servers {
-			if string(server.Site) == w.settings.Zone && subset.Contains(server.ID, scene.NodesPerBackend[service]) {
+			if string(server.Zone) == w.settings.Zone && subset.Contains(server.ID, scene.NodesPerBackend[service]) {
 				scene.Preferred[service] = append(scene.Preferred[service], server)
 			} else {
 				scene.Others[service] = append(scene.Others[service], server)
@@ -416,7 +416,7 @@
 		}
 	}
 	// Until all items are here, a way that is missing proves nothing.
-	w.configured = w.configured || w.known.ItemAt == rpc.AllItems && !w.config.Empty()
+	w.configured = w.configured || w.known.LastItem == rpc.AfterAllItems && !w.config.Empty()
 	scene.Configured = w.configured
 	w.snapshot.Store(scene)
 }
@@ -437,7 +437,7 @@
 
 // abortRequests breaks off what is still at work at a backend; with but, keyed requests
 // may go on.
-func (w *ClusterState) abortRequests(id rpc.ServerID, but bool) {
+func (w *ClusterState) abortRequests(id rpc.EndpointID, but bool) {
 	w.mu.Lock()
 	server := w.servers[id]
 	w.mu.Unlock()
@@ -459,24 +459,24 @@
 }
 
 // Tick moves the watch on and lists the services to probe.
-func (w *ClusterState) Tick(led bool) (duties []rpc.ServiceName, term rpc.Term, count rpc.Epoch) {
+func (w *ClusterState) Tick(led bool) (duties []rpc.ServiceName, term rpc.Term, count rpc.Revision) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
 	w.assignment.Led(now, led)
 	applied, headless := w.assignment.Tick(now)
 	if applied {
-		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.assignment.Applied().Count), eventlog.KeyMembers, len(w.assignment.Applied().Members))
+		w.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(w.assignment.Applied().Revision), eventlog.KeyMembers, len(w.assignment.Applied().Members))
 	}
 	if headless {
 		w.log.Emit(eventlog.Headless)
 	}
 	shards := w.assignment.Applied()
-	return w.assignment.Duties(), shards.Term, shards.Count
+	return w.assignment.Duties(), shards.Term, shards.Revision
 }
 
 // DetectOutliers moves the judge's time on and gives the backends whose standing changed.
-func (w *ClusterState) DetectOutliers(duties []rpc.ServiceName) (changed map[rpc.ServerID]string) {
+func (w *ClusterState) DetectOutliers(duties []rpc.ServiceName) (changed map[rpc.EndpointID]string) {
 	scene := w.Snapshot()
 	sizes := make(map[rpc.ServiceName]int, len(duties))
 	for _, service := range duties {
@@ -502,7 +502,7 @@
 }
 
 // AbsentNodes lists the fellows the leader does not hear.
-func (w *ClusterState) AbsentNodes() (absent map[rpc.FellowID]bool) {
+func (w *ClusterState) AbsentNodes() (absent map[rpc.NodeID]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.assignment.AbsentNow()
@@ -519,17 +519,17 @@
 	case history.Document, history.Retirement, history.Move:
 		return w.Policies.stateOf(kind, name)
 	case history.Evacuation:
-		evacuation, known := w.evacuations[rpc.SiteName(name)]
-		return evacuation.Stamp(), evacuation.Rev, known
+		evacuation, known := w.evacuations[rpc.ZoneName(name)]
+		return evacuation.Summary(), evacuation.LogIndex, known
 	}
-	server := w.servers[rpc.ServerID(name)]
+	server := w.servers[rpc.EndpointID(name)]
 	if server == nil {
 		return "", 0, false
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if kind == history.Backend {
-		return server.Server.Stamp(), 0, true
+		return server.Endpoint.Summary(), 0, true
 	}
-	return rpc.State{Health: server.health, Cold: max(0, server.warmUpUntil-w.clock.Now())}.Stamp(), 0, true
+	return rpc.EndpointState{Health: server.health, WarmupRemaining: max(0, server.warmUpUntil-w.clock.Now())}.Summary(), 0, true
 }
--- a/internal/proxy/world_test.go
+++ b/internal/proxy/world_test.go
@@ -11,12 +11,12 @@
 // the same leader that a later one has overtaken.
 func TestOvertakenNewsLendNothing(t *testing.T) {
 	d := daemonOf(t)
-	news := func(term rpc.Term, epoch rpc.Epoch, amount float64) *rpc.News {
-		return &rpc.News{Leader: true, Term: term, Epoch: epoch, Leases: []rpc.Lease{{Kind: rpc.RetrySlack, Amount: amount, Span: time.Minute}}}
+	news := func(term rpc.Term, epoch rpc.Revision, amount float64) *rpc.Update {
+		return &rpc.Update{IsLeader: true, Term: term, Revision: epoch, Leases: []rpc.Lease{{Kind: rpc.RetrySlack, Amount: amount, Duration: time.Minute}}}
 	}
 	for _, step := range []struct {
 		term   rpc.Term
-		epoch  rpc.Epoch
+		epoch  rpc.Revision
 		amount float64
 		led    bool
 		share  float64
@@ -49,19 +49,19 @@
 // lateForum binds in the name of a term.
 type lateForum struct{ term rpc.Term }
 
-func (f *lateForum) Bind(ask rpc.BindAsk, reply *rpc.BindReply) (err error) {
-	reply.Leader, reply.Term, reply.Found = true, f.term, []rpc.BindFound{{Outcome: rpc.Bound, Server: "i-1"}}
+func (f *lateForum) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
+	reply.IsLeader, reply.Term, reply.Results = true, f.term, []rpc.BindResult{{Outcome: rpc.Bound, Endpoint: "i-1"}}
 	return nil
 }
 
 // What an older leader says of a session is no answer any more.
 func TestALateBindingIsNoAnswer(t *testing.T) {
 	d := daemonOf(t)
-	d.state.Apply(0, &rpc.News{Leader: true, Term: 6, Epoch: 1})
+	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 6, Revision: 1})
 	for term, answers := range map[rpc.Term]int{5: 0, 6: 1, 7: 1} {
 		inner := serveInner(t, map[string]any{"Forum": &lateForum{term}})
 		d.leader.leader.Store(&inner)
-		if found := d.leader.sendBinds([]rpc.Bind{{Session: "x"}}, claimCallTimeout); len(found) != answers {
+		if found := d.leader.sendBinds([]rpc.SessionBinding{{Session: "x"}}, claimCallTimeout); len(found) != answers {
 			t.Errorf("term %d: %+v", term, found)
 		}
 	}
--- a/internal/quota/allot_test.go
+++ b/internal/quota/allot_test.go
@@ -14,20 +14,20 @@
 // used within one window.
 func TestSharesNeverSumPastTheBound(t *testing.T) {
 	const span, window = 1600 * time.Millisecond, time.Second
-	key := Key{rpc.ColdRate, "b"}
+	key := Key{rpc.WarmupRate, "b"}
 	most := 0.0
 	for seed := int64(1); seed <= 40; seed++ {
 		luck := rand.New(rand.NewSource(seed))
 		bound := 5 + 20*luck.Float64()
 		book := NewBook(0, span)
-		holders := map[rpc.FellowID]*Shares{}
+		holders := map[rpc.NodeID]*Shares{}
 		type used struct {
 			at     time.Duration
 			amount float64
 		}
 		var log []used
 		type answer struct {
-			to    rpc.FellowID
+			to    rpc.NodeID
 			lease rpc.Lease
 			asked time.Duration
 			due   time.Duration
@@ -37,7 +37,7 @@
 			if luck.Intn(200) == 0 {
 				book = NewBook(now, span)
 			}
-			id := rpc.FellowID(fmt.Sprint(luck.Intn(8)))
+			id := rpc.NodeID(fmt.Sprint(luck.Intn(8)))
 			if holders[id] == nil || luck.Intn(100) == 0 {
 				holders[id] = NewShares()
 			}
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -29,13 +29,13 @@
 // anew only when a loan may have run out, so that a loan costs the same however
 // many holders there are.
 type account struct {
-	holders map[rpc.FellowID][]loan
+	holders map[rpc.NodeID][]loan
 	sum     float64
 	next    time.Duration
 }
 
 // of is what a holder may be using, while nothing has run out since settle.
-func (a *account) of(holder rpc.FellowID) (most float64) {
+func (a *account) of(holder rpc.NodeID) (most float64) {
 	for _, loan := range a.holders[holder] {
 		most = max(most, loan.amount)
 	}
@@ -43,7 +43,7 @@
 }
 
 // put replaces a holder's loans.
-func (a *account) put(holder rpc.FellowID, loans []loan) {
+func (a *account) put(holder rpc.NodeID, loans []loan) {
 	before := a.of(holder)
 	a.holders[holder] = loans
 	a.sum += a.of(holder) - before
@@ -71,7 +71,7 @@
 func (b *Book) settle(now time.Duration, key Key) (settled *account) {
 	settled = b.accounts[key]
 	if settled == nil {
-		settled = &account{holders: map[rpc.FellowID][]loan{}, next: math.MaxInt64}
+		settled = &account{holders: map[rpc.NodeID][]loan{}, next: math.MaxInt64}
 		b.accounts[key] = settled
 	}
 	if now < settled.next {
@@ -97,7 +97,7 @@
 }
 
 // Lend gives a fellow as much as it wants of what is free of a bound.
-func (b *Book) Lend(now time.Duration, key Key, bound float64, window time.Duration, to rpc.FellowID, want float64) (lease rpc.Lease, given bool) {
+func (b *Book) Lend(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want float64) (lease rpc.Lease, given bool) {
 	if now < b.opened+b.span+window {
 		return lease, false
 	}
@@ -114,11 +114,11 @@
 		}
 	}
 	settled.put(to, append(kept, loan{amount, now + b.span + window}))
-	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Span: b.span}, true
+	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.span}, true
 }
 
 // LendWhole lends at least the given least or nothing.
-func (b *Book) LendWhole(now time.Duration, key Key, bound float64, window time.Duration, to rpc.FellowID, want, least float64) (lease rpc.Lease, given bool) {
+func (b *Book) LendWhole(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want, least float64) (lease rpc.Lease, given bool) {
 	if settled := b.settle(now, key); bound-(settled.sum-settled.of(to)) < least {
 		return lease, false
 	}
@@ -127,9 +127,9 @@
 
 // Renew prolongs what a fellow already holds under a predecessor: it is part of
 // what may be in use anyhow, so it needs no waiting.
-func (b *Book) Renew(now time.Duration, key Key, window time.Duration, to rpc.FellowID, amount float64) (lease rpc.Lease) {
+func (b *Book) Renew(now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64) (lease rpc.Lease) {
 	b.settle(now, key).put(to, []loan{{amount, now + b.span + window}})
-	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Span: b.span}
+	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.span}
 }
 
 // Forget drops a bound that is no more.
@@ -158,7 +158,7 @@
 
 // Take notes a lease that was asked for at the given time.
 func (s *Shares) Take(asked time.Duration, lease rpc.Lease) {
-	s.held[Key{lease.Kind, lease.Key}] = share{lease.Amount, asked + lease.Span}
+	s.held[Key{lease.Kind, lease.Key}] = share{lease.Amount, asked + lease.Duration}
 }
 
 // Amount is what may be used now; nothing without an unexpired lease.
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -17,7 +17,7 @@
 	book := Unwaited(1600 * time.Millisecond)
 	key := Key{rpc.RetrySlack, ""}
 	for now := time.Duration(0); now < 5*time.Minute; now += time.Duration(luck.Intn(300)) * time.Millisecond {
-		holder := rpc.FellowID(fmt.Sprint("e", luck.Intn(20)))
+		holder := rpc.NodeID(fmt.Sprint("e", luck.Intn(20)))
 		switch luck.Intn(10) {
 		case 0:
 			book.Renew(now, key, time.Second, holder, luck.Float64())
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -50,8 +50,8 @@
 
 // The kinds of lenders.
 var (
-	TenantKinds = Kinds{rpc.TenantShare, rpc.TenantFloor, FloorSpan}
-	RetryKinds  = Kinds{rpc.RetryShare, rpc.RetryFloor, RetryFloorSpan}
+	TenantKinds = Kinds{rpc.TenantShare, rpc.TenantMinimum, FloorSpan}
+	RetryKinds  = Kinds{rpc.RetryShare, rpc.RetryMinimum, RetryFloorSpan}
 )
 
 type wanted struct {
@@ -62,12 +62,12 @@
 // demands are what fellows want of one limit, with their sum; the old ones are
 // looked for once a second.
 type demands struct {
-	of    map[rpc.FellowID]wanted
+	of    map[rpc.NodeID]wanted
 	sum   float64
 	swept time.Duration
 }
 
-func (d *demands) note(now time.Duration, from rpc.FellowID, rate float64) (sum float64) {
+func (d *demands) note(now time.Duration, from rpc.NodeID, rate float64) (sum float64) {
 	d.sum += rate - d.of[from].rate
 	d.of[from] = wanted{rate, now}
 	if now-d.swept > time.Second {
@@ -107,18 +107,18 @@
 }
 
 // Lend gives a fellow its parts of a limit.
-func (l *Lender) Lend(now time.Duration, bound Bound, to rpc.FellowID, present int, demand rpc.Demand) (leases []rpc.Lease) {
+func (l *Lender) Lend(now time.Duration, bound Bound, to rpc.NodeID, present int, demand rpc.RateDemand) (leases []rpc.Lease) {
 	present = max(1, present)
 	least := 1 / max(bound.Burst, 1)
 	wants := l.wanted[bound.Name]
 	if wants == nil {
-		wants = &demands{of: map[rpc.FellowID]wanted{}}
+		wants = &demands{of: map[rpc.NodeID]wanted{}}
 		l.wanted[bound.Name] = wants
 	}
 	sum := wants.note(now, to, demand.Rate)
 	floorKey := Key{l.kinds.Floor, bound.Name}
-	if floor := floorPart / float64(present+floorSpare); demand.Floor > 0 {
-		leases = append(leases, l.floors.Renew(now, floorKey, 0, to, demand.Floor))
+	if floor := floorPart / float64(present+floorSpare); demand.Minimum > 0 {
+		leases = append(leases, l.floors.Renew(now, floorKey, 0, to, demand.Minimum))
 	} else if floor >= least {
 		if lease, given := l.floors.Lend(now, floorKey, floorPart, 0, to, floor); given && lease.Amount >= least {
 			leases = append(leases, lease)
--- a/internal/quota/tenants_test.go
+++ b/internal/quota/tenants_test.go
@@ -31,7 +31,7 @@
 }
 
 type edge struct {
-	id      rpc.FellowID
+	id      rpc.NodeID
 	shares  *Shares
 	buckets map[string]*Bucket
 	beat    time.Duration
@@ -48,7 +48,7 @@
 }
 
 func (f *fleet) join() {
-	e := &edge{id: rpc.FellowID(fmt.Sprint("edge-", len(f.edges)))}
+	e := &edge{id: rpc.NodeID(fmt.Sprint("edge-", len(f.edges)))}
 	f.edges = append(f.edges, e)
 	e.restart()
 }
@@ -58,7 +58,7 @@
 }
 
 func (e *edge) part(now time.Duration, tenant string) float64 {
-	return e.shares.Amount(now, Key{rpc.TenantShare, tenant}) + e.shares.Amount(now, Key{rpc.TenantFloor, tenant})
+	return e.shares.Amount(now, Key{rpc.TenantShare, tenant}) + e.shares.Amount(now, Key{rpc.TenantMinimum, tenant})
 }
 
 func (e *edge) bucket(tenant string) (b *Bucket) {
@@ -87,10 +87,10 @@
 		for _, tenant := range f.tenants {
 			b := e.bucket(tenant.Name)
 			b.Fill(f.now, tenant, e.part(f.now, tenant.Name))
-			floor := e.shares.Amount(f.now, Key{rpc.TenantFloor, tenant.Name})
-			for _, lease := range f.lender.Lend(f.now, tenant, e.id, present, rpc.Demand{Tenant: tenant.Name, Rate: b.Demand(), Floor: floor}) {
+			floor := e.shares.Amount(f.now, Key{rpc.TenantMinimum, tenant.Name})
+			for _, lease := range f.lender.Lend(f.now, tenant, e.id, present, rpc.RateDemand{Name: tenant.Name, Rate: b.Demand(), Minimum: floor}) {
 				if f.fault.fromAnswer {
-					lease.Span *= 3
+					lease.Duration *= 3
 				}
 				if f.luck.Intn(20) > 0 {
 					e.shares.Take(asked, lease)
--- a/internal/raft/binding.go
+++ b/internal/raft/binding.go
@@ -15,16 +15,16 @@
 // Binding of one session.
 type Binding struct {
 	Service rpc.ServiceName
-	Server  rpc.ServerID
+	Server  rpc.EndpointID
 	Idle    time.Duration
 	Seq     uint64
 }
 
 // BindCommand is the command of an ask.
-func BindCommand(bind rpc.Bind) (command Command) {
+func BindCommand(bind rpc.SessionBinding) (command Command) {
 	return Command{
-		Kind: CommandBind, Site: string(bind.Service), Upto: uint64(bind.Idle),
-		Claim: Claim{Key: string(bind.Session), Request: string(bind.Server), Holder: string(bind.From)},
+		Kind: CommandBind, Site: string(bind.Service), Upto: uint64(bind.IdleTimeout),
+		Claim: Claim{Key: string(bind.Session), Request: string(bind.Endpoint), Holder: string(bind.EndedEndpoint)},
 	}
 }
 
@@ -48,17 +48,17 @@
 
 // bind carries a CommandBind out.
 func (s *State) bind(command Command) (result Result) {
-	session, from := rpc.SessionID(command.Key), rpc.ServerID(command.Holder)
+	session, from := rpc.SessionID(command.Key), rpc.EndpointID(command.Holder)
 	standing, bound := s.bindings[session]
 	switch {
 	case bound && from != "" && from == standing.Server:
-		standing.Server = rpc.ServerID(command.Request)
+		standing.Server = rpc.EndpointID(command.Request)
 		result.Moved = from != standing.Server
 	case bound:
 	case len(s.bindings) >= affinity.SessionsMost:
 		return Result{Problem: "there are too many sessions"}
 	default:
-		standing = Binding{Service: rpc.ServiceName(command.Site), Server: rpc.ServerID(command.Request)}
+		standing = Binding{Service: rpc.ServiceName(command.Site), Server: rpc.EndpointID(command.Request)}
 	}
 	s.seq++
 	standing.Seq, standing.Idle = s.seq, time.Duration(command.Upto)
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -111,12 +111,12 @@
 		"retry-limit":      {Kind: "retry-limit", Version: 1, Body: storedDocuments["retry-limit"], Rev: 10},
 		"session-affinity": {Kind: "session-affinity", Version: 7, Body: storedDocuments["session-affinity"], Rev: 11},
 	},
-	Retired: map[rpc.ServerID]rpc.Retirement{
+	Retired: map[rpc.EndpointID]rpc.Retirement{
 		"pay-1":  {Server: "pay-1", Service: "pay", By: "operator", Announced: 12, Stopped: 13, Rev: 13},
 		"pay-2":  {Server: "pay-2", Service: "pay", By: "platform", Announced: 14, Rev: 14},
 		"book-1": {Server: "book-1", Service: "book", By: "operator", Announced: 15, Rev: 16, Gone: true},
 	},
-	Move: rpc.Move{Version: 3, Count: 1, Instant: 1800000000, Rev: 17, Targets: []rpc.MoveTarget{{Host: "shop.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 750}, {Region: "west", Weight: 250}}}}},
+	Move: rpc.ScheduleStep{Version: 3, Count: 1, Instant: 1800000000, Rev: 17, Targets: []rpc.ScheduleTarget{{Host: "shop.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 750}, {Region: "west", Weight: 250}}}}},
 	Bindings: map[rpc.SessionID]Binding{
 		"session-1": {Service: "pay", Server: "pay-2", Idle: 5 * time.Minute, Seq: 3},
 		"session-2": {Service: "pay", Server: "pay-1", Idle: 10 * time.Minute, Seq: 2},
@@ -141,8 +141,8 @@
 	Canon       []config.Item
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
-	Retired     map[rpc.ServerID]rpc.Retirement
-	Move        rpc.Move
+	Retired     map[rpc.EndpointID]rpc.Retirement
+	Move        rpc.ScheduleStep
 	Bindings    map[rpc.SessionID]Binding
 	Claims      []Claim
 	Seqs        []uint64
@@ -161,8 +161,8 @@
 	state = storedState
 	state.Overtaken.Dropped, state.Orders.Dropped = 5, 6
 	state.Canon = []config.Item{{Set: "routes", Name: "r1", Version: 3, Rev: 2, Dropped: true, Fields: []config.Field{{Name: "version", JSON: `3`}}}}
-	state.Retired = map[rpc.ServerID]rpc.Retirement{"pay-1": {Server: "pay-1", Service: "pay", By: "operator", Announced: 12, Stopped: 13, Rev: 14, Gone: true}}
-	state.Move.Targets = []rpc.MoveTarget{{Host: "shop.example", Service: "pay", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}
+	state.Retired = map[rpc.EndpointID]rpc.Retirement{"pay-1": {Server: "pay-1", Service: "pay", By: "operator", Announced: 12, Stopped: 13, Rev: 14, Gone: true}}
+	state.Move.Targets = []rpc.ScheduleTarget{{Host: "shop.example", Service: "pay", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}
 	return state
 }
 
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -284,11 +284,11 @@
 	}
 	for id, retired := range n.state.Retired {
 		if retired.Rev > before {
-			n.History.Note(history.Retirement, string(id), "applied", retired.Stamp(), retired.Rev, quiet)
+			n.History.Note(history.Retirement, string(id), "applied", retired.Summary(), retired.Rev, quiet)
 		}
 	}
 	if move := n.state.Move; move.Rev > before {
-		n.History.Note(history.Move, "day-plan", "applied", move.Stamp(), move.Rev, quiet)
+		n.History.Note(history.Move, "day-plan", "applied", move.Summary(), move.Rev, quiet)
 	}
 }
 
--- a/internal/raft/orders.go
+++ b/internal/raft/orders.go
@@ -27,7 +27,7 @@
 	return dedup.Number{Kind: "document", Name: string(kind), Version: uint64(version)}
 }
 
-func retireNumber(id rpc.ServerID) (number dedup.Number) {
+func retireNumber(id rpc.EndpointID) (number dedup.Number) {
 	return dedup.Number{Kind: "retire", Name: string(id)}
 }
 
@@ -148,7 +148,7 @@
 
 // RetireTaken tells whether an order to retire a backend stands, and whether one
 // was ever taken from an operator.
-func (s *State) RetireTaken(id rpc.ServerID) (stands, taken bool) {
+func (s *State) RetireTaken(id rpc.EndpointID) (stands, taken bool) {
 	standing, known := s.Retired[id]
 	_, taken = s.Orders.Content(retireNumber(id))
 	return known && !standing.Gone, taken
@@ -158,7 +158,7 @@
 const takenBackMost = 512
 
 func (s *State) retire(rev uint64, command Command) {
-	id := rpc.ServerID(command.Site)
+	id := rpc.EndpointID(command.Site)
 	if command.Kind == CommandRetire && command.Holder == drain.ByOperator {
 		s.Orders.Note(retireNumber(id), dedup.Digest{})
 	}
@@ -176,7 +176,7 @@
 	}
 	standing.Rev = rev
 	s.Retired[id], s.Rev = standing, rev
-	var goneID rpc.ServerID
+	var goneID rpc.EndpointID
 	gone := 0
 	for other, retired := range s.Retired {
 		if retired.Gone {
--- a/internal/raft/orders_test.go
+++ b/internal/raft/orders_test.go
@@ -96,7 +96,7 @@
 
 func TestARetirementTakenIsRemembered(t *testing.T) {
 	state := NewState()
-	id := rpc.ServerID("i-1")
+	id := rpc.EndpointID("i-1")
 	at := func(kind CommandKind, by string) Command {
 		return Command{Kind: kind, Site: string(id), Body: []byte("pay"), Claim: Claim{Holder: by}}
 	}
--- a/internal/raft/state.go
+++ b/internal/raft/state.go
@@ -103,8 +103,8 @@
 	Canon       *config.Canon
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
-	Retired     map[rpc.ServerID]rpc.Retirement
-	Move        rpc.Move
+	Retired     map[rpc.EndpointID]rpc.Retirement
+	Move        rpc.ScheduleStep
 	Orders      *dedup.Record
 	bindings    map[rpc.SessionID]Binding
 	claims      map[string]*heldClaim
@@ -115,7 +115,7 @@
 
 // NewState is empty.
 func NewState() (state *State) {
-	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retired: map[rpc.ServerID]rpc.Retirement{}, Orders: dedup.New(ordersMost), bindings: map[rpc.SessionID]Binding{}, claims: map[string]*heldClaim{}}
+	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retired: map[rpc.EndpointID]rpc.Retirement{}, Orders: dedup.New(ordersMost), bindings: map[rpc.SessionID]Binding{}, claims: map[string]*heldClaim{}}
 }
 
 // Claims counts the keys held.
@@ -187,7 +187,7 @@
 	case CommandRetire, CommandStop, CommandRestore:
 		s.retire(rev, command)
 	case CommandMove:
-		var next rpc.Move
+		var next rpc.ScheduleStep
 		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].InForce() {
 			return Result{Problem: "the step does not follow what is agreed"}
 		}
@@ -212,8 +212,8 @@
 	Canon       []config.Item
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
-	Retired     map[rpc.ServerID]rpc.Retirement
-	Move        rpc.Move
+	Retired     map[rpc.EndpointID]rpc.Retirement
+	Move        rpc.ScheduleStep
 	Bindings    map[rpc.SessionID]Binding
 	Claims      []Claim
 	Seqs        []uint64
--- a/internal/registry/census_test.go
+++ b/internal/registry/census_test.go
@@ -14,7 +14,7 @@
 func TestLedgerTellsOnlyWhatCameAfter(t *testing.T) {
 	clock := &Clock{}
 	ledger := NewLedger[string, int](clock)
-	since := func(epoch rpc.Epoch) (told string) {
+	since := func(epoch rpc.Revision) (told string) {
 		for _, key := range []string{"a", "b", "c"} {
 			ledger.Since(epoch, func(k string, value int, gone bool) {
 				if k == key {
@@ -42,14 +42,14 @@
 
 func TestRoll(t *testing.T) {
 	roll := NewRoll(&Clock{}, RollBounds{Absent: time.Second, Struck: 5 * time.Second})
-	roll.Beat(0, rpc.Fellow{ID: "a"})
-	roll.Beat(0, rpc.Fellow{ID: "b"})
-	roll.Beat(2*time.Second, rpc.Fellow{ID: "b"})
+	roll.Beat(0, rpc.Node{ID: "a"})
+	roll.Beat(0, rpc.Node{ID: "b"})
+	roll.Beat(2*time.Second, rpc.Node{ID: "b"})
 	roll.Tick(2 * time.Second)
 	if len(roll.Absent()) != 1 || roll.Here("a") || len(roll.Members()) != 2 {
 		t.Fatal("a silent fellow is absent and stays in the map for now")
 	}
-	roll.Beat(2500*time.Millisecond, rpc.Fellow{ID: "b", Stopping: true})
+	roll.Beat(2500*time.Millisecond, rpc.Node{ID: "b", Stopping: true})
 	if len(roll.Members()) != 1 || len(roll.Absent()) != 2 {
 		t.Fatal("a stopping fellow leaves the map and is told absent at once")
 	}
@@ -61,16 +61,16 @@
 
 func TestList(t *testing.T) {
 	list := NewList(&Clock{})
-	server := func(id string, draining bool) rpc.Server {
-		return rpc.Server{ID: rpc.ServerID(id), Service: "s", Address: "x:1", Draining: draining}
+	server := func(id string, draining bool) rpc.Endpoint {
+		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1", Draining: draining}
 	}
-	has := func(id string) bool { _, known := list.Servers.Get(rpc.ServerID(id)); return known }
-	walk := func(servers ...rpc.Server) {
+	has := func(id string) bool { _, known := list.Servers.Get(rpc.EndpointID(id)); return known }
+	walk := func(servers ...rpc.Endpoint) {
 		list.Page(servers)
 		list.Whole(servers)
 	}
 	walk(server("a", false), server("b", false))
-	list.Page([]rpc.Server{server("a", true)})
+	list.Page([]rpc.Endpoint{server("a", true)})
 	if a, _ := list.Servers.Get("a"); !a.Draining || !has("b") {
 		t.Fatal("what a page shows counts at once, what it does not show is nothing")
 	}
@@ -108,12 +108,12 @@
 	defer platform.Close()
 	caller := NewPlatform(strings.TrimPrefix(platform.URL, "http://"))
 	shown := 0
-	servers, pages, err := caller.Walk(0, func(page []rpc.Server) { shown += len(page) })
-	if err != nil || pages != 2 || len(servers) != 2 || servers[1].ID != "i-2" || servers[0].Cold != 1500*time.Millisecond || servers[0].Slots != 3 {
+	servers, pages, err := caller.Walk(0, func(page []rpc.Endpoint) { shown += len(page) })
+	if err != nil || pages != 2 || len(servers) != 2 || servers[1].ID != "i-2" || servers[0].WarmupRemaining != 1500*time.Millisecond || servers[0].Slots != 3 {
 		t.Fatal(servers, pages, err)
 	}
 	broken = true
-	if servers, _, err = caller.Walk(0, func(page []rpc.Server) { shown += len(page) }); err == nil || servers != nil {
+	if servers, _, err = caller.Walk(0, func(page []rpc.Endpoint) { shown += len(page) }); err == nil || servers != nil {
 		t.Fatal("a walk that broke off gave something")
 	}
 	if shown != 3 {
--- a/internal/registry/ledger.go
+++ b/internal/registry/ledger.go
@@ -7,20 +7,20 @@
 import "tinpin/internal/rpc"
 
 // Clock hands out epochs; several ledgers may share one.
-type Clock struct{ now rpc.Epoch }
+type Clock struct{ now rpc.Revision }
 
 // Now is the newest epoch given.
-func (c *Clock) Now() rpc.Epoch { return c.now }
+func (c *Clock) Now() rpc.Revision { return c.now }
 
 // Next gives a new epoch.
-func (c *Clock) Next() rpc.Epoch {
+func (c *Clock) Next() rpc.Revision {
 	c.now++
 	return c.now
 }
 
 type row[V any] struct {
 	value V
-	epoch rpc.Epoch
+	epoch rpc.Revision
 	gone  bool
 }
 
@@ -28,7 +28,7 @@
 type Ledger[K comparable, V comparable] struct {
 	clock *Clock
 	rows  map[K]*row[V]
-	last  rpc.Epoch
+	last  rpc.Revision
 }
 
 // NewLedger is an empty table on a clock.
@@ -76,7 +76,7 @@
 }
 
 // Since visits the rows that changed after an epoch.
-func (l *Ledger[K, V]) Since(epoch rpc.Epoch, visit func(key K, value V, gone bool)) {
+func (l *Ledger[K, V]) Since(epoch rpc.Revision, visit func(key K, value V, gone bool)) {
 	if epoch >= l.last {
 		return
 	}
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -23,7 +23,7 @@
 var Class = errs.Class("census")
 
 // ReadPage reads one page of the list.
-func ReadPage(body []byte) (servers []rpc.Server, next string, err error) {
+func ReadPage(body []byte) (servers []rpc.Endpoint, next string, err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil, "", Class.New("the list is not JSON")
@@ -41,24 +41,24 @@
 		if len(cells) != len(columns) {
 			return nil, "", Class.New("a row of the list does not fit its columns")
 		}
-		var server rpc.Server
+		var server rpc.Endpoint
 		for i, cell := range cells {
 			switch columns[i] {
 			case "instance_id":
-				server.ID = rpc.ServerID(cell.GetStringBytes())
+				server.ID = rpc.EndpointID(cell.GetStringBytes())
 			case "service_name":
 				server.Service = rpc.ServiceName(cell.GetStringBytes())
 			case "address":
 				server.Address = string(cell.GetStringBytes())
 			case "zone":
-				server.Site = rpc.SiteName(cell.GetStringBytes())
+				server.Zone = rpc.ZoneName(cell.GetStringBytes())
 			case "capacity_slots":
 				server.Slots = cell.GetInt()
 			case "state":
 				server.Draining = string(cell.GetStringBytes()) == "draining"
 			case "cold_remaining":
 				if cell.Type() == fastjson.TypeString {
-					if server.Cold, err = time.ParseDuration(string(cell.GetStringBytes())); err != nil {
+					if server.WarmupRemaining, err = time.ParseDuration(string(cell.GetStringBytes())); err != nil {
 						return nil, "", Class.New("cold_remaining is no time")
 					}
 				}
@@ -88,7 +88,7 @@
 }
 
 // Walk reads all pages, tells each as it comes, and gives the whole.
-func (p *Platform) Walk(pause time.Duration, each func(page []rpc.Server)) (servers []rpc.Server, pages int, err error) {
+func (p *Platform) Walk(pause time.Duration, each func(page []rpc.Endpoint)) (servers []rpc.Endpoint, pages int, err error) {
 	token := ""
 	for {
 		target := "http://" + p.Address + "/instances"
@@ -127,24 +127,24 @@
 
 // List merges walks into a ledger.
 type List struct {
-	Servers *Ledger[rpc.ServerID, rpc.Server]
-	missed  map[rpc.ServerID]int
+	Servers *Ledger[rpc.EndpointID, rpc.Endpoint]
+	missed  map[rpc.EndpointID]int
 	Walked  bool
 }
 
 // NewList is an empty list.
 func NewList(clock *Clock) (list *List) {
-	return &List{Servers: NewLedger[rpc.ServerID, rpc.Server](clock), missed: map[rpc.ServerID]int{}}
+	return &List{Servers: NewLedger[rpc.EndpointID, rpc.Endpoint](clock), missed: map[rpc.EndpointID]int{}}
 }
 
 // Page takes what one page shows. The cold spell is kept as first told, since a
 // remainder that shrinks is no change.
-func (l *List) Page(page []rpc.Server) (changed bool, fresh []rpc.Server) {
+func (l *List) Page(page []rpc.Endpoint) (changed bool, fresh []rpc.Endpoint) {
 	for _, server := range page {
 		delete(l.missed, server.ID)
 		old, known := l.Servers.Get(server.ID)
 		if known {
-			server.Cold = old.Cold
+			server.WarmupRemaining = old.WarmupRemaining
 			server.Draining = server.Draining || old.Draining
 		} else {
 			fresh = append(fresh, server)
@@ -158,15 +158,15 @@
 
 // Whole takes a whole walk, whose pages were taken before, and strikes out
 // what it does not show.
-func (l *List) Whole(walk []rpc.Server) (changed bool) {
+func (l *List) Whole(walk []rpc.Endpoint) (changed bool) {
 	changed = !l.Walked
 	l.Walked = true
-	shown := make(map[rpc.ServerID]bool, len(walk))
+	shown := make(map[rpc.EndpointID]bool, len(walk))
 	for _, server := range walk {
 		shown[server.ID] = true
 	}
-	var gone []rpc.ServerID
-	l.Servers.Each(func(id rpc.ServerID, server rpc.Server) {
+	var gone []rpc.EndpointID
+	l.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if shown[id] {
 			return
 		}
--- a/internal/registry/roll.go
+++ b/internal/registry/roll.go
@@ -22,17 +22,17 @@
 // Roll keeps the fellows.
 type Roll struct {
 	bounds  RollBounds
-	Fellows *Ledger[rpc.FellowID, rpc.Fellow]
-	seen    map[rpc.FellowID]*attendance
+	Fellows *Ledger[rpc.NodeID, rpc.Node]
+	seen    map[rpc.NodeID]*attendance
 }
 
 // NewRoll is an empty roll.
 func NewRoll(clock *Clock, bounds RollBounds) (roll *Roll) {
-	return &Roll{bounds: bounds, Fellows: NewLedger[rpc.FellowID, rpc.Fellow](clock), seen: map[rpc.FellowID]*attendance{}}
+	return &Roll{bounds: bounds, Fellows: NewLedger[rpc.NodeID, rpc.Node](clock), seen: map[rpc.NodeID]*attendance{}}
 }
 
 // Beat notes a beat.
-func (r *Roll) Beat(now time.Duration, fellow rpc.Fellow) (joined, changed bool) {
+func (r *Roll) Beat(now time.Duration, fellow rpc.Node) (joined, changed bool) {
 	seen := r.seen[fellow.ID]
 	if seen == nil {
 		seen = &attendance{}
@@ -48,7 +48,7 @@
 }
 
 // Tick strikes off who was not heard.
-func (r *Roll) Tick(now time.Duration) (lost []rpc.FellowID, changed bool) {
+func (r *Roll) Tick(now time.Duration) (lost []rpc.NodeID, changed bool) {
 	for id, seen := range r.seen {
 		silence := now - seen.heard
 		if silence > r.bounds.Absent && !seen.absent {
@@ -65,7 +65,7 @@
 }
 
 // Absent lists the fellows on the roll that are not heard or are stopping.
-func (r *Roll) Absent() (absent []rpc.FellowID) {
+func (r *Roll) Absent() (absent []rpc.NodeID) {
 	for id, seen := range r.seen {
 		if fellow, known := r.Fellows.Get(id); known && (seen.absent || fellow.Stopping) {
 			absent = append(absent, id)
@@ -79,14 +79,14 @@
 func (r *Roll) Count() (count int) { return len(r.seen) }
 
 // Here tells whether a fellow is heard.
-func (r *Roll) Here(id rpc.FellowID) bool {
+func (r *Roll) Here(id rpc.NodeID) bool {
 	seen := r.seen[id]
 	return seen != nil && !seen.absent
 }
 
 // Members lists who belongs to the shard map.
-func (r *Roll) Members() (members []rpc.FellowID) {
-	r.Fellows.Each(func(id rpc.FellowID, fellow rpc.Fellow) {
+func (r *Roll) Members() (members []rpc.NodeID) {
+	r.Fellows.Each(func(id rpc.NodeID, fellow rpc.Node) {
 		if !fellow.Stopping {
 			members = append(members, id)
 		}
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -114,7 +114,7 @@
 
 // parts is what this node holds of a service's least rate.
 func (l *Limiter) parts(service rpc.ServiceName) (part float64) {
-	return l.part(rpc.RetryShare, string(service)) + l.part(rpc.RetryFloor, string(service))
+	return l.part(rpc.RetryShare, string(service)) + l.part(rpc.RetryMinimum, string(service))
 }
 
 // First notes a first attempt.
@@ -188,11 +188,11 @@
 }
 
 // Demands tells what each service's retries ask of this node.
-func (l *Limiter) Demands() (demands []rpc.Demand) {
+func (l *Limiter) Demands() (demands []rpc.RateDemand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for service, held := range l.held {
-		demands = append(demands, rpc.Demand{Tenant: string(service), Rate: held.bucket.Demand(), Floor: l.part(rpc.RetryFloor, string(service))})
+		demands = append(demands, rpc.RateDemand{Name: string(service), Rate: held.bucket.Demand(), Minimum: l.part(rpc.RetryMinimum, string(service))})
 	}
 	return demands
 }
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -36,7 +36,7 @@
 }
 
 type node struct {
-	id       rpc.FellowID
+	id       rpc.NodeID
 	limiter  *Limiter
 	shares   *quota.Shares
 	beat     time.Duration
@@ -75,7 +75,7 @@
 }
 
 func (c *cluster) join() {
-	n := &node{id: rpc.FellowID(fmt.Sprint("node-", len(c.nodes)))}
+	n := &node{id: rpc.NodeID(fmt.Sprint("node-", len(c.nodes)))}
 	c.nodes = append(c.nodes, n)
 	c.restart(n)
 }
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -28,16 +28,16 @@
 
 // The parts of which requests and replies are made, with every field filled.
 var (
-	sentNode    = Fellow{ID: "node-1", Life: 1 << 40, Site: "east-1", Region: "east", Front: "10.0.0.1:80", Inner: "10.0.0.1:7000", Ready: true, Stopping: true}
-	sentBackend = Server{ID: "pay-1", Service: "pay", Address: "10.0.1.1:8080", Site: "east-1", Slots: 64, Draining: true, Cold: 1500 * time.Millisecond}
-	sentState   = State{Server: "pay-1", Health: Down, Cold: 250 * time.Millisecond, Aside: AsideForAll, Gone: true}
+	sentNode    = Node{ID: "node-1", Incarnation: 1 << 40, Zone: "east-1", Region: "east", FrontendAddress: "10.0.0.1:80", InternalAddress: "10.0.0.1:7000", Ready: true, Stopping: true}
+	sentBackend = Endpoint{ID: "pay-1", Service: "pay", Address: "10.0.1.1:8080", Zone: "east-1", Slots: 64, Draining: true, WarmupRemaining: 1500 * time.Millisecond}
+	sentState   = EndpointState{Endpoint: "pay-1", Health: Unhealthy, WarmupRemaining: 250 * time.Millisecond, EjectedFor: EjectedForAllZones, Removed: true}
 	sentRetired = Retirement{Server: "pay-1", Service: "pay", By: "operator", Announced: 41, Stopped: 42, Rev: 43, Gone: true}
-	sentMove    = Move{Version: 3, Count: 17, Instant: 1800000000, Rev: 44, Targets: []MoveTarget{
+	sentMove    = ScheduleStep{Version: 3, Count: 17, Instant: 1800000000, Rev: 44, Targets: []ScheduleTarget{
 		{Host: "shop.example", Service: "pay", Weights: []RegionWeight{{Region: "east", Weight: 250}, {Region: "west", Weight: 750}}},
 		{Service: "book", Weights: []RegionWeight{{Region: "east", Weight: 1000}}},
 	}}
-	sentTally  = Tally{Server: "pay-1", Service: "pay", Site: "east-1", Good: 4000000000, Bad: 7}
-	sentAnswer = RecallReply{Standing: Answered, Status: 201, Header: [][2]string{{"Content-Type", "text/plain"}, {"Location", "/o/1"}}, Body: []byte("made\x00\xff"), Inner: "10.0.0.2:7000"}
+	sentTally  = OutcomeCount{Endpoint: "pay-1", Service: "pay", Zone: "east-1", Succeeded: 4000000000, Failed: 7}
+	sentAnswer = StoredResponse{State: OperationCompleted, Status: 201, Headers: [][2]string{{"Content-Type", "text/plain"}, {"Location", "/o/1"}}, Body: []byte("made\x00\xff"), InternalAddress: "10.0.0.2:7000"}
 	sentItems  = []config.Item{
 		{Set: config.Routes, Name: "r1", Version: 5, Rev: 31, Dropped: true, Fields: []config.Field{{Name: "hostname", JSON: `"shop.example"`}, {Name: "version", JSON: `5`}}},
 		{Set: config.Services, Name: "pay", Version: 2, Rev: 30, Fields: []config.Field{{Name: "name", JSON: `"pay"`}}},
@@ -47,50 +47,50 @@
 // wireFixtures are the requests and replies of all calls between cores and nodes,
 // in the order of the calls, but for those that only cores make.
 var wireFixtures = []wireFixture{
-	{"beat_request", BeatAsk{
-		Fellow: sentNode,
-		Seen:   Seen{Term: 9, Epoch: 1001, Rev: 44, ItemAt: AllItems, Listed: true, ListAt: "pay-9", MapAt: 12},
-		Known:  300, Hold: 2 * time.Second,
-		Demands: []Demand{{Tenant: "acme", Rate: 12.5, Floor: 0.25}},
-		Retries: []Demand{{Tenant: "pay", Rate: 3.5, Floor: 0.125}},
-		Burdens: []Burden{{Service: "pay", AtWork: 11}},
-		Tallies: []Tally{sentTally},
+	{"beat_request", HeartbeatRequest{
+		Node:       sentNode,
+		KnownState: KnownState{Term: 9, Revision: 1001, LogIndex: 44, LastItem: AfterAllItems, EndpointsComplete: true, LastEndpoint: "pay-9", ShardMapRevision: 12},
+		KnownNodes: 300, MaxWait: 2 * time.Second,
+		TenantDemands: []RateDemand{{Name: "acme", Rate: 12.5, Minimum: 0.25}},
+		RetryDemands:  []RateDemand{{Name: "pay", Rate: 3.5, Minimum: 0.125}},
+		Loads:         []Load{{Service: "pay", InFlight: 11}},
+		Outcomes:      []OutcomeCount{sentTally},
 	}},
-	{"beat_reply", News{
-		Leader: true, Hint: "10.0.2.1:7100", Cores: []Core{{Inner: "10.0.2.1:7100", Control: "10.0.2.1:7200"}},
-		Term: 9, Epoch: 1002, Full: true, Rev: 45, ItemAt: "routes/r1", Packed: []byte{1, 0, 255}, Items: sentItems,
-		Evacuations: []Evacuation{{Site: "east-1", Active: true, Rev: 21}, {Site: "west-1", Rev: 23}},
+	{"beat_reply", Update{
+		IsLeader: true, LeaderAddress: "10.0.2.1:7100", Controllers: []Controller{{InternalAddress: "10.0.2.1:7100", ControlAddress: "10.0.2.1:7200"}},
+		Term: 9, Revision: 1002, Full: true, LogIndex: 45, LastItem: "routes/r1", CompressedItems: []byte{1, 0, 255}, Items: sentItems,
+		Evacuations: []Evacuation{{Zone: "east-1", Active: true, LogIndex: 21}, {Zone: "west-1", LogIndex: 23}},
 		Documents:   []policy.Document{{Kind: policy.DrainPolicy, Version: 4, Body: `{"version":4}`, Rev: 25}},
-		Retired:     []Retirement{sentRetired}, Move: &sentMove,
-		Part:    &ListPart{Servers: []Server{sentBackend}, States: []State{sentState}, Packed: []byte{2, 0, 254}, From: "pay-0", At: "pay-1", Done: true},
-		Servers: []ServerChange{{Server: sentBackend, Gone: true}},
-		Fellows: []FellowChange{{Fellow: sentNode, Gone: true}},
-		States:  []State{sentState, {Server: "pay-2", Health: Up}}, Crowd: []byte{3, 0, 253},
-		Map:      &ShardMap{Term: 9, Count: 12, Members: []FellowID{"node-1", "node-2"}},
-		MapDelta: &MapDelta{Base: 11, Count: 12, Added: []FellowID{"node-2"}, Removed: []FellowID{"node-3"}},
-		Absent:   []FellowID{"node-4"},
-		Leases:   []Lease{{Kind: TenantFloor, Key: "acme", Amount: 6.25, Span: 10 * time.Second}},
-		Spills:   []Spill{{Service: "pay", Away: 125, To: []SiteWeight{{Site: "west-1", Weight: 1000}}}},
-		Tallies:  []Tally{sentTally},
+		Retirements: []Retirement{sentRetired}, ScheduleStep: &sentMove,
+		EndpointChunk: &EndpointChunk{Endpoints: []Endpoint{sentBackend}, States: []EndpointState{sentState}, Compressed: []byte{2, 0, 254}, After: "pay-0", Last: "pay-1", Complete: true},
+		Endpoints:     []EndpointChange{{Endpoint: sentBackend, Removed: true}},
+		Nodes:         []NodeChange{{Node: sentNode, Removed: true}},
+		States:        []EndpointState{sentState, {Endpoint: "pay-2", Health: Healthy}}, CompressedNodes: []byte{3, 0, 253},
+		ShardMap:      &ShardMap{Term: 9, Revision: 12, Members: []NodeID{"node-1", "node-2"}},
+		ShardMapDelta: &ShardMapDelta{BaseRevision: 11, Revision: 12, Added: []NodeID{"node-2"}, Removed: []NodeID{"node-3"}},
+		Absent:        []NodeID{"node-4"},
+		Leases:        []Lease{{Kind: TenantMinimum, Key: "acme", Amount: 6.25, Duration: 10 * time.Second}},
+		ZoneOverflows: []ZoneOverflow{{Service: "pay", Permille: 125, Targets: []ZoneWeight{{Zone: "west-1", Weight: 1000}}}},
+		Outcomes:      []OutcomeCount{sentTally},
 	}},
-	{"lead_request", LeadAsk{}},
-	{"lead_reply", LeadReply{Leader: true, Term: 9, Cores: []Core{{Inner: "10.0.2.1:7100", Control: "10.0.2.1:7200"}}}},
-	{"claim_request", ClaimAsk{Holder: "node-1", Life: 77, Claims: []KeyClaim{{Key: "key-1", Request: "digest-1"}}, Frees: []KeyClaim{{Key: "key-2", Request: "digest-2"}}, Left: 480 * time.Millisecond}},
-	{"claim_reply", ClaimReply{Leader: true, Freed: true, Found: []ClaimFound{{Outcome: Held, Holder: "node-2", Inner: "10.0.0.2:7000", Life: 78, Request: "digest-1"}, {Outcome: Refused}}}},
-	{"bind_request", BindAsk{Binds: []Bind{{Session: "a1b2", Service: "pay", Server: "pay-1", From: "pay-0", Idle: 10 * time.Minute}}}},
-	{"bind_reply", BindReply{Leader: true, Term: 9, Found: []BindFound{{Outcome: Bound, Server: "pay-1"}, {Outcome: BindRefused}}}},
-	{"report_request", ReportAsk{Fellow: "node-1", Term: 9, Count: 12, Service: "pay", Full: true, States: []State{sentState}}},
-	{"report_reply", ReportReply{Leader: true, Taken: true}},
-	{"orders_request", OrdersAsk{From: "node-1"}},
-	{"orders_reply", OrdersReply{Retired: []Retirement{sentRetired}}},
-	{"recall_request", RecallAsk{Key: "key-1", Request: "digest-1", Life: 77, Region: "east"}},
+	{"lead_request", LeaderRequest{}},
+	{"lead_reply", LeaderResponse{IsLeader: true, Term: 9, Controllers: []Controller{{InternalAddress: "10.0.2.1:7100", ControlAddress: "10.0.2.1:7200"}}}},
+	{"claim_request", ClaimRequest{Holder: "node-1", Incarnation: 77, Claims: []KeyClaim{{Key: "key-1", Request: "digest-1"}}, Releases: []KeyClaim{{Key: "key-2", Request: "digest-2"}}, TimeLeft: 480 * time.Millisecond}},
+	{"claim_reply", ClaimResponse{IsLeader: true, Released: true, Results: []ClaimResult{{Outcome: ClaimHeld, Holder: "node-2", InternalAddress: "10.0.0.2:7000", Incarnation: 78, Request: "digest-1"}, {Outcome: ClaimRejected}}}},
+	{"bind_request", BindRequest{Bindings: []SessionBinding{{Session: "a1b2", Service: "pay", Endpoint: "pay-1", EndedEndpoint: "pay-0", IdleTimeout: 10 * time.Minute}}}},
+	{"bind_reply", BindResponse{IsLeader: true, Term: 9, Results: []BindResult{{Outcome: Bound, Endpoint: "pay-1"}, {Outcome: BindRejected}}}},
+	{"report_request", HealthReport{Node: "node-1", Term: 9, ShardMapRevision: 12, Service: "pay", Full: true, States: []EndpointState{sentState}}},
+	{"report_reply", HealthReportResponse{IsLeader: true, Accepted: true}},
+	{"orders_request", RetirementsRequest{From: "node-1"}},
+	{"orders_reply", RetirementsResponse{Retirements: []Retirement{sentRetired}}},
+	{"recall_request", StoredResponseRequest{Key: "key-1", Request: "digest-1", Incarnation: 77, Region: "east"}},
 	{"recall_reply", sentAnswer},
-	{"keep_request", KeepAsk{Key: "key-1", Request: "digest-1", Answer: sentAnswer}},
-	{"keep_reply", KeepReply{Kept: true}},
-	{"status_request", StatusAsk{}},
-	{"status_reply", StatusReply{JSON: []byte(`{"role":"accord"}`)}},
-	{"trace_request", TraceAsk{Kind: "item", Name: "routes/r1"}},
-	{"trace_reply", TraceReply{Name: "core-1", Has: true, Stamp: "5", Rev: 31, Marks: []TraceMark{{What: "applied", Stamp: "5", Rev: 31, Age: 3 * time.Second}}}},
+	{"keep_request", StoreRequest{Key: "key-1", Request: "digest-1", Response: sentAnswer}},
+	{"keep_reply", StoreAcknowledgement{Stored: true}},
+	{"status_request", StatusRequest{}},
+	{"status_reply", StatusResponse{JSON: []byte(`{"role":"accord"}`)}},
+	{"trace_request", TraceRequest{Kind: "item", Name: "routes/r1"}},
+	{"trace_reply", TraceResponse{Name: "core-1", Present: true, Summary: "5", LogIndex: 31, Entries: []TraceEntry{{Event: "applied", Summary: "5", LogIndex: 31, Age: 3 * time.Second}}}},
 }
 
 func TestSentValuesAreReadAsTheyWere(t *testing.T) { checkWire(t, wireFixtures) }
@@ -111,24 +111,24 @@
 	{
 		"nodes",
 		func() ([]byte, error) {
-			return Pack([]FellowChange{{Fellow: sentNode, Gone: true}, {Fellow: Fellow{ID: "node-2"}}})
+			return Pack([]NodeChange{{Node: sentNode, Removed: true}, {Node: Node{ID: "node-2"}}})
 		},
-		func(data []byte) (any, error) { return UnpackRows[FellowChange](data) },
-		[]FellowChange{{Fellow: sentNode, Gone: true}, {Fellow: Fellow{ID: "node-2"}}},
+		func(data []byte) (any, error) { return UnpackRows[NodeChange](data) },
+		[]NodeChange{{Node: sentNode, Removed: true}, {Node: Node{ID: "node-2"}}},
 	},
 	{
 		"backends",
 		func() ([]byte, error) {
-			part := ListPart{Servers: []Server{sentBackend, {ID: "pay-2"}}, States: []State{sentState}}
-			err := part.Pack()
-			return part.Packed, err
+			part := EndpointChunk{Endpoints: []Endpoint{sentBackend, {ID: "pay-2"}}, States: []EndpointState{sentState}}
+			err := part.Compress()
+			return part.Compressed, err
 		},
 		func(data []byte) (any, error) {
-			part := ListPart{Packed: data, From: "pay-0"}
-			err := part.Unpack()
+			part := EndpointChunk{Compressed: data, After: "pay-0"}
+			err := part.Decompress()
 			return part, err
 		},
-		ListPart{Servers: []Server{sentBackend, {ID: "pay-2"}}, States: []State{sentState}, From: "pay-0"},
+		EndpointChunk{Endpoints: []Endpoint{sentBackend, {ID: "pay-2"}}, States: []EndpointState{sentState}, After: "pay-0"},
 	},
 }
 
@@ -152,9 +152,9 @@
 	}
 	golden := filepath.Join("testdata", "packed", "backends.txt")
 	if missing(golden) {
-		writeFixture(t, golden, []byte(wireShape(t, reflect.TypeFor[listRows]())))
+		writeFixture(t, golden, []byte(wireShape(t, reflect.TypeFor[chunkRows]())))
 	}
-	if diff := cmp.Diff(string(readFixture(t, golden)), wireShape(t, reflect.TypeFor[listRows]())); diff != "" {
+	if diff := cmp.Diff(string(readFixture(t, golden)), wireShape(t, reflect.TypeFor[chunkRows]())); diff != "" {
 		t.Errorf("field names of the packed part of the list (-golden +now):\n%s", diff)
 	}
 }
@@ -171,7 +171,7 @@
 		writeFixture(t, path, append(now, '\n'))
 	}
 	data := readFixture(t, path)
-	var got Move
+	var got ScheduleStep
 	if err = json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -188,21 +188,21 @@
 	type constants struct {
 		Health   [3]Health
 		Lease    [6]LeaseKind
-		Claim    [4]Outcome
+		Claim    [4]ClaimOutcome
 		Bind     [4]BindOutcome
-		Standing [5]Standing
+		Standing [5]OperationState
 		Document [4]policy.Kind
 		Set      [4]config.Set
 		Text     [2]string
 	}
 	want := constants{
-		[3]Health{0, 1, 2}, [6]LeaseKind{1, 2, 3, 4, 5, 6}, [4]Outcome{0, 1, 2, 3}, [4]BindOutcome{0, 1, 2, 3}, [5]Standing{0, 1, 2, 3, 4},
+		[3]Health{0, 1, 2}, [6]LeaseKind{1, 2, 3, 4, 5, 6}, [4]ClaimOutcome{0, 1, 2, 3}, [4]BindOutcome{0, 1, 2, 3}, [5]OperationState{0, 1, 2, 3, 4},
 		[4]policy.Kind{"drain-policy", "day-plan", "retry-limit", "session-affinity"}, [4]config.Set{"routes", "services", "tenants", "limits"}, [2]string{"*", "\xff"},
 	}
 	got := constants{
-		[3]Health{Unknown, Up, Down}, [6]LeaseKind{ColdRate, TenantShare, TenantFloor, RetrySlack, RetryShare, RetryFloor}, [4]Outcome{Unclear, Granted, Held, Refused},
-		[4]BindOutcome{BindUnclear, Bound, BindFull, BindRefused}, [5]Standing{Lost, Running, Answered, Freed, Moved},
-		[4]policy.Kind{policy.DrainPolicy, policy.DayPlan, policy.RetryLimit, policy.SessionAffinity}, [4]config.Set{config.Routes, config.Services, config.Tenants, config.Limits}, [2]string{AsideForAll, AllItems},
+		[3]Health{HealthUnknown, Healthy, Unhealthy}, [6]LeaseKind{WarmupRate, TenantShare, TenantMinimum, RetrySlack, RetryShare, RetryMinimum}, [4]ClaimOutcome{ClaimUnknown, ClaimGranted, ClaimHeld, ClaimRejected},
+		[4]BindOutcome{BindUnknown, Bound, BindTableFull, BindRejected}, [5]OperationState{OperationLost, OperationRunning, OperationCompleted, OperationReleased, OperationMoved},
+		[4]policy.Kind{policy.DrainPolicy, policy.DayPlan, policy.RetryLimit, policy.SessionAffinity}, [4]config.Set{config.Routes, config.Services, config.Tenants, config.Limits}, [2]string{EjectedForAllZones, AfterAllItems},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
--- a/internal/rpc/words.go
+++ b/internal/rpc/words.go
@@ -14,65 +14,65 @@
 
 // FellowID is the name of a daemon, ServerID one life of a backend, SiteName a zone.
 type (
-	FellowID    string
-	ServerID    string
-	SiteName    string
+	NodeID      string
+	EndpointID  string
+	ZoneName    string
 	RegionName  string
 	ServiceName string
 	// SessionID is a hash of what names a session at a service.
 	SessionID string
 )
 
-// Life tells the runs of one daemon apart.
-type Life uint64
+// Incarnation tells the runs of one daemon apart.
+type Incarnation uint64
 
 // Epoch is a place in what the leader has told; Term is whose telling it is.
 type (
-	Epoch uint64
-	Term  uint64
+	Revision uint64
+	Term     uint64
 )
 
-// Fellow is a passage daemon as the others know it.
-type Fellow struct {
-	ID       FellowID
-	Life     Life
-	Site     SiteName
-	Region   RegionName
-	Front    string
-	Inner    string
-	Ready    bool
-	Stopping bool
-}
-
-// FellowChange is one line of the roll; Gone takes it out.
-type FellowChange struct {
-	Fellow
-	Gone bool
-}
-
-// Server is one life of a backend as the platform lists it.
-type Server struct {
-	ID       ServerID
-	Service  ServiceName
-	Address  string
-	Site     SiteName
-	Slots    int
-	Draining bool
-	Cold     time.Duration
-}
-
-// Stamp tells a backend's state in a word.
-func (s Server) Stamp() (stamp string) {
+// Node is a passage daemon as the others know it.
+type Node struct {
+	ID              NodeID
+	Incarnation     Incarnation
+	Zone            ZoneName
+	Region          RegionName
+	FrontendAddress string
+	InternalAddress string
+	Ready           bool
+	Stopping        bool
+}
+
+// NodeChange is one line of the roll; Gone takes it out.
+type NodeChange struct {
+	Node
+	Removed bool
+}
+
+// Endpoint is one life of a backend as the platform lists it.
+type Endpoint struct {
+	ID              EndpointID
+	Service         ServiceName
+	Address         string
+	Zone            ZoneName
+	Slots           int
+	Draining        bool
+	WarmupRemaining time.Duration
+}
+
+// Summary tells a backend's state in a word.
+func (s Endpoint) Summary() (stamp string) {
 	if s.Draining {
 		return "draining"
 	}
 	return "ready"
 }
 
-// ServerChange is one line of the list; Gone takes it out.
-type ServerChange struct {
-	Server
-	Gone bool
+// EndpointChange is one line of the list; Gone takes it out.
+type EndpointChange struct {
+	Endpoint
+	Removed bool
 }
 
 // Health is what an owner found out about a backend.
@@ -80,41 +80,41 @@
 
 // The states of health.
 const (
-	Unknown Health = iota
-	Up
-	Down
+	HealthUnknown Health = iota
+	Healthy
+	Unhealthy
 )
 
-// State is one backend's health with the time its cold spell still lasts.
-type State struct {
-	Server ServerID
-	Health Health
-	Cold   time.Duration
-	// Aside is the asking site for which the backend is set aside, or
+// EndpointState is one backend's health with the time its cold spell still lasts.
+type EndpointState struct {
+	Endpoint        EndpointID
+	Health          Health
+	WarmupRemaining time.Duration
+	// EjectedFor is the asking site for which the backend is set aside, or
 	// AsideForAll, or empty.
-	Aside string
-	Gone  bool
+	EjectedFor string
+	Removed    bool
 }
 
-// AsideForAll stands for every asking site.
-const AsideForAll = "*"
+// EjectedForAllZones stands for every asking site.
+const EjectedForAllZones = "*"
 
-// Tally is what became of a daemon's requests at a backend since it last told,
+// OutcomeCount is what became of a daemon's requests at a backend since it last told,
 // or, without a backend, at the whole service. Site is where it asked from.
-type Tally struct {
-	Server    ServerID
-	Service   ServiceName
-	Site      SiteName
-	Good, Bad uint32
+type OutcomeCount struct {
+	Endpoint          EndpointID
+	Service           ServiceName
+	Zone              ZoneName
+	Succeeded, Failed uint32
 }
 
-// Stamp tells the state in words.
-func (s State) Stamp() (stamp string) {
-	stamp = [...]string{"unknown", "up", "down"}[min(s.Health, Down)]
-	if s.Cold > 0 {
+// Summary tells the state in words.
+func (s EndpointState) Summary() (stamp string) {
+	stamp = [...]string{"unknown", "up", "down"}[min(s.Health, Unhealthy)]
+	if s.WarmupRemaining > 0 {
 		stamp += " cold"
 	}
-	if s.Aside != "" {
+	if s.EjectedFor != "" {
 		stamp += " aside"
 	}
 	return stamp
@@ -122,25 +122,25 @@
 
 // ShardMap is the list that all daemons hash over.
 type ShardMap struct {
-	Term    Term
-	Count   Epoch
-	Members []FellowID
+	Term     Term
+	Revision Revision
+	Members  []NodeID
 }
 
-// MapDelta is how a map differs from the one of count Base or any told since;
+// ShardMapDelta is how a map differs from the one of count Base or any told since;
 // a whole map for each change would grow with the square of the fleet.
-type MapDelta struct {
-	Base, Count    Epoch
-	Added, Removed []FellowID
+type ShardMapDelta struct {
+	BaseRevision, Revision Revision
+	Added, Removed         []NodeID
 }
 
 // Apply gives the map that a delta makes of one that was told.
-func (m ShardMap) Apply(delta MapDelta) (next ShardMap) {
-	gone := make(map[FellowID]bool, len(delta.Added)+len(delta.Removed))
+func (m ShardMap) Apply(delta ShardMapDelta) (next ShardMap) {
+	gone := make(map[NodeID]bool, len(delta.Added)+len(delta.Removed))
 	for _, member := range append(delta.Removed, delta.Added...) {
 		gone[member] = true
 	}
-	next = ShardMap{Term: m.Term, Count: delta.Count, Members: append([]FellowID{}, delta.Added...)}
+	next = ShardMap{Term: m.Term, Revision: delta.Revision, Members: append([]NodeID{}, delta.Added...)}
 	for _, member := range m.Members {
 		if !gone[member] {
 			next.Members = append(next.Members, member)
@@ -155,34 +155,34 @@
 
 // The leased bounds.
 const (
-	ColdRate LeaseKind = iota + 1
+	WarmupRate LeaseKind = iota + 1
 	// TenantShare is a part of a tenant's rate and burst, lent by demand;
 	// TenantFloor the small part a daemon keeps for long without touch.
 	TenantShare
-	TenantFloor
+	TenantMinimum
 	RetrySlack
 	// RetryShare and RetryFloor are the same of the written limit on retries.
 	RetryShare
-	RetryFloor
+	RetryMinimum
 )
 
 // Lease is a share of a bound; it counts from when its holder asked.
 type Lease struct {
-	Kind   LeaseKind
-	Key    string
-	Amount float64
-	Span   time.Duration
+	Kind     LeaseKind
+	Key      string
+	Amount   float64
+	Duration time.Duration
 }
 
 // Evacuation is a site's standing order.
 type Evacuation struct {
-	Site   SiteName
-	Active bool
-	Rev    uint64
+	Zone     ZoneName
+	Active   bool
+	LogIndex uint64
 }
 
-// Stamp tells the order in a word.
-func (e Evacuation) Stamp() (stamp string) {
+// Summary tells the order in a word.
+func (e Evacuation) Summary() (stamp string) {
 	if e.Active {
 		return "active"
 	}
@@ -193,7 +193,7 @@
 // place in the log where it was announced, where the stop was committed (0
 // before that), and of its last change. Gone takes the order back.
 type Retirement struct {
-	Server    ServerID
+	Server    EndpointID
 	Service   ServiceName
 	By        string
 	Announced uint64
@@ -202,8 +202,8 @@
 	Gone      bool
 }
 
-// Stamp tells the order in a word.
-func (r Retirement) Stamp() (stamp string) {
+// Summary tells the order in a word.
+func (r Retirement) Summary() (stamp string) {
 	switch {
 	case r.Gone:
 		return "taken back"
@@ -213,22 +213,22 @@
 	return "announced"
 }
 
-// Move is an agreed step of the day's plan: of each target, which is a host or
+// ScheduleStep is an agreed step of the day's plan: of each target, which is a host or
 // a service, the weight of each region in thousandths. Its count only rises.
-type Move struct {
+type ScheduleStep struct {
 	Version uint64
 	Count   uint64
 	// Instant is the plan's own time of the step, in Unix seconds.
 	Instant int64
-	Targets []MoveTarget
+	Targets []ScheduleTarget
 	Rev     uint64
 }
 
-// Stamp is the step's count.
-func (m Move) Stamp() (stamp string) { return strconv.FormatUint(m.Count, 10) }
+// Summary is the step's count.
+func (m ScheduleStep) Summary() (stamp string) { return strconv.FormatUint(m.Count, 10) }
 
-// MoveTarget is one target's weights; exactly one of Host and Service is set.
-type MoveTarget struct {
+// ScheduleTarget is one target's weights; exactly one of Host and Service is set.
+type ScheduleTarget struct {
 	Host    string
 	Service ServiceName
 	Weights []RegionWeight
@@ -240,324 +240,324 @@
 	Weight int
 }
 
-// Core is an accord daemon as fellows know it.
-type Core struct{ Inner, Control string }
+// Controller is an accord daemon as fellows know it.
+type Controller struct{ InternalAddress, ControlAddress string }
 
-// Seen is how far a fellow is with what the leader tells.
-type Seen struct {
-	Term  Term
-	Epoch Epoch
-	// Rev and ItemAt are the place of the last item taken: items come in the
+// KnownState is how far a fellow is with what the leader tells.
+type KnownState struct {
+	Term     Term
+	Revision Revision
+	// LogIndex and ItemAt are the place of the last item taken: items come in the
 	// order of their places in the log and then of their paths, in parts. ItemAt
 	// is AllItems where nothing of that place is left out.
-	Rev    uint64
-	ItemAt string
-	// Listed tells that the fellow has this leader's list of backends whole;
+	LogIndex uint64
+	LastItem string
+	// EndpointsComplete tells that the fellow has this leader's list of backends whole;
 	// until then ListAt is the last one it was told.
-	Listed bool
-	ListAt ServerID
-	// MapAt is the count of the last map told in this term, 0 for none.
-	MapAt Epoch
-}
-
-// AllItems stands behind every path.
-const AllItems = "\xff"
-
-// BeatAsk is a fellow's beat: who it is, what it has seen, what it wants.
-type BeatAsk struct {
-	Fellow
-	Seen
-	// Known is how many fellows it knows of, itself included.
-	Known   int
-	Hold    time.Duration
-	Demands []Demand
-	// Retries are the same for services under a written limit on retries.
-	Retries []Demand
-	Burdens []Burden
-	Tallies []Tally
-}
-
-// ListPart is a part of the whole list of backends with their states, in the
+	EndpointsComplete bool
+	LastEndpoint      EndpointID
+	// ShardMapRevision is the count of the last map told in this term, 0 for none.
+	ShardMapRevision Revision
+}
+
+// AfterAllItems stands behind every path.
+const AfterAllItems = "\xff"
+
+// HeartbeatRequest is a fellow's beat: who it is, what it has seen, what it wants.
+type HeartbeatRequest struct {
+	Node
+	KnownState
+	// KnownNodes is how many fellows it knows of, itself included.
+	KnownNodes    int
+	MaxWait       time.Duration
+	TenantDemands []RateDemand
+	// RetryDemands are the same for services under a written limit on retries.
+	RetryDemands []RateDemand
+	Loads        []Load
+	Outcomes     []OutcomeCount
+}
+
+// EndpointChunk is a part of the whole list of backends with their states, in the
 // order of their ids. A whole list at once would fill a small link for longer
 // than a beat may take, and never arrive.
-type ListPart struct {
-	Servers []Server
-	States  []State
-	// Packed are the same rows, packed, where they are many.
-	Packed []byte
-	// From is the last id that was told before, At the last one now; Done tells
+type EndpointChunk struct {
+	Endpoints []Endpoint
+	States    []EndpointState
+	// Compressed are the same rows, packed, where they are many.
+	Compressed []byte
+	// After is the last id that was told before, At the last one now; Done tells
 	// that nothing is behind it.
-	From ServerID
-	At   ServerID
-	Done bool
+	After    EndpointID
+	Last     EndpointID
+	Complete bool
 }
 
-// listRows are what a part packs.
-type listRows struct {
-	Servers []Server
-	States  []State
+// chunkRows are what a part packs.
+type chunkRows struct {
+	Endpoints []Endpoint
+	States    []EndpointState
 }
 
-// Pack packs the rows of a part.
-func (p *ListPart) Pack() (err error) {
-	packed, err := Pack([]listRows{{p.Servers, p.States}})
+// Compress packs the rows of a part.
+func (p *EndpointChunk) Compress() (err error) {
+	packed, err := Pack([]chunkRows{{p.Endpoints, p.States}})
 	if err == nil {
-		p.Packed, p.Servers, p.States = packed, nil, nil
+		p.Compressed, p.Endpoints, p.States = packed, nil, nil
 	}
 	return err
 }
 
-// Unpack gives a part its rows back.
-func (p *ListPart) Unpack() (err error) {
-	if p.Packed == nil {
+// Decompress gives a part its rows back.
+func (p *EndpointChunk) Decompress() (err error) {
+	if p.Compressed == nil {
 		return nil
 	}
-	rows, err := UnpackRows[listRows](p.Packed)
+	rows, err := UnpackRows[chunkRows](p.Compressed)
 	if err != nil {
 		return err
 	}
 	if len(rows) != 1 {
 		return Class.New("a part of the list with %d sets of rows", len(rows))
 	}
-	p.Servers, p.States, p.Packed = rows[0].Servers, rows[0].States, nil
+	p.Endpoints, p.States, p.Compressed = rows[0].Endpoints, rows[0].States, nil
 	return nil
 }
 
-// Burden is how many requests a fellow has at work at a service.
-type Burden struct {
-	Service ServiceName
-	AtWork  int
+// Load is how many requests a fellow has at work at a service.
+type Load struct {
+	Service  ServiceName
+	InFlight int
 }
 
-// Spill is what part of a service's requests, in thousandths, the site of the
+// ZoneOverflow is what part of a service's requests, in thousandths, the site of the
 // fellow that is told should send to other sites, and how much to each.
-type Spill struct {
-	Service ServiceName
-	Away    int
-	To      []SiteWeight
+type ZoneOverflow struct {
+	Service  ServiceName
+	Permille int
+	Targets  []ZoneWeight
 }
 
-// SiteWeight is one site's part in thousandths.
-type SiteWeight struct {
-	Site   SiteName
+// ZoneWeight is one site's part in thousandths.
+type ZoneWeight struct {
+	Zone   ZoneName
 	Weight int
 }
 
-// Demand is how many requests a second of a tenant a fellow sees, and the
+// RateDemand is how many requests a second of a tenant a fellow sees, and the
 // floor it holds.
-type Demand struct {
-	Tenant string
-	Rate   float64
-	Floor  float64
-}
-
-// News is the answer to a beat: all that changed since.
-type News struct {
-	Leader bool
-	Hint   string
-	Cores  []Core
-	Term   Term
-	Epoch  Epoch
-	Full   bool
-	Rev    uint64
-	ItemAt string
-	// Packed are items that Pack made small; else they stand in Items.
-	Packed      []byte
-	Items       []config.Item
-	Evacuations []Evacuation
-	Documents   []policy.Document
-	Retired     []Retirement
-	Move        *Move
-	// Part is a part of the whole list, for a fellow that lacks it; Servers and
+type RateDemand struct {
+	Name    string
+	Rate    float64
+	Minimum float64
+}
+
+// Update is the answer to a beat: all that changed since.
+type Update struct {
+	IsLeader      bool
+	LeaderAddress string
+	Controllers   []Controller
+	Term          Term
+	Revision      Revision
+	Full          bool
+	LogIndex      uint64
+	LastItem      string
+	// CompressedItems are items that Pack made small; else they stand in Items.
+	CompressedItems []byte
+	Items           []config.Item
+	Evacuations     []Evacuation
+	Documents       []policy.Document
+	Retirements     []Retirement
+	ScheduleStep    *ScheduleStep
+	// EndpointChunk is a part of the whole list, for a fellow that lacks it; Servers and
 	// States are what changed since.
-	Part    *ListPart
-	Servers []ServerChange
-	Fellows []FellowChange
-	States  []State
-	// Crowd are the same as Fellows, packed, where they are many.
-	Crowd []byte
-	// Map is the whole map, MapDelta what changed of it.
-	Map      *ShardMap
-	MapDelta *MapDelta
-	Absent   []FellowID
-	Leases   []Lease
-	// Spills are what the fellow's site should send away.
-	Spills []Spill
-	// Tallies are the outcomes that others told of what this fellow owns.
-	Tallies []Tally
-}
-
-// LeadAsk asks a core who leads; LeadReply is small, so that it gets through
+	EndpointChunk *EndpointChunk
+	Endpoints     []EndpointChange
+	Nodes         []NodeChange
+	States        []EndpointState
+	// CompressedNodes are the same as Fellows, packed, where they are many.
+	CompressedNodes []byte
+	// ShardMap is the whole map, MapDelta what changed of it.
+	ShardMap      *ShardMap
+	ShardMapDelta *ShardMapDelta
+	Absent        []NodeID
+	Leases        []Lease
+	// ZoneOverflows are what the fellow's site should send away.
+	ZoneOverflows []ZoneOverflow
+	// Outcomes are the outcomes that others told of what this fellow owns.
+	Outcomes []OutcomeCount
+}
+
+// LeaderRequest asks a core who leads; LeadReply is small, so that it gets through
 // where news would not.
-type LeadAsk struct{}
+type LeaderRequest struct{}
 
-// LeadReply names the leader as the core knows it.
-type LeadReply struct {
-	Leader bool
-	Term   Term
-	Cores  []Core
+// LeaderResponse names the leader as the core knows it.
+type LeaderResponse struct {
+	IsLeader    bool
+	Term        Term
+	Controllers []Controller
 }
 
-// ClaimAsk puts a batch of claims or gives claims back. Left is how long from its
+// ClaimRequest puts a batch of claims or gives claims back. Left is how long from its
 // sending anybody waits for the answer, 0 for no word on it.
-type ClaimAsk struct {
-	Holder FellowID
-	Life   Life
-	Claims []KeyClaim
-	Frees  []KeyClaim
-	Left   time.Duration
+type ClaimRequest struct {
+	Holder      NodeID
+	Incarnation Incarnation
+	Claims      []KeyClaim
+	Releases    []KeyClaim
+	TimeLeft    time.Duration
 }
 
 // KeyClaim is an operation key wanted for a request.
 type KeyClaim struct{ Key, Request string }
 
-// Outcome of one claim.
-type Outcome uint8
+// ClaimOutcome of one claim.
+type ClaimOutcome uint8
 
 // The outcomes of a claim.
 const (
-	Unclear Outcome = iota
-	Granted
-	Held
-	Refused
+	ClaimUnknown ClaimOutcome = iota
+	ClaimGranted
+	ClaimHeld
+	ClaimRejected
 )
 
-// ClaimFound is the answer to one claim; Holder has it where it is held.
-type ClaimFound struct {
-	Outcome Outcome
-	Holder  FellowID
-	Inner   string
-	Life    Life
-	Request string
+// ClaimResult is the answer to one claim; Holder has it where it is held.
+type ClaimResult struct {
+	Outcome         ClaimOutcome
+	Holder          NodeID
+	InternalAddress string
+	Incarnation     Incarnation
+	Request         string
 }
 
-// ClaimReply answers a batch in its order.
-type ClaimReply struct {
-	Leader bool
-	Found  []ClaimFound
-	// Freed tells that everything given back is given back for good.
-	Freed bool
+// ClaimResponse answers a batch in its order.
+type ClaimResponse struct {
+	IsLeader bool
+	Results  []ClaimResult
+	// Released tells that everything given back is given back for good.
+	Released bool
 }
 
-// Bind asks where a session is bound, and binds it to Server where it is not
+// SessionBinding asks where a session is bound, and binds it to Server where it is not
 // bound yet. From names the backend it was bound to, where that has ended, so
 // that it is bound anew.
-type Bind struct {
-	Session SessionID
-	Service ServiceName
-	Server  ServerID
-	From    ServerID
-	Idle    time.Duration
+type SessionBinding struct {
+	Session       SessionID
+	Service       ServiceName
+	Endpoint      EndpointID
+	EndedEndpoint EndpointID
+	IdleTimeout   time.Duration
 }
 
-// BindAsk puts a batch of them.
-type BindAsk struct{ Binds []Bind }
+// BindRequest puts a batch of them.
+type BindRequest struct{ Bindings []SessionBinding }
 
 // BindOutcome tells what came of one.
 type BindOutcome uint8
 
 // The outcomes.
 const (
-	BindUnclear BindOutcome = iota
+	BindUnknown BindOutcome = iota
 	Bound
-	// BindFull: there are too many sessions, this one is not kept.
-	BindFull
-	// BindRefused: it was not carried out and never will be.
-	BindRefused
+	// BindTableFull: there are too many sessions, this one is not kept.
+	BindTableFull
+	// BindRejected: it was not carried out and never will be.
+	BindRejected
 )
 
-// BindFound tells where the session is bound.
-type BindFound struct {
-	Outcome BindOutcome
-	Server  ServerID
+// BindResult tells where the session is bound.
+type BindResult struct {
+	Outcome  BindOutcome
+	Endpoint EndpointID
 }
 
-// BindReply answers a batch in its order.
-type BindReply struct {
-	Leader bool
-	Term   Term
-	Found  []BindFound
+// BindResponse answers a batch in its order.
+type BindResponse struct {
+	IsLeader bool
+	Term     Term
+	Results  []BindResult
 }
 
-// OrdersAsk asks a fellow for the orders it follows.
-type OrdersAsk struct{ From FellowID }
+// RetirementsRequest asks a fellow for the orders it follows.
+type RetirementsRequest struct{ From NodeID }
 
-// OrdersReply is what it follows; to get it is also to hear the fellow.
-type OrdersReply struct{ Retired []Retirement }
+// RetirementsResponse is what it follows; to get it is also to hear the fellow.
+type RetirementsResponse struct{ Retirements []Retirement }
 
-// RecallAsk asks the holder of a key for its answer.
-type RecallAsk struct {
+// StoredResponseRequest asks the holder of a key for its answer.
+type StoredResponseRequest struct {
 	Key, Request string
-	Life         Life
+	Incarnation  Incarnation
 	Region       RegionName
 }
 
-// Standing of an operation at its holder.
-type Standing uint8
+// OperationState of an operation at its holder.
+type OperationState uint8
 
 // How an operation stands.
 const (
-	Lost Standing = iota
-	Running
-	Answered
-	Freed
-	// Moved: it was answered, and the answer is kept at another fellow.
-	Moved
+	OperationLost OperationState = iota
+	OperationRunning
+	OperationCompleted
+	OperationReleased
+	// OperationMoved: it was answered, and the answer is kept at another fellow.
+	OperationMoved
 )
 
-// RecallReply is the stored answer, if there is one.
-type RecallReply struct {
-	Standing Standing
-	Status   int
-	Header   [][2]string
-	Body     []byte
-	// Inner is where the answer is kept, if it was moved.
-	Inner string
+// StoredResponse is the stored answer, if there is one.
+type StoredResponse struct {
+	State   OperationState
+	Status  int
+	Headers [][2]string
+	Body    []byte
+	// InternalAddress is where the answer is kept, if it was moved.
+	InternalAddress string
 }
 
-// KeepAsk hands an answer to a fellow that may keep it.
-type KeepAsk struct {
+// StoreRequest hands an answer to a fellow that may keep it.
+type StoreRequest struct {
 	Key, Request string
-	Answer       RecallReply
+	Response     StoredResponse
 }
 
-// KeepReply tells that it is kept.
-type KeepReply struct{ Kept bool }
+// StoreAcknowledgement tells that it is kept.
+type StoreAcknowledgement struct{ Stored bool }
 
-// ReportAsk brings an owner's findings to the state cache.
-type ReportAsk struct {
-	Fellow  FellowID
-	Term    Term
-	Count   Epoch
-	Service ServiceName
-	Full    bool
-	States  []State
+// HealthReport brings an owner's findings to the state cache.
+type HealthReport struct {
+	Node             NodeID
+	Term             Term
+	ShardMapRevision Revision
+	Service          ServiceName
+	Full             bool
+	States           []EndpointState
 }
 
-// ReportReply tells whether the cache took it.
-type ReportReply struct{ Leader, Taken bool }
+// HealthReportResponse tells whether the cache took it.
+type HealthReportResponse struct{ IsLeader, Accepted bool }
 
-// StatusAsk asks a daemon how it stands.
-type StatusAsk struct{}
+// StatusRequest asks a daemon how it stands.
+type StatusRequest struct{}
 
-// StatusReply is a daemon's account of itself, as JSON.
-type StatusReply struct{ JSON []byte }
+// StatusResponse is a daemon's account of itself, as JSON.
+type StatusResponse struct{ JSON []byte }
 
-// TraceAsk asks a daemon what it knows of a subject.
-type TraceAsk struct{ Kind, Name string }
+// TraceRequest asks a daemon what it knows of a subject.
+type TraceRequest struct{ Kind, Name string }
 
-// TraceMark is one thing that happened to the subject at that daemon.
-type TraceMark struct {
-	What, Stamp string
-	Rev         uint64
-	Age         time.Duration
+// TraceEntry is one thing that happened to the subject at that daemon.
+type TraceEntry struct {
+	Event, Summary string
+	LogIndex       uint64
+	Age            time.Duration
 }
 
-// TraceReply tells the marks, and whether and how the subject stands there now.
-type TraceReply struct {
-	Name  string
-	Marks []TraceMark
-	Has   bool
-	Stamp string
-	Rev   uint64
+// TraceResponse tells the marks, and whether and how the subject stands there now.
+type TraceResponse struct {
+	Name     string
+	Entries  []TraceEntry
+	Present  bool
+	Summary  string
+	LogIndex uint64
 }
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -31,7 +31,7 @@
 var regions = []rpc.RegionName{"east", "mid", "west"}
 
 type dayEdge struct {
-	rpc.Fellow
+	rpc.Node
 	life    uint64
 	book    *idempotency.Book
 	weights schedule.Weights
@@ -88,8 +88,8 @@
 	}
 	for _, region := range regions {
 		for i := range 2 {
-			id := rpc.FellowID(fmt.Sprint(region, "-", i))
-			edge := &dayEdge{Fellow: rpc.Fellow{ID: id, Region: region, Site: rpc.SiteName(region), Front: string(id), Ready: true}, life: 1}
+			id := rpc.NodeID(fmt.Sprint(region, "-", i))
+			edge := &dayEdge{Node: rpc.Node{ID: id, Region: region, Zone: rpc.ZoneName(region), FrontendAddress: string(id), Ready: true}, life: 1}
 			edge.book = idempotency.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
 			d.edges = append(d.edges, edge)
 		}
@@ -165,10 +165,10 @@
 }
 
 func (d *day) resolve(region rpc.RegionName) (edge *dayEdge) {
-	fellows, absent := map[rpc.FellowID]rpc.Fellow{}, map[rpc.FellowID]bool{}
+	fellows, absent := map[rpc.NodeID]rpc.Node{}, map[rpc.NodeID]bool{}
 	var asked *dayEdge
 	for _, candidate := range d.edges {
-		fellows[candidate.ID] = candidate.Fellow
+		fellows[candidate.ID] = candidate.Node
 		absent[candidate.ID] = d.now < candidate.downTil
 		if candidate.Region == region && !absent[candidate.ID] {
 			asked = candidate
@@ -180,7 +180,7 @@
 	addresses := proxy.DirectoryAnswer(fellows, absent, nil, asked.weights, string(region), string(region), "")
 	front := addresses[d.luck.Intn(len(addresses))]
 	for _, candidate := range d.edges {
-		if candidate.Front == front {
+		if candidate.FrontendAddress == front {
 			return candidate
 		}
 	}
@@ -207,7 +207,7 @@
 	request := fmt.Sprint(tap.key, ".", tap.tries)
 	op, old := edge.book.Open(tap.key, request)
 	if old != nil {
-		return old.Recall().Standing == rpc.Answered
+		return old.Recall().State == rpc.OperationCompleted
 	}
 	claim := raft.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
 	result := d.apply(raft.Command{Kind: raft.CommandClaim, Claim: claim})
@@ -215,7 +215,7 @@
 		edge.book.Abandon(op)
 		for _, holder := range d.edges {
 			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Life {
-				return holder.book.Find(tap.key, result.Held.Request).Standing == rpc.Answered
+				return holder.book.Find(tap.key, result.Held.Request).State == rpc.OperationCompleted
 			}
 		}
 		return false
@@ -313,7 +313,7 @@
 	stepper := &schedule.Stepper{}
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	wall := time.Date(2026, 5, 4, 15, 0, 0, 0, berlin)
-	agreed := rpc.Move{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []rpc.MoveTarget{{Host: "book.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}}
+	agreed := rpc.ScheduleStep{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []rpc.ScheduleTarget{{Host: "book.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}}
 	good := schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
 	for why, mid := range map[string]schedule.Stock{
 		"mid lacks room": {Slots: 5, Useful: 10, Listed: 10}, "mid is being evacuated": {Evacuated: true, Listed: 10},
--- a/internal/schedule/stepper.go
+++ b/internal/schedule/stepper.go
@@ -47,11 +47,11 @@
 
 // Step says which move to commit next, nil for none, and how each target
 // stands. now is the steady clock, wall the time of day.
-func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed rpc.Move, state func(Target) State) (next *rpc.Move, accounts []Account) {
+func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed rpc.ScheduleStep, state func(Target) State) (next *rpc.ScheduleStep, accounts []Account) {
 	mine := agreed.Version == uint64(plan.Version)
 	behind := agreed.Instant > wall.Unix()
 	paced := s.any && now-s.stepped < time.Duration(plan.Every)
-	move := rpc.Move{Version: uint64(plan.Version), Count: agreed.Count + 1, Instant: max(wall.Unix(), agreed.Instant)}
+	move := rpc.ScheduleStep{Version: uint64(plan.Version), Count: agreed.Count + 1, Instant: max(wall.Unix(), agreed.Instant)}
 	changed := !mine
 	for i := range plan.Targets {
 		target := plan.Targets[i]
@@ -76,7 +76,7 @@
 		}
 		accounts = append(accounts, account)
 		if weights != nil {
-			move.Targets = append(move.Targets, rpc.MoveTarget{Host: target.Host, Service: target.Service, Weights: listed(weights)})
+			move.Targets = append(move.Targets, rpc.ScheduleTarget{Host: target.Host, Service: target.Service, Weights: listed(weights)})
 		}
 	}
 	if !changed || paced && mine {
@@ -117,7 +117,7 @@
 	return ""
 }
 
-func current(agreed rpc.Move, target Target) (weights Weights) {
+func current(agreed rpc.ScheduleStep, target Target) (weights Weights) {
 	for _, held := range agreed.Targets {
 		if held.Host == target.Host && held.Service == target.Service {
 			weights = Weights{}
@@ -148,6 +148,6 @@
 
 // Follows tells whether a step may follow what is agreed: of the plan that is
 // in force, with the next count, and not before the last one's own time.
-func Follows(agreed, next rpc.Move, inForce uint64) bool {
+func Follows(agreed, next rpc.ScheduleStep, inForce uint64) bool {
 	return next.Version == inForce && next.Count == agreed.Count+1 && next.Instant >= agreed.Instant
 }
