--- a/cmd/tinpin/main.go
+++ b/cmd/tinpin/main.go
@@ -110,7 +110,7 @@
 		_, _ = fmt.Fprintln(out, "settings are good")
 		return 0
 	case "status", "trace":
-		if word == "trace" && !diagnostics.Known(words[0]) {
+		if word == "trace" && !diagnostics.KnownKind(words[0]) {
 			return wrong("trace: unknown kind %q", words[0])
 		}
 		good, err := look(word, words, *at, *logs, *asJSON, out)
@@ -182,7 +182,7 @@
 			starts = append(starts, p.SeedInternalAddress(seed))
 		}
 	}
-	fleet, err := diagnostics.Look(starts)
+	fleet, err := diagnostics.Inspect(starts)
 	if err != nil {
 		return false, err
 	}
--- a/internal/apierror/problem.go
+++ b/internal/apierror/problem.go
@@ -13,80 +13,80 @@
 const (
 	None Kind = iota
 	BadRequest
-	NoKey
-	NoWay
-	HeadTooLarge
+	MissingKey
+	NoRoute
+	HeadersTooLarge
 	BodyTooLarge
-	HeadTooSlow
+	RequestTimeout
 	NoBackend
-	NoRoom
+	Overloaded
 	NoLeader
-	KeyAtWork
-	KeyUnknown
-	OverLimit
-	TooLate
-	Broken
-	DeadlineOver
-	BadConfig
+	KeyInUse
+	KeyOutcomeUnknown
+	RateLimited
+	DeadlineTooShort
+	BackendFailed
+	DeadlineExceeded
+	InvalidConfig
 	NotLeader
 	NotReady
-	Unclear
-	NotStarted
-	BadOrder
-	NoSession
-	CutOff
-	VersionTaken
+	OutcomeUnknown
+	NotConfigured
+	RequestRejected
+	SessionUnavailable
+	Isolated
+	VersionConflict
 )
 
-// Answer is what a problem looks like to the one who called.
-type Answer struct {
+// Response is what a problem looks like to the one who called.
+type Response struct {
 	Status int
 	Text   string
-	// Ran tells that the request may have reached a backend.
-	Ran bool
-	// RetryMS is when to come back; 0 for no word on it.
-	RetryMS int
+	// MayHaveRun tells that the request may have reached a backend.
+	MayHaveRun bool
+	// RetryAfterMS is when to come back; 0 for no word on it.
+	RetryAfterMS int
 	// Close ends the stream after the answer.
 	Close bool
 }
 
-var table = map[Kind]Answer{
-	BadRequest:   {Status: 400, Text: "malformed request", Close: true},
-	NoKey:        {Status: 400, Text: "this way wants an operation key"},
-	NoWay:        {Status: 404, Text: "no way for this host and path"},
-	HeadTooLarge: {Status: 431, Text: "head too large", Close: true},
-	BodyTooLarge: {Status: 413, Text: "body too large", Close: true},
-	HeadTooSlow:  {Status: 408, Text: "request not read in time", Close: true},
-	NoBackend:    {Status: 503, Text: "no backend is available", RetryMS: 150},
-	NoRoom:       {Status: 503, Text: "no room at the backends", RetryMS: 100},
-	NoLeader:     {Status: 503, Text: "operation keys cannot be claimed now", RetryMS: 200},
-	KeyAtWork:    {Status: 409, Text: "this operation is at work", RetryMS: 100},
-	KeyUnknown:   {Status: 503, Text: "an earlier try of this operation has no known outcome; this one was not sent", RetryMS: 500},
-	OverLimit:    {Status: 429, Text: "over the tenant's limit", RetryMS: 200},
-	TooLate:      {Status: 503, Text: "the deadline leaves no time"},
-	Broken:       {Status: 502, Text: "the backend's answer was lost", Ran: true},
-	DeadlineOver: {Status: 504, Text: "the deadline has passed", Ran: true},
-	BadConfig:    {Status: 400, Text: "invalid configuration"},
-	NotLeader:    {Status: 307, Text: "ask the leader"},
-	NotReady:     {Status: 503, Text: "not ready"},
-	Unclear:      {Status: 503, Text: "no majority answered in time"},
-	BadOrder:     {Status: 422, Text: "refused order"},
-	VersionTaken: {Status: 409, Text: "this version holds other content"},
-	NoSession:    {Status: 503, Text: "the session's backend cannot be asked for now", RetryMS: 200},
-	CutOff:       {Status: 503, Text: "this daemon has lost touch with the others", RetryMS: 500},
-	NotStarted:   {Status: 503, Text: "the configuration is not known yet", RetryMS: 300},
+var responses = map[Kind]Response{
+	BadRequest:         {Status: 400, Text: "malformed request", Close: true},
+	MissingKey:         {Status: 400, Text: "this way wants an operation key"},
+	NoRoute:            {Status: 404, Text: "no way for this host and path"},
+	HeadersTooLarge:    {Status: 431, Text: "head too large", Close: true},
+	BodyTooLarge:       {Status: 413, Text: "body too large", Close: true},
+	RequestTimeout:     {Status: 408, Text: "request not read in time", Close: true},
+	NoBackend:          {Status: 503, Text: "no backend is available", RetryAfterMS: 150},
+	Overloaded:         {Status: 503, Text: "no room at the backends", RetryAfterMS: 100},
+	NoLeader:           {Status: 503, Text: "operation keys cannot be claimed now", RetryAfterMS: 200},
+	KeyInUse:           {Status: 409, Text: "this operation is at work", RetryAfterMS: 100},
+	KeyOutcomeUnknown:  {Status: 503, Text: "an earlier try of this operation has no known outcome; this one was not sent", RetryAfterMS: 500},
+	RateLimited:        {Status: 429, Text: "over the tenant's limit", RetryAfterMS: 200},
+	DeadlineTooShort:   {Status: 503, Text: "the deadline leaves no time"},
+	BackendFailed:      {Status: 502, Text: "the backend's answer was lost", MayHaveRun: true},
+	DeadlineExceeded:   {Status: 504, Text: "the deadline has passed", MayHaveRun: true},
+	InvalidConfig:      {Status: 400, Text: "invalid configuration"},
+	NotLeader:          {Status: 307, Text: "ask the leader"},
+	NotReady:           {Status: 503, Text: "not ready"},
+	OutcomeUnknown:     {Status: 503, Text: "no majority answered in time"},
+	RequestRejected:    {Status: 422, Text: "refused order"},
+	VersionConflict:    {Status: 409, Text: "this version holds other content"},
+	SessionUnavailable: {Status: 503, Text: "the session's backend cannot be asked for now", RetryAfterMS: 200},
+	Isolated:           {Status: 503, Text: "this daemon has lost touch with the others", RetryAfterMS: 500},
+	NotConfigured:      {Status: 503, Text: "the configuration is not known yet", RetryAfterMS: 300},
 }
 
-// Promises tells that a status is a promise that the request has not run and never
+// PromisesNotRun tells that a status is a promise that the request has not run and never
 // will.
-func Promises(status int) bool {
+func PromisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-// Answer gives the table's entry.
-func (k Kind) Answer() (answer Answer) { return table[k] }
+// Response gives the table's entry.
+func (k Kind) Response() (answer Response) { return responses[k] }
 
-// Retry writes the time as Retry-After wants it, in seconds with fractions.
-func (a Answer) Retry() (text string) {
-	return strconv.FormatFloat(float64(a.RetryMS)/1000, 'f', -1, 64)
+// RetryAfter writes the time as Retry-After wants it, in seconds with fractions.
+func (a Response) RetryAfter() (text string) {
+	return strconv.FormatFloat(float64(a.RetryAfterMS)/1000, 'f', -1, 64)
 }
--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -64,9 +64,9 @@
 		if heraldErr != nil {
 			return nil, heraldErr
 		}
-		node.History.OnMark = func(mark history.Mark) {
-			if mark.What != "acknowledged" && council.desk.Coordinator() != nil {
-				teller.Tell(mark)
+		node.History.OnChange = func(mark history.Change) {
+			if mark.Action != "acknowledged" && council.desk.Coordinator() != nil {
+				teller.Notify(mark)
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 		return nil
 	}
 	if leads || leader.Control == "" {
-		return &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
+		return &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no leader is settled now"}
 	}
 	return &httpapi.Error{Kind: apierror.NotLeader, Location: "http://" + leader.Control + path}
 }
@@ -112,7 +112,7 @@
 // is proven that it still leads, and leaves the caller without a clear answer else.
 func (c *Controller) proven(open *coordinator.Coordinator, verdict error) (err error) {
 	if !c.desk.ConfirmLeadership(open) {
-		return &httpapi.Error{Kind: apierror.Unclear, Text: "no contact with a majority of the cores now"}
+		return &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no contact with a majority of the cores now"}
 	}
 	return verdict
 }
@@ -120,7 +120,7 @@
 func (c *Controller) wish(command raft.Command) (result raft.Result, err error) {
 	answer := c.node.Propose(command, c.patience)
 	if !answer.Known {
-		return result, &httpapi.Error{Kind: apierror.Unclear}
+		return result, &httpapi.Error{Kind: apierror.OutcomeUnknown}
 	}
 	return answer.Result, nil
 }
@@ -132,18 +132,18 @@
 	// What cannot be read is refused whatever stands.
 	call, err := config.ReadCall(body)
 	if err != nil {
-		return c.refuse(history.Item, &httpapi.Error{Kind: apierror.BadConfig, Text: err.Error()})
+		return c.refuse(history.Item, &httpapi.Error{Kind: apierror.InvalidConfig, Text: err.Error()})
 	}
 	result, err := c.wish(raft.Command{Kind: raft.CommandConfig, Body: body})
 	if err != nil {
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(history.Item, refusedAs(apierror.BadConfig, result))
+		return c.refuse(history.Item, refusedAs(apierror.InvalidConfig, result))
 	}
 	c.log.Emit(eventlog.ConfigAccepted, eventlog.KeyBytes, len(body))
 	for _, path := range call.Paths() {
-		c.node.History.Note(history.Item, path, "acknowledged", "", 0, true)
+		c.node.History.Record(history.Item, path, "acknowledged", "", 0, true)
 	}
 	return nil
 }
@@ -151,14 +151,14 @@
 // refusedAs is the trouble with an order that the cores have refused.
 func refusedAs(kind apierror.Kind, result raft.Result) (trouble *httpapi.Error) {
 	if result.Conflict {
-		kind = apierror.VersionTaken
+		kind = apierror.VersionConflict
 	}
 	return &httpapi.Error{Kind: kind, Text: result.Problem}
 }
 
 // refuse logs what the caller is told.
 func (c *Controller) refuse(subject string, trouble *httpapi.Error) (err error) {
-	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject, eventlog.KeyStatus, trouble.Kind.Answer().Status, eventlog.KeyReason, trouble.Error())
+	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject, eventlog.KeyStatus, trouble.Kind.Response().Status, eventlog.KeyReason, trouble.Error())
 	return trouble
 }
 
@@ -198,9 +198,9 @@
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(history.Evacuation, refusedAs(apierror.BadOrder, result))
+		return c.refuse(history.Evacuation, refusedAs(apierror.RequestRejected, result))
 	}
 	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, site, "active", start)
-	c.node.History.Note(history.Evacuation, site, "acknowledged", "", 0, true)
+	c.node.History.Record(history.Evacuation, site, "acknowledged", "", 0, true)
 	return nil
 }
--- a/internal/controller/council_test.go
+++ b/internal/controller/council_test.go
@@ -94,13 +94,13 @@
 		"describe":        {func() error { _, err := c.describe(none); return err }, apierror.None},
 		"show":            {func() error { _, err := c.show(none, policy.DrainPolicy); return err }, apierror.None},
 		"a good check":    {set(drainPolicy(9), true), apierror.None},
-		"an old version":  {set(drainPolicy(3), false), apierror.BadOrder},
-		"no document":     {set(`{}`, false), apierror.BadOrder},
-		"a bad check":     {set(`{}`, true), apierror.BadOrder},
-		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, apierror.BadOrder},
-		"an unknown one":  {func() error { _, err := c.retire(none, "two", false, ""); return err }, apierror.BadOrder},
+		"an old version":  {set(drainPolicy(3), false), apierror.RequestRejected},
+		"no document":     {set(`{}`, false), apierror.RequestRejected},
+		"a bad check":     {set(`{}`, true), apierror.RequestRejected},
+		"the last of all": {func() error { _, err := c.retire(none, "one", false, ""); return err }, apierror.RequestRejected},
+		"an unknown one":  {func() error { _, err := c.retire(none, "two", false, ""); return err }, apierror.RequestRejected},
 	} {
-		for lost, want := range map[bool]apierror.Kind{false: call.with, true: apierror.Unclear} {
+		for lost, want := range map[bool]apierror.Kind{false: call.with, true: apierror.OutcomeUnknown} {
 			contact.lost.Store(lost)
 			if got := kind(call.do()); got != want {
 				t.Errorf("%s, contact lost %v: %v, want %v", name, lost, got, want)
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -25,9 +25,9 @@
 
 func refused(err error) (trouble *httpapi.Error) {
 	if dedup.Conflict.Has(err) {
-		return &httpapi.Error{Kind: apierror.VersionTaken, Text: err.Error()}
+		return &httpapi.Error{Kind: apierror.VersionConflict, Text: err.Error()}
 	}
-	return &httpapi.Error{Kind: apierror.BadOrder, Text: err.Error()}
+	return &httpapi.Error{Kind: apierror.RequestRejected, Text: err.Error()}
 }
 
 // barrier waits until all that this core put before the cores is applied. Only
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	if open = c.desk.Coordinator(); open == nil {
-		return nil, &httpapi.Error{Kind: apierror.Unclear, Text: "no leader is settled now"}
+		return nil, &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no leader is settled now"}
 	}
 	return open, nil
 }
@@ -108,10 +108,10 @@
 		return err
 	}
 	if result.Problem != "" {
-		return c.refuse(kind, refusedAs(apierror.BadOrder, result))
+		return c.refuse(kind, refusedAs(apierror.RequestRejected, result))
 	}
 	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, kind, eventlog.KeyName, name, eventlog.KeyChange, what)
-	c.node.History.Note(kind, name, "acknowledged", "", 0, true)
+	c.node.History.Record(kind, name, "acknowledged", "", 0, true)
 	return nil
 }
 
@@ -174,7 +174,7 @@
 	}
 	if !open.EndpointsComplete() {
 		// A new leader has not read the list yet: that is no reason to refuse.
-		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "the platform's list is not read yet"}
+		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "the platform's list is not read yet"}
 	}
 	command := raft.Command{Kind: raft.CommandRetire, Site: string(id), Claim: raft.Claim{Holder: drain.ByOperator, Key: named}}
 	var sent sentAgain
@@ -234,7 +234,7 @@
 	case s.taken && errors.Is(refusal, coordinator.ErrUnknownBackend):
 		return string(drain.Left), nil
 	case s.taken:
-		return "", &httpapi.Error{Kind: apierror.Unclear, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
+		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
 	}
 	return "", refused(refusal)
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -26,14 +26,14 @@
 	if !errors.As(err, &trouble) {
 		t.Fatal(err)
 	}
-	return trouble.Kind.Answer().Status
+	return trouble.Kind.Response().Status
 }
 
 // sure sends an order again until it has a clear answer.
 func sure(t *testing.T, send func() error) (err error) {
 	t.Helper()
 	for range 100 {
-		if err = send(); kind(err) != apierror.Unclear {
+		if err = send(); kind(err) != apierror.OutcomeUnknown {
 			return err
 		}
 	}
@@ -67,7 +67,7 @@
 		kind     apierror.Kind
 		conflict bool
 		status   int
-	}{{apierror.BadConfig, false, 400}, {apierror.BadOrder, false, 422}, {apierror.BadConfig, true, 409}, {apierror.BadOrder, true, 409}} {
+	}{{apierror.InvalidConfig, false, 400}, {apierror.RequestRejected, false, 422}, {apierror.InvalidConfig, true, 409}, {apierror.RequestRejected, true, 409}} {
 		if status := statusOf(t, refusedAs(c.kind, raft.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -66,8 +66,8 @@
 func (s *StatusHandler) Trace(ask rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	c := s.council
 	reply.Name = c.props.Name
-	for _, told := range c.node.History.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.What, Summary: told.Stamp, LogIndex: told.Rev, Age: told.Age})
+	for _, told := range c.node.History.Changes(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.Action, Summary: told.State, LogIndex: told.Revision, Age: told.Age})
 	}
 	switch ask.Kind {
 	case history.Item:
@@ -76,7 +76,7 @@
 			item, reply.Present = state.Canon.Find(ask.Name)
 			reply.Summary, reply.LogIndex = item.Stamp(), item.Rev
 		})
-	case history.Document, history.Retirement, history.Move:
+	case history.Document, history.Retirement, history.ScheduleStep:
 		s.council.node.ReadState(func(state *raft.State) {
 			switch ask.Kind {
 			case history.Document:
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -22,7 +22,7 @@
 	settings settings.Settings
 	log      *eventlog.Logger
 	node     *raft.Node
-	history  *history.Chronicle
+	history  *history.Recorder
 	term     rpc.Term
 	started  time.Time
 	// closed is closed by Close, once.
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -69,7 +69,7 @@
 		if gone {
 			stamp = "gone"
 		}
-		c.history.Note(history.Backend, string(id), "listed", stamp, 0, first)
+		c.history.Record(history.Backend, string(id), "listed", stamp, 0, first)
 	})
 	now := c.now()
 	for _, server := range added {
@@ -131,7 +131,7 @@
 	before := c.clock.Now()
 	taken, changed := c.health.Report(c.now(), request, absent)
 	c.health.States.Since(before, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) {
-		c.history.Note(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.clock.Now()), true)
+		c.history.Record(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.clock.Now()), true)
 	})
 	if changed {
 		c.wakeHeartbeats()
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -201,7 +201,7 @@
 	if answer.Result.Moved {
 		c.sessions.moved++
 		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
-		c.history.Note(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
+		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Server}
 }
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -24,18 +24,18 @@
 // Class marks what the tools cannot do.
 var Class = errs.Class("lens")
 
-const patience = 2 * time.Second
+const callTimeout = 2 * time.Second
 
 // Fleet is what the daemons told.
 type Fleet struct {
-	Cores       []controller.Status `json:"cores"`
-	Fellows     []proxy.NodeStatus  `json:"passages"`
+	Controllers []controller.Status `json:"cores"`
+	Nodes       []proxy.NodeStatus  `json:"passages"`
 	Unreachable []string            `json:"unreachable"`
-	inners      map[string]string
+	addresses   map[string]string
 }
 
-// each calls a method on all addresses at once.
-func each[Reply any](addresses []string, method string, ask any, told func(address string, reply Reply, err error)) {
+// callAll calls a method on all addresses at once.
+func callAll[Reply any](addresses []string, method string, ask any, told func(address string, reply Reply, err error)) {
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, address := range addresses {
@@ -45,7 +45,7 @@
 			caller := rpc.NewCaller(address)
 			defer caller.Close()
 			var reply Reply
-			err := caller.Call(method, ask, &reply, patience)
+			err := caller.Call(method, ask, &reply, callTimeout)
 			mu.Lock()
 			defer mu.Unlock()
 			told(address, reply, err)
@@ -54,16 +54,16 @@
 	calls.Wait()
 }
 
-// Look asks all daemons that can be found from some accord daemons.
-func Look(starts []string) (fleet *Fleet, err error) {
-	fleet = &Fleet{inners: map[string]string{}}
+// Inspect asks all daemons that can be found from some accord daemons.
+func Inspect(starts []string) (fleet *Fleet, err error) {
+	fleet = &Fleet{addresses: map[string]string{}}
 	asked := map[string]bool{}
 	for wave := starts; len(wave) > 0; {
 		var next []string
 		for _, address := range wave {
 			asked[address] = true
 		}
-		each(wave, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
+		callAll(wave, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
 			var account controller.Status
 			if callErr == nil {
 				callErr = json.Unmarshal(reply.JSON, &account)
@@ -72,8 +72,8 @@
 				fleet.Unreachable = append(fleet.Unreachable, "accord "+address)
 				return
 			}
-			fleet.Cores = append(fleet.Cores, account)
-			fleet.inners[account.Name] = address
+			fleet.Controllers = append(fleet.Controllers, account)
+			fleet.addresses[account.Name] = address
 			for _, member := range account.Members {
 				if !asked[member.Inner] {
 					asked[member.Inner] = true
@@ -83,10 +83,10 @@
 		})
 		wave = next
 	}
-	if len(fleet.Cores) == 0 {
+	if len(fleet.Controllers) == 0 {
 		return fleet, Class.New("no accord daemon can be reached at %s", strings.Join(starts, ", "))
 	}
-	sort.Slice(fleet.Cores, func(i, j int) bool { return fleet.Cores[i].Name < fleet.Cores[j].Name })
+	sort.Slice(fleet.Controllers, func(i, j int) bool { return fleet.Controllers[i].Name < fleet.Controllers[j].Name })
 	leader := fleet.Leader()
 	if leader == nil || leader.Coordinator == nil {
 		return fleet, nil
@@ -97,7 +97,7 @@
 		names[fellow.InternalAddress] = fellow.Name
 		addresses = append(addresses, fellow.InternalAddress)
 	}
-	each(addresses, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
+	callAll(addresses, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, reply rpc.StatusResponse, callErr error) {
 		var account proxy.NodeStatus
 		if callErr == nil {
 			callErr = json.Unmarshal(reply.JSON, &account)
@@ -106,18 +106,18 @@
 			fleet.Unreachable = append(fleet.Unreachable, "passage "+names[address]+" at "+address)
 			return
 		}
-		fleet.Fellows = append(fleet.Fellows, account)
-		fleet.inners[account.Name] = address
+		fleet.Nodes = append(fleet.Nodes, account)
+		fleet.addresses[account.Name] = address
 	})
-	sort.Slice(fleet.Fellows, func(i, j int) bool { return fleet.Fellows[i].Name < fleet.Fellows[j].Name })
+	sort.Slice(fleet.Nodes, func(i, j int) bool { return fleet.Nodes[i].Name < fleet.Nodes[j].Name })
 	sort.Strings(fleet.Unreachable)
 	return fleet, nil
 }
 
 // Leader is the core that leads in the highest term.
 func (f *Fleet) Leader() (leader *controller.Status) {
-	for i := range f.Cores {
-		if core := &f.Cores[i]; core.IsLeader && core.Settled && (leader == nil || core.Term > leader.Term) {
+	for i := range f.Controllers {
+		if core := &f.Controllers[i]; core.IsLeader && core.Settled && (leader == nil || core.Term > leader.Term) {
 			leader = core
 		}
 	}
@@ -135,10 +135,10 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(cells ...any) {
-		_, _ = fmt.Fprintln(table, strings.TrimRight(strings.Join(texts(cells), "\t"), "\t"))
+		_, _ = fmt.Fprintln(table, strings.TrimRight(strings.Join(cellTexts(cells), "\t"), "\t"))
 	}
 	row("CORE", "LEADS", "TERM", "REV", "KEYS", "VOTERS")
-	for _, core := range f.Cores {
+	for _, core := range f.Controllers {
 		voters := 0
 		for _, member := range core.Members {
 			if member.Voter {
@@ -154,7 +154,7 @@
 		row("PASSAGE", "SITE", "READY", "HEARD", "REV", "AT WORK", "PROBES")
 		for _, fellow := range leader.Coordinator.Nodes {
 			rev, work, probes := any("?"), any("?"), "?"
-			for _, account := range f.Fellows {
+			for _, account := range f.Nodes {
 				if account.Name == fellow.Name {
 					rev, work, probes = account.Revision, account.InFlight, strings.Join(account.Probes, ",")
 				}
@@ -185,7 +185,7 @@
 	return good, Class.Wrap(table.Flush())
 }
 
-func texts(cells []any) (texts []string) {
+func cellTexts(cells []any) (texts []string) {
 	for _, cell := range cells {
 		texts = append(texts, fmt.Sprint(cell))
 	}
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -23,33 +23,33 @@
 	"tinpin/internal/rpc"
 )
 
-type traced struct {
+type tracedChange struct {
 	daemon string
 	ago    time.Duration
 	mark   rpc.TraceEntry
 }
 
-// Known tells whether the tracer knows a kind of subject.
-func Known(kind string) bool { return slices.Contains(history.Kinds, kind) }
+// KnownKind tells whether the tracer knows a kind of subject.
+func KnownKind(kind string) bool { return slices.Contains(history.Kinds, kind) }
 
 // Trace prints what became of a subject; good tells that every daemon has it
 // as the leader has.
 func (f *Fleet) Trace(out io.Writer, kind, name string) (good bool, err error) {
-	var marks []traced
+	var marks []tracedChange
 	var lacks []string
 	replies := map[string]rpc.TraceResponse{}
-	addresses := make([]string, 0, len(f.inners))
-	for _, address := range f.inners {
+	addresses := make([]string, 0, len(f.addresses))
+	for _, address := range f.addresses {
 		addresses = append(addresses, address)
 	}
-	each(addresses, rpc.MethodTrace, rpc.TraceRequest{Kind: kind, Name: name}, func(address string, reply rpc.TraceResponse, callErr error) {
+	callAll(addresses, rpc.MethodTrace, rpc.TraceRequest{Kind: kind, Name: name}, func(address string, reply rpc.TraceResponse, callErr error) {
 		if callErr != nil {
 			f.Unreachable = append(f.Unreachable, address)
 			return
 		}
 		replies[reply.Name] = reply
 		for _, mark := range reply.Entries {
-			marks = append(marks, traced{reply.Name, mark.Age, mark})
+			marks = append(marks, tracedChange{reply.Name, mark.Age, mark})
 		}
 	})
 	leader := f.Leader()
@@ -70,7 +70,7 @@
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", (marks[0].ago - each.ago).Round(time.Millisecond), each.daemon, each.mark.Event, each.mark.Summary, rev)
 	}
-	_, _ = fmt.Fprintf(table, "\nNOW\t%s\tleads\t%s\n", leader.Name, stands(right))
+	_, _ = fmt.Fprintf(table, "\nNOW\t%s\tleads\t%s\n", leader.Name, describeState(right))
 	names := make([]string, 0, len(replies))
 	for daemon := range replies {
 		names = append(names, daemon)
@@ -78,7 +78,7 @@
 	sort.Strings(names)
 	for _, daemon := range names {
 		reply := replies[daemon]
-		core := slices.ContainsFunc(f.Cores, func(account controller.Status) bool { return account.Name == daemon })
+		core := slices.ContainsFunc(f.Controllers, func(account controller.Status) bool { return account.Name == daemon })
 		if daemon == leader.Name || core && (kind == history.Backend || kind == history.Health) {
 			continue
 		}
@@ -87,7 +87,7 @@
 			same = strings.HasPrefix(reply.Summary, strings.Fields(right.Summary + " ")[0])
 		}
 		if !same {
-			lacks = append(lacks, fmt.Sprintf("%s lacks it: %s", daemon, stands(reply)))
+			lacks = append(lacks, fmt.Sprintf("%s lacks it: %s", daemon, describeState(reply)))
 		}
 	}
 	for _, line := range lacks {
@@ -102,7 +102,7 @@
 	return len(lacks) == 0 && len(f.Unreachable) == 0, Class.Wrap(table.Flush())
 }
 
-func stands(reply rpc.TraceResponse) (text string) {
+func describeState(reply rpc.TraceResponse) (text string) {
 	if !reply.Present {
 		return "not there"
 	}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -53,10 +53,10 @@
 
 func TestErrorsTable(t *testing.T) {
 	text := page(t, "docs/errors.md")
-	for kind := apierror.BadRequest; kind <= apierror.VersionTaken; kind++ {
-		answer := kind.Answer()
+	for kind := apierror.BadRequest; kind <= apierror.VersionConflict; kind++ {
+		answer := kind.Response()
 		ran := "no"
-		if answer.Ran {
+		if answer.MayHaveRun {
 			ran = "yes"
 		}
 		if !strings.Contains(text, fmt.Sprintf("| %d | %s | %s |", answer.Status, answer.Text, ran)) {
--- a/internal/history/chronicle.go
+++ b/internal/history/chronicle.go
@@ -16,82 +16,82 @@
 
 // The kinds of subjects.
 const (
-	Item       = "item"
-	Evacuation = "evacuation"
-	Backend    = "backend"
-	Health     = "health"
-	Document   = "document"
-	Retirement = "retirement"
-	Move       = "move"
-	Session    = "session"
+	Item         = "item"
+	Evacuation   = "evacuation"
+	Backend      = "backend"
+	Health       = "health"
+	Document     = "document"
+	Retirement   = "retirement"
+	ScheduleStep = "move"
+	Session      = "session"
 )
 
 // Kinds lists them.
-var Kinds = []string{Item, Evacuation, Backend, Health, Document, Retirement, Move, Session}
+var Kinds = []string{Item, Evacuation, Backend, Health, Document, Retirement, ScheduleStep, Session}
 
-// Mark is one thing that happened to a subject here.
-type Mark struct {
+// Change is one thing that happened to a subject here.
+type Change struct {
 	Subject
-	What string
-	// Stamp is the version, the state or the like.
-	Stamp string
-	Rev   uint64
-	At    time.Duration
+	Action string
+	// State is the version, the state or the like.
+	State    string
+	Revision uint64
+	At       time.Duration
 }
 
-const room = 2048
+const capacity = 2048
 
-// Chronicle is a ring of marks.
-type Chronicle struct {
-	log   *eventlog.Logger
-	birth time.Time
-	mu    sync.Mutex
-	marks []Mark
-	next  int
-	// OnMark is told of each new mark; it must not block.
-	OnMark func(mark Mark)
+// Recorder is a ring of marks.
+type Recorder struct {
+	log     *eventlog.Logger
+	started time.Time
+	mu      sync.Mutex
+	changes []Change
+	next    int
+	// OnChange is told of each new mark; it must not block.
+	OnChange func(mark Change)
 }
 
 // New is an empty chronicle.
-func New(log *eventlog.Logger) (c *Chronicle) {
-	return &Chronicle{log: log, birth: time.Now(), OnMark: func(Mark) {}}
+func New(log *eventlog.Logger) (c *Recorder) {
+	return &Recorder{log: log, started: time.Now(), OnChange: func(Change) {}}
 }
 
-// Note marks a change; quiet ones, as of a first start, are not logged.
-func (c *Chronicle) Note(kind, name, what, stamp string, rev uint64, quiet bool) {
-	mark := Mark{Subject{kind, name}, what, stamp, rev, time.Since(c.birth)}
+// Record marks a change; quiet ones, as of a first start, are not logged.
+func (c *Recorder) Record(kind, name, what, stamp string, rev uint64, quiet bool) {
+	mark := Change{Subject{kind, name}, what, stamp, rev, time.Since(c.started)}
 	c.mu.Lock()
-	if len(c.marks) < room {
-		c.marks = append(c.marks, mark)
+	if len(c.changes) < capacity {
+		c.changes = append(c.changes, mark)
 	} else {
-		c.marks[c.next%room] = mark
+		c.changes[c.next%capacity] = mark
 	}
 	c.next++
 	c.mu.Unlock()
 	if !quiet {
 		c.log.Emit(eventlog.ChangeObserved, eventlog.KeyKind, kind, eventlog.KeyName, name, eventlog.KeyChange, what, eventlog.KeyState, stamp, eventlog.KeyRevision, rev)
-		c.OnMark(mark)
+		c.OnChange(mark)
 	}
 }
 
-// Told is a mark with its age.
-type Told struct {
-	Mark
+// AgedChange is a mark with its age.
+type AgedChange struct {
+	Change
 	Age time.Duration
 }
 
-// Tell lists the marks of a subject, oldest first.
-func (c *Chronicle) Tell(subject Subject) (told []Told) {
+// Changes lists the marks of a subject, oldest first.
+func (c *Recorder) Changes(subject Subject) (told []AgedChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := time.Since(c.birth)
-	for i := range c.marks {
+	now := time.Since(c.started)
+	for i := range c.changes {
 		at := i
-		if len(c.marks) == room {
-			at = (c.next + i) % room
+		if len(c.changes) == capacity {
+			at = (c.next + i) % capacity
 		}
-		if c.marks[at].Subject == subject {
-			told = append(told, Told{c.marks[at], now - c.marks[at].At})
+		if c.changes[at].Subject == subject {
+			told = append(told, AgedChange{c.changes[at], now - c.changes[at].At})
 		}
 	}
 	return told
--- a/internal/httpapi/office.go
+++ b/internal/httpapi/office.go
@@ -31,7 +31,7 @@
 	if t.Text != "" {
 		return t.Text
 	}
-	return t.Kind.Answer().Text
+	return t.Kind.Response().Text
 }
 
 // Handlers are what a daemon answers for; nil ones it does not.
@@ -52,7 +52,7 @@
 
 type office struct{ duties Handlers }
 
-var errElsewhere = &Error{Kind: apierror.NoWay, Text: "this daemon does not answer that"}
+var errElsewhere = &Error{Kind: apierror.NoRoute, Text: "this daemon does not answer that"}
 
 func (o office) ConfigUpdate(ctx context.Context, body jx.Raw) (done *oas.Done, err error) {
 	if o.duties.UpdateConfig == nil {
@@ -161,7 +161,7 @@
 }
 
 func (o office) NewError(_ context.Context, err error) (other *oas.OtherStatusCodeWithHeaders) {
-	trouble := &Error{Kind: apierror.Unclear, Text: err.Error()}
+	trouble := &Error{Kind: apierror.OutcomeUnknown, Text: err.Error()}
 	if !errors.As(err, &trouble) {
 		var coded ogenerrors.Error
 		if errors.As(err, &coded) {
@@ -172,13 +172,13 @@
 			trouble.Kind = apierror.BodyTooLarge
 		}
 	}
-	answer := trouble.Kind.Answer()
+	answer := trouble.Kind.Response()
 	other = &oas.OtherStatusCodeWithHeaders{StatusCode: answer.Status, Response: oas.Problem{ErrorMessage: trouble.Error()}}
 	if trouble.Location != "" {
 		other.Location = oas.NewOptString(trouble.Location)
 	}
-	if answer.RetryMS > 0 {
-		other.RetryAfter = oas.NewOptString(answer.Retry())
+	if answer.RetryAfterMS > 0 {
+		other.RetryAfter = oas.NewOptString(answer.RetryAfter())
 	}
 	return other
 }
--- a/internal/localcluster/members_test.go
+++ b/internal/localcluster/members_test.go
@@ -15,7 +15,7 @@
 // membersOf gives the members as the leader has them, by inner address.
 func membersOf(stage *Stage) (members map[string]raft.Member, voters int) {
 	members = map[string]raft.Member{}
-	fleet, err := diagnostics.Look(stage.Inner())
+	fleet, err := diagnostics.Inspect(stage.Inner())
 	if err != nil || fleet.Leader() == nil {
 		return members, 0
 	}
@@ -78,8 +78,8 @@
 		}
 		startCore(ctx, t, stage, n)
 		if err = Until(ctx, func() bool {
-			fleet, lookErr := diagnostics.Look(stage.Inner())
-			return lookErr == nil && fleet.Leader() != nil && len(fleet.Cores) == 3
+			fleet, lookErr := diagnostics.Inspect(stage.Inner())
+			return lookErr == nil && fleet.Leader() != nil && len(fleet.Controllers) == 3
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/localcluster/orders_test.go
+++ b/internal/localcluster/orders_test.go
@@ -99,7 +99,7 @@
 		t.Fatal("nothing reaches the backend")
 	}
 	var fleet *diagnostics.Fleet
-	if fleet, err = diagnostics.Look(stage.Inner()); err != nil {
+	if fleet, err = diagnostics.Inspect(stage.Inner()); err != nil {
 		t.Fatal(err)
 	}
 	leader := fleet.Leader().Name
@@ -143,7 +143,7 @@
 	if said, showErr := carry("drain", "show"); showErr != nil || !strings.Contains(said, "i-3") || !strings.Contains(said, "version 3") {
 		t.Fatal(said, showErr)
 	}
-	if fleet, err = diagnostics.Look(stage.Inner()); err != nil {
+	if fleet, err = diagnostics.Inspect(stage.Inner()); err != nil {
 		t.Fatal(err)
 	}
 	out.Reset()
--- a/internal/localcluster/sessions_test.go
+++ b/internal/localcluster/sessions_test.go
@@ -126,7 +126,7 @@
 	}
 	press.use(stage.EdgeProps[0].FrontendAddress, stage.EdgeProps[1].FrontendAddress, stage.EdgeProps[2].FrontendAddress)
 	more(60)
-	fleet, err := diagnostics.Look(stage.Inner())
+	fleet, err := diagnostics.Inspect(stage.Inner())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 // follows tells that every daemon has the document that the leader has.
 func follows(t *testing.T, stage *Stage, document string) (all bool) {
 	t.Helper()
-	fleet, err := diagnostics.Look(stage.Inner())
+	fleet, err := diagnostics.Inspect(stage.Inner())
 	if err != nil {
 		return false
 	}
--- a/internal/localcluster/stage_test.go
+++ b/internal/localcluster/stage_test.go
@@ -59,12 +59,12 @@
 	var out bytes.Buffer
 	var fleet *diagnostics.Fleet
 	look := func() {
-		if fleet, err = diagnostics.Look(stage.Inner()); err != nil {
+		if fleet, err = diagnostics.Inspect(stage.Inner()); err != nil {
 			t.Fatal(err)
 		}
 		out.Reset()
 	}
-	if err = Until(ctx, func() bool { look(); good, _ := fleet.Status(&out, false); return good && len(fleet.Fellows) == 2 }); err != nil {
+	if err = Until(ctx, func() bool { look(); good, _ := fleet.Status(&out, false); return good && len(fleet.Nodes) == 2 }); err != nil {
 		t.Fatal(out.String())
 	}
 	for _, want := range []string{"core-1", "edge-2", "hello", "ledger", "retry slack"} {
@@ -120,7 +120,7 @@
 	if err = stage.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := diagnostics.Look(stage.Inner())
+	fleet, err := diagnostics.Inspect(stage.Inner())
 	if err != nil || fleet.Leader() == nil {
 		t.Fatal("no leader", err)
 	}
--- a/internal/notify/herald.go
+++ b/internal/notify/herald.go
@@ -24,23 +24,23 @@
 var Class = errs.Class("herald")
 
 const (
-	ringRoom = 256
-	patience = 2 * time.Second
+	queueCapacity = 256
+	sendTimeout   = 2 * time.Second
 )
 
-// Herald tells of changes.
-type Herald struct {
+// Notifier tells of changes.
+type Notifier struct {
 	client  cloudevents.Client
 	source  string
 	log     *eventlog.Logger
-	ring    chan history.Mark
+	queue   chan history.Change
 	count   uint64
 	dropped atomic.Uint64
 }
 
 // New tells a receiver at an http address, in the name of a daemon.
-func New(target, daemon string, log *eventlog.Logger) (herald *Herald, err error) {
-	protocol, err := cloudevents.NewHTTP(cloudevents.WithTarget(target), cehttp.WithClient(http.Client{Timeout: patience}))
+func New(target, daemon string, log *eventlog.Logger) (herald *Notifier, err error) {
+	protocol, err := cloudevents.NewHTTP(cloudevents.WithTarget(target), cehttp.WithClient(http.Client{Timeout: sendTimeout}))
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
@@ -48,41 +48,41 @@
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	herald = &Herald{client: client, source: "/tinpin/" + daemon, log: log, ring: make(chan history.Mark, ringRoom)}
+	herald = &Notifier{client: client, source: "/tinpin/" + daemon, log: log, queue: make(chan history.Change, queueCapacity)}
 	go herald.run()
 	return herald, nil
 }
 
-// Tell puts a change into the ring, or counts it as dropped.
-func (h *Herald) Tell(mark history.Mark) {
+// Notify puts a change into the ring, or counts it as dropped.
+func (h *Notifier) Notify(mark history.Change) {
 	select {
-	case h.ring <- mark:
+	case h.queue <- mark:
 	default:
 		h.dropped.Add(1)
 	}
 }
 
 // Dropped counts the events that were not delivered.
-func (h *Herald) Dropped() uint64 { return h.dropped.Load() }
+func (h *Notifier) Dropped() uint64 { return h.dropped.Load() }
 
 // Event makes the event of a change.
-func (h *Herald) Event(mark history.Mark) (event cloudevents.Event, err error) {
+func (h *Notifier) Event(mark history.Change) (event cloudevents.Event, err error) {
 	h.count++
 	event = cloudevents.NewEvent()
 	event.SetID(fmt.Sprintf("%d-%d", time.Now().UnixNano(), h.count))
 	event.SetSource(h.source)
-	event.SetType("tinpin." + mark.Kind + "." + mark.What)
+	event.SetType("tinpin." + mark.Kind + "." + mark.Action)
 	event.SetSubject(mark.Name)
 	event.SetTime(time.Now())
-	err = event.SetData(cloudevents.ApplicationJSON, map[string]any{"kind": mark.Kind, "name": mark.Name, "stamp": mark.Stamp, "rev": mark.Rev})
+	err = event.SetData(cloudevents.ApplicationJSON, map[string]any{"kind": mark.Kind, "name": mark.Name, "stamp": mark.State, "rev": mark.Revision})
 	return event, Class.Wrap(err)
 }
 
-func (h *Herald) run() {
-	for mark := range h.ring {
+func (h *Notifier) run() {
+	for mark := range h.queue {
 		event, err := h.Event(mark)
 		if err == nil {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 			if result := h.client.Send(ctx, event); !cloudevents.IsACK(result) {
 				err = Class.Wrap(result)
 			}
--- a/internal/notify/herald_test.go
+++ b/internal/notify/herald_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	herald.Tell(history.Mark{Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, What: "applied", Stamp: "7", Rev: 12})
+	herald.Notify(history.Change{Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, Action: "applied", State: "7", Revision: 12})
 	request := <-got
 	for head, want := range map[string]string{"Ce-Type": "tinpin.item.applied", "Ce-Source": "/tinpin/core-1", "Ce-Subject": "routes/r1", "Ce-Specversion": "1.0"} {
 		if request.Header.Get(head) != want {
@@ -48,10 +48,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; i < 5*ringRoom; i++ {
-		herald.Tell(history.Mark{Subject: history.Subject{Kind: history.Backend, Name: "b"}, What: "listed"})
+	for i := 0; i < 5*queueCapacity; i++ {
+		herald.Notify(history.Change{Subject: history.Subject{Kind: history.Backend, Name: "b"}, Action: "listed"})
 	}
-	if dropped := herald.Dropped(); dropped < 4*ringRoom-2 {
+	if dropped := herald.Dropped(); dropped < 4*queueCapacity-2 {
 		t.Fatalf("only %d dropped: the ring is not bounded", dropped)
 	}
 }
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -32,10 +32,10 @@
 	scene := d.state.Snapshot()
 	now := d.clock.Now()
 	if d.state.Policies.CutOff() {
-		return nil, apierror.CutOff, 0
+		return nil, apierror.Isolated, 0
 	}
 	if !scene.Configured {
-		return nil, apierror.NotStarted, 0
+		return nil, apierror.NotConfigured, 0
 	}
 	path := request.Target
 	if at := strings.IndexByte(path, '?'); at >= 0 {
@@ -43,19 +43,19 @@
 	}
 	way := scene.View.Find(request.Host, path)
 	if way == nil {
-		return nil, apierror.NoWay, 0
+		return nil, apierror.NoRoute, 0
 	}
 	if request.ID == "" {
 		return nil, apierror.BadRequest, 0
 	}
 	if request.Pipelined && !way.Repeat.Repeatable() {
 		// The way has changed since the door looked.
-		return nil, apierror.NoRoom, 0
+		return nil, apierror.Overloaded, 0
 	}
 	tenant := scene.View.Tenant(request.Host)
 	if tenant != nil {
 		if admitted, wait := d.tenantLimits.Admit(now, tenant); !admitted {
-			return nil, apierror.OverLimit, wait
+			return nil, apierror.RateLimited, wait
 		}
 	}
 	left := way.Timeout
@@ -68,7 +68,7 @@
 		}
 	}
 	if left <= 0 {
-		return nil, apierror.TooLate, 0
+		return nil, apierror.DeadlineTooShort, 0
 	}
 	plan = &Plan{Route: way, Service: pickTarget(way, rand.Float64()), Request: request, StartedAt: now, Deadline: now + left, AttemptsLeft: way.Rounds}
 	request.StreamBody = way.Repeat == config.Download
@@ -76,7 +76,7 @@
 	if way.Repeat == config.Keyed {
 		plan.Key = request.operationKey()
 		if plan.Key == "" {
-			return nil, apierror.NoKey, 0
+			return nil, apierror.MissingKey, 0
 		}
 		if tenant != nil {
 			plan.Key = tenant.Name + "/" + plan.Key
@@ -112,7 +112,7 @@
 	throttle := d.concurrency.forService(string(plan.Service))
 	for !throttle.Acquire(plan.Route.Priority) {
 		if !d.mayWaitForCapacity(plan) {
-			return verdict, plan.errorKind(apierror.NoRoom)
+			return verdict, plan.errorKind(apierror.Overloaded)
 		}
 		time.Sleep(capacityPollInterval)
 	}
@@ -141,7 +141,7 @@
 	for {
 		now := d.clock.Now()
 		if now >= plan.Deadline {
-			return verdict, plan.errorKind(apierror.TooLate)
+			return verdict, plan.errorKind(apierror.DeadlineTooShort)
 		}
 		scene := d.state.Snapshot()
 		server, any := d.state.chooseEndpoint(scene, d.criteria(plan, plan.Tried))
@@ -151,12 +151,12 @@
 				continue
 			}
 			if any {
-				return verdict, plan.errorKind(apierror.NoRoom)
+				return verdict, plan.errorKind(apierror.Overloaded)
 			}
 			return verdict, plan.errorKind(apierror.NoBackend)
 		}
 		if arrived > 0 && !d.allowRetry(now, plan, server) {
-			return verdict, plan.errorKind(apierror.NoRoom)
+			return verdict, plan.errorKind(apierror.Overloaded)
 		}
 		round, answering := d.attemptWithHedge(plan, server, now, &arrived)
 		if round.Sent {
@@ -314,7 +314,7 @@
 	if d.operations.Freed(plan.Key, request.ID) {
 		// The word that gave this claim back may still be under way, and would
 		// give back a new one of the same name.
-		return ErrorResponse(apierror.KeyUnknown, request.ID)
+		return ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
 	}
 	op, old := d.operations.Open(plan.Key, request.ID)
 	if old != nil {
@@ -362,7 +362,7 @@
 	case kind == apierror.None:
 		d.storeResponse(op, plan, verdict)
 		return verdict
-	case plan.MayHaveRun && !(kind == apierror.Broken && d.deduplicates(plan.Service)):
+	case plan.MayHaveRun && !(kind == apierror.BackendFailed && d.deduplicates(plan.Service)):
 		d.operations.Lose(op)
 	default:
 		d.operations.Free(op)
@@ -417,7 +417,7 @@
 func (d *Daemon) replay(reply rpc.StoredResponse, request string) (verdict Response) {
 	switch reply.State {
 	case rpc.OperationRunning:
-		return ErrorResponse(apierror.KeyAtWork, request)
+		return ErrorResponse(apierror.KeyInUse, request)
 	case rpc.OperationCompleted:
 		verdict = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
 		for _, line := range reply.Headers {
@@ -428,5 +428,5 @@
 		}
 		return verdict
 	}
-	return ErrorResponse(apierror.KeyUnknown, request)
+	return ErrorResponse(apierror.KeyOutcomeUnknown, request)
 }
--- a/internal/proxy/door.go
+++ b/internal/proxy/door.go
@@ -247,9 +247,9 @@
 		if err != nil {
 			switch {
 			case errors.Is(err, errHeadTooLarge):
-				deny(apierror.HeadTooLarge, "")
+				deny(apierror.HeadersTooLarge, "")
 			case isTimeout(err):
-				deny(apierror.HeadTooSlow, "")
+				deny(apierror.RequestTimeout, "")
 			case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 				return
 			default:
@@ -259,11 +259,11 @@
 		}
 		id := parsed.Header.Get(headerRequestID)
 		if size > int64(limits.HeadBytes) {
-			deny(apierror.HeadTooLarge, id)
+			deny(apierror.HeadersTooLarge, id)
 			return
 		}
 		if v.rejectAll {
-			deny(apierror.NoRoom, id)
+			deny(apierror.Overloaded, id)
 			return
 		}
 		request, kind := d.readRequest(v, in, parsed, limits)
@@ -329,7 +329,7 @@
 	if parsed.ContentLength > 0 {
 		if d.bodyBytesLeft.Add(-parsed.ContentLength) < 0 {
 			d.bodyBytesLeft.Add(parsed.ContentLength)
-			return nil, apierror.NoRoom
+			return nil, apierror.Overloaded
 		}
 		request.Body = make([]byte, parsed.ContentLength)
 		if _, err := io.ReadFull(parsed.Body, request.Body); err != nil {
@@ -347,7 +347,7 @@
 		return nil, apierror.BodyTooLarge
 	}
 	if int64(len(body)) > most {
-		return nil, apierror.NoRoom
+		return nil, apierror.Overloaded
 	}
 	d.bodyBytesLeft.Add(-int64(len(body)))
 	request.Body = body
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -67,7 +67,7 @@
 }
 
 // apply takes news that were asked for at a time.
-func (o *Policies) apply(now, asked time.Duration, news *rpc.Update, memory *history.Chronicle, quiet bool) {
+func (o *Policies) apply(now, asked time.Duration, news *rpc.Update, memory *history.Recorder, quiet bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.drainPermit.Led(asked)
@@ -87,7 +87,7 @@
 			continue
 		}
 		o.documents[document.Kind] = document
-		memory.Note(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
+		memory.Record(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
 		if document.Kind == policy.DrainPolicy {
 			o.drainPolicy = nil
 			if document.InForce() {
@@ -113,13 +113,13 @@
 	o.applyRetirements(now, news.Retirements, memory, quiet)
 	if move := news.ScheduleStep; move != nil && move.Rev > o.planStep.Rev {
 		o.planStep = *move
-		memory.Note(history.Move, string(policy.DayPlan), "applied", move.Summary(), move.Rev, quiet)
+		memory.Record(history.ScheduleStep, string(policy.DayPlan), "applied", move.Summary(), move.Rev, quiet)
 		o.planWeights.Store(newPlanWeights(*move))
 	}
 }
 
 // applyRetirements takes agreed orders to retire; the caller holds the lock.
-func (o *Policies) applyRetirements(now time.Duration, retired []rpc.Retirement, memory *history.Chronicle, quiet bool) {
+func (o *Policies) applyRetirements(now time.Duration, retired []rpc.Retirement, memory *history.Recorder, quiet bool) {
 	for _, order := range retired {
 		if order.Rev <= o.retirements[order.Server].Rev {
 			continue
@@ -127,7 +127,7 @@
 		o.retirements[order.Server] = order
 		o.drainPermit.Take(now, order)
 		o.hasRetirements.Store(true)
-		memory.Note(history.Retirement, string(order.Server), "applied", order.Summary(), order.Rev, quiet)
+		memory.Record(history.Retirement, string(order.Server), "applied", order.Summary(), order.Rev, quiet)
 	}
 }
 
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -242,8 +242,8 @@
 						if step == StepRetry && arrivals >= rounds {
 							t.Fatalf("%s %d %d: more rounds than allowed", repeat, first, second)
 						}
-						if step == StepFail && mayHaveRun != kind.Answer().Ran {
-							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", repeat, first, second, mayHaveRun, kind.Answer())
+						if step == StepFail && mayHaveRun != kind.Response().MayHaveRun {
+							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", repeat, first, second, mayHaveRun, kind.Response())
 						}
 						if step != StepRetry {
 							break
@@ -259,10 +259,10 @@
 }
 
 func TestPromisesStandOnlyBehindWhatHasNotRun(t *testing.T) {
-	for kind := apierror.BadRequest; kind <= apierror.CutOff; kind++ {
-		answer := kind.Answer()
+	for kind := apierror.BadRequest; kind <= apierror.Isolated; kind++ {
+		answer := kind.Response()
 		promise := answer.Status == 408 || answer.Status == 421 || answer.Status == 429 || answer.Status == 503
-		if answer.Status == 0 || promise && answer.Ran || promise != apierror.Promises(answer.Status) {
+		if answer.Status == 0 || promise && answer.MayHaveRun || promise != apierror.PromisesNotRun(answer.Status) {
 			t.Errorf("kind %d: %+v", kind, answer)
 		}
 	}
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -73,17 +73,17 @@
 	case ConnectionFailed, StaleConnection:
 		p.MayHaveRun = true
 		if !p.Route.Repeat.Repeatable() {
-			return StepFail, apierror.Broken
+			return StepFail, apierror.BackendFailed
 		}
 	case TimedOut:
 		p.MayHaveRun = true
-		return StepFail, apierror.DeadlineOver
+		return StepFail, apierror.DeadlineExceeded
 	}
 	if now >= p.Deadline {
-		return StepFail, p.errorKind(apierror.TooLate)
+		return StepFail, p.errorKind(apierror.DeadlineTooShort)
 	}
 	if p.AttemptsLeft <= 0 {
-		return StepFail, p.errorKind(apierror.NoRoom)
+		return StepFail, p.errorKind(apierror.Overloaded)
 	}
 	return StepRetry, apierror.None
 }
@@ -92,7 +92,7 @@
 // the answer was lost.
 func (p *Plan) errorKind(kind apierror.Kind) apierror.Kind {
 	if p.MayHaveRun {
-		return apierror.Broken
+		return apierror.BackendFailed
 	}
 	return kind
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -141,7 +141,7 @@
 			p.mu.Unlock()
 			server.update(d.clock.Now(), nil, &state)
 			d.log.Emit(eventlog.EjectionChanged, eventlog.KeyEndpoint, string(server.ID), "ejected_in", aside)
-			d.state.History.Note(history.Health, string(server.ID), "judged", state.Summary(), 0, true)
+			d.state.History.Record(history.Health, string(server.ID), "judged", state.Summary(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
 	}
@@ -269,7 +269,7 @@
 	}
 	server.update(d.clock.Now(), nil, &state)
 	if turned {
-		d.state.History.Note(history.Health, string(server.ID), "probed", state.Summary(), 0, true)
+		d.state.History.Record(history.Health, string(server.ID), "probed", state.Summary(), 0, true)
 	}
 	if before.Health != state.Health {
 		if before.Health != rpc.HealthUnknown || state.Health == rpc.Unhealthy {
--- a/internal/proxy/round.go
+++ b/internal/proxy/round.go
@@ -409,7 +409,7 @@
 	}
 	// An answer that says of a success that it was not run says nothing, and one
 	// whose status would be a promise to the client makes none without that word.
-	if response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" || response.Header.Get(headerNotExecuted) != "" || apierror.Promises(response.StatusCode) {
+	if response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" || response.Header.Get(headerNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode) {
 		server.closeConn(stream)
 		return Attempt{Outcome: ConnectionFailed}
 	}
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -143,7 +143,7 @@
 	if outcome == affinity.NoBackend {
 		return apierror.NoBackend
 	}
-	return apierror.NoSession
+	return apierror.SessionUnavailable
 }
 
 func (s *Sessions) count(what *uint64) {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -52,8 +52,8 @@
 func (s *StatusService) Trace(ask rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	w := s.daemon.state
 	reply.Name = s.daemon.settings.Name
-	for _, told := range w.History.Tell(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.What, Summary: told.Stamp, LogIndex: told.Rev, Age: told.Age})
+	for _, told := range w.History.Changes(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.Action, Summary: told.State, LogIndex: told.Revision, Age: told.Age})
 	}
 	reply.Summary, reply.LogIndex, reply.Present = w.StateOf(ask.Kind, ask.Name)
 	return nil
--- a/internal/proxy/verdict.go
+++ b/internal/proxy/verdict.go
@@ -43,9 +43,9 @@
 // ErrorResponseAfter also says when to come back, where that is known better than the
 // table does.
 func ErrorResponseAfter(kind apierror.Kind, request string, back time.Duration) (verdict Response) {
-	answer := kind.Answer()
+	answer := kind.Response()
 	if back > 0 {
-		answer.RetryMS = int(back / time.Millisecond)
+		answer.RetryAfterMS = int(back / time.Millisecond)
 	}
 	verdict.Status, verdict.Close = answer.Status, answer.Close
 	verdict.Body = []byte(`{"error_message":` + strconv.Quote(answer.Text) + `}`)
@@ -54,8 +54,8 @@
 	if request != "" {
 		verdict.Headers = append(verdict.Headers, HeaderField{headerRequestID, request})
 	}
-	if answer.RetryMS > 0 {
-		verdict.Headers = append(verdict.Headers, HeaderField{"Retry-After", answer.Retry()})
+	if answer.RetryAfterMS > 0 {
+		verdict.Headers = append(verdict.Headers, HeaderField{"Retry-After", answer.RetryAfter()})
 	}
 	return verdict
 }
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -55,7 +55,7 @@
 	log      *eventlog.Logger
 	clock    Clock
 	// History remembers what became of changes here.
-	History *history.Chronicle
+	History *history.Recorder
 	// Policies are the drain policy, the retired backends and the day's plan.
 	Policies *Policies
 
@@ -177,7 +177,7 @@
 	for _, evacuation := range news.Evacuations {
 		if old := w.evacuations[evacuation.Zone]; old.LogIndex < evacuation.LogIndex {
 			w.evacuations[evacuation.Zone] = evacuation
-			w.History.Note(history.Evacuation, string(evacuation.Zone), "applied", evacuation.Summary(), evacuation.LogIndex, first)
+			w.History.Record(history.Evacuation, string(evacuation.Zone), "applied", evacuation.Summary(), evacuation.LogIndex, first)
 			back[evacuation.Zone] = old.Active && !evacuation.Active
 		}
 	}
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, item := range news.Items {
-		w.History.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > maxLoggedItems)
+		w.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, first || len(news.Items) > maxLoggedItems)
 	}
 	if news.LogIndex > w.known.LogIndex || news.LogIndex == w.known.LogIndex && news.LastItem > w.known.LastItem {
 		w.known.LogIndex, w.known.LastItem = news.LogIndex, news.LastItem
@@ -219,7 +219,7 @@
 	}
 	for _, state := range news.States {
 		if server := w.servers[state.Endpoint]; server != nil && !state.Removed {
-			w.History.Note(history.Health, string(state.Endpoint), "heard", state.Summary(), uint64(news.Revision), true)
+			w.History.Record(history.Health, string(state.Endpoint), "heard", state.Summary(), uint64(news.Revision), true)
 			server.update(now, nil, &state)
 		}
 	}
@@ -339,7 +339,7 @@
 		server := w.servers[change.ID]
 		if change.Removed {
 			if server != nil {
-				w.History.Note(history.Backend, string(change.ID), "applied", "gone", 0, false)
+				w.History.Record(history.Backend, string(change.ID), "applied", "gone", 0, false)
 				server.closeIdle(now, true)
 				delete(w.servers, change.ID)
 			}
@@ -357,7 +357,7 @@
 		}
 		if stamp := change.Summary(); server.lastStamp != stamp {
 			server.lastStamp = stamp
-			w.History.Note(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
+			w.History.Record(history.Backend, string(change.ID), "applied", stamp, 0, quiet)
 		}
 		server.update(now, &change.Endpoint, nil)
 	}
@@ -516,7 +516,7 @@
 	case history.Item:
 		item, known := w.config.Find(name)
 		return item.Stamp(), item.Rev, known
-	case history.Document, history.Retirement, history.Move:
+	case history.Document, history.Retirement, history.ScheduleStep:
 		return w.Policies.stateOf(kind, name)
 	case history.Evacuation:
 		evacuation, known := w.evacuations[rpc.ZoneName(name)]
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -77,7 +77,7 @@
 	heardAt int
 
 	// History remembers what became of changes here.
-	History *history.Chronicle
+	History *history.Recorder
 
 	// OnChange is called after the state changed, OnRole when leadership came or went.
 	OnChange     func()
@@ -279,16 +279,16 @@
 func (n *Node) noteOrders(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
 		if document.Rev > before {
-			n.History.Note(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
+			n.History.Record(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
 		}
 	}
 	for id, retired := range n.state.Retired {
 		if retired.Rev > before {
-			n.History.Note(history.Retirement, string(id), "applied", retired.Summary(), retired.Rev, quiet)
+			n.History.Record(history.Retirement, string(id), "applied", retired.Summary(), retired.Rev, quiet)
 		}
 	}
 	if move := n.state.Move; move.Rev > before {
-		n.History.Note(history.Move, "day-plan", "applied", move.Summary(), move.Rev, quiet)
+		n.History.Record(history.ScheduleStep, "day-plan", "applied", move.Summary(), move.Rev, quiet)
 	}
 }
 
@@ -309,11 +309,11 @@
 	if changed {
 		n.noteOrders(before, entry.Index <= n.loaded)
 		for _, item := range n.state.Canon.Since(before) {
-			n.History.Note(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
+			n.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
 		}
 		for _, evacuation := range n.state.Evacuations {
 			if evacuation.Rev > before {
-				n.History.Note(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
+				n.History.Record(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
 			}
 		}
 	}
