--- a/internal/controller/council.go
+++ b/internal/controller/council.go
@@ -33,7 +33,7 @@
 	// patience is how long a call waits for its outcome.
 	patience time.Duration
 
-	inner  *rpc.Listener
+	inner  *rpc.Server
 	office *http.Server
 }
 
--- a/internal/coordinator/shardmap_test.go
+++ b/internal/coordinator/shardmap_test.go
@@ -57,7 +57,7 @@
 	var update, again rpc.Update
 	c.addNodes(0, &update)
 	c.addNodes(0, &again)
-	rows, err := rpc.UnpackRows[rpc.NodeChange](update.CompressedNodes)
+	rows, err := rpc.Decompress[rpc.NodeChange](update.CompressedNodes)
 	if err != nil || len(rows) != 300 || len(update.Nodes) != 0 || &again.CompressedNodes[0] != &update.CompressedNodes[0] {
 		t.Fatal(len(rows), err)
 	}
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -144,7 +144,7 @@
 		part.next = itemPosition{items[last].Rev, items[last].Path()}
 	}
 	if len(items) > packThreshold {
-		if packed, err := rpc.Pack(items); err == nil {
+		if packed, err := rpc.Compress(items); err == nil {
 			part.items, part.packed = nil, packed
 		}
 	}
@@ -230,7 +230,7 @@
 	if len(update.Nodes) <= packThreshold {
 		return
 	}
-	if packed, err := rpc.Pack(update.Nodes); err == nil {
+	if packed, err := rpc.Compress(update.Nodes); err == nil {
 		update.Nodes, update.CompressedNodes = nil, packed
 		cache.parts[since] = packed
 	}
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -120,7 +120,7 @@
 		items := update.Items
 		if update.CompressedItems != nil {
 			var err error
-			if items, err = rpc.Unpack(update.CompressedItems); err != nil {
+			if items, err = rpc.DecompressItems(update.CompressedItems); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/diagnostics/lens.go
+++ b/internal/diagnostics/lens.go
@@ -42,7 +42,7 @@
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			caller := rpc.NewCaller(address)
+			caller := rpc.NewClient(address)
 			defer caller.Close()
 			var reply Reply
 			err := caller.Call(method, ask, &reply, callTimeout)
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -299,7 +299,7 @@
 // leader asks the cores how they stand and gives the one that leads.
 func (s *system) leader() (at int, account controller.Status, err error) {
 	for i, p := range s.props {
-		caller := rpc.NewCaller(p.ControllerInternalAddress())
+		caller := rpc.NewClient(p.ControllerInternalAddress())
 		var reply rpc.StatusResponse
 		callErr := caller.Call(rpc.MethodStatus, rpc.StatusRequest{}, &reply, 5*time.Second)
 		caller.Close()
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -41,7 +41,7 @@
 	ready          atomic.Bool
 	stopping       atomic.Bool
 	httpServers    []*http.Server
-	rpcListener    *rpc.Listener
+	rpcListener    *rpc.Server
 	disabledChecks DisabledChecks
 }
 
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -65,7 +65,7 @@
 	Limits *TenantLimits
 
 	mu              sync.Mutex
-	clients         map[string]*rpc.Caller
+	clients         map[string]*rpc.Client
 	pendingReleases map[rpc.KeyClaim]bool
 	patience        LeaderQueryTimeout
 	term            rpc.Term
@@ -76,7 +76,7 @@
 	link = &LeaderClient{
 		settings: p, log: log, clock: clock, state: world, operations: book, incarnation: life, self: self,
 		wakeReleases: make(chan struct{}, 1),
-		Done:         make(chan struct{}), clients: map[string]*rpc.Caller{}, pendingReleases: map[rpc.KeyClaim]bool{},
+		Done:         make(chan struct{}), clients: map[string]*rpc.Client{}, pendingReleases: map[rpc.KeyClaim]bool{},
 	}
 	link.claims = NewBatcher(claimQueueLength, claimCallsInFlight, maxClaimBatch, link.sendClaims)
 	link.binds = NewBatcher(claimQueueLength, claimCallsInFlight, maxClaimBatch, link.sendBinds)
@@ -95,21 +95,21 @@
 	return l.clock.Now()-time.Duration(l.lastHeard.Load()) < leaderTimeout
 }
 
-func (l *LeaderClient) peerClient(inner string) (caller *rpc.Caller) { return l.client(inner, 0) }
+func (l *LeaderClient) peerClient(inner string) (caller *rpc.Client) { return l.client(inner, 0) }
 
 // controllerClient gives the caller of a core. A call may wait as long for its stream as the
 // patience of now allows: where the way there takes half a second, none would
 // ever come up otherwise.
-func (l *LeaderClient) controllerClient(inner string) (caller *rpc.Caller) {
+func (l *LeaderClient) controllerClient(inner string) (caller *rpc.Client) {
 	return l.client(inner, maxLeaderQueryTimeout)
 }
 
-func (l *LeaderClient) client(inner string, dial time.Duration) (caller *rpc.Caller) {
+func (l *LeaderClient) client(inner string, dial time.Duration) (caller *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	caller = l.clients[inner]
 	if caller == nil {
-		caller = rpc.NewCaller(inner)
+		caller = rpc.NewClient(inner)
 		if dial > 0 {
 			caller.DialWait = dial
 		}
@@ -428,7 +428,7 @@
 		return reply.Results
 	}
 	found = make([]rpc.ClaimResult, len(claims))
-	if err == nil || rpc.Unsent.Has(err) {
+	if err == nil || rpc.ErrNotSent.Has(err) {
 		for i := range found {
 			found[i].Outcome = rpc.ClaimRejected
 		}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -126,7 +126,7 @@
 	if wait > dialTimeout {
 		wait = dialTimeout
 	}
-	dialer := net.Dialer{Timeout: wait, Control: rpc.Firm(unackedTimeout), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
+	dialer := net.Dialer{Timeout: wait, Control: rpc.UserTimeout(unackedTimeout), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	dialer.SetMultipathTCP(false)
 	s.mu.Lock()
 	s.openConns++
--- a/internal/proxy/world.go
+++ b/internal/proxy/world.go
@@ -123,7 +123,7 @@
 // newest leader's: of an older one nothing is taken, however late its answer comes.
 func (w *ClusterState) Apply(asked time.Duration, news *rpc.Update) (led bool) {
 	if news.CompressedItems != nil {
-		items, err := rpc.Unpack(news.CompressedItems)
+		items, err := rpc.DecompressItems(news.CompressedItems)
 		if err != nil {
 			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
@@ -137,7 +137,7 @@
 		}
 	}
 	if news.CompressedNodes != nil {
-		fellows, err := rpc.UnpackRows[rpc.NodeChange](news.CompressedNodes)
+		fellows, err := rpc.Decompress[rpc.NodeChange](news.CompressedNodes)
 		if err != nil {
 			w.log.Emit(eventlog.SettingsRejected, eventlog.KeyError, err.Error())
 			return false
--- a/internal/raft/courier.go
+++ b/internal/raft/courier.go
@@ -28,7 +28,7 @@
 // sender carries messages to one core.
 type sender struct {
 	ring   chan Message
-	caller *rpc.Caller
+	caller *rpc.Client
 }
 
 const (
@@ -51,7 +51,7 @@
 		if s != nil {
 			close(s.ring)
 		}
-		s = &sender{ring: make(chan Message, 512), caller: rpc.NewCaller(inner)}
+		s = &sender{ring: make(chan Message, 512), caller: rpc.NewClient(inner)}
 		n.senders[way] = s
 		s.caller.DialWait = courierDial
 		go n.courier(s)
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -177,7 +177,7 @@
 }
 
 func (n *Node) askOneToJoin(target string) {
-	caller := rpc.NewCaller(target)
+	caller := rpc.NewClient(target)
 	defer caller.Close()
 	var reply JoinResponse
 	if err := caller.Call(rpc.MethodJoin, JoinRequest{n.self}, &reply, 300*time.Millisecond); err != nil {
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -173,7 +173,7 @@
 		}
 		asked++
 		go func() {
-			caller := rpc.NewCaller(member.Inner)
+			caller := rpc.NewClient(member.Inner)
 			defer caller.Close()
 			var reply LeaveResponse
 			err := caller.Call(rpc.MethodLeave, LeaveRequest{n.self.ID}, &reply, leaveWait)
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -81,7 +81,7 @@
 // NewPlatform makes a caller of the platform.
 func NewPlatform(address string) (platform *Platform) {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: 500 * time.Millisecond, Control: rpc.Firm(1500 * time.Millisecond), KeepAlive: -1}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: 500 * time.Millisecond, Control: rpc.UserTimeout(1500 * time.Millisecond), KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}
 	return &Platform{Address: address, client: &http.Client{Transport: transport, Timeout: 2 * time.Second}}
--- a/internal/rpc/caller.go
+++ b/internal/rpc/caller.go
@@ -22,19 +22,19 @@
 // Class marks failures of inner calls.
 var Class = errs.Class("parley")
 
-// patientCall is how long a call must have waited in vain for its stream to be
+// idleCallLimit is how long a call must have waited in vain for its stream to be
 // given up.
-const patientCall = 500 * time.Millisecond
+const idleCallLimit = 500 * time.Millisecond
 
 const (
-	// standstill is by how much a time-out must be late for this daemon to have
+	// pauseThreshold is by how much a time-out must be late for this daemon to have
 	// stood still, and unread how long what came meanwhile may take to be read.
-	standstill = 250 * time.Millisecond
-	unread     = 500 * time.Millisecond
+	pauseThreshold = 250 * time.Millisecond
+	pauseReadTime  = 500 * time.Millisecond
 )
 
-// Unsent marks calls that never left this daemon.
-var Unsent = errs.Class("unsent")
+// ErrNotSent marks calls that never left this daemon.
+var ErrNotSent = errs.Class("unsent")
 
 // ErrTimeout tells that no answer came in time; the call may have been heard.
 var ErrTimeout = Class.New("no answer in time")
@@ -42,8 +42,8 @@
 // userTimeout is TCP_USER_TIMEOUT, which the syscall package does not name.
 const userTimeout = 18
 
-// Firm makes a stream notice a silent other end within the given time.
-func Firm(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+// UserTimeout makes a stream notice a silent other end within the given time.
+func UserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout, int(limit/time.Millisecond))
@@ -53,38 +53,38 @@
 
 // Dial opens a stream with a bound on the wait and on later silence.
 func Dial(address string, wait, silence time.Duration) (conn net.Conn, err error) {
-	dialer := net.Dialer{Timeout: wait, KeepAlive: -1, Control: Firm(silence)}
+	dialer := net.Dialer{Timeout: wait, KeepAlive: -1, Control: UserTimeout(silence)}
 	dialer.SetMultipathTCP(false)
 	return dialer.Dial("tcp4", address)
 }
 
 // Listen opens a listener whose streams notice a silent other end.
 func Listen(address string, silence time.Duration) (listener net.Listener, err error) {
-	config := net.ListenConfig{Control: Firm(silence), KeepAlive: -1}
+	config := net.ListenConfig{Control: UserTimeout(silence), KeepAlive: -1}
 	config.SetMultipathTCP(false)
 	return config.Listen(context.Background(), "tcp4", address)
 }
 
-// Caller calls one fellow.
-type Caller struct {
+// Client calls one fellow.
+type Client struct {
 	Address string
 	// DialWait bounds the wait for a stream; a machine without power says
 	// nothing, and what waits behind the dial waits with it.
-	DialWait time.Duration
-	mu       sync.Mutex
-	client   *rpc.Client
-	heard    atomic.Int64
+	DialWait     time.Duration
+	mu           sync.Mutex
+	client       *rpc.Client
+	lastResponse atomic.Int64
 	// clock is the steady time since birth.
 	clock func() time.Duration
 }
 
-// NewCaller is a caller that has no stream yet.
-func NewCaller(address string) (caller *Caller) {
+// NewClient is a caller that has no stream yet.
+func NewClient(address string) (caller *Client) {
 	birth := time.Now()
-	return &Caller{Address: address, DialWait: 400 * time.Millisecond, clock: func() time.Duration { return time.Since(birth) }}
+	return &Client{Address: address, DialWait: 400 * time.Millisecond, clock: func() time.Duration { return time.Since(birth) }}
 }
 
-func (c *Caller) stream(wait time.Duration) (client *rpc.Client, err error) {
+func (c *Client) connection(wait time.Duration) (client *rpc.Client, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.client != nil {
@@ -92,13 +92,13 @@
 	}
 	conn, err := Dial(c.Address, min(wait, c.DialWait), time.Second)
 	if err != nil {
-		return nil, Unsent.Wrap(err)
+		return nil, ErrNotSent.Wrap(err)
 	}
 	c.client = rpc.NewClientWithCodec(newClientCodec(countedConn{conn}))
 	return c.client, nil
 }
 
-func (c *Caller) drop(client *rpc.Client) {
+func (c *Client) drop(client *rpc.Client) {
 	c.mu.Lock()
 	if c.client == client {
 		c.client = nil
@@ -108,7 +108,7 @@
 }
 
 // Close ends the stream; a later call opens another.
-func (c *Caller) Close() {
+func (c *Client) Close() {
 	c.mu.Lock()
 	client := c.client
 	c.client = nil
@@ -120,8 +120,8 @@
 
 // Call asks and waits no longer than limit. The reply, a pointer, is set only if
 // err is nil; an answer that comes later goes nowhere.
-func (c *Caller) Call(method string, ask, reply any, limit time.Duration) (err error) {
-	client, err := c.stream(limit)
+func (c *Client) Call(method string, ask, reply any, limit time.Duration) (err error) {
+	client, err := c.connection(limit)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	call := client.Go(method, ask, answer.Interface(), make(chan *rpc.Call, 1))
 	if c.answered(call, begun, limit) {
 		if call.Error == nil {
-			c.heard.Store(int64(c.clock()))
+			c.lastResponse.Store(int64(c.clock()))
 			reflect.ValueOf(reply).Elem().Set(answer.Elem())
 			return nil
 		}
@@ -141,7 +141,7 @@
 	}
 	// A short wait proves nothing: the other end or the way there may only be slow,
 	// and a stream that is gone is noticed by itself.
-	if limit >= patientCall && time.Duration(c.heard.Load()) < begun {
+	if limit >= idleCallLimit && time.Duration(c.lastResponse.Load()) < begun {
 		c.drop(client)
 	}
 	return ErrTimeout
@@ -150,7 +150,7 @@
 // answered waits for a call as long as the limit says. A daemon that stood still
 // meanwhile has not looked at what came: a time-out that is late by more than a
 // busy machine's timers are is none before that is read.
-func (c *Caller) answered(call *rpc.Call, begun, limit time.Duration) (done bool) {
+func (c *Client) answered(call *rpc.Call, begun, limit time.Duration) (done bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -158,10 +158,10 @@
 		return true
 	case <-timer.C:
 	}
-	if c.clock()-begun < limit+standstill {
+	if c.clock()-begun < limit+pauseThreshold {
 		return false
 	}
-	timer.Reset(unread)
+	timer.Reset(pauseReadTime)
 	select {
 	case <-call.Done:
 		return true
@@ -170,8 +170,8 @@
 	}
 }
 
-// Listener answers inner calls.
-type Listener struct {
+// Server answers inner calls.
+type Server struct {
 	listener net.Listener
 	mu       sync.Mutex
 	open     map[net.Conn]bool
@@ -179,7 +179,7 @@
 }
 
 // Serve answers calls to the receivers on an address until it is closed.
-func Serve(address string, receivers map[string]any) (served *Listener, err error) {
+func Serve(address string, receivers map[string]any) (served *Server, err error) {
 	listener, err := Listen(address, time.Second)
 	if err != nil {
 		return nil, Class.Wrap(err)
@@ -190,12 +190,12 @@
 			return nil, Class.Wrap(err)
 		}
 	}
-	served = &Listener{listener: listener, open: map[net.Conn]bool{}}
+	served = &Server{listener: listener, open: map[net.Conn]bool{}}
 	go served.accept(server)
 	return served, nil
 }
 
-func (s *Listener) accept(server *rpc.Server) {
+func (s *Server) accept(server *rpc.Server) {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -206,18 +206,18 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		if !s.keep(conn, true) {
+		if !s.track(conn, true) {
 			_ = conn.Close()
 			return
 		}
 		go func() {
 			server.ServeCodec(newServerCodec(countedConn{conn}))
-			s.keep(conn, false)
+			s.track(conn, false)
 		}()
 	}
 }
 
-func (s *Listener) keep(conn net.Conn, open bool) (kept bool) {
+func (s *Server) track(conn net.Conn, open bool) (kept bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if open && !s.closed {
@@ -229,7 +229,7 @@
 }
 
 // Close stops listening and ends all streams.
-func (s *Listener) Close() {
+func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rpc/caller_test.go
+++ b/internal/rpc/caller_test.go
@@ -39,7 +39,7 @@
 
 var callerPorts atomic.Int32
 
-func served(t *testing.T) (caller *Caller, gate chan struct{}) {
+func served(t *testing.T) (caller *Client, gate chan struct{}) {
 	t.Helper()
 	gate = make(chan struct{})
 	address := fmt.Sprintf("127.%d.%d.2:%d", 128+os.Getpid()>>8&63, os.Getpid()&255, 20900+callerPorts.Add(1))
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(listener.Close)
-	caller = NewCaller(address)
+	caller = NewClient(address)
 	t.Cleanup(caller.Close)
 	return caller, gate
 }
@@ -119,7 +119,7 @@
 	for name, c := range map[string]struct {
 		late time.Duration
 		read bool
-	}{"stood still": {standstill + time.Second, true}, "only waited": {0, false}} {
+	}{"stood still": {pauseThreshold + time.Second, true}, "only waited": {0, false}} {
 		caller, gate := served(t)
 		looks := 0
 		caller.clock = func() time.Duration {
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -104,16 +104,16 @@
 }{
 	{
 		"items",
-		func() ([]byte, error) { return Pack(sentItems) },
-		func(data []byte) (any, error) { return Unpack(data) },
+		func() ([]byte, error) { return Compress(sentItems) },
+		func(data []byte) (any, error) { return DecompressItems(data) },
 		sentItems,
 	},
 	{
 		"nodes",
 		func() ([]byte, error) {
-			return Pack([]NodeChange{{Node: sentNode, Removed: true}, {Node: Node{ID: "node-2"}}})
+			return Compress([]NodeChange{{Node: sentNode, Removed: true}, {Node: Node{ID: "node-2"}}})
 		},
-		func(data []byte) (any, error) { return UnpackRows[NodeChange](data) },
+		func(data []byte) (any, error) { return Decompress[NodeChange](data) },
 		[]NodeChange{{Node: sentNode, Removed: true}, {Node: Node{ID: "node-2"}}},
 	},
 	{
--- a/internal/rpc/pack.go
+++ b/internal/rpc/pack.go
@@ -13,11 +13,11 @@
 	"tinpin/internal/rpc/wire"
 )
 
-// unpackedMost bounds what a packed part may grow to.
-const unpackedMost = 64 << 20
+// maxDecompressed bounds what a packed part may grow to.
+const maxDecompressed = 64 << 20
 
-// Pack packs rows.
-func Pack[Row any](items []Row) (packed []byte, err error) {
+// Compress packs rows.
+func Compress[Row any](items []Row) (packed []byte, err error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
 	if err != nil {
@@ -32,12 +32,14 @@
 	return buffer.Bytes(), nil
 }
 
-// Unpack gives the items of the configuration back.
-func Unpack(packed []byte) (items []config.Item, err error) { return UnpackRows[config.Item](packed) }
+// DecompressItems gives the items of the configuration back.
+func DecompressItems(packed []byte) (items []config.Item, err error) {
+	return Decompress[config.Item](packed)
+}
 
-// UnpackRows gives rows back.
-func UnpackRows[Row any](packed []byte) (items []Row, err error) {
+// Decompress gives rows back.
+func Decompress[Row any](packed []byte) (items []Row, err error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
-	err = wire.Read(io.LimitReader(reader, unpackedMost), &items)
+	err = wire.Read(io.LimitReader(reader, maxDecompressed), &items)
 	return items, Class.Wrap(err)
 }
--- a/internal/rpc/pack_test.go
+++ b/internal/rpc/pack_test.go
@@ -20,18 +20,18 @@
 		}
 		items = append(items, item)
 	}
-	packed, err := Pack(items)
+	packed, err := Compress(items)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(packed) > size/3 {
 		t.Errorf("%d bytes were packed into %d", size, len(packed))
 	}
-	back, err := Unpack(packed)
+	back, err := DecompressItems(packed)
 	if diff := cmp.Diff(items, back); err != nil || diff != "" {
 		t.Fatal(err, diff)
 	}
-	if _, err = Unpack(packed[:len(packed)/2]); err == nil {
+	if _, err = DecompressItems(packed[:len(packed)/2]); err == nil {
 		t.Error("half a part was taken")
 	}
 }
--- a/internal/rpc/words.go
+++ b/internal/rpc/words.go
@@ -300,7 +300,7 @@
 
 // Compress packs the rows of a part.
 func (p *EndpointChunk) Compress() (err error) {
-	packed, err := Pack([]chunkRows{{p.Endpoints, p.States}})
+	packed, err := Compress([]chunkRows{{p.Endpoints, p.States}})
 	if err == nil {
 		p.Compressed, p.Endpoints, p.States = packed, nil, nil
 	}
@@ -312,7 +312,7 @@
 	if p.Compressed == nil {
 		return nil
 	}
-	rows, err := UnpackRows[chunkRows](p.Compressed)
+	rows, err := Decompress[chunkRows](p.Compressed)
 	if err != nil {
 		return err
 	}
