--- a/internal/adminclient/clerk.go
+++ b/internal/adminclient/clerk.go
@@ -117,8 +117,8 @@
 // retire orders it and, where asked to, waits until all daemons in touch follow.
 func (c *Client) retire(ctx context.Context, out io.Writer, id string) (good bool, err error) {
 	status, err := c.status(ctx, out, c.named("/-/Backends.Retire/"+url.PathEscape(id)), nil)
-	if gone := drain.Phase(status); err != nil || c.Wait <= 0 || gone == drain.Left || gone == drain.TakenBack {
-		return err == nil && gone != drain.TakenBack, err
+	if gone := drain.Phase(status); err != nil || c.Wait <= 0 || gone == drain.Removed || gone == drain.Withdrawn {
+		return err == nil && gone != drain.Withdrawn, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
@@ -126,14 +126,14 @@
 		shown, showErr := c.show(ctx, policy.DrainPolicy)
 		if showErr == nil {
 			for _, account := range shown.Retirements {
-				if account.Server != id {
+				if account.Backend != id {
 					continue
 				}
-				if said := string(account.Phase) + " " + account.Why; said != last {
+				if said := string(account.Phase) + " " + account.Reason; said != last {
 					last = said
-					_, _ = fmt.Fprintln(out, strings.TrimSpace(fmt.Sprintf("%s, %d of %d daemons follow %s", account.Phase, account.Follow, account.Of, account.Why)))
+					_, _ = fmt.Fprintln(out, strings.TrimSpace(fmt.Sprintf("%s, %d of %d daemons follow %s", account.Phase, account.Confirmed, account.Nodes, account.Reason)))
 				}
-				if account.Phase == drain.Together {
+				if account.Phase == drain.Complete {
 					return true, nil
 				}
 			}
@@ -218,7 +218,7 @@
 	}
 	_, _ = fmt.Fprintf(table, "%s\tversion %d\t%s\n", shown.Kind, shown.Version, state)
 	for _, account := range shown.Retirements {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d of %d follow\t%s %s\n", account.Server, account.Service, account.Phase, account.Follow, account.Of, account.Why, strings.Join(account.Missing, ","))
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d of %d follow\t%s %s\n", account.Backend, account.Service, account.Phase, account.Confirmed, account.Nodes, account.Reason, strings.Join(account.Missing, ","))
 	}
 	if sessions := shown.Sessions; sessions != nil {
 		for _, account := range sessions.Services {
--- a/internal/affinity/binder.go
+++ b/internal/affinity/binder.go
@@ -16,72 +16,72 @@
 
 // The outcomes.
 const (
-	// Kept: the session is on the backend that is given.
-	Kept Outcome = iota
-	// Unkept: there are too many sessions; the request goes without one.
-	Unkept
+	// Bound: the session is on the backend that is given.
+	Bound Outcome = iota
+	// Unbound: there are too many sessions; the request goes without one.
+	Unbound
 	// NoAnswer: nobody could say where the session is.
 	NoAnswer
 	// NoBackend: there is none to begin on.
 	NoBackend
-	// Stuck: the leader has the session on a backend that this node may not use.
-	Stuck
+	// BackendUnusable: the leader has the session on a backend that this node may not use.
+	BackendUnusable
 )
 
-// bindTries is how often a binding may turn out to have ended.
-const bindTries = 3
+// maxBindAttempts is how often a binding may turn out to have ended.
+const maxBindAttempts = 3
 
 // Binder of one node.
 type Binder struct {
 	mu    sync.Mutex
-	table *Table
+	cache *BindingCache
 	moved uint64
 }
 
 // NewBinder remembers so many sessions.
-func NewBinder(most int) (binder *Binder) { return &Binder{table: NewTable(most)} }
+func NewBinder(most int) (binder *Binder) { return &Binder{cache: NewBindingCache(most)} }
 
-// Standing tells how many are remembered, were dropped, and were seen to move.
-func (b *Binder) Standing() (remembered int, dropped, moved uint64) {
+// Stats tells how many are remembered, were dropped, and were seen to move.
+func (b *Binder) Stats() (remembered int, dropped, moved uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.table.Len(), b.table.Dropped, b.moved
+	return b.cache.Len(), b.cache.Evicted, b.moved
 }
 
-// View is what a node sees and may ask for one request.
-type View struct {
+// RequestView is what a node sees and may ask for one request.
+type RequestView struct {
 	Now func() time.Duration
-	// Over tells that a session may not stay on a backend, Begin where it would
+	// MustLeave tells that a session may not stay on a backend, Begin where it would
 	// begin, Ask what the leader says.
-	Over  func(server rpc.EndpointID) bool
-	Begin func() rpc.EndpointID
-	Ask   func(from, choice rpc.EndpointID) rpc.BindResult
+	MustLeave func(server rpc.EndpointID) bool
+	ChooseNew func() rpc.EndpointID
+	AskLeader func(from, choice rpc.EndpointID) rpc.BindResult
 }
 
 // Bind gives the backend of a session.
-func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view View) (server rpc.EndpointID, outcome Outcome) {
+func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view RequestView) (server rpc.EndpointID, outcome Outcome) {
 	now := view.Now()
 	b.mu.Lock()
-	known, fresh := b.table.Find(now, session)
+	known, fresh := b.cache.Find(now, session)
 	b.mu.Unlock()
 	var from rpc.EndpointID
 	if fresh {
-		if !view.Over(known) {
-			return known, Kept
+		if !view.MustLeave(known) {
+			return known, Bound
 		}
 		from = known
 	}
-	for tries := 0; tries < bindTries; tries++ {
-		choice := view.Begin()
+	for tries := 0; tries < maxBindAttempts; tries++ {
+		choice := view.ChooseNew()
 		if choice == "" {
 			return "", NoBackend
 		}
 		asked := view.Now()
-		found := view.Ask(from, choice)
+		found := view.AskLeader(from, choice)
 		switch found.Outcome {
 		case rpc.Bound:
 		case rpc.BindTableFull:
-			return "", Unkept
+			return "", Unbound
 		default:
 			return "", NoAnswer
 		}
@@ -90,10 +90,10 @@
 			b.moved++
 		}
 		known = found.Endpoint
-		b.table.Take(asked, session, known, idle)
+		b.cache.Store(asked, session, known, idle)
 		b.mu.Unlock()
-		if !view.Over(known) {
-			return known, Kept
+		if !view.MustLeave(known) {
+			return known, Bound
 		}
 		if known == from {
 			// The leader does not know yet that it has ended, or knows better.
@@ -101,5 +101,5 @@
 		}
 		from = known
 	}
-	return "", Stuck
+	return "", BackendUnusable
 }
--- a/internal/affinity/choice_test.go
+++ b/internal/affinity/choice_test.go
@@ -18,7 +18,7 @@
 	return all
 }
 
-func session(n int) rpc.SessionID { return SessionOf("s", nil, fmt.Sprint("caller ", n)) }
+func session(n int) rpc.SessionID { return SessionIDOf("s", nil, fmt.Sprint("caller ", n)) }
 
 func TestSessionsBeginEvenly(t *testing.T) {
 	all, counts := candidates(20, 3), map[rpc.EndpointID]int{}
--- a/internal/affinity/name.go
+++ b/internal/affinity/name.go
@@ -14,41 +14,41 @@
 	"tinpin/internal/rpc"
 )
 
-// Finding says how a session's name was found.
-type Finding uint8
+// NameResult says how a session's name was found.
+type NameResult uint8
 
 // The findings.
 const (
-	Named Finding = iota
+	Named NameResult = iota
 	Missing
-	Repeated
+	Conflicting
 	Malformed
 	TooLong
 )
 
-// NameLength is how long the name of a session may be.
-const NameLength = 1024
+// MaxNameLength is how long the name of a session may be.
+const MaxNameLength = 1024
 
-// Asked is the part of a request that may name a session.
-type Asked struct {
-	Lines  [][2]string
-	Key    string
-	Tenant string
+// NameSources is the part of a request that may name a session.
+type NameSources struct {
+	Headers [][2]string
+	Key     string
+	Tenant  string
 }
 
-// Find gives the name of the request's session.
-func (r Rule) Find(asked Asked) (name string, finding Finding) {
+// FindName gives the name of the request's session.
+func (r Rule) FindName(asked NameSources) (name string, finding NameResult) {
 	var names []string
 	switch r.Source {
 	case FromHeader:
 		wanted := textproto.CanonicalMIMEHeaderKey(r.Name)
-		for _, line := range asked.Lines {
+		for _, line := range asked.Headers {
 			if line[0] == wanted {
 				names = append(names, line[1])
 			}
 		}
 	case FromCookie:
-		for _, line := range asked.Lines {
+		for _, line := range asked.Headers {
 			if line[0] != "Cookie" {
 				continue
 			}
@@ -65,13 +65,13 @@
 	}
 	for _, other := range names[min(1, len(names)):] {
 		if other != names[0] {
-			return "", Repeated
+			return "", Conflicting
 		}
 	}
 	switch {
 	case len(names) == 0 || names[0] == "":
 		return "", Missing
-	case len(names[0]) > NameLength:
+	case len(names[0]) > MaxNameLength:
 		return "", TooLong
 	}
 	for _, letter := range []byte(names[0]) {
@@ -82,10 +82,10 @@
 	return names[0], Named
 }
 
-// SessionOf gives the id of a session at a service. Ways that are bound to other
+// SessionIDOf gives the id of a session at a service. Ways that are bound to other
 // homes have sessions of their own, since a backend of one may be forbidden to
 // the other.
-func SessionOf(service rpc.ServiceName, homes []string, name string) (session rpc.SessionID) {
+func SessionIDOf(service rpc.ServiceName, homes []string, name string) (session rpc.SessionID) {
 	sorted := append([]string{}, homes...)
 	sort.Strings(sorted)
 	hash := sha256.New()
@@ -96,12 +96,12 @@
 	return rpc.SessionID(base64.RawURLEncoding.EncodeToString(hash.Sum(nil)[:16]))
 }
 
-// SessionLength is how long an id is.
-const SessionLength = 22
+// SessionIDLength is how long an id is.
+const SessionIDLength = 22
 
-// GoodID tells that an id can have come from SessionOf.
-func GoodID(session rpc.SessionID) (good bool) {
-	if len(session) != SessionLength {
+// ValidID tells that an id can have come from SessionOf.
+func ValidID(session rpc.SessionID) (good bool) {
+	if len(session) != SessionIDLength {
 		return false
 	}
 	_, err := base64.RawURLEncoding.DecodeString(string(session))
--- a/internal/affinity/policy.go
+++ b/internal/affinity/policy.go
@@ -27,8 +27,8 @@
 // What requests that may be repeated do while no leader can be asked where
 // their session is; others are refused.
 const (
-	AloneRefuse = "refuse"
-	AloneServe  = "serve"
+	WithoutLeaderRefuse = "refuse"
+	WithoutLeaderServe  = "serve"
 )
 
 // Rule is the policy for one service, or for all others.
@@ -38,10 +38,10 @@
 	// Name of the header or cookie.
 	Name string `json:"name,omitempty"`
 	// Idle is how long a session lasts that nothing is heard of.
-	Idle  policy.Span `json:"idle"`
-	Alone string      `json:"alone"`
-	// Most is how many sessions are kept; over it the least recently used go.
-	Most int `json:"most"`
+	Idle          policy.Span `json:"idle"`
+	WithoutLeader string      `json:"alone"`
+	// MaxSessions is how many sessions are kept; over it the least recently used go.
+	MaxSessions int `json:"most"`
 }
 
 // For is the service that the rule is for.
@@ -53,23 +53,23 @@
 	Rules   []Rule         `json:"rules"`
 }
 
-// SessionsMost is how many sessions all rules together may keep.
-const SessionsMost = 200_000
+// MaxSessionsTotal is how many sessions all rules together may keep.
+const MaxSessionsTotal = 200_000
 
 const (
-	idleLeast = policy.Span(10 * time.Second)
-	idleMost  = policy.Span(24 * time.Hour)
-	rulesMost = 5000
+	minIdle  = policy.Span(10 * time.Second)
+	maxIdle  = policy.Span(24 * time.Hour)
+	maxRules = 5000
 )
 
-// Read reads a policy and checks what can be seen from it alone.
-func Read(body []byte) (parsed *Policy, err error) {
+// Parse reads a policy and checks what can be seen from it alone.
+func Parse(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
 	if err = policy.Open(body, parsed); err != nil {
 		return nil, err
 	}
 	faults := &policy.Faults{}
-	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
+	faults.Head(parsed.Version, len(parsed.Rules), maxRules)
 	named, sum := map[string]bool{}, 0
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
@@ -79,7 +79,7 @@
 		named[rule.Service] = true
 		switch rule.Source {
 		case FromHeader, FromCookie:
-			if !token(rule.Name) {
+			if !validName(rule.Name) {
 				faults.Add(where("name"), "must be the name of a header or cookie")
 			}
 		case FromKey, FromTenant:
@@ -89,23 +89,23 @@
 		default:
 			faults.Add(where("from"), `must be "header", "cookie", "key" or "tenant"`)
 		}
-		if rule.Idle < idleLeast || rule.Idle > idleMost {
+		if rule.Idle < minIdle || rule.Idle > maxIdle {
 			faults.Add(where("idle"), "must be a time from 10s to 24h")
 		}
-		if rule.Alone != AloneRefuse && rule.Alone != AloneServe {
+		if rule.WithoutLeader != WithoutLeaderRefuse && rule.WithoutLeader != WithoutLeaderServe {
 			faults.Add(where("alone"), `must be "refuse" or "serve"`)
 		}
-		if rule.Most < 1 || rule.Most > SessionsMost {
-			faults.Add(where("most"), fmt.Sprintf("must be a whole number from 1 to %d", SessionsMost))
-		} else if sum += rule.Most; sum > SessionsMost {
-			faults.Add(where("most"), fmt.Sprintf("brings the sum above %d", SessionsMost))
+		if rule.MaxSessions < 1 || rule.MaxSessions > MaxSessionsTotal {
+			faults.Add(where("most"), fmt.Sprintf("must be a whole number from 1 to %d", MaxSessionsTotal))
+		} else if sum += rule.MaxSessions; sum > MaxSessionsTotal {
+			faults.Add(where("most"), fmt.Sprintf("brings the sum above %d", MaxSessionsTotal))
 		}
 	}
 	return parsed, faults.Err()
 }
 
-// token tells whether a text may name a header or cookie.
-func token(text string) (good bool) {
+// validName tells whether a text may name a header or cookie.
+func validName(text string) (good bool) {
 	if text == "" || len(text) > 64 {
 		return false
 	}
@@ -117,13 +117,13 @@
 	return true
 }
 
-// Check tells which services a policy names that are not known.
-func (p *Policy) Check(known func(service string) bool) (err error) {
+// CheckServices tells which services a policy names that are not known.
+func (p *Policy) CheckServices(known func(service string) bool) (err error) {
 	return policy.CheckServices(p.Rules, known)
 }
 
-// For gives the rule of a service; without one it knows no sessions.
-func (p *Policy) For(service rpc.ServiceName) (rule Rule, ruled bool) {
+// RuleFor gives the rule of a service; without one it knows no sessions.
+func (p *Policy) RuleFor(service rpc.ServiceName) (rule Rule, ruled bool) {
 	if p == nil {
 		return rule, false
 	}
--- a/internal/affinity/policy_test.go
+++ b/internal/affinity/policy_test.go
@@ -18,7 +18,7 @@
 		`{"version":1,"rules":[{"service":"` + strings.Repeat("x", 300) + `","from":"header","name":"X","idle":"1m","alone":"serve","most":1}]}`:                                                                  {"rules.0.service"},
 		`{"version":1,"rules":[{"service":"a","from":"header","name":"` + strings.Repeat("x", 65) + `","idle":"1m","alone":"serve","most":1},{"service":"b","from":"tenant","idle":"1m","alone":"x","most":-1}]}`: {"rules.0.name", "rules.1.alone", "rules.1.most"},
 	} {
-		_, err := Read([]byte(body))
+		_, err := Parse([]byte(body))
 		if err == nil {
 			t.Errorf("taken: %.90s", body)
 			continue
@@ -29,11 +29,11 @@
 			}
 		}
 	}
-	policy, err := Read([]byte(`{"version":1,"rules":[{"service":"*","from":"key","idle":"1m","alone":"refuse","most":10},{"service":"a","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":10}]}`))
+	policy, err := Parse([]byte(`{"version":1,"rules":[{"service":"*","from":"key","idle":"1m","alone":"refuse","most":10},{"service":"a","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":10}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = policy.Check(func(string) bool { return false }); err == nil || !strings.Contains(err.Error(), `unknown service "a"`) {
+	if err = policy.CheckServices(func(string) bool { return false }); err == nil || !strings.Contains(err.Error(), `unknown service "a"`) {
 		t.Fatal(err)
 	}
 }
@@ -43,29 +43,29 @@
 	cookie := Rule{Source: FromCookie, Name: "sid"}
 	for _, c := range []struct {
 		rule    Rule
-		asked   Asked
+		asked   NameSources
 		name    string
-		finding Finding
+		finding NameResult
 	}{
-		{header, Asked{Lines: [][2]string{{"X-Caller", "anna"}}}, "anna", Named},
-		{header, Asked{Lines: [][2]string{{"X-Caller", "anna"}, {"X-Caller", "anna"}}}, "anna", Named},
-		{header, Asked{Lines: [][2]string{{"X-Caller", "anna"}, {"X-Caller", "ben"}}}, "", Repeated},
-		{header, Asked{}, "", Missing},
-		{header, Asked{Lines: [][2]string{{"X-Caller", ""}}}, "", Missing},
-		{header, Asked{Lines: [][2]string{{"X-Caller", strings.Repeat("a", NameLength+1)}}}, "", TooLong},
-		{header, Asked{Lines: [][2]string{{"X-Caller", "a\x01b"}}}, "", Malformed},
-		{cookie, Asked{Lines: [][2]string{{"Cookie", `theme=dark; sid="s-1"; x`}}}, "s-1", Named},
-		{cookie, Asked{Lines: [][2]string{{"Cookie", "sid=a; sid=b"}}}, "", Repeated},
-		{cookie, Asked{Lines: [][2]string{{"Cookie", "other=1"}}}, "", Missing},
-		{Rule{Source: FromKey}, Asked{Key: "k-1"}, "k-1", Named},
-		{Rule{Source: FromTenant}, Asked{Tenant: ""}, "", Missing},
+		{header, NameSources{Headers: [][2]string{{"X-Caller", "anna"}}}, "anna", Named},
+		{header, NameSources{Headers: [][2]string{{"X-Caller", "anna"}, {"X-Caller", "anna"}}}, "anna", Named},
+		{header, NameSources{Headers: [][2]string{{"X-Caller", "anna"}, {"X-Caller", "ben"}}}, "", Conflicting},
+		{header, NameSources{}, "", Missing},
+		{header, NameSources{Headers: [][2]string{{"X-Caller", ""}}}, "", Missing},
+		{header, NameSources{Headers: [][2]string{{"X-Caller", strings.Repeat("a", MaxNameLength+1)}}}, "", TooLong},
+		{header, NameSources{Headers: [][2]string{{"X-Caller", "a\x01b"}}}, "", Malformed},
+		{cookie, NameSources{Headers: [][2]string{{"Cookie", `theme=dark; sid="s-1"; x`}}}, "s-1", Named},
+		{cookie, NameSources{Headers: [][2]string{{"Cookie", "sid=a; sid=b"}}}, "", Conflicting},
+		{cookie, NameSources{Headers: [][2]string{{"Cookie", "other=1"}}}, "", Missing},
+		{Rule{Source: FromKey}, NameSources{Key: "k-1"}, "k-1", Named},
+		{Rule{Source: FromTenant}, NameSources{Tenant: ""}, "", Missing},
 	} {
-		if name, finding := c.rule.Find(c.asked); name != c.name || finding != c.finding {
+		if name, finding := c.rule.FindName(c.asked); name != c.name || finding != c.finding {
 			t.Errorf("%v in %v: %q, %d", c.rule, c.asked, name, finding)
 		}
 	}
-	one, other := SessionOf("s", []string{"a", "b"}, "n"), SessionOf("s", []string{"b", "a"}, "n")
-	if one != other || !GoodID(one) || one == SessionOf("s", nil, "n") || one == SessionOf("t", []string{"a", "b"}, "n") || GoodID("short") || GoodID("!!!!!!!!!!!!!!!!!!!!!!") {
+	one, other := SessionIDOf("s", []string{"a", "b"}, "n"), SessionIDOf("s", []string{"b", "a"}, "n")
+	if one != other || !ValidID(one) || one == SessionIDOf("s", nil, "n") || one == SessionIDOf("t", []string{"a", "b"}, "n") || ValidID("short") || ValidID("!!!!!!!!!!!!!!!!!!!!!!") {
 		t.Error("ids of sessions")
 	}
 }
--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -21,8 +21,8 @@
 	fault    plantedFault
 	state    *raft.State
 	rev      uint64
-	desk     *affinity.Desk
-	unbinds  []affinity.Ended
+	desk     *affinity.Tracker
+	unbinds  []affinity.ExpiredSession
 	unbindAt time.Duration
 	backends map[rpc.EndpointID]*backend
 	made     int
@@ -81,7 +81,7 @@
 
 // lead opens a new leader's desk on what is agreed.
 func (m *morning) lead() {
-	m.desk, m.unbinds = affinity.NewDesk(), nil
+	m.desk, m.unbinds = affinity.NewTracker(), nil
 	if m.fault.lostAtHand {
 		bad := raft.NewState()
 		m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
@@ -100,7 +100,7 @@
 		panic(err)
 	}
 	m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
-		m.desk.Put(m.now, binding.Service, session, binding.Idle, binding.Seq)
+		m.desk.Add(m.now, binding.Service, session, binding.Idle, binding.Seq)
 	})
 }
 
@@ -117,7 +117,7 @@
 // ask is the leader's answer to a node, as the forum gives it.
 func (m *morning) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
 	standing, bound := m.state.Binding(bind.Session)
-	server, propose, answered := m.desk.Answer(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
+	server, propose, answered := m.desk.Lookup(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
 		return rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
 	}
@@ -132,14 +132,14 @@
 	if result.Problem != "" {
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
-	m.desk.Put(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
+	m.desk.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Server}
 }
 
 // tend unbinds what is past its time; a call that was lost is sent again a
 // while later.
 func (m *morning) tend() {
-	m.unbinds = append(m.unbinds, m.desk.Over(m.now, func(rpc.ServiceName) int { return 5000 }, 64)...)
+	m.unbinds = append(m.unbinds, m.desk.Expire(m.now, func(rpc.ServiceName) int { return 5000 }, 64)...)
 	if m.now < m.unbindAt {
 		return
 	}
@@ -169,11 +169,11 @@
 	if m.fault.alwaysFresh {
 		span = time.Hour
 	}
-	server, outcome := n.binder.Bind(c.session, span, affinity.View{
-		Now:   func() time.Duration { return m.now },
-		Over:  func(id rpc.EndpointID) bool { return m.ended(id, n.lag) },
-		Begin: func() rpc.EndpointID { return affinity.Choose(c.session, all) },
-		Ask: func(from, choice rpc.EndpointID) rpc.BindResult {
+	server, outcome := n.binder.Bind(c.session, span, affinity.RequestView{
+		Now:       func() time.Duration { return m.now },
+		MustLeave: func(id rpc.EndpointID) bool { return m.ended(id, n.lag) },
+		ChooseNew: func() rpc.EndpointID { return affinity.Choose(c.session, all) },
+		AskLeader: func(from, choice rpc.EndpointID) rpc.BindResult {
 			if n.odd {
 				return rpc.BindResult{Outcome: rpc.Bound, Endpoint: all[m.luck.Intn(len(all))].ID}
 			}
@@ -183,7 +183,7 @@
 			return m.ask(rpc.SessionBinding{Session: c.session, Service: service, Endpoint: choice, EndedEndpoint: from, IdleTimeout: idle})
 		},
 	})
-	if outcome != affinity.Kept || m.ended(server, 0) {
+	if outcome != affinity.Bound || m.ended(server, 0) {
 		// A backend that has just ended does not answer.
 		return false
 	}
@@ -208,7 +208,7 @@
 		m.now += 20 * time.Millisecond
 		if len(m.callers) < 200 && m.luck.Intn(2) == 0 {
 			name := fmt.Sprint("caller-", len(m.runs), "-", len(m.callers), "-", m.now)
-			m.callers = append(m.callers, &caller{name: name, session: affinity.SessionOf(service, nil, name), next: m.now, steps: 4 + m.luck.Intn(12)})
+			m.callers = append(m.callers, &caller{name: name, session: affinity.SessionIDOf(service, nil, name), next: m.now, steps: 4 + m.luck.Intn(12)})
 		}
 		left := m.callers[:0]
 		for _, c := range m.callers {
--- a/internal/affinity/table.go
+++ b/internal/affinity/table.go
@@ -11,47 +11,47 @@
 	"tinpin/internal/rpc"
 )
 
-// freshPart is the part of the idle time for which a node may rely on an answer.
-const freshPart = 4
+// freshFraction is the part of the idle time for which a node may rely on an answer.
+const freshFraction = 4
 
-// Fresh is how long a node may rely on an answer.
-func Fresh(idle time.Duration) (span time.Duration) { return idle / freshPart }
+// FreshFor is how long a node may rely on an answer.
+func FreshFor(idle time.Duration) (span time.Duration) { return idle / freshFraction }
 
-type remembered struct {
-	server rpc.EndpointID
-	till   time.Duration
+type cachedBinding struct {
+	server     rpc.EndpointID
+	freshUntil time.Duration
 }
 
-// Table of one node.
-type Table struct {
-	held    *simplelru.LRU[rpc.SessionID, remembered]
-	Dropped uint64
-	drops   bool
+// BindingCache of one node.
+type BindingCache struct {
+	bindings *simplelru.LRU[rpc.SessionID, cachedBinding]
+	Evicted  uint64
+	counting bool
 }
 
-// NewTable remembers so many sessions.
-func NewTable(most int) (table *Table) {
-	table = &Table{}
-	table.held, _ = simplelru.NewLRU(max(1, most), func(rpc.SessionID, remembered) {
-		if table.drops {
-			table.Dropped++
+// NewBindingCache remembers so many sessions.
+func NewBindingCache(most int) (table *BindingCache) {
+	table = &BindingCache{}
+	table.bindings, _ = simplelru.NewLRU(max(1, most), func(rpc.SessionID, cachedBinding) {
+		if table.counting {
+			table.Evicted++
 		}
 	})
 	return table
 }
 
 // Find gives where a session is bound, and whether that may be relied on.
-func (t *Table) Find(now time.Duration, session rpc.SessionID) (server rpc.EndpointID, fresh bool) {
-	found, known := t.held.Get(session)
-	return found.server, known && now < found.till
+func (t *BindingCache) Find(now time.Duration, session rpc.SessionID) (server rpc.EndpointID, fresh bool) {
+	found, known := t.bindings.Get(session)
+	return found.server, known && now < found.freshUntil
 }
 
-// Take notes what was answered to what was asked at a time.
-func (t *Table) Take(asked time.Duration, session rpc.SessionID, server rpc.EndpointID, idle time.Duration) {
-	t.drops = true
-	t.held.Add(session, remembered{server, asked + Fresh(idle)})
-	t.drops = false
+// Store notes what was answered to what was asked at a time.
+func (t *BindingCache) Store(asked time.Duration, session rpc.SessionID, server rpc.EndpointID, idle time.Duration) {
+	t.counting = true
+	t.bindings.Add(session, cachedBinding{server, asked + FreshFor(idle)})
+	t.counting = false
 }
 
 // Len is how many are remembered.
-func (t *Table) Len() (length int) { return t.held.Len() }
+func (t *BindingCache) Len() (length int) { return t.bindings.Len() }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -121,7 +121,7 @@
 	Version     policy.Version             `json:"version"`
 	InForce     bool                       `json:"in_force"`
 	Document    json.RawMessage            `json:"document,omitempty"`
-	Retirements []drain.Account            `json:"retiring,omitempty"`
+	Retirements []drain.RetirementStatus   `json:"retiring,omitempty"`
 	Targets     []schedule.Account         `json:"moving,omitempty"`
 	Step        uint64                     `json:"step,omitempty"`
 	Sessions    *coordinator.SessionStatus `json:"sessions,omitempty"`
@@ -212,12 +212,12 @@
 		return "", err
 	}
 	for _, account := range open.RetirementStatus() {
-		if account.Server == string(id) && c.desk.ConfirmLeadership(open) {
+		if account.Backend == string(id) && c.desk.ConfirmLeadership(open) {
 			return string(account.Phase), nil
 		}
 	}
 	if agreed(); !sent.stands {
-		return string(drain.TakenBack), nil
+		return string(drain.Withdrawn), nil
 	}
 	return string(drain.Announced), nil
 }
@@ -232,7 +232,7 @@
 func (s sentAgain) answer(refusal error) (phase string, err error) {
 	switch {
 	case s.taken && errors.Is(refusal, coordinator.ErrUnknownBackend):
-		return string(drain.Left), nil
+		return string(drain.Removed), nil
 	case s.taken:
 		return "", &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "this order was taken and taken back before; as a new one it is refused: " + refusal.Error()}
 	}
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	if err := sure(t, retire("two", false)); err != nil || phase != string(drain.Left) {
+	if err := sure(t, retire("two", false)); err != nil || phase != string(drain.Removed) {
 		t.Errorf("left the list: %q, %v", phase, err)
 	}
 	if err := retire("one", false)(); statusOf(t, err) != 503 {
@@ -196,7 +196,7 @@
 	if err := sure(t, retire("two", true, "s")); err != nil {
 		t.Fatal(err)
 	}
-	if err := sure(t, retire("two", false, "r")); err != nil || phase != string(drain.TakenBack) {
+	if err := sure(t, retire("two", false, "r")); err != nil || phase != string(drain.Withdrawn) {
 		t.Errorf("sent again by its name: %q, %v", phase, err)
 	}
 	if err := sure(t, retire("one", true, "s")); statusOf(t, err) != 409 {
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -17,18 +17,18 @@
 	// policy is nil where none is in force.
 	policy   *drain.Policy
 	retired  map[rpc.EndpointID]rpc.Retirement
-	tracker  *drain.Desk
-	statuses []drain.Account
+	tracker  *drain.Planner
+	statuses []drain.RetirementStatus
 }
 
 func newDrainState() (d drainState) {
-	return drainState{retired: map[rpc.EndpointID]rpc.Retirement{}, tracker: drain.NewDesk()}
+	return drainState{retired: map[rpc.EndpointID]rpc.Retirement{}, tracker: drain.NewPlanner()}
 }
 
 func (d *drainState) load(state *raft.State) {
 	d.policy = nil
 	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
-		d.policy, _ = drain.Read([]byte(document.Body))
+		d.policy, _ = drain.Parse([]byte(document.Body))
 	}
 	d.retired = make(map[rpc.EndpointID]rpc.Retirement, len(state.Retired))
 	for id, retired := range state.Retired {
@@ -73,22 +73,22 @@
 		list = append(list, retired)
 	}
 	var stops []rpc.EndpointID
-	stops, d.statuses = d.tracker.Step(now, d.policy, list, c.listFollowers(now), c.stockOf)
+	stops, d.statuses = d.tracker.Plan(now, d.policy, list, c.listFollowers(now), c.stockOf)
 	for _, id := range stops {
 		commands = append(commands, raft.Command{Kind: raft.CommandStop, Site: string(id)})
 	}
 	for _, status := range d.statuses {
-		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Server, string(status.Phase), eventlog.KeyReason, status.Why)
+		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Backend, string(status.Phase), eventlog.KeyReason, status.Reason)
 	}
 	return commands
 }
 
 // stockOf counts a service's backends.
-func (c *Coordinator) stockOf(service rpc.ServiceName) (stock drain.Stock) {
+func (c *Coordinator) stockOf(service rpc.ServiceName) (stock drain.EndpointCounts) {
 	c.eachBackend(service, func(_ rpc.Endpoint, useful bool) {
 		stock.Listed++
 		if useful {
-			stock.Useful++
+			stock.Usable++
 		}
 	})
 	return stock
@@ -106,15 +106,15 @@
 	if !listed {
 		return "", policy.Class.Wrap(fmt.Errorf("backend %q is %w", id, ErrUnknownBackend))
 	}
-	if stock := c.stockOf(server.Service); stock.Useful <= 1 {
+	if stock := c.stockOf(server.Service); stock.Usable <= 1 {
 		return "", policy.Class.New("backend %q is the last of service %q that is useful", id, server.Service)
 	}
 	return server.Service, nil
 }
 
 // RetirementStatus gives how each retirement stands.
-func (c *Coordinator) RetirementStatus() (statuses []drain.Account) {
+func (c *Coordinator) RetirementStatus() (statuses []drain.RetirementStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]drain.Account{}, c.policies.drain.statuses...)
+	return append([]drain.RetirementStatus{}, c.policies.drain.statuses...)
 }
--- a/internal/coordinator/followers.go
+++ b/internal/coordinator/followers.go
@@ -57,7 +57,7 @@
 			delete(t.loadByNode, id)
 			continue
 		}
-		followers = append(followers, drain.Follower{ID: id, Rev: known.revision, Here: connected(id)})
+		followers = append(followers, drain.Follower{ID: id, Revision: known.revision, Connected: connected(id)})
 	}
 	// Those that older leaders knew of and this one has not heard yet.
 	for len(followers) < t.knownNodes && now < rememberNode {
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -53,7 +53,7 @@
 func (r *retryState) load(state *raft.State) {
 	r.limit = nil
 	if document := state.Documents[policy.RetryLimit]; document.InForce() {
-		r.limit, _ = retry.Read([]byte(document.Body))
+		r.limit, _ = retry.Parse([]byte(document.Body))
 		r.revision = document.Rev
 	}
 }
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -36,7 +36,7 @@
 	followers, missing, everywhere := 0, []string{}, true
 	nodes := c.listFollowers(now)
 	for _, node := range nodes {
-		if node.Rev >= c.policies.retry.revision {
+		if node.Revision >= c.policies.retry.revision {
 			followers++
 			continue
 		}
@@ -48,7 +48,7 @@
 	}
 	sort.Strings(missing)
 	for name := range c.view.Services {
-		rule, limited := c.policies.retry.limit.For(rpc.ServiceName(name))
+		rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name))
 		if !limited {
 			continue
 		}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -32,7 +32,7 @@
 type sessionTable struct {
 	// policy is nil where none is in force.
 	policy *affinity.Policy
-	expiry *affinity.Desk
+	expiry *affinity.Tracker
 	// built tells that the agreed bindings were read once in this term.
 	built    bool
 	lastScan time.Duration
@@ -47,14 +47,14 @@
 }
 
 func newSessionTable() (s sessionTable) {
-	return sessionTable{expiry: affinity.NewDesk(), stoppedSince: map[rpc.EndpointID]time.Duration{}}
+	return sessionTable{expiry: affinity.NewTracker(), stoppedSince: map[rpc.EndpointID]time.Duration{}}
 }
 
 // load reads what is agreed; the caller holds the Coordinator's mu.
 func (s *sessionTable) load(state *raft.State) {
 	s.policy = nil
 	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
-		s.policy, _ = affinity.Read([]byte(document.Body))
+		s.policy, _ = affinity.Parse([]byte(document.Body))
 	}
 }
 
@@ -63,7 +63,7 @@
 func (s *sessionTable) scan(now time.Duration, state *raft.State) {
 	state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
 		if !s.expiry.Known(binding.Service, session) {
-			s.expiry.Put(now, binding.Service, session, binding.Idle, binding.Seq)
+			s.expiry.Add(now, binding.Service, session, binding.Idle, binding.Seq)
 		}
 	})
 }
@@ -87,9 +87,9 @@
 // validateBind checks one request for a binding; the caller holds mu.
 func (c *Coordinator) validateBind(bind rpc.SessionBinding) (err error) {
 	server, listed := c.endpoints.Servers.Get(bind.Endpoint)
-	_, ruled := c.sessions.policy.For(bind.Service)
+	_, ruled := c.sessions.policy.RuleFor(bind.Service)
 	switch {
-	case !affinity.GoodID(bind.Session):
+	case !affinity.ValidID(bind.Session):
 		return errors.New("invalid session id")
 	case bind.IdleTimeout <= 0 || bind.IdleTimeout > maxIdle:
 		return errors.New("the idle time is out of bounds")
@@ -124,7 +124,7 @@
 	if !known {
 		c.sessions.stoppedSince[id], since = now, now
 	}
-	return now-since >= time.Duration(c.policies.drain.policy.For(service).Finish), "retired"
+	return now-since >= time.Duration(c.policies.drain.policy.RuleFor(service).Finish), "retired"
 }
 
 // bindProposals are the binds of one call that go through the log.
@@ -174,7 +174,7 @@
 		var standing raft.Binding
 		var bound bool
 		c.node.ReadState(func(state *raft.State) { standing, bound = state.Binding(bind.Session) })
-		server, bind, answered := c.sessions.expiry.Answer(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
+		server, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, func(id rpc.EndpointID) (ended bool) {
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		})
@@ -197,7 +197,7 @@
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
 	binding := answer.Result.Binding
-	c.sessions.expiry.Put(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
+	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
 	if answer.Result.Moved {
 		c.sessions.moved++
 		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service), eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
@@ -208,8 +208,8 @@
 
 // sessionLimit is how many sessions a service may have.
 func (c *Coordinator) sessionLimit(service rpc.ServiceName) (limit int) {
-	if rule, ruled := c.sessions.policy.For(service); ruled && c.view.Services[string(service)] != nil {
-		return rule.Most
+	if rule, ruled := c.sessions.policy.RuleFor(service); ruled && c.view.Services[string(service)] != nil {
+		return rule.MaxSessions
 	}
 	return 0
 }
@@ -225,7 +225,7 @@
 		// None that is being unbound could come back by this.
 		c.scanBindings()
 	}
-	for _, over := range s.expiry.Over(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
+	for _, over := range s.expiry.Expire(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
 		s.pendingUnbinds = append(s.pendingUnbinds, raft.Command{Kind: raft.CommandUnbind, Claim: raft.Claim{Key: string(over.Session)}, Upto: over.Seq})
 	}
 	if len(s.pendingUnbinds) == 0 {
@@ -274,9 +274,9 @@
 	}
 	// So that a leader whose term has just begun counts all of them as well.
 	c.buildSessionTable()
-	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Crowded, Rejected: c.sessions.rejected}
+	status = &SessionStatus{Moved: c.sessions.moved, Evicted: c.sessions.expiry.Evicted, Rejected: c.sessions.rejected}
 	for name := range c.view.Services {
-		rule, ruled := c.sessions.policy.For(rpc.ServiceName(name))
+		rule, ruled := c.sessions.policy.RuleFor(rpc.ServiceName(name))
 		if !ruled {
 			continue
 		}
@@ -286,7 +286,7 @@
 		}
 		status.Services = append(status.Services, ServiceSessions{
 			Service: name, Source: source, Idle: time.Duration(rule.Idle).String(),
-			Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.Most,
+			Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.MaxSessions,
 		})
 	}
 	sort.Slice(status.Services, func(i, j int) bool { return status.Services[i].Service < status.Services[j].Service })
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -80,7 +80,7 @@
 	}
 	add("retry slack", c.leases.rates.Lent(now, quota.Key{Kind: rpc.RetrySlack}))
 	for name := range c.view.Services {
-		if rule, limited := c.policies.retry.limit.For(rpc.ServiceName(name)); limited {
+		if rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name)); limited {
 			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
 			add(limit, c.leases.retries.Lent(now, name))
 		}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -131,8 +131,8 @@
 		t.Fatal("the pages have lost their examples")
 	}
 	for _, body := range policies {
-		if policy, err := drain.Read([]byte(body)); err != nil || policy.Check(known) != nil {
-			t.Error(err, policy.Check(known))
+		if policy, err := drain.Parse([]byte(body)); err != nil || policy.CheckServices(known) != nil {
+			t.Error(err, policy.CheckServices(known))
 		}
 	}
 	for _, body := range plans {
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, body := range examples(page(t, "docs/draining.md"), "refused") {
-		if _, err := drain.Read([]byte(body)); err == nil {
+		if _, err := drain.Parse([]byte(body)); err == nil {
 			t.Errorf("taken: %s", body)
 		}
 	}
@@ -163,18 +163,18 @@
 	known := func(service string) bool { return service == "pay" || service == "booking" }
 	for name, read := range map[string]func(body []byte) error{
 		"affinity": func(body []byte) error {
-			policy, err := affinity.Read(body)
+			policy, err := affinity.Parse(body)
 			if err != nil {
 				return err
 			}
-			return policy.Check(known)
+			return policy.CheckServices(known)
 		},
 		"retry": func(body []byte) error {
-			policy, err := retry.Read(body)
+			policy, err := retry.Parse(body)
 			if err != nil {
 				return err
 			}
-			return policy.Check(known)
+			return policy.CheckServices(known)
 		},
 	} {
 		text := page(t, map[string]string{"affinity": "docs/affinity.md", "retry": "docs/retry-limit.md"}[name])
--- a/internal/drain/desk.go
+++ b/internal/drain/desk.go
@@ -27,53 +27,53 @@
 // The phases, in their order. Held may come before Stopping.
 const (
 	Announced Phase = "announced"
-	Held      Phase = "held"
+	Waiting   Phase = "held"
 	Stopping  Phase = "stopping"
-	Together  Phase = "together"
-	// Left is told of a backend that is gone from the list.
-	Left Phase = "left"
-	// TakenBack is told of an order that was taken, and taken back since.
-	TakenBack Phase = "taken back"
+	Complete  Phase = "together"
+	// Removed is told of a backend that is gone from the list.
+	Removed Phase = "left"
+	// Withdrawn is told of an order that was taken, and taken back since.
+	Withdrawn Phase = "taken back"
 )
 
 // Follower is one daemon as the leader hears it.
 type Follower struct {
 	ID rpc.NodeID
-	// Rev is how far it has confirmed to follow; Here that it is heard now.
-	Rev  uint64
-	Here bool
+	// Revision is how far it has confirmed to follow; Here that it is heard now.
+	Revision  uint64
+	Connected bool
 }
 
-// Stock is one service's backends as the leader sees them.
-type Stock struct {
+// EndpointCounts is one service's backends as the leader sees them.
+type EndpointCounts struct {
 	// Listed counts them all, Useful those that are neither leaving nor down nor
 	// already stopped.
-	Listed, Useful int
+	Listed, Usable int
 }
 
-// Account is one order's standing, for operators.
-type Account struct {
-	Server  string   `json:"backend"`
-	Service string   `json:"service"`
-	By      string   `json:"by"`
-	Phase   Phase    `json:"phase"`
-	Why     string   `json:"why,omitempty"`
-	Follow  int      `json:"followers"`
-	Of      int      `json:"of"`
-	Missing []string `json:"missing,omitempty"`
+// RetirementStatus is one order's standing, for operators.
+type RetirementStatus struct {
+	Backend   string   `json:"backend"`
+	Service   string   `json:"service"`
+	By        string   `json:"by"`
+	Phase     Phase    `json:"phase"`
+	Reason    string   `json:"why,omitempty"`
+	Confirmed int      `json:"followers"`
+	Nodes     int      `json:"of"`
+	Missing   []string `json:"missing,omitempty"`
 }
 
-// Desk counts notice.
-type Desk struct {
-	seen map[rpc.EndpointID]time.Duration
+// Planner counts notice.
+type Planner struct {
+	firstSeen map[rpc.EndpointID]time.Duration
 }
 
-// NewDesk has seen no order.
-func NewDesk() (desk *Desk) { return &Desk{seen: map[rpc.EndpointID]time.Duration{}} }
+// NewPlanner has seen no order.
+func NewPlanner() (desk *Planner) { return &Planner{firstSeen: map[rpc.EndpointID]time.Duration{}} }
 
-// Step looks at all orders. It gives the backends whose stop is to be
+// Plan looks at all orders. It gives the backends whose stop is to be
 // committed now, and the account of each order.
-func (d *Desk) Step(now time.Duration, policy *Policy, orders []rpc.Retirement, followers []Follower, stock func(rpc.ServiceName) Stock) (stops []rpc.EndpointID, accounts []Account) {
+func (d *Planner) Plan(now time.Duration, policy *Policy, orders []rpc.Retirement, followers []Follower, stock func(rpc.ServiceName) EndpointCounts) (stops []rpc.EndpointID, accounts []RetirementStatus) {
 	sort.Slice(orders, func(i, k int) bool { return orders[i].Announced < orders[k].Announced })
 	stopped := map[rpc.ServiceName]int{}
 	standing := map[rpc.EndpointID]bool{}
@@ -82,20 +82,20 @@
 			continue
 		}
 		standing[retired.Server] = true
-		account := Account{Server: string(retired.Server), Service: string(retired.Service), By: retired.By, Of: len(followers)}
-		rule := policy.For(retired.Service)
-		if _, known := d.seen[retired.Server]; !known {
-			d.seen[retired.Server] = now
+		account := RetirementStatus{Backend: string(retired.Server), Service: string(retired.Service), By: retired.By, Nodes: len(followers)}
+		rule := policy.RuleFor(retired.Service)
+		if _, known := d.firstSeen[retired.Server]; !known {
+			d.firstSeen[retired.Server] = now
 		}
-		account.Phase, account.Why = d.phase(now, policy, rule, retired, followers, stock(retired.Service), stopped[retired.Service])
+		account.Phase, account.Reason = d.phase(now, policy, rule, retired, followers, stock(retired.Service), stopped[retired.Service])
 		if account.Phase == Stopping && retired.Stopped == 0 {
 			stops = append(stops, retired.Server)
 			stopped[retired.Service]++
 		}
 		upto := max(retired.Announced, retired.Stopped)
 		for _, follower := range followers {
-			if follower.Rev >= upto {
-				account.Follow++
+			if follower.Revision >= upto {
+				account.Confirmed++
 			} else {
 				account.Missing = append(account.Missing, string(follower.ID))
 			}
@@ -103,25 +103,25 @@
 		sort.Strings(account.Missing)
 		accounts = append(accounts, account)
 	}
-	for id := range d.seen {
+	for id := range d.firstSeen {
 		if !standing[id] {
-			delete(d.seen, id)
+			delete(d.firstSeen, id)
 		}
 	}
 	return stops, accounts
 }
 
-func (d *Desk) phase(now time.Duration, policy *Policy, rule Rule, retired rpc.Retirement, followers []Follower, stock Stock, stoppedNow int) (phase Phase, why string) {
+func (d *Planner) phase(now time.Duration, policy *Policy, rule Rule, retired rpc.Retirement, followers []Follower, stock EndpointCounts, stoppedNow int) (phase Phase, why string) {
 	confirmed, here, behind := 0, 0, 0
 	upto := max(retired.Announced, retired.Stopped)
 	for _, follower := range followers {
-		if follower.Here {
+		if follower.Connected {
 			here++
 		}
 		switch {
-		case follower.Rev >= upto:
+		case follower.Revision >= upto:
 			confirmed++
-		case follower.Here:
+		case follower.Connected:
 			behind++
 		}
 	}
@@ -129,13 +129,13 @@
 		if behind > 0 {
 			return Stopping, fmt.Sprintf("%d daemons in touch have not confirmed", behind)
 		}
-		return Together, ""
+		return Complete, ""
 	}
 	if retired.By == ByPlatform {
 		// It ends whatever is said here.
 		return Stopping, ""
 	}
-	left := time.Duration(rule.Notice) - (now - d.seen[retired.Server])
+	left := time.Duration(rule.Notice) - (now - d.firstSeen[retired.Server])
 	switch {
 	case behind > 0:
 		return Announced, fmt.Sprintf("%d daemons in touch have not heard of it", behind)
@@ -143,12 +143,12 @@
 		return Announced, "notice is running"
 	// Daemons that hear neither a leader nor more than half of the others stop
 	// by themselves; so no more than half may be out of touch here.
-	case policy != nil && policy.CutOff == CutOffStop && 2*confirmed <= len(followers):
-		return Held, fmt.Sprintf("only %d of %d daemons confirm", confirmed, len(followers))
+	case policy != nil && policy.WhenIsolated == IsolatedStop && 2*confirmed <= len(followers):
+		return Waiting, fmt.Sprintf("only %d of %d daemons confirm", confirmed, len(followers))
 	}
 	least := max(1, int(math.Ceil(rule.LeastShare*float64(stock.Listed))))
-	if remain := stock.Useful - stoppedNow - 1; remain < least {
-		return Held, fmt.Sprintf("%d of %d backends would be left, the least share is %d", max(0, remain), stock.Listed, least)
+	if remain := stock.Usable - stoppedNow - 1; remain < least {
+		return Waiting, fmt.Sprintf("%d of %d backends would be left, the least share is %d", max(0, remain), stock.Listed, least)
 	}
 	return Stopping, ""
 }
--- a/internal/drain/permit.go
+++ b/internal/drain/permit.go
@@ -16,43 +16,43 @@
 
 // Permit of one daemon.
 type Permit struct {
-	lost     time.Duration
-	stops    bool
-	led      time.Duration
-	fellows  time.Duration
-	retired  map[rpc.EndpointID]rpc.Retirement
-	stoppedA map[rpc.EndpointID]time.Duration
+	isolatedAfter     time.Duration
+	stopsWhenIsolated bool
+	leaderHeard       time.Duration
+	peersHeard        time.Duration
+	retired           map[rpc.EndpointID]rpc.Retirement
+	stoppedAt         map[rpc.EndpointID]time.Duration
 }
 
 // NewPermit begins in touch.
 func NewPermit(now time.Duration) (permit *Permit) {
-	return &Permit{led: now, fellows: now, retired: map[rpc.EndpointID]rpc.Retirement{}, stoppedA: map[rpc.EndpointID]time.Duration{}}
+	return &Permit{leaderHeard: now, peersHeard: now, retired: map[rpc.EndpointID]rpc.Retirement{}, stoppedAt: map[rpc.EndpointID]time.Duration{}}
 }
 
-// Policy takes the policy in force, nil for none.
-func (p *Permit) Policy(policy *Policy) {
-	p.lost, p.stops = 0, false
+// SetPolicy takes the policy in force, nil for none.
+func (p *Permit) SetPolicy(policy *Policy) {
+	p.isolatedAfter, p.stopsWhenIsolated = 0, false
 	if policy != nil {
-		p.lost, p.stops = time.Duration(policy.LostTouch), policy.CutOff == CutOffStop
+		p.isolatedAfter, p.stopsWhenIsolated = time.Duration(policy.IsolatedAfter), policy.WhenIsolated == IsolatedStop
 	}
 }
 
-// Led notes news that were asked for at a time: the leader spoke later than that.
-func (p *Permit) Led(asked time.Duration) { p.led = max(p.led, asked) }
+// LeaderHeard notes news that were asked for at a time: the leader spoke later than that.
+func (p *Permit) LeaderHeard(asked time.Duration) { p.leaderHeard = max(p.leaderHeard, asked) }
 
-// Heard notes that more than half of the fellows answered what was asked at a time.
-func (p *Permit) Heard(asked time.Duration) { p.fellows = max(p.fellows, asked) }
+// PeersHeard notes that more than half of the fellows answered what was asked at a time.
+func (p *Permit) PeersHeard(asked time.Duration) { p.peersHeard = max(p.peersHeard, asked) }
 
-// Take takes one agreed order; an older one changes nothing.
-func (p *Permit) Take(now time.Duration, retired rpc.Retirement) {
+// Apply takes one agreed order; an older one changes nothing.
+func (p *Permit) Apply(now time.Duration, retired rpc.Retirement) {
 	old := p.retired[retired.Server]
 	if retired.Rev <= old.Rev {
 		return
 	}
 	if retired.Gone {
-		delete(p.stoppedA, retired.Server)
+		delete(p.stoppedAt, retired.Server)
 	} else if retired.Stopped > 0 && old.Stopped == 0 {
-		p.stoppedA[retired.Server] = now
+		p.stoppedAt[retired.Server] = now
 	}
 	p.retired[retired.Server] = retired
 }
@@ -60,21 +60,21 @@
 // Forget drops a backend that is on no list any more.
 func (p *Permit) Forget(server rpc.EndpointID) {
 	delete(p.retired, server)
-	delete(p.stoppedA, server)
+	delete(p.stoppedAt, server)
 }
 
-// CutOff tells that the daemon must take nothing new at all.
-func (p *Permit) CutOff(now time.Duration) bool {
-	return p.stops && now-max(p.led, p.fellows) > p.lost
+// Isolated tells that the daemon must take nothing new at all.
+func (p *Permit) Isolated(now time.Duration) bool {
+	return p.stopsWhenIsolated && now-max(p.leaderHeard, p.peersHeard) > p.isolatedAfter
 }
 
-// Lonely tells that fellows should be asked whether they are there.
-func (p *Permit) Lonely(now time.Duration) bool {
-	return p.stops && now-p.led > p.lost/3
+// ShouldAskPeers tells that fellows should be asked whether they are there.
+func (p *Permit) ShouldAskPeers(now time.Duration) bool {
+	return p.stopsWhenIsolated && now-p.leaderHeard > p.isolatedAfter/3
 }
 
-// Sends tells whether a new caller may be sent to a backend.
-func (p *Permit) Sends(now time.Duration, server rpc.EndpointID) (sends bool) {
+// AllowsNew tells whether a new caller may be sent to a backend.
+func (p *Permit) AllowsNew(now time.Duration, server rpc.EndpointID) (sends bool) {
 	retired, ordered := p.retired[server]
 	if !ordered || retired.Gone {
 		return true
@@ -82,18 +82,18 @@
 	if retired.Stopped > 0 {
 		return false
 	}
-	return p.lost == 0 || now-p.led <= p.lost
+	return p.isolatedAfter == 0 || now-p.leaderHeard <= p.isolatedAfter
 }
 
-// Finishing tells that a backend was stopped and what is there may go on.
-func (p *Permit) Finishing(now time.Duration, server rpc.EndpointID, finish time.Duration) (finishing bool) {
-	since, stopped := p.stoppedA[server]
+// MayFinish tells that a backend was stopped and what is there may go on.
+func (p *Permit) MayFinish(now time.Duration, server rpc.EndpointID, finish time.Duration) (finishing bool) {
+	since, stopped := p.stoppedAt[server]
 	return stopped && now-since < finish
 }
 
-// Over lists the backends whose requests at work have had their time.
-func (p *Permit) Over(now time.Duration, finish func(rpc.ServiceName) time.Duration) (over []rpc.Retirement) {
-	for server, since := range p.stoppedA {
+// Expired lists the backends whose requests at work have had their time.
+func (p *Permit) Expired(now time.Duration, finish func(rpc.ServiceName) time.Duration) (over []rpc.Retirement) {
+	for server, since := range p.stoppedAt {
 		if retired := p.retired[server]; now-since >= finish(retired.Service) {
 			over = append(over, retired)
 		}
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -24,8 +24,8 @@
 
 // What a daemon does that has lost touch with the others.
 const (
-	CutOffStop  = "stop"
-	CutOffServe = "serve"
+	IsolatedStop  = "stop"
+	IsolatedServe = "serve"
 )
 
 // Span is a time written as text.
@@ -38,8 +38,8 @@
 	Notice Span `json:"notice"`
 	// Finish is how long requests at work may go on after the stop.
 	Finish Span `json:"finish"`
-	// Keyed is "finish", or "deadline" to let keyed requests run until their own.
-	Keyed string `json:"keyed"`
+	// KeyedRequests is "finish", or "deadline" to let keyed requests run until their own.
+	KeyedRequests string `json:"keyed"`
 	// LeastShare is the part of the service that must stay in use.
 	LeastShare float64 `json:"least_share"`
 }
@@ -51,26 +51,26 @@
 type Policy struct {
 	Version policy.Version `json:"version"`
 	Rules   []Rule         `json:"rules"`
-	// LostTouch is after how long a daemon that hears neither a leader nor more
+	// IsolatedAfter is after how long a daemon that hears neither a leader nor more
 	// than half of its fellows counts itself as cut off, and CutOff what it does.
-	LostTouch Span   `json:"lost_touch"`
-	CutOff    string `json:"cut_off"`
+	IsolatedAfter Span   `json:"lost_touch"`
+	WhenIsolated  string `json:"cut_off"`
 }
 
 const (
-	longest   = Span(time.Hour)
-	touchMin  = Span(time.Second)
-	rulesMost = 1000
+	maxSpan          = Span(time.Hour)
+	minIsolatedAfter = Span(time.Second)
+	maxRules         = 1000
 )
 
-// Read reads a policy and checks what can be seen from it alone.
-func Read(body []byte) (parsed *Policy, err error) {
+// Parse reads a policy and checks what can be seen from it alone.
+func Parse(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
 	if err = policy.Open(body, parsed); err != nil {
 		return nil, err
 	}
 	faults := &policy.Faults{}
-	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
+	faults.Head(parsed.Version, len(parsed.Rules), maxRules)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
@@ -78,39 +78,39 @@
 			faults.Add(where("service"), "is missing or named twice")
 		}
 		named[rule.Service] = true
-		if rule.Notice < 0 || rule.Notice > longest {
+		if rule.Notice < 0 || rule.Notice > maxSpan {
 			faults.Add(where("notice"), "must be a time up to 1h")
 		}
-		if rule.Finish <= 0 || rule.Finish > longest {
+		if rule.Finish <= 0 || rule.Finish > maxSpan {
 			faults.Add(where("finish"), "must be a time above 0 and up to 1h")
 		}
-		if rule.Keyed != KeyedFinish && rule.Keyed != KeyedDeadline {
+		if rule.KeyedRequests != KeyedFinish && rule.KeyedRequests != KeyedDeadline {
 			faults.Add(where("keyed"), `must be "finish" or "deadline"`)
 		}
 		if !(rule.LeastShare >= 0 && rule.LeastShare < 1) {
 			faults.Add(where("least_share"), "must be 0 or more and below 1")
 		}
 	}
-	if parsed.LostTouch < touchMin || parsed.LostTouch > longest {
+	if parsed.IsolatedAfter < minIsolatedAfter || parsed.IsolatedAfter > maxSpan {
 		faults.Add("lost_touch", "must be a time from 1s to 1h")
 	}
-	if parsed.CutOff != CutOffStop && parsed.CutOff != CutOffServe {
+	if parsed.WhenIsolated != IsolatedStop && parsed.WhenIsolated != IsolatedServe {
 		faults.Add("cut_off", `must be "stop" or "serve"`)
 	}
 	return parsed, faults.Err()
 }
 
-// Check tells which services a policy names that are not known.
-func (p *Policy) Check(known func(service string) bool) (err error) {
+// CheckServices tells which services a policy names that are not known.
+func (p *Policy) CheckServices(known func(service string) bool) (err error) {
 	return policy.CheckServices(p.Rules, known)
 }
 
-// usual holds where no policy or no rule does.
-var usual = Rule{Service: AllServices, Finish: Span(30 * time.Second), Keyed: KeyedDeadline, LeastShare: 0}
+// defaultRule holds where no policy or no rule does.
+var defaultRule = Rule{Service: AllServices, Finish: Span(30 * time.Second), KeyedRequests: KeyedDeadline, LeastShare: 0}
 
-// For gives the rule of a service.
-func (p *Policy) For(service rpc.ServiceName) (rule Rule) {
-	rule = usual
+// RuleFor gives the rule of a service.
+func (p *Policy) RuleFor(service rpc.ServiceName) (rule Rule) {
+	rule = defaultRule
 	if p == nil {
 		return rule
 	}
--- a/internal/drain/policy_test.go
+++ b/internal/drain/policy_test.go
@@ -9,17 +9,17 @@
 
 // A refused policy names every fault in one line.
 func TestPolicyNamesEachFault(t *testing.T) {
-	policy, err := Read([]byte(sound))
+	policy, err := Parse([]byte(sound))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if policy.For("pay").Keyed != KeyedFinish || policy.For("other").LeastShare != 0.5 || (*Policy)(nil).For("x").Keyed != KeyedDeadline {
+	if policy.RuleFor("pay").KeyedRequests != KeyedFinish || policy.RuleFor("other").LeastShare != 0.5 || (*Policy)(nil).RuleFor("x").KeyedRequests != KeyedDeadline {
 		t.Fatal("a service's own rule goes before the one for all, and a usual one holds without a policy")
 	}
-	if err = policy.Check(func(service string) bool { return service == "book" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "pay"`) {
+	if err = policy.CheckServices(func(service string) bool { return service == "book" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "pay"`) {
 		t.Fatal(err)
 	}
-	_, err = Read([]byte(`{"version":0,"rules":[{"service":"a","notice":"2h","finish":"0s","keyed":"maybe","least_share":1},{"service":"a","notice":"-1s","finish":"1s","keyed":"finish","least_share":-1}],"lost_touch":"10ms","cut_off":"hide"}`))
+	_, err = Parse([]byte(`{"version":0,"rules":[{"service":"a","notice":"2h","finish":"0s","keyed":"maybe","least_share":1},{"service":"a","notice":"-1s","finish":"1s","keyed":"finish","least_share":-1}],"lost_touch":"10ms","cut_off":"hide"}`))
 	if err == nil || strings.Contains(err.Error(), "\n") {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, body := range []string{``, `[]`, `{"version":1,"rulez":[]}`, `{"version":1,"rules":[{"service":"a","notice":"soon","finish":"1s","keyed":"finish","least_share":0}]}`} {
-		if _, err = Read([]byte(body)); err == nil {
+		if _, err = Parse([]byte(body)); err == nil {
 			t.Errorf("%s was taken", body)
 		}
 	}
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -41,7 +41,7 @@
 	agreed  map[rpc.EndpointID]rpc.Retirement
 	policy  *Policy
 	daemons []*simDaemon
-	desk    *Desk
+	desk    *Planner
 	heard   map[rpc.NodeID]Follower
 	heardAt map[rpc.NodeID]time.Duration
 	led     bool
@@ -66,12 +66,12 @@
 const simLost = 3 * time.Second
 
 func newSimDrain(t *testing.T, seed int64, fault simFault) *simDrain {
-	policy, err := Read([]byte(`{"version":1,"rules":[{"service":"*","notice":"500ms","finish":"10s","keyed":"deadline","least_share":0.3}],"lost_touch":"3s","cut_off":"stop"}`))
+	policy, err := Parse([]byte(`{"version":1,"rules":[{"service":"*","notice":"500ms","finish":"10s","keyed":"deadline","least_share":0.3}],"lost_touch":"3s","cut_off":"stop"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &simDrain{
-		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.EndpointID]rpc.Retirement{}, policy: policy, desk: NewDesk(),
+		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.EndpointID]rpc.Retirement{}, policy: policy, desk: NewPlanner(),
 		heard: map[rpc.NodeID]Follower{}, heardAt: map[rpc.NodeID]time.Duration{}, led: true, together: map[rpc.EndpointID]time.Duration{},
 		runs: map[string]int{}, atWork: map[rpc.EndpointID][]simRun{}, ended: map[rpc.EndpointID]bool{},
 	}
@@ -83,7 +83,7 @@
 
 func (s *simDrain) join(i int) {
 	daemon := &simDaemon{id: rpc.NodeID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
-	daemon.permit.Policy(s.policy)
+	daemon.permit.SetPolicy(s.policy)
 	s.daemons = append(s.daemons, daemon)
 }
 
@@ -95,29 +95,29 @@
 		return
 	}
 	if s.led {
-		s.heard[d.id] = Follower{ID: d.id, Rev: d.rev, Here: true}
+		s.heard[d.id] = Follower{ID: d.id, Revision: d.rev, Connected: true}
 		s.heardAt[d.id] = s.now
 		for _, order := range s.agreed {
-			d.permit.Take(s.now, order)
+			d.permit.Apply(s.now, order)
 		}
 		d.rev, d.fresh = s.rev, true
-		d.permit.Led(s.now)
+		d.permit.LeaderHeard(s.now)
 		d.beatAt = s.now
 		return
 	}
 	// Without a leader the fellows are asked.
-	if d.permit.Lonely(s.now) {
+	if d.permit.ShouldAskPeers(s.now) {
 		answers := 0
 		for _, other := range s.daemons {
 			if other != d && s.inTouch(other) {
 				answers++
 				for _, order := range other.permit.retired {
-					d.permit.Take(s.now, order)
+					d.permit.Apply(s.now, order)
 				}
 			}
 		}
 		if 2*(answers+1) > len(s.daemons) {
-			d.permit.Heard(s.now)
+			d.permit.PeersHeard(s.now)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	if !s.led {
 		if s.now >= s.newLead {
 			// A new leader has what is agreed, and has heard nobody yet.
-			s.led, s.desk, s.heard = true, NewDesk(), map[rpc.NodeID]Follower{}
+			s.led, s.desk, s.heard = true, NewPlanner(), map[rpc.NodeID]Follower{}
 		}
 		return
 	}
@@ -136,21 +136,21 @@
 		if !known {
 			follower = Follower{ID: d.id}
 		}
-		follower.Here = known && s.now-s.heardAt[d.id] < time.Second
+		follower.Connected = known && s.now-s.heardAt[d.id] < time.Second
 		followers = append(followers, follower)
 	}
 	var orders []rpc.Retirement
 	for _, order := range s.agreed {
 		orders = append(orders, order)
 	}
-	stops, accounts := s.desk.Step(s.now, s.policy, orders, followers, func(rpc.ServiceName) Stock {
+	stops, accounts := s.desk.Plan(s.now, s.policy, orders, followers, func(rpc.ServiceName) EndpointCounts {
 		useful := 8
 		for _, order := range s.agreed {
 			if order.Stopped > 0 {
 				useful--
 			}
 		}
-		return Stock{Listed: 8, Useful: useful}
+		return EndpointCounts{Listed: 8, Usable: useful}
 	})
 	if s.fault.hasty {
 		for id, order := range s.agreed {
@@ -166,8 +166,8 @@
 		s.agreed[id] = order
 	}
 	for _, account := range accounts {
-		id := rpc.EndpointID(account.Server)
-		if _, told := s.together[id]; !told && account.Phase == Together {
+		id := rpc.EndpointID(account.Backend)
+		if _, told := s.together[id]; !told && account.Phase == Complete {
 			s.together[id] = s.now
 		}
 	}
@@ -181,14 +181,14 @@
 		return
 	}
 	s.sent++
-	if d.permit.CutOff(s.now) && !s.fault.blind {
+	if d.permit.Isolated(s.now) && !s.fault.blind {
 		s.refused++
 		return
 	}
 	first := s.luck.Intn(8)
 	for i := range 8 {
 		id := rpc.EndpointID(fmt.Sprint("i-", (first+i)%8))
-		if !d.permit.Sends(s.now, id) && !s.fault.deaf {
+		if !d.permit.AllowsNew(s.now, id) && !s.fault.deaf {
 			continue
 		}
 		if s.ended[id] {
@@ -222,7 +222,7 @@
 			d := s.daemons[s.luck.Intn(len(s.daemons))]
 			d.downTil = s.now + time.Second
 			d.permit, d.rev, d.fresh = NewPermit(s.now), 0, false
-			d.permit.Policy(s.policy)
+			d.permit.SetPolicy(s.policy)
 		case 2:
 			if s.led && s.luck.Intn(3) == 0 {
 				s.led, s.newLead = false, s.now+time.Duration(500+s.luck.Intn(4000))*time.Millisecond
@@ -305,33 +305,33 @@
 // The least share holds an order back and says so; it goes on when there is
 // room again. The platform's own word is not held back.
 func TestTheLeastShareHoldsAnOrder(t *testing.T) {
-	policy, _ := Read([]byte(sound))
-	desk := NewDesk()
-	all := []Follower{{ID: "a", Rev: 9, Here: true}, {ID: "b", Rev: 9, Here: true}, {ID: "c"}}
+	policy, _ := Parse([]byte(sound))
+	desk := NewPlanner()
+	all := []Follower{{ID: "a", Revision: 9, Connected: true}, {ID: "b", Revision: 9, Connected: true}, {ID: "c"}}
 	orders := []rpc.Retirement{{Server: "i", Service: "book", By: ByOperator, Announced: 9, Rev: 9}}
-	stock := Stock{Listed: 4, Useful: 2}
-	step := func(now time.Duration) (stops []rpc.EndpointID, account Account) {
-		stops, accounts := desk.Step(now, policy, orders, all, func(rpc.ServiceName) Stock { return stock })
+	stock := EndpointCounts{Listed: 4, Usable: 2}
+	step := func(now time.Duration) (stops []rpc.EndpointID, account RetirementStatus) {
+		stops, accounts := desk.Plan(now, policy, orders, all, func(rpc.ServiceName) EndpointCounts { return stock })
 		return stops, accounts[0]
 	}
 	if stops, account := step(0); len(stops) != 0 || account.Phase != Announced {
 		t.Fatalf("notice: %v %+v", stops, account)
 	}
-	if stops, account := step(2 * time.Second); len(stops) != 0 || account.Phase != Held || account.Why == "" {
+	if stops, account := step(2 * time.Second); len(stops) != 0 || account.Phase != Waiting || account.Reason == "" {
 		t.Fatalf("least share: %v %+v", stops, account)
 	}
-	stock.Useful = 4
+	stock.Usable = 4
 	if stops, _ := step(3 * time.Second); len(stops) != 1 {
 		t.Fatal("there is room again, but the order waits")
 	}
-	stock.Useful, orders[0].By = 1, ByPlatform
+	stock.Usable, orders[0].By = 1, ByPlatform
 	if stops, _ := step(4 * time.Second); len(stops) != 1 {
 		t.Fatal("the platform's word was held back")
 	}
 	orders[0].By = ByOperator
-	stock.Useful = 4
-	all[1].Here, all[1].Rev = false, 0
-	if stops, account := step(5 * time.Second); len(stops) != 0 || account.Phase != Held {
+	stock.Usable = 4
+	all[1].Connected, all[1].Revision = false, 0
+	if stops, account := step(5 * time.Second); len(stops) != 0 || account.Phase != Waiting {
 		t.Fatalf("one of three confirms, yet: %v %+v", stops, account)
 	}
 }
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -45,7 +45,7 @@
 // RecordRequest notes a request for a service.
 func (b *RetryBudget) RecordRequest(now time.Duration, service rpc.ServiceName) {
 	if b.operatorLimit != nil {
-		b.operatorLimit.First(now, service)
+		b.operatorLimit.FirstAttempt(now, service)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,7 +61,7 @@
 // answered at a time and must be by another.
 func (b *RetryBudget) SpendRetry(now, answered, till time.Duration, service rpc.ServiceName) (granted bool) {
 	return b.spend(now, service, func() bool {
-		return b.operatorLimit == nil || b.operatorLimit.Spend(now, answered, till, service) == retry.Granted
+		return b.operatorLimit == nil || b.operatorLimit.AllowRetry(now, answered, till, service) == retry.Allowed
 	})
 }
 
@@ -81,6 +81,6 @@
 // RecordOutcome takes what became of an attempt.
 func (b *RetryBudget) RecordOutcome(now time.Duration, service rpc.ServiceName, inTime bool) {
 	if b.operatorLimit != nil {
-		b.operatorLimit.Learn(now, service, inTime)
+		b.operatorLimit.RecordOutcome(now, service, inTime)
 	}
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -55,7 +55,7 @@
 	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
 	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
 	d.retryBudget.operatorLimit = d.state.Policies.Retries
-	d.retryBudget.operatorLimit.OnGate = func(service rpc.ServiceName, open bool) {
+	d.retryBudget.operatorLimit.OnGateChange = func(service rpc.ServiceName, open bool) {
 		log.Emit(eventlog.RetriesSuppressed, eventlog.KeyService, string(service), "suppressed", open)
 	}
 	d.tenantLimits = NewTenantLimits(d.state.Leased, func() { go d.leader.HeartbeatNow() })
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -181,7 +181,7 @@
 	if l.Limits != nil {
 		l.Limits.Fill(l.clock.Now(), tenants)
 	}
-	l.state.Policies.Retries.Fill(l.clock.Now())
+	l.state.Policies.Retries.Refill(l.clock.Now())
 	if !l.state.Apply(asked, news) || !l.noteLeader(target, news.Term) {
 		news.IsLeader = false
 		return news, nil
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -70,8 +70,8 @@
 func (o *Policies) apply(now, asked time.Duration, news *rpc.Update, memory *history.Recorder, quiet bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drainPermit.Led(asked)
-	o.Retries.Touch(asked)
+	o.drainPermit.LeaderHeard(asked)
+	o.Retries.LeaderHeard(asked)
 	spills := make(map[rpc.ServiceName]rpc.ZoneOverflow, len(news.ZoneOverflows))
 	for _, spill := range news.ZoneOverflows {
 		spills[spill.Service] = spill
@@ -91,23 +91,23 @@
 		if document.Kind == policy.DrainPolicy {
 			o.drainPolicy = nil
 			if document.InForce() {
-				o.drainPolicy, _ = drain.Read([]byte(document.Body))
+				o.drainPolicy, _ = drain.Parse([]byte(document.Body))
 			}
-			o.drainPermit.Policy(o.drainPolicy)
+			o.drainPermit.SetPolicy(o.drainPolicy)
 		}
 		if document.Kind == policy.SessionAffinity {
 			var drainPolicy *affinity.Policy
 			if document.InForce() {
-				drainPolicy, _ = affinity.Read([]byte(document.Body))
+				drainPolicy, _ = affinity.Parse([]byte(document.Body))
 			}
 			o.Sessions.Set(drainPolicy)
 		}
 		if document.Kind == policy.RetryLimit {
 			var limit *retry.Policy
 			if document.InForce() {
-				limit, _ = retry.Read([]byte(document.Body))
+				limit, _ = retry.Parse([]byte(document.Body))
 			}
-			o.Retries.Set(limit)
+			o.Retries.SetPolicy(limit)
 		}
 	}
 	o.applyRetirements(now, news.Retirements, memory, quiet)
@@ -125,7 +125,7 @@
 			continue
 		}
 		o.retirements[order.Server] = order
-		o.drainPermit.Take(now, order)
+		o.drainPermit.Apply(now, order)
 		o.hasRetirements.Store(true)
 		memory.Record(history.Retirement, string(order.Server), "applied", order.Summary(), order.Rev, quiet)
 	}
@@ -154,7 +154,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.drainPermit.Sends(now, server)
+	return o.drainPermit.AllowsNew(now, server)
 }
 
 // KeepsSessions tells whether a session that is there may stay on a backend: one that
@@ -165,7 +165,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.drainPermit.Sends(now, server) || o.drainPermit.Finishing(now, server, time.Duration(o.drainPolicy.For(service).Finish))
+	return o.drainPermit.AllowsNew(now, server) || o.drainPermit.MayFinish(now, server, time.Duration(o.drainPolicy.RuleFor(service).Finish))
 }
 
 // CutOff tells that nothing new may be taken.
@@ -264,24 +264,24 @@
 		now := d.clock.Now()
 		o := d.state.Policies
 		o.mu.Lock()
-		lonely, sessionPolicy := o.drainPermit.Lonely(now), o.drainPolicy
-		over := o.drainPermit.Over(now, func(service rpc.ServiceName) time.Duration {
-			return time.Duration(sessionPolicy.For(service).Finish)
+		lonely, sessionPolicy := o.drainPermit.ShouldAskPeers(now), o.drainPolicy
+		over := o.drainPermit.Expired(now, func(service rpc.ServiceName) time.Duration {
+			return time.Duration(sessionPolicy.RuleFor(service).Finish)
 		})
 		o.mu.Unlock()
 		for _, retired := range over {
-			d.state.abortRequests(retired.Server, sessionPolicy.For(retired.Service).Keyed == drain.KeyedDeadline)
+			d.state.abortRequests(retired.Server, sessionPolicy.RuleFor(retired.Service).KeyedRequests == drain.KeyedDeadline)
 		}
 		if sessionPolicy == nil {
 			o.cutOff.Store(false)
 			continue
 		}
-		if lonely && now-asked > time.Duration(sessionPolicy.LostTouch)/4 {
+		if lonely && now-asked > time.Duration(sessionPolicy.IsolatedAfter)/4 {
 			asked = now
 			d.askPeers(now)
 		}
 		o.mu.Lock()
-		cut := o.drainPermit.CutOff(d.clock.Now())
+		cut := o.drainPermit.Isolated(d.clock.Now())
 		o.mu.Unlock()
 		if o.cutOff.Swap(cut) != cut {
 			d.log.Emit(eventlog.IsolationChanged, "isolated", cut)
@@ -322,7 +322,7 @@
 	asked.Wait()
 	if 2*(int(answers.Load())+1) > len(inners)+1 {
 		o.mu.Lock()
-		o.drainPermit.Heard(now)
+		o.drainPermit.PeersHeard(now)
 		o.mu.Unlock()
 	}
 }
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -65,22 +65,22 @@
 	if s.policy.Load() == nil {
 		return nil
 	}
-	remembered, dropped, moved := s.binder.Standing()
+	remembered, dropped, moved := s.binder.Stats()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &SessionsStatus{
-		Remembered: remembered, Dropped: dropped, Moved: moved, Named: s.findings[affinity.Named], Missing: s.findings[affinity.Missing], Repeated: s.findings[affinity.Repeated],
+		Remembered: remembered, Dropped: dropped, Moved: moved, Named: s.findings[affinity.Named], Missing: s.findings[affinity.Missing], Repeated: s.findings[affinity.Conflicting],
 		Malformed: s.findings[affinity.Malformed], TooLong: s.findings[affinity.TooLong], Unkept: s.unkept, Refused: s.refused,
 	}
 }
 
 // findSession names the session of a request at a service.
-func (s *Sessions) findSession(policy *affinity.Policy, service rpc.ServiceName, asked affinity.Asked) (rule affinity.Rule, name string, named bool) {
-	rule, ruled := policy.For(service)
+func (s *Sessions) findSession(policy *affinity.Policy, service rpc.ServiceName, asked affinity.NameSources) (rule affinity.Rule, name string, named bool) {
+	rule, ruled := policy.RuleFor(service)
 	if !ruled {
 		return rule, "", false
 	}
-	name, finding := rule.Find(asked)
+	name, finding := rule.FindName(asked)
 	s.mu.Lock()
 	s.findings[finding]++
 	s.mu.Unlock()
@@ -104,7 +104,7 @@
 	asked := plan.Request.affinityInput(tenant)
 	if len(plan.Route.Targets) > 1 {
 		for _, part := range plan.Route.Targets {
-			if _, ruled := policy.For(rpc.ServiceName(part.Service)); !ruled {
+			if _, ruled := policy.RuleFor(rpc.ServiceName(part.Service)); !ruled {
 				continue
 			}
 			if _, name, named := s.findSession(policy, rpc.ServiceName(part.Service), asked); named {
@@ -115,7 +115,7 @@
 	}
 	if rule, name, named := s.findSession(policy, plan.Service, asked); named {
 		plan.Rule = rule
-		plan.Session = affinity.SessionOf(plan.Service, plan.Route.Homes, name)
+		plan.Session = affinity.SessionIDOf(plan.Service, plan.Route.Homes, name)
 	}
 }
 
@@ -123,19 +123,19 @@
 func (d *Daemon) bind(plan *Plan) (kind apierror.Kind) {
 	s, idle := d.state.Policies.Sessions, time.Duration(plan.Rule.Idle)
 	limit := min(900*time.Millisecond, plan.Deadline-d.clock.Now())
-	server, outcome := s.binder.Bind(plan.Session, idle, affinity.View{
-		Now:   d.clock.Now,
-		Over:  func(server rpc.EndpointID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
-		Begin: func() rpc.EndpointID { return d.placeSession(d.state.Snapshot(), plan) },
-		Ask: func(from, choice rpc.EndpointID) rpc.BindResult {
+	server, outcome := s.binder.Bind(plan.Session, idle, affinity.RequestView{
+		Now:       d.clock.Now,
+		MustLeave: func(server rpc.EndpointID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
+		ChooseNew: func() rpc.EndpointID { return d.placeSession(d.state.Snapshot(), plan) },
+		AskLeader: func(from, choice rpc.EndpointID) rpc.BindResult {
 			return d.leader.Bind(rpc.SessionBinding{Session: plan.Session, Service: plan.Service, Endpoint: choice, EndedEndpoint: from, IdleTimeout: idle}, plan.Route.Aim/4, limit)
 		},
 	})
 	plan.BoundBackend = server
 	switch {
-	case outcome == affinity.Kept:
+	case outcome == affinity.Bound:
 		return apierror.None
-	case outcome == affinity.Unkept, outcome == affinity.NoAnswer && plan.Rule.Alone == affinity.AloneServe && plan.Route.Repeat.Repeatable():
+	case outcome == affinity.Unbound, outcome == affinity.NoAnswer && plan.Rule.WithoutLeader == affinity.WithoutLeaderServe && plan.Route.Repeat.Repeatable():
 		s.count(&s.unkept)
 		return apierror.None
 	}
@@ -214,8 +214,8 @@
 }
 
 // affinityInput is the part of a request that may name its session.
-func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.Asked) {
-	asked = affinity.Asked{Lines: r.Headers, Key: r.operationKey()}
+func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.NameSources) {
+	asked = affinity.NameSources{Headers: r.Headers, Key: r.operationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -220,8 +220,8 @@
 			d.Handle(request("GET", "/safe/x", fmt.Sprint("r", i)), "2500")
 		}
 		if limit != "" {
-			account := d.state.Policies.Retries.Accounts(d.clock.Now())
-			if len(account) != 1 || account[0].Refused+account[0].Slow == 0 {
+			account := d.state.Policies.Retries.Status(d.clock.Now())
+			if len(account) != 1 || account[0].Rejected+account[0].RejectedSlow == 0 {
 				t.Errorf("%+v", account)
 			}
 		}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -26,7 +26,7 @@
 	InFlight  int64    `json:"at_work"`
 	Probes    []string `json:"probes"`
 	// Retries is how each service under the written limit stands here.
-	Retries []retry.Account `json:"retries,omitempty"`
+	Retries []retry.ServiceStatus `json:"retries,omitempty"`
 	// Sessions is how sessions stand, where there is a policy.
 	Sessions *SessionsStatus `json:"sessions,omitempty"`
 }
@@ -40,7 +40,7 @@
 		Term: uint64(seen.Term), Epoch: uint64(seen.Revision), Revision: seen.LogIndex, Nodes: len(d.state.Snapshot().Nodes), InFlight: d.frontend.InFlight(),
 	}
 	account.Sessions = d.state.Policies.Sessions.Status()
-	account.Retries = d.state.Policies.Retries.Accounts(d.clock.Now())
+	account.Retries = d.state.Policies.Retries.Status(d.clock.Now())
 	for _, service := range d.state.ProbedServices() {
 		account.Probes = append(account.Probes, string(service))
 	}
--- a/internal/raft/binding.go
+++ b/internal/raft/binding.go
@@ -55,7 +55,7 @@
 		standing.Server = rpc.EndpointID(command.Request)
 		result.Moved = from != standing.Server
 	case bound:
-	case len(s.bindings) >= affinity.SessionsMost:
+	case len(s.bindings) >= affinity.MaxSessionsTotal:
 		return Result{Problem: "there are too many sessions"}
 	default:
 		standing = Binding{Service: rpc.ServiceName(command.Site), Server: rpc.EndpointID(command.Request)}
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -582,7 +582,7 @@
 // The operator documents of a stored state are read by their JSON names.
 func TestStoredDocumentsAreReadAsTheyWere(t *testing.T) {
 	text := func(kind policy.Kind) []byte { return []byte(storedState.Documents[kind].Body) }
-	drainPolicy, err := drain.Read(text("drain-policy"))
+	drainPolicy, err := drain.Parse(text("drain-policy"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -590,26 +590,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limit, err := retry.Read(text("retry-limit"))
+	limit, err := retry.Parse(text("retry-limit"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sessions, err := affinity.Read(text("session-affinity"))
+	sessions, err := affinity.Parse(text("session-affinity"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := policy.Span(time.Second)
 	want := []any{
-		&drain.Policy{Version: 2, LostTouch: 10 * second, CutOff: "stop", Rules: []drain.Rule{
-			{Service: "*", Notice: 2 * second, Finish: 30 * second, Keyed: "deadline", LeastShare: 0.5},
-			{Service: "pay", Notice: second, Finish: 60 * second, Keyed: "finish", LeastShare: 0.25},
+		&drain.Policy{Version: 2, IsolatedAfter: 10 * second, WhenIsolated: "stop", Rules: []drain.Rule{
+			{Service: "*", Notice: 2 * second, Finish: 30 * second, KeyedRequests: "deadline", LeastShare: 0.5},
+			{Service: "pay", Notice: second, Finish: 60 * second, KeyedRequests: "finish", LeastShare: 0.25},
 		}},
 		&schedule.Plan{Version: 3, Step: 0.1, Every: 30 * second, Room: 0.8, Targets: []schedule.Target{{
 			Host: "shop.example", TimeZone: "Europe/Berlin",
 			Spans: []schedule.Span{{From: 390, To: 1080, Weights: map[rpc.RegionName]float64{"east": 3, "west": 1}, Ramp: 1800 * second}},
 		}}},
 		&retry.Policy{Version: 1, Rules: []retry.Rule{{Service: "*", Ratio: 0.2, LeastPerSecond: 10, Window: 10 * second}}},
-		&affinity.Policy{Version: 7, Rules: []affinity.Rule{{Service: "pay", Source: "cookie", Name: "sid", Idle: 600 * second, Alone: "serve", Most: 1000}}},
+		&affinity.Policy{Version: 7, Rules: []affinity.Rule{{Service: "pay", Source: "cookie", Name: "sid", Idle: 600 * second, WithoutLeader: "serve", MaxSessions: 1000}}},
 	}
 	if diff := cmp.Diff(want, []any{drainPolicy, plan, limit, sessions}, cmpopts.IgnoreUnexported(schedule.Target{})); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
--- a/internal/raft/orders.go
+++ b/internal/raft/orders.go
@@ -99,11 +99,11 @@
 	document = policy.Document{Kind: kind, Body: string(body)}
 	switch kind {
 	case policy.DrainPolicy:
-		parsed, readErr := drain.Read(body)
+		parsed, readErr := drain.Parse(body)
 		if readErr != nil {
 			return document, readErr
 		}
-		document.Version, err = parsed.Version, parsed.Check(known)
+		document.Version, err = parsed.Version, parsed.CheckServices(known)
 	case policy.DayPlan:
 		plan, readErr := schedule.Read(body)
 		if readErr != nil {
@@ -111,17 +111,17 @@
 		}
 		document.Version, err = plan.Version, plan.Check(known, func(rpc.RegionName) bool { return true })
 	case policy.SessionAffinity:
-		parsed, readErr := affinity.Read(body)
+		parsed, readErr := affinity.Parse(body)
 		if readErr != nil {
 			return document, readErr
 		}
-		document.Version, err = parsed.Version, parsed.Check(known)
+		document.Version, err = parsed.Version, parsed.CheckServices(known)
 	case policy.RetryLimit:
-		limit, readErr := retry.Read(body)
+		limit, readErr := retry.Parse(body)
 		if readErr != nil {
 			return document, readErr
 		}
-		document.Version, err = limit.Version, limit.Check(known)
+		document.Version, err = limit.Version, limit.CheckServices(known)
 	default:
 		err = policy.Class.New("unknown kind of document %q", kind)
 	}
--- a/internal/retry/gate.go
+++ b/internal/retry/gate.go
@@ -7,61 +7,61 @@
 import "time"
 
 const (
-	gateSamples  = 10
-	gateShut     = 0.5
-	gateOpen     = 0.2
-	gateTrickle  = 0.05
-	gateRampSpan = 5 * time.Second
+	gateSamples     = 10
+	closeAbove      = 0.5
+	reopenBelow     = 0.2
+	trickleFraction = 0.05
+	rampTime        = 5 * time.Second
 )
 
-// Gate of one service at one node.
-type Gate struct {
-	good, bad int
-	shut      bool
-	opened    time.Duration
-	ramping   bool
-	credit    float64
+// CircuitGate of one service at one node.
+type CircuitGate struct {
+	inTime, late int
+	closed       bool
+	reopenedAt   time.Duration
+	ramping      bool
+	credit       float64
 }
 
-// Learn takes what became of one attempt: whether it was answered in time. It
+// Record takes what became of one attempt: whether it was answered in time. It
 // tells whether the gate was shut or opened by that.
-func (g *Gate) Learn(now time.Duration, inTime bool) (turned bool) {
+func (g *CircuitGate) Record(now time.Duration, inTime bool) (turned bool) {
 	if inTime {
-		g.good++
+		g.inTime++
 	} else {
-		g.bad++
+		g.late++
 	}
-	seen := g.good + g.bad
+	seen := g.inTime + g.late
 	if seen < gateSamples {
 		return false
 	}
-	part := float64(g.bad) / float64(seen)
-	g.good, g.bad = 0, 0
+	part := float64(g.late) / float64(seen)
+	g.inTime, g.late = 0, 0
 	switch {
-	case part > gateShut:
-		turned = !g.shut
-		g.shut, g.ramping, g.credit = true, false, 0
-	case part < gateOpen && g.shut:
+	case part > closeAbove:
+		turned = !g.closed
+		g.closed, g.ramping, g.credit = true, false, 0
+	case part < reopenBelow && g.closed:
 		turned = true
-		g.shut, g.ramping, g.opened = false, true, now
+		g.closed, g.ramping, g.reopenedAt = false, true, now
 	}
 	return turned
 }
 
-// Part is the part of the retries that may pass now.
-func (g *Gate) Part(now time.Duration) (part float64) {
+// PassFraction is the part of the retries that may pass now.
+func (g *CircuitGate) PassFraction(now time.Duration) (part float64) {
 	switch {
-	case g.shut:
-		return gateTrickle
+	case g.closed:
+		return trickleFraction
 	case g.ramping:
-		return min(1, gateTrickle+(1-gateTrickle)*float64(now-g.opened)/float64(gateRampSpan))
+		return min(1, trickleFraction+(1-trickleFraction)*float64(now-g.reopenedAt)/float64(rampTime))
 	}
 	return 1
 }
 
-// Pass lets one retry through or not.
-func (g *Gate) Pass(now time.Duration) (passes bool) {
-	g.credit = min(2, g.credit+g.Part(now))
+// Allow lets one retry through or not.
+func (g *CircuitGate) Allow(now time.Duration) (passes bool) {
+	g.credit = min(2, g.credit+g.PassFraction(now))
 	if g.credit < 1-1e-9 {
 		return false
 	}
--- a/internal/retry/gate_test.go
+++ b/internal/retry/gate_test.go
@@ -6,10 +6,10 @@
 )
 
 func TestTheGateLeavesATrickleAndOpensSlowly(t *testing.T) {
-	var gate Gate
+	var gate CircuitGate
 	passed := func(now time.Duration, of int) (passes int) {
 		for i := 0; i < of; i++ {
-			if gate.Pass(now) {
+			if gate.Allow(now) {
 				passes++
 			}
 		}
@@ -20,7 +20,7 @@
 	}
 	learn := func(now time.Duration, inTime bool) {
 		for i := 0; i < gateSamples; i++ {
-			gate.Learn(now, inTime)
+			gate.Record(now, inTime)
 		}
 	}
 	learn(time.Second, false)
@@ -42,7 +42,7 @@
 }
 
 func TestWhatIsEarnedLapses(t *testing.T) {
-	var purse Purse
+	var purse Budget
 	window := 8 * time.Second
 	for i := 0; i < 20; i++ {
 		purse.Earn(time.Second, window, 0.1)
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -16,174 +16,174 @@
 )
 
 const (
-	// touchSpan is how long after it asked for news a node counts as in touch.
-	touchSpan = 2 * time.Second
-	// floorRatio is the part of the ratio that is earned out of touch.
-	floorRatio = 0.2
+	// contactTime is how long after it asked for news a node counts as in touch.
+	contactTime = 2 * time.Second
+	// isolatedRatio is the part of the ratio that is earned out of touch.
+	isolatedRatio = 0.2
 )
 
-// Refusal says why a retry was not let.
-type Refusal uint8
+// Decision says why a retry was not let.
+type Decision uint8
 
 // The reasons; Granted is none.
 const (
-	Granted Refusal = iota
-	OverLimit
-	Slow
-	TooLate
+	Allowed Decision = iota
+	LimitReached
+	ServiceSlow
+	DeadlineTooShort
 )
 
-type standing struct {
-	rule    Rule
-	purse   Purse
-	bucket  quota.Bucket
-	gate    Gate
-	used    uint64
-	refused [TooLate + 1]uint64
+type serviceState struct {
+	rule     Rule
+	budget   Budget
+	bucket   quota.Bucket
+	gate     CircuitGate
+	used     uint64
+	rejected [DeadlineTooShort + 1]uint64
 }
 
-// Account is how one service stands at one node.
-type Account struct {
+// ServiceStatus is how one service stands at one node.
+type ServiceStatus struct {
 	Service string  `json:"service"`
 	Ratio   float64 `json:"ratio"`
 	Used    uint64  `json:"used"`
-	// Refused for want of a share, Slow because the service is, Late because no
+	// Rejected for want of a share, Slow because the service is, Late because no
 	// answer could have been in time.
-	Refused uint64  `json:"refused"`
-	Slow    uint64  `json:"refused_slow"`
-	Late    uint64  `json:"refused_late"`
-	Open    float64 `json:"open"`
+	Rejected     uint64  `json:"refused"`
+	RejectedSlow uint64  `json:"refused_slow"`
+	RejectedLate uint64  `json:"refused_late"`
+	PassFraction float64 `json:"open"`
 }
 
 // Limiter of one node.
 type Limiter struct {
-	part func(kind rpc.LeaseKind, service string) float64
-	// OnGate is told when retries of a service are held back or let again.
-	OnGate func(service rpc.ServiceName, open bool)
-	mu     sync.Mutex
-	policy *Policy
-	asked  time.Duration
-	held   map[rpc.ServiceName]*standing
+	leased func(kind rpc.LeaseKind, service string) float64
+	// OnGateChange is told when retries of a service are held back or let again.
+	OnGateChange func(service rpc.ServiceName, open bool)
+	mu           sync.Mutex
+	policy       *Policy
+	leaderHeard  time.Duration
+	services     map[rpc.ServiceName]*serviceState
 }
 
 // NewLimiter draws on leased parts.
 func NewLimiter(part func(kind rpc.LeaseKind, service string) float64) (limiter *Limiter) {
-	return &Limiter{part: part, OnGate: func(rpc.ServiceName, bool) {}, held: map[rpc.ServiceName]*standing{}}
+	return &Limiter{leased: part, OnGateChange: func(rpc.ServiceName, bool) {}, services: map[rpc.ServiceName]*serviceState{}}
 }
 
-// Set takes the policy in force, nil for none. What was earned under another
+// SetPolicy takes the policy in force, nil for none. What was earned under another
 // rule is lost, so that a lowered limit holds at once here.
-func (l *Limiter) Set(policy *Policy) {
+func (l *Limiter) SetPolicy(policy *Policy) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.policy = policy
-	for service, held := range l.held {
-		rule, written := policy.For(service)
+	for service, held := range l.services {
+		rule, written := policy.RuleFor(service)
 		switch {
 		case !written:
-			delete(l.held, service)
+			delete(l.services, service)
 		case rule != held.rule:
-			held.rule, held.purse, held.bucket = rule, Purse{}, quota.Bucket{}
+			held.rule, held.budget, held.bucket = rule, Budget{}, quota.Bucket{}
 		}
 	}
 }
 
-// Touch notes that the leader was asked at a time and answered.
-func (l *Limiter) Touch(asked time.Duration) {
+// LeaderHeard notes that the leader was asked at a time and answered.
+func (l *Limiter) LeaderHeard(asked time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = max(l.asked, asked)
+	l.leaderHeard = max(l.leaderHeard, asked)
 }
 
-// of gives a service's standing, nil where no rule holds; the caller holds the lock.
-func (l *Limiter) of(service rpc.ServiceName) (held *standing) {
+// stateOf gives a service's standing, nil where no rule holds; the caller holds the lock.
+func (l *Limiter) stateOf(service rpc.ServiceName) (held *serviceState) {
 	if l.policy == nil {
 		return nil
 	}
-	held = l.held[service]
+	held = l.services[service]
 	if held == nil {
-		rule, written := l.policy.For(service)
+		rule, written := l.policy.RuleFor(service)
 		if !written {
 			return nil
 		}
-		held = &standing{rule: rule}
-		l.held[service] = held
+		held = &serviceState{rule: rule}
+		l.services[service] = held
 	}
 	return held
 }
 
-// parts is what this node holds of a service's least rate.
-func (l *Limiter) parts(service rpc.ServiceName) (part float64) {
-	return l.part(rpc.RetryShare, string(service)) + l.part(rpc.RetryMinimum, string(service))
+// leasedRate is what this node holds of a service's least rate.
+func (l *Limiter) leasedRate(service rpc.ServiceName) (part float64) {
+	return l.leased(rpc.RetryShare, string(service)) + l.leased(rpc.RetryMinimum, string(service))
 }
 
-// First notes a first attempt.
-func (l *Limiter) First(now time.Duration, service rpc.ServiceName) {
+// FirstAttempt notes a first attempt.
+func (l *Limiter) FirstAttempt(now time.Duration, service rpc.ServiceName) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.of(service)
+	held := l.stateOf(service)
 	if held == nil {
 		return
 	}
 	earned := held.rule.Ratio
-	switch silence := now - l.asked; {
+	switch silence := now - l.leaderHeard; {
 	case silence > quota.RetryFloorSpan:
 		earned = 0
-	case silence > touchSpan:
-		earned *= floorRatio
+	case silence > contactTime:
+		earned *= isolatedRatio
 	}
-	held.purse.Earn(now, time.Duration(held.rule.Window), earned)
+	held.budget.Earn(now, time.Duration(held.rule.Window), earned)
 }
 
-// Learn takes what became of an attempt.
-func (l *Limiter) Learn(now time.Duration, service rpc.ServiceName, inTime bool) {
+// RecordOutcome takes what became of an attempt.
+func (l *Limiter) RecordOutcome(now time.Duration, service rpc.ServiceName, inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if held := l.of(service); held != nil && held.gate.Learn(now, inTime) {
-		l.OnGate(service, !held.gate.shut)
+	if held := l.stateOf(service); held != nil && held.gate.Record(now, inTime) {
+		l.OnGateChange(service, !held.gate.closed)
 	}
 }
 
-// Spend takes one retry that would be answered at a time and must be by
+// AllowRetry takes one retry that would be answered at a time and must be by
 // another, or says why not.
-func (l *Limiter) Spend(now, answered, till time.Duration, service rpc.ServiceName) (refusal Refusal) {
+func (l *Limiter) AllowRetry(now, answered, till time.Duration, service rpc.ServiceName) (refusal Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.of(service)
+	held := l.stateOf(service)
 	if held == nil {
-		return Granted
+		return Allowed
 	}
-	refusal = held.spend(now, answered, till, service, l.parts(service))
-	if refusal == Granted {
+	refusal = held.allow(now, answered, till, service, l.leasedRate(service))
+	if refusal == Allowed {
 		held.used++
 	} else {
-		held.refused[refusal]++
+		held.rejected[refusal]++
 	}
 	return refusal
 }
 
-func (s *standing) spend(now, answered, till time.Duration, service rpc.ServiceName, part float64) (refusal Refusal) {
+func (s *serviceState) allow(now, answered, till time.Duration, service rpc.ServiceName, part float64) (refusal Decision) {
 	if answered > till {
-		return TooLate
+		return DeadlineTooShort
 	}
-	if !s.gate.Pass(now) {
-		return Slow
+	if !s.gate.Allow(now) {
+		return ServiceSlow
 	}
-	if s.purse.Spend(now, time.Duration(s.rule.Window)) {
-		return Granted
+	if s.budget.Spend(now, time.Duration(s.rule.Window)) {
+		return Allowed
 	}
 	if admitted, _ := s.bucket.Admit(now, s.rule.Bound(service), part); admitted {
-		return Granted
+		return Allowed
 	}
-	return OverLimit
+	return LimitReached
 }
 
-// Fill brings the buckets up to now; it is called before parts change.
-func (l *Limiter) Fill(now time.Duration) {
+// Refill brings the buckets up to now; it is called before parts change.
+func (l *Limiter) Refill(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for service, held := range l.held {
-		held.bucket.Fill(now, held.rule.Bound(service), l.parts(service))
+	for service, held := range l.services {
+		held.bucket.Fill(now, held.rule.Bound(service), l.leasedRate(service))
 	}
 }
 
@@ -191,20 +191,20 @@
 func (l *Limiter) Demands() (demands []rpc.RateDemand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for service, held := range l.held {
-		demands = append(demands, rpc.RateDemand{Name: string(service), Rate: held.bucket.Demand(), Minimum: l.part(rpc.RetryMinimum, string(service))})
+	for service, held := range l.services {
+		demands = append(demands, rpc.RateDemand{Name: string(service), Rate: held.bucket.Demand(), Minimum: l.leased(rpc.RetryMinimum, string(service))})
 	}
 	return demands
 }
 
-// Accounts tells how each service stands here.
-func (l *Limiter) Accounts(now time.Duration) (accounts []Account) {
+// Status tells how each service stands here.
+func (l *Limiter) Status(now time.Duration) (accounts []ServiceStatus) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for service, held := range l.held {
-		accounts = append(accounts, Account{
-			Service: string(service), Ratio: held.rule.Ratio, Used: held.used, Refused: held.refused[OverLimit],
-			Slow: held.refused[Slow], Late: held.refused[TooLate], Open: held.gate.Part(now),
+	for service, held := range l.services {
+		accounts = append(accounts, ServiceStatus{
+			Service: string(service), Ratio: held.rule.Ratio, Used: held.used, Rejected: held.rejected[LimitReached],
+			RejectedSlow: held.rejected[ServiceSlow], RejectedLate: held.rejected[DeadlineTooShort], PassFraction: held.gate.PassFraction(now),
 		})
 	}
 	sort.Slice(accounts, func(i, j int) bool { return accounts[i].Service < accounts[j].Service })
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -35,21 +35,21 @@
 }
 
 const (
-	ratioMost   = 10
-	leastMost   = 100_000
-	windowLeast = policy.Span(time.Second)
-	windowMost  = policy.Span(10 * time.Minute)
-	rulesMost   = 5000
+	maxRatio          = 10
+	maxLeastPerSecond = 100_000
+	minWindow         = policy.Span(time.Second)
+	maxWindow         = policy.Span(10 * time.Minute)
+	maxRules          = 5000
 )
 
-// Read reads a policy and checks what can be seen from it alone.
-func Read(body []byte) (parsed *Policy, err error) {
+// Parse reads a policy and checks what can be seen from it alone.
+func Parse(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
 	if err = policy.Open(body, parsed); err != nil {
 		return nil, err
 	}
 	faults := &policy.Faults{}
-	faults.Head(parsed.Version, len(parsed.Rules), rulesMost)
+	faults.Head(parsed.Version, len(parsed.Rules), maxRules)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
@@ -57,26 +57,26 @@
 			faults.Add(where("service"), "is missing, too long or named twice")
 		}
 		named[rule.Service] = true
-		if !(rule.Ratio >= 0 && rule.Ratio <= ratioMost) {
-			faults.Add(where("ratio"), fmt.Sprintf("must be a number from 0 to %d", ratioMost))
+		if !(rule.Ratio >= 0 && rule.Ratio <= maxRatio) {
+			faults.Add(where("ratio"), fmt.Sprintf("must be a number from 0 to %d", maxRatio))
 		}
-		if !(rule.LeastPerSecond >= 0 && rule.LeastPerSecond <= leastMost) {
-			faults.Add(where("least_per_s"), fmt.Sprintf("must be a number from 0 to %d", leastMost))
+		if !(rule.LeastPerSecond >= 0 && rule.LeastPerSecond <= maxLeastPerSecond) {
+			faults.Add(where("least_per_s"), fmt.Sprintf("must be a number from 0 to %d", maxLeastPerSecond))
 		}
-		if rule.Window < windowLeast || rule.Window > windowMost {
+		if rule.Window < minWindow || rule.Window > maxWindow {
 			faults.Add(where("window"), "must be a time from 1s to 10m")
 		}
 	}
 	return parsed, faults.Err()
 }
 
-// Check tells which services a policy names that are not known.
-func (p *Policy) Check(known func(service string) bool) (err error) {
+// CheckServices tells which services a policy names that are not known.
+func (p *Policy) CheckServices(known func(service string) bool) (err error) {
 	return policy.CheckServices(p.Rules, known)
 }
 
-// For gives the rule of a service; without one there is no written limit.
-func (p *Policy) For(service rpc.ServiceName) (rule Rule, written bool) {
+// RuleFor gives the rule of a service; without one there is no written limit.
+func (p *Policy) RuleFor(service rpc.ServiceName) (rule Rule, written bool) {
 	if p == nil {
 		return rule, false
 	}
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -18,7 +18,7 @@
 		`{"version":1,"rules":[{"service":"a","ratio":0.1,"least_per_s":1,"window":"10s"},{"service":"a","ratio":0.1,"least_per_s":1,"window":"10s"}]}`: {"rules.1.service"},
 		`{"version":1,"rules":[{"service":"` + strings.Repeat("x", policy.NameMost+1) + `","ratio":0.1,"least_per_s":1,"window":"10s"}]}`:               {"rules.0.service"},
 	} {
-		_, err := Read([]byte(body))
+		_, err := Parse([]byte(body))
 		if err == nil {
 			t.Errorf("taken: %.80s", body)
 			continue
@@ -29,20 +29,20 @@
 			}
 		}
 	}
-	parsed, err := Read([]byte(`{"version":1,"rules":[{"service":"*","ratio":0.1,"least_per_s":1,"window":"10s"},{"service":"a","ratio":0,"least_per_s":0,"window":"1s"}]}`))
+	parsed, err := Parse([]byte(`{"version":1,"rules":[{"service":"*","ratio":0.1,"least_per_s":1,"window":"10s"},{"service":"a","ratio":0,"least_per_s":0,"window":"1s"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = parsed.Check(func(service string) bool { return service == "b" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "a"`) {
+	if err = parsed.CheckServices(func(service string) bool { return service == "b" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "a"`) {
 		t.Fatal(err)
 	}
-	if rule, written := parsed.For("a"); !written || rule.Ratio != 0 {
+	if rule, written := parsed.RuleFor("a"); !written || rule.Ratio != 0 {
 		t.Fatal("the rule of a service goes before that of all")
 	}
-	if rule, written := parsed.For("b"); !written || rule.Ratio != 0.1 {
+	if rule, written := parsed.RuleFor("b"); !written || rule.Ratio != 0.1 {
 		t.Fatal("the rule of all holds for the others")
 	}
-	if _, written := (*Policy)(nil).For("a"); written {
+	if _, written := (*Policy)(nil).RuleFor("a"); written {
 		t.Fatal("without a policy nothing is written")
 	}
 }
--- a/internal/retry/purse.go
+++ b/internal/retry/purse.go
@@ -9,35 +9,35 @@
 // purseParts is how many parts of a window what is earned is kept by; lapse is
 // after how many of them it is gone.
 const (
-	purseParts = 32
-	lapseParts = purseParts / 8
+	windowSlots = 32
+	budgetSlots = windowSlots / 8
 )
 
-// Purse of one service.
-type Purse struct {
-	earned [lapseParts]float64
-	head   int64
+// Budget of one service.
+type Budget struct {
+	earned  [budgetSlots]float64
+	current int64
 }
 
-// turn drops what has lapsed.
-func (p *Purse) turn(now, window time.Duration) {
-	at := int64(now) * purseParts / int64(window)
-	for steps := 0; p.head < at && steps < lapseParts; steps++ {
-		p.head++
-		p.earned[p.head%lapseParts] = 0
+// expire drops what has lapsed.
+func (p *Budget) expire(now, window time.Duration) {
+	at := int64(now) * windowSlots / int64(window)
+	for steps := 0; p.current < at && steps < budgetSlots; steps++ {
+		p.current++
+		p.earned[p.current%budgetSlots] = 0
 	}
-	p.head = max(p.head, at)
+	p.current = max(p.current, at)
 }
 
 // Earn adds what a first attempt earns.
-func (p *Purse) Earn(now, window time.Duration, amount float64) {
-	p.turn(now, window)
-	p.earned[p.head%lapseParts] += amount
+func (p *Budget) Earn(now, window time.Duration, amount float64) {
+	p.expire(now, window)
+	p.earned[p.current%budgetSlots] += amount
 }
 
 // Spend takes one retry, oldest earnings first, if so much is there.
-func (p *Purse) Spend(now, window time.Duration) (granted bool) {
-	p.turn(now, window)
+func (p *Budget) Spend(now, window time.Duration) (granted bool) {
+	p.expire(now, window)
 	sum := 0.0
 	for _, part := range p.earned {
 		sum += part
@@ -47,8 +47,8 @@
 		return false
 	}
 	left := 1.0
-	for i := int64(1); i <= lapseParts; i++ {
-		part := &p.earned[(p.head+i)%lapseParts]
+	for i := int64(1); i <= budgetSlots; i++ {
+		part := &p.earned[(p.current+i)%budgetSlots]
 		taken := min(left, *part)
 		*part -= taken
 		left -= taken
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -85,15 +85,15 @@
 	n.limiter = NewLimiter(func(kind rpc.LeaseKind, service string) float64 {
 		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
 	})
-	n.limiter.asked = -time.Hour
+	n.limiter.leaderHeard = -time.Hour
 	if c.fault.noWait {
 		// Tokens out of nowhere at each start.
-		n.limiter.asked = 0
+		n.limiter.leaderHeard = 0
 	}
 }
 
 func (c *cluster) write(version int, ratio, least float64) {
-	policy, err := Read([]byte(fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","ratio":%g,"least_per_s":%g,"window":"10s"}]}`, version, ratio, least)))
+	policy, err := Parse([]byte(fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","ratio":%g,"least_per_s":%g,"window":"10s"}]}`, version, ratio, least)))
 	if err != nil {
 		panic(err)
 	}
@@ -116,16 +116,16 @@
 		n.beat = c.now + time.Duration(300+c.luck.Intn(400))*time.Millisecond
 		if n.version != c.version {
 			n.version = c.version
-			n.limiter.Set(c.policy)
+			n.limiter.SetPolicy(c.policy)
 		}
-		n.limiter.Fill(c.now)
+		n.limiter.Refill(c.now)
 		for _, demand := range n.limiter.Demands() {
-			rule, _ := c.policy.For("s")
+			rule, _ := c.policy.RuleFor("s")
 			for _, lease := range c.lender.Lend(c.now, rule.Bound("s"), n.id, present, demand) {
 				n.shares.Take(asked, lease)
 			}
 		}
-		n.limiter.Touch(asked)
+		n.limiter.LeaderHeard(asked)
 	}
 	c.serve()
 	for _, call := range c.calls {
@@ -137,7 +137,7 @@
 	for _, call := range c.calls {
 		if !call.done && c.now-call.born >= deadline {
 			call.done = true
-			call.node.limiter.Learn(c.now, "s", false)
+			call.node.limiter.RecordOutcome(c.now, "s", false)
 		}
 		if !call.done {
 			kept = append(kept, call)
@@ -155,7 +155,7 @@
 		c.backend.free += time.Duration(float64(work) * c.backend.slow)
 		if !next.call.done {
 			next.call.done, next.call.answered = true, c.now
-			next.call.node.limiter.Learn(c.now, "s", true)
+			next.call.node.limiter.RecordOutcome(c.now, "s", true)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		n = c.nodes[c.luck.Intn(len(c.nodes))]
 	}
 	made = &call{node: n, born: c.now}
-	n.limiter.First(c.now, "s")
+	n.limiter.FirstAttempt(c.now, "s")
 	c.firsts = append(c.firsts, c.now)
 	c.calls = append(c.calls, made)
 	c.arrive(made)
@@ -184,7 +184,7 @@
 
 func (c *cluster) retry(call *call) {
 	second := c.fault.secondSpender && c.luck.Intn(5) == 0
-	if c.limited && !second && call.node.limiter.Spend(c.now, c.now+work, call.born+deadline, "s") != Granted {
+	if c.limited && !second && call.node.limiter.AllowRetry(c.now, c.now+work, call.born+deadline, "s") != Allowed {
 		return
 	}
 	c.retries = append(c.retries, c.now)
@@ -261,7 +261,7 @@
 		if fault.deafNode {
 			for _, n := range c.nodes {
 				if n.cut == time.Hour {
-					n.limiter.Touch(c.now)
+					n.limiter.LeaderHeard(c.now)
 				}
 			}
 		}
