--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -385,7 +385,7 @@
 	switch {
 	case verdict.BodyRest != nil:
 		d.operations.Lose(op)
-	case regionAllowed(homes, rpc.RegionName(d.settings.Region)):
+	case config.AllowsRegion(homes, d.settings.Region):
 		d.operations.Answer(op, verdict.Status, verdict.Headers, verdict.Body)
 	default:
 		go d.storeOnPeer(op, plan, verdict)
@@ -398,7 +398,7 @@
 	var chosenInner string
 	var best uint64
 	for id, fellow := range scene.Nodes {
-		if !fellow.Ready || fellow.Stopping || absent[id] || !regionAllowed(plan.Route.Homes, fellow.Region) {
+		if !fellow.Ready || fellow.Stopping || absent[id] || !config.AllowsRegion(plan.Route.Homes, string(fellow.Region)) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); chosenInner == "" || rank < best {
