--- a/internal/raft/members.go
+++ b/internal/raft/configuration.go
@@ -1,14 +1,21 @@
-// The members as the log tells them: a change binds from the moment it is in
-// the log, and one is under way at a time.
 package raft
 
-func (r *Replica) refreshMembers() {
-	r.members = r.snapshot.Members
-	for i := range r.entries {
-		if r.entries[i].Members != nil {
-			r.members = r.entries[i].Members
+// membersAt is the configuration that the log gives up to an index: a change binds
+// from the moment it is in the log.
+func (l *raftLog) membersAt(index Index) (members []Member) {
+	members = l.snapshot.Members
+	for i := range l.entries {
+		if l.entries[i].Index <= index && l.entries[i].Members != nil {
+			members = l.entries[i].Members
 		}
 	}
+	return members
+}
+
+// refreshMembers takes the newest configuration over, and on a leader makes or drops
+// the progress of those that came or went.
+func (r *Replica) refreshMembers() {
+	r.members = r.membersAt(r.lastIndex())
 	if r.role != Leader {
 		return
 	}
@@ -24,6 +31,7 @@
 	}
 }
 
+// FindMember looks a member up by its id.
 func FindMember(members []Member, id ID) (member Member, known bool) {
 	for _, member = range members {
 		if member.ID == id {
@@ -51,16 +59,17 @@
 // only once the leader has committed in its own term, and not while it hands
 // over: the one who is told to stand would lack the change.
 func (r *Replica) ProposeMembers(members []Member) (accepted bool, out Output) {
-	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.membersChanging() {
+	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.MembersChanging() {
 		return false, Output{}
 	}
 	r.appendEntry(Entry{Members: members})
 	return true, r.takeOutput()
 }
 
-func (r *Replica) membersChanging() bool {
-	for i := len(r.entries) - 1; i >= 0 && r.entries[i].Index > r.commitIndex; i-- {
-		if r.entries[i].Members != nil {
+// MembersChanging tells whether a change of members is in the log and not committed.
+func (l *raftLog) MembersChanging() bool {
+	for i := len(l.entries) - 1; i >= 0 && l.entries[i].Index > l.commitIndex; i-- {
+		if l.entries[i].Members != nil {
 			return true
 		}
 	}
--- a/internal/raft/drive.go
+++ b/internal/raft/drive.go
@@ -15,6 +15,3 @@
 
 // SetLogTail sets what is kept of the log behind the snapshot.
 func (r *Replica) SetLogTail(tail LogTail) { r.logTail = tail }
-
-// MembersChanging tells whether a change of members is under way.
-func (r *Replica) MembersChanging() (changing bool) { return r.membersChanging() }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,7 +1,18 @@
-// Elections: pre-vote, vote and the hand-over of leadership to the member
-// that has the whole log.
 package raft
 
+// electionState times the next candidacy and counts its votes.
+type electionState struct {
+	// elapsedTicks counts since the last reset; a candidacy is due at timeoutTicks.
+	// On a leader it counts towards the next heartbeat.
+	elapsedTicks int
+	timeoutTicks int
+	// leaderSilentTicks counts the ticks since a leader was heard, or since the start.
+	leaderSilentTicks int
+	votes             map[ID]bool
+	// preVoting tells a candidate that only asks whether it would get the votes.
+	preVoting bool
+}
+
 func (r *Replica) campaign(pre, force bool) {
 	r.role, r.leader, r.preVoting = Candidate, "", pre
 	r.delayCampaign()
@@ -87,55 +98,64 @@
 	r.appendEntry(Entry{})
 }
 
-// startTransfer asks the best caught-up voter to take the leadership.
-func (r *Replica) startTransfer() {
-	if r.role != Leader {
-		return
-	}
-	var best ID
-	var bestMatch Index
-	for _, member := range r.members {
-		p := r.peers[member.ID]
-		if p != nil && member.Voter && p.silentTicks < r.timing.ElectionTicks && p.match >= r.commitIndex && (best == "" || p.match > bestMatch) {
-			best, bestMatch = member.ID, p.match
-		}
-	}
-	if best != "" {
-		r.transferTarget, r.transferTicks = best, 0
-		r.completeTransfer()
-	}
+func (r *Replica) isUpToDate(m Message) bool {
+	last := r.lastIndex()
+	lastTerm := r.termAt(last)
+	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
 }
 
-// completeTransfer tells the successor to stand once it has the whole log.
-func (r *Replica) completeTransfer() {
-	if p := r.peers[r.transferTarget]; p != nil && p.match == r.lastIndex() {
-		r.timeoutNowSent = true
-		r.send(Message{Kind: MsgTimeoutNow, To: r.transferTarget})
+func (r *Replica) handlePreVote(m Message) {
+	electable := m.Term > r.hardState.Term && r.isUpToDate(m)
+	granted, idle := electable && !r.withholdsVote(), electable && r.knowsNoLeader()
+	if (granted || idle) && r.role == Candidate && m.From < r.id {
+		r.withdrawCandidacy()
+	}
+	response := Message{
+		Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hardState.Term), Round: m.Round,
 	}
+	if idle {
+		response.Idle, response.Life, response.Age = true, r.incarnation, r.sinceStart()
+	}
+	r.send(response)
 }
 
-// abortTransfer ends a hand-over that came to nothing. The one who was told to stand
-// may yet do so, and voters that heard this leader will let it: only in a later
-// term, in which that word is void, is contact a proof again.
-func (r *Replica) abortTransfer() {
-	if r.diskStuckTicks >= r.timing.ElectionTicks || !r.isVoter(r.id) {
-		r.becomeFollower(r.hardState.Term, "")
+func (r *Replica) handlePreVoteResponse(m Message) {
+	if r.role != Candidate || !r.preVoting || m.Term != r.hardState.Term+1 {
 		return
 	}
-	r.campaign(false, true)
+	r.votes[m.From] = !m.Reject
+	r.recordIdlePeer(m)
+	if m.Reject && Term(m.Hint) > r.hardState.Term {
+		r.becomeFollower(Term(m.Hint), "")
+	} else {
+		r.countVotes()
+	}
 }
 
-// AcceptsProposals tells whether the leader takes proposals now, or hands over.
-func (r *Replica) AcceptsProposals() bool { return r.role == Leader && r.transferTarget == "" }
+// ignoresVote tells that a vote of a later term is not even answered: a leader may be
+// active, and the candidate neither was told to stand nor is elected by members that
+// all have known no leader since their start.
+func (r *Replica) ignoresVote(m Message) bool {
+	return m.Term > r.hardState.Term && !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Life == r.incarnation)
+}
 
-// TransferLeadership hands the leadership over and returns what to send.
-func (r *Replica) TransferLeadership() (out Output) {
-	r.startTransfer()
-	return r.takeOutput()
+// handleVote answers a candidate of this term; a vote goes out once it is on disk.
+func (r *Replica) handleVote(m Message) {
+	granted := (r.hardState.Vote == "" || r.hardState.Vote == m.From) && r.isUpToDate(m)
+	response := Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}
+	if !granted {
+		r.send(response)
+		return
+	}
+	r.hardState.Vote = m.From
+	hard := r.hardState
+	r.resetTimer()
+	r.write(Write{HardState: &hard, AfterSync: []Message{response}})
 }
 
-func (r *Replica) isUpToDate(m Message) bool {
-	last := r.lastIndex()
-	lastTerm := r.termAt(last)
-	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
+func (r *Replica) handleVoteResponse(m Message) {
+	if r.role == Candidate && !r.preVoting {
+		r.votes[m.From] = !m.Reject
+		r.countVotes()
+	}
 }
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -62,7 +62,7 @@
 	delete(n.joiners, id)
 	member, known := FindMember(n.raft.Members(), id)
 	switch {
-	case !known && n.raft.membersChanging():
+	case !known && n.raft.MembersChanging():
 		return LeavePending
 	case !known:
 		return LeaveCompleted
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if _, member := FindMember(leader.raft.Members(), id); !member {
-			if left = !leader.raft.membersChanging(); left {
+			if left = !leader.raft.MembersChanging(); left {
 				break
 			}
 			continue
@@ -175,7 +175,7 @@
 			started := s.now
 			for s.now < started+400 {
 				leader := s.settledLeader()
-				if leader != nil && leader.raft.isVoter(s.cores[host].disk.id) && leader.raft.voterCount() == 3 && !leader.raft.membersChanging() {
+				if leader != nil && leader.raft.isVoter(s.cores[host].disk.id) && leader.raft.voterCount() == 3 && !leader.raft.MembersChanging() {
 					break
 				}
 				s.run(1)
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -84,6 +84,11 @@
 	Age  time.Duration
 }
 
+// fromLeader tells that only the leader of its term sends such a message.
+func (m *Message) fromLeader() bool {
+	return m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk
+}
+
 // size is about what a message weighs on its way.
 func (m *Message) size() (size int) {
 	size = entryOverhead
--- /dev/null
+++ b/internal/raft/node_lease.go
@@ -0,0 +1,83 @@
+package raft
+
+import "time"
+
+// lease is the span of the steady clock for which a leadership is proven; it is
+// over once another lease, or none, has taken its place.
+type lease struct {
+	term  Term
+	until time.Duration
+	over  chan struct{}
+}
+
+// covers tells that it proves a leadership at a time.
+func (l *lease) covers(term Term, now time.Duration) bool {
+	return l != nil && l.term == term && now < l.until
+}
+
+// leaseNow is the lease that the agreement gives now; a leader that has not
+// committed in its own term has none.
+func (n *Node) leaseNow() (term Term, until time.Duration) {
+	if !n.raft.CommittedInTerm() {
+		return 0, 0
+	}
+	sent, known := n.raft.LastQuorumContact()
+	if !known {
+		return n.raft.Term(), 0
+	}
+	return n.raft.Term(), sent + time.Duration(n.raft.timing.LeaseTicks())*tickInterval
+}
+
+// endLease takes back what does not hold any more; it comes before anything is
+// sent that lets another lead.
+func (n *Node) endLease() {
+	held := n.lease.Load()
+	if held == nil {
+		return
+	}
+	if term, until := n.leaseNow(); term != held.term || until == 0 {
+		n.setLease(held, term, 0)
+	}
+}
+
+// renewLease gives what was proven; it comes after all that is committed was
+// applied.
+func (n *Node) renewLease() {
+	term, until := n.leaseNow()
+	n.setLease(n.lease.Load(), term, until)
+}
+
+func (n *Node) setLease(held *lease, term Term, until time.Duration) {
+	if held != nil && held.term == term && held.until == until {
+		return
+	}
+	n.lease.Store(&lease{term: term, until: until, over: make(chan struct{})})
+	if held != nil {
+		close(held.over)
+	}
+}
+
+// HoldsLease tells that this core leads in a term and was in contact with a
+// majority so lately that no other can lead now. Where a round is late it waits
+// a while for the next; to ask while the proof holds costs one atomic load.
+func (n *Node) HoldsLease(term Term, patience time.Duration) (proven bool) {
+	held := n.lease.Load()
+	if held.covers(term, n.Now()) {
+		return true
+	}
+	timer := time.NewTimer(patience)
+	defer timer.Stop()
+	for held != nil && held.term == term {
+		select {
+		case <-held.over:
+		case <-timer.C:
+			return false
+		case <-n.stop:
+			return false
+		}
+		if held = n.lease.Load(); held.covers(term, n.Now()) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,11 +1,15 @@
-// Raft is the agreement among the cores, as a pure state machine: it is given
-// messages, ticks, proposals and reports of finished writes, and returns what
-// is to be sent, written and applied. It reads no clock, disk or network; its
-// only luck is the seeded source it is made with. Pre-vote, check-quorum,
-// leadership transfer, learners, snapshots and membership changes of one
-// member at a time are kept; a membership change binds from the moment it is
-// in the log. The leader counts its own log only once its disk has reported
-// it, so a stalled disk holds up its own vote but not the group's.
+// Package raft is the consensus among the controllers as a pure state machine: a
+// Replica is given messages (Step), ticks (Tick), proposals and reports of finished
+// writes, and returns as Output what is to be sent, written and applied.
+//
+// It reads no clock, disk or network; its only randomness is the seeded source it is
+// made with, so a run replays from its seed. It has pre-vote, check-quorum, leader
+// leases, leadership transfer, learners, snapshots in chunks, and membership changes of
+// one member at a time, which bind from the moment they are in the log. The leader
+// counts its own log only once its disk has reported it, so a stalled disk holds up
+// its own vote but not the group's.
+//
+// A Replica belongs to one goroutine: nothing in it may be called from two at a time.
 package raft
 
 import (
@@ -13,7 +17,7 @@
 	"time"
 )
 
-// Role of a core in its group.
+// Role of a replica in its group.
 type Role uint8
 
 // The roles.
@@ -23,92 +27,81 @@
 	Leader
 )
 
-// Timing holds the figures of time, counted in ticks.
+// Timing is how often a leader sends heartbeats, and the shortest time to an election;
+// the longest is twice as long. Both are in ticks.
 type Timing struct {
 	HeartbeatTicks, ElectionTicks int
 }
 
-// Replica is one core's part of the agreement.
+// Replica is one member's part of the consensus. Its parts keep the state of one
+// concern each and stand in the files of that concern.
 type Replica struct {
-	id             ID
-	timing         Timing
-	rng            *rand.Rand
-	hardState      HardState
-	role           Role
-	leader         ID
-	members        []Member
-	snapshot       Snapshot
-	logStart       position
-	logTail        LogTail
-	entries        []Entry
-	commitIndex    Index
-	appliedIndex   Index
-	syncedIndex    Index
-	pendingSyncs   []pendingSync
-	chunkBytes     uint64
-	incoming       *incomingSnapshot
-	elapsedTicks   int
-	timeoutTicks   int
-	votes          map[ID]bool
-	preVoting      bool
-	peers          map[ID]*progress
-	heartbeatRound uint64
-	roundSentAt    [recordedRounds]time.Duration
-	now            time.Duration
-	leaderHeardAt  time.Duration
-	// leaderSilentTicks counts the ticks since a leader was heard, or since the start.
-	leaderSilentTicks int
+	id        ID
+	timing    Timing
+	rng       *rand.Rand
+	role      Role
+	leader    ID
+	members   []Member
+	hardState HardState
+	// now is the steady time of the driver, set by At.
+	now time.Duration
+	// peers is what a leader knows of the other members; nil on all but the leader.
+	peers map[ID]*progress
+
+	raftLog
+	writeQueue
+	electionState
 	startState
-	// timeoutNowSent tells that another was told to stand in this term.
-	timeoutNowSent bool
-	hardStateWrite uint64
-	// confirmedRound is the newest round of this term's leader that was told as heard.
-	confirmedRound  uint64
-	quorumLostTicks int
-	diskLagTicks    int
-	transferTarget  ID
-	transferTicks   int
-	writesIssued    uint64
-	writesDone      uint64
-	diskStuckTicks  int
-	output          Output
+	heartbeatState
+	leaderHealth
+	transferState
+	snapshotTransfer
+
+	output Output
 }
 
-// New starts from what the disk holds.
-func New(id ID, pace Timing, luck *rand.Rand, hard HardState, base Snapshot, log []Entry) (raft *Replica) {
-	raft = &Replica{id: id, timing: pace, rng: luck, hardState: hard, snapshot: base, entries: log}
-	raft.logStart = position{base.Index, base.Term}
-	raft.chunkBytes = snapshotChunkBytes
-	raft.logTail = LogTail{Entries: 4000, Bytes: 4 << 20}
-	raft.commitIndex, raft.appliedIndex = base.Index, base.Index
-	raft.syncedIndex = raft.lastIndex()
-	raft.refreshMembers()
-	// A core that has started again has forgotten whom it heard last, and waits
-	// until what that one was told has run out, or all others say that they know of
-	// nobody either. One that never knew a term has heard nobody. Both ask at once;
-	// where there is a leader, the pre-vote fails and harms nothing.
-	raft.startState = startState{leaderless: true, incarnation: luck.Uint64() | 1}
-	raft.timeoutTicks = raft.shortTimeout()
-	raft.leaderSilentTicks = pace.ElectionTicks
+// New starts a replica from what its disk holds; the log lies behind the snapshot.
+func New(id ID, timing Timing, rng *rand.Rand, hard HardState, snapshot Snapshot, log []Entry) (replica *Replica) {
+	r := &Replica{id: id, timing: timing, rng: rng, hardState: hard}
+	r.raftLog = raftLog{
+		snapshot: snapshot, logStart: position{snapshot.Index, snapshot.Term}, entries: log,
+		logTail: LogTail{Entries: 4000, Bytes: 4 << 20}, commitIndex: snapshot.Index, appliedIndex: snapshot.Index,
+	}
+	r.chunkBytes = snapshotChunkBytes
+	r.syncedIndex = r.lastIndex()
+	r.refreshMembers()
+	// A replica that has started again has forgotten whom it heard last. It withholds
+	// its vote until the lease that it may have confirmed has run out, unless all others
+	// say that they have known no leader either. One that never knew a term has heard
+	// nobody. Both ask at once; where there is a leader, the pre-vote fails and harms nothing.
+	r.startState = startState{leaderless: true, incarnation: rng.Uint64() | 1}
+	r.timeoutTicks = r.shortTimeout()
+	r.leaderSilentTicks = timing.ElectionTicks
 	if hard.Term > 0 {
-		raft.leaderSilentTicks -= pace.LeaseTicks() + 1
+		r.leaderSilentTicks -= timing.LeaseTicks() + 1
 	}
-	return raft
+	return r
 }
 
-// Facts for those outside.
+// Role is what this replica is in its group now.
 func (r *Replica) Role() Role { return r.role }
 
+// LeaderID is the leader of the term, empty where none is known.
 func (r *Replica) LeaderID() ID { return r.leader }
 
+// Term is the current term.
 func (r *Replica) Term() Term { return r.hardState.Term }
 
+// Members is the newest configuration in the log, committed or not; it is not to be changed.
 func (r *Replica) Members() []Member { return r.members }
 
+// CommitIndex is the last entry known to be committed.
 func (r *Replica) CommitIndex() Index { return r.commitIndex }
 
+// LastIndex is the last entry of the log in memory, synced or not.
 func (r *Replica) LastIndex() Index { return r.lastIndex() }
 
+// SnapshotIndex is the last entry that the newest snapshot stands for.
 func (r *Replica) SnapshotIndex() Index { return r.snapshot.Index }
 
 // CommittedInTerm tells whether the leader has committed an entry of its own term.
@@ -129,7 +122,7 @@
 	r.output.Messages = append(r.output.Messages, m)
 }
 
-// write queues an order for the disk; the answers behind it wait for the sync.
+// write queues a write for the disk; the messages behind it wait for the sync.
 func (r *Replica) write(w Write) {
 	for i := range w.AfterSync {
 		w.AfterSync[i].From = r.id
@@ -137,21 +130,16 @@
 			w.AfterSync[i].Term = r.hardState.Term
 		}
 	}
-	r.writesIssued++
-	if len(w.Entries) > 0 || w.Snapshot != nil {
-		r.pendingSyncs = append(r.pendingSyncs, pendingSync{r.writesIssued, r.lastIndex()})
-	}
-	if w.HardState != nil {
-		r.hardStateWrite = r.writesIssued
-	}
+	r.issue(w, r.lastIndex())
 	r.output.Writes = append(r.output.Writes, w)
 }
 
-// reject notes a message of which nothing is taken.
+// reject reports a message of which nothing was taken.
 func (r *Replica) reject(m Message, why string) {
 	r.output.Rejected = append(r.output.Rejected, Rejection{m.From, m.Kind, why})
 }
 
+// takeOutput ends a step: it commits what can be committed and hands the output over.
 func (r *Replica) takeOutput() (out Output) {
 	r.advanceCommit()
 	out = r.output
@@ -159,6 +147,7 @@
 	return out
 }
 
+// becomeFollower gives up any candidacy or leadership; a later term is stored.
 func (r *Replica) becomeFollower(term Term, leader ID) {
 	if term > r.hardState.Term {
 		r.hardState = HardState{Term: term}
@@ -170,57 +159,38 @@
 	r.resetTimer()
 }
 
-// Tick moves the steady clock on by one tick.
+// Tick moves the timers on by one tick.
 func (r *Replica) Tick() (out Output) {
 	r.elapsedTicks++
 	r.leaderSilentTicks++
-	if r.writesIssued > r.writesDone {
-		r.diskStuckTicks++
-	} else {
-		r.diskStuckTicks = 0
-	}
-	if r.role != Leader {
-		// A core whose disk stands still could not win and would only raise terms.
-		if r.elapsedTicks >= r.timeoutTicks && (r.leaderless || !r.withholdsVote()) && r.isVoter(r.id) && r.diskStuckTicks < r.timing.ElectionTicks {
-			r.campaign(true, false)
-		}
-		return r.takeOutput()
-	}
-	alive := 0
-	for _, member := range r.members {
-		p := r.peers[member.ID]
-		if p != nil {
-			p.silentTicks++
-			r.resendIfStalled(member.ID, p)
-		}
-		if member.Voter && (member.ID == r.id || p != nil && p.silentTicks < r.timing.ElectionTicks) {
-			alive++
-		}
+	r.tickDisk()
+	if r.role == Leader {
+		r.tickLeader()
+	} else if r.campaignDue() {
+		r.campaign(true, false)
 	}
-	if alive <= r.voterCount()/2 || !r.isVoter(r.id) {
-		r.quorumLostTicks++
-		if r.quorumLostTicks > r.timing.ElectionTicks/2 {
-			r.becomeFollower(r.hardState.Term, "")
-			return r.takeOutput()
-		}
-	} else {
-		r.quorumLostTicks = 0
+	return r.takeOutput()
+}
+
+// campaignDue tells whether to ask for votes now. A replica whose disk stands still
+// could not win and would only raise terms.
+func (r *Replica) campaignDue() (due bool) {
+	return r.elapsedTicks >= r.timeoutTicks && (r.leaderless || !r.withholdsVote()) && r.isVoter(r.id) &&
+		r.diskStuckTicks < r.timing.ElectionTicks
+}
+
+func (r *Replica) tickLeader() {
+	if !r.checkQuorum() {
+		r.becomeFollower(r.hardState.Term, "")
+		return
 	}
 	if r.syncedIndex < r.commitIndex {
 		r.diskLagTicks++
 	} else {
 		r.diskLagTicks = 0
 	}
-	if r.transferTarget != "" {
-		if r.transferTicks++; r.transferTicks > r.timing.ElectionTicks {
-			r.transferTarget = ""
-			if r.timeoutNowSent {
-				r.abortTransfer()
-				return r.takeOutput()
-			}
-		} else {
-			r.completeTransfer()
-		}
+	if r.tickTransfer() {
+		return
 	}
 	if r.diskLagTicks > r.timing.ElectionTicks && r.transferTarget == "" {
 		r.startTransfer()
@@ -234,10 +204,39 @@
 			}
 		}
 	}
-	return r.takeOutput()
 }
 
-// Step takes a message from another core.
+// leaderHealth is what a leader watches to step down, or to hand over, in time.
+type leaderHealth struct {
+	// quorumLostTicks counts the ticks without a majority in touch.
+	quorumLostTicks int
+	// diskLagTicks counts the ticks for which its own disk lacks what is committed.
+	diskLagTicks int
+}
+
+// checkQuorum counts the silence of each member; it is false once no majority of
+// voters has been heard for half an election, or the leader is no voter any more.
+func (r *Replica) checkQuorum() (keeps bool) {
+	alive := 0
+	for _, member := range r.members {
+		p := r.peers[member.ID]
+		if p != nil {
+			p.silentTicks++
+			r.resendIfStalled(member.ID, p)
+		}
+		if member.Voter && (member.ID == r.id || p != nil && p.silentTicks < r.timing.ElectionTicks) {
+			alive++
+		}
+	}
+	if alive > r.voterCount()/2 && r.isVoter(r.id) {
+		r.quorumLostTicks = 0
+		return true
+	}
+	r.quorumLostTicks++
+	return r.quorumLostTicks <= r.timing.ElectionTicks/2
+}
+
+// Step takes a message from another member.
 func (r *Replica) Step(m Message) (out Output) {
 	if m.To != r.id {
 		return Output{}
@@ -248,81 +247,56 @@
 	}
 	switch m.Kind {
 	case MsgPreVote:
-		good := m.Term > r.hardState.Term && r.isUpToDate(m)
-		granted, idle := good && !r.withholdsVote(), good && r.knowsNoLeader()
-		if (granted || idle) && r.role == Candidate && m.From < r.id {
-			r.withdrawCandidacy()
-		}
-		tell := Message{Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hardState.Term), Round: m.Round}
-		if idle {
-			tell.Idle, tell.Life, tell.Age = true, r.incarnation, r.sinceStart()
-		}
-		r.send(tell)
+		r.handlePreVote(m)
 		return r.takeOutput()
 	case MsgPreVoteResponse:
-		if r.role == Candidate && r.preVoting && m.Term == r.hardState.Term+1 {
-			r.votes[m.From] = !m.Reject
-			r.recordIdlePeer(m)
-			if m.Reject && Term(m.Hint) > r.hardState.Term {
-				r.becomeFollower(Term(m.Hint), "")
-			} else {
-				r.countVotes()
-			}
-		}
+		r.handlePreVoteResponse(m)
 		return r.takeOutput()
 	case MsgVote:
-		if m.Term > r.hardState.Term {
-			if !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Life == r.incarnation) {
-				return Output{}
-			}
-			r.becomeFollower(m.Term, "")
+		if r.ignoresVote(m) {
+			return Output{}
 		}
-	default:
-		if m.Term > r.hardState.Term {
-			leader := ID("")
-			if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
-				leader = m.From
-			}
-			r.becomeFollower(m.Term, leader)
+	}
+	if m.Term > r.hardState.Term {
+		leader := ID("")
+		if m.fromLeader() {
+			leader = m.From
 		}
+		r.becomeFollower(m.Term, leader)
 	}
 	if m.Term < r.hardState.Term {
-		if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
+		// The answer carries the newer term, at which an outdated leader steps down.
+		if m.fromLeader() {
 			r.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true, Index: m.Index, Hint: r.lastIndex()})
 		}
 		return r.takeOutput()
 	}
+	r.stepInTerm(m)
+	return r.takeOutput()
+}
+
+// stepInTerm takes a message of the current term.
+func (r *Replica) stepInTerm(m Message) {
 	switch m.Kind {
 	case MsgVote:
-		granted := (r.hardState.Vote == "" || r.hardState.Vote == m.From) && r.isUpToDate(m)
-		tell := Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}
-		if granted {
-			r.hardState.Vote = m.From
-			hard := r.hardState
-			r.resetTimer()
-			r.write(Write{HardState: &hard, AfterSync: []Message{tell}})
-		} else {
-			r.send(tell)
-		}
+		r.handleVote(m)
 	case MsgVoteResponse:
-		if r.role == Candidate && !r.preVoting {
-			r.votes[m.From] = !m.Reject
-			r.countVotes()
-		}
+		r.handleVoteResponse(m)
 	case MsgAppend:
 		r.handleAppend(m)
 	case MsgSnapshot:
 		r.installSnapshot(m)
 	case MsgSnapshotChunk:
 		r.handleSnapshotChunk(m)
-	case MsgAppendResponse, MsgSnapshotChunkResponse:
-		r.handleFollowerResponse(m)
+	case MsgAppendResponse:
+		r.handleAppendResponse(m)
+	case MsgSnapshotChunkResponse:
+		r.handleSnapshotChunkResponse(m)
 	case MsgHeartbeatResponse:
-		r.handleHeartbeatResponse(m)
+		r.recordResponse(m)
 	case MsgTimeoutNow:
 		if r.isVoter(r.id) {
 			r.campaign(false, true)
 		}
 	}
-	return r.takeOutput()
 }
--- a/internal/raft/replicate.go
+++ b/internal/raft/replication.go
@@ -1,5 +1,3 @@
-// Replication: what the leader sends to each member, what a member takes and
-// tells, and how far all that makes the commit go.
 package raft
 
 import (
@@ -8,27 +6,6 @@
 	"time"
 )
 
-// inflightAppend is an append that was not yet answered.
-type inflightAppend struct {
-	lastIndex Index
-	size      int
-}
-
-// progress is what the leader knows of a member. Until it is steady, one append
-// is asked and its answer awaited, to find the place where both logs agree;
-// then appends follow each other, up to a window.
-type progress struct {
-	match, next   Index
-	silentTicks   int
-	ackedRound    uint64
-	pipelined     bool
-	probed        bool
-	inflight      []inflightAppend
-	inflightBytes int
-	stalledTicks  int
-	outgoing      *outgoingSnapshot
-}
-
 const (
 	// maxAppendBytes passes a link of 1 Mbit/s well within the time of a call.
 	maxAppendBytes = 32 << 10
@@ -41,6 +18,7 @@
 	slowLinkBytesPerSecond = 50_000
 )
 
+// appendEntry puts an entry behind the leader's log and sends it on.
 func (r *Replica) appendEntry(entry Entry) (index Index) {
 	entry.Term, entry.Index = r.hardState.Term, r.lastIndex()+1
 	r.entries = append(r.entries, entry)
@@ -65,6 +43,7 @@
 	return index, r.hardState.Term, true, r.takeOutput()
 }
 
+// replicate sends a member what it lacks, as far as its window allows.
 func (r *Replica) replicate(id ID, p *progress) {
 	if p.next <= r.logStart.index {
 		r.sendChunks(id, p)
@@ -94,19 +73,6 @@
 	}
 }
 
-// probe makes a member unsteady: what is under way to it counts no more.
-func (p *progress) probe() {
-	p.inflight, p.inflightBytes, p.pipelined, p.probed, p.stalledTicks = nil, 0, false, false, 0
-}
-
-// releaseAcknowledged takes out what a match answers.
-func (p *progress) releaseAcknowledged() {
-	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= p.match {
-		p.inflightBytes -= p.inflight[0].size
-		p.inflight = p.inflight[1:]
-	}
-}
-
 // sendHeartbeat tells a member that the leader lives, and the commit as far as the member
 // is known to hold the log; it never runs into what is still under way.
 func (r *Replica) sendHeartbeat(id ID, p *progress) {
@@ -156,25 +122,13 @@
 	r.replicate(id, p)
 }
 
+// advanceCommit commits on a leader what a majority of voters holds on disk, if it is
+// of the leader's own term, and has all that is committed applied.
 func (r *Replica) advanceCommit() {
 	if r.role == Leader {
-		var matches []Index
-		for _, member := range r.members {
-			if !member.Voter {
-				continue
-			}
-			if member.ID == r.id {
-				matches = append(matches, r.syncedIndex)
-			} else if p := r.peers[member.ID]; p != nil {
-				matches = append(matches, p.match)
-			}
-		}
-		if len(matches) > 0 {
-			sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
-			agreed := matches[len(matches)/2]
-			if agreed > r.commitIndex && r.termAt(agreed) == r.hardState.Term {
-				r.commitIndex = agreed
-			}
+		agreed := r.majorityMatch()
+		if agreed > r.commitIndex && r.termAt(agreed) == r.hardState.Term {
+			r.commitIndex = agreed
 		}
 	}
 	if r.incoming != nil && r.incoming.chunk.Index <= r.commitIndex {
@@ -186,6 +140,27 @@
 	}
 }
 
+// majorityMatch is the last entry that a majority of voters holds on disk, zero if none.
+func (r *Replica) majorityMatch() (agreed Index) {
+	var matches []Index
+	for _, member := range r.members {
+		if !member.Voter {
+			continue
+		}
+		if member.ID == r.id {
+			matches = append(matches, r.syncedIndex)
+		} else if p := r.peers[member.ID]; p != nil {
+			matches = append(matches, p.match)
+		}
+	}
+	if len(matches) == 0 {
+		return 0
+	}
+	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
+	return matches[len(matches)/2]
+}
+
+// observeLeader follows the sender, who leads this term.
 func (r *Replica) observeLeader(m Message) {
 	if r.role != Follower {
 		r.role, r.votes, r.preVoting = Follower, nil, false
@@ -204,57 +179,72 @@
 		return
 	}
 	if m.Index > r.lastIndex() || r.termAt(m.Index) != m.LogTerm {
-		// The conflicting term and the place before its first entry let the
-		// leader step back a term a message.
-		hint, conflict := r.lastIndex(), Term(0)
-		if m.Index <= hint {
-			conflict = r.termAt(m.Index)
-			hint = r.firstIndexOfTerm(conflict, m.Index) - 1
-		}
-		r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commitIndex), LogTerm: conflict, Round: r.confirmRound(m.Round)})
+		r.rejectAppend(m)
 		return
 	}
-	var fresh []Entry
-	for i, entry := range m.Entries {
-		if entry.Index <= r.lastIndex() && r.termAt(entry.Index) == entry.Term {
-			continue
-		}
-		fresh = m.Entries[i:]
-		break
-	}
 	matched := m.Index + Index(len(m.Entries))
-	if len(fresh) > 0 {
-		first := fresh[0].Index
-		if first <= r.commitIndex {
-			return
-		}
-		var cut Index
-		if first <= r.lastIndex() {
-			cut = first
-			r.discardSyncs(first - 1)
-			// What is on its way to others still points to what is cut off.
-			r.entries = slices.Clone(r.entries[:first-r.logStart.index-1])
-		}
-		r.entries = append(r.entries, fresh...)
-		changed := cut > 0
-		for i := range fresh {
-			changed = changed || fresh[i].Members != nil
-		}
-		if changed {
-			r.refreshMembers()
-		}
-		r.sendHeartbeatResponse(m.From, m.Round)
-		r.write(Write{TruncateFrom: cut, Entries: fresh, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: matched, Round: m.Round}}})
-	} else {
+	fresh := r.missingEntries(m.Entries)
+	if len(fresh) == 0 {
 		r.sendAppendResponse(m, matched)
+	} else if !r.takeEntries(m, fresh) {
+		return
 	}
-	commit := m.Commit
-	if commit > matched {
-		commit = matched
+	r.commitIndex = max(r.commitIndex, min(m.Commit, matched))
+}
+
+// rejectAppend answers an append that does not fit the log. The conflicting term and
+// the index before its first entry let the leader step back a term a message.
+func (r *Replica) rejectAppend(m Message) {
+	hint, conflict := r.lastIndex(), Term(0)
+	if m.Index <= hint {
+		conflict = r.termAt(m.Index)
+		hint = r.firstIndexOfTerm(conflict, m.Index) - 1
+	}
+	r.send(Message{
+		Kind: MsgAppendResponse, To: m.From, Index: m.Index, Reject: true, Hint: max(hint, r.commitIndex), LogTerm: conflict,
+		Round: r.confirmRound(m.Round),
+	})
+}
+
+// missingEntries are those from the first on that the log does not hold.
+func (l *raftLog) missingEntries(entries []Entry) (missing []Entry) {
+	for i, entry := range entries {
+		if entry.Index > l.lastIndex() || l.termAt(entry.Index) != entry.Term {
+			return entries[i:]
+		}
 	}
-	if commit > r.commitIndex {
-		r.commitIndex = commit
+	return nil
+}
+
+// takeEntries puts entries at their places, where they replace what conflicts; it
+// refuses to replace what is committed.
+func (r *Replica) takeEntries(m Message, fresh []Entry) (taken bool) {
+	first := fresh[0].Index
+	if first <= r.commitIndex {
+		return false
+	}
+	var truncate Index
+	if first <= r.lastIndex() {
+		truncate = first
+		r.discardSyncs(first - 1)
+		// What is on its way to others still points to what is cut off.
+		r.entries = slices.Clone(r.entries[:first-r.logStart.index-1])
+	}
+	r.entries = append(r.entries, fresh...)
+	changed := truncate > 0
+	for i := range fresh {
+		changed = changed || fresh[i].Members != nil
+	}
+	if changed {
+		r.refreshMembers()
 	}
+	r.sendHeartbeatResponse(m.From, m.Round)
+	matched := m.Index + Index(len(m.Entries))
+	r.write(Write{
+		TruncateFrom: truncate, Entries: fresh,
+		AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: matched, Round: m.Round}},
+	})
+	return true
 }
 
 // sendAppendResponse answers at once, with no more than the disk holds: that the core lives is
@@ -263,67 +253,53 @@
 	r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: min(index, r.syncedIndex), Round: r.confirmRound(m.Round)})
 }
 
-func (r *Replica) installSnapshot(m Message) {
-	r.observeLeader(m)
-	snapshot := m.Snapshot
-	if snapshot == nil || snapshot.Index <= r.commitIndex {
-		r.sendAppendResponse(m, r.commitIndex)
-		return
-	}
-	// The log holds its last entry, and so all that it stands for: what lies
-	// behind may have been counted by the leader and stays.
-	if r.termAt(snapshot.Index) == snapshot.Term {
-		r.commitIndex = snapshot.Index
-		r.sendAppendResponse(m, snapshot.Index)
-		return
-	}
-	r.snapshot = *snapshot
-	r.logStart, r.entries = position{snapshot.Index, snapshot.Term}, nil
-	r.discardSyncs(0)
-	r.commitIndex, r.appliedIndex = snapshot.Index, snapshot.Index
-	r.refreshMembers()
-	r.output.Restore = snapshot
-	r.sendHeartbeatResponse(m.From, m.Round)
-	r.write(Write{TruncateFrom: 1, Snapshot: snapshot, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: snapshot.Index, Round: m.Round}}})
-}
-
-func (r *Replica) handleFollowerResponse(m Message) {
-	p := r.peers[m.From]
+// recordResponse notes that a member was heard, and up to which heartbeat round.
+// Its progress is nil where this replica does not lead or the member is none.
+func (r *Replica) recordResponse(m Message) (p *progress, wasSilent bool) {
+	p = r.peers[m.From]
 	if r.role != Leader || p == nil {
-		return
+		return nil, false
 	}
-	silent := p.silentTicks >= r.timing.ElectionTicks
+	wasSilent = p.silentTicks >= r.timing.ElectionTicks
 	p.silentTicks = 0
-	if m.Round > p.ackedRound {
-		p.ackedRound = m.Round
-	}
-	if m.Kind == MsgSnapshotChunkResponse {
-		r.handleChunkResponse(m, p)
-		return
-	}
-	if m.Reject {
-		if m.Index == p.match && m.Index > 0 {
-			// An older disk was put back: it holds less than it told.
-			p.match, p.outgoing = 0, nil
-		} else if m.Index <= p.match || m.Index > r.lastIndex() || !p.pipelined && m.Index != p.next-1 || p.outgoing != nil {
-			// Only the answer to what was asked last tells something new.
-			return
-		}
-		p.next = min(max(r.lastIndexOfTerm(m.LogTerm, m.Hint, m.Index), m.Hint, p.match)+1, m.Index)
-		p.probe()
-		r.replicate(m.From, p)
-		return
+	p.ackedRound = max(p.ackedRound, m.Round)
+	return p, wasSilent
+}
+
+func (r *Replica) handleAppendResponse(m Message) {
+	p, wasSilent := r.recordResponse(m)
+	switch {
+	case p == nil:
+	case m.Reject:
+		r.handleAppendRejection(m, p)
+	case m.Index <= r.lastIndex():
+		r.handleMatch(m, p, wasSilent)
 	}
-	if m.Index > r.lastIndex() {
+}
+
+// handleAppendRejection steps back to where both logs may agree.
+func (r *Replica) handleAppendRejection(m Message, p *progress) {
+	if m.Index == p.match && m.Index > 0 {
+		// An older disk was put back: it holds less than it told.
+		p.match, p.outgoing = 0, nil
+	} else if m.Index <= p.match || m.Index > r.lastIndex() || !p.pipelined && m.Index != p.next-1 || p.outgoing != nil {
+		// Only the answer to what was asked last tells something new.
 		return
 	}
+	p.next = min(max(r.lastIndexOfTerm(m.LogTerm, m.Hint, m.Index), m.Hint, p.match)+1, m.Index)
+	p.probe()
+	r.replicate(m.From, p)
+}
+
+// handleMatch takes that a member holds the log up to an index, and sends on.
+func (r *Replica) handleMatch(m Message, p *progress, wasSilent bool) {
 	if m.Index > p.match {
 		p.match, p.stalledTicks = m.Index, 0
 		if m.From == r.transferTarget {
 			r.completeTransfer()
 		}
 	}
-	// A beat's answer says nothing of the append that was asked.
+	// A heartbeat's answer says nothing of the append that was asked.
 	if !p.pipelined && len(p.inflight) > 0 && m.Index >= p.inflight[0].lastIndex {
 		p.pipelined, p.probed = true, false
 	}
@@ -331,7 +307,7 @@
 	if p.next <= p.match {
 		p.next = p.match + 1
 	}
-	if silent && (p.next > p.match+1 || p.outgoing != nil) {
+	if wasSilent && (p.next > p.match+1 || p.outgoing != nil) {
 		r.restartReplication(m.From, p)
 		return
 	}
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -457,7 +457,7 @@
 // or not heard, which is a loss like any other: so one disk may be lost.
 func (s *sim) caughtUp() bool {
 	leader := s.settledLeader()
-	if leader == nil || leader.raft.voterCount() < 3 || leader.raft.membersChanging() {
+	if leader == nil || leader.raft.voterCount() < 3 || leader.raft.MembersChanging() {
 		return false
 	}
 	for _, host := range s.order {
--- a/internal/raft/install.go
+++ b/internal/raft/snapshot.go
@@ -1,7 +1,3 @@
-// Installing a snapshot: the leader sends it in parts, few under way at a time,
-// and goes on from where the member says it is; the member keeps what it has of
-// one snapshot of one leader, refuses what does not fit, and takes the whole in
-// only where its checksum is right.
 package raft
 
 import "hash/crc32"
@@ -51,6 +47,12 @@
 	return crc32.Update(checksum(head), castagnoli, p.Data)
 }
 
+// snapshotTransfer is what a member keeps of a snapshot on its way in.
+type snapshotTransfer struct {
+	chunkBytes uint64
+	incoming   *incomingSnapshot
+}
+
 // outgoingSnapshot is a snapshot on its way to one member.
 type outgoingSnapshot struct {
 	snapshot                Snapshot
@@ -91,8 +93,12 @@
 	}
 }
 
-// handleChunkResponse hears how far a member is with a snapshot.
-func (r *Replica) handleChunkResponse(m Message, p *progress) {
+// handleSnapshotChunkResponse hears how far a member is with a snapshot.
+func (r *Replica) handleSnapshotChunkResponse(m Message) {
+	p, _ := r.recordResponse(m)
+	if p == nil {
+		return
+	}
 	s := p.outgoing
 	if s == nil || m.Index != s.snapshot.Index || m.LogTerm != s.snapshot.Term || uint64(m.Hint) > s.total() {
 		return
@@ -173,3 +179,28 @@
 	}
 	r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members, Data: g.data}})
 }
+
+// installSnapshot takes a whole snapshot in, unless the log holds what it stands for.
+func (r *Replica) installSnapshot(m Message) {
+	r.observeLeader(m)
+	snapshot := m.Snapshot
+	if snapshot == nil || snapshot.Index <= r.commitIndex {
+		r.sendAppendResponse(m, r.commitIndex)
+		return
+	}
+	// The log holds its last entry, and so all that it stands for: what lies
+	// behind may have been counted by the leader and stays.
+	if r.termAt(snapshot.Index) == snapshot.Term {
+		r.commitIndex = snapshot.Index
+		r.sendAppendResponse(m, snapshot.Index)
+		return
+	}
+	r.snapshot = *snapshot
+	r.logStart, r.entries = position{snapshot.Index, snapshot.Term}, nil
+	r.discardSyncs(0)
+	r.commitIndex, r.appliedIndex = snapshot.Index, snapshot.Index
+	r.refreshMembers()
+	r.output.Restore = snapshot
+	r.sendHeartbeatResponse(m.From, m.Round)
+	r.write(Write{TruncateFrom: 1, Snapshot: snapshot, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: snapshot.Index, Round: m.Round}}})
+}
