--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -35,10 +35,10 @@
 	changed chan struct{}
 
 	// clock numbers the changes of the tables that updates are made from.
-	clock     *registry.Clock
+	clock     *registry.RevisionCounter
 	nodes     nodeTable
-	endpoints *registry.List
-	health    *healthcheck.Cache
+	endpoints *registry.EndpointList
+	health    *healthcheck.StateCache
 
 	// view and revision are the replicated configuration as last read,
 	// evacuatedZones what is evacuated by it.
@@ -52,7 +52,7 @@
 	followers   followerTable
 	policies    policies
 	sessions    sessionTable
-	zoneBalance *healthcheck.Balance
+	zoneBalance *healthcheck.ZoneBalancer
 }
 
 // Start begins a leader's term. The first term of all grants leases at once;
@@ -69,15 +69,15 @@
 
 // newCoordinator is one whose loops do not run.
 func newCoordinator(p settings.Settings, log *eventlog.Logger, term rpc.Term) (c *Coordinator) {
-	clock := &registry.Clock{}
+	clock := &registry.RevisionCounter{}
 	clock.Next()
 	return &Coordinator{
 		settings: p, log: log, term: term, started: time.Now(),
 		changed: make(chan struct{}), closed: make(chan struct{}),
 		clock:          clock,
-		nodes:          newNodeTable(clock, registry.RollBounds{Absent: healthcheck.StandIn, Struck: removeNodeAfter}),
-		endpoints:      registry.NewList(clock),
-		health:         healthcheck.NewCache(clock, 3*p.HealthCheckInterval+time.Second),
+		nodes:          newNodeTable(clock, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
+		endpoints:      registry.NewEndpointList(clock),
+		health:         healthcheck.NewStateCache(clock, 3*p.HealthCheckInterval+time.Second),
 		view:           config.New().View(),
 		evacuatedZones: map[rpc.ZoneName]bool{},
 		outcomes:       newOutcomeRelay(),
@@ -85,7 +85,7 @@
 		followers:      newFollowerTable(),
 		policies:       newPolicies(),
 		sessions:       newSessionTable(),
-		zoneBalance:    healthcheck.NewBalance(),
+		zoneBalance:    healthcheck.NewZoneBalancer(),
 	}
 }
 
@@ -135,7 +135,7 @@
 // suspectWarmUp treats the backends of a zone that takes traffic again as
 // possibly warming up: they may have restarted while nobody looked.
 func (c *Coordinator) suspectWarmUp(zone rpc.ZoneName) {
-	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if server.Zone != zone {
 			return
 		}
@@ -173,7 +173,7 @@
 	if c.zoneBalance.Due(now) {
 		c.balanceZones(now)
 	}
-	c.leases.warmingUp = c.health.Cold(now-time.Second, c.leases.warmingUp[:0])
+	c.leases.warmingUp = c.health.WarmingUp(now-time.Second, c.leases.warmingUp[:0])
 	if changed {
 		c.wakeHeartbeats()
 	}
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -50,7 +50,7 @@
 		return commands
 	}
 	// Under a policy, backends that the platform drains are retired as well.
-	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if _, retired := d.retired[id]; server.Draining && !retired {
 			commands = append(commands, raft.Command{Kind: raft.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: raft.Claim{Holder: drain.ByPlatform}})
 		}
@@ -66,7 +66,7 @@
 	}
 	list := make([]rpc.Retirement, 0, len(d.retired))
 	for id, retired := range d.retired {
-		if _, listed := c.endpoints.Servers.Get(id); !retired.Gone && !listed && c.endpoints.Walked {
+		if _, listed := c.endpoints.Endpoints.Get(id); !retired.Gone && !listed && c.endpoints.Complete {
 			// It has left the platform's list: the retirement is over.
 			commands = append(commands, raft.Command{Kind: raft.CommandRestore, Site: string(id)})
 		}
@@ -102,7 +102,7 @@
 func (c *Coordinator) ValidateRetirement(id rpc.EndpointID) (service rpc.ServiceName, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	server, listed := c.endpoints.Servers.Get(id)
+	server, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
 		return "", policy.Class.Wrap(fmt.Errorf("backend %q is %w", id, ErrUnknownBackend))
 	}
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -24,7 +24,7 @@
 
 // listLoop reads the platform's list of backends again and again until Close.
 func (c *Coordinator) listLoop() {
-	platform := registry.NewPlatform(c.settings.PlatformAddress)
+	platform := registry.NewPlatformClient(c.settings.PlatformAddress)
 	pause := time.Duration(float64(time.Second) / max(c.settings.PlatformRate*leaderRateShare, minPlatformRate))
 	for {
 		begun := time.Now()
@@ -56,15 +56,15 @@
 func (c *Coordinator) mergeEndpoints(servers []rpc.Endpoint, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before, first := c.clock.Now(), !c.endpoints.Walked
+	before, first := c.clock.Current(), !c.endpoints.Complete
 	var changed bool
 	var added []rpc.Endpoint
 	if complete {
-		changed = c.endpoints.Whole(servers)
+		changed = c.endpoints.FinishWalk(servers)
 	} else {
-		changed, added = c.endpoints.Page(servers)
+		changed, added = c.endpoints.ApplyPage(servers)
 	}
-	c.endpoints.Servers.Since(before, func(id rpc.EndpointID, server rpc.Endpoint, gone bool) {
+	c.endpoints.Endpoints.Since(before, func(id rpc.EndpointID, server rpc.Endpoint, gone bool) {
 		stamp := server.Summary()
 		if gone {
 			stamp = "gone"
@@ -87,12 +87,12 @@
 func (c *Coordinator) forgetUnlisted() {
 	var gone []rpc.EndpointID
 	c.health.States.Each(func(id rpc.EndpointID, _ rpc.EndpointState) {
-		if _, listed := c.endpoints.Servers.Get(id); !listed {
+		if _, listed := c.endpoints.Endpoints.Get(id); !listed {
 			gone = append(gone, id)
 		}
 	})
 	for _, id := range gone {
-		c.health.Drop(id)
+		c.health.Remove(id)
 		c.leases.rates.Forget(quota.Key{Kind: rpc.WarmupRate, Name: string(id)})
 	}
 }
@@ -101,7 +101,7 @@
 func (c *Coordinator) EndpointsComplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.endpoints.Walked
+	return c.endpoints.Complete
 }
 
 // Report takes up an owner's findings on the health of its backends, and tells
@@ -110,7 +110,7 @@
 func (c *Coordinator) Report(request rpc.HealthReport) (taken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.endpoints.Walked {
+	if !c.endpoints.Complete {
 		return false
 	}
 	if err := c.validateReport(request); err != nil {
@@ -123,15 +123,15 @@
 	}
 	listed := request.States[:0:0]
 	for _, state := range request.States {
-		if _, known := c.endpoints.Servers.Get(state.Endpoint); known {
+		if _, known := c.endpoints.Endpoints.Get(state.Endpoint); known {
 			listed = append(listed, state)
 		}
 	}
 	request.States = listed
-	before := c.clock.Now()
+	before := c.clock.Current()
 	taken, changed := c.health.Report(c.now(), request, absent)
 	c.health.States.Since(before, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) {
-		c.history.Record(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.clock.Now()), true)
+		c.history.Record(history.Health, string(id), "reported by "+string(request.Node), state.Summary(), uint64(c.clock.Current()), true)
 	})
 	if changed {
 		c.wakeHeartbeats()
--- a/internal/coordinator/followers.go
+++ b/internal/coordinator/followers.go
@@ -68,5 +68,5 @@
 
 // listFollowers gives the nodes that count; the caller holds mu.
 func (c *Coordinator) listFollowers(now time.Duration) (followers []drain.Follower) {
-	return c.followers.list(now, c.nodes.registry.Here)
+	return c.followers.list(now, c.nodes.registry.Present)
 }
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -28,7 +28,7 @@
 		leadership.lost.Store(lost)
 		handler := NewHandler(&raft.Node{}, leadership)
 		c := newTestCoordinator()
-		c.node, c.endpoints.Walked = &raft.Node{}, true
+		c.node, c.endpoints.Complete = &raft.Node{}, true
 		handler.SetCoordinator(c)
 
 		var update rpc.Update
@@ -61,10 +61,10 @@
 	leadership := &fakeLeadership{}
 	handler := NewHandler(&raft.Node{}, leadership)
 	c := newTestCoordinator()
-	c.node, c.endpoints.Walked = &raft.Node{}, true
+	c.node, c.endpoints.Complete = &raft.Node{}, true
 	handler.SetCoordinator(c)
 	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", InternalAddress: "e:1", Ready: true}, MaxWait: time.Minute}
-	request.Term, request.Revision, request.LastItem, request.EndpointsComplete = 7, c.clock.Now()+8, rpc.AfterAllItems, true
+	request.Term, request.Revision, request.LastItem, request.EndpointsComplete = 7, c.clock.Current()+8, rpc.AfterAllItems, true
 	done := make(chan rpc.Update)
 	go func() {
 		var update rpc.Update
@@ -77,7 +77,7 @@
 	}
 	leadership.lost.Store(true)
 	c.mu.Lock()
-	for c.clock.Now() <= request.Revision {
+	for c.clock.Current() <= request.Revision {
 		c.clock.Next()
 	}
 	c.wakeHeartbeats()
--- a/internal/coordinator/heartbeat.go
+++ b/internal/coordinator/heartbeat.go
@@ -56,7 +56,7 @@
 
 // observe takes up what a heartbeat says of its node; the caller holds mu.
 func (c *Coordinator) observe(request rpc.HeartbeatRequest) {
-	joined, changed := c.nodes.registry.Beat(c.now(), request.Node)
+	joined, changed := c.nodes.registry.Heartbeat(c.now(), request.Node)
 	if joined {
 		c.log.Emit(eventlog.NodeJoined, eventlog.KeyNode, string(request.ID), eventlog.KeyIncarnation, uint64(request.Incarnation))
 	}
@@ -72,10 +72,10 @@
 	switch {
 	case request.Term != c.term, request.MaxWait <= 0:
 		return true
-	case request.Revision < c.clock.Now(), c.lacksItems(request.KnownState):
+	case request.Revision < c.clock.Current(), c.lacksItems(request.KnownState):
 		return true
 	}
-	return !request.EndpointsComplete && c.endpoints.Walked
+	return !request.EndpointsComplete && c.endpoints.Complete
 }
 
 // gatherTime is how long to wait for more changes; the caller holds mu.
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -23,9 +23,9 @@
 // leaseTable is what is granted of each fleet-wide limit.
 type leaseTable struct {
 	// rates holds the retry slack and the rates of backends that are warming up.
-	rates *quota.Book
+	rates *quota.Allocator
 	// tenants and retries hold the tenants' limits and the limit on retries.
-	tenants, retries *quota.Lender
+	tenants, retries *quota.RateAllocator
 	// warmingUp lists the backends whose rate is granted now.
 	warmingUp []rpc.EndpointID
 }
@@ -34,12 +34,12 @@
 // granted until the leases of older leaders have run out.
 func newLeaseTable(first bool) (t leaseTable) {
 	t = leaseTable{
-		rates:   quota.NewBook(0, leaseDuration),
-		tenants: quota.NewLender(0, leaseDuration, first),
-		retries: quota.NewLenderOf(quota.RetryKinds, 0, leaseDuration, first),
+		rates:   quota.NewAllocator(0, leaseDuration),
+		tenants: quota.NewTenantAllocator(0, leaseDuration, first),
+		retries: quota.NewRateAllocator(quota.RetryLeases, 0, leaseDuration, first),
 	}
 	if first {
-		t.rates = quota.Unwaited(leaseDuration)
+		t.rates = quota.NewFirstAllocator(leaseDuration)
 	}
 	return t
 }
@@ -51,20 +51,20 @@
 		return nil
 	}
 	slack := c.settings.Bounds.RetryBudgetSlack * retrySlackShare
-	lease, granted := c.leases.rates.Lend(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow, request.ID, slack/float64(nodes))
+	lease, granted := c.leases.rates.Grant(now, quota.Key{Kind: rpc.RetrySlack}, slack, c.settings.Bounds.RetryWindow, request.ID, slack/float64(nodes))
 	if granted {
 		leases = append(leases, lease)
 	}
 	for _, demand := range request.TenantDemands {
 		if tenant := c.view.TenantNamed(demand.Name); tenant != nil {
-			leases = append(leases, c.leases.tenants.Lend(now, quota.BoundOf(tenant), request.ID, nodes, demand)...)
+			leases = append(leases, c.leases.tenants.Grant(now, quota.TenantLimit(tenant), request.ID, nodes, demand)...)
 		}
 	}
 	for _, demand := range request.RetryDemands {
 		service := rpc.ServiceName(demand.Name)
 		rule, limited := c.policies.retry.limit.RuleFor(service)
 		if limited && rule.LeastPerSecond > 0 && c.view.Services[demand.Name] != nil {
-			leases = append(leases, c.leases.retries.Lend(now, rule.Bound(service), request.ID, nodes, demand)...)
+			leases = append(leases, c.leases.retries.Grant(now, rule.Bound(service), request.ID, nodes, demand)...)
 		}
 	}
 	for _, id := range c.leases.warmingUp {
@@ -77,8 +77,8 @@
 
 // grantWarmUp gives a node its share of the rate of a backend that is warming up.
 func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.NodeID, id rpc.EndpointID) (lease rpc.Lease, granted bool) {
-	server, listed := c.endpoints.Servers.Get(id)
-	if !listed || server.Draining || c.health.ColdUntil(id)+time.Second < now {
+	server, listed := c.endpoints.Endpoints.Get(id)
+	if !listed || server.Draining || c.health.WarmupUntil(id)+time.Second < now {
 		return lease, false
 	}
 	service := c.warmUpLimited(server)
@@ -90,7 +90,7 @@
 		return lease, false
 	}
 	key := quota.Key{Kind: rpc.WarmupRate, Name: string(id)}
-	return c.leases.rates.Lend(now, key, service.ColdRate, warmUpWindow, node, service.ColdRate/float64(sharers))
+	return c.leases.rates.Grant(now, key, service.ColdRate, warmUpWindow, node, service.ColdRate/float64(sharers))
 }
 
 // warmUpLimited gives a backend's service where that limits the rate of backends
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -18,15 +18,15 @@
 // computed once a change, so that a heartbeat costs nothing that grows with the
 // fleet.
 type nodeTable struct {
-	clock    *registry.Clock
-	registry *registry.Roll
+	clock    *registry.RevisionCounter
+	registry *registry.NodeRegistry
 	// pending tells that a heartbeat changed the registry since the last refresh.
 	pending bool
 
 	shardMap      rpc.ShardMap
 	shardMapEpoch rpc.Revision
 	// members holds those of the shard map, for updates by difference.
-	members *registry.Ledger[rpc.NodeID, bool]
+	members *registry.ChangeLog[rpc.NodeID, bool]
 	// absent lists nodes in the shard map that are not heard, or are stopping.
 	absent []rpc.NodeID
 	// available counts nodes that are heard and not stopping.
@@ -35,10 +35,10 @@
 	nearestByZone map[rpc.ZoneName][]rpc.NodeID
 }
 
-func newNodeTable(clock *registry.Clock, bounds registry.RollBounds) (t nodeTable) {
+func newNodeTable(clock *registry.RevisionCounter, bounds registry.NodeTimeouts) (t nodeTable) {
 	return nodeTable{
-		clock: clock, registry: registry.NewRoll(clock, bounds),
-		members:       registry.NewLedger[rpc.NodeID, bool](clock),
+		clock: clock, registry: registry.NewNodeRegistry(clock, bounds),
+		members:       registry.NewChangeLog[rpc.NodeID, bool](clock),
 		nearestByZone: map[rpc.ZoneName][]rpc.NodeID{},
 	}
 }
@@ -60,7 +60,7 @@
 // refreshNodes recomputes what follows from the registry; the caller holds mu.
 func (c *Coordinator) refreshNodes() {
 	if c.nodes.refresh(c.term) {
-		c.health.Shards(c.nodes.shardMap)
+		c.health.SetShardMap(c.nodes.shardMap)
 		c.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(c.nodes.shardMapEpoch), eventlog.KeyMembers, len(c.nodes.shardMap.Members))
 	}
 	c.outcomes.forgetOwners()
@@ -70,8 +70,8 @@
 // shard map changed.
 func (t *nodeTable) refresh(term rpc.Term) (mapChanged bool) {
 	t.nearestByZone, t.available = map[rpc.ZoneName][]rpc.NodeID{}, 0
-	t.registry.Fellows.Each(func(id rpc.NodeID, node rpc.Node) {
-		if t.registry.Here(id) && !node.Stopping {
+	t.registry.Nodes.Each(func(id rpc.NodeID, node rpc.Node) {
+		if t.registry.Present(id) && !node.Stopping {
 			t.available++
 		}
 	})
@@ -95,7 +95,7 @@
 	}
 	for _, member := range t.shardMap.Members {
 		if !remaining[member] {
-			t.members.Drop(member)
+			t.members.Remove(member)
 		}
 	}
 	// The epochs of all changes that made this map lie after the last map's
@@ -134,8 +134,8 @@
 	}
 	region := regions[string(zone)]
 	var inZone, inRegion, all []rpc.NodeID
-	t.registry.Fellows.Each(func(id rpc.NodeID, node rpc.Node) {
-		if !t.registry.Here(id) || node.Stopping || !node.Ready {
+	t.registry.Nodes.Each(func(id rpc.NodeID, node rpc.Node) {
+		if !t.registry.Present(id) || node.Stopping || !node.Ready {
 			return
 		}
 		all = append(all, id)
@@ -179,6 +179,6 @@
 func (c *Coordinator) NodeAddress(id rpc.NodeID) (address string, incarnation rpc.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	node, _ := c.nodes.registry.Fellows.Get(id)
+	node, _ := c.nodes.registry.Nodes.Get(id)
 	return node.InternalAddress, node.Incarnation
 }
--- a/internal/coordinator/outcomes.go
+++ b/internal/coordinator/outcomes.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if row.Endpoint != "" {
-			if server, listed := c.endpoints.Servers.Get(row.Endpoint); !listed || server.Service != row.Service {
+			if server, listed := c.endpoints.Endpoints.Get(row.Endpoint); !listed || server.Service != row.Service {
 				continue
 			}
 		}
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -100,7 +100,7 @@
 // eachBackend visits the listed backends of a service. Useful ones are neither
 // draining nor down nor stopped by a retirement.
 func (c *Coordinator) eachBackend(service rpc.ServiceName, visit func(server rpc.Endpoint, useful bool)) {
-	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if server.Service != service {
 			return
 		}
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -26,7 +26,7 @@
 
 // retryLimitMemory is how long a node that is not heard may keep to an older
 // limit: when its guaranteed minimum has run out, it makes no retries at all.
-const retryLimitMemory = quota.RetryFloorSpan + time.Second
+const retryLimitMemory = quota.RetryMinimumDuration + time.Second
 
 // RetryStatus gives how the limit on retries to each service stands.
 func (c *Coordinator) RetryStatus() (statuses []RetryStatus) {
@@ -54,7 +54,7 @@
 		}
 		statuses = append(statuses, RetryStatus{
 			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
-			Granted: c.leases.retries.Lent(now, name), Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
+			Granted: c.leases.retries.Granted(now, name), Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -39,7 +39,7 @@
 func (c *Coordinator) stepSchedule(now time.Duration) (command raft.Command, due bool) {
 	s := &c.policies.schedule
 	s.statuses = nil
-	if s.plan == nil || !c.endpoints.Walked {
+	if s.plan == nil || !c.endpoints.Complete {
 		return command, false
 	}
 	var next *rpc.ScheduleStep
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -86,7 +86,7 @@
 
 // validateBind checks one request for a binding; the caller holds mu.
 func (c *Coordinator) validateBind(bind rpc.SessionBinding) (err error) {
-	server, listed := c.endpoints.Servers.Get(bind.Endpoint)
+	server, listed := c.endpoints.Endpoints.Get(bind.Endpoint)
 	_, ruled := c.sessions.policy.RuleFor(bind.Service)
 	switch {
 	case !affinity.ValidID(bind.Session):
@@ -106,9 +106,9 @@
 // backendEnded tells whether and why a session may not stay on a backend; the
 // caller holds mu.
 func (c *Coordinator) backendEnded(now time.Duration, id rpc.EndpointID, service rpc.ServiceName) (ended bool, why string) {
-	server, listed := c.endpoints.Servers.Get(id)
+	server, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
-		return c.endpoints.Walked, "gone"
+		return c.endpoints.Complete, "gone"
 	}
 	if server.Draining {
 		return true, "leaving"
--- a/internal/coordinator/shardmap_test.go
+++ b/internal/coordinator/shardmap_test.go
@@ -23,7 +23,7 @@
 	for step := 0; step < 400; step++ {
 		now := time.Duration(step) * time.Second
 		id := rpc.NodeID(fmt.Sprint("e", rng.Intn(30)))
-		c.nodes.registry.Beat(now, rpc.Node{ID: id, Ready: true, Stopping: rng.Intn(3) == 0})
+		c.nodes.registry.Heartbeat(now, rpc.Node{ID: id, Ready: true, Stopping: rng.Intn(3) == 0})
 		if rng.Intn(2) == 0 {
 			c.refreshNodes()
 		}
@@ -52,7 +52,7 @@
 func TestManyNodesAreSentCompressed(t *testing.T) {
 	c := newTestCoordinator()
 	for n := 0; n < 300; n++ {
-		c.nodes.registry.Beat(0, rpc.Node{ID: rpc.NodeID(fmt.Sprintf("edge-somewhere-%d", n)), Zone: "somewhere", Region: "there", FrontendAddress: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), InternalAddress: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
+		c.nodes.registry.Heartbeat(0, rpc.Node{ID: rpc.NodeID(fmt.Sprintf("edge-somewhere-%d", n)), Zone: "somewhere", Region: "there", FrontendAddress: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), InternalAddress: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
 	}
 	var update, again rpc.Update
 	c.addNodes(0, &update)
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -51,7 +51,7 @@
 	for name := range c.view.Services {
 		status.Owners[name] = string(c.health.Owner(rpc.ServiceName(name), c.nodes.absent))
 	}
-	c.endpoints.Servers.Each(func(rpc.EndpointID, rpc.Endpoint) { status.Backends++ })
+	c.endpoints.Endpoints.Each(func(rpc.EndpointID, rpc.Endpoint) { status.Backends++ })
 	c.health.States.Each(func(_ rpc.EndpointID, state rpc.EndpointState) {
 		if state.Health == rpc.Unhealthy {
 			status.Down++
@@ -62,10 +62,10 @@
 
 // status lists the nodes by name.
 func (t *nodeTable) status() (nodes []NodeStatus) {
-	t.registry.Fellows.Each(func(id rpc.NodeID, node rpc.Node) {
+	t.registry.Nodes.Each(func(id rpc.NodeID, node rpc.Node) {
 		nodes = append(nodes, NodeStatus{
 			Name: string(id), Zone: string(node.Zone), InternalAddress: node.InternalAddress,
-			Ready: node.Ready && !node.Stopping, Connected: t.registry.Here(id),
+			Ready: node.Ready && !node.Stopping, Connected: t.registry.Present(id),
 		})
 	})
 	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
@@ -78,15 +78,15 @@
 	add := func(limit string, granted float64) {
 		grants = append(grants, GrantStatus{Limit: limit, Granted: granted})
 	}
-	add("retry slack", c.leases.rates.Lent(now, quota.Key{Kind: rpc.RetrySlack}))
+	add("retry slack", c.leases.rates.Granted(now, quota.Key{Kind: rpc.RetrySlack}))
 	for name := range c.view.Services {
 		if rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name)); limited {
 			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
-			add(limit, c.leases.retries.Lent(now, name))
+			add(limit, c.leases.retries.Granted(now, name))
 		}
 	}
 	for _, tenant := range c.view.Tenants() {
-		add("tenant "+tenant.Name, c.leases.tenants.Lent(now, tenant.Name))
+		add("tenant "+tenant.Name, c.leases.tenants.Granted(now, tenant.Name))
 	}
 	sort.Slice(grants, func(i, j int) bool { return grants[i].Limit < grants[j].Limit })
 	return grants
@@ -98,9 +98,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == history.Backend {
-		server, known := c.endpoints.Servers.Get(id)
+		server, known := c.endpoints.Endpoints.Get(id)
 		return server.Summary(), known
 	}
 	state, known := c.health.States.Get(id)
-	return c.health.Remaining(c.now(), state).Summary(), known
+	return c.health.WithRemainingWarmup(c.now(), state).Summary(), known
 }
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -64,7 +64,7 @@
 func (c *Coordinator) fillUpdate(request rpc.HeartbeatRequest, update *rpc.Update) {
 	now := c.now()
 	since := request.Revision
-	update.IsLeader, update.Term, update.Revision = true, c.term, c.clock.Now()
+	update.IsLeader, update.Term, update.Revision = true, c.term, c.clock.Current()
 	if request.Term != c.term {
 		// Epochs of another leader mean nothing here.
 		since, update.Full = 0, true
@@ -78,7 +78,7 @@
 	c.addNodes(since, update)
 	c.nodes.addShardMap(request.KnownState, update)
 	update.Absent = c.nodes.absent
-	update.ZoneOverflows = c.zoneBalance.Spills(request.Zone)
+	update.ZoneOverflows = c.zoneBalance.Overflows(request.Zone)
 	update.Outcomes = c.outcomes.take(request.ID)
 	update.Leases = c.grantLeases(now, request)
 }
@@ -155,17 +155,17 @@
 // that lacks it, and what changed of it and of the health states since the node
 // first got a page. The caller holds mu.
 func (c *Coordinator) addEndpoints(now time.Duration, request rpc.HeartbeatRequest, update *rpc.Update) {
-	if !request.EndpointsComplete && c.endpoints.Walked {
+	if !request.EndpointsComplete && c.endpoints.Complete {
 		update.EndpointChunk = c.nextEndpointPage(now, request)
 	}
-	if request.Term != c.term || !request.EndpointsComplete && !c.endpoints.Walked {
+	if request.Term != c.term || !request.EndpointsComplete && !c.endpoints.Complete {
 		return
 	}
-	c.endpoints.Servers.Since(request.Revision, func(_ rpc.EndpointID, server rpc.Endpoint, gone bool) {
+	c.endpoints.Endpoints.Since(request.Revision, func(_ rpc.EndpointID, server rpc.Endpoint, gone bool) {
 		update.Endpoints = append(update.Endpoints, rpc.EndpointChange{Endpoint: server, Removed: gone})
 	})
 	c.health.States.Since(request.Revision, func(_ rpc.EndpointID, state rpc.EndpointState, gone bool) {
-		state = c.health.Remaining(now, state)
+		state = c.health.WithRemainingWarmup(now, state)
 		state.Removed = gone
 		update.States = append(update.States, state)
 	})
@@ -183,7 +183,7 @@
 // endpointPage gives the page after an id.
 func (c *Coordinator) endpointPage(now time.Duration, after rpc.EndpointID) (page *rpc.EndpointChunk) {
 	cache := &c.encoded.endpoints
-	cache.use(c.clock.Now())
+	cache.use(c.clock.Current())
 	if page = cache.parts[after]; page != nil {
 		return page
 	}
@@ -198,7 +198,7 @@
 
 func (c *Coordinator) buildEndpointPage(now time.Duration, after rpc.EndpointID) (page *rpc.EndpointChunk) {
 	var ids []rpc.EndpointID
-	c.endpoints.Servers.Each(func(id rpc.EndpointID, _ rpc.Endpoint) {
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, _ rpc.Endpoint) {
 		if id > after {
 			ids = append(ids, id)
 		}
@@ -206,10 +206,10 @@
 	slices.Sort(ids)
 	page = &rpc.EndpointChunk{After: after, Last: after, Complete: len(ids) <= pageRows}
 	for _, id := range ids[:min(len(ids), pageRows)] {
-		server, _ := c.endpoints.Servers.Get(id)
+		server, _ := c.endpoints.Endpoints.Get(id)
 		page.Endpoints = append(page.Endpoints, server)
 		if state, known := c.health.States.Get(id); known {
-			page.States = append(page.States, c.health.Remaining(now, state))
+			page.States = append(page.States, c.health.WithRemainingWarmup(now, state))
 		}
 		page.Last = id
 	}
@@ -219,12 +219,12 @@
 // addNodes adds what changed of the node registry; many rows are compressed.
 func (c *Coordinator) addNodes(since rpc.Revision, update *rpc.Update) {
 	cache := &c.encoded.nodes
-	cache.use(c.clock.Now())
+	cache.use(c.clock.Current())
 	if packed, known := cache.parts[since]; known {
 		update.CompressedNodes = packed
 		return
 	}
-	c.nodes.registry.Fellows.Since(since, func(_ rpc.NodeID, node rpc.Node, gone bool) {
+	c.nodes.registry.Nodes.Since(since, func(_ rpc.NodeID, node rpc.Node, gone bool) {
 		update.Nodes = append(update.Nodes, rpc.NodeChange{Node: node, Removed: gone})
 	})
 	if len(update.Nodes) <= packThreshold {
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -21,8 +21,8 @@
 func newTestCoordinator() (c *Coordinator) {
 	c = newCoordinator(settings.Settings{}, eventlog.Discard(), 7)
 	c.history = history.New(eventlog.Discard())
-	c.nodes = newNodeTable(c.clock, registry.RollBounds{Absent: time.Minute, Struck: time.Hour})
-	c.health = healthcheck.NewCache(c.clock, time.Minute)
+	c.nodes = newNodeTable(c.clock, registry.NodeTimeouts{Absent: time.Minute, Expired: time.Hour})
+	c.health = healthcheck.NewStateCache(c.clock, time.Minute)
 	c.leases = newLeaseTable(true)
 	return c
 }
@@ -41,7 +41,7 @@
 	}
 	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Ready: true}}
 	// Its first heartbeat made it known; this one brings no change of term.
-	request.Term, request.Revision, request.LastItem = 7, c.clock.Now(), rpc.AfterAllItems
+	request.Term, request.Revision, request.LastItem = 7, c.clock.Current(), rpc.AfterAllItems
 	var first rpc.Update
 	c.fillUpdate(request, &first)
 	if first.EndpointChunk != nil || len(first.Endpoints) != 0 {
@@ -80,7 +80,7 @@
 		if parts == 0 {
 			// One more that sorts before what was sent, and one that goes.
 			c.mergeEndpoints([]rpc.Endpoint{server("aa")}, false)
-			c.endpoints.Servers.Drop("a")
+			c.endpoints.Endpoints.Remove("a")
 		}
 	}
 	if len(known) != 3*pageRows+1 || !known["aa"] || known["a"] {
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -103,7 +103,7 @@
 		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.ShardMapRevision, request.Term)
 	}
 	for _, state := range request.States {
-		server, listed := c.endpoints.Servers.Get(state.Endpoint)
+		server, listed := c.endpoints.Endpoints.Get(state.Endpoint)
 		switch {
 		case !namesFit(string(state.Endpoint), state.EjectedFor):
 			return errLongName
--- a/internal/coordinator/validate_test.go
+++ b/internal/coordinator/validate_test.go
@@ -51,12 +51,12 @@
 		c := newTestCoordinator()
 		request := good
 		spoil(&request)
-		epoch := c.clock.Now()
+		epoch := c.clock.Current()
 		var update rpc.Update
 		if err := c.Heartbeat(request, &update); !errors.As(err, new(*InvalidCallError)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if c.nodes.registry.Count() != 0 || c.clock.Now() != epoch || len(c.outcomes.pendingByOwner) != 0 || len(c.followers.byNode) != 0 || !reflect.DeepEqual(update, rpc.Update{}) {
+		if c.nodes.registry.Count() != 0 || c.clock.Current() != epoch || len(c.outcomes.pendingByOwner) != 0 || len(c.followers.byNode) != 0 || !reflect.DeepEqual(update, rpc.Update{}) {
 			t.Errorf("%s has changed something", name)
 		}
 	}
@@ -87,8 +87,8 @@
 		}
 		request := report()
 		spoil(&request)
-		epoch := c.clock.Now()
-		if c.Report(request) || c.clock.Now() != epoch {
+		epoch := c.clock.Current()
+		if c.Report(request) || c.clock.Current() != epoch {
 			t.Errorf("%s was taken", name)
 		}
 		if !c.Report(report()) {
--- a/internal/coordinator/zonebalance.go
+++ b/internal/coordinator/zonebalance.go
@@ -10,20 +10,20 @@
 // balanceZones recomputes which part of their requests zones should send to the
 // backends of others; the caller holds mu.
 func (c *Coordinator) balanceZones(now time.Duration) {
-	c.zoneBalance.Turn(now, c.loadByZone(), c.slotsByZone(now), func(zone rpc.ZoneName) string { return string(c.regionOf(zone)) })
+	c.zoneBalance.Update(now, c.loadByZone(), c.slotsByZone(now), func(zone rpc.ZoneName) string { return string(c.regionOf(zone)) })
 }
 
 // loadByZone sums the requests in flight that connected nodes report.
-func (c *Coordinator) loadByZone() (inFlight map[healthcheck.Place]float64) {
-	inFlight = map[healthcheck.Place]float64{}
+func (c *Coordinator) loadByZone() (inFlight map[healthcheck.ServiceZone]float64) {
+	inFlight = map[healthcheck.ServiceZone]float64{}
 	for id, loads := range c.followers.loadByNode {
-		node, known := c.nodes.registry.Fellows.Get(id)
-		if !known || !c.nodes.registry.Here(id) {
+		node, known := c.nodes.registry.Nodes.Get(id)
+		if !known || !c.nodes.registry.Present(id) {
 			continue
 		}
 		for _, load := range loads {
 			if load.InFlight > 0 {
-				inFlight[healthcheck.Place{Service: load.Service, Site: node.Zone}] += float64(load.InFlight)
+				inFlight[healthcheck.ServiceZone{Service: load.Service, Zone: node.Zone}] += float64(load.InFlight)
 			}
 		}
 	}
@@ -32,10 +32,10 @@
 
 // slotsByZone sums the slots of the backends that can take their full load; a
 // zone that has only others is there with none.
-func (c *Coordinator) slotsByZone(now time.Duration) (slots map[healthcheck.Place]float64) {
-	slots = map[healthcheck.Place]float64{}
-	c.endpoints.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
-		place := healthcheck.Place{Service: server.Service, Site: server.Zone}
+func (c *Coordinator) slotsByZone(now time.Duration) (slots map[healthcheck.ServiceZone]float64) {
+	slots = map[healthcheck.ServiceZone]float64{}
+	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+		place := healthcheck.ServiceZone{Service: server.Service, Zone: server.Zone}
 		if c.takesFullLoad(now, id, server) {
 			slots[place] += float64(max(1, server.Slots))
 		} else {
@@ -50,7 +50,7 @@
 	switch {
 	case server.Draining, c.evacuatedZones[server.Zone], c.policies.drain.stopped(id):
 		return false
-	case state.Health == rpc.Unhealthy, state.EjectedFor != "", c.health.ColdUntil(id) > now:
+	case state.Health == rpc.Unhealthy, state.EjectedFor != "", c.health.WarmupUntil(id) > now:
 		return false
 	}
 	return true
--- a/internal/healthcheck/balance.go
+++ b/internal/healthcheck/balance.go
@@ -16,62 +16,62 @@
 )
 
 const (
-	// balanceEasy is the part of its slots a site may always have at work,
+	// freeUtilization is the part of its slots a site may always have at work,
 	// balanceOver how far it may be above its region before it sends some away.
-	balanceEasy = 0.6
-	balanceOver = 1.1
-	// balanceStep is how fast the reckoned demand follows, a turn.
-	balanceStep = 0.25
-	balanceTurn = 200 * time.Millisecond
-	// balanceLeast is the least part worth sending away, in thousandths.
-	balanceLeast = 40
+	freeUtilization        = 0.6
+	maxRelativeUtilization = 1.1
+	// demandSmoothing is how fast the reckoned demand follows, a turn.
+	demandSmoothing = 0.25
+	balanceInterval = 200 * time.Millisecond
+	// minOverflowPermille is the least part worth sending away, in thousandths.
+	minOverflowPermille = 40
 )
 
-// Place is one service at one site.
-type Place struct {
+// ServiceZone is one service at one site.
+type ServiceZone struct {
 	Service rpc.ServiceName
-	Site    rpc.ZoneName
+	Zone    rpc.ZoneName
 }
 
-// Balance keeps the demand of each place.
-type Balance struct {
-	demand map[Place]float64
-	spills map[Place]rpc.ZoneOverflow
-	turned time.Duration
+// ZoneBalancer keeps the demand of each place.
+type ZoneBalancer struct {
+	demand    map[ServiceZone]float64
+	overflows map[ServiceZone]rpc.ZoneOverflow
+	updatedAt time.Duration
 }
 
-// NewBalance knows of no demand.
-func NewBalance() (balance *Balance) {
-	return &Balance{demand: map[Place]float64{}, spills: map[Place]rpc.ZoneOverflow{}, turned: -time.Hour}
+// NewZoneBalancer knows of no demand.
+func NewZoneBalancer() (balance *ZoneBalancer) {
+	return &ZoneBalancer{demand: map[ServiceZone]float64{}, overflows: map[ServiceZone]rpc.ZoneOverflow{}, updatedAt: -time.Hour}
 }
 
 // Due tells whether it is time for a turn.
-func (b *Balance) Due(now time.Duration) bool { return now-b.turned >= balanceTurn }
+func (b *ZoneBalancer) Due(now time.Duration) bool { return now-b.updatedAt >= balanceInterval }
 
-// Turn takes what is at work by the site it came to, and the slots of use at
+// Update takes what is at work by the site it came to, and the slots of use at
 // each, and reckons anew.
-func (b *Balance) Turn(now time.Duration, atWork, slots map[Place]float64, region func(rpc.ZoneName) string) {
-	b.turned = now
+func (b *ZoneBalancer) Update(now time.Duration, atWork, slots map[ServiceZone]float64, region func(rpc.ZoneName) string) {
+	b.updatedAt = now
 	for place := range b.demand {
 		if _, told := atWork[place]; !told {
-			if b.demand[place] *= 1 - balanceStep; b.demand[place] < 0.05 {
+			if b.demand[place] *= 1 - demandSmoothing; b.demand[place] < 0.05 {
 				delete(b.demand, place)
 			}
 		}
 	}
 	for place, work := range atWork {
-		b.demand[place] += (work - b.demand[place]) * balanceStep
+		b.demand[place] += (work - b.demand[place]) * demandSmoothing
 	}
 	type pool struct {
 		demand, slots float64
 		sites         []rpc.ZoneName
 	}
 	pools := map[rpc.ServiceName]map[string]*pool{}
-	note := func(place Place, demand, slots float64) {
+	note := func(place ServiceZone, demand, slots float64) {
 		if pools[place.Service] == nil {
 			pools[place.Service] = map[string]*pool{}
 		}
-		in := region(place.Site)
+		in := region(place.Zone)
 		if pools[place.Service][in] == nil {
 			pools[place.Service][in] = &pool{}
 		}
@@ -79,11 +79,11 @@
 		held.demand += demand
 		held.slots += slots
 		for _, site := range held.sites {
-			if site == place.Site {
+			if site == place.Zone {
 				return
 			}
 		}
-		held.sites = append(held.sites, place.Site)
+		held.sites = append(held.sites, place.Zone)
 	}
 	for place, demand := range b.demand {
 		note(place, demand, 0)
@@ -91,11 +91,11 @@
 	for place, count := range slots {
 		note(place, 0, count)
 	}
-	b.spills = map[Place]rpc.ZoneOverflow{}
+	b.overflows = map[ServiceZone]rpc.ZoneOverflow{}
 	for service, regions := range pools {
 		for _, held := range regions {
 			if held.slots > 0 {
-				b.level(service, held.sites, max(balanceEasy, balanceOver*held.demand/held.slots), slots)
+				b.level(service, held.sites, max(freeUtilization, maxRelativeUtilization*held.demand/held.slots), slots)
 			}
 		}
 	}
@@ -103,12 +103,12 @@
 
 // level reckons the spills of one service within one region, so that no site
 // has more than a part of its slots at work.
-func (b *Balance) level(service rpc.ServiceName, sites []rpc.ZoneName, most float64, slots map[Place]float64) {
+func (b *ZoneBalancer) level(service rpc.ServiceName, sites []rpc.ZoneName, most float64, slots map[ServiceZone]float64) {
 	sort.Slice(sites, func(i, k int) bool { return sites[i] < sites[k] })
 	spare := map[rpc.ZoneName]float64{}
 	total := 0.0
 	for _, site := range sites {
-		place := Place{service, site}
+		place := ServiceZone{service, site}
 		if left := most*slots[place] - b.demand[place]; left > 0 {
 			spare[site] = left
 			total += left
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, site := range sites {
-		place := Place{service, site}
+		place := ServiceZone{service, site}
 		over := b.demand[place] - most*slots[place]
 		if over <= 0 || b.demand[place] <= 0 {
 			continue
@@ -131,16 +131,16 @@
 				spill.Permille += part
 			}
 		}
-		if spill.Permille >= balanceLeast {
-			b.spills[place] = spill
+		if spill.Permille >= minOverflowPermille {
+			b.overflows[place] = spill
 		}
 	}
 }
 
-// Spills lists what a site is to send away.
-func (b *Balance) Spills(site rpc.ZoneName) (spills []rpc.ZoneOverflow) {
-	for place, spill := range b.spills {
-		if place.Site == site {
+// Overflows lists what a site is to send away.
+func (b *ZoneBalancer) Overflows(site rpc.ZoneName) (spills []rpc.ZoneOverflow) {
+	for place, spill := range b.overflows {
+		if place.Zone == site {
 			spills = append(spills, spill)
 		}
 	}
--- a/internal/healthcheck/balance_test.go
+++ b/internal/healthcheck/balance_test.go
@@ -17,22 +17,22 @@
 // A pressed site sends away what is above its region, to where there is room,
 // and never out of its region; places that are alike send nothing.
 func TestBalanceLevelsARegion(t *testing.T) {
-	balance := NewBalance()
-	slots := map[Place]float64{{"s", "a"}: 100, {"s", "b"}: 100, {"s", "c"}: 100, {"s", "isle"}: 1000}
+	balance := NewZoneBalancer()
+	slots := map[ServiceZone]float64{{"s", "a"}: 100, {"s", "b"}: 100, {"s", "c"}: 100, {"s", "isle"}: 1000}
 	turn := func(a, b, c float64) {
 		for i := range 40 {
-			balance.Turn(time.Duration(i)*balanceTurn, map[Place]float64{{"s", "a"}: a, {"s", "b"}: b, {"s", "c"}: c}, slots, land)
+			balance.Update(time.Duration(i)*balanceInterval, map[ServiceZone]float64{{"s", "a"}: a, {"s", "b"}: b, {"s", "c"}: c}, slots, land)
 		}
 	}
 	turn(50, 52, 48)
 	for _, site := range []rpc.ZoneName{"a", "b", "c", "isle"} {
-		if spills := balance.Spills(site); len(spills) != 0 {
+		if spills := balance.Overflows(site); len(spills) != 0 {
 			t.Fatalf("%s: %+v though the sites are alike", site, spills)
 		}
 	}
 	turn(120, 50, 20)
-	spills := balance.Spills("a")
-	if len(spills) != 1 || len(balance.Spills("b"))+len(balance.Spills("c")) != 0 {
+	spills := balance.Overflows("a")
+	if len(spills) != 1 || len(balance.Overflows("b"))+len(balance.Overflows("c")) != 0 {
 		t.Fatalf("%+v", spills)
 	}
 	away := 0
@@ -49,13 +49,13 @@
 		t.Errorf("most must go where most room is: %+v", to)
 	}
 	// A site whose backends are all gone sends everything.
-	slots[Place{"s", "a"}] = 0
+	slots[ServiceZone{"s", "a"}] = 0
 	turn(40, 30, 30)
-	if spills = balance.Spills("a"); len(spills) != 1 || spills[0].Permille < 990 {
+	if spills = balance.Overflows("a"); len(spills) != 1 || spills[0].Permille < 990 {
 		t.Errorf("%+v", spills)
 	}
 	turn(0, 0, 0)
-	if len(balance.Spills("a")) != 0 && balance.demand[Place{"s", "a"}] > 0.1 {
+	if len(balance.Overflows("a")) != 0 && balance.demand[ServiceZone{"s", "a"}] > 0.1 {
 		t.Error("demand that is gone still counts")
 	}
 }
--- a/internal/healthcheck/judge.go
+++ b/internal/healthcheck/judge.go
@@ -15,131 +15,131 @@
 )
 
 const (
-	judgeSlots = 8
-	judgeSlot  = 500 * time.Millisecond
-	// judgeLeast is how many bad outcomes it takes, judgePart the least part of
+	sumSlots        = 8
+	sumSlotDuration = 500 * time.Millisecond
+	// minFailures is how many bad outcomes it takes, judgePart the least part of
 	// all that they must be, judgeNorm how far above the service's norm.
-	judgeLeast = 3
-	judgePart  = 0.2
-	judgeNorm  = 3
-	// asideMost is the part of a service that may be set aside.
-	asideMost  = 0.25
-	asideFirst = 2 * time.Second
-	asideLong  = 20 * time.Second
-	// asideGood is how many good outcomes in a row let a backend back early.
-	asideGood = 3
-	relapse   = 30 * time.Second
+	minFailures     = 3
+	minFailureRatio = 0.2
+	minRatioToNorm  = 3
+	// maxEjectedPart is the part of a service that may be set aside.
+	maxEjectedPart  = 0.25
+	firstEjection   = 2 * time.Second
+	longestEjection = 20 * time.Second
+	// successesToReturn is how many good outcomes in a row let a backend back early.
+	successesToReturn = 3
+	relapseWindow     = 30 * time.Second
 )
 
-type count struct{ good, bad float64 }
+type outcomes struct{ succeeded, failed float64 }
 
-func (c count) all() float64 { return c.good + c.bad }
+func (c outcomes) total() float64 { return c.succeeded + c.failed }
 
-// span is a sliding sum.
-type span struct {
-	slots [judgeSlots]count
-	at    int64
+// slidingSum is a sliding sum.
+type slidingSum struct {
+	slots   [sumSlots]outcomes
+	current int64
 }
 
-func (s *span) move(now time.Duration) {
-	turn := int64(now / judgeSlot)
-	for step := int64(0); s.at < turn && step < judgeSlots; step++ {
-		s.at++
-		s.slots[s.at%judgeSlots] = count{}
+func (s *slidingSum) advance(now time.Duration) {
+	turn := int64(now / sumSlotDuration)
+	for step := int64(0); s.current < turn && step < sumSlots; step++ {
+		s.current++
+		s.slots[s.current%sumSlots] = outcomes{}
 	}
-	s.at = max(s.at, turn)
+	s.current = max(s.current, turn)
 }
 
-func (s *span) add(now time.Duration, more count) {
-	s.move(now)
-	slot := &s.slots[s.at%judgeSlots]
-	slot.good += more.good
-	slot.bad += more.bad
+func (s *slidingSum) add(now time.Duration, more outcomes) {
+	s.advance(now)
+	slot := &s.slots[s.current%sumSlots]
+	slot.succeeded += more.succeeded
+	slot.failed += more.failed
 }
 
-func (s *span) sum(now time.Duration) (sum count) {
-	s.move(now)
+func (s *slidingSum) sum(now time.Duration) (sum outcomes) {
+	s.advance(now)
 	for _, slot := range s.slots {
-		sum.good += slot.good
-		sum.bad += slot.bad
+		sum.succeeded += slot.succeeded
+		sum.failed += slot.failed
 	}
 	return sum
 }
 
-type accused struct {
-	service rpc.ServiceName
-	sites   map[rpc.ZoneName]*span
-	aside   string
-	since   time.Duration
-	wait    time.Duration
-	freed   time.Duration
-	good    float64
+type suspect struct {
+	service    rpc.ServiceName
+	zones      map[rpc.ZoneName]*slidingSum
+	ejectedFor string
+	ejectedAt  time.Duration
+	ejection   time.Duration
+	returnedAt time.Duration
+	successes  float64
 }
 
-// Judge keeps the sums of what one daemon owns.
-type Judge struct {
-	servers map[rpc.EndpointID]*accused
-	norms   map[rpc.ServiceName]*span
+// OutlierDetector keeps the sums of what one daemon owns.
+type OutlierDetector struct {
+	suspects map[rpc.EndpointID]*suspect
+	norms    map[rpc.ServiceName]*slidingSum
 }
 
-// NewJudge has heard nothing.
-func NewJudge() (judge *Judge) {
-	return &Judge{servers: map[rpc.EndpointID]*accused{}, norms: map[rpc.ServiceName]*span{}}
+// NewOutlierDetector has heard nothing.
+func NewOutlierDetector() (judge *OutlierDetector) {
+	return &OutlierDetector{suspects: map[rpc.EndpointID]*suspect{}, norms: map[rpc.ServiceName]*slidingSum{}}
 }
 
 // Add takes what a daemon of a site told. A row without a backend is the
 // daemon's sum over the whole service.
-func (j *Judge) Add(now time.Duration, tally rpc.OutcomeCount) {
-	more := count{float64(tally.Succeeded), float64(tally.Failed)}
+func (j *OutlierDetector) Add(now time.Duration, tally rpc.OutcomeCount) {
+	more := outcomes{float64(tally.Succeeded), float64(tally.Failed)}
 	if tally.Endpoint == "" {
 		norm := j.norms[tally.Service]
 		if norm == nil {
-			norm = &span{}
+			norm = &slidingSum{}
 			j.norms[tally.Service] = norm
 		}
 		norm.add(now, more)
 		return
 	}
-	held := j.servers[tally.Endpoint]
+	held := j.suspects[tally.Endpoint]
 	if held == nil {
-		held = &accused{service: tally.Service, sites: map[rpc.ZoneName]*span{}}
-		j.servers[tally.Endpoint] = held
+		held = &suspect{service: tally.Service, zones: map[rpc.ZoneName]*slidingSum{}}
+		j.suspects[tally.Endpoint] = held
 	}
-	if held.sites[tally.Zone] == nil {
-		held.sites[tally.Zone] = &span{}
+	if held.zones[tally.Zone] == nil {
+		held.zones[tally.Zone] = &slidingSum{}
 	}
-	held.sites[tally.Zone].add(now, more)
-	if held.aside == rpc.EjectedForAllZones || held.aside == string(tally.Zone) {
-		if held.good += more.good; more.bad > 0 {
-			held.good = 0
+	held.zones[tally.Zone].add(now, more)
+	if held.ejectedFor == rpc.EjectedForAllZones || held.ejectedFor == string(tally.Zone) {
+		if held.successes += more.succeeded; more.failed > 0 {
+			held.successes = 0
 		}
 	}
 }
 
-// stands tells for which asking sites a backend stands out, and how much.
-func (j *Judge) stands(now time.Duration, held *accused) (aside string, part float64) {
-	norm := count{}
+// evaluate tells for which asking sites a backend stands out, and how much.
+func (j *OutlierDetector) evaluate(now time.Duration, held *suspect) (aside string, part float64) {
+	norm := outcomes{}
 	if spans := j.norms[held.service]; spans != nil {
 		norm = spans.sum(now)
 	}
-	usual := norm.bad / max(1, norm.all())
-	out := func(sum count) bool {
-		return sum.bad >= judgeLeast && sum.bad >= judgePart*sum.all() && sum.bad >= judgeNorm*usual*sum.all()
+	usual := norm.failed / max(1, norm.total())
+	out := func(sum outcomes) bool {
+		return sum.failed >= minFailures && sum.failed >= minFailureRatio*sum.total() && sum.failed >= minRatioToNorm*usual*sum.total()
 	}
-	var total count
+	var total outcomes
 	var bad, sound []rpc.ZoneName
-	for site, spans := range held.sites {
+	for site, spans := range held.zones {
 		sum := spans.sum(now)
-		total.good += sum.good
-		total.bad += sum.bad
+		total.succeeded += sum.succeeded
+		total.failed += sum.failed
 		switch {
 		case out(sum):
 			bad = append(bad, site)
-		case sum.good >= judgeLeast && sum.bad < judgePart*sum.all():
+		case sum.succeeded >= minFailures && sum.failed < minFailureRatio*sum.total():
 			sound = append(sound, site)
 		}
 	}
-	part = total.bad / max(1, total.all())
+	part = total.failed / max(1, total.total())
 	switch {
 	case len(bad) == 1 && len(sound) > 0:
 		return string(bad[0]), part
@@ -151,7 +151,7 @@
 
 // Tick moves time on; sizes are the numbers of backends of the services that
 // this daemon owns. It gives the backends whose standing changed.
-func (j *Judge) Tick(now time.Duration, sizes map[rpc.ServiceName]int) (changed map[rpc.EndpointID]string) {
+func (j *OutlierDetector) Tick(now time.Duration, sizes map[rpc.ServiceName]int) (changed map[rpc.EndpointID]string) {
 	changed = map[rpc.EndpointID]string{}
 	type finding struct {
 		id    rpc.EndpointID
@@ -160,35 +160,35 @@
 	}
 	out := map[rpc.ServiceName]int{}
 	found := map[rpc.ServiceName][]finding{}
-	for id, held := range j.servers {
+	for id, held := range j.suspects {
 		if sizes[held.service] == 0 {
-			delete(j.servers, id)
+			delete(j.suspects, id)
 			continue
 		}
-		if held.aside != "" {
-			if now-held.since >= held.wait && held.good >= asideGood || now-held.since >= 2*held.wait {
-				held.aside, held.freed = "", now
-				held.sites = map[rpc.ZoneName]*span{}
+		if held.ejectedFor != "" {
+			if now-held.ejectedAt >= held.ejection && held.successes >= successesToReturn || now-held.ejectedAt >= 2*held.ejection {
+				held.ejectedFor, held.returnedAt = "", now
+				held.zones = map[rpc.ZoneName]*slidingSum{}
 				changed[id] = ""
 				continue
 			}
 			out[held.service]++
 			// Trials from elsewhere may show that only one site's requests fail.
-			if aside, _ := j.stands(now, held); aside != "" && aside != held.aside && held.aside == rpc.EjectedForAllZones {
-				held.aside = aside
+			if aside, _ := j.evaluate(now, held); aside != "" && aside != held.ejectedFor && held.ejectedFor == rpc.EjectedForAllZones {
+				held.ejectedFor = aside
 				changed[id] = aside
 			}
 			continue
 		}
-		aside, part := j.stands(now, held)
+		aside, part := j.evaluate(now, held)
 		if aside != "" {
 			found[held.service] = append(found[held.service], finding{id, aside, part})
-		} else if part == 0 && now-held.freed > relapse {
-			delete(j.servers, id)
+		} else if part == 0 && now-held.returnedAt > relapseWindow {
+			delete(j.suspects, id)
 		}
 	}
 	for service, list := range found {
-		room := int(asideMost * float64(sizes[service]))
+		room := int(maxEjectedPart * float64(sizes[service]))
 		if len(list)+out[service] > 2*room {
 			// Most of the service stands out: that is no fault of single ones.
 			continue
@@ -200,22 +200,22 @@
 			return list[i].id < list[k].id
 		})
 		for _, finding := range list[:min(len(list), max(0, room-out[service]))] {
-			held := j.servers[finding.id]
-			held.wait = min(asideLong, max(asideFirst, 2*held.wait))
-			if now-held.freed > relapse && held.freed > 0 {
-				held.wait = asideFirst
+			held := j.suspects[finding.id]
+			held.ejection = min(longestEjection, max(firstEjection, 2*held.ejection))
+			if now-held.returnedAt > relapseWindow && held.returnedAt > 0 {
+				held.ejection = firstEjection
 			}
-			held.aside, held.since, held.good = finding.aside, now, 0
-			changed[finding.id] = held.aside
+			held.ejectedFor, held.ejectedAt, held.successes = finding.aside, now, 0
+			changed[finding.id] = held.ejectedFor
 		}
 	}
 	return changed
 }
 
-// Aside tells for whom a backend is set aside.
-func (j *Judge) Aside(id rpc.EndpointID) (aside string) {
-	if held := j.servers[id]; held != nil {
-		return held.aside
+// EjectedFor tells for whom a backend is set aside.
+func (j *OutlierDetector) EjectedFor(id rpc.EndpointID) (aside string) {
+	if held := j.suspects[id]; held != nil {
+		return held.ejectedFor
 	}
 	return ""
 }
--- a/internal/healthcheck/judge_test.go
+++ b/internal/healthcheck/judge_test.go
@@ -11,7 +11,7 @@
 // hearing plays outcomes of a service of so many backends into a judge; bad
 // tells what part of a backend's requests from a site fail.
 type hearing struct {
-	judge *Judge
+	judge *OutlierDetector
 	now   time.Duration
 	size  int
 	luck  uint64
@@ -20,7 +20,7 @@
 }
 
 func newHearing(size int) *hearing {
-	return &hearing{judge: NewJudge(), size: size, aside: map[rpc.EndpointID]string{}, seen: map[string]bool{}, luck: 1}
+	return &hearing{judge: NewOutlierDetector(), size: size, aside: map[rpc.EndpointID]string{}, seen: map[string]bool{}, luck: 1}
 }
 
 func (h *hearing) roll() float64 {
@@ -94,7 +94,7 @@
 		}
 		return 0
 	})
-	if most := int(asideMost * float64(h.size)); len(h.aside) > most {
+	if most := int(maxEjectedPart * float64(h.size)); len(h.aside) > most {
 		t.Fatalf("%d are set aside, the bound is %d", len(h.aside), most)
 	}
 }
--- a/internal/healthcheck/ring.go
+++ b/internal/healthcheck/ring.go
@@ -16,14 +16,14 @@
 const pointsPerMember = 64
 
 type point struct {
-	at     uint64
-	member rpc.NodeID
+	position uint64
+	member   rpc.NodeID
 }
 
 // Ring is the consistent hash over one list of members.
 type Ring struct{ points []point }
 
-func spot(text string, n uint64) (at uint64) {
+func hashPosition(text string, n uint64) (at uint64) {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(text))
 	at = hash.Sum64() + n*0x9e3779b97f4a7c15
@@ -40,12 +40,12 @@
 	ring = &Ring{}
 	for _, member := range members {
 		for n := uint64(0); n < pointsPerMember; n++ {
-			ring.points = append(ring.points, point{spot(string(member), n+1), member})
+			ring.points = append(ring.points, point{hashPosition(string(member), n+1), member})
 		}
 	}
 	sort.Slice(ring.points, func(i, j int) bool {
-		if ring.points[i].at != ring.points[j].at {
-			return ring.points[i].at < ring.points[j].at
+		if ring.points[i].position != ring.points[j].position {
+			return ring.points[i].position < ring.points[j].position
 		}
 		return ring.points[i].member < ring.points[j].member
 	})
@@ -58,8 +58,8 @@
 	if len(r.points) == 0 {
 		return ""
 	}
-	at := spot(string(service), 0)
-	first := sort.Search(len(r.points), func(i int) bool { return r.points[i].at >= at })
+	at := hashPosition(string(service), 0)
+	first := sort.Search(len(r.points), func(i int) bool { return r.points[i].position >= at })
 	for i := range r.points {
 		member := r.points[(first+i)%len(r.points)].member
 		if !absent[member] {
@@ -70,4 +70,4 @@
 }
 
 // Rank orders members for a key, for choices that need no ring.
-func Rank(member, key string) (rank uint64) { return spot(member+"\x00"+key, 0) }
+func Rank(member, key string) (rank uint64) { return hashPosition(member+"\x00"+key, 0) }
--- a/internal/healthcheck/sim_test.go
+++ b/internal/healthcheck/sim_test.go
@@ -26,7 +26,7 @@
 	id     rpc.NodeID
 	up     bool
 	cut    time.Duration
-	watch  *Watch
+	watch  *ProbeAssignment
 	heard  time.Duration
 	next   time.Duration
 	seen   rpc.Revision
@@ -45,9 +45,9 @@
 	term     int
 	leads    bool
 	back     time.Duration
-	clock    *registry.Clock
-	roll     *registry.Roll
-	cache    *Cache
+	clock    *registry.RevisionCounter
+	roll     *registry.NodeRegistry
+	cache    *StateCache
 	shards   rpc.ShardMap
 	probed   map[rpc.ServiceName]time.Duration
 	broken   string
@@ -77,25 +77,25 @@
 	f.alive[name] = true
 	f.probed[name] = f.now
 	for _, d := range f.daemons {
-		d.watch.Services(f.services)
-		d.watch.Settle(f.now)
+		d.watch.SetServices(f.services)
+		d.watch.CoverNewServices(f.now)
 	}
 }
 
 func (f *simFleet) start(d *simDaemon) {
 	d.up, d.seen, d.term, d.heard = true, 0, 0, -time.Hour
-	d.watch = NewWatch(d.id, simInterval, f.now)
-	d.watch.Services(f.services)
+	d.watch = NewProbeAssignment(d.id, simInterval, f.now)
+	d.watch.SetServices(f.services)
 	d.states, d.known = map[rpc.EndpointID]rpc.Health{}, map[rpc.EndpointID]rpc.Health{}
 }
 
 func (f *simFleet) lead() {
 	f.term++
 	f.leads = true
-	f.clock = &registry.Clock{}
+	f.clock = &registry.RevisionCounter{}
 	f.clock.Next()
-	f.roll = registry.NewRoll(f.clock, registry.RollBounds{Absent: 1300 * time.Millisecond, Struck: 6 * time.Second})
-	f.cache = NewCache(f.clock, 4*time.Second)
+	f.roll = registry.NewNodeRegistry(f.clock, registry.NodeTimeouts{Absent: 1300 * time.Millisecond, Expired: 6 * time.Second})
+	f.cache = NewStateCache(f.clock, 4*time.Second)
 	f.shards = rpc.ShardMap{}
 }
 
@@ -103,7 +103,7 @@
 	members := f.roll.Members()
 	if fmt.Sprint(members) != fmt.Sprint(f.shards.Members) {
 		f.shards = rpc.ShardMap{Term: rpc.Term(f.term), Revision: f.clock.Next(), Members: members}
-		f.cache.Shards(f.shards)
+		f.cache.SetShardMap(f.shards)
 	}
 }
 
@@ -124,7 +124,7 @@
 		if f.leads && f.now >= d.cut && f.now >= d.next {
 			f.beat(d)
 		}
-		d.watch.Led(f.now, f.now-d.heard < 1300*time.Millisecond)
+		d.watch.SetHasLeader(f.now, f.now-d.heard < 1300*time.Millisecond)
 		d.watch.Tick(f.now)
 		if f.luck.Intn(5) == 0 {
 			f.probe(d)
@@ -136,18 +136,18 @@
 func (f *simFleet) beat(d *simDaemon) {
 	d.next = f.now + time.Duration(100+f.luck.Intn(600))*time.Millisecond
 	d.heard = f.now
-	f.roll.Beat(f.now, rpc.Node{ID: d.id, Ready: true})
+	f.roll.Heartbeat(f.now, rpc.Node{ID: d.id, Ready: true})
 	f.members()
 	if d.term != f.term {
 		d.term, d.seen = f.term, 0
 	}
 	f.cache.States.Since(d.seen, func(id rpc.EndpointID, state rpc.EndpointState, _ bool) { d.known[id] = state.Health })
 	if f.shards.Revision > d.seen && !f.fault.noDebounce {
-		d.watch.Map(f.now, f.shards)
+		d.watch.SetShardMap(f.now, f.shards)
 	}
-	d.seen = f.clock.Now()
+	d.seen = f.clock.Current()
 	if !f.fault.deafToAbsent {
-		d.watch.Absent(f.roll.Absent())
+		d.watch.SetAbsent(f.roll.Absent())
 	}
 }
 
@@ -158,7 +158,7 @@
 			absent[id] = true
 		}
 	}
-	for _, service := range d.watch.Duties() {
+	for _, service := range d.watch.AssignedServices() {
 		f.probed[service] = f.now
 		health := rpc.Healthy
 		if !f.alive[service] {
@@ -167,7 +167,7 @@
 		id := rpc.EndpointID(service)
 		d.known[id] = health
 		if f.leads && f.now >= d.cut && d.term == f.term {
-			if f.fault.keepStale && f.cache.owners[service] != nil && f.cache.owners[service].by != d.id {
+			if f.fault.keepStale && f.cache.owners[service] != nil && f.cache.owners[service].node != d.id {
 				continue
 			}
 			f.cache.Report(f.now, rpc.HealthReport{Node: d.id, Service: service, Full: true, States: []rpc.EndpointState{{Endpoint: id, Health: health}}}, absent)
@@ -186,7 +186,7 @@
 	if !anyone {
 		return
 	}
-	bound := (StandIn + simInterval) + StandIn + 700*time.Millisecond + 2200*time.Millisecond
+	bound := (TakeoverDelay + simInterval) + TakeoverDelay + 700*time.Millisecond + 2200*time.Millisecond
 	for _, service := range f.services {
 		if silence := f.now - f.probed[service]; silence > bound && f.broken == "" {
 			f.broken = fmt.Sprintf("at %v: %s was not probed for %v", f.now, service, silence)
--- a/internal/healthcheck/vigil_test.go
+++ b/internal/healthcheck/vigil_test.go
@@ -56,10 +56,10 @@
 	}
 }
 
-func watchOf(self string, names ...rpc.ServiceName) (watch *Watch) {
-	watch = NewWatch(rpc.NodeID(self), 4*time.Second, 0)
-	watch.Services(names)
-	watch.Led(0, true)
+func watchOf(self string, names ...rpc.ServiceName) (watch *ProbeAssignment) {
+	watch = NewProbeAssignment(rpc.NodeID(self), 4*time.Second, 0)
+	watch.SetServices(names)
+	watch.SetHasLeader(0, true)
 	return watch
 }
 
@@ -70,7 +70,7 @@
 		if !watch.Probes("s") {
 			t.Fatalf("%s does not probe a new service", id)
 		}
-		watch.Map(0, rpc.ShardMap{Revision: 1, Members: members(4)})
+		watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(4)})
 		if watch.Tick(3 * time.Second); !watch.Probes("s") {
 			t.Fatalf("%s stopped before send_interval", id)
 		}
@@ -86,36 +86,36 @@
 
 func TestMapChangesWaitAndOnlyTheLastCounts(t *testing.T) {
 	watch := watchOf("edge-0", "s")
-	watch.Map(0, rpc.ShardMap{Revision: 1, Members: members(3)})
+	watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(3)})
 	watch.Tick(4 * time.Second)
 	before := watch.Owner("s")
 	// A member flaps: away and back within the interval.
-	watch.Map(10*time.Second, rpc.ShardMap{Revision: 2, Members: members(2)})
+	watch.SetShardMap(10*time.Second, rpc.ShardMap{Revision: 2, Members: members(2)})
 	watch.Tick(11 * time.Second)
-	if watch.Owner("s") != before || watch.Applied().Revision != 1 {
+	if watch.Owner("s") != before || watch.AppliedMap().Revision != 1 {
 		t.Fatal("a change of the map was acted on at once")
 	}
-	watch.Map(11200*time.Millisecond, rpc.ShardMap{Revision: 3, Members: members(3)})
+	watch.SetShardMap(11200*time.Millisecond, rpc.ShardMap{Revision: 3, Members: members(3)})
 	applied, _ := watch.Tick(14 * time.Second)
-	if !applied || watch.Applied().Revision != 3 || watch.Owner("s") != before {
+	if !applied || watch.AppliedMap().Revision != 3 || watch.Owner("s") != before {
 		t.Fatal("after the interval the last map counts, and nothing has moved")
 	}
 }
 
 func TestWithoutALeaderEverythingIsProbed(t *testing.T) {
 	watch := watchOf("edge-0", "a", "b", "c", "d", "e", "f")
-	watch.Map(0, rpc.ShardMap{Revision: 1, Members: members(3)})
+	watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: members(3)})
 	watch.Tick(4 * time.Second)
-	mine := len(watch.Duties())
-	watch.Led(10*time.Second, false)
-	if watch.Tick(13900 * time.Millisecond); len(watch.Duties()) != mine {
+	mine := len(watch.AssignedServices())
+	watch.SetHasLeader(10*time.Second, false)
+	if watch.Tick(13900 * time.Millisecond); len(watch.AssignedServices()) != mine {
 		t.Fatal("headless before send_interval")
 	}
-	if watch.Tick(14 * time.Second); len(watch.Duties()) != 6 {
-		t.Fatalf("headless, but only %d of 6 are probed", len(watch.Duties()))
+	if watch.Tick(14 * time.Second); len(watch.AssignedServices()) != 6 {
+		t.Fatalf("headless, but only %d of 6 are probed", len(watch.AssignedServices()))
 	}
-	watch.Led(15*time.Second, true)
-	if watch.Tick(15 * time.Second); len(watch.Duties()) != mine {
+	watch.SetHasLeader(15*time.Second, true)
+	if watch.Tick(15 * time.Second); len(watch.AssignedServices()) != mine {
 		t.Fatal("with a leader back, the map in use counts again")
 	}
 }
@@ -123,22 +123,22 @@
 func TestAnAbsentOwnerIsStoodInForAtOnce(t *testing.T) {
 	all := members(4)
 	watch := watchOf("edge-0", "s")
-	watch.Map(0, rpc.ShardMap{Revision: 1, Members: all})
+	watch.SetShardMap(0, rpc.ShardMap{Revision: 1, Members: all})
 	watch.Tick(4 * time.Second)
 	owner := watch.Owner("s")
-	watch.Absent([]rpc.NodeID{owner})
-	if watch.Owner("s") == owner || watch.Applied().Revision != 1 {
+	watch.SetAbsent([]rpc.NodeID{owner})
+	if watch.Owner("s") == owner || watch.AppliedMap().Revision != 1 {
 		t.Fatal("the next on the ring stands in, the map stays")
 	}
-	watch.Absent(nil)
+	watch.SetAbsent(nil)
 	if watch.Owner("s") != owner {
 		t.Fatal("the owner takes its own again")
 	}
 }
 
 func TestCacheRefusesTheReplacedOwner(t *testing.T) {
-	cache := NewCache(&registry.Clock{}, 4*time.Second)
-	cache.Shards(rpc.ShardMap{Revision: 1, Members: members(2)})
+	cache := NewStateCache(&registry.RevisionCounter{}, 4*time.Second)
+	cache.SetShardMap(rpc.ShardMap{Revision: 1, Members: members(2)})
 	rightful := cache.ring.Owner("s", nil)
 	other := rpc.NodeID("edge-0")
 	if rightful == other {
@@ -173,24 +173,24 @@
 }
 
 func TestWatchersGetOnlyChanges(t *testing.T) {
-	clock := &registry.Clock{}
-	cache := NewCache(clock, time.Minute)
-	cache.Shards(rpc.ShardMap{Revision: 1, Members: members(1)})
+	clock := &registry.RevisionCounter{}
+	cache := NewStateCache(clock, time.Minute)
+	cache.SetShardMap(rpc.ShardMap{Revision: 1, Members: members(1)})
 	tell := func(health rpc.Health, cold time.Duration, at time.Duration) {
 		cache.Report(at, rpc.HealthReport{Node: "edge-0", Service: "s", States: []rpc.EndpointState{{Endpoint: "b", Health: health, WarmupRemaining: cold}}}, nil)
 	}
 	tell(rpc.Healthy, 0, 0)
-	seen := clock.Now()
+	seen := clock.Current()
 	tell(rpc.Healthy, 0, time.Second)
-	if clock.Now() != seen {
+	if clock.Current() != seen {
 		t.Fatal("the same state told again is no change")
 	}
 	tell(rpc.Healthy, 3*time.Second, 2*time.Second)
 	tell(rpc.Healthy, 2*time.Second, 3*time.Second)
-	if clock.Now() != seen+1 {
+	if clock.Current() != seen+1 {
 		t.Fatal("a cold spell is told once, its shrinking is no change")
 	}
-	if state, _ := cache.States.Get("b"); cache.Remaining(4*time.Second, state).WarmupRemaining != time.Second {
+	if state, _ := cache.States.Get("b"); cache.WithRemainingWarmup(4*time.Second, state).WarmupRemaining != time.Second {
 		t.Fatal("what is left of a cold spell counts down")
 	}
 }
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -15,87 +15,87 @@
 // Operation is one keyed request held here.
 type Operation struct {
 	Key, Request string
-	standing     rpc.OperationState
+	state        rpc.OperationState
 	status       int
-	lines        [][2]string
+	headers      [][2]string
 	body         []byte
-	inner        string
-	at           time.Duration
+	movedTo      string
+	created      time.Duration
 }
 
-// Book is the record; it forgets an operation after the window and bodies
+// Store is the record; it forgets an operation after the window and bodies
 // beyond its room, oldest first.
-type Book struct {
-	window time.Duration
-	room   int
-	now    func() time.Duration
+type Store struct {
+	retention time.Duration
+	maxBytes  int
+	now       func() time.Duration
 
-	mu    sync.Mutex
-	held  map[string]*Operation
-	order []*Operation
-	size  int
-	freed map[[2]string]time.Duration
-	// pruned is when freed was last gone through.
-	pruned time.Duration
-	kept   map[[2]string]*Operation
+	mu         sync.Mutex
+	operations map[string]*Operation
+	order      []*Operation
+	size       int
+	released   map[[2]string]time.Duration
+	// releasedPrunedAt is when freed was last gone through.
+	releasedPrunedAt time.Duration
+	storedForOthers  map[[2]string]*Operation
 }
 
-// NewBook keeps operations for window and bodies up to room bytes.
-func NewBook(window time.Duration, room int, now func() time.Duration) (book *Book) {
-	return &Book{window: window, room: room, now: now, held: map[string]*Operation{}, freed: map[[2]string]time.Duration{}, kept: map[[2]string]*Operation{}}
+// NewStore keeps operations for window and bodies up to room bytes.
+func NewStore(window time.Duration, room int, now func() time.Duration) (book *Store) {
+	return &Store{retention: window, maxBytes: room, now: now, operations: map[string]*Operation{}, released: map[[2]string]time.Duration{}, storedForOthers: map[[2]string]*Operation{}}
 }
 
-// Open starts an operation, or gives the one that holds the key here.
-func (b *Book) Open(key, request string) (op, old *Held) {
+// Begin starts an operation, or gives the one that holds the key here.
+func (b *Store) Begin(key, request string) (op, old *HeldOperation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget()
-	if found := b.held[key]; found != nil && found.standing != rpc.OperationReleased {
-		return nil, &Held{b, found}
+	b.evict()
+	if found := b.operations[key]; found != nil && found.state != rpc.OperationReleased {
+		return nil, &HeldOperation{b, found}
 	}
-	fresh := &Operation{Key: key, Request: request, standing: rpc.OperationRunning, at: b.now()}
-	b.held[key] = fresh
+	fresh := &Operation{Key: key, Request: request, state: rpc.OperationRunning, created: b.now()}
+	b.operations[key] = fresh
 	b.order = append(b.order, fresh)
-	return &Held{b, fresh}, nil
+	return &HeldOperation{b, fresh}, nil
 }
 
-// Held is an operation in its book.
-type Held struct {
-	book *Book
-	op   *Operation
+// HeldOperation is an operation in its book.
+type HeldOperation struct {
+	store     *Store
+	operation *Operation
 }
 
-// Recall tells how the operation stands.
-func (h *Held) Recall() (reply rpc.StoredResponse) {
-	h.book.mu.Lock()
-	defer h.book.mu.Unlock()
-	return h.op.reply()
+// Response tells how the operation stands.
+func (h *HeldOperation) Response() (reply rpc.StoredResponse) {
+	h.store.mu.Lock()
+	defer h.store.mu.Unlock()
+	return h.operation.response()
 }
 
 // Request is the request that holds the key.
-func (h *Held) Request() (request string) { return h.op.Request }
+func (h *HeldOperation) Request() (request string) { return h.operation.Request }
 
-func (o *Operation) reply() (reply rpc.StoredResponse) {
-	return rpc.StoredResponse{State: o.standing, Status: o.status, Headers: o.lines, Body: o.body, InternalAddress: o.inner}
+func (o *Operation) response() (reply rpc.StoredResponse) {
+	return rpc.StoredResponse{State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo}
 }
 
-// forget drops what is past the window.
-func (b *Book) forget() {
+// evict drops what is past the window.
+func (b *Store) evict() {
 	now := b.now()
 	cut := 0
-	for cut < len(b.order) && (now-b.order[cut].at > b.window || b.size > b.room) {
+	for cut < len(b.order) && (now-b.order[cut].created > b.retention || b.size > b.maxBytes) {
 		op := b.order[cut]
-		if op.standing == rpc.OperationRunning && now-op.at <= b.window {
+		if op.state == rpc.OperationRunning && now-op.created <= b.retention {
 			break
 		}
 		b.size -= len(op.body)
 		op.body = nil
-		delete(b.kept, [2]string{op.Key, op.Request})
-		if now-op.at <= b.window && op.standing == rpc.OperationCompleted {
+		delete(b.storedForOthers, [2]string{op.Key, op.Request})
+		if now-op.created <= b.retention && op.state == rpc.OperationCompleted {
 			// Its body is gone for want of room; the operation stays run.
-			op.standing = rpc.OperationLost
-		} else if b.held[op.Key] == op {
-			delete(b.held, op.Key)
+			op.state = rpc.OperationLost
+		} else if b.operations[op.Key] == op {
+			delete(b.operations, op.Key)
 		}
 		cut++
 	}
@@ -104,104 +104,104 @@
 	}
 }
 
-func (b *Book) settle(held *Held, standing rpc.OperationState) {
+func (b *Store) finish(held *HeldOperation, standing rpc.OperationState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if held.op.standing == rpc.OperationRunning {
-		held.op.standing = standing
+	if held.operation.state == rpc.OperationRunning {
+		held.operation.state = standing
 	}
 }
 
-// Answer stores the answer of an operation.
-func (b *Book) Answer(held *Held, status int, lines [][2]string, body []byte) {
+// Complete stores the answer of an operation.
+func (b *Store) Complete(held *HeldOperation, status int, lines [][2]string, body []byte) {
 	b.mu.Lock()
-	held.op.status, held.op.lines, held.op.body = status, lines, body
+	held.operation.status, held.operation.headers, held.operation.body = status, lines, body
 	b.size += len(body)
 	b.mu.Unlock()
-	b.settle(held, rpc.OperationCompleted)
+	b.finish(held, rpc.OperationCompleted)
 }
 
-// Move notes that the operation was answered and who keeps its answer.
-func (b *Book) Move(held *Held, inner string) {
+// MarkMoved notes that the operation was answered and who keeps its answer.
+func (b *Store) MarkMoved(held *HeldOperation, inner string) {
 	b.mu.Lock()
-	held.op.inner = inner
+	held.operation.movedTo = inner
 	b.mu.Unlock()
-	b.settle(held, rpc.OperationMoved)
+	b.finish(held, rpc.OperationMoved)
 }
 
-// Keep stores an answer for a fellow that may not keep it itself.
-func (b *Book) Keep(key, request string, answer rpc.StoredResponse) {
+// StoreForOther stores an answer for a fellow that may not keep it itself.
+func (b *Store) StoreForOther(key, request string, answer rpc.StoredResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget()
-	op := &Operation{Key: key, Request: request, standing: rpc.OperationCompleted, status: answer.Status, lines: answer.Headers, body: answer.Body, at: b.now()}
-	b.kept[[2]string{key, request}] = op
+	b.evict()
+	op := &Operation{Key: key, Request: request, state: rpc.OperationCompleted, status: answer.Status, headers: answer.Headers, body: answer.Body, created: b.now()}
+	b.storedForOthers[[2]string{key, request}] = op
 	b.order = append(b.order, op)
 	b.size += len(op.body)
 }
 
-// Kept gives an answer that is stored for another.
-func (b *Book) Kept(key, request string) (reply rpc.StoredResponse) {
+// StoredForOther gives an answer that is stored for another.
+func (b *Store) StoredForOther(key, request string) (reply rpc.StoredResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if op := b.kept[[2]string{key, request}]; op != nil {
-		return op.reply()
+	if op := b.storedForOthers[[2]string{key, request}]; op != nil {
+		return op.response()
 	}
 	return reply
 }
 
-// Lose notes that nobody knows whether the operation ran.
-func (b *Book) Lose(held *Held) { b.settle(held, rpc.OperationLost) }
+// MarkLost notes that nobody knows whether the operation ran.
+func (b *Store) MarkLost(held *HeldOperation) { b.finish(held, rpc.OperationLost) }
 
-// Free notes that the operation has not run and will not; what became of it
+// Release notes that the operation has not run and will not; what became of it
 // before stands.
-func (b *Book) Free(held *Held) {
-	b.settle(held, rpc.OperationReleased)
+func (b *Store) Release(held *HeldOperation) {
+	b.finish(held, rpc.OperationReleased)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if held.op.standing != rpc.OperationReleased {
+	if held.operation.state != rpc.OperationReleased {
 		return
 	}
 	now := b.now()
-	if len(b.freed) > 4096 && now-b.pruned > b.window/8 {
-		b.pruned = now
-		for which, at := range b.freed {
-			if now-at > b.window {
-				delete(b.freed, which)
+	if len(b.released) > 4096 && now-b.releasedPrunedAt > b.retention/8 {
+		b.releasedPrunedAt = now
+		for which, at := range b.released {
+			if now-at > b.retention {
+				delete(b.released, which)
 			}
 		}
 	}
-	b.freed[[2]string{held.op.Key, held.op.Request}] = now
+	b.released[[2]string{held.operation.Key, held.operation.Request}] = now
 }
 
-// Freed tells whether a claim of this daemon's was given back unused.
-func (b *Book) Freed(key, request string) (freed bool) {
+// Released tells whether a claim of this daemon's was given back unused.
+func (b *Store) Released(key, request string) (freed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, freed = b.freed[[2]string{key, request}]
+	_, freed = b.released[[2]string{key, request}]
 	return freed
 }
 
 // Abandon strikes out an operation that never got its key.
-func (b *Book) Abandon(held *Held) {
-	b.settle(held, rpc.OperationReleased)
+func (b *Store) Abandon(held *HeldOperation) {
+	b.finish(held, rpc.OperationReleased)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held[held.op.Key] == held.op {
-		delete(b.held, held.op.Key)
+	if b.operations[held.operation.Key] == held.operation {
+		delete(b.operations, held.operation.Key)
 	}
 }
 
 // Find looks an operation up by key and request; what is not known here any
 // more counts as lost.
-func (b *Book) Find(key, request string) (reply rpc.StoredResponse) {
+func (b *Store) Find(key, request string) (reply rpc.StoredResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, freed := b.freed[[2]string{key, request}]; freed {
+	if _, freed := b.released[[2]string{key, request}]; freed {
 		return rpc.StoredResponse{State: rpc.OperationReleased}
 	}
-	if op := b.held[key]; op != nil && op.Request == request {
-		return op.reply()
+	if op := b.operations[key]; op != nil && op.Request == request {
+		return op.response()
 	}
 	return rpc.StoredResponse{State: rpc.OperationLost}
 }
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -24,7 +24,7 @@
 type simEdge struct {
 	name string
 	life uint64
-	book *Book
+	book *Store
 }
 
 type simAction struct {
@@ -56,9 +56,9 @@
 // try is one client's try at one daemon.
 func (s *simKeys) try(edge *simEdge, key, request string) {
 	life := edge.life
-	op, old := edge.book.Open(key, request)
+	op, old := edge.book.Begin(key, request)
 	if old != nil {
-		if old.Recall().State == rpc.OperationCompleted {
+		if old.Response().State == rpc.OperationCompleted {
 			s.served++
 		}
 		return
@@ -66,7 +66,7 @@
 	claim := raft.Claim{Key: key, Request: request, Holder: edge.name, Life: edge.life}
 	alive := func() bool { return edge.life == life }
 	giveBack := func() {
-		edge.book.Free(op)
+		edge.book.Release(op)
 		s.later(300, func() { s.apply(raft.CommandFree, claim) })
 	}
 	run := func() {
@@ -78,12 +78,12 @@
 			switch {
 			case !alive():
 			case s.luck.Intn(4) == 0: // the answer is lost
-				edge.book.Lose(op)
+				edge.book.MarkLost(op)
 				if s.fault.freeBroken {
 					giveBack()
 				}
 			default:
-				edge.book.Answer(op, 200, nil, []byte(request))
+				edge.book.Complete(op, 200, nil, []byte(request))
 				s.served++
 			}
 		})
@@ -145,7 +145,7 @@
 	s := &simKeys{luck: rand.New(rand.NewSource(seed)), fault: fault, state: raft.NewState(), runs: map[string]int{}}
 	for i := range 5 {
 		edge := &simEdge{name: fmt.Sprint("edge-", i), life: 1}
-		edge.book = NewBook(time.Hour, 1<<20, func() time.Duration { return s.now })
+		edge.book = NewStore(time.Hour, 1<<20, func() time.Duration { return s.now })
 		s.edges = append(s.edges, edge)
 	}
 	for n := 0; s.now < 20*time.Second; s.now += time.Millisecond {
@@ -165,7 +165,7 @@
 		if s.luck.Intn(1500) == 0 {
 			edge := s.edges[s.luck.Intn(5)]
 			edge.life++
-			edge.book = NewBook(time.Hour, 1<<20, func() time.Duration { return s.now })
+			edge.book = NewStore(time.Hour, 1<<20, func() time.Duration { return s.now })
 		}
 	}
 	for key, runs := range s.runs {
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -311,14 +311,14 @@
 // executeKeyed claims the key first.
 func (d *Daemon) executeKeyed(plan *Plan) (verdict Response) {
 	request := plan.Request
-	if d.operations.Freed(plan.Key, request.ID) {
+	if d.operations.Released(plan.Key, request.ID) {
 		// The word that gave this claim back may still be under way, and would
 		// give back a new one of the same name.
 		return ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
 	}
-	op, old := d.operations.Open(plan.Key, request.ID)
+	op, old := d.operations.Begin(plan.Key, request.ID)
 	if old != nil {
-		return d.replay(d.leader.Fetch(old.Recall(), plan.Key, old.Request()), request.ID)
+		return d.replay(d.leader.Fetch(old.Response(), plan.Key, old.Request()), request.ID)
 	}
 	limit := min(900*time.Millisecond, plan.Deadline-d.clock.Now())
 	for tries := 0; ; tries++ {
@@ -333,7 +333,7 @@
 		case rpc.ClaimHeld:
 			var reply rpc.StoredResponse
 			if found.Holder == rpc.NodeID(d.settings.Name) {
-				if found.Incarnation == d.incarnation && d.operations.Freed(plan.Key, found.Request) {
+				if found.Incarnation == d.incarnation && d.operations.Released(plan.Key, found.Request) {
 					reply.State = rpc.OperationReleased
 					d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: found.Request})
 				}
@@ -348,7 +348,7 @@
 			return d.replay(reply, request.ID)
 		case rpc.ClaimUnknown:
 			// The claim may stand, but nothing will ever be sent under it.
-			d.operations.Free(op)
+			d.operations.Release(op)
 			d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 			return ErrorResponse(apierror.NoLeader, request.ID)
 		default:
@@ -363,9 +363,9 @@
 		d.storeResponse(op, plan, verdict)
 		return verdict
 	case plan.MayHaveRun && !(kind == apierror.BackendFailed && d.deduplicates(plan.Service)):
-		d.operations.Lose(op)
+		d.operations.MarkLost(op)
 	default:
-		d.operations.Free(op)
+		d.operations.Release(op)
 		d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: request.ID})
 	}
 	return ErrorResponse(kind, request.ID)
@@ -380,20 +380,20 @@
 
 // storeResponse keeps the answer of an operation for repeats. Only the homes of a way
 // may store its answers; elsewhere the answer is handed to a fellow there.
-func (d *Daemon) storeResponse(op *idempotency.Held, plan *Plan, verdict Response) {
+func (d *Daemon) storeResponse(op *idempotency.HeldOperation, plan *Plan, verdict Response) {
 	homes := plan.Route.Homes
 	switch {
 	case verdict.BodyRest != nil:
-		d.operations.Lose(op)
+		d.operations.MarkLost(op)
 	case config.AllowsRegion(homes, d.settings.Region):
-		d.operations.Answer(op, verdict.Status, verdict.Headers, verdict.Body)
+		d.operations.Complete(op, verdict.Status, verdict.Headers, verdict.Body)
 	default:
 		go d.storeOnPeer(op, plan, verdict)
 	}
 }
 
 // storeOnPeer lets a fellow within the homes of a way keep an answer.
-func (d *Daemon) storeOnPeer(op *idempotency.Held, plan *Plan, verdict Response) {
+func (d *Daemon) storeOnPeer(op *idempotency.HeldOperation, plan *Plan, verdict Response) {
 	scene, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var chosenInner string
 	var best uint64
@@ -407,10 +407,10 @@
 	}
 	answer := rpc.StoredResponse{State: rpc.OperationCompleted, Status: verdict.Status, Headers: verdict.Headers, Body: verdict.Body}
 	if chosenInner == "" || !d.leader.StoreAt(chosenInner, rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: answer}) {
-		d.operations.Lose(op)
+		d.operations.MarkLost(op)
 		return
 	}
-	d.operations.Move(op, chosenInner)
+	d.operations.MarkMoved(op, chosenInner)
 }
 
 // replay answers a repeat from what its holder told.
--- a/internal/proxy/cluster_state.go
+++ b/internal/proxy/cluster_state.go
@@ -54,14 +54,14 @@
 	controllers  map[string]bool
 	// leaderMap is the leader's newest shard map; assignment says which one is in use.
 	leaderMap  rpc.ShardMap
-	assignment *healthcheck.Watch
-	outliers   *healthcheck.Judge
+	assignment *healthcheck.ProbeAssignment
+	outliers   *healthcheck.OutlierDetector
 }
 
 // leaseTable holds the leases of fleet-wide limits.
 type leaseTable struct {
 	mu     sync.Mutex
-	shares *quota.Shares
+	shares *quota.Leases
 }
 
 // take takes leases that were asked for at a time: they run from then.
@@ -69,7 +69,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, lease := range leases {
-		t.shares.Take(requestedAt, lease)
+		t.shares.Add(requestedAt, lease)
 	}
 }
 
@@ -86,15 +86,15 @@
 		settings: settings, log: log, clock: clock,
 		History:     history.New(log),
 		Policies:    NewPolicies(clock.Now()),
-		leases:      leaseTable{shares: quota.NewShares()},
+		leases:      leaseTable{shares: quota.NewLeases()},
 		config:      config.New(),
 		backends:    map[rpc.EndpointID]*Backend{},
 		stats:       map[rpc.ServiceName]*ServiceStats{},
 		evacuations: map[rpc.ZoneName]rpc.Evacuation{},
 		nodes:       map[rpc.NodeID]rpc.Node{},
 		controllers: map[string]bool{},
-		assignment:  healthcheck.NewWatch(rpc.NodeID(settings.Name), settings.SendInterval, clock.Now()),
-		outliers:    healthcheck.NewJudge(),
+		assignment:  healthcheck.NewProbeAssignment(rpc.NodeID(settings.Name), settings.SendInterval, clock.Now()),
+		outliers:    healthcheck.NewOutlierDetector(),
 	}
 	state.Policies.Retries = retry.NewLimiter(state.Leased)
 	state.view = state.config.View()
@@ -206,16 +206,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	s.assignment.Led(now, hasLeader)
+	s.assignment.SetHasLeader(now, hasLeader)
 	applied, headless := s.assignment.Tick(now)
 	if applied {
-		s.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(s.assignment.Applied().Revision), eventlog.KeyMembers, len(s.assignment.Applied().Members))
+		s.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(s.assignment.AppliedMap().Revision), eventlog.KeyMembers, len(s.assignment.AppliedMap().Members))
 	}
 	if headless {
 		s.log.Emit(eventlog.Headless)
 	}
-	shards := s.assignment.Applied()
-	return s.assignment.Duties(), shards.Term, shards.Revision
+	shards := s.assignment.AppliedMap()
+	return s.assignment.AssignedServices(), shards.Term, shards.Revision
 }
 
 // DetectOutliers moves outlier detection on and gives the backends whose ejection changed.
@@ -234,21 +234,21 @@
 func (s *ClusterState) ProbesOnlyOwn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.assignment.Headless() && !s.assignment.Unsettled()
+	return !s.assignment.WithoutLeader() && !s.assignment.HasUncovered()
 }
 
 // ProbedServices lists the services this node probes now.
 func (s *ClusterState) ProbedServices() (services []rpc.ServiceName) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.assignment.Duties()
+	return s.assignment.AssignedServices()
 }
 
 // AbsentNodes are the nodes that the leader does not hear.
 func (s *ClusterState) AbsentNodes() (absent map[rpc.NodeID]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.assignment.AbsentNow()
+	return s.assignment.AbsentNodes()
 }
 
 // StateOf gives what this node knows of a subject of the history: its summary, its
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -32,7 +32,7 @@
 	recallPause    time.Duration
 	state          *ClusterState
 	leader         *LeaderClient
-	operations     *idempotency.Book
+	operations     *idempotency.Store
 	retryBudget    *RetryBudget
 	tenantLimits   *TenantLimits
 	concurrency    concurrencyLimiters
@@ -52,7 +52,7 @@
 	_, _ = rand.Read(luck[:])
 	d := &Daemon{settings: p, log: log, clock: NewClock(), incarnation: rpc.Incarnation(binary.LittleEndian.Uint64(luck[:])), recallPause: 60 * time.Millisecond}
 	d.state = NewClusterState(p, log, d.clock)
-	d.operations = idempotency.NewBook(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
+	d.operations = idempotency.NewStore(p.Bounds.KeyWindow+20*time.Second, p.MemoryMB<<20/6, d.clock.Now)
 	d.leader = NewLeaderClient(p, log, d.clock, d.state, d.operations, d.incarnation, d.self)
 	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return d.state.Leased(rpc.RetrySlack, "") })
 	d.retryBudget.operatorLimit = d.state.Policies.Retries
@@ -184,14 +184,14 @@
 
 // Keep stores an answer for a fellow that may not keep it itself.
 func (k *PeerService) Keep(ask rpc.StoreRequest, reply *rpc.StoreAcknowledgement) (err error) {
-	k.daemon.operations.Keep(ask.Key, ask.Request, ask.Response)
+	k.daemon.operations.StoreForOther(ask.Key, ask.Request, ask.Response)
 	reply.Stored = true
 	return nil
 }
 
 // Kept gives such an answer back.
 func (k *PeerService) Kept(ask rpc.StoredResponseRequest, reply *rpc.StoredResponse) (err error) {
-	*reply = k.daemon.operations.Kept(ask.Key, ask.Request)
+	*reply = k.daemon.operations.StoredForOther(ask.Key, ask.Request)
 	return nil
 }
 
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -24,7 +24,7 @@
 func StartStubNode(p settings.Settings, life rpc.Incarnation) (hollow *StubNode) {
 	log, clock := eventlog.Discard(), NewClock()
 	h := &StubNode{settings: p, incarnation: life, state: NewClusterState(p, log, clock)}
-	book := idempotency.NewBook(p.Bounds.KeyWindow, 1<<16, clock.Now)
+	book := idempotency.NewStore(p.Bounds.KeyWindow, 1<<16, clock.Now)
 	h.leader = NewLeaderClient(p, log, clock, h.state, book, life, h.self)
 	h.leader.OnUpdate = func() {}
 	h.leader.Limits = NewTenantLimits(h.state.Leased, nil)
@@ -60,5 +60,5 @@
 func (w *ClusterState) appliedShards() rpc.ShardMap {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.assignment.Applied()
+	return w.assignment.AppliedMap()
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -199,8 +199,8 @@
 	d := daemonOf(t, newStandIn(t, "i-1", good))
 	forum := &standInForum{script: grant}
 	led(t, d, forum)
-	op, _ := d.operations.Open("k", "a")
-	d.operations.Free(op)
+	op, _ := d.operations.Begin("k", "a")
+	d.operations.Release(op)
 	var reply rpc.StoredResponse
 	if err := (&PeerService{d}).Recall(rpc.StoredResponseRequest{Key: "k", Request: "a", Incarnation: d.incarnation}, &reply); err != nil || reply.State != rpc.OperationReleased {
 		t.Fatal(reply, err)
@@ -258,8 +258,8 @@
 	if verdict := d.Handle(keyed("a", "k"), "800"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
 	}
-	for _, standing := range []func(op *idempotency.Held){func(*idempotency.Held) {}, d.operations.Free, func(op *idempotency.Held) { d.operations.Answer(op, 200, nil, nil) }} {
-		op, _ := d.operations.Open("other", "z")
+	for _, standing := range []func(op *idempotency.HeldOperation){func(*idempotency.HeldOperation) {}, d.operations.Release, func(op *idempotency.HeldOperation) { d.operations.Complete(op, 200, nil, nil) }} {
+		op, _ := d.operations.Begin("other", "z")
 		if op == nil {
 			break
 		}
@@ -268,6 +268,6 @@
 		if err := (&PeerService{d}).Recall(rpc.StoredResponseRequest{Key: "other", Request: "z", Incarnation: d.incarnation + 1}, &reply); err != nil || reply.State != rpc.OperationLost {
 			t.Fatal(reply, err)
 		}
-		d.operations.Free(op)
+		d.operations.Release(op)
 	}
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -27,7 +27,7 @@
 	wantMore   func()
 
 	mu           sync.Mutex
-	buckets      map[string]*quota.Bucket
+	buckets      map[string]*quota.TokenBucket
 	wantedMoreAt time.Duration
 	nextReported int
 }
@@ -35,17 +35,17 @@
 // NewTenantLimits draws on leased parts; hunger is called when a request was refused
 // and a beat might bring a larger part.
 func NewTenantLimits(part func(kind rpc.LeaseKind, tenant string) float64, hunger func()) (limits *TenantLimits) {
-	return &TenantLimits{leasedPart: part, wantMore: hunger, buckets: map[string]*quota.Bucket{}}
+	return &TenantLimits{leasedPart: part, wantMore: hunger, buckets: map[string]*quota.TokenBucket{}}
 }
 
 func (l *TenantLimits) leasedRate(tenant string) (part float64) {
 	return l.leasedPart(rpc.TenantShare, tenant) + l.leasedPart(rpc.TenantMinimum, tenant)
 }
 
-func (l *TenantLimits) bucket(tenant string) (bucket *quota.Bucket) {
+func (l *TenantLimits) bucket(tenant string) (bucket *quota.TokenBucket) {
 	bucket = l.buckets[tenant]
 	if bucket == nil {
-		bucket = &quota.Bucket{}
+		bucket = &quota.TokenBucket{}
 		l.buckets[tenant] = bucket
 	}
 	return bucket
@@ -55,7 +55,7 @@
 func (l *TenantLimits) Admit(now time.Duration, tenant *config.Tenant) (admitted bool, back time.Duration) {
 	part := l.leasedRate(tenant.Name)
 	l.mu.Lock()
-	admitted, back = l.bucket(tenant.Name).Admit(now, quota.BoundOf(tenant), part)
+	admitted, back = l.bucket(tenant.Name).Admit(now, quota.TenantLimit(tenant), part)
 	call := !admitted && now-l.wantedMoreAt >= wantMoreInterval
 	if call {
 		l.wantedMoreAt = now
@@ -79,7 +79,7 @@
 		}
 		part := l.leasedRate(tenant.Name)
 		l.mu.Lock()
-		l.bucket(tenant.Name).Fill(now, quota.BoundOf(tenant), part)
+		l.bucket(tenant.Name).Refill(now, quota.TenantLimit(tenant), part)
 		l.mu.Unlock()
 	}
 }
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -45,7 +45,7 @@
 	log          *eventlog.Logger
 	clock        Clock
 	state        *ClusterState
-	operations   *idempotency.Book
+	operations   *idempotency.Store
 	incarnation  rpc.Incarnation
 	self         func() rpc.Node
 	seeds        atomic.Pointer[[]string]
@@ -73,7 +73,7 @@
 }
 
 // NewLeaderClient is a link that has not found a leader yet.
-func NewLeaderClient(p settings.Settings, log *eventlog.Logger, clock Clock, world *ClusterState, book *idempotency.Book, life rpc.Incarnation, self func() rpc.Node) (link *LeaderClient) {
+func NewLeaderClient(p settings.Settings, log *eventlog.Logger, clock Clock, world *ClusterState, book *idempotency.Store, life rpc.Incarnation, self func() rpc.Node) (link *LeaderClient) {
 	link = &LeaderClient{
 		settings: p, log: log, clock: clock, state: world, operations: book, incarnation: life, self: self,
 		wakeReleases: make(chan struct{}, 1),
@@ -304,7 +304,7 @@
 	if l.settings.PlatformAddress == "" {
 		return
 	}
-	platform := registry.NewPlatform(l.settings.PlatformAddress)
+	platform := registry.NewPlatformClient(l.settings.PlatformAddress)
 	var due time.Duration
 	for alone := false; !l.isDone(); {
 		time.Sleep(standalonePoll)
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -114,7 +114,7 @@
 	clock := NewClock()
 	d = &Daemon{settings: p, log: eventlog.Discard(), clock: clock, incarnation: 1}
 	d.state = NewClusterState(p, d.log, clock)
-	d.operations = idempotency.NewBook(time.Minute, 1<<20, clock.Now)
+	d.operations = idempotency.NewStore(time.Minute, 1<<20, clock.Now)
 	d.leader = NewLeaderClient(p, d.log, clock, d.state, d.operations, 1, d.self)
 	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
 	d.tenantLimits = NewTenantLimits(d.state.Leased, nil)
--- a/internal/proxy/update.go
+++ b/internal/proxy/update.go
@@ -51,8 +51,8 @@
 	for _, count := range update.Outcomes {
 		s.outliers.Add(now, count)
 	}
-	s.assignment.Absent(update.Absent)
-	s.assignment.Led(now, true)
+	s.assignment.SetAbsent(update.Absent)
+	s.assignment.SetHasLeader(now, true)
 	if changed {
 		s.publishSnapshot()
 	}
@@ -146,8 +146,8 @@
 	for name := range s.view.Services {
 		names = append(names, rpc.ServiceName(name))
 	}
-	s.assignment.Services(names)
-	s.assignment.Settle(now)
+	s.assignment.SetServices(names)
+	s.assignment.CoverNewServices(now)
 }
 
 // warmUpReopened has the backends of zones that are open again warm up anew.
@@ -199,7 +199,7 @@
 	}
 	if update.ShardMap != nil {
 		s.leaderMap, s.known.ShardMapRevision = *update.ShardMap, update.ShardMap.Revision
-		s.assignment.Map(now, *update.ShardMap)
+		s.assignment.SetShardMap(now, *update.ShardMap)
 	}
 }
 
--- a/internal/quota/allot_test.go
+++ b/internal/quota/allot_test.go
@@ -19,8 +19,8 @@
 	for seed := int64(1); seed <= 40; seed++ {
 		luck := rand.New(rand.NewSource(seed))
 		bound := 5 + 20*luck.Float64()
-		book := NewBook(0, span)
-		holders := map[rpc.NodeID]*Shares{}
+		book := NewAllocator(0, span)
+		holders := map[rpc.NodeID]*Leases{}
 		type used struct {
 			at     time.Duration
 			amount float64
@@ -35,19 +35,19 @@
 		var late []answer
 		for now := time.Duration(0); now < 60*time.Second; now += 50 * time.Millisecond {
 			if luck.Intn(200) == 0 {
-				book = NewBook(now, span)
+				book = NewAllocator(now, span)
 			}
 			id := rpc.NodeID(fmt.Sprint(luck.Intn(8)))
 			if holders[id] == nil || luck.Intn(100) == 0 {
-				holders[id] = NewShares()
+				holders[id] = NewLeases()
 			}
 			asked := now - time.Duration(luck.Intn(300))*time.Millisecond
-			if lease, given := book.Lend(now, key, bound, window, id, bound*luck.Float64()); given && luck.Intn(10) > 0 {
+			if lease, given := book.Grant(now, key, bound, window, id, bound*luck.Float64()); given && luck.Intn(10) > 0 {
 				late = append(late, answer{id, lease, asked, now + time.Duration(luck.Intn(400))*time.Millisecond})
 			}
 			for i := 0; i < len(late); i++ {
 				if late[i].due <= now {
-					holders[late[i].to].Take(late[i].asked, late[i].lease)
+					holders[late[i].to].Add(late[i].asked, late[i].lease)
 					late = append(late[:i], late[i+1:]...)
 					i--
 				}
@@ -73,18 +73,18 @@
 }
 
 func TestANewLenderWaits(t *testing.T) {
-	book := NewBook(10*time.Second, time.Second)
+	book := NewAllocator(10*time.Second, time.Second)
 	key := Key{rpc.RetrySlack, ""}
-	if _, given := book.Lend(10500*time.Millisecond, key, 5, 2*time.Second, "a", 5); given {
+	if _, given := book.Grant(10500*time.Millisecond, key, 5, 2*time.Second, "a", 5); given {
 		t.Fatal("lent before every share of the predecessor had run out")
 	}
-	if _, given := book.Lend(13*time.Second, key, 5, 2*time.Second, "a", 5); !given {
+	if _, given := book.Grant(13*time.Second, key, 5, 2*time.Second, "a", 5); !given {
 		t.Fatal("not lent afterwards")
 	}
-	if _, given := book.Lend(14500*time.Millisecond, key, 5, 2*time.Second, "b", 5); given {
+	if _, given := book.Grant(14500*time.Millisecond, key, 5, 2*time.Second, "b", 5); given {
 		t.Fatal("lent again within the window")
 	}
-	if _, given := book.Lend(16*time.Second+time.Millisecond, key, 5, 2*time.Second, "b", 5); !given {
+	if _, given := book.Grant(16*time.Second+time.Millisecond, key, 5, 2*time.Second, "b", 5); !given {
 		t.Fatal("not lent again after the window")
 	}
 }
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -20,70 +20,72 @@
 	Name string
 }
 
-type loan struct {
+type grant struct {
 	amount float64
 	until  time.Duration
 }
 
-// account is one bound's record. Its sum is kept as loans come and is reckoned
+// limitGrants is one bound's record. Its sum is kept as loans come and is reckoned
 // anew only when a loan may have run out, so that a loan costs the same however
 // many holders there are.
-type account struct {
-	holders map[rpc.NodeID][]loan
-	sum     float64
-	next    time.Duration
+type limitGrants struct {
+	holders    map[rpc.NodeID][]grant
+	sum        float64
+	nextExpiry time.Duration
 }
 
-// of is what a holder may be using, while nothing has run out since settle.
-func (a *account) of(holder rpc.NodeID) (most float64) {
+// amountOf is what a holder may be using, while nothing has run out since settle.
+func (a *limitGrants) amountOf(holder rpc.NodeID) (most float64) {
 	for _, loan := range a.holders[holder] {
 		most = max(most, loan.amount)
 	}
 	return most
 }
 
-// put replaces a holder's loans.
-func (a *account) put(holder rpc.NodeID, loans []loan) {
-	before := a.of(holder)
+// set replaces a holder's loans.
+func (a *limitGrants) set(holder rpc.NodeID, loans []grant) {
+	before := a.amountOf(holder)
 	a.holders[holder] = loans
-	a.sum += a.of(holder) - before
+	a.sum += a.amountOf(holder) - before
 	for _, loan := range loans {
-		a.next = min(a.next, loan.until)
+		a.nextExpiry = min(a.nextExpiry, loan.until)
 	}
 }
 
-// Book is the lender's record.
-type Book struct {
-	span     time.Duration
-	opened   time.Duration
-	accounts map[Key]*account
+// Allocator is the lender's record.
+type Allocator struct {
+	leaseDuration time.Duration
+	started       time.Duration
+	limits        map[Key]*limitGrants
 }
 
-// Unwaited opens a book that has no predecessor, so nothing can be lent yet.
-func Unwaited(span time.Duration) (book *Book) { return NewBook(-1000*time.Hour, span) }
+// NewFirstAllocator opens a book that has no predecessor, so nothing can be lent yet.
+func NewFirstAllocator(span time.Duration) (book *Allocator) {
+	return NewAllocator(-1000*time.Hour, span)
+}
 
-// NewBook opens at now; span is how long a share lasts.
-func NewBook(now, span time.Duration) (book *Book) {
-	return &Book{span: span, opened: now, accounts: map[Key]*account{}}
+// NewAllocator opens at now; span is how long a share lasts.
+func NewAllocator(now, span time.Duration) (book *Allocator) {
+	return &Allocator{leaseDuration: span, started: now, limits: map[Key]*limitGrants{}}
 }
 
-// settle gives a bound's record without what has run out by now.
-func (b *Book) settle(now time.Duration, key Key) (settled *account) {
-	settled = b.accounts[key]
+// unexpired gives a bound's record without what has run out by now.
+func (b *Allocator) unexpired(now time.Duration, key Key) (settled *limitGrants) {
+	settled = b.limits[key]
 	if settled == nil {
-		settled = &account{holders: map[rpc.NodeID][]loan{}, next: math.MaxInt64}
-		b.accounts[key] = settled
+		settled = &limitGrants{holders: map[rpc.NodeID][]grant{}, nextExpiry: math.MaxInt64}
+		b.limits[key] = settled
 	}
-	if now < settled.next {
+	if now < settled.nextExpiry {
 		return settled
 	}
-	settled.sum, settled.next = 0, math.MaxInt64
+	settled.sum, settled.nextExpiry = 0, math.MaxInt64
 	for holder, loans := range settled.holders {
 		kept := loans[:0]
 		for _, loan := range loans {
 			if loan.until > now {
 				kept = append(kept, loan)
-				settled.next = min(settled.next, loan.until)
+				settled.nextExpiry = min(settled.nextExpiry, loan.until)
 			}
 		}
 		if len(kept) == 0 {
@@ -91,78 +93,78 @@
 			continue
 		}
 		settled.holders[holder] = kept
-		settled.sum += settled.of(holder)
+		settled.sum += settled.amountOf(holder)
 	}
 	return settled
 }
 
-// Lend gives a fellow as much as it wants of what is free of a bound.
-func (b *Book) Lend(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want float64) (lease rpc.Lease, given bool) {
-	if now < b.opened+b.span+window {
+// Grant gives a fellow as much as it wants of what is free of a bound.
+func (b *Allocator) Grant(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want float64) (lease rpc.Lease, given bool) {
+	if now < b.started+b.leaseDuration+window {
 		return lease, false
 	}
-	settled := b.settle(now, key)
-	amount := min(want, bound-(settled.sum-settled.of(to)))
+	settled := b.unexpired(now, key)
+	amount := min(want, bound-(settled.sum-settled.amountOf(to)))
 	if amount <= 0 {
 		return lease, false
 	}
 	// A loan that a newer one of at least its size outlasts is of no more account.
-	kept := make([]loan, 0, 2)
+	kept := make([]grant, 0, 2)
 	for _, loan := range settled.holders[to] {
 		if loan.amount > amount {
 			kept = append(kept, loan)
 		}
 	}
-	settled.put(to, append(kept, loan{amount, now + b.span + window}))
-	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.span}, true
+	settled.set(to, append(kept, grant{amount, now + b.leaseDuration + window}))
+	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.leaseDuration}, true
 }
 
-// LendWhole lends at least the given least or nothing.
-func (b *Book) LendWhole(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want, least float64) (lease rpc.Lease, given bool) {
-	if settled := b.settle(now, key); bound-(settled.sum-settled.of(to)) < least {
+// GrantAtLeast lends at least the given least or nothing.
+func (b *Allocator) GrantAtLeast(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want, least float64) (lease rpc.Lease, given bool) {
+	if settled := b.unexpired(now, key); bound-(settled.sum-settled.amountOf(to)) < least {
 		return lease, false
 	}
-	return b.Lend(now, key, bound, window, to, want)
+	return b.Grant(now, key, bound, window, to, want)
 }
 
 // Renew prolongs what a fellow already holds under a predecessor: it is part of
 // what may be in use anyhow, so it needs no waiting.
-func (b *Book) Renew(now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64) (lease rpc.Lease) {
-	b.settle(now, key).put(to, []loan{{amount, now + b.span + window}})
-	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.span}
+func (b *Allocator) Renew(now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64) (lease rpc.Lease) {
+	b.unexpired(now, key).set(to, []grant{{amount, now + b.leaseDuration + window}})
+	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.leaseDuration}
 }
 
 // Forget drops a bound that is no more.
-func (b *Book) Forget(key Key) { delete(b.accounts, key) }
+func (b *Allocator) Forget(key Key) { delete(b.limits, key) }
 
-// Lent sums what may be in use of a bound.
-func (b *Book) Lent(now time.Duration, key Key) (sum float64) {
-	if b.accounts[key] == nil {
+// Granted sums what may be in use of a bound.
+func (b *Allocator) Granted(now time.Duration, key Key) (sum float64) {
+	if b.limits[key] == nil {
 		return 0
 	}
-	return b.settle(now, key).sum
+	return b.unexpired(now, key).sum
 }
 
-// Shares is a holder's purse of leases.
-type Shares struct {
-	held map[Key]share
+// Leases is a holder's purse of leases.
+type Leases struct {
+	held map[Key]heldLease
 }
 
-type share struct {
+type heldLease struct {
 	amount float64
 	until  time.Duration
 }
 
-// NewShares is an empty purse.
-func NewShares() (shares *Shares) { return &Shares{held: map[Key]share{}} }
+// NewLeases is an empty purse.
+func NewLeases() (shares *Leases) { return &Leases{held: map[Key]heldLease{}} }
 
-// Take notes a lease that was asked for at the given time.
-func (s *Shares) Take(asked time.Duration, lease rpc.Lease) {
-	s.held[Key{lease.Kind, lease.Key}] = share{lease.Amount, asked + lease.Duration}
+// Add notes a lease that was asked for at the given time.
+func (s *Leases) Add(asked time.Duration, lease rpc.Lease) {
+	s.held[Key{lease.Kind, lease.Key}] = heldLease{lease.Amount, asked + lease.Duration}
 }
 
 // Amount is what may be used now; nothing without an unexpired lease.
-func (s *Shares) Amount(now time.Duration, key Key) (amount float64) {
+func (s *Leases) Amount(now time.Duration, key Key) (amount float64) {
 	held, known := s.held[key]
 	if !known {
 		return 0
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -14,7 +14,7 @@
 // grow, shrink, are renewed and run out.
 func TestTheKeptSumIsTheSumOfTheLoans(t *testing.T) {
 	luck := rand.New(rand.NewSource(9))
-	book := Unwaited(1600 * time.Millisecond)
+	book := NewFirstAllocator(1600 * time.Millisecond)
 	key := Key{rpc.RetrySlack, ""}
 	for now := time.Duration(0); now < 5*time.Minute; now += time.Duration(luck.Intn(300)) * time.Millisecond {
 		holder := rpc.NodeID(fmt.Sprint("e", luck.Intn(20)))
@@ -22,12 +22,12 @@
 		case 0:
 			book.Renew(now, key, time.Second, holder, luck.Float64())
 		case 1:
-			book.LendWhole(now, key, 10, time.Second, holder, 3*luck.Float64(), 1)
+			book.GrantAtLeast(now, key, 10, time.Second, holder, 3*luck.Float64(), 1)
 		default:
-			book.Lend(now, key, 10, time.Second, holder, 2*luck.Float64())
+			book.Grant(now, key, 10, time.Second, holder, 2*luck.Float64())
 		}
 		sum := 0.0
-		for _, loans := range book.accounts[key].holders {
+		for _, loans := range book.limits[key].holders {
 			most := 0.0
 			for _, loan := range loans {
 				if loan.until > now {
@@ -36,7 +36,7 @@
 			}
 			sum += most
 		}
-		if lent := book.Lent(now, key); math.Abs(lent-sum) > 1e-9 {
+		if lent := book.Granted(now, key); math.Abs(lent-sum) > 1e-9 {
 			t.Fatalf("at %s %.6f is lent, the book says %.6f", now, sum, lent)
 		}
 	}
--- a/internal/quota/tenants_test.go
+++ b/internal/quota/tenants_test.go
@@ -14,9 +14,9 @@
 type fleet struct {
 	luck    *rand.Rand
 	now     time.Duration
-	lender  *Lender
+	lender  *RateAllocator
 	opened  time.Duration
-	tenants []Bound
+	tenants []RateLimit
 	edges   []*edge
 	log     map[string][]time.Duration
 	refused map[string]int
@@ -32,15 +32,15 @@
 
 type edge struct {
 	id      rpc.NodeID
-	shares  *Shares
-	buckets map[string]*Bucket
+	shares  *Leases
+	buckets map[string]*TokenBucket
 	beat    time.Duration
 	cut     time.Duration
 	gone    bool
 }
 
-func newFleet(seed int64, edges int, tenants ...Bound) (f *fleet) {
-	f = &fleet{luck: rand.New(rand.NewSource(seed)), lender: NewLender(0, 1600*time.Millisecond, true), tenants: tenants, log: map[string][]time.Duration{}, refused: map[string]int{}}
+func newFleet(seed int64, edges int, tenants ...RateLimit) (f *fleet) {
+	f = &fleet{luck: rand.New(rand.NewSource(seed)), lender: NewTenantAllocator(0, 1600*time.Millisecond, true), tenants: tenants, log: map[string][]time.Duration{}, refused: map[string]int{}}
 	for i := 0; i < edges; i++ {
 		f.join()
 	}
@@ -54,16 +54,16 @@
 }
 
 func (e *edge) restart() {
-	e.shares, e.buckets = NewShares(), map[string]*Bucket{}
+	e.shares, e.buckets = NewLeases(), map[string]*TokenBucket{}
 }
 
 func (e *edge) part(now time.Duration, tenant string) float64 {
 	return e.shares.Amount(now, Key{rpc.TenantShare, tenant}) + e.shares.Amount(now, Key{rpc.TenantMinimum, tenant})
 }
 
-func (e *edge) bucket(tenant string) (b *Bucket) {
+func (e *edge) bucket(tenant string) (b *TokenBucket) {
 	if b = e.buckets[tenant]; b == nil {
-		b = &Bucket{}
+		b = &TokenBucket{}
 		e.buckets[tenant] = b
 	}
 	return b
@@ -86,14 +86,14 @@
 		e.beat = f.now + time.Duration(300+f.luck.Intn(400))*time.Millisecond
 		for _, tenant := range f.tenants {
 			b := e.bucket(tenant.Name)
-			b.Fill(f.now, tenant, e.part(f.now, tenant.Name))
+			b.Refill(f.now, tenant, e.part(f.now, tenant.Name))
 			floor := e.shares.Amount(f.now, Key{rpc.TenantMinimum, tenant.Name})
-			for _, lease := range f.lender.Lend(f.now, tenant, e.id, present, rpc.RateDemand{Name: tenant.Name, Rate: b.Demand(), Minimum: floor}) {
+			for _, lease := range f.lender.Grant(f.now, tenant, e.id, present, rpc.RateDemand{Name: tenant.Name, Rate: b.Demand(), Minimum: floor}) {
 				if f.fault.fromAnswer {
 					lease.Duration *= 3
 				}
 				if f.luck.Intn(20) > 0 {
-					e.shares.Take(asked, lease)
+					e.shares.Add(asked, lease)
 				}
 				if f.fault.growTokens {
 					b.tokens = e.part(f.now, tenant.Name) * tenant.Burst
@@ -110,7 +110,7 @@
 	}
 }
 
-func (f *fleet) ask(e *edge, tenant Bound) (admitted bool) {
+func (f *fleet) ask(e *edge, tenant RateLimit) (admitted bool) {
 	if e.gone {
 		return false
 	}
@@ -124,7 +124,7 @@
 }
 
 // check holds every span against rate x time + burst.
-func (f *fleet) check(t *testing.T, tenant Bound) {
+func (f *fleet) check(t *testing.T, tenant RateLimit) {
 	t.Helper()
 	if worst := f.worst(tenant); worst > tenant.Burst+1e-6 {
 		t.Fatalf("%s: some span admits %.1f more than rate x time, the burst is %.0f", tenant.Name, worst, tenant.Burst)
@@ -132,7 +132,7 @@
 }
 
 // worst is the most that any span admits beyond rate x time.
-func (f *fleet) worst(tenant Bound) (worst float64) {
+func (f *fleet) worst(tenant RateLimit) (worst float64) {
 	times := f.log[tenant.Name]
 	// The most tokens left behind any start decides; one pass suffices.
 	level := 0.0
@@ -148,9 +148,9 @@
 
 // trouble plays a noisy and a quiet tenant through cuts, restarts, newcomers
 // and changes of leader.
-func trouble(seed int64, fault plantedFault) (f *fleet, noisy, quiet Bound) {
-	noisy = Bound{Name: "noisy", Rate: 40, Burst: 40}
-	quiet = Bound{Name: "quiet", Rate: 60, Burst: 60}
+func trouble(seed int64, fault plantedFault) (f *fleet, noisy, quiet RateLimit) {
+	noisy = RateLimit{Name: "noisy", Rate: 40, Burst: 40}
+	quiet = RateLimit{Name: "quiet", Rate: 60, Burst: 60}
 	f = newFleet(seed, 8, noisy, quiet)
 	f.fault = fault
 	for f.now < 60*time.Second {
@@ -168,7 +168,7 @@
 				f.join()
 			}
 		case 4:
-			f.lender = NewLender(f.now, 1600*time.Millisecond, fault.noWait)
+			f.lender = NewTenantAllocator(f.now, 1600*time.Millisecond, fault.noWait)
 		}
 		for i := 0; i < 3; i++ {
 			f.ask(f.edges[f.luck.Intn(len(f.edges))], noisy)
@@ -212,8 +212,8 @@
 }
 
 func TestASurgeLeavesOthersUntouched(t *testing.T) {
-	noisy := Bound{Name: "noisy", Rate: 50, Burst: 50}
-	quiet := Bound{Name: "quiet", Rate: 50, Burst: 50}
+	noisy := RateLimit{Name: "noisy", Rate: 50, Burst: 50}
+	quiet := RateLimit{Name: "quiet", Rate: 50, Burst: 50}
 	run := func(surge bool) (admitted, refused int) {
 		f := newFleet(4, 6, noisy, quiet)
 		for f.now < 40*time.Second {
@@ -247,7 +247,7 @@
 }
 
 func TestOneNodeMayTakeNearlyTheWholeLimit(t *testing.T) {
-	tenant := Bound{Name: "t", Rate: 50, Burst: 50}
+	tenant := RateLimit{Name: "t", Rate: 50, Burst: 50}
 	f := newFleet(5, 8, tenant)
 	for f.now < 20*time.Second {
 		f.step()
@@ -260,7 +260,7 @@
 }
 
 func TestADaemonOutOfTouchKeepsItsFloor(t *testing.T) {
-	tenant := Bound{Name: "t", Rate: 200, Burst: 200}
+	tenant := RateLimit{Name: "t", Rate: 200, Burst: 200}
 	f := newFleet(6, 4, tenant)
 	for f.now < 5*time.Second {
 		f.step()
@@ -275,7 +275,7 @@
 		f.ask(f.edges[1], tenant)
 	}
 	f.check(t, tenant)
-	floor := tenant.Rate * floorPart / (4 + floorSpare)
+	floor := tenant.Rate * minimumPart / (4 + spareNodes)
 	if got := float64(before) / 55; got < floor*0.8 || got > floor*1.2 {
 		t.Fatalf("out of touch %.1f a second were admitted, the floor is %.1f", got, floor)
 	}
@@ -288,7 +288,7 @@
 }
 
 func TestSmallBurstsAreNotLentInPiecesThatAdmitNothing(t *testing.T) {
-	tenant := Bound{Name: "t", Rate: 4, Burst: 3}
+	tenant := RateLimit{Name: "t", Rate: 4, Burst: 3}
 	f := newFleet(7, 10, tenant)
 	for f.now < 60*time.Second {
 		f.step()
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -5,41 +5,41 @@
 
 import "time"
 
-const slices = 16
+const sliceCount = 16
 
 // Window is a sliding count.
 type Window struct {
-	span  time.Duration
-	count [slices + 1]int
-	head  int64
+	span   time.Duration
+	counts [sliceCount + 1]int
+	head   int64
 }
 
 // NewWindow counts over span.
 func NewWindow(span time.Duration) (window *Window) { return &Window{span: span} }
 
-func (w *Window) turn(now time.Duration) (at int64) {
-	at = int64(now) * slices / int64(w.span)
-	if at-w.head > slices {
-		w.count = [slices + 1]int{}
+func (w *Window) advance(now time.Duration) (at int64) {
+	at = int64(now) * sliceCount / int64(w.span)
+	if at-w.head > sliceCount {
+		w.counts = [sliceCount + 1]int{}
 		w.head = at
 	}
 	for w.head < at {
 		w.head++
-		w.count[w.head%(slices+1)] = 0
+		w.counts[w.head%(sliceCount+1)] = 0
 	}
 	return at
 }
 
 // Add counts one event.
 func (w *Window) Add(now time.Duration) {
-	at := w.turn(now)
-	w.count[at%(slices+1)]++
+	at := w.advance(now)
+	w.counts[at%(sliceCount+1)]++
 }
 
 // Sum is the number of events within the span.
 func (w *Window) Sum(now time.Duration) (sum int) {
-	w.turn(now)
-	for _, count := range w.count {
+	w.advance(now)
+	for _, count := range w.counts {
 		sum += count
 	}
 	return sum
--- a/internal/registry/census_test.go
+++ b/internal/registry/census_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestLedgerTellsOnlyWhatCameAfter(t *testing.T) {
-	clock := &Clock{}
-	ledger := NewLedger[string, int](clock)
+	clock := &RevisionCounter{}
+	ledger := NewChangeLog[string, int](clock)
 	since := func(epoch rpc.Revision) (told string) {
 		for _, key := range []string{"a", "b", "c"} {
 			ledger.Since(epoch, func(k string, value int, gone bool) {
@@ -26,12 +26,12 @@
 	}
 	ledger.Set("a", 1)
 	ledger.Set("b", 2)
-	seen := clock.Now()
-	if ledger.Set("a", 1) || clock.Now() != seen {
+	seen := clock.Current()
+	if ledger.Set("a", 1) || clock.Current() != seen {
 		t.Fatal("the same value is no change")
 	}
 	ledger.Set("c", 3)
-	ledger.Drop("a")
+	ledger.Remove("a")
 	if got := since(seen); got != "a1 true c3 false " {
 		t.Fatalf("since %d: %q", seen, got)
 	}
@@ -41,15 +41,15 @@
 }
 
 func TestRoll(t *testing.T) {
-	roll := NewRoll(&Clock{}, RollBounds{Absent: time.Second, Struck: 5 * time.Second})
-	roll.Beat(0, rpc.Node{ID: "a"})
-	roll.Beat(0, rpc.Node{ID: "b"})
-	roll.Beat(2*time.Second, rpc.Node{ID: "b"})
+	roll := NewNodeRegistry(&RevisionCounter{}, NodeTimeouts{Absent: time.Second, Expired: 5 * time.Second})
+	roll.Heartbeat(0, rpc.Node{ID: "a"})
+	roll.Heartbeat(0, rpc.Node{ID: "b"})
+	roll.Heartbeat(2*time.Second, rpc.Node{ID: "b"})
 	roll.Tick(2 * time.Second)
-	if len(roll.Absent()) != 1 || roll.Here("a") || len(roll.Members()) != 2 {
+	if len(roll.Absent()) != 1 || roll.Present("a") || len(roll.Members()) != 2 {
 		t.Fatal("a silent fellow is absent and stays in the map for now")
 	}
-	roll.Beat(2500*time.Millisecond, rpc.Node{ID: "b", Stopping: true})
+	roll.Heartbeat(2500*time.Millisecond, rpc.Node{ID: "b", Stopping: true})
 	if len(roll.Members()) != 1 || len(roll.Absent()) != 2 {
 		t.Fatal("a stopping fellow leaves the map and is told absent at once")
 	}
@@ -60,18 +60,18 @@
 }
 
 func TestList(t *testing.T) {
-	list := NewList(&Clock{})
+	list := NewEndpointList(&RevisionCounter{})
 	server := func(id string, draining bool) rpc.Endpoint {
 		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1", Draining: draining}
 	}
-	has := func(id string) bool { _, known := list.Servers.Get(rpc.EndpointID(id)); return known }
+	has := func(id string) bool { _, known := list.Endpoints.Get(rpc.EndpointID(id)); return known }
 	walk := func(servers ...rpc.Endpoint) {
-		list.Page(servers)
-		list.Whole(servers)
+		list.ApplyPage(servers)
+		list.FinishWalk(servers)
 	}
 	walk(server("a", false), server("b", false))
-	list.Page([]rpc.Endpoint{server("a", true)})
-	if a, _ := list.Servers.Get("a"); !a.Draining || !has("b") {
+	list.ApplyPage([]rpc.Endpoint{server("a", true)})
+	if a, _ := list.Endpoints.Get("a"); !a.Draining || !has("b") {
 		t.Fatal("what a page shows counts at once, what it does not show is nothing")
 	}
 	walk(server("a", true))
@@ -79,7 +79,7 @@
 		t.Fatal("one walk without an entry is not its end")
 	}
 	walk(server("a", false))
-	if a, _ := list.Servers.Get("a"); has("b") || !a.Draining {
+	if a, _ := list.Endpoints.Get("a"); has("b") || !a.Draining {
 		t.Fatal("two walks without it are; what drains does not come back")
 	}
 	walk()
@@ -106,7 +106,7 @@
 		}
 	}))
 	defer platform.Close()
-	caller := NewPlatform(strings.TrimPrefix(platform.URL, "http://"))
+	caller := NewPlatformClient(strings.TrimPrefix(platform.URL, "http://"))
 	shown := 0
 	servers, pages, err := caller.Walk(0, func(page []rpc.Endpoint) { shown += len(page) })
 	if err != nil || pages != 2 || len(servers) != 2 || servers[1].ID != "i-2" || servers[0].WarmupRemaining != 1500*time.Millisecond || servers[0].Slots != 3 {
@@ -120,7 +120,7 @@
 		t.Fatalf("%d entries were shown by pages", shown)
 	}
 	for _, body := range []string{"", "{}", `{"instances":{"column_names":["a"],"row_values":[[1,2]]}}`, page("", "null")} {
-		if _, _, err = ReadPage([]byte(body)); err == nil {
+		if _, _, err = ParsePage([]byte(body)); err == nil {
 			t.Errorf("%q was read", body)
 		}
 	}
--- a/internal/registry/ledger.go
+++ b/internal/registry/ledger.go
@@ -6,83 +6,83 @@
 
 import "tinpin/internal/rpc"
 
-// Clock hands out epochs; several ledgers may share one.
-type Clock struct{ now rpc.Revision }
+// RevisionCounter hands out epochs; several ledgers may share one.
+type RevisionCounter struct{ last rpc.Revision }
 
-// Now is the newest epoch given.
-func (c *Clock) Now() rpc.Revision { return c.now }
+// Current is the newest epoch given.
+func (c *RevisionCounter) Current() rpc.Revision { return c.last }
 
 // Next gives a new epoch.
-func (c *Clock) Next() rpc.Revision {
-	c.now++
-	return c.now
+func (c *RevisionCounter) Next() rpc.Revision {
+	c.last++
+	return c.last
 }
 
 type row[V any] struct {
-	value V
-	epoch rpc.Revision
-	gone  bool
+	value    V
+	revision rpc.Revision
+	removed  bool
 }
 
-// Ledger is a table with the epoch of each row's last change.
-type Ledger[K comparable, V comparable] struct {
-	clock *Clock
-	rows  map[K]*row[V]
-	last  rpc.Revision
+// ChangeLog is a table with the epoch of each row's last change.
+type ChangeLog[K comparable, V comparable] struct {
+	counter    *RevisionCounter
+	rows       map[K]*row[V]
+	lastChange rpc.Revision
 }
 
-// NewLedger is an empty table on a clock.
-func NewLedger[K comparable, V comparable](clock *Clock) (ledger *Ledger[K, V]) {
-	return &Ledger[K, V]{clock: clock, rows: map[K]*row[V]{}}
+// NewChangeLog is an empty table on a clock.
+func NewChangeLog[K comparable, V comparable](clock *RevisionCounter) (ledger *ChangeLog[K, V]) {
+	return &ChangeLog[K, V]{counter: clock, rows: map[K]*row[V]{}}
 }
 
 // Set writes a row; it tells whether that changed anything.
-func (l *Ledger[K, V]) Set(key K, value V) (changed bool) {
-	if old := l.rows[key]; old != nil && !old.gone && old.value == value {
+func (l *ChangeLog[K, V]) Set(key K, value V) (changed bool) {
+	if old := l.rows[key]; old != nil && !old.removed && old.value == value {
 		return false
 	}
-	l.last = l.clock.Next()
-	l.rows[key] = &row[V]{value: value, epoch: l.last}
+	l.lastChange = l.counter.Next()
+	l.rows[key] = &row[V]{value: value, revision: l.lastChange}
 	return true
 }
 
-// Drop takes a row out and keeps the mark of it.
-func (l *Ledger[K, V]) Drop(key K) (changed bool) {
+// Remove takes a row out and keeps the mark of it.
+func (l *ChangeLog[K, V]) Remove(key K) (changed bool) {
 	old := l.rows[key]
-	if old == nil || old.gone {
+	if old == nil || old.removed {
 		return false
 	}
-	l.last = l.clock.Next()
-	old.gone, old.epoch = true, l.last
+	l.lastChange = l.counter.Next()
+	old.removed, old.revision = true, l.lastChange
 	return true
 }
 
 // Get reads a row.
-func (l *Ledger[K, V]) Get(key K) (value V, known bool) {
+func (l *ChangeLog[K, V]) Get(key K) (value V, known bool) {
 	found := l.rows[key]
-	if found == nil || found.gone {
+	if found == nil || found.removed {
 		return value, false
 	}
 	return found.value, true
 }
 
 // Each visits the rows that stand.
-func (l *Ledger[K, V]) Each(visit func(key K, value V)) {
+func (l *ChangeLog[K, V]) Each(visit func(key K, value V)) {
 	for key, found := range l.rows {
-		if !found.gone {
+		if !found.removed {
 			visit(key, found.value)
 		}
 	}
 }
 
 // Since visits the rows that changed after an epoch.
-func (l *Ledger[K, V]) Since(epoch rpc.Revision, visit func(key K, value V, gone bool)) {
-	if epoch >= l.last {
+func (l *ChangeLog[K, V]) Since(epoch rpc.Revision, visit func(key K, value V, gone bool)) {
+	if epoch >= l.lastChange {
 		return
 	}
 	for key, found := range l.rows {
-		if found.epoch > epoch && !(found.gone && epoch == 0) {
-			visit(key, found.value, found.gone)
+		if found.revision > epoch && !(found.removed && epoch == 0) {
+			visit(key, found.value, found.removed)
 		}
 	}
 }
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -22,8 +22,8 @@
 // Class marks failures of the census.
 var Class = errs.Class("census")
 
-// ReadPage reads one page of the list.
-func ReadPage(body []byte) (servers []rpc.Endpoint, next string, err error) {
+// ParsePage reads one page of the list.
+func ParsePage(body []byte) (servers []rpc.Endpoint, next string, err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil, "", Class.New("the list is not JSON")
@@ -72,23 +72,23 @@
 	return servers, string(v.GetStringBytes("next_page_token")), nil
 }
 
-// Platform asks the platform for its list.
-type Platform struct {
+// PlatformClient asks the platform for its list.
+type PlatformClient struct {
 	Address string
 	client  *http.Client
 }
 
-// NewPlatform makes a caller of the platform.
-func NewPlatform(address string) (platform *Platform) {
+// NewPlatformClient makes a caller of the platform.
+func NewPlatformClient(address string) (platform *PlatformClient) {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 500 * time.Millisecond, Control: rpc.UserTimeout(1500 * time.Millisecond), KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}
-	return &Platform{Address: address, client: &http.Client{Transport: transport, Timeout: 2 * time.Second}}
+	return &PlatformClient{Address: address, client: &http.Client{Transport: transport, Timeout: 2 * time.Second}}
 }
 
 // Walk reads all pages, tells each as it comes, and gives the whole.
-func (p *Platform) Walk(pause time.Duration, each func(page []rpc.Endpoint)) (servers []rpc.Endpoint, pages int, err error) {
+func (p *PlatformClient) Walk(pause time.Duration, each func(page []rpc.Endpoint)) (servers []rpc.Endpoint, pages int, err error) {
 	token := ""
 	for {
 		target := "http://" + p.Address + "/instances"
@@ -108,7 +108,7 @@
 		if response.StatusCode != http.StatusOK {
 			return nil, pages, Class.New("the platform answered %d", response.StatusCode)
 		}
-		page, next, pageErr := ReadPage(body)
+		page, next, pageErr := ParsePage(body)
 		if pageErr != nil {
 			return nil, pages, pageErr
 		}
@@ -125,48 +125,48 @@
 	}
 }
 
-// List merges walks into a ledger.
-type List struct {
-	Servers *Ledger[rpc.EndpointID, rpc.Endpoint]
-	missed  map[rpc.EndpointID]int
-	Walked  bool
+// EndpointList merges walks into a ledger.
+type EndpointList struct {
+	Endpoints *ChangeLog[rpc.EndpointID, rpc.Endpoint]
+	missed    map[rpc.EndpointID]int
+	Complete  bool
 }
 
-// NewList is an empty list.
-func NewList(clock *Clock) (list *List) {
-	return &List{Servers: NewLedger[rpc.EndpointID, rpc.Endpoint](clock), missed: map[rpc.EndpointID]int{}}
+// NewEndpointList is an empty list.
+func NewEndpointList(clock *RevisionCounter) (list *EndpointList) {
+	return &EndpointList{Endpoints: NewChangeLog[rpc.EndpointID, rpc.Endpoint](clock), missed: map[rpc.EndpointID]int{}}
 }
 
-// Page takes what one page shows. The cold spell is kept as first told, since a
+// ApplyPage takes what one page shows. The cold spell is kept as first told, since a
 // remainder that shrinks is no change.
-func (l *List) Page(page []rpc.Endpoint) (changed bool, fresh []rpc.Endpoint) {
+func (l *EndpointList) ApplyPage(page []rpc.Endpoint) (changed bool, fresh []rpc.Endpoint) {
 	for _, server := range page {
 		delete(l.missed, server.ID)
-		old, known := l.Servers.Get(server.ID)
+		old, known := l.Endpoints.Get(server.ID)
 		if known {
 			server.WarmupRemaining = old.WarmupRemaining
 			server.Draining = server.Draining || old.Draining
 		} else {
 			fresh = append(fresh, server)
 		}
-		if l.Servers.Set(server.ID, server) {
+		if l.Endpoints.Set(server.ID, server) {
 			changed = true
 		}
 	}
 	return changed, fresh
 }
 
-// Whole takes a whole walk, whose pages were taken before, and strikes out
+// FinishWalk takes a whole walk, whose pages were taken before, and strikes out
 // what it does not show.
-func (l *List) Whole(walk []rpc.Endpoint) (changed bool) {
-	changed = !l.Walked
-	l.Walked = true
+func (l *EndpointList) FinishWalk(walk []rpc.Endpoint) (changed bool) {
+	changed = !l.Complete
+	l.Complete = true
 	shown := make(map[rpc.EndpointID]bool, len(walk))
 	for _, server := range walk {
 		shown[server.ID] = true
 	}
 	var gone []rpc.EndpointID
-	l.Servers.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
+	l.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if shown[id] {
 			return
 		}
@@ -177,7 +177,7 @@
 	})
 	for _, id := range gone {
 		delete(l.missed, id)
-		l.Servers.Drop(id)
+		l.Endpoints.Remove(id)
 		changed = true
 	}
 	return changed
--- a/internal/registry/roll.go
+++ b/internal/registry/roll.go
@@ -11,53 +11,53 @@
 	"tinpin/internal/rpc"
 )
 
-// RollBounds are the waits of the roll.
-type RollBounds struct{ Absent, Struck time.Duration }
+// NodeTimeouts are the waits of the roll.
+type NodeTimeouts struct{ Absent, Expired time.Duration }
 
-type attendance struct {
-	heard  time.Duration
-	absent bool
+type presence struct {
+	lastHeartbeat time.Duration
+	absent        bool
 }
 
-// Roll keeps the fellows.
-type Roll struct {
-	bounds  RollBounds
-	Fellows *Ledger[rpc.NodeID, rpc.Node]
-	seen    map[rpc.NodeID]*attendance
+// NodeRegistry keeps the fellows.
+type NodeRegistry struct {
+	timeouts  NodeTimeouts
+	Nodes     *ChangeLog[rpc.NodeID, rpc.Node]
+	presences map[rpc.NodeID]*presence
 }
 
-// NewRoll is an empty roll.
-func NewRoll(clock *Clock, bounds RollBounds) (roll *Roll) {
-	return &Roll{bounds: bounds, Fellows: NewLedger[rpc.NodeID, rpc.Node](clock), seen: map[rpc.NodeID]*attendance{}}
+// NewNodeRegistry is an empty roll.
+func NewNodeRegistry(clock *RevisionCounter, bounds NodeTimeouts) (roll *NodeRegistry) {
+	return &NodeRegistry{timeouts: bounds, Nodes: NewChangeLog[rpc.NodeID, rpc.Node](clock), presences: map[rpc.NodeID]*presence{}}
 }
 
-// Beat notes a beat.
-func (r *Roll) Beat(now time.Duration, fellow rpc.Node) (joined, changed bool) {
-	seen := r.seen[fellow.ID]
+// Heartbeat notes a beat.
+func (r *NodeRegistry) Heartbeat(now time.Duration, fellow rpc.Node) (joined, changed bool) {
+	seen := r.presences[fellow.ID]
 	if seen == nil {
-		seen = &attendance{}
-		r.seen[fellow.ID] = seen
+		seen = &presence{}
+		r.presences[fellow.ID] = seen
 		joined = true
 	}
 	changed = seen.absent
-	seen.heard, seen.absent = now, false
-	if r.Fellows.Set(fellow.ID, fellow) {
+	seen.lastHeartbeat, seen.absent = now, false
+	if r.Nodes.Set(fellow.ID, fellow) {
 		changed = true
 	}
 	return joined, changed
 }
 
 // Tick strikes off who was not heard.
-func (r *Roll) Tick(now time.Duration) (lost []rpc.NodeID, changed bool) {
-	for id, seen := range r.seen {
-		silence := now - seen.heard
-		if silence > r.bounds.Absent && !seen.absent {
+func (r *NodeRegistry) Tick(now time.Duration) (lost []rpc.NodeID, changed bool) {
+	for id, seen := range r.presences {
+		silence := now - seen.lastHeartbeat
+		if silence > r.timeouts.Absent && !seen.absent {
 			seen.absent, changed = true, true
 			lost = append(lost, id)
 		}
-		if silence > r.bounds.Struck {
-			delete(r.seen, id)
-			r.Fellows.Drop(id)
+		if silence > r.timeouts.Expired {
+			delete(r.presences, id)
+			r.Nodes.Remove(id)
 			changed = true
 		}
 	}
@@ -65,9 +65,9 @@
 }
 
 // Absent lists the fellows on the roll that are not heard or are stopping.
-func (r *Roll) Absent() (absent []rpc.NodeID) {
-	for id, seen := range r.seen {
-		if fellow, known := r.Fellows.Get(id); known && (seen.absent || fellow.Stopping) {
+func (r *NodeRegistry) Absent() (absent []rpc.NodeID) {
+	for id, seen := range r.presences {
+		if fellow, known := r.Nodes.Get(id); known && (seen.absent || fellow.Stopping) {
 			absent = append(absent, id)
 		}
 	}
@@ -76,17 +76,17 @@
 }
 
 // Count is how many fellows are on the roll.
-func (r *Roll) Count() (count int) { return len(r.seen) }
+func (r *NodeRegistry) Count() (count int) { return len(r.presences) }
 
-// Here tells whether a fellow is heard.
-func (r *Roll) Here(id rpc.NodeID) bool {
-	seen := r.seen[id]
+// Present tells whether a fellow is heard.
+func (r *NodeRegistry) Present(id rpc.NodeID) bool {
+	seen := r.presences[id]
 	return seen != nil && !seen.absent
 }
 
 // Members lists who belongs to the shard map.
-func (r *Roll) Members() (members []rpc.NodeID) {
-	r.Fellows.Each(func(id rpc.NodeID, fellow rpc.Node) {
+func (r *NodeRegistry) Members() (members []rpc.NodeID) {
+	r.Nodes.Each(func(id rpc.NodeID, fellow rpc.Node) {
 		if !fellow.Stopping {
 			members = append(members, id)
 		}
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -36,7 +36,7 @@
 type serviceState struct {
 	rule     Rule
 	budget   Budget
-	bucket   quota.Bucket
+	bucket   quota.TokenBucket
 	gate     CircuitGate
 	used     uint64
 	rejected [DeadlineTooShort + 1]uint64
@@ -83,7 +83,7 @@
 		case !written:
 			delete(l.services, service)
 		case rule != held.rule:
-			held.rule, held.budget, held.bucket = rule, Budget{}, quota.Bucket{}
+			held.rule, held.budget, held.bucket = rule, Budget{}, quota.TokenBucket{}
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	}
 	earned := held.rule.Ratio
 	switch silence := now - l.leaderHeard; {
-	case silence > quota.RetryFloorSpan:
+	case silence > quota.RetryMinimumDuration:
 		earned = 0
 	case silence > contactTime:
 		earned *= isolatedRatio
@@ -183,7 +183,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for service, held := range l.services {
-		held.bucket.Fill(now, held.rule.Bound(service), l.leasedRate(service))
+		held.bucket.Refill(now, held.rule.Bound(service), l.leasedRate(service))
 	}
 }
 
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -85,6 +85,6 @@
 
 // Bound is what is lent of the rule: half of the least may come at once and
 // half of it as a rate, so that no window holds more than the whole.
-func (r Rule) Bound(service rpc.ServiceName) (bound quota.Bound) {
-	return quota.Bound{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
+func (r Rule) Bound(service rpc.ServiceName) (bound quota.RateLimit) {
+	return quota.RateLimit{Name: string(service), Rate: r.LeastPerSecond / 2, Burst: r.LeastPerSecond / 2 * time.Duration(r.Window).Seconds()}
 }
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -19,7 +19,7 @@
 	now     time.Duration
 	fault   plantedFault
 	limited bool
-	lender  *quota.Lender
+	lender  *quota.RateAllocator
 	version int
 	policy  *Policy
 	nodes   []*node
@@ -38,7 +38,7 @@
 type node struct {
 	id       rpc.NodeID
 	limiter  *Limiter
-	shares   *quota.Shares
+	shares   *quota.Leases
 	beat     time.Duration
 	cut      time.Duration
 	version  int
@@ -81,7 +81,7 @@
 }
 
 func (c *cluster) restart(n *node) {
-	n.shares, n.version = quota.NewShares(), 0
+	n.shares, n.version = quota.NewLeases(), 0
 	n.limiter = NewLimiter(func(kind rpc.LeaseKind, service string) float64 {
 		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
 	})
@@ -121,8 +121,8 @@
 		n.limiter.Refill(c.now)
 		for _, demand := range n.limiter.Demands() {
 			rule, _ := c.policy.RuleFor("s")
-			for _, lease := range c.lender.Lend(c.now, rule.Bound("s"), n.id, present, demand) {
-				n.shares.Take(asked, lease)
+			for _, lease := range c.lender.Grant(c.now, rule.Bound("s"), n.id, present, demand) {
+				n.shares.Add(asked, lease)
 			}
 		}
 		n.limiter.LeaderHeard(asked)
@@ -212,7 +212,7 @@
 // morning plays two minutes: the backend is sluggish from 20 s to 50 s; the
 // limit is lowered at 70 s and counts as kept 71 s after that.
 func morning(seed int64, limited, trouble bool, fault plantedFault) (c *cluster, goodAfter float64) {
-	c = &cluster{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: quota.NewLenderOf(quota.RetryKinds, 0, 1600*time.Millisecond, true)}
+	c = &cluster{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: quota.NewRateAllocator(quota.RetryLeases, 0, 1600*time.Millisecond, true)}
 	c.backend.slow = 1
 	c.write(1, 0.1, 2)
 	for i := 0; i < 20; i++ {
@@ -252,7 +252,7 @@
 				c.join()
 			}
 		case 3:
-			c.lender = quota.NewLenderOf(quota.RetryKinds, c.now, 1600*time.Millisecond, fault.noWait)
+			c.lender = quota.NewRateAllocator(quota.RetryLeases, c.now, 1600*time.Millisecond, fault.noWait)
 		case 4:
 			if fault.deafNode {
 				n.cut = time.Hour
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -33,7 +33,7 @@
 type dayEdge struct {
 	rpc.Node
 	life    uint64
-	book    *idempotency.Book
+	book    *idempotency.Store
 	weights schedule.Weights
 	count   uint64
 	downTil time.Duration
@@ -90,7 +90,7 @@
 		for i := range 2 {
 			id := rpc.NodeID(fmt.Sprint(region, "-", i))
 			edge := &dayEdge{Node: rpc.Node{ID: id, Region: region, Zone: rpc.ZoneName(region), FrontendAddress: string(id), Ready: true}, life: 1}
-			edge.book = idempotency.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
+			edge.book = idempotency.NewStore(time.Hour, 1<<24, func() time.Duration { return d.now })
 			d.edges = append(d.edges, edge)
 		}
 	}
@@ -143,7 +143,7 @@
 	case 1:
 		edge := d.edges[d.luck.Intn(len(d.edges))]
 		edge.life++
-		edge.book = idempotency.NewBook(time.Hour, 1<<24, func() time.Duration { return d.now })
+		edge.book = idempotency.NewStore(time.Hour, 1<<24, func() time.Duration { return d.now })
 		edge.downTil, edge.count, edge.weights = d.now+20*time.Second, 0, nil
 	case 2:
 		d.darkTil[regions[d.luck.Intn(len(regions))]] = d.now + 10*time.Minute
@@ -205,9 +205,9 @@
 		return false
 	}
 	request := fmt.Sprint(tap.key, ".", tap.tries)
-	op, old := edge.book.Open(tap.key, request)
+	op, old := edge.book.Begin(tap.key, request)
 	if old != nil {
-		return old.Recall().State == rpc.OperationCompleted
+		return old.Response().State == rpc.OperationCompleted
 	}
 	claim := raft.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
 	result := d.apply(raft.Command{Kind: raft.CommandClaim, Claim: claim})
@@ -222,7 +222,7 @@
 	}
 	region := d.serve(edge)
 	if region == "" {
-		edge.book.Free(op)
+		edge.book.Release(op)
 		d.apply(raft.Command{Kind: raft.CommandFree, Claim: claim})
 		return false
 	}
@@ -235,10 +235,10 @@
 		}
 	}
 	if d.luck.Intn(12) == 0 {
-		edge.book.Lose(op)
+		edge.book.MarkLost(op)
 		return false
 	}
-	edge.book.Answer(op, 200, nil, []byte(request))
+	edge.book.Complete(op, 200, nil, []byte(request))
 	return true
 }
 
