--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -91,12 +91,12 @@
 		})
 		m.state = bad
 	}
-	data, err := m.state.Freeze()
+	data, err := m.state.Snapshot()
 	if err != nil {
 		panic(err)
 	}
 	// It comes out of a snapshot as it went in.
-	if m.state, err = raft.Thaw(data, m.now); err != nil {
+	if m.state, err = raft.Restore(data, m.now); err != nil {
 		panic(err)
 	}
 	m.state.EachBinding(func(session rpc.SessionID, binding raft.Binding) {
--- a/internal/raft/check_test.go
+++ b/internal/raft/check_test.go
@@ -175,7 +175,7 @@
 }
 
 func FuzzSnapshotRecord(f *testing.F) {
-	state, _ := NewState().Freeze()
+	state, _ := NewState().Snapshot()
 	f.Add(encode(Snapshot{Index: 3, Term: 2, Members: trio, Data: state}), state)
 	f.Add(seal(keySnapshot, nil), []byte{0x7f})
 	f.Fuzz(func(t *testing.T, record, state []byte) {
@@ -192,21 +192,21 @@
 		if _, err = unseal(keySnapshot, record); err == nil && len(record) < sealSize {
 			t.Fatal("a record without room for a seal has one")
 		}
-		if thawed, thawErr := Thaw(state, 0); thawErr == nil && thawed == nil {
+		if thawed, thawErr := Restore(state, 0); thawErr == nil && thawed == nil {
 			t.Fatal("no state and no error")
 		}
 	})
 }
 
 func FuzzCommands(f *testing.F) {
-	f.Add(Inscribe([]Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}))
+	f.Add(EncodeCommands([]Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 1})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		commands, err := Decipher(data)
+		commands, err := DecodeCommands(data)
 		if err != nil {
 			return
 		}
-		again, err := Decipher(Inscribe(commands))
+		again, err := DecodeCommands(EncodeCommands(commands))
 		if err != nil || len(again) != len(commands) {
 			t.Fatalf("%d commands came back as %d, %v", len(commands), len(again), err)
 		}
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -221,7 +221,7 @@
 
 func freeze(t *testing.T, state *State) (data []byte) {
 	t.Helper()
-	data, err := state.Freeze()
+	data, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,12 +242,12 @@
 
 func TestStoredCommandsAreReadAsTheyWere(t *testing.T) {
 	for name, commands := range map[string][]Command{"commands_each_kind.bin": kinds(), "commands_of_state.bin": storedCommands} {
-		now := Inscribe(commands)
+		now := EncodeCommands(commands)
 		data := fileFixture(t, name, now)
 		if !bytes.Equal(data, now) {
 			t.Errorf("%s is written differently now", name)
 		}
-		got, err := Decipher(data)
+		got, err := DecodeCommands(data)
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -257,7 +257,7 @@
 	}
 	filled, count := reflect.New(reflect.TypeFor[Command]()).Elem(), 0
 	fill(t, filled, &count)
-	got, err := Decipher(Inscribe([]Command{filled.Interface().(Command)}))
+	got, err := DecodeCommands(EncodeCommands([]Command{filled.Interface().(Command)}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,9 +273,9 @@
 // members, the barrier of a new term, and a last entry that another took the place of.
 func storedLog() (log []Entry) {
 	return []Entry{
-		{Index: 30, Term: 6, Data: Inscribe(kinds())},
+		{Index: 30, Term: 6, Data: EncodeCommands(kinds())},
 		{Index: 31, Term: 6, Members: append(append([]Member(nil), storedMembers...), storedLearner)},
-		{Index: 32, Term: 7, Data: Inscribe([]Command{{Kind: CommandBarrier}})},
+		{Index: 32, Term: 7, Data: EncodeCommands([]Command{{Kind: CommandBarrier}})},
 		{Index: 33, Term: 8, Data: []byte{1, byte(CommandFree), 0, 0, 5, 'k', 'e', 'y', '-', '1', 8, 'd', 'i', 'g', 'e', 's', 't', '-', '1', 6, 'n', 'o', 'd', 'e', '-', '1', 128, 128, 128, 128, 128, 32, 0}},
 	}
 }
@@ -430,7 +430,7 @@
 			}
 			var entries []Entry
 			for i, command := range storedCommands {
-				entries = append(entries, Entry{Index: Index(i + 2), Term: 6, Data: Inscribe([]Command{command})})
+				entries = append(entries, Entry{Index: Index(i + 2), Term: 6, Data: EncodeCommands([]Command{command})})
 			}
 			return store.Write([]Write{{HardState: &HardState{Term: 6}}, {Entries: entries}})
 		},
@@ -464,7 +464,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := Thaw(base.Data, 0)
+	state, err := Restore(base.Data, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -536,7 +536,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := Thaw(found.Data, 0)
+	state, err := Restore(found.Data, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -118,7 +118,7 @@
 		}
 	}
 	node.self = Member{ID: id, Inner: inner, Control: p.ControlAddress, Site: p.Zone}
-	if node.state, err = Thaw(base.Data, node.Now()); err != nil {
+	if node.state, err = Restore(base.Data, node.Now()); err != nil {
 		return nil, err
 	}
 	var seed [8]byte
@@ -252,7 +252,7 @@
 		}
 	}
 	if out.Restore != nil {
-		state, err := Thaw(out.Restore.Data, n.Now())
+		state, err := Restore(out.Restore.Data, n.Now())
 		if err != nil {
 			n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
 			os.Exit(1)
@@ -293,7 +293,7 @@
 }
 
 func (n *Node) apply(entry Entry) (changed bool) {
-	commands, err := Decipher(entry.Data)
+	commands, err := DecodeCommands(entry.Data)
 	if err != nil {
 		n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyIndex, uint64(entry.Index), eventlog.KeyError, err.Error())
 		os.Exit(1)
@@ -334,7 +334,7 @@
 
 func (n *Node) compact() {
 	n.mu.RLock()
-	data, err := n.state.Freeze()
+	data, err := n.state.Snapshot()
 	n.mu.RUnlock()
 	if err != nil {
 		n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
--- a/internal/raft/orders_test.go
+++ b/internal/raft/orders_test.go
@@ -32,11 +32,11 @@
 
 func thawed(t *testing.T, state *State) (again *State) {
 	t.Helper()
-	data, err := state.Freeze()
+	data, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err = Thaw(data, 0); err != nil {
+	if again, err = Restore(data, 0); err != nil {
 		t.Fatal(err)
 	}
 	return again
@@ -167,7 +167,7 @@
 	if err := gob.NewEncoder(&data).Encode(older{Canon: full.Canon.Items(), Documents: full.Documents, Rev: 2}); err != nil {
 		t.Fatal(err)
 	}
-	state, err := Thaw(data.Bytes(), 0)
+	state, err := Restore(data.Bytes(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,7 +241,7 @@
 		luck := rand.New(rand.NewSource(seed))
 		state, log := NewState(), [][]byte{}
 		commit := func(command Command) (result Result) {
-			log = append(log, Inscribe([]Command{command}))
+			log = append(log, EncodeCommands([]Command{command}))
 			return state.Apply(uint64(len(log)), command, 0)
 		}
 		commit(Command{Kind: CommandConfig, Body: []byte(services)})
@@ -289,7 +289,7 @@
 		// A core that replays the log from its start comes to the same state.
 		again := NewState()
 		for i, entry := range log {
-			commands, err := Decipher(entry)
+			commands, err := DecodeCommands(entry)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/raft/scribe.go
+++ b/internal/raft/scribe.go
@@ -19,8 +19,8 @@
 	return append(to, text...)
 }
 
-// Inscribe writes commands.
-func Inscribe(commands []Command) (data []byte) {
+// EncodeCommands writes commands.
+func EncodeCommands(commands []Command) (data []byte) {
 	data = binary.AppendUvarint(nil, uint64(len(commands)))
 	for _, command := range commands {
 		data = append(data, byte(command.Kind))
@@ -60,8 +60,8 @@
 	return text
 }
 
-// Decipher reads what Inscribe wrote.
-func Decipher(data []byte) (commands []Command, err error) {
+// DecodeCommands reads what Inscribe wrote.
+func DecodeCommands(data []byte) (commands []Command, err error) {
 	if len(data) == 0 {
 		return nil, nil
 	}
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -150,7 +150,7 @@
 	if s.shape != nil {
 		s.shape(core.raft)
 	}
-	state, err := Thaw(disk.base.Data, s.clock())
+	state, err := Restore(disk.base.Data, s.clock())
 	if err != nil {
 		s.fail("thaw: %v", err)
 		return
@@ -235,7 +235,7 @@
 		}
 	}
 	if out.Restore != nil {
-		state, err := Thaw(out.Restore.Data, s.clock())
+		state, err := Restore(out.Restore.Data, s.clock())
 		if err != nil {
 			s.fail("thaw: %v", err)
 			return
@@ -254,7 +254,7 @@
 		core.pending = map[Index]simPending{}
 	}
 	if core.raft.CommitIndex()-core.raft.SnapshotIndex() > 60 {
-		if data, err := core.state.Freeze(); err == nil {
+		if data, err := core.state.Snapshot(); err == nil {
 			if done, compacted := core.raft.Compact(core.raft.CommitIndex(), data); done {
 				s.carry(host, compacted)
 			}
@@ -271,7 +271,7 @@
 		s.fail("cores disagree on entry %d", entry.Index)
 	}
 	s.agreed[entry.Index] = mark
-	commands, err := Decipher(entry.Data)
+	commands, err := DecodeCommands(entry.Data)
 	if err != nil {
 		s.fail("entry %d: %v", entry.Index, err)
 		return
@@ -429,7 +429,7 @@
 			continue
 		}
 		command := Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: fmt.Sprintf("r%d-%s", s.next, host), Holder: "edge", Life: 1}}
-		index, term, accepted, out := core.raft.Propose(Inscribe([]Command{command}))
+		index, term, accepted, out := core.raft.Propose(EncodeCommands([]Command{command}))
 		if accepted {
 			core.pending[index] = simPending{term, command}
 			if s.fault.loneCommit {
@@ -655,13 +655,13 @@
 
 func TestScribe(t *testing.T) {
 	commands := []Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}
-	read, err := Decipher(Inscribe(commands))
+	read, err := DecodeCommands(EncodeCommands(commands))
 	if err != nil || len(read) != 3 || read[0].Claim != commands[0].Claim || string(read[1].Body) != "{}" || read[2].Upto != 77 {
 		t.Fatalf("read back %v, %v", read, err)
 	}
-	data := Inscribe(commands)
+	data := EncodeCommands(commands)
 	for cut := 1; cut < len(data); cut++ {
-		if _, err = Decipher(data[:cut]); err == nil {
+		if _, err = DecodeCommands(data[:cut]); err == nil {
 			t.Fatalf("an entry cut at %d was read", cut)
 		}
 	}
@@ -692,11 +692,11 @@
 	if claim("a", "r5", 0).Granted {
 		t.Fatal("the claim of r3 is not yet past the window")
 	}
-	data, err := state.Freeze()
+	data, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	thawed, err := Thaw(data, 100*time.Second)
+	thawed, err := Restore(data, 100*time.Second)
 	if err != nil || thawed.Claims() != 2 {
 		t.Fatalf("thawed %d claims, %v", thawed.Claims(), err)
 	}
--- a/internal/raft/state.go
+++ b/internal/raft/state.go
@@ -224,8 +224,8 @@
 	Orders    dedup.Frozen
 }
 
-// Freeze writes the state out for a snapshot.
-func (s *State) Freeze() (data []byte, err error) {
+// Snapshot writes the state out for a snapshot.
+func (s *State) Snapshot() (data []byte, err error) {
 	still := frozen{Canon: s.Canon.Items(), Evacuations: s.Evacuations, Documents: s.Documents, Retired: s.Retired, Move: s.Move, Bindings: s.bindings, Seq: s.seq, Rev: s.Rev,
 		Columns: s.Canon.Columns(), Overtaken: s.Canon.Overtaken.Freeze(), Orders: s.Orders.Freeze()}
 	for _, claim := range s.order {
@@ -241,8 +241,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Thaw reads a snapshot; the claims' ages count from now.
-func Thaw(data []byte, now time.Duration) (state *State, err error) {
+// Restore reads a snapshot; the claims' ages count from now.
+func Restore(data []byte, now time.Duration) (state *State, err error) {
 	state = NewState()
 	if len(data) == 0 {
 		return state, nil
--- a/internal/raft/wishes.go
+++ b/internal/raft/wishes.go
@@ -103,7 +103,7 @@
 	for i := range batch {
 		commands[i] = batch[i].command
 	}
-	data := Inscribe(commands)
+	data := EncodeCommands(commands)
 	index, term, accepted, out := n.raft.Propose(data)
 	if !accepted {
 		for i := range batch {
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -99,7 +99,7 @@
 	n := wishing(t, 1)
 	done := make(chan Outcome, 1)
 	n.pending[9] = pendingEntry{3, []proposal{{done: done}}}
-	n.apply(Entry{Term: 4, Index: 9, Data: Inscribe([]Command{{Kind: CommandBarrier}})})
+	n.apply(Entry{Term: 4, Index: 9, Data: EncodeCommands([]Command{{Kind: CommandBarrier}})})
 	if answer, now := answered(done); !now || answer.Rejected || answer.Known {
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -100,7 +100,7 @@
 	c.life++
 	c.member.ID = c.disk.id
 	c.raft = raft.New(c.disk.id, raft.DefaultTiming(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
-	if c.state, err = raft.Thaw(base.Data, w.agenda.now); err != nil {
+	if c.state, err = raft.Restore(base.Data, w.agenda.now); err != nil {
 		w.fail("%s: the snapshot of %d cannot be read: %v", c.host, base.Index, err)
 		return
 	}
@@ -246,7 +246,7 @@
 		snapshot.Index >= c.raft.LastIndex() || len(c.queue)+len(c.writing) > 0 {
 		return false
 	}
-	state, err := raft.Thaw(snapshot.Data, c.world.agenda.now)
+	state, err := raft.Restore(snapshot.Data, c.world.agenda.now)
 	if err != nil {
 		return false
 	}
@@ -286,7 +286,7 @@
 		c.write()
 	}
 	if out.Restore != nil {
-		state, err := raft.Thaw(out.Restore.Data, w.agenda.now)
+		state, err := raft.Restore(out.Restore.Data, w.agenda.now)
 		if err != nil {
 			w.fail("%s: the snapshot of %d cannot be read: %v", c.host, out.Restore.Index, err)
 			return
@@ -326,7 +326,7 @@
 func (c *Core) apply(entry raft.Entry) {
 	w := c.world
 	w.witness.Applied(c.host, entry)
-	commands, err := raft.Decipher(entry.Data)
+	commands, err := raft.DecodeCommands(entry.Data)
 	if err != nil {
 		w.fail("%s: entry %d: %v", c.host, entry.Index, err)
 		return
@@ -350,7 +350,7 @@
 }
 
 func (c *Core) compact() {
-	data, err := c.state.Freeze()
+	data, err := c.state.Snapshot()
 	if err != nil {
 		c.world.fail("%s: the state cannot be written: %v", c.host, err)
 		return
@@ -454,7 +454,7 @@
 		for i := range batch {
 			commands[i] = batch[i].command
 		}
-		index, term, accepted, out := c.raft.Propose(raft.Inscribe(commands))
+		index, term, accepted, out := c.raft.Propose(raft.EncodeCommands(commands))
 		if !accepted {
 			for _, waiting := range batch {
 				c.answer(waiting, Answer{})
