--- /dev/null
+++ b/internal/controller/evacuation.go
@@ -0,0 +1,40 @@
+package controller
+
+import (
+	"context"
+	"net/url"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/eventlog"
+	"tinpin/internal/history"
+	"tinpin/internal/statemachine"
+)
+
+// withRequestName adds to a path the name that the operator gave the request.
+func withRequestName(path, name string) (whole string) {
+	if name == "" {
+		return path
+	}
+	return path + "?order=" + url.QueryEscape(name)
+}
+
+// evacuate answers Evacuations.Start and Evacuations.Stop.
+func (c *Controller) evacuate(_ context.Context, zone string, start bool, requestName string) (err error) {
+	kind, verb := statemachine.CommandReturn, "Stop"
+	if start {
+		kind, verb = statemachine.CommandEvacuate, "Start"
+	}
+	if err = c.requireLeader(withRequestName("/-/Evacuations."+verb+"/"+url.PathEscape(zone), requestName)); err != nil {
+		return err
+	}
+	result, err := c.propose(statemachine.Command{Kind: kind, Site: zone, Claim: statemachine.Claim{Key: requestName}})
+	if err != nil {
+		return err
+	}
+	if result.Problem != "" {
+		return c.reject(history.Evacuation, rejectedResult(apierror.RequestRejected, result))
+	}
+	c.log.Emit(eventlog.EvacuationAccepted, eventlog.KeyZone, zone, "active", start)
+	c.node.History.Record(history.Evacuation, zone, changeAcknowledged, "", 0, true)
+	return nil
+}
--- /dev/null
+++ b/internal/proxy/execute.go
@@ -0,0 +1,182 @@
+package proxy
+
+import (
+	"time"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/config"
+	"tinpin/internal/rpc"
+)
+
+// capacityPollInterval is how often a request that found all backends full looks again; it does so
+// no longer than a rejection still lets the client retry in time.
+const capacityPollInterval = 12 * time.Millisecond
+
+// capacityWaitDivisor gives the part of a route's target latency that a request may wait for
+// capacity.
+const capacityWaitDivisor = 5
+
+// Handle plans a request and executes the plan.
+func (d *Daemon) Handle(request *Request, deadline string) Response {
+	plan, kind, retryAfter := d.newPlan(request, deadline)
+	if kind != apierror.None {
+		return ErrorResponseAfter(kind, request.ID, retryAfter)
+	}
+	if plan.Key != "" {
+		return d.executeKeyed(plan)
+	}
+	response, kind := d.execute(plan)
+	if kind != apierror.None {
+		return ErrorResponse(kind, request.ID)
+	}
+	return response
+}
+
+// execute makes the attempts of a plan, once the concurrency limit of its service lets it.
+func (d *Daemon) execute(plan *Plan) (response Response, kind apierror.Kind) {
+	if plan.Session != "" {
+		if kind = d.bind(plan); kind != apierror.None {
+			return response, plan.errorKind(kind)
+		}
+	}
+	limiter := d.concurrency.forService(string(plan.Service))
+	for !limiter.Acquire(plan.Route.Priority) {
+		if !d.mayWaitForCapacity(plan) {
+			return response, plan.errorKind(apierror.Overloaded)
+		}
+		time.Sleep(capacityPollInterval)
+	}
+	defer limiter.Release()
+	return d.attemptOrServerError(plan, limiter)
+}
+
+// mayWaitForCapacity tells whether a request may look for capacity once more, so that a rejection
+// still lets the client retry in time.
+func (d *Daemon) mayWaitForCapacity(plan *Plan) bool {
+	return d.clock.Now()+capacityPollInterval < min(plan.StartedAt+plan.Route.Aim/capacityWaitDivisor, plan.Deadline)
+}
+
+// attemptOrServerError makes the attempts of a plan. Where a backend told of its own failure and
+// no other gave a response, that is the response.
+func (d *Daemon) attemptOrServerError(plan *Plan, limiter *ConcurrencyLimiter) (response Response, kind apierror.Kind) {
+	response, kind = d.runAttempts(plan, limiter)
+	if kind != apierror.None && plan.LastServerError != nil {
+		return *plan.LastServerError, apierror.None
+	}
+	return response, kind
+}
+
+// runAttempts sends a plan's request until there is a response or an error.
+func (d *Daemon) runAttempts(plan *Plan, limiter *ConcurrencyLimiter) (response Response, kind apierror.Kind) {
+	arrivals := 0
+	for {
+		now := d.clock.Now()
+		if now >= plan.Deadline {
+			return response, plan.errorKind(apierror.DeadlineTooShort)
+		}
+		backend, anyUsable := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, plan.Tried))
+		if backend == nil {
+			if !anyUsable {
+				return response, plan.errorKind(apierror.NoBackend)
+			}
+			if !d.mayWaitForCapacity(plan) {
+				return response, plan.errorKind(apierror.Overloaded)
+			}
+			time.Sleep(capacityPollInterval)
+			continue
+		}
+		if arrivals > 0 && !d.allowRetry(now, plan, backend) {
+			return response, plan.errorKind(apierror.Overloaded)
+		}
+		attempt, answering := d.attemptWithHedge(plan, backend, now, &arrivals)
+		d.observe(plan, limiter, now, &attempt)
+		step, kind := plan.Next(d.clock.Now(), answering.ID, attempt)
+		if attempt.Outcome == ServerError {
+			if attempt.Response.BodyRest != nil {
+				return attempt.Response, apierror.None
+			}
+			plan.LastServerError = &attempt.Response
+		}
+		switch step {
+		case StepRespond:
+			return attempt.Response, apierror.None
+		case StepFail:
+			return response, kind
+		case StepRetry:
+			if plan.BoundBackend != "" {
+				// The same backend is asked again; it gets a moment.
+				time.Sleep(capacityPollInterval)
+			}
+		}
+	}
+}
+
+// observe records what became of an attempt that began at a time with the retry limit and the
+// service's concurrency limit.
+func (d *Daemon) observe(plan *Plan, limiter *ConcurrencyLimiter, began time.Duration, attempt *Attempt) {
+	if attempt.Sent {
+		ended := d.clock.Now()
+		inTime := plan.Route.Aim <= 0 || ended-began <= plan.Route.Aim
+		d.retryBudget.RecordOutcome(ended, plan.Service, attempt.Outcome == Complete && inTime)
+	}
+	if attempt.Outcome == Complete {
+		limiter.ObserveLatency(d.clock.Now()-began, plan.Route.Aim)
+	}
+}
+
+// allowRetry tells whether a plan may be sent once more, to a backend that answers as the service
+// usually does now.
+func (d *Daemon) allowRetry(now time.Duration, plan *Plan, backend *Backend) bool {
+	expected := time.Duration(backend.stats.MeanLatency() * float64(time.Millisecond))
+	return d.retryBudget.SpendRetry(now, now+expected, plan.Deadline, plan.Service)
+}
+
+// attemptOptions says how a plan's request may be sent. A request that may not run twice is lost
+// on a connection that its backend has closed, so its connection must not have been idle long.
+func (d *Daemon) attemptOptions(plan *Plan, chosenAt time.Duration) (options AttemptOptions) {
+	options = AttemptOptions{
+		ChosenAt: chosenAt, Deadline: plan.Deadline, MaxIdle: defaultMaxIdle, Keyed: plan.Key != "",
+		Bandwidth: d.bandwidth, Permitted: d.mayReceive, DisabledChecks: d.disabledChecks,
+	}
+	if plan.BoundBackend != "" {
+		options.Permitted = func(backend *Backend) bool {
+			return !backend.isDraining() && d.warmUpLeased(backend) && d.state.Policies.KeepsSessions(d.clock.Now(), backend.ID, plan.Service)
+		}
+	}
+	if !plan.Route.Repeat.Repeatable() {
+		options.MaxIdle = d.settings.MaxIdleNonIdempotent
+	}
+	if plan.BoundBackend != "" && plan.wasTried(plan.BoundBackend) && !d.disabledChecks.has(ReuseRejectingConn) {
+		// The backend has had this id before: a second copy of its earlier response must not be
+		// taken for the response to this attempt.
+		options.MaxIdle = freshConnOnly
+	}
+	return options
+}
+
+// criteria says what backend a plan's next attempt wants.
+func (d *Daemon) criteria(plan *Plan, tried []rpc.EndpointID) (criteria Criteria) {
+	criteria = Criteria{
+		Service: plan.Service, TargetLatency: plan.Route.Aim, Homes: plan.Route.Homes, Tried: tried,
+		Idempotent: plan.Route.Repeat.Repeatable(), Large: plan.Route.Repeat == config.Download,
+		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
+	}
+	if plan.BoundBackend != "" {
+		criteria.Bound, criteria.Tried, criteria.PlanWeights = plan.BoundBackend, nil, nil
+		return criteria
+	}
+	if !criteria.Large {
+		criteria.OverflowZone = d.state.Policies.OverflowZone(plan.Service)
+	}
+	return criteria
+}
+
+// mayReceive tells whether a backend may still be sent new sessions and requests.
+func (d *Daemon) mayReceive(backend *Backend) bool {
+	return !backend.isDraining() && d.warmUpLeased(backend) && d.state.Policies.AcceptsNew(d.clock.Now(), backend.ID)
+}
+
+// warmUpLeased tells that a backend is not warming up, or that a lease allows requests to it.
+func (d *Daemon) warmUpLeased(backend *Backend) bool {
+	return !backend.isWarmingUp(d.clock.Now()) || d.state.Leased(rpc.WarmupRate, string(backend.ID)) > 0
+}
--- /dev/null
+++ b/internal/proxy/frontend.go
@@ -0,0 +1,141 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"tinpin/internal/config"
+	"tinpin/internal/rpc"
+)
+
+const (
+	// maxPipelined is how many requests of one connection may wait for their responses.
+	maxPipelined = 16
+	// maxRejectedConns is how many connections beyond the limit are open only to be rejected.
+	maxRejectedConns = 48
+	// lingerTime is how long a closed connection is still read, so that the last response is
+	// not lost to a reset.
+	lingerTime = time.Second
+	// bodyTimeout is the time to read the body of one request.
+	bodyTimeout = 10 * time.Second
+	// idleRecheck is how long an idle connection that timed out is looked at once more.
+	idleRecheck = 3 * time.Millisecond
+	// idleMargin is how much sooner than the proxy itself clients are told to let an idle
+	// connection go.
+	idleMargin = 2 * time.Second
+	// writeTimeout is the time to write one response.
+	writeTimeout = 30 * time.Second
+	// acceptRetryPause follows a failure to accept, such as a want of descriptors.
+	acceptRetryPause = 5 * time.Millisecond
+)
+
+// Frontend accepts client connections. A goroutine per connection reads requests with
+// net/http's codec, idempotent ones ahead of the responses; another writes the responses in
+// order. net/http's own server is not used: it reads a pipelined request only once the one
+// before is answered, and it adds headers of its own. A request that is not idempotent is
+// handled only when all before it on the connection are answered, because a response that
+// closes the connection tells the client that the requests behind it were not read.
+type Frontend struct {
+	handle   func(request *Request, deadline string) Response
+	view     func() *config.View
+	draining atomic.Bool
+	// openConns counts connections, those that are only rejected among them.
+	openConns atomic.Int64
+	// inFlight counts requests that are read and not yet answered.
+	inFlight atomic.Int64
+	maxConns int64
+	// bodyBytesLeft is what request bodies may still take of memory.
+	bodyBytesLeft atomic.Int64
+	listener      net.Listener
+	mu            sync.Mutex
+	// conns holds since when a connection has been idle, or the zero time while it is not.
+	conns map[*clientConn]time.Time
+}
+
+// NewFrontend handles requests with a function, on at most maxConns connections and with at
+// most bodyBytes of request bodies in memory.
+func NewFrontend(handle func(*Request, string) Response, view func() *config.View, maxConns int, bodyBytes int64) *Frontend {
+	f := &Frontend{handle: handle, view: view, maxConns: int64(maxConns), conns: map[*clientConn]time.Time{}}
+	f.bodyBytesLeft.Store(bodyBytes)
+	return f
+}
+
+// Listen listens on the address and serves.
+func (f *Frontend) Listen(address string) (err error) {
+	if f.listener, err = rpc.Listen(address, 5*time.Second); err != nil {
+		return err
+	}
+	go f.Serve(f.listener)
+	return nil
+}
+
+// Serve accepts connections until the listener closes.
+func (f *Frontend) Serve(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			if errors.Is(err, net.ErrClosed) {
+				return
+			}
+			time.Sleep(acceptRetryPause)
+			continue
+		}
+		open := f.openConns.Add(1)
+		if open > f.maxConns+maxRejectedConns {
+			f.openConns.Add(-1)
+			_ = conn.Close()
+			continue
+		}
+		// Beyond the limit the connection that has been idle longest is closed; where none is
+		// idle, the requests of the new one are rejected with a response the client can trust.
+		go f.serveConn(conn, open > f.maxConns && !f.closeLongestIdle())
+	}
+}
+
+// closeLongestIdle closes the connection that has been idle longest, if any is.
+func (f *Frontend) closeLongestIdle() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var oldest *clientConn
+	for c, since := range f.conns {
+		if !since.IsZero() && c.unansweredCount.Load() == 0 && (oldest == nil || since.Before(f.conns[oldest])) {
+			oldest = c
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	f.conns[oldest] = time.Time{}
+	_ = oldest.netConn.SetReadDeadline(time.Now())
+	return true
+}
+
+// setIdle records that a connection waits for a request, or no longer does.
+func (f *Frontend) setIdle(c *clientConn, idle bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.conns[c] = (time.Time{}); idle {
+		f.conns[c] = time.Now()
+	}
+}
+
+// StartDraining makes every further response close its connection.
+func (f *Frontend) StartDraining() { f.draining.Store(true) }
+
+// InFlight counts requests that are read and not yet answered.
+func (f *Frontend) InFlight() int64 { return f.inFlight.Load() }
+
+// CloseListener stops listening.
+func (f *Frontend) CloseListener() { _ = f.listener.Close() }
+
+// CloseConns closes the connections that are still open.
+func (f *Frontend) CloseConns() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c := range f.conns {
+		_ = c.netConn.Close()
+	}
+}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -1,6 +1,6 @@
 package raft
 
-import "hash/crc32"
+import "tinpin/internal/binaryformat"
 
 const (
 	// snapshotChunkBytes passes a link of 1 Mbit/s well within the time of a call.
@@ -11,10 +11,6 @@
 	maxSnapshotBytes = 256 << 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
-
 // SnapshotChunk is a piece of a snapshot's data. Whole is the checksum of all of it, Sum
 // that of the part with what it says of itself.
 type SnapshotChunk struct {
@@ -31,20 +27,20 @@
 func (p *SnapshotChunk) sum() uint32 {
 	var head []byte
 	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.Total, p.Offset, uint64(p.Whole)} {
-		head = appendNumber(head, number)
+		head = binaryformat.AppendUint(head, number)
 	}
 	for _, member := range p.Members {
-		head = putText(head, member.ID)
-		head = putText(head, member.Inner)
-		head = putText(head, member.Control)
-		head = putText(head, member.Site)
+		head = binaryformat.AppendBytes(head, member.ID)
+		head = binaryformat.AppendBytes(head, member.Inner)
+		head = binaryformat.AppendBytes(head, member.Control)
+		head = binaryformat.AppendBytes(head, member.Site)
 		voter := uint64(0)
 		if member.Voter {
 			voter = 1
 		}
-		head = appendNumber(head, voter)
+		head = binaryformat.AppendUint(head, voter)
 	}
-	return crc32.Update(checksum(head), castagnoli, p.Data)
+	return binaryformat.ExtendChecksum(binaryformat.Checksum(head), p.Data)
 }
 
 // snapshotTransfer is what a member keeps of a snapshot on its way in.
@@ -76,7 +72,7 @@
 // not given up for a newer one.
 func (r *Replica) sendChunks(id ID, p *progress) {
 	if p.outgoing == nil || p.outgoing.snapshot.Index <= p.match || p.outgoing.ackedOffset == 0 && p.outgoing.snapshot.Index < r.snapshot.Index {
-		p.outgoing = &outgoingSnapshot{snapshot: r.snapshot, checksum: checksum(r.snapshot.Data)}
+		p.outgoing = &outgoingSnapshot{snapshot: r.snapshot, checksum: binaryformat.Checksum(r.snapshot.Data)}
 		p.stalledTicks = 0
 	}
 	s := p.outgoing
@@ -172,7 +168,7 @@
 		return
 	}
 	r.incoming = nil
-	if checksum(g.data) != part.Whole {
+	if binaryformat.Checksum(g.data) != part.Whole {
 		r.reject(m, "snapshot's checksum is wrong")
 		r.sendChunkResponse(m, 0, true)
 		return
