--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -85,7 +85,7 @@
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
 		return request, apierror.None
 	}
-	if parsed.ContentLength > int64(limits.BodyBytes) {
+	if parsed.ContentLength > int64(limits.MaxBodyBytes) {
 		return nil, apierror.BodyTooLarge
 	}
 	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
@@ -97,7 +97,7 @@
 	if parsed.ContentLength > 0 {
 		request.Body, kind = f.readSizedBody(parsed)
 	} else {
-		request.Body, kind = f.readChunkedBody(parsed, int64(limits.BodyBytes))
+		request.Body, kind = f.readChunkedBody(parsed, int64(limits.MaxBodyBytes))
 	}
 	if kind != apierror.None {
 		return nil, kind
