--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -40,7 +40,7 @@
 // closes the connection tells the client that the requests behind it were not read.
 type Frontend struct {
 	handle   func(request *Request, deadline string) Response
-	view     func() *config.View
+	view     func() *config.RoutingTable
 	draining atomic.Bool
 	// openConns counts connections, those that are only rejected among them.
 	openConns atomic.Int64
@@ -57,7 +57,7 @@
 
 // NewFrontend handles requests with a function, on at most maxConns connections and with at
 // most bodyBytes of request bodies in memory.
-func NewFrontend(handle func(*Request, string) Response, view func() *config.View, maxConns int, bodyBytes int64) *Frontend {
+func NewFrontend(handle func(*Request, string) Response, view func() *config.RoutingTable, maxConns int, bodyBytes int64) *Frontend {
 	f := &Frontend{handle: handle, view: view, maxConns: int64(maxConns), conns: map[*clientConn]time.Time{}}
 	f.bodyBytesLeft.Store(bodyBytes)
 	return f
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -72,7 +72,7 @@
 }
 
 // readRequest makes the request that is forwarded from its head, and reads its body.
-func (f *Frontend) readRequest(client *clientConn, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
+func (f *Frontend) readRequest(client *clientConn, parsed *http.Request, limits config.ClientLimits) (request *Request, kind apierror.Kind) {
 	target, valid := originForm(parsed)
 	if !valid || parsed.Host == "" {
 		return nil, apierror.BadRequest
