--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -57,7 +57,7 @@
 
 // ProposeMembers puts a new set of members into the log, one change at a time, and
 // only once the leader has committed in its own term, and not while it hands
-// over: the one who is told to stand would lack the change.
+// over: the successor would lack the change.
 func (r *Replica) ProposeMembers(members []Member) (accepted bool, out Output) {
 	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.MembersChanging() {
 		return false, Output{}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -31,7 +31,10 @@
 		if member.ID == r.id || !member.Voter && !(pre && r.leaderless) {
 			continue
 		}
-		ask := Message{Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()), Force: force, Life: lives[member.ID]}
+		ask := Message{
+			Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()),
+			Force: force, Life: lives[member.ID],
+		}
 		if pre {
 			ask.Round = r.preVoteRound
 		}
@@ -48,7 +51,7 @@
 	r.countVotes()
 }
 
-// delayCampaign sets when this core asks again. Where no leader was known since the
+// delayCampaign sets when this replica asks again. Where no leader was known since the
 // start that is soon, as others that have started a moment later may say no now;
 // but a vote gets its time, since terms and disks are used up by it.
 func (r *Replica) delayCampaign() {
@@ -133,8 +136,8 @@
 }
 
 // ignoresVote tells that a vote of a later term is not even answered: a leader may be
-// active, and the candidate neither was told to stand nor is elected by members that
-// all have known no leader since their start.
+// active, the candidate is not the target of a transfer, and it was not this start of
+// this replica that answered it with Idle.
 func (r *Replica) ignoresVote(m Message) bool {
 	return m.Term > r.hardState.Term && !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Life == r.incarnation)
 }
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -37,7 +37,7 @@
 // LeaseTicks is for how many ticks a round that was answered proves leadership.
 func (p Timing) LeaseTicks() (ticks int) { return max(0, p.ElectionTicks-leaseMarginTicks) }
 
-// At gives the machine the steady time of its driver, for what it does next.
+// At sets the steady time of the driver for the next step, and returns the replica.
 func (r *Replica) At(now time.Duration) (same *Replica) {
 	r.now = now
 	if !r.startKnown {
@@ -81,14 +81,14 @@
 	return r.roundSentAt[agreed%recordedRounds], true
 }
 
-// withholdsVote tells that this core may not help another to lead yet: it leads, or it
-// heard a leader, or it has started and may have heard one before.
+// withholdsVote tells that this replica may not help another to lead yet: it leads, or
+// it heard a leader within an election, or it has started and may have heard one before.
 func (r *Replica) withholdsVote() bool {
 	return r.role == Leader || r.leaderSilentTicks < r.timing.ElectionTicks
 }
 
-// confirmRound is the round that may be told as heard: none before the term is on
-// disk, as a core that has forgotten the term would not know that it is bound.
+// confirmRound is the round that may be acknowledged: zero before the term is on disk,
+// as a replica that forgot the term would not know that it must withhold its vote.
 func (r *Replica) confirmRound(round uint64) (heard uint64) {
 	if !r.hardStateSynced() {
 		return 0
@@ -97,9 +97,8 @@
 	return round
 }
 
-// sendHeartbeatResponse tells at once that a round was heard, where the answer to what came
-// with it waits for the disk and the round's beat has not been answered yet. It
-// tells no match.
+// sendHeartbeatResponse acknowledges a round at once, where the answer to what came
+// with it waits for the disk and the round was not acknowledged yet. It carries no match.
 func (r *Replica) sendHeartbeatResponse(to ID, round uint64) {
 	if round <= r.confirmedRound {
 		return
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -20,7 +20,7 @@
 // entryOverhead is what an entry weighs beside its data.
 const entryOverhead = 64
 
-// position is where the log begins: the entry before its first.
+// position names an entry by its index and term.
 type position struct {
 	index Index
 	term  Term
@@ -42,14 +42,14 @@
 	return l.entry(index).Term
 }
 
-// firstIndexOfTerm is the first place of the run of one term that reaches up to index.
+// firstIndexOfTerm is the first index of the run of one term that reaches up to index.
 func (l *raftLog) firstIndexOfTerm(term Term, index Index) (first Index) {
 	for first = index; first > l.logStart.index+1 && l.termAt(first-1) == term; first-- {
 	}
 	return first
 }
 
-// lastIndexOfTerm is the last place of a term that lies above low and below high, or
+// lastIndexOfTerm is the last index of a term that lies above low and below high, or
 // none.
 func (l *raftLog) lastIndexOfTerm(term Term, low, high Index) (last Index) {
 	if term == 0 {
@@ -80,7 +80,7 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// Compact cuts the log behind an applied place.
+// Compact replaces the log up to an applied index by a snapshot of the state there.
 func (r *Replica) Compact(index Index, data []byte) (done bool, out Output) {
 	if index <= r.snapshot.Index || index > r.appliedIndex {
 		return false, out
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -1,19 +1,17 @@
-// The words of the agreement: what members, entries and snapshots are, the
-// messages between cores, and what one step asks of the one who drives it.
 package raft
 
 import "time"
 
-// ID names one life of a core's disk; a wiped disk comes back under a new one.
+// ID names one incarnation of a member's disk; a wiped disk comes back under a new one.
 type ID string
 
-// Term counts elections, Index the places of the log.
+// Term counts elections, Index numbers the entries of the log.
 type (
 	Term  uint64
 	Index uint64
 )
 
-// Member is one core of the group.
+// Member is one controller of the group; without Voter it is a learner.
 type Member struct {
 	ID      ID
 	Inner   string
@@ -22,7 +20,7 @@
 	Voter   bool
 }
 
-// Entry is one place of the log. A change of members carries the whole new set.
+// Entry is one entry of the log. A change of members carries the whole new set.
 type Entry struct {
 	Term    Term
 	Index   Index
@@ -30,7 +28,7 @@
 	Data    []byte
 }
 
-// Snapshot stands for the log up to Index.
+// Snapshot stands for the log up to and with Index.
 type Snapshot struct {
 	Index   Index
 	Term    Term
@@ -38,13 +36,13 @@
 	Data    []byte
 }
 
-// HardState is what must be on disk before it is acted on.
+// HardState must be on disk before it is acted on.
 type HardState struct {
 	Term Term
 	Vote ID
 }
 
-// MessageKind tells messages apart.
+// MessageKind tells messages apart. The numbers are sent.
 type MessageKind uint8
 
 // The kinds of messages.
@@ -62,7 +60,7 @@
 	MsgSnapshotChunkResponse
 )
 
-// Message goes from one core to another.
+// Message goes from one member to another.
 type Message struct {
 	Kind     MessageKind
 	From, To ID
@@ -77,8 +75,8 @@
 	Snapshot *Snapshot
 	Force    bool
 	Part     *SnapshotChunk
-	// Idle, Life and Age are of a core that has known no leader since its start:
-	// that it says so, which start that was, and how long ago.
+	// Idle is set by a member that has known no leader since its start; Life is the
+	// incarnation of that start and Age how long ago it was. See startState.
 	Idle bool
 	Life uint64
 	Age  time.Duration
@@ -89,7 +87,7 @@
 	return m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk
 }
 
-// size is about what a message weighs on its way.
+// size is about the bytes that a message takes on its way.
 func (m *Message) size() (size int) {
 	size = entryOverhead
 	for i := range m.Entries {
@@ -104,16 +102,16 @@
 	return size
 }
 
-// Rejection is a message that could not be, or a snapshot that was spoiled on its
-// way; nothing was taken from it.
+// Rejection is an invalid message, or a snapshot chunk that was damaged on its way;
+// nothing was taken from it.
 type Rejection struct {
 	From   ID
 	Kind   MessageKind
 	Reason string
 }
 
-// Write is one order for the disk: the log is cut from Cut on where that is
-// set, then the entries are put behind. After goes out once it is synced.
+// Write is one write for the disk: the log is cut from TruncateFrom on where that is
+// set, then the entries are put behind. AfterSync goes out once it is synced.
 type Write struct {
 	HardState    *HardState
 	TruncateFrom Index
@@ -122,7 +120,8 @@
 	AfterSync    []Message
 }
 
-// Output is what one step asks for.
+// Output is what one step asks of the driver: messages to send at once, writes in their
+// order, committed entries to apply, and a snapshot to restore before them.
 type Output struct {
 	Messages  []Message
 	Writes    []Write
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -6,27 +6,31 @@
 	size      int
 }
 
-// progress is what the leader knows of a member. Until it is steady, one append
-// is asked and its answer awaited, to find the place where both logs agree;
-// then appends follow each other, up to a window.
+// progress is what the leader knows of a member. One append probes for the index at
+// which both logs agree; once it is answered, appends are pipelined up to a window.
 type progress struct {
-	match, next   Index
-	silentTicks   int
-	ackedRound    uint64
-	pipelined     bool
+	// match is the last entry that the member is known to hold on disk, next the first to send.
+	match, next Index
+	// silentTicks counts since the member was heard.
+	silentTicks int
+	// ackedRound is the newest heartbeat round that it acknowledged.
+	ackedRound uint64
+	pipelined  bool
+	// probed tells that a probe awaits its answer.
 	probed        bool
 	inflight      []inflightAppend
 	inflightBytes int
-	stalledTicks  int
-	outgoing      *outgoingSnapshot
+	// stalledTicks counts since the last progress of what is in flight.
+	stalledTicks int
+	outgoing     *outgoingSnapshot
 }
 
-// probe makes a member unsteady: what is under way to it counts no more.
+// probe ends the pipeline: what is in flight counts no more, and the next append probes.
 func (p *progress) probe() {
 	p.inflight, p.inflightBytes, p.pipelined, p.probed, p.stalledTicks = nil, 0, false, false, 0
 }
 
-// releaseAcknowledged takes out what a match answers.
+// releaseAcknowledged takes out of the window what match covers.
 func (p *progress) releaseAcknowledged() {
 	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= p.match {
 		p.inflightBytes -= p.inflight[0].size
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -9,7 +9,7 @@
 const (
 	// maxAppendBytes passes a link of 1 Mbit/s well within the time of a call.
 	maxAppendBytes = 32 << 10
-	// maxInflightBytes and appendsUnderWay bound what may be under way to one member; what
+	// maxInflightBytes and maxInflightAppends bound what may be in flight to one member; what
 	// comes in the meantime goes together in the next append.
 	maxInflightBytes   = 64 << 10
 	maxInflightAppends = 16
@@ -64,7 +64,10 @@
 
 // sendAppend sends a batch.
 func (r *Replica) sendAppend(id ID, p *progress) {
-	m := Message{Kind: MsgAppend, To: id, Index: p.next - 1, LogTerm: r.termAt(p.next - 1), Commit: r.commitIndex, Entries: r.entriesFrom(p.next, maxAppendBytes), Round: r.heartbeatRound}
+	m := Message{
+		Kind: MsgAppend, To: id, Index: p.next - 1, LogTerm: r.termAt(p.next - 1), Commit: r.commitIndex,
+		Entries: r.entriesFrom(p.next, maxAppendBytes), Round: r.heartbeatRound,
+	}
 	r.send(m)
 	p.inflight = append(p.inflight, inflightAppend{m.Index + Index(len(m.Entries)), m.size()})
 	p.inflightBytes += m.size()
@@ -103,7 +106,8 @@
 
 // ReportLost reports that what was on its way to a member is gone.
 func (r *Replica) ReportLost(id ID) (out Output) {
-	if p := r.peers[id]; r.role == Leader && p != nil && p.silentTicks < r.timing.ElectionTicks && (p.outgoing != nil || len(p.inflight) > 0) {
+	p := r.peers[id]
+	if r.role == Leader && p != nil && p.silentTicks < r.timing.ElectionTicks && (p.outgoing != nil || len(p.inflight) > 0) {
 		r.restartReplication(id, p)
 	}
 	return r.takeOutput()
@@ -247,8 +251,8 @@
 	return true
 }
 
-// sendAppendResponse answers at once, with no more than the disk holds: that the core lives is
-// told also while its disk is busy, and what it holds behind the write.
+// sendAppendResponse answers at once, with no more than the disk holds: a busy disk
+// does not hide that the replica lives, and the answer for the rest follows its write.
 func (r *Replica) sendAppendResponse(m Message, index Index) {
 	r.send(Message{Kind: MsgAppendResponse, To: m.From, Index: min(index, r.syncedIndex), Round: r.confirmRound(m.Round)})
 }
@@ -280,7 +284,7 @@
 // handleAppendRejection steps back to where both logs may agree.
 func (r *Replica) handleAppendRejection(m Message, p *progress) {
 	if m.Index == p.match && m.Index > 0 {
-		// An older disk was put back: it holds less than it told.
+		// An older disk was put back: it holds less than it acknowledged.
 		p.match, p.outgoing = 0, nil
 	} else if m.Index <= p.match || m.Index > r.lastIndex() || !p.pipelined && m.Index != p.next-1 || p.outgoing != nil {
 		// Only the answer to what was asked last tells something new.
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -7,12 +7,12 @@
 	snapshotChunkBytes = 32 << 10
 	// maxInflightChunks keeps the link busy while an answer is on its way.
 	maxInflightChunks = 2
-	// maxSnapshotBytes bounds what a member gathers.
+	// maxSnapshotBytes bounds what a member receives.
 	maxSnapshotBytes = 256 << 20
 )
 
-// SnapshotChunk is a piece of a snapshot's data. Whole is the checksum of all of it, Sum
-// that of the part with what it says of itself.
+// SnapshotChunk is a piece of a snapshot's data. Whole is the crc32c of all the data, Sum
+// that of this chunk with its fields.
 type SnapshotChunk struct {
 	Index   Index
 	Term    Term
@@ -24,6 +24,12 @@
 	Data    []byte
 }
 
+// snapshot is the snapshot that the chunk is part of, with data.
+func (p *SnapshotChunk) snapshot(data []byte) *Snapshot {
+	return &Snapshot{Index: p.Index, Term: p.Term, Members: p.Members, Data: data}
+}
+
+// sum is the checksum of the chunk's fields and data.
 func (p *SnapshotChunk) sum() uint32 {
 	var head []byte
 	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.Total, p.Offset, uint64(p.Whole)} {
@@ -59,8 +65,8 @@
 
 func (s *outgoingSnapshot) total() uint64 { return uint64(len(s.snapshot.Data)) }
 
-// rewind sends again what has not been acknowledged; where all has, the last
-// part, so that the member says what it has.
+// rewind sends again what has not been acknowledged; where all has, the last chunk, so
+// that the member answers with what it has.
 func (s *outgoingSnapshot) rewind(size uint64) {
 	s.sentOffset, s.inflightChunks = s.ackedOffset, 0
 	if s.ackedOffset == s.total() {
@@ -68,10 +74,10 @@
 	}
 }
 
-// sendChunks keeps parts of a snapshot under way. One that is being taken in is
-// not given up for a newer one.
+// sendChunks keeps chunks of a snapshot in flight. A transfer that has made progress is
+// not given up for a newer snapshot.
 func (r *Replica) sendChunks(id ID, p *progress) {
-	if p.outgoing == nil || p.outgoing.snapshot.Index <= p.match || p.outgoing.ackedOffset == 0 && p.outgoing.snapshot.Index < r.snapshot.Index {
+	if s := p.outgoing; s == nil || s.snapshot.Index <= p.match || s.ackedOffset == 0 && s.snapshot.Index < r.snapshot.Index {
 		p.outgoing = &outgoingSnapshot{snapshot: r.snapshot, checksum: binaryformat.Checksum(r.snapshot.Data)}
 		p.stalledTicks = 0
 	}
@@ -89,7 +95,7 @@
 	}
 }
 
-// handleSnapshotChunkResponse hears how far a member is with a snapshot.
+// handleSnapshotChunkResponse goes on from the offset that a member has reached.
 func (r *Replica) handleSnapshotChunkResponse(m Message) {
 	p, _ := r.recordResponse(m)
 	if p == nil {
@@ -112,7 +118,7 @@
 	r.sendChunks(m.From, p)
 }
 
-// incomingSnapshot is what a member has of a snapshot.
+// incomingSnapshot is what a member has received of one snapshot of one leader.
 type incomingSnapshot struct {
 	leaderTerm Term
 	chunk      SnapshotChunk
@@ -124,13 +130,16 @@
 		g.chunk.Total == m.Part.Total && g.chunk.Whole == m.Part.Whole
 }
 
-// supersededBy tells that a part is of a snapshot that replaces the one gathered.
+// supersededBy tells that a chunk is of a snapshot that replaces this one.
 func (g *incomingSnapshot) supersededBy(m Message) bool {
 	return g == nil || m.Term > g.leaderTerm || m.Term == g.leaderTerm && m.Part.Index > g.chunk.Index
 }
 
 func (r *Replica) sendChunkResponse(m Message, offset uint64, refused bool) {
-	r.send(Message{Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused, Round: r.confirmRound(m.Round)})
+	r.send(Message{
+		Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused,
+		Round: r.confirmRound(m.Round),
+	})
 }
 
 func (r *Replica) handleSnapshotChunk(m Message) {
@@ -142,7 +151,7 @@
 	r.observeLeader(m)
 	if part.Index <= r.commitIndex || r.termAt(part.Index) == part.Term {
 		r.incoming = nil
-		r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members}})
+		r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: part.snapshot(nil)})
 		return
 	}
 	if !r.incoming.matches(m) {
@@ -173,7 +182,7 @@
 		r.sendChunkResponse(m, 0, true)
 		return
 	}
-	r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: &Snapshot{Index: part.Index, Term: part.Term, Members: part.Members, Data: g.data}})
+	r.installSnapshot(Message{From: m.From, Round: m.Round, Snapshot: part.snapshot(g.data)})
 }
 
 // installSnapshot takes a whole snapshot in, unless the log holds what it stands for.
@@ -198,5 +207,8 @@
 	r.refreshMembers()
 	r.output.Restore = snapshot
 	r.sendHeartbeatResponse(m.From, m.Round)
-	r.write(Write{TruncateFrom: 1, Snapshot: snapshot, AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: snapshot.Index, Round: m.Round}}})
+	r.write(Write{
+		TruncateFrom: 1, Snapshot: snapshot,
+		AfterSync: []Message{{Kind: MsgAppendResponse, To: m.From, Index: snapshot.Index, Round: m.Round}},
+	})
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -5,7 +5,7 @@
 	// transferTarget is the successor, empty where none is sought.
 	transferTarget ID
 	transferTicks  int
-	// timeoutNowSent tells that another was told to stand in this term.
+	// timeoutNowSent tells that MsgTimeoutNow went out in this term; there is no lease then.
 	timeoutNowSent bool
 }
 
@@ -18,7 +18,10 @@
 	var bestMatch Index
 	for _, member := range r.members {
 		p := r.peers[member.ID]
-		if p != nil && member.Voter && p.silentTicks < r.timing.ElectionTicks && p.match >= r.commitIndex && (best == "" || p.match > bestMatch) {
+		if p == nil || !member.Voter || p.silentTicks >= r.timing.ElectionTicks || p.match < r.commitIndex {
+			continue
+		}
+		if best == "" || p.match > bestMatch {
 			best, bestMatch = member.ID, p.match
 		}
 	}
@@ -28,7 +31,7 @@
 	}
 }
 
-// completeTransfer tells the successor to stand once it has the whole log.
+// completeTransfer has the successor campaign once it has the whole log.
 func (r *Replica) completeTransfer() {
 	if p := r.peers[r.transferTarget]; p != nil && p.match == r.lastIndex() {
 		r.timeoutNowSent = true
@@ -36,9 +39,9 @@
 	}
 }
 
-// abortTransfer ends a hand-over that came to nothing. The one who was told to stand
-// may yet do so, and voters that heard this leader will let it: only in a later
-// term, in which that word is void, is contact a proof again.
+// abortTransfer ends a transfer that came to nothing. The successor that was sent
+// MsgTimeoutNow may yet campaign, and voters will not withhold their votes from it: only
+// in a later term, in which that message is void, does contact prove leadership again.
 func (r *Replica) abortTransfer() {
 	if r.diskStuckTicks >= r.timing.ElectionTicks || !r.isVoter(r.id) {
 		r.becomeFollower(r.hardState.Term, "")
--- a/internal/raft/validate.go
+++ b/internal/raft/validate.go
@@ -1,15 +1,15 @@
-// What a message of the agreement cannot be: no core that works sends it, in no
-// order of events. It is refused before anything is taken from it. What only
-// came late, or to the wrong core, is not among these.
 package raft
 
+// What no correct member sends, in no order of events, is rejected before anything is
+// taken from it. A message that only comes late, or to the wrong member, is none of these.
+
 const (
-	// maxTerm and mostIndex are beyond what any group reaches.
+	// maxTerm and maxIndex are beyond what any group reaches.
 	maxTerm  Term  = 1 << 56
 	maxIndex Index = 1 << 56
 )
 
-// rejectReason tells why a message cannot be, or nothing.
+// rejectReason tells why a message is invalid; it is empty for a valid one.
 func (r *Replica) rejectReason(m *Message) (why string) {
 	switch {
 	case m.Kind < MsgPreVote || m.Kind > MsgSnapshotChunkResponse:
@@ -20,7 +20,9 @@
 		return "impossible term"
 	case m.Index > maxIndex || m.Commit > maxIndex || m.Hint > maxIndex:
 		return "impossible index"
-	case len(m.Entries) > 0 && m.Kind != MsgAppend || (m.Snapshot != nil) != (m.Kind == MsgSnapshot) || (m.Part != nil) != (m.Kind == MsgSnapshotChunk):
+	case len(m.Entries) > 0 && m.Kind != MsgAppend,
+		(m.Snapshot != nil) != (m.Kind == MsgSnapshot),
+		(m.Part != nil) != (m.Kind == MsgSnapshotChunk):
 		return "content of another kind"
 	}
 	switch m.Kind {
@@ -39,7 +41,7 @@
 		}
 		return r.snapshotRejectReason(m, position{part.Index, part.Term}, part.Members)
 	case MsgAppendResponse, MsgHeartbeatResponse, MsgSnapshotChunkResponse:
-		if r.role == Leader && m.Term == r.hardState.Term && (m.Round > r.heartbeatRound || m.Kind == MsgAppendResponse && !m.Reject && m.Index > r.lastIndex()) {
+		if r.answersUnsent(m) {
 			return "answer to what was not sent"
 		}
 	}
@@ -51,6 +53,13 @@
 	return m.Term == r.hardState.Term && r.leader != "" && r.leader != m.From
 }
 
+// answersUnsent tells that a response in this leader's term acknowledges a heartbeat
+// round or an entry that it never sent.
+func (r *Replica) answersUnsent(m *Message) bool {
+	return r.role == Leader && m.Term == r.hardState.Term &&
+		(m.Round > r.heartbeatRound || m.Kind == MsgAppendResponse && !m.Reject && m.Index > r.lastIndex())
+}
+
 func (r *Replica) appendRejectReason(m *Message) (why string) {
 	switch {
 	case r.knowsOtherLeader(m):
@@ -82,7 +91,9 @@
 	switch {
 	case r.knowsOtherLeader(m):
 		return "two leaders in a term"
-	case end.index == 0 || end.index > maxIndex || end.term == 0 || end.term > m.Term || end.index > r.commitIndex && end.term < r.termAt(r.commitIndex) || r.contradictsCommitted(end.index, end.term):
+	case end.index == 0 || end.index > maxIndex || end.term == 0 || end.term > m.Term,
+		end.index > r.commitIndex && end.term < r.termAt(r.commitIndex),
+		r.contradictsCommitted(end.index, end.term):
 		return "impossible end of a snapshot"
 	case !validMembers(members):
 		return "impossible members"
@@ -90,8 +101,7 @@
 	return ""
 }
 
-// contradictsCommitted tells that another term is claimed for a committed place than the one it
-// has.
+// contradictsCommitted tells that a term is claimed for a committed entry which is not its own.
 func (r *Replica) contradictsCommitted(index Index, term Term) bool {
 	return index > 0 && index <= r.commitIndex && index >= r.logStart.index && r.termAt(index) != term
 }
