--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -141,7 +141,7 @@
 			return
 		}
 		if service := c.view.Services[string(server.Service)]; service != nil {
-			c.health.Suspect(c.now(), id, server.Service, service.SlowStart)
+			c.health.MarkWarmingUp(c.now(), id, server.Service, service.SlowStart)
 		}
 	})
 }
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -74,7 +74,7 @@
 	now := c.now()
 	for _, server := range added {
 		if server.WarmupRemaining > 0 {
-			c.health.Suspect(now, server.ID, server.Service, server.WarmupRemaining)
+			c.health.MarkWarmingUp(now, server.ID, server.Service, server.WarmupRemaining)
 		}
 	}
 	if changed {
