--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -176,7 +176,7 @@
 	return twice, s.served
 }
 
-func TestAKeyRunsOnceUnderTrouble(t *testing.T) {
+func TestKeyRunsOnceUnderFaults(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		twice, served := playKeys(seed, plantedFault{})
 		if twice != "" {
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestPlantedFaultsOfKeysAreFound(t *testing.T) {
+func TestInjectedBugsOfKeysAreFound(t *testing.T) {
 	for name, fault := range map[string]plantedFault{"freeBroken": {freeBroken: true}, "runUnclear": {runUnclear: true}, "oldAnswers": {oldAnswers: true}} {
 		found := ""
 		for seed := int64(1); seed <= 20 && found == ""; seed++ {
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -7,7 +7,7 @@
 	"tinpin/internal/rpc"
 )
 
-func TestStandings(t *testing.T) {
+func TestOperationStates(t *testing.T) {
 	now := time.Duration(0)
 	book := NewStore(time.Minute, 1000, func() time.Duration { return now })
 	op, old := book.Begin("k", "r1")
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestRoomIsKept(t *testing.T) {
+func TestStoreKeepsWithinMaxBytes(t *testing.T) {
 	book := NewStore(time.Minute, 1000, func() time.Duration { return 0 })
 	for _, key := range []string{"a", "b", "c", "d"} {
 		op, _ := book.Begin(key, key)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -1,10 +1,3 @@
-// Package allot is the one mechanism behind every bound that the whole fleet
-// has to keep: the leader lends shares of a bound for a short span, and the
-// shares that may still be in use never sum past the bound. A lender counts a
-// share from when it answered, a holder from when it asked, so the holder
-// always stops first. A share counts on for the bound's window after it ran
-// out, because what was done under it still counts then. A new lender lends
-// nothing until every share of its predecessor must have run out.
 package quota
 
 import (
@@ -14,138 +7,147 @@
 	"tinpin/internal/rpc"
 )
 
-// Key names one bound.
+// Key names one limit.
 type Key struct {
 	Kind rpc.LeaseKind
 	Name string
 }
 
+// grant is a share of a limit that counts as in use until a time.
 type grant struct {
 	amount float64
 	until  time.Duration
 }
 
-// limitGrants is one bound's record. Its sum is kept as loans come and is reckoned
-// anew only when a loan may have run out, so that a loan costs the same however
-// many holders there are.
+// limitGrants are the grants of one limit. The sum is kept as grants are made, and
+// computed anew only when a grant may have expired, so that a grant costs the same
+// however many holders there are.
 type limitGrants struct {
 	holders    map[rpc.NodeID][]grant
 	sum        float64
 	nextExpiry time.Duration
 }
 
-// amountOf is what a holder may be using, while nothing has run out since settle.
-func (a *limitGrants) amountOf(holder rpc.NodeID) (most float64) {
-	for _, loan := range a.holders[holder] {
-		most = max(most, loan.amount)
+// amountOf is what a holder may be using. It is exact after Allocator.unexpired.
+func (l *limitGrants) amountOf(holder rpc.NodeID) (most float64) {
+	for _, grant := range l.holders[holder] {
+		most = max(most, grant.amount)
 	}
 	return most
 }
 
-// set replaces a holder's loans.
-func (a *limitGrants) set(holder rpc.NodeID, loans []grant) {
-	before := a.amountOf(holder)
-	a.holders[holder] = loans
-	a.sum += a.amountOf(holder) - before
-	for _, loan := range loans {
-		a.nextExpiry = min(a.nextExpiry, loan.until)
+// set replaces a holder's grants.
+func (l *limitGrants) set(holder rpc.NodeID, grants []grant) {
+	before := l.amountOf(holder)
+	l.holders[holder] = grants
+	l.sum += l.amountOf(holder) - before
+	for _, grant := range grants {
+		l.nextExpiry = min(l.nextExpiry, grant.until)
 	}
 }
 
-// Allocator is the lender's record.
+// Allocator grants leases on shares of limits.
 type Allocator struct {
 	leaseDuration time.Duration
 	started       time.Duration
 	limits        map[Key]*limitGrants
 }
 
-// NewFirstAllocator opens a book that has no predecessor, so nothing can be lent yet.
-func NewFirstAllocator(span time.Duration) (book *Allocator) {
-	return NewAllocator(-1000*time.Hour, span)
+// longAgo is a start before which nothing can have been granted.
+const longAgo = -1000 * time.Hour
+
+// NewFirstAllocator makes an allocator without a predecessor, whose leases it would have
+// to wait for.
+func NewFirstAllocator(leaseDuration time.Duration) (allocator *Allocator) {
+	return NewAllocator(longAgo, leaseDuration)
 }
 
-// NewAllocator opens at now; span is how long a share lasts.
-func NewAllocator(now, span time.Duration) (book *Allocator) {
-	return &Allocator{leaseDuration: span, started: now, limits: map[Key]*limitGrants{}}
+// NewAllocator makes an allocator that starts now.
+func NewAllocator(now, leaseDuration time.Duration) (allocator *Allocator) {
+	return &Allocator{leaseDuration: leaseDuration, started: now, limits: map[Key]*limitGrants{}}
 }
 
-// unexpired gives a bound's record without what has run out by now.
-func (b *Allocator) unexpired(now time.Duration, key Key) (settled *limitGrants) {
-	settled = b.limits[key]
-	if settled == nil {
-		settled = &limitGrants{holders: map[rpc.NodeID][]grant{}, nextExpiry: math.MaxInt64}
-		b.limits[key] = settled
+// unexpired is a limit's grants without those that have expired by now.
+func (a *Allocator) unexpired(now time.Duration, key Key) (limit *limitGrants) {
+	limit = a.limits[key]
+	if limit == nil {
+		limit = &limitGrants{holders: map[rpc.NodeID][]grant{}, nextExpiry: math.MaxInt64}
+		a.limits[key] = limit
 	}
-	if now < settled.nextExpiry {
-		return settled
+	if now < limit.nextExpiry {
+		return limit
 	}
-	settled.sum, settled.nextExpiry = 0, math.MaxInt64
-	for holder, loans := range settled.holders {
-		kept := loans[:0]
-		for _, loan := range loans {
-			if loan.until > now {
-				kept = append(kept, loan)
-				settled.nextExpiry = min(settled.nextExpiry, loan.until)
+	limit.sum, limit.nextExpiry = 0, math.MaxInt64
+	for holder, grants := range limit.holders {
+		kept := grants[:0]
+		for _, grant := range grants {
+			if grant.until > now {
+				kept = append(kept, grant)
+				limit.nextExpiry = min(limit.nextExpiry, grant.until)
 			}
 		}
 		if len(kept) == 0 {
-			delete(settled.holders, holder)
+			delete(limit.holders, holder)
 			continue
 		}
-		settled.holders[holder] = kept
-		settled.sum += settled.amountOf(holder)
+		limit.holders[holder] = kept
+		limit.sum += limit.amountOf(holder)
 	}
-	return settled
+	return limit
 }
 
-// Grant gives a fellow as much as it wants of what is free of a bound.
-func (b *Allocator) Grant(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want float64) (lease rpc.Lease, given bool) {
-	if now < b.started+b.leaseDuration+window {
+// Grant gives a node as much as it wants of what is free of a limit.
+func (a *Allocator) Grant(now time.Duration, key Key, limit float64, window time.Duration, to rpc.NodeID, want float64) (lease rpc.Lease, granted bool) {
+	if now < a.started+a.leaseDuration+window {
 		return lease, false
 	}
-	settled := b.unexpired(now, key)
-	amount := min(want, bound-(settled.sum-settled.amountOf(to)))
+	current := a.unexpired(now, key)
+	amount := min(want, limit-(current.sum-current.amountOf(to)))
 	if amount <= 0 {
 		return lease, false
 	}
-	// A loan that a newer one of at least its size outlasts is of no more account.
+	// A grant that a newer one of at least its size outlasts no longer matters.
 	kept := make([]grant, 0, 2)
-	for _, loan := range settled.holders[to] {
-		if loan.amount > amount {
-			kept = append(kept, loan)
+	for _, earlier := range current.holders[to] {
+		if earlier.amount > amount {
+			kept = append(kept, earlier)
 		}
 	}
-	settled.set(to, append(kept, grant{amount, now + b.leaseDuration + window}))
-	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.leaseDuration}, true
+	current.set(to, append(kept, grant{amount, now + a.leaseDuration + window}))
+	return a.lease(key, amount), true
 }
 
-// GrantAtLeast lends at least the given least or nothing.
-func (b *Allocator) GrantAtLeast(now time.Duration, key Key, bound float64, window time.Duration, to rpc.NodeID, want, least float64) (lease rpc.Lease, given bool) {
-	if settled := b.unexpired(now, key); bound-(settled.sum-settled.amountOf(to)) < least {
+// GrantAtLeast is Grant if at least a given amount is free, else it grants nothing.
+func (a *Allocator) GrantAtLeast(now time.Duration, key Key, limit float64, window time.Duration, to rpc.NodeID, want, least float64) (lease rpc.Lease, granted bool) {
+	if current := a.unexpired(now, key); limit-(current.sum-current.amountOf(to)) < least {
 		return lease, false
 	}
-	return b.Grant(now, key, bound, window, to, want)
+	return a.Grant(now, key, limit, window, to, want)
+}
+
+// Renew prolongs what a node already holds from a predecessor. That may be in use
+// anyhow, so it needs no waiting.
+func (a *Allocator) Renew(now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64) (lease rpc.Lease) {
+	a.unexpired(now, key).set(to, []grant{{amount, now + a.leaseDuration + window}})
+	return a.lease(key, amount)
 }
 
-// Renew prolongs what a fellow already holds under a predecessor: it is part of
-// what may be in use anyhow, so it needs no waiting.
-func (b *Allocator) Renew(now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64) (lease rpc.Lease) {
-	b.unexpired(now, key).set(to, []grant{{amount, now + b.leaseDuration + window}})
-	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: b.leaseDuration}
+func (a *Allocator) lease(key Key, amount float64) (lease rpc.Lease) {
+	return rpc.Lease{Kind: key.Kind, Key: key.Name, Amount: amount, Duration: a.leaseDuration}
 }
 
-// Forget drops a bound that is no more.
-func (b *Allocator) Forget(key Key) { delete(b.limits, key) }
+// Forget drops a limit that no longer exists.
+func (a *Allocator) Forget(key Key) { delete(a.limits, key) }
 
-// Granted sums what may be in use of a bound.
-func (b *Allocator) Granted(now time.Duration, key Key) (sum float64) {
-	if b.limits[key] == nil {
+// Granted sums what may be in use of a limit.
+func (a *Allocator) Granted(now time.Duration, key Key) (sum float64) {
+	if a.limits[key] == nil {
 		return 0
 	}
-	return b.unexpired(now, key).sum
+	return a.unexpired(now, key).sum
 }
 
-// Leases is a holder's purse of leases.
+// Leases are the leases that a node holds.
 type Leases struct {
 	held map[Key]heldLease
 }
@@ -155,22 +157,23 @@
 	until  time.Duration
 }
 
-// NewLeases is an empty purse.
-func NewLeases() (shares *Leases) { return &Leases{held: map[Key]heldLease{}} }
+// NewLeases makes an empty set.
+func NewLeases() (leases *Leases) { return &Leases{held: map[Key]heldLease{}} }
 
-// Add notes a lease that was asked for at the given time.
-func (s *Leases) Add(asked time.Duration, lease rpc.Lease) {
-	s.held[Key{lease.Kind, lease.Key}] = heldLease{lease.Amount, asked + lease.Duration}
+// Add notes a lease that was asked for at a time.
+func (l *Leases) Add(asked time.Duration, lease rpc.Lease) {
+	l.held[Key{lease.Kind, lease.Key}] = heldLease{lease.Amount, asked + lease.Duration}
 }
 
-// Amount is what may be used now; nothing without an unexpired lease.
-func (s *Leases) Amount(now time.Duration, key Key) (amount float64) {
-	held, known := s.held[key]
+// Amount is what may be used of a limit now: nothing without a lease that has not
+// expired.
+func (l *Leases) Amount(now time.Duration, key Key) (amount float64) {
+	held, known := l.held[key]
 	if !known {
 		return 0
 	}
 	if held.until <= now {
-		delete(s.held, key)
+		delete(l.held, key)
 		return 0
 	}
 	return held.amount
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,17 +9,17 @@
 	"tinpin/internal/rpc"
 )
 
-// Holders ask, lose touch and come back, leaders change, answers are late or
-// lost: what holders may use never sums past the bound, nor does what they
-// used within one window.
-func TestSharesNeverSumPastTheBound(t *testing.T) {
+// Holders ask, lose contact and come back, leaders change, responses are late or lost:
+// what holders may use never sums past the limit, nor does what they used within one
+// window.
+func TestLeasesNeverSumPastTheLimit(t *testing.T) {
 	const span, window = 1600 * time.Millisecond, time.Second
 	key := Key{rpc.WarmupRate, "b"}
 	most := 0.0
 	for seed := int64(1); seed <= 40; seed++ {
-		luck := rand.New(rand.NewSource(seed))
-		bound := 5 + 20*luck.Float64()
-		book := NewAllocator(0, span)
+		random := rand.New(rand.NewSource(seed))
+		limit := 5 + 20*random.Float64()
+		allocator := NewAllocator(0, span)
 		holders := map[rpc.NodeID]*Leases{}
 		type used struct {
 			at     time.Duration
@@ -34,16 +34,16 @@
 		}
 		var late []answer
 		for now := time.Duration(0); now < 60*time.Second; now += 50 * time.Millisecond {
-			if luck.Intn(200) == 0 {
-				book = NewAllocator(now, span)
+			if random.Intn(200) == 0 {
+				allocator = NewAllocator(now, span)
 			}
-			id := rpc.NodeID(fmt.Sprint(luck.Intn(8)))
-			if holders[id] == nil || luck.Intn(100) == 0 {
+			id := rpc.NodeID(fmt.Sprint(random.Intn(8)))
+			if holders[id] == nil || random.Intn(100) == 0 {
 				holders[id] = NewLeases()
 			}
-			asked := now - time.Duration(luck.Intn(300))*time.Millisecond
-			if lease, given := book.Grant(now, key, bound, window, id, bound*luck.Float64()); given && luck.Intn(10) > 0 {
-				late = append(late, answer{id, lease, asked, now + time.Duration(luck.Intn(400))*time.Millisecond})
+			asked := now - time.Duration(random.Intn(300))*time.Millisecond
+			if lease, granted := allocator.Grant(now, key, limit, window, id, limit*random.Float64()); granted && random.Intn(10) > 0 {
+				late = append(late, answer{id, lease, asked, now + time.Duration(random.Intn(400))*time.Millisecond})
 			}
 			for i := 0; i < len(late); i++ {
 				if late[i].due <= now {
@@ -56,44 +56,44 @@
 			for _, shares := range holders {
 				sum += shares.Amount(now, key)
 			}
-			if sum > bound+1e-9 {
-				t.Fatalf("seed %d at %v: %.2f in use of %.2f", seed, now, sum, bound)
+			if sum > limit+1e-9 {
+				t.Fatalf("seed %d at %v: %.2f in use of %.2f", seed, now, sum, limit)
 			}
-			most = max(most, sum/bound)
+			most = max(most, sum/limit)
 			// Each holder uses its whole share once in a window at most.
-			if luck.Intn(4) == 0 {
+			if random.Intn(4) == 0 {
 				shares := holders[id]
 				log = append(log, used{now, shares.Amount(now, key)})
 			}
 		}
 	}
 	if most < 0.5 {
-		t.Fatalf("never more than %.2f of a bound was in use: the test tests nothing", most)
+		t.Fatalf("never more than %.2f of a limit was in use: the test proves nothing", most)
 	}
 }
 
-func TestANewLenderWaits(t *testing.T) {
-	book := NewAllocator(10*time.Second, time.Second)
+func TestNewAllocatorWaits(t *testing.T) {
+	allocator := NewAllocator(10*time.Second, time.Second)
 	key := Key{rpc.RetrySlack, ""}
-	if _, given := book.Grant(10500*time.Millisecond, key, 5, 2*time.Second, "a", 5); given {
-		t.Fatal("lent before every share of the predecessor had run out")
+	if _, granted := allocator.Grant(10500*time.Millisecond, key, 5, 2*time.Second, "a", 5); granted {
+		t.Fatal("granted before every lease of the predecessor had expired")
 	}
-	if _, given := book.Grant(13*time.Second, key, 5, 2*time.Second, "a", 5); !given {
-		t.Fatal("not lent afterwards")
+	if _, granted := allocator.Grant(13*time.Second, key, 5, 2*time.Second, "a", 5); !granted {
+		t.Fatal("not granted afterwards")
 	}
-	if _, given := book.Grant(14500*time.Millisecond, key, 5, 2*time.Second, "b", 5); given {
-		t.Fatal("lent again within the window")
+	if _, granted := allocator.Grant(14500*time.Millisecond, key, 5, 2*time.Second, "b", 5); granted {
+		t.Fatal("granted again within the window")
 	}
-	if _, given := book.Grant(16*time.Second+time.Millisecond, key, 5, 2*time.Second, "b", 5); !given {
-		t.Fatal("not lent again after the window")
+	if _, granted := allocator.Grant(16*time.Second+time.Millisecond, key, 5, 2*time.Second, "b", 5); !granted {
+		t.Fatal("not granted again after the window")
 	}
 }
 
-func TestWindowNeverFallsShort(t *testing.T) {
-	luck := rand.New(rand.NewSource(1))
+func TestWindowSumIsNeverTooLow(t *testing.T) {
+	random := rand.New(rand.NewSource(1))
 	window := NewWindow(time.Second)
 	var events []time.Duration
-	for now := time.Duration(0); now < 20*time.Second; now += time.Duration(luck.Intn(40)) * time.Millisecond {
+	for now := time.Duration(0); now < 20*time.Second; now += time.Duration(random.Intn(40)) * time.Millisecond {
 		window.Add(now)
 		events = append(events, now)
 		exact, wide := 0, 0
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -1,11 +1,3 @@
-// Lender splits limits that are a rate and a burst over the fleet: those of
-// tenants, and those on retries. What is lent is a part of the
-// limit, not a number, so that a change of the limit needs no new lending. A
-// fifth is set aside for floors, which a daemon keeps for minutes without
-// touch; the rest is lent for a moment at a time to where the demand is, and
-// what nobody asks for stays free, so that a surge elsewhere need not wait for
-// shares to run out. A part smaller than one request of the burst could admit
-// nothing and is not lent.
 package quota
 
 import (
@@ -16,16 +8,23 @@
 )
 
 const (
-	minimumPart    = 0.2
-	spareNodes     = 2
-	basePart       = 0.25
+	// minimumPart of a limit is for guaranteed minimums, divided by the number of nodes
+	// and spareNodes more.
+	minimumPart = 0.2
+	spareNodes  = 2
+	// basePart of the rest is divided evenly, whatever the demand.
+	basePart = 0.25
+	// demandHeadroom is how much more than its demand a node is granted.
 	demandHeadroom = 1.5
-	maxDemandAge   = 5 * time.Second
+	// maxDemandAge is after how long the demand of a node that is not heard is forgotten,
+	// demandPruneInterval how often such nodes are looked for.
+	maxDemandAge        = 5 * time.Second
+	demandPruneInterval = time.Second
 )
 
-// FloorSpan is how long a tenant's floor outlasts the touch with the leader,
-// RetryFloorSpan that of a limit on retries: a limit that is lowered counts as
-// kept once floors under the old one have run out.
+// TenantMinimumDuration is how long a node keeps a tenant's guaranteed minimum after
+// its last contact to the leader, RetryMinimumDuration that of a retry limit. A limit
+// that is lowered holds once minimums under the old one have expired.
 const (
 	TenantMinimumDuration = 5 * time.Minute
 	RetryMinimumDuration  = time.Minute
@@ -38,52 +37,59 @@
 }
 
 // TenantLimit is a tenant's limit.
-func TenantLimit(tenant *config.Tenant) (bound RateLimit) {
+func TenantLimit(tenant *config.Tenant) (limit RateLimit) {
 	return RateLimit{Name: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst}
 }
 
-// LeaseKinds are the leases by which a lender lends.
+// LeaseKinds are the kinds of leases of one kind of limit.
 type LeaseKinds struct {
 	Share, Minimum  rpc.LeaseKind
 	MinimumDuration time.Duration
 }
 
-// The kinds of lenders.
+// The kinds of leases of tenants' limits and of retry limits.
 var (
 	TenantLeases = LeaseKinds{rpc.TenantShare, rpc.TenantMinimum, TenantMinimumDuration}
 	RetryLeases  = LeaseKinds{rpc.RetryShare, rpc.RetryMinimum, RetryMinimumDuration}
 )
 
+// demandEntry is the demand of one node, in requests a second.
 type demandEntry struct {
 	rate float64
 	at   time.Duration
 }
 
-// demandTable are what fellows want of one limit, with their sum; the old ones are
-// looked for once a second.
+// demandTable holds the demands of nodes for one limit, with their sum.
 type demandTable struct {
 	of       map[rpc.NodeID]demandEntry
 	sum      float64
 	prunedAt time.Duration
 }
 
+// note takes the demand of a node and returns that of all.
 func (d *demandTable) note(now time.Duration, from rpc.NodeID, rate float64) (sum float64) {
 	d.sum += rate - d.of[from].rate
 	d.of[from] = demandEntry{rate, now}
-	if now-d.prunedAt > time.Second {
+	if now-d.prunedAt > demandPruneInterval {
 		d.prunedAt, d.sum = now, 0
-		for id, want := range d.of {
-			if now-want.at > maxDemandAge {
+		for id, entry := range d.of {
+			if now-entry.at > maxDemandAge {
 				delete(d.of, id)
 				continue
 			}
-			d.sum += want.rate
+			d.sum += entry.rate
 		}
 	}
 	return d.sum
 }
 
-// RateAllocator lends the limits of one kind.
+// RateAllocator splits limits that are a rate and a burst over the fleet: those of
+// tenants, and those on retries. What it grants is a part of the limit, not a number,
+// so that a changed limit needs no new grants. A fifth is for guaranteed minimums,
+// which a node keeps for minutes without contact; the rest is granted for a moment at
+// a time to where the demand is, and what nobody asks for stays free, so that a surge
+// elsewhere need not wait for shares to expire. A part smaller than one request of the
+// burst could admit nothing and is not granted.
 type RateAllocator struct {
 	kinds    LeaseKinds
 	shares   *Allocator
@@ -91,103 +97,72 @@
 	demands  map[string]*demandTable
 }
 
-// NewTenantAllocator lends tenants' limits.
-func NewTenantAllocator(now, span time.Duration, first bool) (lender *RateAllocator) {
-	return NewRateAllocator(TenantLeases, now, span, first)
+// NewTenantAllocator is NewRateAllocator for the limits of tenants.
+func NewTenantAllocator(now, leaseDuration time.Duration, first bool) (allocator *RateAllocator) {
+	return NewRateAllocator(TenantLeases, now, leaseDuration, first)
 }
 
-// NewRateAllocator starts a leadership; the first of all has no predecessor whose
-// loans it would have to wait for.
-func NewRateAllocator(kinds LeaseKinds, now, span time.Duration, first bool) (lender *RateAllocator) {
-	lender = &RateAllocator{kinds: kinds, shares: NewAllocator(now, span), minimums: NewAllocator(now, kinds.MinimumDuration), demands: map[string]*demandTable{}}
+// NewRateAllocator makes the allocator of a leadership. The first of all has no
+// predecessor whose leases it would have to wait for.
+func NewRateAllocator(kinds LeaseKinds, now, leaseDuration time.Duration, first bool) (allocator *RateAllocator) {
+	allocator = &RateAllocator{
+		kinds:    kinds,
+		shares:   NewAllocator(now, leaseDuration),
+		minimums: NewAllocator(now, kinds.MinimumDuration),
+		demands:  map[string]*demandTable{},
+	}
 	if first {
-		lender.shares, lender.minimums = NewFirstAllocator(span), NewFirstAllocator(kinds.MinimumDuration)
+		allocator.shares, allocator.minimums = NewFirstAllocator(leaseDuration), NewFirstAllocator(kinds.MinimumDuration)
 	}
-	return lender
+	return allocator
 }
 
-// Grant gives a fellow its parts of a limit.
-func (l *RateAllocator) Grant(now time.Duration, bound RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand) (leases []rpc.Lease) {
+// Grant gives a node its parts of a limit, with so many nodes present.
+func (a *RateAllocator) Grant(now time.Duration, limit RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand) (leases []rpc.Lease) {
 	present = max(1, present)
-	least := 1 / max(bound.Burst, 1)
-	wants := l.demands[bound.Name]
-	if wants == nil {
-		wants = &demandTable{of: map[rpc.NodeID]demandEntry{}}
-		l.demands[bound.Name] = wants
-	}
-	sum := wants.note(now, to, demand.Rate)
-	floorKey := Key{l.kinds.Minimum, bound.Name}
-	if floor := minimumPart / float64(present+spareNodes); demand.Minimum > 0 {
-		leases = append(leases, l.minimums.Renew(now, floorKey, 0, to, demand.Minimum))
-	} else if floor >= least {
-		if lease, given := l.minimums.Grant(now, floorKey, minimumPart, 0, to, floor); given && lease.Amount >= least {
-			leases = append(leases, lease)
-		}
+	// One request of the burst is the least part that can admit anything.
+	least := 1 / max(limit.Burst, 1)
+	demands := a.demands[limit.Name]
+	if demands == nil {
+		demands = &demandTable{of: map[rpc.NodeID]demandEntry{}}
+		a.demands[limit.Name] = demands
 	}
-	room := 1 - minimumPart
-	want := basePart * room / float64(present)
+	sum := demands.note(now, to, demand.Rate)
+	leases = a.grantMinimum(now, limit, to, present, demand, least)
+	free := 1 - minimumPart
+	want := basePart * free / float64(present)
 	if demand.Rate > 0 {
-		want += min(demandHeadroom*demand.Rate/bound.Rate, (1-basePart)*room*demand.Rate/sum)
+		want += min(demandHeadroom*demand.Rate/limit.Rate, (1-basePart)*free*demand.Rate/sum)
 	}
 	want = max(want, least)
-	shareKey := Key{l.kinds.Share, bound.Name}
-	if want <= room {
-		if lease, given := l.shares.GrantAtLeast(now, shareKey, room, 0, to, want, least); given {
+	shareKey := Key{a.kinds.Share, limit.Name}
+	if want <= free {
+		if lease, granted := a.shares.GrantAtLeast(now, shareKey, free, 0, to, want, least); granted {
 			leases = append(leases, lease)
 		}
-	} else if lease, given := l.shares.GrantAtLeast(now, shareKey, room, 0, to, room, min(least, room)); given {
+	} else if lease, granted := a.shares.GrantAtLeast(now, shareKey, free, 0, to, free, min(least, free)); granted {
 		leases = append(leases, lease)
 	}
 	return leases
 }
 
-// Granted is the part of a limit that may be in use.
-func (l *RateAllocator) Granted(now time.Duration, name string) (part float64) {
-	return l.shares.Granted(now, Key{l.kinds.Share, name}) + l.minimums.Granted(now, Key{l.kinds.Minimum, name})
-}
-
-// TokenBucket admits requests under a limit at one daemon under its parts of the
-// limit. A part that grows adds room but no tokens, so tokens never come from
-// nowhere when parts move or a daemon restarts.
-type TokenBucket struct {
-	tokens         float64
-	updatedAt      time.Duration
-	started        bool
-	recentRequests float64
-}
-
-// Admit takes one token; where there is none it tells when to come back.
-func (b *TokenBucket) Admit(now time.Duration, bound RateLimit, part float64) (admitted bool, back time.Duration) {
-	if !b.started {
-		b.started, b.updatedAt = true, now
+// grantMinimum renews the guaranteed minimum that a node holds, or gives it one.
+func (a *RateAllocator) grantMinimum(now time.Duration, limit RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand, least float64) (leases []rpc.Lease) {
+	key := Key{a.kinds.Minimum, limit.Name}
+	if demand.Minimum > 0 {
+		return []rpc.Lease{a.minimums.Renew(now, key, 0, to, demand.Minimum)}
 	}
-	spent := (now - b.updatedAt).Seconds()
-	rate := part * bound.Rate
-	b.tokens = min(b.tokens+rate*spent, part*max(bound.Burst, 1))
-	b.recentRequests = b.recentRequests*max(0, 1-spent) + 1
-	b.updatedAt = now
-	if b.tokens >= 1 {
-		b.tokens--
-		return true, 0
+	minimum := minimumPart / float64(present+spareNodes)
+	if minimum < least {
+		return nil
 	}
-	if rate <= 0 {
-		return false, 500 * time.Millisecond
+	if lease, granted := a.minimums.Grant(now, key, minimumPart, 0, to, minimum); granted && lease.Amount >= least {
+		return []rpc.Lease{lease}
 	}
-	back = time.Duration((1 - b.tokens) / rate * float64(time.Second))
-	return false, min(max(back, 50*time.Millisecond), 2*time.Second)
+	return nil
 }
 
-// Refill brings the tokens up to now; a daemon does so as parts change, so that
-// time under a small part is not counted at a larger one's rate.
-func (b *TokenBucket) Refill(now time.Duration, bound RateLimit, part float64) {
-	if !b.started {
-		b.started, b.updatedAt = true, now
-	}
-	spent := (now - b.updatedAt).Seconds()
-	b.tokens = min(b.tokens+part*bound.Rate*spent, part*max(bound.Burst, 1))
-	b.recentRequests *= max(0, 1-spent)
-	b.updatedAt = now
+// Granted is the part of a limit that may be in use.
+func (a *RateAllocator) Granted(now time.Duration, name string) (part float64) {
+	return a.shares.Granted(now, Key{a.kinds.Share, name}) + a.minimums.Granted(now, Key{a.kinds.Minimum, name})
 }
-
-// Demand is about how many requests came in the last second.
-func (b *TokenBucket) Demand() (rate float64) { return b.recentRequests }
--- a/internal/quota/tenants_test.go
+++ b/internal/quota/tenants_test.go
@@ -9,38 +9,38 @@
 	"tinpin/internal/rpc"
 )
 
-// fleet simulates daemons and their leader under a seeded clock: beats with
-// delays, lost touch, restarts, newcomers, changes of leader.
+// fleet simulates nodes and their leader from a seed: heartbeats with delays, lost
+// contact, restarts, new nodes, changes of leader.
 type fleet struct {
-	luck    *rand.Rand
-	now     time.Duration
-	lender  *RateAllocator
-	opened  time.Duration
-	tenants []RateLimit
-	edges   []*edge
-	log     map[string][]time.Duration
-	refused map[string]int
-	fault   plantedFault
-	most    float64 // the most of a limit that was ever in use at once
+	random    *rand.Rand
+	now       time.Duration
+	allocator *RateAllocator
+	opened    time.Duration
+	tenants   []RateLimit
+	nodes     []*simNode
+	log       map[string][]time.Duration
+	refused   map[string]int
+	bug       injectedBug
+	most      float64 // the most of a limit that was ever in use at once
 }
 
-type plantedFault struct {
-	noWait     bool // a new leader lends at once
-	growTokens bool // a part that grows brings tokens with it
-	fromAnswer bool // a holder counts from the answer, and its clock is slow
+type injectedBug struct {
+	noWait       bool // a new leader grants at once
+	growTokens   bool // a part that grows brings tokens with it
+	fromResponse bool // a holder counts from the response, and its clock is slow
 }
 
-type edge struct {
-	id      rpc.NodeID
-	shares  *Leases
-	buckets map[string]*TokenBucket
-	beat    time.Duration
-	cut     time.Duration
-	gone    bool
+type simNode struct {
+	id            rpc.NodeID
+	leases        *Leases
+	buckets       map[string]*TokenBucket
+	nextHeartbeat time.Duration
+	cut           time.Duration
+	gone          bool
 }
 
 func newFleet(seed int64, edges int, tenants ...RateLimit) (f *fleet) {
-	f = &fleet{luck: rand.New(rand.NewSource(seed)), lender: NewTenantAllocator(0, 1600*time.Millisecond, true), tenants: tenants, log: map[string][]time.Duration{}, refused: map[string]int{}}
+	f = &fleet{random: rand.New(rand.NewSource(seed)), allocator: NewTenantAllocator(0, 1600*time.Millisecond, true), tenants: tenants, log: map[string][]time.Duration{}, refused: map[string]int{}}
 	for i := 0; i < edges; i++ {
 		f.join()
 	}
@@ -48,20 +48,20 @@
 }
 
 func (f *fleet) join() {
-	e := &edge{id: rpc.NodeID(fmt.Sprint("edge-", len(f.edges)))}
-	f.edges = append(f.edges, e)
+	e := &simNode{id: rpc.NodeID(fmt.Sprint("edge-", len(f.nodes)))}
+	f.nodes = append(f.nodes, e)
 	e.restart()
 }
 
-func (e *edge) restart() {
-	e.shares, e.buckets = NewLeases(), map[string]*TokenBucket{}
+func (e *simNode) restart() {
+	e.leases, e.buckets = NewLeases(), map[string]*TokenBucket{}
 }
 
-func (e *edge) part(now time.Duration, tenant string) float64 {
-	return e.shares.Amount(now, Key{rpc.TenantShare, tenant}) + e.shares.Amount(now, Key{rpc.TenantMinimum, tenant})
+func (e *simNode) part(now time.Duration, tenant string) float64 {
+	return e.leases.Amount(now, Key{rpc.TenantShare, tenant}) + e.leases.Amount(now, Key{rpc.TenantMinimum, tenant})
 }
 
-func (e *edge) bucket(tenant string) (b *TokenBucket) {
+func (e *simNode) bucket(tenant string) (b *TokenBucket) {
 	if b = e.buckets[tenant]; b == nil {
 		b = &TokenBucket{}
 		e.buckets[tenant] = b
@@ -73,29 +73,29 @@
 func (f *fleet) step() {
 	f.now += 10 * time.Millisecond
 	present := 0
-	for _, e := range f.edges {
+	for _, e := range f.nodes {
 		if !e.gone && f.now >= e.cut {
 			present++
 		}
 	}
-	for _, e := range f.edges {
-		if e.gone || f.now < e.cut || f.now < e.beat {
+	for _, e := range f.nodes {
+		if e.gone || f.now < e.cut || f.now < e.nextHeartbeat {
 			continue
 		}
-		asked := f.now - time.Duration(f.luck.Intn(60))*time.Millisecond
-		e.beat = f.now + time.Duration(300+f.luck.Intn(400))*time.Millisecond
+		asked := f.now - time.Duration(f.random.Intn(60))*time.Millisecond
+		e.nextHeartbeat = f.now + time.Duration(300+f.random.Intn(400))*time.Millisecond
 		for _, tenant := range f.tenants {
 			b := e.bucket(tenant.Name)
 			b.Refill(f.now, tenant, e.part(f.now, tenant.Name))
-			floor := e.shares.Amount(f.now, Key{rpc.TenantMinimum, tenant.Name})
-			for _, lease := range f.lender.Grant(f.now, tenant, e.id, present, rpc.RateDemand{Name: tenant.Name, Rate: b.Demand(), Minimum: floor}) {
-				if f.fault.fromAnswer {
+			minimum := e.leases.Amount(f.now, Key{rpc.TenantMinimum, tenant.Name})
+			for _, lease := range f.allocator.Grant(f.now, tenant, e.id, present, rpc.RateDemand{Name: tenant.Name, Rate: b.Demand(), Minimum: minimum}) {
+				if f.bug.fromResponse {
 					lease.Duration *= 3
 				}
-				if f.luck.Intn(20) > 0 {
-					e.shares.Add(asked, lease)
+				if f.random.Intn(20) > 0 {
+					e.leases.Add(asked, lease)
 				}
-				if f.fault.growTokens {
+				if f.bug.growTokens {
 					b.tokens = e.part(f.now, tenant.Name) * tenant.Burst
 				}
 			}
@@ -103,14 +103,14 @@
 	}
 	for _, tenant := range f.tenants {
 		sum := 0.0
-		for _, e := range f.edges {
+		for _, e := range f.nodes {
 			sum += e.part(f.now, tenant.Name)
 		}
 		f.most = max(f.most, sum)
 	}
 }
 
-func (f *fleet) ask(e *edge, tenant RateLimit) (admitted bool) {
+func (f *fleet) ask(e *simNode, tenant RateLimit) (admitted bool) {
 	if e.gone {
 		return false
 	}
@@ -146,44 +146,44 @@
 	return worst
 }
 
-// trouble plays a noisy and a quiet tenant through cuts, restarts, newcomers
+// runFaults runs a noisy and a quiet tenant through cuts, restarts, newcomers
 // and changes of leader.
-func trouble(seed int64, fault plantedFault) (f *fleet, noisy, quiet RateLimit) {
+func runFaults(seed int64, fault injectedBug) (f *fleet, noisy, quiet RateLimit) {
 	noisy = RateLimit{Name: "noisy", Rate: 40, Burst: 40}
 	quiet = RateLimit{Name: "quiet", Rate: 60, Burst: 60}
 	f = newFleet(seed, 8, noisy, quiet)
-	f.fault = fault
+	f.bug = fault
 	for f.now < 60*time.Second {
 		f.step()
-		e := f.edges[f.luck.Intn(len(f.edges))]
-		switch f.luck.Intn(400) {
+		e := f.nodes[f.random.Intn(len(f.nodes))]
+		switch f.random.Intn(400) {
 		case 0:
-			e.cut = f.now + time.Duration(f.luck.Intn(8000))*time.Millisecond
+			e.cut = f.now + time.Duration(f.random.Intn(8000))*time.Millisecond
 		case 1:
 			e.restart()
 		case 2:
 			e.gone = !e.gone
 		case 3:
-			if len(f.edges) < 14 {
+			if len(f.nodes) < 14 {
 				f.join()
 			}
 		case 4:
-			f.lender = NewTenantAllocator(f.now, 1600*time.Millisecond, fault.noWait)
+			f.allocator = NewTenantAllocator(f.now, 1600*time.Millisecond, fault.noWait)
 		}
 		for i := 0; i < 3; i++ {
-			f.ask(f.edges[f.luck.Intn(len(f.edges))], noisy)
+			f.ask(f.nodes[f.random.Intn(len(f.nodes))], noisy)
 		}
-		if f.luck.Intn(10) == 0 {
-			f.ask(f.edges[f.luck.Intn(len(f.edges))], quiet)
+		if f.random.Intn(10) == 0 {
+			f.ask(f.nodes[f.random.Intn(len(f.nodes))], quiet)
 		}
 	}
 	return f, noisy, quiet
 }
 
-func TestTenantLimitsHoldUnderTrouble(t *testing.T) {
+func TestTenantLimitsHoldUnderFaults(t *testing.T) {
 	var admitted, possible float64
 	for seed := int64(1); seed <= 20; seed++ {
-		f, noisy, quiet := trouble(seed, plantedFault{})
+		f, noisy, quiet := runFaults(seed, injectedBug{})
 		f.check(t, noisy)
 		f.check(t, quiet)
 		if f.most > 1+1e-9 {
@@ -198,11 +198,11 @@
 	}
 }
 
-func TestPlantedFaultsOfLeasesAreFound(t *testing.T) {
-	for name, fault := range map[string]plantedFault{"noWait": {noWait: true}, "growTokens": {growTokens: true}, "fromAnswer": {fromAnswer: true}} {
+func TestInjectedBugsOfLeasesAreFound(t *testing.T) {
+	for name, fault := range map[string]injectedBug{"noWait": {noWait: true}, "growTokens": {growTokens: true}, "fromAnswer": {fromResponse: true}} {
 		found := false
 		for seed := int64(1); seed <= 30 && !found; seed++ {
-			f, noisy, _ := trouble(seed, fault)
+			f, noisy, _ := runFaults(seed, fault)
 			found = f.worst(noisy) > noisy.Burst+1e-6 || f.most > 1+1e-9
 		}
 		if !found {
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestASurgeLeavesOthersUntouched(t *testing.T) {
+func TestSurgeLeavesOtherTenantsUntouched(t *testing.T) {
 	noisy := RateLimit{Name: "noisy", Rate: 50, Burst: 50}
 	quiet := RateLimit{Name: "quiet", Rate: 50, Burst: 50}
 	run := func(surge bool) (admitted, refused int) {
@@ -223,11 +223,11 @@
 			}
 			if surge {
 				for i := 0; i < 20; i++ {
-					f.ask(f.edges[f.luck.Intn(6)], noisy)
+					f.ask(f.nodes[f.random.Intn(6)], noisy)
 				}
 			}
 			if f.now%(50*time.Millisecond) == 0 {
-				f.ask(f.edges[int(f.now/(50*time.Millisecond))%6], quiet)
+				f.ask(f.nodes[int(f.now/(50*time.Millisecond))%6], quiet)
 			}
 		}
 		f.check(t, noisy)
@@ -251,7 +251,7 @@
 	f := newFleet(5, 8, tenant)
 	for f.now < 20*time.Second {
 		f.step()
-		f.ask(f.edges[3], tenant)
+		f.ask(f.nodes[3], tenant)
 	}
 	f.check(t, tenant)
 	if got := len(f.log["t"]); got < 500 {
@@ -259,40 +259,40 @@
 	}
 }
 
-func TestADaemonOutOfTouchKeepsItsFloor(t *testing.T) {
+func TestNodeWithoutContactKeepsItsMinimum(t *testing.T) {
 	tenant := RateLimit{Name: "t", Rate: 200, Burst: 200}
 	f := newFleet(6, 4, tenant)
 	for f.now < 5*time.Second {
 		f.step()
 	}
-	f.edges[0].cut = time.Hour
+	f.nodes[0].cut = time.Hour
 	before := 0
 	for f.now < 65*time.Second {
 		f.step()
-		if f.now > 10*time.Second && f.ask(f.edges[0], tenant) {
+		if f.now > 10*time.Second && f.ask(f.nodes[0], tenant) {
 			before++
 		}
-		f.ask(f.edges[1], tenant)
+		f.ask(f.nodes[1], tenant)
 	}
 	f.check(t, tenant)
-	floor := tenant.Rate * minimumPart / (4 + spareNodes)
-	if got := float64(before) / 55; got < floor*0.8 || got > floor*1.2 {
-		t.Fatalf("out of touch %.1f a second were admitted, the floor is %.1f", got, floor)
+	minimum := tenant.Rate * minimumPart / (4 + spareNodes)
+	if got := float64(before) / 55; got < minimum*0.8 || got > minimum*1.2 {
+		t.Fatalf("without contact %.1f a second were admitted, the minimum is %.1f", got, minimum)
 	}
 	for f.now < 6*time.Minute {
 		f.step()
 	}
-	if part := f.edges[0].part(f.now, "t"); part != 0 {
-		t.Fatalf("after the floor's span %.3f is still held", part)
+	if part := f.nodes[0].part(f.now, "t"); part != 0 {
+		t.Fatalf("after the minimum has expired %.3f is still held", part)
 	}
 }
 
-func TestSmallBurstsAreNotLentInPiecesThatAdmitNothing(t *testing.T) {
+func TestSmallBurstsAreNotGrantedInPartsThatAdmitNothing(t *testing.T) {
 	tenant := RateLimit{Name: "t", Rate: 4, Burst: 3}
 	f := newFleet(7, 10, tenant)
 	for f.now < 60*time.Second {
 		f.step()
-		f.ask(f.edges[f.luck.Intn(10)], tenant)
+		f.ask(f.nodes[f.random.Intn(10)], tenant)
 	}
 	f.check(t, tenant)
 	if got := len(f.log["t"]); got < 60 {
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -1,39 +1,39 @@
-// Window counts events over a span that slides, to the exact event where few
-// are kept and by slices of a sixteenth of the span otherwise; an event counts
-// until its whole slice has left the span, so the count never falls short.
 package quota
 
 import "time"
 
+// sliceCount is into how many slices a window is divided.
 const sliceCount = 16
 
-// Window is a sliding count.
+// Window counts events over a span that slides by slices of a sixteenth. An event
+// counts until its whole slice has left the span, so the count is never too low.
 type Window struct {
 	span   time.Duration
 	counts [sliceCount + 1]int
 	head   int64
 }
 
-// NewWindow counts over span.
+// NewWindow makes a window of a span.
 func NewWindow(span time.Duration) (window *Window) { return &Window{span: span} }
 
-func (w *Window) advance(now time.Duration) (at int64) {
-	at = int64(now) * sliceCount / int64(w.span)
-	if at-w.head > sliceCount {
+// advance clears the slices that have left the span, and gives the present one.
+func (w *Window) advance(now time.Duration) (slice int64) {
+	slice = int64(now) * sliceCount / int64(w.span)
+	if slice-w.head > sliceCount {
 		w.counts = [sliceCount + 1]int{}
-		w.head = at
+		w.head = slice
 	}
-	for w.head < at {
+	for w.head < slice {
 		w.head++
 		w.counts[w.head%(sliceCount+1)] = 0
 	}
-	return at
+	return slice
 }
 
 // Add counts one event.
 func (w *Window) Add(now time.Duration) {
-	at := w.advance(now)
-	w.counts[at%(sliceCount+1)]++
+	slice := w.advance(now)
+	w.counts[slice%(sliceCount+1)]++
 }
 
 // Sum is the number of events within the span.
