--- a/internal/raft/members.go
+++ b/internal/raft/configuration.go
@@ -1,14 +1,21 @@
-// The members as the log tells them: a change binds from the moment it is in
-// the log, and one is under way at a time.
 package raft
 
-func (r *Replica) refreshMembers() {
-	r.members = r.base.Members
-	for i := range r.log {
-		if r.log[i].Members != nil {
-			r.members = r.log[i].Members
+// membersAt is the configuration that the log gives up to an index: a change binds
+// from the moment it is in the log.
+func (l *raftLog) membersAt(index Index) (members []Member) {
+	members = l.snapshot.Members
+	for i := range l.entries {
+		if l.entries[i].Index <= index && l.entries[i].Members != nil {
+			members = l.entries[i].Members
 		}
 	}
+	return members
+}
+
+// refreshMembers takes the newest configuration over, and on a leader makes or drops
+// the progress of those that came or went.
+func (r *Replica) refreshMembers() {
+	r.members = r.membersAt(r.lastIndex())
 	if r.role != Leader {
 		return
 	}
@@ -24,6 +31,7 @@
 	}
 }
 
+// FindMember looks a member up by its id.
 func FindMember(members []Member, id ID) (member Member, known bool) {
 	for _, member = range members {
 		if member.ID == id {
@@ -33,12 +41,12 @@
 	return Member{}, false
 }
 
-func (r *Replica) voter(id ID) bool {
+func (r *Replica) isVoter(id ID) bool {
 	member, known := FindMember(r.members, id)
 	return known && member.Voter
 }
 
-func (r *Replica) voters() (count int) {
+func (r *Replica) voterCount() (count int) {
 	for _, member := range r.members {
 		if member.Voter {
 			count++
@@ -49,18 +57,19 @@
 
 // ProposeMembers puts a new set of members into the log, one change at a time, and
 // only once the leader has committed in its own term, and not while it hands
-// over: the one who is told to stand would lack the change.
+// over: the successor would lack the change.
 func (r *Replica) ProposeMembers(members []Member) (accepted bool, out Output) {
-	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.changing() {
+	if !r.AcceptsProposals() || !r.CommittedInTerm() || r.MembersChanging() {
 		return false, Output{}
 	}
-	r.push(Entry{Members: members})
-	return true, r.flush()
+	r.appendEntry(Entry{Members: members})
+	return true, r.takeOutput()
 }
 
-func (r *Replica) changing() bool {
-	for i := len(r.log) - 1; i >= 0 && r.log[i].Index > r.commit; i-- {
-		if r.log[i].Members != nil {
+// MembersChanging tells whether a change of members is in the log and not committed.
+func (l *raftLog) MembersChanging() bool {
+	for i := len(l.entries) - 1; i >= 0 && l.entries[i].Index > l.commitIndex; i-- {
+		if l.entries[i].Members != nil {
 			return true
 		}
 	}
@@ -70,7 +79,7 @@
 // CaughtUp tells whether a member's disk has all that is committed.
 func (r *Replica) CaughtUp(id ID) bool {
 	p, known := r.peers[id]
-	return known && p.match >= r.commit && p.heard < 2*r.pace.ElectionTicks
+	return known && p.match >= r.commitIndex && p.silentTicks < 2*r.timing.ElectionTicks
 }
 
 // SinceHeard gives the ticks since a member was last heard, for the leader.
@@ -79,5 +88,5 @@
 	if !known {
 		return 0, false
 	}
-	return p.heard, true
+	return p.silentTicks, true
 }
