--- a/internal/proxy/policies.go
+++ b/internal/proxy/policies.go
@@ -18,12 +18,15 @@
 )
 
 const (
+	// nodeMemory is how long a node that is gone counts as one of the fleet, of which
+	// more than half must answer where no leader is heard.
 	nodeMemory        = 2 * time.Minute
 	peerCallTimeout   = 300 * time.Millisecond
 	peerCallsInFlight = 16
 	policyInterval    = 250 * time.Millisecond
 )
 
+// metNode is a node that was heard of, and when it was last.
 type metNode struct {
 	rpc.Node
 	lastSeen time.Duration
@@ -58,93 +61,104 @@
 	hasRetirements atomic.Bool
 }
 
-// NewPolicies follows nothing yet.
-func NewPolicies(now time.Duration) (orders *Policies) {
-	orders = &Policies{drainPermit: drain.NewPermit(now), retirements: map[rpc.EndpointID]rpc.Retirement{}, documents: map[policy.Kind]policy.Document{}, recentNodes: map[rpc.NodeID]metNode{}, Sessions: NewSessions()}
-	orders.planWeights.Store(&PlanWeights{})
-	orders.overflow.Store(&map[rpc.ServiceName]rpc.ZoneOverflow{})
-	return orders
+// NewPolicies has no policy and no retirement yet.
+func NewPolicies(now time.Duration) (policies *Policies) {
+	policies = &Policies{
+		drainPermit: drain.NewPermit(now), retirements: map[rpc.EndpointID]rpc.Retirement{}, documents: map[policy.Kind]policy.Document{},
+		recentNodes: map[rpc.NodeID]metNode{}, Sessions: NewSessions(),
+	}
+	policies.planWeights.Store(&PlanWeights{})
+	policies.overflow.Store(&map[rpc.ServiceName]rpc.ZoneOverflow{})
+	return policies
 }
 
-// apply takes news that were asked for at a time.
-func (o *Policies) apply(now, asked time.Duration, news *rpc.Update, memory *history.Recorder, quiet bool) {
+// apply applies the parts of an update that concern policies; the update was asked for
+// at requestedAt, from which on the leader counts as heard.
+func (o *Policies) apply(now, requestedAt time.Duration, update *rpc.Update, recorder *history.Recorder, unlogged bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drainPermit.LeaderHeard(asked)
-	o.Retries.LeaderHeard(asked)
-	spills := make(map[rpc.ServiceName]rpc.ZoneOverflow, len(news.ZoneOverflows))
-	for _, spill := range news.ZoneOverflows {
-		spills[spill.Service] = spill
+	o.drainPermit.LeaderHeard(requestedAt)
+	o.Retries.LeaderHeard(requestedAt)
+	overflow := make(map[rpc.ServiceName]rpc.ZoneOverflow, len(update.ZoneOverflows))
+	for _, service := range update.ZoneOverflows {
+		overflow[service.Service] = service
 	}
-	o.overflow.Store(&spills)
-	for _, change := range news.Nodes {
+	o.overflow.Store(&overflow)
+	for _, change := range update.Nodes {
 		if !change.Removed {
 			o.recentNodes[change.ID] = metNode{change.Node, now}
 		}
 	}
-	for _, document := range news.Documents {
-		if old := o.documents[document.Kind]; document.Rev <= old.Rev {
+	for _, document := range update.Documents {
+		if document.Rev <= o.documents[document.Kind].Rev {
 			continue
 		}
 		o.documents[document.Kind] = document
-		memory.Record(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
-		if document.Kind == policy.DrainPolicy {
-			o.drainPolicy = nil
-			if document.Active() {
-				o.drainPolicy, _ = drain.Parse([]byte(document.Body))
-			}
-			o.drainPermit.SetPolicy(o.drainPolicy)
+		recorder.Record(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, unlogged)
+		o.applyDocument(document)
+	}
+	o.applyRetirements(now, update.Retirements, recorder, unlogged)
+	if step := update.ScheduleStep; step != nil && step.Rev > o.planStep.Rev {
+		o.planStep = *step
+		recorder.Record(history.ScheduleStep, string(policy.DayPlan), "applied", step.Summary(), step.Rev, unlogged)
+		o.planWeights.Store(newPlanWeights(*step))
+	}
+}
+
+// applyDocument puts a document in force, or out of it; the caller holds the lock. The
+// controllers accept only what parses.
+func (o *Policies) applyDocument(document policy.Document) {
+	body := []byte(document.Body)
+	switch document.Kind {
+	case policy.DrainPolicy:
+		o.drainPolicy = nil
+		if document.Active() {
+			o.drainPolicy, _ = drain.Parse(body)
 		}
-		if document.Kind == policy.SessionAffinity {
-			var drainPolicy *affinity.Policy
-			if document.Active() {
-				drainPolicy, _ = affinity.Parse([]byte(document.Body))
-			}
-			o.Sessions.Set(drainPolicy)
+		o.drainPermit.SetPolicy(o.drainPolicy)
+	case policy.SessionAffinity:
+		var rules *affinity.Policy
+		if document.Active() {
+			rules, _ = affinity.Parse(body)
 		}
-		if document.Kind == policy.RetryLimit {
-			var limit *retry.Policy
-			if document.Active() {
-				limit, _ = retry.Parse([]byte(document.Body))
-			}
-			o.Retries.SetPolicy(limit)
+		o.Sessions.Set(rules)
+	case policy.RetryLimit:
+		var limit *retry.Policy
+		if document.Active() {
+			limit, _ = retry.Parse(body)
 		}
-	}
-	o.applyRetirements(now, news.Retirements, memory, quiet)
-	if move := news.ScheduleStep; move != nil && move.Rev > o.planStep.Rev {
-		o.planStep = *move
-		memory.Record(history.ScheduleStep, string(policy.DayPlan), "applied", move.Summary(), move.Rev, quiet)
-		o.planWeights.Store(newPlanWeights(*move))
+		o.Retries.SetPolicy(limit)
 	}
 }
 
-// applyRetirements takes agreed orders to retire; the caller holds the lock.
-func (o *Policies) applyRetirements(now time.Duration, retired []rpc.Retirement, memory *history.Recorder, quiet bool) {
-	for _, order := range retired {
+// applyRetirements applies agreed retirements; the caller holds the lock.
+func (o *Policies) applyRetirements(now time.Duration, retirements []rpc.Retirement, recorder *history.Recorder, unlogged bool) {
+	for _, order := range retirements {
 		if order.Rev <= o.retirements[order.Server].Rev {
 			continue
 		}
 		o.retirements[order.Server] = order
 		o.drainPermit.Apply(now, order)
 		o.hasRetirements.Store(true)
-		memory.Record(history.Retirement, string(order.Server), "applied", order.Summary(), order.Rev, quiet)
+		recorder.Record(history.Retirement, string(order.Server), "applied", order.Summary(), order.Rev, unlogged)
 	}
 }
 
-func newPlanWeights(move rpc.ScheduleStep) (moves *PlanWeights) {
-	moves = &PlanWeights{Hosts: map[string]schedule.Weights{}, Services: map[rpc.ServiceName]schedule.Weights{}}
-	for _, target := range move.Targets {
+// newPlanWeights sorts a step's weights by host and by service.
+func newPlanWeights(step rpc.ScheduleStep) (plan *PlanWeights) {
+	plan = &PlanWeights{Hosts: map[string]schedule.Weights{}, Services: map[rpc.ServiceName]schedule.Weights{}}
+	for _, target := range step.Targets {
 		weights := schedule.Weights{}
 		for _, part := range target.Weights {
 			weights[part.Region] = part.Weight
 		}
 		if target.Host != "" {
-			moves.Hosts[config.NormalizeHost(target.Host)] = weights
+			plan.Hosts[config.NormalizeHost(target.Host)] = weights
 		} else {
-			moves.Services[target.Service] = weights
+			plan.Services[target.Service] = weights
 		}
 	}
-	return moves
+	return plan
 }
 
 // AcceptsNew tells whether a new caller may be sent to a backend.
--- a/internal/proxy/prober.go
+++ b/internal/proxy/prober.go
@@ -1,11 +1,8 @@
 package proxy
 
 import (
-	"errors"
 	"math/rand"
-	"net/http"
 	"sync"
-	"syscall"
 	"time"
 
 	"tinpin/internal/eventlog"
@@ -39,7 +36,6 @@
 type probedServer struct {
 	state     rpc.EndpointState
 	timeouts  int
-	changed   bool
 	nextProbe time.Duration
 }
 
@@ -62,7 +58,7 @@
 	return &Prober{daemon: d, probed: map[rpc.EndpointID]*probedServer{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
 }
 
-// Run is the duty that probes.
+// Run probes until the node stops.
 func (p *Prober) Run() {
 	ticker := time.NewTicker(p.daemon.settings.HealthCheckInterval / probePhases)
 	defer ticker.Stop()
@@ -76,47 +72,56 @@
 	}
 }
 
+// tick probes what is due, as far as the pace allows, and reports once an interval.
 func (p *Prober) tick() {
 	d := p.daemon
-	duties, term, count := d.state.Tick(d.leader.HasLeader())
-	scene := d.state.Snapshot()
+	services, term, revision := d.state.Tick(d.leader.HasLeader())
+	snapshot := d.state.Snapshot()
 	p.phase = (p.phase + 1) % probePhases
-	mine := map[rpc.ServiceName]bool{}
 	backends := 0
-	for _, service := range duties {
-		mine[service] = true
-		backends += len(scene.Services[service])
+	for _, service := range services {
+		backends += len(snapshot.Services[service])
 	}
-	p.applyOutliers(scene, duties, term, count)
-	pace := p.schedule(backends, d.state.ProbesOnlyOwn(), len(scene.Nodes))
+	p.applyOutliers(snapshot, services, term, revision)
+	schedule := p.schedule(backends, d.state.ProbesOnlyOwn(), len(snapshot.Nodes))
 	now := d.clock.Now()
-	room := pace.maxPerTick
-	for _, service := range duties {
-		way := scene.View.Services[string(service)]
-		if way == nil {
+	left := schedule.maxPerTick
+	for _, service := range services {
+		configured := snapshot.View.Services[string(service)]
+		if configured == nil {
 			continue
 		}
-		for _, server := range scene.Services[service] {
-			if room > 0 && !server.isDraining() && p.isDue(now, server, pace) {
-				room--
-				go p.probe(server, way.HealthPath, term, count)
+		for _, backend := range snapshot.Services[service] {
+			if left > 0 && !backend.isDraining() && p.isDue(now, backend, schedule) {
+				left--
+				go p.probe(backend, configured.HealthPath, term, revision)
 			}
 		}
 		if p.phase == 0 {
-			go p.report(service, scene.Services[service], term, count)
+			go p.report(service, snapshot.Services[service], term, revision)
 		}
 	}
+	p.forgetReports(services)
+	if now-p.pruned > pruneInterval {
+		p.pruned = now
+		p.prune(snapshot)
+	}
+}
+
+// forgetReports forgets to whom services were reported that this node does not probe any
+// more: if it does again, its first report is a full one.
+func (p *Prober) forgetReports(services []rpc.ServiceName) {
+	probed := make(map[rpc.ServiceName]bool, len(services))
+	for _, service := range services {
+		probed[service] = true
+	}
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	for service := range p.fullReportTerm {
-		if !mine[service] {
+		if !probed[service] {
 			delete(p.fullReportTerm, service)
 		}
 	}
-	p.mu.Unlock()
-	if now-p.pruned > pruneInterval {
-		p.pruned = now
-		p.prune(scene)
-	}
 }
 
 // applyOutliers brings what the sums of all daemons tell into the states.
@@ -225,59 +230,70 @@
 	}
 }
 
-func (p *Prober) probe(server *Backend, path string, term rpc.Term, count rpc.Revision) {
+// probe probes a backend once, or twice where the first one timed out, and reports a
+// changed state.
+func (p *Prober) probe(backend *Backend, path string, term rpc.Term, revision rpc.Revision) {
 	d := p.daemon
-	finding, cold := probeEndpoint(d.clock, server, path, false)
-	if finding == ProbeTimedOut {
-		// Asked again at once over a stream of its own: two silences are enough.
-		finding, cold = probeEndpoint(d.clock, server, path, true)
-		if finding == ProbeTimedOut {
-			p.mu.Lock()
-			if held := p.probed[server.ID]; held != nil {
-				held.timeouts++
-			}
-			p.mu.Unlock()
+	result, warmUp := probeEndpoint(d.clock, backend, path, false)
+	if result == ProbeTimedOut {
+		// Asked again at once over a connection of its own: two time-outs are enough.
+		result, warmUp = probeEndpoint(d.clock, backend, path, true)
+		if result == ProbeTimedOut {
+			p.countTimeout(backend.ID)
 		}
 	}
+	before, state := p.apply(backend.ID, result, warmUp)
+	if result == ProbeInvalid || result == ProbeTimedOut && state.Health != rpc.Unhealthy {
+		return
+	}
+	backend.update(d.clock.Now(), nil, &state)
+	changed := before.Health != state.Health || (before.WarmupRemaining > 0) != (state.WarmupRemaining > 0) || state.WarmupRemaining > 0
+	if changed {
+		d.state.History.Record(history.Health, string(backend.ID), "probed", state.Summary(), 0, true)
+	}
+	if before.Health != state.Health && (before.Health != rpc.HealthUnknown || state.Health == rpc.Unhealthy) {
+		d.log.Emit(eventlog.EndpointHealthChanged, eventlog.KeyEndpoint, string(backend.ID), "health", int(state.Health))
+	}
+	if changed && d.leader.HasLeader() {
+		d.leader.Report(rpc.HealthReport{
+			Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: revision,
+			Service: backend.Service, States: []rpc.EndpointState{state},
+		})
+	}
+}
+
+// countTimeout counts a time-out of a backend that was probed before.
+func (p *Prober) countTimeout(id rpc.EndpointID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if probed := p.probed[id]; probed != nil {
+		probed.timeouts++
+	}
+}
+
+// apply brings a result into what is known of a backend, and gives its state before and
+// after. An invalid response says nothing.
+func (p *Prober) apply(id rpc.EndpointID, result ProbeResult, warmUp time.Duration) (before, after rpc.EndpointState) {
 	p.mu.Lock()
-	held := p.record(server.ID)
-	before := held.state
-	switch finding {
+	defer p.mu.Unlock()
+	probed := p.record(id)
+	before = probed.state
+	switch result {
 	case ProbeUp:
-		held.timeouts = 0
-		held.state.Health, held.state.WarmupRemaining = rpc.Healthy, cold
+		probed.timeouts = 0
+		probed.state.Health, probed.state.WarmupRemaining = rpc.Healthy, warmUp
 	case ProbeDown:
-		held.timeouts = 0
-		held.state.Health = rpc.Unhealthy
+		probed.timeouts = 0
+		probed.state.Health = rpc.Unhealthy
 	case ProbeTimedOut:
-		if held.timeouts++; held.timeouts >= 2 {
-			held.state.Health = rpc.Unhealthy
+		if probed.timeouts++; probed.timeouts >= 2 {
+			probed.state.Health = rpc.Unhealthy
 		}
 	case ProbeBusy:
-		held.timeouts = 0
-		if held.state.Health != rpc.Healthy {
-			held.state.Health = rpc.Healthy
-		}
-	}
-	state := held.state
-	turned := before.Health != state.Health || (before.WarmupRemaining > 0) != (state.WarmupRemaining > 0) || state.WarmupRemaining > 0
-	held.changed = held.changed || turned
-	p.mu.Unlock()
-	if finding == ProbeInvalid || finding == ProbeTimedOut && state.Health != rpc.Unhealthy {
-		return
-	}
-	server.update(d.clock.Now(), nil, &state)
-	if turned {
-		d.state.History.Record(history.Health, string(server.ID), "probed", state.Summary(), 0, true)
-	}
-	if before.Health != state.Health {
-		if before.Health != rpc.HealthUnknown || state.Health == rpc.Unhealthy {
-			d.log.Emit(eventlog.EndpointHealthChanged, eventlog.KeyEndpoint, string(server.ID), "health", int(state.Health))
-		}
-	}
-	if turned && d.leader.HasLeader() {
-		d.leader.Report(rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: count, Service: server.Service, States: []rpc.EndpointState{state}})
+		probed.timeouts = 0
+		probed.state.Health = rpc.Healthy
 	}
+	return before, probed.state
 }
 
 // report tells the cache that a round was made; the first to a leader is full.
@@ -302,65 +318,3 @@
 		p.mu.Unlock()
 	}
 }
-
-// probeEndpoint asks a backend how it is.
-func probeEndpoint(clock Clock, server *Backend, path string, anew bool) (finding ProbeResult, cold time.Duration) {
-	now := clock.Now()
-	var stream *Conn
-	if !anew {
-		stream = server.takeIdle(now, defaultMaxIdle)
-	}
-	if stream == nil {
-		var err error
-		if stream, err = server.dial(probeTimeout); err != nil {
-			if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
-				return ProbeTimedOut, 0
-			}
-			return ProbeDown, 0
-		}
-	}
-	_ = stream.netConn.SetDeadline(time.Now().Add(probeTimeout))
-	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + headerTargetInstance + ": " + string(server.ID) + "\r\n\r\n"
-	if _, err := stream.netConn.Write([]byte(text)); err != nil {
-		server.closeConn(stream)
-		return ProbeInvalid, 0
-	}
-	for skipped := 0; skipped <= maxSkippedResponses; skipped++ {
-		response, err := http.ReadResponse(stream.reader, &http.Request{Method: http.MethodGet})
-		if err != nil {
-			server.closeConn(stream)
-			if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
-				return ProbeTimedOut, 0
-			}
-			return ProbeInvalid, 0
-		}
-		_, whole, _ := readBody(response, maxBufferedBody)
-		if !whole {
-			server.closeConn(stream)
-			return ProbeInvalid, 0
-		}
-		if response.Header.Get(headerRequestID) != "" || response.StatusCode < 200 {
-			continue
-		}
-		if keep := keepAliveOf(response); !response.Close && stream.reader.Buffered() == 0 && keep > 0 {
-			_ = stream.netConn.SetDeadline(time.Time{})
-			server.putIdle(clock.Now(), stream, keep)
-		} else {
-			server.closeConn(stream)
-		}
-		if span, ok := parseWarmUp(response.Header.Get(headerColdRemaining)); ok {
-			cold = span
-		}
-		switch {
-		case response.StatusCode == http.StatusOK && response.Header.Get(headerInstanceID) == string(server.ID):
-			return ProbeUp, cold
-		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusMisdirectedRequest:
-			return ProbeDown, 0
-		case response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusTooManyRequests:
-			return ProbeBusy, 0
-		}
-		return ProbeDown, 0
-	}
-	server.closeConn(stream)
-	return ProbeInvalid, 0
-}
