--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,28 +1,42 @@
-// Elections: pre-vote, vote and the hand-over of leadership to the member
-// that has the whole log.
 package raft
 
+// electionState times the next candidacy and counts its votes.
+type electionState struct {
+	// elapsedTicks counts since the last reset; a candidacy is due at timeoutTicks.
+	// On a leader it counts towards the next heartbeat.
+	elapsedTicks int
+	timeoutTicks int
+	// leaderSilentTicks counts the ticks since a leader was heard, or since the start.
+	leaderSilentTicks int
+	votes             map[ID]bool
+	// preVoting tells a candidate that only asks whether it would get the votes.
+	preVoting bool
+}
+
 func (r *Replica) campaign(pre, force bool) {
-	r.role, r.leader, r.pre = Candidate, "", pre
-	r.askLater()
+	r.role, r.leader, r.preVoting = Candidate, "", pre
+	r.delayCampaign()
 	r.votes = map[ID]bool{r.id: true}
-	term := r.hard.Term + 1
+	term := r.hardState.Term + 1
 	kind := MsgPreVote
 	if pre {
-		r.beginAsking()
+		r.startPreVoteRound()
 	} else {
 		kind = MsgVote
-		r.hard = HardState{Term: term, Vote: r.id}
+		r.hardState = HardState{Term: term, Vote: r.id}
 	}
-	lives := r.lives()
+	lives := r.idleIncarnations()
 	var asks []Message
 	for _, member := range r.members {
-		if member.ID == r.id || !member.Voter && !(pre && r.fresh) {
+		if member.ID == r.id || !member.Voter && !(pre && r.leaderless) {
 			continue
 		}
-		ask := Message{Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()), Force: force, Life: lives[member.ID]}
+		ask := Message{
+			Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()),
+			Force: force, Life: lives[member.ID],
+		}
 		if pre {
-			ask.Round = r.attempt
+			ask.Round = r.preVoteRound
 		}
 		asks = append(asks, ask)
 	}
@@ -31,111 +45,120 @@
 			r.send(ask)
 		}
 	} else {
-		hard := r.hard
+		hard := r.hardState
 		r.write(Write{HardState: &hard, AfterSync: asks})
 	}
 	r.countVotes()
 }
 
-// askLater sets when this core asks again. Where no leader was known since the
+// delayCampaign sets when this replica asks again. Where no leader was known since the
 // start that is soon, as others that have started a moment later may say no now;
 // but a vote gets its time, since terms and disks are used up by it.
-func (r *Replica) askLater() {
+func (r *Replica) delayCampaign() {
 	r.resetTimer()
-	if r.fresh && r.pre {
-		r.timeout = r.soon()
+	if r.leaderless && r.preVoting {
+		r.timeoutTicks = r.shortTimeout()
 	}
 }
 
-// standBack leaves the vote to another that asks at the same time and is as good:
+// withdrawCandidacy leaves the vote to another that asks at the same time and is as good:
 // of two that stand, neither would win. One that stands already goes on.
-func (r *Replica) standBack() {
-	if !r.pre {
+func (r *Replica) withdrawCandidacy() {
+	if !r.preVoting {
 		return
 	}
-	r.askLater()
-	r.role, r.votes, r.pre = Follower, nil, false
+	r.delayCampaign()
+	r.role, r.votes, r.preVoting = Follower, nil, false
 }
 
 func (r *Replica) countVotes() {
 	yes := 0
 	for id, granted := range r.votes {
-		if granted && r.voter(id) {
+		if granted && r.isVoter(id) {
 			yes++
 		}
 	}
-	if r.pre && r.lives() != nil {
+	if r.preVoting && r.idleIncarnations() != nil {
 		r.campaign(false, false)
 		return
 	}
-	if yes <= r.voters()/2 || r.pre && r.bound() {
+	if yes <= r.voterCount()/2 || r.preVoting && r.withholdsVote() {
 		return
 	}
-	if r.pre {
+	if r.preVoting {
 		r.campaign(false, false)
 		return
 	}
-	r.lead()
+	r.becomeLeader()
 }
 
-func (r *Replica) lead() {
-	r.role, r.leader, r.transfer, r.yielded, r.fresh = Leader, r.id, "", false, false
-	r.elapsed, r.quorumAt, r.lag = 0, 0, 0
+func (r *Replica) becomeLeader() {
+	r.role, r.leader, r.transferTarget, r.timeoutNowSent, r.leaderless = Leader, r.id, "", false, false
+	r.elapsedTicks, r.quorumLostTicks, r.diskLagTicks = 0, 0, 0
 	r.peers = map[ID]*progress{}
 	r.refreshMembers()
-	r.beginRound()
-	r.push(Entry{})
+	r.startHeartbeatRound()
+	r.appendEntry(Entry{})
 }
 
-// startTransfer asks the best caught-up voter to take the leadership.
-func (r *Replica) startTransfer() {
-	if r.role != Leader {
-		return
-	}
-	var best ID
-	var bestMatch Index
-	for _, member := range r.members {
-		p := r.peers[member.ID]
-		if p != nil && member.Voter && p.heard < r.pace.ElectionTicks && p.match >= r.commit && (best == "" || p.match > bestMatch) {
-			best, bestMatch = member.ID, p.match
-		}
-	}
-	if best != "" {
-		r.transfer, r.transferAt = best, 0
-		r.relieve()
-	}
+func (r *Replica) isUpToDate(m Message) bool {
+	last := r.lastIndex()
+	lastTerm := r.termAt(last)
+	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
 }
 
-// relieve tells the successor to stand once it has the whole log.
-func (r *Replica) relieve() {
-	if p := r.peers[r.transfer]; p != nil && p.match == r.lastIndex() {
-		r.yielded = true
-		r.send(Message{Kind: MsgTimeoutNow, To: r.transfer})
+func (r *Replica) handlePreVote(m Message) {
+	electable := m.Term > r.hardState.Term && r.isUpToDate(m)
+	granted, idle := electable && !r.withholdsVote(), electable && r.knowsNoLeader()
+	if (granted || idle) && r.role == Candidate && m.From < r.id {
+		r.withdrawCandidacy()
 	}
+	response := Message{
+		Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hardState.Term), Round: m.Round,
+	}
+	if idle {
+		response.Idle, response.Life, response.Age = true, r.incarnation, r.sinceStart()
+	}
+	r.send(response)
 }
 
-// renewTerm ends a hand-over that came to nothing. The one who was told to stand
-// may yet do so, and voters that heard this leader will let it: only in a later
-// term, in which that word is void, is contact a proof again.
-func (r *Replica) renewTerm() {
-	if r.stuck >= r.pace.ElectionTicks || !r.voter(r.id) {
-		r.follow(r.hard.Term, "")
+func (r *Replica) handlePreVoteResponse(m Message) {
+	if r.role != Candidate || !r.preVoting || m.Term != r.hardState.Term+1 {
 		return
 	}
-	r.campaign(false, true)
+	r.votes[m.From] = !m.Reject
+	r.recordIdlePeer(m)
+	if m.Reject && Term(m.Hint) > r.hardState.Term {
+		r.becomeFollower(Term(m.Hint), "")
+	} else {
+		r.countVotes()
+	}
 }
 
-// AcceptsProposals tells whether the leader takes proposals now, or hands over.
-func (r *Replica) AcceptsProposals() bool { return r.role == Leader && r.transfer == "" }
+// ignoresVote tells that a vote of a later term is not even answered: a leader may be
+// active, the candidate is not the target of a transfer, and it was not this start of
+// this replica that answered it with Idle.
+func (r *Replica) ignoresVote(m Message) bool {
+	return m.Term > r.hardState.Term && !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Life == r.incarnation)
+}
 
-// TransferLeadership hands the leadership over and returns what to send.
-func (r *Replica) TransferLeadership() (out Output) {
-	r.startTransfer()
-	return r.flush()
+// handleVote answers a candidate of this term; a vote goes out once it is on disk.
+func (r *Replica) handleVote(m Message) {
+	granted := (r.hardState.Vote == "" || r.hardState.Vote == m.From) && r.isUpToDate(m)
+	response := Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}
+	if !granted {
+		r.send(response)
+		return
+	}
+	r.hardState.Vote = m.From
+	hard := r.hardState
+	r.resetTimer()
+	r.write(Write{HardState: &hard, AfterSync: []Message{response}})
 }
 
-func (r *Replica) upToDate(m Message) bool {
-	last := r.lastIndex()
-	lastTerm := r.termAt(last)
-	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
+func (r *Replica) handleVoteResponse(m Message) {
+	if r.role == Candidate && !r.preVoting {
+		r.votes[m.From] = !m.Reject
+		r.countVotes()
+	}
 }
