--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -1,8 +1,3 @@
-// The simulation lets several daemons' books and the cores' agreed state meet
-// under a seeded clock: claims and give-backs that arrive late, in any order or
-// not at all, daemons that restart, runs that break off. A key must run once.
-// A daemon here does what the request path does: claim before running, run only
-// when granted, give back only what has not run.
 package idempotency
 
 import (
@@ -15,16 +10,21 @@
 	"tinpin/internal/statemachine"
 )
 
-type plantedFault struct {
-	freeBroken bool // a run that broke off gives its key back
-	runUnclear bool // a claim without an outcome is taken for granted
-	oldAnswers bool // a restarted daemon answers for its earlier life
+// The simulation lets the stores of several nodes and the replicated state meet, from a
+// seed: claims and releases arrive late, in any order or not at all, nodes restart, runs
+// fail. A key must run once. A node here does what the request path does: claim before
+// running, run only when granted, release only what has not run.
+
+type injectedBug struct {
+	releaseFailed bool // a run that failed releases its key
+	runUnknown    bool // a claim without an outcome is taken for granted
+	oldAnswers    bool // a restarted node answers for its earlier incarnation
 }
 
-type simEdge struct {
-	name string
-	life uint64
-	book *Store
+type simNode struct {
+	name        string
+	incarnation uint64
+	store       *Store
 }
 
 type simAction struct {
@@ -32,41 +32,41 @@
 	do  func()
 }
 
-type simKeys struct {
-	luck    *rand.Rand
-	fault   plantedFault
+type simulation struct {
+	random  *rand.Rand
+	bug     injectedBug
 	now     time.Duration
 	rev     uint64
 	state   *statemachine.State
-	edges   []*simEdge
+	nodes   []*simNode
 	actions []simAction
 	runs    map[string]int
 	served  int
 }
 
-func (s *simKeys) later(most int, do func()) {
-	s.actions = append(s.actions, simAction{s.now + time.Duration(s.luck.Intn(most)+1)*time.Millisecond, do})
+func (s *simulation) later(most int, do func()) {
+	s.actions = append(s.actions, simAction{s.now + time.Duration(s.random.Intn(most)+1)*time.Millisecond, do})
 }
 
-func (s *simKeys) apply(kind statemachine.CommandKind, claim statemachine.Claim) statemachine.Result {
+func (s *simulation) apply(kind statemachine.CommandKind, claim statemachine.Claim) statemachine.Result {
 	s.rev++
 	return s.state.Apply(s.rev, statemachine.Command{Kind: kind, Claim: claim}, s.now)
 }
 
-// try is one client's try at one daemon.
-func (s *simKeys) try(edge *simEdge, key, request string) {
-	life := edge.life
-	op, old := edge.book.Begin(key, request)
+// attempt is one client's attempt at one node.
+func (s *simulation) attempt(node *simNode, key, request string) {
+	incarnation := node.incarnation
+	op, old := node.store.Begin(key, request)
 	if old != nil {
 		if old.Response().State == rpc.OperationCompleted {
 			s.served++
 		}
 		return
 	}
-	claim := statemachine.Claim{Key: key, Request: request, Holder: edge.name, Life: edge.life}
-	alive := func() bool { return edge.life == life }
-	giveBack := func() {
-		edge.book.Release(op)
+	claim := statemachine.Claim{Key: key, Request: request, Holder: node.name, Life: node.incarnation}
+	alive := func() bool { return node.incarnation == incarnation }
+	release := func() {
+		node.store.Release(op)
 		s.later(300, func() { s.apply(statemachine.CommandReleaseClaim, claim) })
 	}
 	run := func() {
@@ -77,76 +77,76 @@
 		s.later(200, func() {
 			switch {
 			case !alive():
-			case s.luck.Intn(4) == 0: // the answer is lost
-				edge.book.MarkLost(op)
-				if s.fault.freeBroken {
-					giveBack()
+			case s.random.Intn(4) == 0: // the response is lost
+				node.store.MarkLost(op)
+				if s.bug.releaseFailed {
+					release()
 				}
 			default:
-				edge.book.Complete(op, 200, nil, []byte(request))
+				node.store.Complete(op, 200, nil, []byte(request))
 				s.served++
 			}
 		})
 	}
-	told := false
+	answered := false
 	s.later(120, func() {
 		result := s.apply(statemachine.CommandClaim, claim)
-		if s.luck.Intn(5) == 0 {
+		if s.random.Intn(5) == 0 {
 			return // the outcome never comes back
 		}
 		s.later(60, func() {
-			if told || !alive() {
+			if answered || !alive() {
 				return
 			}
-			told = true
+			answered = true
 			switch {
-			case result.Granted && s.luck.Intn(6) == 0: // no backend had room
-				giveBack()
+			case result.Granted && s.random.Intn(6) == 0: // no backend had a free slot
+				release()
 			case result.Granted:
 				run()
 			default:
-				edge.book.Abandon(op)
-				s.recall(result.Held)
+				node.store.Abandon(op)
+				s.askHolder(result.Held)
 			}
 		})
 	})
 	s.later(400, func() {
-		if told || !alive() {
+		if answered || !alive() {
 			return
 		}
-		told = true
-		if s.fault.runUnclear {
+		answered = true
+		if s.bug.runUnknown {
 			run()
 			return
 		}
-		giveBack()
+		release()
 	})
 }
 
-// recall asks the holder, who gives a freed claim back again.
-func (s *simKeys) recall(held statemachine.Claim) {
-	for _, edge := range s.edges {
-		if edge.name != held.Holder {
+// askHolder asks the holder, which gives a released claim back again.
+func (s *simulation) askHolder(held statemachine.Claim) {
+	for _, node := range s.nodes {
+		if node.name != held.Holder {
 			continue
 		}
-		if edge.life != held.Life {
-			if s.fault.oldAnswers {
+		if node.incarnation != held.Life {
+			if s.bug.oldAnswers {
 				s.apply(statemachine.CommandReleaseClaim, held)
 			}
 			return
 		}
-		if edge.book.Find(held.Key, held.Request).State == rpc.OperationReleased {
+		if node.store.Find(held.Key, held.Request).State == rpc.OperationReleased {
 			s.later(100, func() { s.apply(statemachine.CommandReleaseClaim, held) })
 		}
 	}
 }
 
-func playKeys(seed int64, fault plantedFault) (twice string, served int) {
-	s := &simKeys{luck: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), runs: map[string]int{}}
+func runSimulation(seed int64, bug injectedBug) (twice string, served int) {
+	s := &simulation{random: rand.New(rand.NewSource(seed)), bug: bug, state: statemachine.NewState(), runs: map[string]int{}}
 	for i := range 5 {
-		edge := &simEdge{name: fmt.Sprint("edge-", i), life: 1}
-		edge.book = NewStore(time.Hour, 1<<20, func() time.Duration { return s.now })
-		s.edges = append(s.edges, edge)
+		node := &simNode{name: fmt.Sprint("node-", i), incarnation: 1}
+		node.store = NewStore(time.Hour, 1<<20, func() time.Duration { return s.now })
+		s.nodes = append(s.nodes, node)
 	}
 	for n := 0; s.now < 20*time.Second; s.now += time.Millisecond {
 		due := s.actions
@@ -158,14 +158,14 @@
 				s.actions = append(s.actions, action)
 			}
 		}
-		if s.luck.Intn(5) == 0 {
+		if s.random.Intn(5) == 0 {
 			n++
-			s.try(s.edges[s.luck.Intn(5)], fmt.Sprint("k", s.luck.Intn(400)), fmt.Sprint("r", n))
+			s.attempt(s.nodes[s.random.Intn(5)], fmt.Sprint("k", s.random.Intn(400)), fmt.Sprint("r", n))
 		}
-		if s.luck.Intn(1500) == 0 {
-			edge := s.edges[s.luck.Intn(5)]
-			edge.life++
-			edge.book = NewStore(time.Hour, 1<<20, func() time.Duration { return s.now })
+		if s.random.Intn(1500) == 0 {
+			node := s.nodes[s.random.Intn(5)]
+			node.incarnation++
+			node.store = NewStore(time.Hour, 1<<20, func() time.Duration { return s.now })
 		}
 	}
 	for key, runs := range s.runs {
@@ -178,21 +178,21 @@
 
 func TestKeyRunsOnceUnderFaults(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
-		twice, served := playKeys(seed, plantedFault{})
+		twice, served := runSimulation(seed, injectedBug{})
 		if twice != "" {
 			t.Errorf("seed %d: %s", seed, twice)
 		}
 		if served < 100 {
-			t.Errorf("seed %d: only %d tries were served", seed, served)
+			t.Errorf("seed %d: only %d attempts were served", seed, served)
 		}
 	}
 }
 
 func TestInjectedBugsOfKeysAreFound(t *testing.T) {
-	for name, fault := range map[string]plantedFault{"freeBroken": {freeBroken: true}, "runUnclear": {runUnclear: true}, "oldAnswers": {oldAnswers: true}} {
+	for name, bug := range map[string]injectedBug{"releaseFailed": {releaseFailed: true}, "runUnknown": {runUnknown: true}, "oldAnswers": {oldAnswers: true}} {
 		found := ""
 		for seed := int64(1); seed <= 20 && found == ""; seed++ {
-			found, _ = playKeys(seed, fault)
+			found, _ = runSimulation(seed, bug)
 		}
 		if found == "" {
 			t.Errorf("%s was not found by any seed", name)
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -1,8 +1,11 @@
-// Package keys is a daemon's own record of the operations it holds. The cores
-// know only who holds a key; how the operation stands, and its answer, lie
-// with the holder, which others ask. An operation whose outcome is not known
-// is never run again; one that was freed has not run and never will under its
-// old request.
+// Package idempotency is a node's own table of the operations that it runs for
+// idempotency keys, with their responses. The replicated state knows only which node
+// holds a key; how the operation stands, and its response, lie with that node, which
+// others ask. An operation whose outcome is not known is never run again. One that was
+// released has not run, and never will under its request.
+//
+// The package sends no messages and claims no keys. Its functions may be called from
+// any goroutine.
 package idempotency
 
 import (
@@ -12,196 +15,218 @@
 	"tinpin/internal/rpc"
 )
 
-// Operation is one keyed request held here.
+// manyReleased is from how many released operations on old ones are looked for, and
+// releasedPruneParts how often they are within the retention.
+const (
+	manyReleased       = 4096
+	releasedPruneParts = 8
+)
+
+// Operation is one request with a key that is held here.
 type Operation struct {
 	Key, Request string
 	state        rpc.OperationState
 	status       int
 	headers      [][2]string
 	body         []byte
-	movedTo      string
-	created      time.Duration
+	// movedTo is the address of the node that stores the response, if it was moved.
+	movedTo string
+	created time.Duration
+}
+
+func (o *Operation) response() (response rpc.StoredResponse) {
+	return rpc.StoredResponse{State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo}
 }
 
-// Store is the record; it forgets an operation after the window and bodies
-// beyond its room, oldest first.
+// claimed names an operation by its key and request.
+type claimed struct{ key, request string }
+
+// Store holds operations. It forgets them after the retention, and bodies beyond its
+// room in bytes, oldest first.
 type Store struct {
 	retention time.Duration
 	maxBytes  int
 	now       func() time.Duration
 
-	mu         sync.Mutex
+	mu sync.Mutex // guards what follows, and the operations
+	// operations are those of this node by key.
 	operations map[string]*Operation
-	order      []*Operation
-	size       int
-	released   map[[2]string]time.Duration
-	// releasedPrunedAt is when freed was last gone through.
+	// storedForOthers are complete operations of other nodes.
+	storedForOthers map[claimed]*Operation
+	// order holds all operations from the oldest on, size the bytes of their bodies.
+	order []*Operation
+	size  int
+	// released tells when an operation was released.
+	released         map[claimed]time.Duration
 	releasedPrunedAt time.Duration
-	storedForOthers  map[[2]string]*Operation
 }
 
-// NewStore keeps operations for window and bodies up to room bytes.
-func NewStore(window time.Duration, room int, now func() time.Duration) (book *Store) {
-	return &Store{retention: window, maxBytes: room, now: now, operations: map[string]*Operation{}, released: map[[2]string]time.Duration{}, storedForOthers: map[[2]string]*Operation{}}
-}
-
-// Begin starts an operation, or gives the one that holds the key here.
-func (b *Store) Begin(key, request string) (op, old *HeldOperation) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.evict()
-	if found := b.operations[key]; found != nil && found.state != rpc.OperationReleased {
-		return nil, &HeldOperation{b, found}
+// NewStore makes a store that keeps operations as long as the retention and bodies up
+// to maxBytes.
+func NewStore(retention time.Duration, maxBytes int, now func() time.Duration) (store *Store) {
+	return &Store{
+		retention: retention, maxBytes: maxBytes, now: now,
+		operations: map[string]*Operation{}, storedForOthers: map[claimed]*Operation{}, released: map[claimed]time.Duration{},
 	}
-	fresh := &Operation{Key: key, Request: request, state: rpc.OperationRunning, created: b.now()}
-	b.operations[key] = fresh
-	b.order = append(b.order, fresh)
-	return &HeldOperation{b, fresh}, nil
 }
 
-// HeldOperation is an operation in its book.
+// HeldOperation is an operation in its store.
 type HeldOperation struct {
 	store     *Store
 	operation *Operation
 }
 
-// Response tells how the operation stands.
-func (h *HeldOperation) Response() (reply rpc.StoredResponse) {
+// Response is the operation's state, with the response if it is complete.
+func (h *HeldOperation) Response() (response rpc.StoredResponse) {
 	h.store.mu.Lock()
 	defer h.store.mu.Unlock()
 	return h.operation.response()
 }
 
-// Request is the request that holds the key.
+// Request is the id of the request that holds the key.
 func (h *HeldOperation) Request() (request string) { return h.operation.Request }
 
-func (o *Operation) response() (reply rpc.StoredResponse) {
-	return rpc.StoredResponse{State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo}
-}
-
-// evict drops what is past the window.
-func (b *Store) evict() {
-	now := b.now()
-	cut := 0
-	for cut < len(b.order) && (now-b.order[cut].created > b.retention || b.size > b.maxBytes) {
-		op := b.order[cut]
-		if op.state == rpc.OperationRunning && now-op.created <= b.retention {
+// Begin starts an operation, or gives the earlier one that holds the key here.
+func (s *Store) Begin(key, request string) (begun, earlier *HeldOperation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.evict()
+	if found := s.operations[key]; found != nil && found.state != rpc.OperationReleased {
+		return nil, &HeldOperation{s, found}
+	}
+	operation := &Operation{Key: key, Request: request, state: rpc.OperationRunning, created: s.now()}
+	s.operations[key] = operation
+	s.order = append(s.order, operation)
+	return &HeldOperation{s, operation}, nil
+}
+
+// evict forgets operations past the retention, and bodies beyond the room.
+func (s *Store) evict() {
+	now := s.now()
+	evicted := 0
+	for evicted < len(s.order) && (now-s.order[evicted].created > s.retention || s.size > s.maxBytes) {
+		operation := s.order[evicted]
+		retained := now-operation.created <= s.retention
+		if operation.state == rpc.OperationRunning && retained {
 			break
 		}
-		b.size -= len(op.body)
-		op.body = nil
-		delete(b.storedForOthers, [2]string{op.Key, op.Request})
-		if now-op.created <= b.retention && op.state == rpc.OperationCompleted {
-			// Its body is gone for want of room; the operation stays run.
-			op.state = rpc.OperationLost
-		} else if b.operations[op.Key] == op {
-			delete(b.operations, op.Key)
+		s.size -= len(operation.body)
+		operation.body = nil
+		delete(s.storedForOthers, claimed{operation.Key, operation.Request})
+		if retained && operation.state == rpc.OperationCompleted {
+			// Its body is gone for want of room, but the operation has run.
+			operation.state = rpc.OperationLost
+		} else if s.operations[operation.Key] == operation {
+			delete(s.operations, operation.Key)
 		}
-		cut++
+		evicted++
 	}
-	if cut > 0 {
-		b.order = b.order[cut:]
+	if evicted > 0 {
+		s.order = s.order[evicted:]
 	}
 }
 
-func (b *Store) finish(held *HeldOperation, standing rpc.OperationState) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// finish ends a running operation. What became of it before holds.
+func (s *Store) finish(held *HeldOperation, state rpc.OperationState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if held.operation.state == rpc.OperationRunning {
-		held.operation.state = standing
+		held.operation.state = state
 	}
 }
 
-// Complete stores the answer of an operation.
-func (b *Store) Complete(held *HeldOperation, status int, lines [][2]string, body []byte) {
-	b.mu.Lock()
-	held.operation.status, held.operation.headers, held.operation.body = status, lines, body
-	b.size += len(body)
-	b.mu.Unlock()
-	b.finish(held, rpc.OperationCompleted)
-}
-
-// MarkMoved notes that the operation was answered and who keeps its answer.
-func (b *Store) MarkMoved(held *HeldOperation, inner string) {
-	b.mu.Lock()
-	held.operation.movedTo = inner
-	b.mu.Unlock()
-	b.finish(held, rpc.OperationMoved)
-}
-
-// StoreForOther stores an answer for a fellow that may not keep it itself.
-func (b *Store) StoreForOther(key, request string, answer rpc.StoredResponse) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.evict()
-	op := &Operation{Key: key, Request: request, state: rpc.OperationCompleted, status: answer.Status, headers: answer.Headers, body: answer.Body, created: b.now()}
-	b.storedForOthers[[2]string{key, request}] = op
-	b.order = append(b.order, op)
-	b.size += len(op.body)
-}
-
-// StoredForOther gives an answer that is stored for another.
-func (b *Store) StoredForOther(key, request string) (reply rpc.StoredResponse) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if op := b.storedForOthers[[2]string{key, request}]; op != nil {
-		return op.response()
-	}
-	return reply
+// Complete stores the response of an operation.
+func (s *Store) Complete(held *HeldOperation, status int, headers [][2]string, body []byte) {
+	s.mu.Lock()
+	held.operation.status, held.operation.headers, held.operation.body = status, headers, body
+	s.size += len(body)
+	s.mu.Unlock()
+	s.finish(held, rpc.OperationCompleted)
 }
 
-// MarkLost notes that nobody knows whether the operation ran.
-func (b *Store) MarkLost(held *HeldOperation) { b.finish(held, rpc.OperationLost) }
+// MarkMoved notes that an operation is complete and which node stores its response.
+func (s *Store) MarkMoved(held *HeldOperation, address string) {
+	s.mu.Lock()
+	held.operation.movedTo = address
+	s.mu.Unlock()
+	s.finish(held, rpc.OperationMoved)
+}
 
-// Release notes that the operation has not run and will not; what became of it
-// before stands.
-func (b *Store) Release(held *HeldOperation) {
-	b.finish(held, rpc.OperationReleased)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// MarkLost notes that nobody knows whether an operation ran.
+func (s *Store) MarkLost(held *HeldOperation) { s.finish(held, rpc.OperationLost) }
+
+// Release notes that an operation has not run and will not.
+func (s *Store) Release(held *HeldOperation) {
+	s.finish(held, rpc.OperationReleased)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if held.operation.state != rpc.OperationReleased {
 		return
 	}
-	now := b.now()
-	if len(b.released) > 4096 && now-b.releasedPrunedAt > b.retention/8 {
-		b.releasedPrunedAt = now
-		for which, at := range b.released {
-			if now-at > b.retention {
-				delete(b.released, which)
+	now := s.now()
+	if len(s.released) > manyReleased && now-s.releasedPrunedAt > s.retention/releasedPruneParts {
+		s.releasedPrunedAt = now
+		for which, at := range s.released {
+			if now-at > s.retention {
+				delete(s.released, which)
 			}
 		}
 	}
-	b.released[[2]string{held.operation.Key, held.operation.Request}] = now
+	s.released[claimed{held.operation.Key, held.operation.Request}] = now
 }
 
-// Released tells whether a claim of this daemon's was given back unused.
-func (b *Store) Released(key, request string) (freed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, freed = b.released[[2]string{key, request}]
-	return freed
+// Released reports whether a claim of this node was given back unused.
+func (s *Store) Released(key, request string) (released bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, released = s.released[claimed{key, request}]
+	return released
 }
 
-// Abandon strikes out an operation that never got its key.
-func (b *Store) Abandon(held *HeldOperation) {
-	b.finish(held, rpc.OperationReleased)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.operations[held.operation.Key] == held.operation {
-		delete(b.operations, held.operation.Key)
+// Abandon drops an operation that never got its key.
+func (s *Store) Abandon(held *HeldOperation) {
+	s.finish(held, rpc.OperationReleased)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.operations[held.operation.Key] == held.operation {
+		delete(s.operations, held.operation.Key)
 	}
 }
 
-// Find looks an operation up by key and request; what is not known here any
-// more counts as lost.
-func (b *Store) Find(key, request string) (reply rpc.StoredResponse) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if _, freed := b.released[[2]string{key, request}]; freed {
+// Find looks up an operation of this node. One that is not known, or not any more,
+// counts as lost.
+func (s *Store) Find(key, request string) (response rpc.StoredResponse) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, released := s.released[claimed{key, request}]; released {
 		return rpc.StoredResponse{State: rpc.OperationReleased}
 	}
-	if op := b.operations[key]; op != nil && op.Request == request {
-		return op.response()
+	if operation := s.operations[key]; operation != nil && operation.Request == request {
+		return operation.response()
 	}
 	return rpc.StoredResponse{State: rpc.OperationLost}
 }
+
+// StoreForOther stores the response of a node that may not store it itself.
+func (s *Store) StoreForOther(key, request string, response rpc.StoredResponse) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.evict()
+	operation := &Operation{
+		Key: key, Request: request, state: rpc.OperationCompleted,
+		status: response.Status, headers: response.Headers, body: response.Body, created: s.now(),
+	}
+	s.storedForOthers[claimed{key, request}] = operation
+	s.order = append(s.order, operation)
+	s.size += len(operation.body)
+}
+
+// StoredForOther is a response that is stored for another node.
+func (s *Store) StoredForOther(key, request string) (response rpc.StoredResponse) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if operation := s.storedForOthers[claimed{key, request}]; operation != nil {
+		return operation.response()
+	}
+	return response
+}
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -9,49 +9,49 @@
 
 func TestOperationStates(t *testing.T) {
 	now := time.Duration(0)
-	book := NewStore(time.Minute, 1000, func() time.Duration { return now })
-	op, old := book.Begin("k", "r1")
-	if op == nil || old != nil {
-		t.Fatal("a new key opens")
+	store := NewStore(time.Minute, 1000, func() time.Duration { return now })
+	operation, old := store.Begin("k", "r1")
+	if operation == nil || old != nil {
+		t.Fatal("a new key begins an operation")
 	}
-	if again, running := book.Begin("k", "r2"); again != nil || running.Response().State != rpc.OperationRunning {
-		t.Fatal("a running key does not open again")
+	if again, running := store.Begin("k", "r2"); again != nil || running.Response().State != rpc.OperationRunning {
+		t.Fatal("a running key does not begin again")
 	}
-	book.Complete(op, 200, [][2]string{{"A", "b"}}, []byte("body"))
-	book.MarkLost(op)
-	if reply := book.Find("k", "r1"); reply.State != rpc.OperationCompleted || string(reply.Body) != "body" {
-		t.Fatalf("answered once, always answered: %v", reply)
+	store.Complete(operation, 200, [][2]string{{"A", "b"}}, []byte("body"))
+	store.MarkLost(operation)
+	if response := store.Find("k", "r1"); response.State != rpc.OperationCompleted || string(response.Body) != "body" {
+		t.Fatalf("complete once, always complete: %v", response)
 	}
-	if reply := book.Find("k", "r2"); reply.State != rpc.OperationLost {
+	if response := store.Find("k", "r2"); response.State != rpc.OperationLost {
 		t.Fatal("a request that never held the key is not known")
 	}
 	now = 2 * time.Minute
-	if op, _ = book.Begin("k", "r3"); op == nil {
-		t.Fatal("past the window the key opens again")
+	if operation, _ = store.Begin("k", "r3"); operation == nil {
+		t.Fatal("past the retention the key begins again")
 	}
-	book.Release(op)
-	if book.Find("k", "r3").State != rpc.OperationReleased || !book.Released("k", "r3") {
-		t.Fatal("freed is remembered by request")
+	store.Release(operation)
+	if store.Find("k", "r3").State != rpc.OperationReleased || !store.Released("k", "r3") {
+		t.Fatal("a release is remembered by request")
 	}
-	if op, _ = book.Begin("k", "r4"); op == nil {
-		t.Fatal("a freed key opens again")
+	if operation, _ = store.Begin("k", "r4"); operation == nil {
+		t.Fatal("a released key begins again")
 	}
-	if book.Find("k", "r3").State != rpc.OperationReleased || book.Find("k", "r4").State != rpc.OperationRunning {
-		t.Fatal("the old request stays freed beside the new one")
+	if store.Find("k", "r3").State != rpc.OperationReleased || store.Find("k", "r4").State != rpc.OperationRunning {
+		t.Fatal("the old request stays released beside the new one")
 	}
 }
 
 func TestStoreKeepsWithinMaxBytes(t *testing.T) {
-	book := NewStore(time.Minute, 1000, func() time.Duration { return 0 })
+	store := NewStore(time.Minute, 1000, func() time.Duration { return 0 })
 	for _, key := range []string{"a", "b", "c", "d"} {
-		op, _ := book.Begin(key, key)
-		book.Complete(op, 200, nil, make([]byte, 400))
+		operation, _ := store.Begin(key, key)
+		store.Complete(operation, 200, nil, make([]byte, 400))
 	}
-	_, _ = book.Begin("e", "e")
-	if book.Find("a", "a").State != rpc.OperationLost || book.Find("d", "d").State != rpc.OperationCompleted {
-		t.Fatal("the oldest body goes first, and its operation stays run")
+	_, _ = store.Begin("e", "e")
+	if store.Find("a", "a").State != rpc.OperationLost || store.Find("d", "d").State != rpc.OperationCompleted {
+		t.Fatal("the oldest body is dropped first, and its operation has still run")
 	}
-	if op, _ := book.Begin("a", "again"); op != nil {
-		t.Fatal("an operation whose answer was dropped must not run again")
+	if operation, _ := store.Begin("a", "again"); operation != nil {
+		t.Fatal("an operation whose response was dropped must not run again")
 	}
 }
--- a/internal/rpc/claim.go
+++ b/internal/rpc/claim.go
@@ -13,7 +13,7 @@
 	TimeLeft time.Duration `wire:"Left"`
 }
 
-// KeyClaim is an idempotency key with the digest of the request that carries it.
+// KeyClaim is an idempotency key with the id of the request that carries it.
 type KeyClaim struct{ Key, Request string }
 
 // ClaimOutcome is what became of one claim.
