--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,11 +1,15 @@
-// Raft is the agreement among the cores, as a pure state machine: it is given
-// messages, ticks, proposals and reports of finished writes, and returns what
-// is to be sent, written and applied. It reads no clock, disk or network; its
-// only luck is the seeded source it is made with. Pre-vote, check-quorum,
-// leadership transfer, learners, snapshots and membership changes of one
-// member at a time are kept; a membership change binds from the moment it is
-// in the log. The leader counts its own log only once its disk has reported
-// it, so a stalled disk holds up its own vote but not the group's.
+// Package raft is the consensus among the controllers as a pure state machine: a
+// Replica is given messages (Step), ticks (Tick), proposals and reports of finished
+// writes, and returns as Output what is to be sent, written and applied.
+//
+// It reads no clock, disk or network; its only randomness is the seeded source it is
+// made with, so a run replays from its seed. It has pre-vote, check-quorum, leader
+// leases, leadership transfer, learners, snapshots in chunks, and membership changes of
+// one member at a time, which bind from the moment they are in the log. The leader
+// counts its own log only once its disk has reported it, so a stalled disk holds up
+// its own vote but not the group's.
+//
+// A Replica belongs to one goroutine: nothing in it may be called from two at a time.
 package raft
 
 import (
@@ -13,7 +17,7 @@
 	"time"
 )
 
-// Role of a core in its group.
+// Role of a replica in its group.
 type Role uint8
 
 // The roles.
@@ -23,306 +27,276 @@
 	Leader
 )
 
-// Timing holds the figures of time, counted in ticks.
+// Timing is how often a leader sends heartbeats, and the shortest time to an election;
+// the longest is twice as long. Both are in ticks.
 type Timing struct {
 	HeartbeatTicks, ElectionTicks int
 }
 
-// Replica is one core's part of the agreement.
+// Replica is one member's part of the consensus. Its parts keep the state of one
+// concern each and stand in the files of that concern.
 type Replica struct {
 	id        ID
-	pace      Timing
-	luck      *rand.Rand
-	hard      HardState
+	timing    Timing
+	rng       *rand.Rand
 	role      Role
 	leader    ID
 	members   []Member
-	base      Snapshot
-	start     place
-	tail      LogTail
-	log       []Entry
-	commit    Index
-	applied   Index
-	synced    Index
-	marks     []mark
-	partSize  uint64
-	gathering *gathering
-	elapsed   int
-	timeout   int
-	votes     map[ID]bool
-	pre       bool
-	peers     map[ID]*progress
-	round     uint64
-	sent      [roundsKept]time.Duration
-	now       time.Duration
-	heardAt   time.Duration
-	// silence counts the ticks since a leader was heard, or since the start.
-	silence int
-	restart
-	// yielded tells that another was told to stand in this term.
-	yielded bool
-	hardAt  uint64
-	// told is the newest round of this term's leader that was told as heard.
-	told       uint64
-	quorumAt   int
-	lag        int
-	transfer   ID
-	transferAt int
-	issued     uint64
-	done       uint64
-	stuck      int
-	out        Output
+	hardState HardState
+	// now is the steady time of the driver, set by At.
+	now time.Duration
+	// peers is what a leader knows of the other members; nil on all but the leader.
+	peers map[ID]*progress
+
+	raftLog
+	writeQueue
+	electionState
+	startState
+	heartbeatState
+	leaderHealth
+	transferState
+	snapshotTransfer
+
+	output Output
 }
 
-// New starts from what the disk holds.
-func New(id ID, pace Timing, luck *rand.Rand, hard HardState, base Snapshot, log []Entry) (raft *Replica) {
-	raft = &Replica{id: id, pace: pace, luck: luck, hard: hard, base: base, log: log}
-	raft.start = place{base.Index, base.Term}
-	raft.partSize = partSize
-	raft.tail = LogTail{Entries: 4000, Bytes: 4 << 20}
-	raft.commit, raft.applied = base.Index, base.Index
-	raft.synced = raft.lastIndex()
-	raft.refreshMembers()
-	// A core that has started again has forgotten whom it heard last, and waits
-	// until what that one was told has run out, or all others say that they know of
-	// nobody either. One that never knew a term has heard nobody. Both ask at once;
-	// where there is a leader, the pre-vote fails and harms nothing.
-	raft.restart = restart{fresh: true, life: luck.Uint64() | 1}
-	raft.timeout = raft.soon()
-	raft.silence = pace.ElectionTicks
+// New starts a replica from what its disk holds; the log lies behind the snapshot.
+func New(id ID, timing Timing, rng *rand.Rand, hard HardState, snapshot Snapshot, log []Entry) (replica *Replica) {
+	r := &Replica{id: id, timing: timing, rng: rng, hardState: hard}
+	r.raftLog = raftLog{
+		snapshot: snapshot, logStart: position{snapshot.Index, snapshot.Term}, entries: log,
+		logTail: LogTail{Entries: 4000, Bytes: 4 << 20}, commitIndex: snapshot.Index, appliedIndex: snapshot.Index,
+	}
+	r.chunkBytes = snapshotChunkBytes
+	r.syncedIndex = r.lastIndex()
+	r.refreshMembers()
+	// A replica that has started again has forgotten whom it heard last. It withholds
+	// its vote until the lease that it may have confirmed has run out, unless all others
+	// say that they have known no leader either. One that never knew a term has heard
+	// nobody. Both ask at once; where there is a leader, the pre-vote fails and harms nothing.
+	r.startState = startState{leaderless: true, incarnation: rng.Uint64() | 1}
+	r.timeoutTicks = r.shortTimeout()
+	r.leaderSilentTicks = timing.ElectionTicks
 	if hard.Term > 0 {
-		raft.silence -= pace.LeaseTicks() + 1
+		r.leaderSilentTicks -= timing.LeaseTicks() + 1
 	}
-	return raft
+	return r
 }
 
-// Facts for those outside.
+// Role is what this replica is in its group now.
 func (r *Replica) Role() Role { return r.role }
 
+// LeaderID is the leader of the term, empty where none is known.
 func (r *Replica) LeaderID() ID { return r.leader }
 
-func (r *Replica) Term() Term { return r.hard.Term }
+// Term is the current term.
+func (r *Replica) Term() Term { return r.hardState.Term }
 
+// Members is the newest configuration in the log, committed or not; it is not to be changed.
 func (r *Replica) Members() []Member { return r.members }
 
-func (r *Replica) CommitIndex() Index { return r.commit }
+// CommitIndex is the last entry known to be committed.
+func (r *Replica) CommitIndex() Index { return r.commitIndex }
 
+// LastIndex is the last entry of the log in memory, synced or not.
 func (r *Replica) LastIndex() Index { return r.lastIndex() }
 
-func (r *Replica) SnapshotIndex() Index { return r.base.Index }
+// SnapshotIndex is the last entry that the newest snapshot stands for.
+func (r *Replica) SnapshotIndex() Index { return r.snapshot.Index }
 
 // CommittedInTerm tells whether the leader has committed an entry of its own term.
 func (r *Replica) CommittedInTerm() bool {
-	return r.role == Leader && r.termAt(r.commit) == r.hard.Term
+	return r.role == Leader && r.termAt(r.commitIndex) == r.hardState.Term
 }
 
 func (r *Replica) resetTimer() {
-	r.elapsed = 0
-	r.timeout = r.pace.ElectionTicks + r.luck.Intn(r.pace.ElectionTicks+1)
+	r.elapsedTicks = 0
+	r.timeoutTicks = r.timing.ElectionTicks + r.rng.Intn(r.timing.ElectionTicks+1)
 }
 
 func (r *Replica) send(m Message) {
 	m.From = r.id
 	if m.Term == 0 {
-		m.Term = r.hard.Term
+		m.Term = r.hardState.Term
 	}
-	r.out.Messages = append(r.out.Messages, m)
+	r.output.Messages = append(r.output.Messages, m)
 }
 
-// write queues an order for the disk; the answers behind it wait for the sync.
+// write queues a write for the disk; the messages behind it wait for the sync.
 func (r *Replica) write(w Write) {
 	for i := range w.AfterSync {
 		w.AfterSync[i].From = r.id
 		if w.AfterSync[i].Term == 0 {
-			w.AfterSync[i].Term = r.hard.Term
+			w.AfterSync[i].Term = r.hardState.Term
 		}
 	}
-	r.issued++
-	if len(w.Entries) > 0 || w.Snapshot != nil {
-		r.marks = append(r.marks, mark{r.issued, r.lastIndex()})
-	}
-	if w.HardState != nil {
-		r.hardAt = r.issued
-	}
-	r.out.Writes = append(r.out.Writes, w)
+	r.issue(w, r.lastIndex())
+	r.output.Writes = append(r.output.Writes, w)
 }
 
-// refuse notes a message of which nothing is taken.
-func (r *Replica) refuse(m Message, why string) {
-	r.out.Rejected = append(r.out.Rejected, Rejection{m.From, m.Kind, why})
+// reject reports a message of which nothing was taken.
+func (r *Replica) reject(m Message, why string) {
+	r.output.Rejected = append(r.output.Rejected, Rejection{m.From, m.Kind, why})
 }
 
-func (r *Replica) flush() (out Output) {
-	r.advance()
-	out = r.out
-	r.out = Output{}
+// takeOutput ends a step: it commits what can be committed and hands the output over.
+func (r *Replica) takeOutput() (out Output) {
+	r.advanceCommit()
+	out = r.output
+	r.output = Output{}
 	return out
 }
 
-func (r *Replica) follow(term Term, leader ID) {
-	if term > r.hard.Term {
-		r.hard = HardState{Term: term}
-		hard := r.hard
+// becomeFollower gives up any candidacy or leadership; a later term is stored.
+func (r *Replica) becomeFollower(term Term, leader ID) {
+	if term > r.hardState.Term {
+		r.hardState = HardState{Term: term}
+		hard := r.hardState
 		r.write(Write{HardState: &hard})
 	}
-	r.role, r.leader, r.pre, r.transfer, r.told = Follower, leader, false, "", 0
+	r.role, r.leader, r.preVoting, r.transferTarget, r.confirmedRound = Follower, leader, false, "", 0
 	r.peers, r.votes = nil, nil
 	r.resetTimer()
 }
 
-// Tick moves the steady clock on by one tick.
+// Tick moves the timers on by one tick.
 func (r *Replica) Tick() (out Output) {
-	r.elapsed++
-	r.silence++
-	if r.issued > r.done {
-		r.stuck++
+	r.elapsedTicks++
+	r.leaderSilentTicks++
+	r.tickDisk()
+	if r.role == Leader {
+		r.tickLeader()
+	} else if r.campaignDue() {
+		r.campaign(true, false)
+	}
+	return r.takeOutput()
+}
+
+// campaignDue tells whether to ask for votes now. A replica whose disk stands still
+// could not win and would only raise terms.
+func (r *Replica) campaignDue() (due bool) {
+	return r.elapsedTicks >= r.timeoutTicks && (r.leaderless || !r.withholdsVote()) && r.isVoter(r.id) &&
+		r.diskStuckTicks < r.timing.ElectionTicks
+}
+
+func (r *Replica) tickLeader() {
+	if !r.checkQuorum() {
+		r.becomeFollower(r.hardState.Term, "")
+		return
+	}
+	if r.syncedIndex < r.commitIndex {
+		r.diskLagTicks++
 	} else {
-		r.stuck = 0
+		r.diskLagTicks = 0
+	}
+	if r.tickTransfer() {
+		return
 	}
-	if r.role != Leader {
-		// A core whose disk stands still could not win and would only raise terms.
-		if r.elapsed >= r.timeout && (r.fresh || !r.bound()) && r.voter(r.id) && r.stuck < r.pace.ElectionTicks {
-			r.campaign(true, false)
+	if r.diskLagTicks > r.timing.ElectionTicks && r.transferTarget == "" {
+		r.startTransfer()
+	}
+	if r.elapsedTicks >= r.timing.HeartbeatTicks {
+		r.elapsedTicks = 0
+		r.startHeartbeatRound()
+		for _, member := range r.members {
+			if p := r.peers[member.ID]; p != nil {
+				r.sendHeartbeat(member.ID, p)
+			}
 		}
-		return r.flush()
 	}
+}
+
+// leaderHealth is what a leader watches to step down, or to hand over, in time.
+type leaderHealth struct {
+	// quorumLostTicks counts the ticks without a majority in touch.
+	quorumLostTicks int
+	// diskLagTicks counts the ticks for which its own disk lacks what is committed.
+	diskLagTicks int
+}
+
+// checkQuorum counts the silence of each member; it is false once no majority of
+// voters has been heard for half an election, or the leader is no voter any more.
+func (r *Replica) checkQuorum() (keeps bool) {
 	alive := 0
 	for _, member := range r.members {
 		p := r.peers[member.ID]
 		if p != nil {
-			p.heard++
-			r.recover(member.ID, p)
+			p.silentTicks++
+			r.resendIfStalled(member.ID, p)
 		}
-		if member.Voter && (member.ID == r.id || p != nil && p.heard < r.pace.ElectionTicks) {
+		if member.Voter && (member.ID == r.id || p != nil && p.silentTicks < r.timing.ElectionTicks) {
 			alive++
 		}
 	}
-	if alive <= r.voters()/2 || !r.voter(r.id) {
-		r.quorumAt++
-		if r.quorumAt > r.pace.ElectionTicks/2 {
-			r.follow(r.hard.Term, "")
-			return r.flush()
-		}
-	} else {
-		r.quorumAt = 0
-	}
-	if r.synced < r.commit {
-		r.lag++
-	} else {
-		r.lag = 0
-	}
-	if r.transfer != "" {
-		if r.transferAt++; r.transferAt > r.pace.ElectionTicks {
-			r.transfer = ""
-			if r.yielded {
-				r.renewTerm()
-				return r.flush()
-			}
-		} else {
-			r.relieve()
-		}
-	}
-	if r.lag > r.pace.ElectionTicks && r.transfer == "" {
-		r.startTransfer()
-	}
-	if r.elapsed >= r.pace.HeartbeatTicks {
-		r.elapsed = 0
-		r.beginRound()
-		for _, member := range r.members {
-			if p := r.peers[member.ID]; p != nil {
-				r.beat(member.ID, p)
-			}
-		}
+	if alive > r.voterCount()/2 && r.isVoter(r.id) {
+		r.quorumLostTicks = 0
+		return true
 	}
-	return r.flush()
+	r.quorumLostTicks++
+	return r.quorumLostTicks <= r.timing.ElectionTicks/2
 }
 
-// Step takes a message from another core.
+// Step takes a message from another member.
 func (r *Replica) Step(m Message) (out Output) {
 	if m.To != r.id {
 		return Output{}
 	}
-	if why := r.impossible(&m); why != "" {
-		r.refuse(m, why)
-		return r.flush()
+	if why := r.rejectReason(&m); why != "" {
+		r.reject(m, why)
+		return r.takeOutput()
 	}
 	switch m.Kind {
 	case MsgPreVote:
-		good := m.Term > r.hard.Term && r.upToDate(m)
-		granted, idle := good && !r.bound(), good && r.knowsNobody()
-		if (granted || idle) && r.role == Candidate && m.From < r.id {
-			r.standBack()
-		}
-		tell := Message{Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hard.Term), Round: m.Round}
-		if idle {
-			tell.Idle, tell.Life, tell.Age = true, r.life, r.age()
-		}
-		r.send(tell)
-		return r.flush()
+		r.handlePreVote(m)
+		return r.takeOutput()
 	case MsgPreVoteResponse:
-		if r.role == Candidate && r.pre && m.Term == r.hard.Term+1 {
-			r.votes[m.From] = !m.Reject
-			r.noteIdle(m)
-			if m.Reject && Term(m.Hint) > r.hard.Term {
-				r.follow(Term(m.Hint), "")
-			} else {
-				r.countVotes()
-			}
-		}
-		return r.flush()
+		r.handlePreVoteResponse(m)
+		return r.takeOutput()
 	case MsgVote:
-		if m.Term > r.hard.Term {
-			if !m.Force && r.bound() && !(r.knowsNobody() && m.Life == r.life) {
-				return Output{}
-			}
-			r.follow(m.Term, "")
+		if r.ignoresVote(m) {
+			return Output{}
 		}
-	default:
-		if m.Term > r.hard.Term {
-			leader := ID("")
-			if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
-				leader = m.From
-			}
-			r.follow(m.Term, leader)
+	}
+	if m.Term > r.hardState.Term {
+		leader := ID("")
+		if m.fromLeader() {
+			leader = m.From
 		}
+		r.becomeFollower(m.Term, leader)
 	}
-	if m.Term < r.hard.Term {
-		if m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk {
+	if m.Term < r.hardState.Term {
+		// The answer carries the newer term, at which an outdated leader steps down.
+		if m.fromLeader() {
 			r.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true, Index: m.Index, Hint: r.lastIndex()})
 		}
-		return r.flush()
+		return r.takeOutput()
 	}
+	r.stepInTerm(m)
+	return r.takeOutput()
+}
+
+// stepInTerm takes a message of the current term.
+func (r *Replica) stepInTerm(m Message) {
 	switch m.Kind {
 	case MsgVote:
-		granted := (r.hard.Vote == "" || r.hard.Vote == m.From) && r.upToDate(m)
-		tell := Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}
-		if granted {
-			r.hard.Vote = m.From
-			hard := r.hard
-			r.resetTimer()
-			r.write(Write{HardState: &hard, AfterSync: []Message{tell}})
-		} else {
-			r.send(tell)
-		}
+		r.handleVote(m)
 	case MsgVoteResponse:
-		if r.role == Candidate && !r.pre {
-			r.votes[m.From] = !m.Reject
-			r.countVotes()
-		}
+		r.handleVoteResponse(m)
 	case MsgAppend:
-		r.takeAppend(m)
+		r.handleAppend(m)
 	case MsgSnapshot:
-		r.takeInstall(m)
+		r.installSnapshot(m)
 	case MsgSnapshotChunk:
-		r.takePart(m)
-	case MsgAppendResponse, MsgSnapshotChunkResponse:
-		r.takeTell(m)
+		r.handleSnapshotChunk(m)
+	case MsgAppendResponse:
+		r.handleAppendResponse(m)
+	case MsgSnapshotChunkResponse:
+		r.handleSnapshotChunkResponse(m)
 	case MsgHeartbeatResponse:
-		r.takeHeard(m)
+		r.recordResponse(m)
 	case MsgTimeoutNow:
-		if r.voter(r.id) {
+		if r.isVoter(r.id) {
 			r.campaign(false, true)
 		}
 	}
-	return r.flush()
 }
