--- a/internal/drain/permit.go
+++ b/internal/drain/permit.go
@@ -6,7 +6,7 @@
 	"tinpin/internal/rpc"
 )
 
-// Permit tells at one node whether new requests may be sent to a backend. It
+// Permit tells at one node whether a new client may be sent to a backend. It
 // follows the committed revisions in the leader's updates. What it may not have
 // received it guards against by time: an announced backend is used only while
 // updates keep coming, and a node that hears neither a leader nor more than half
@@ -76,7 +76,7 @@
 	return p.stopsWhenIsolated && now-p.leaderHeard > p.isolatedAfter/3
 }
 
-// AllowsNew tells whether new requests may be sent to a backend.
+// AllowsNew tells whether a new client may be sent to a backend.
 func (p *Permit) AllowsNew(now time.Duration, server rpc.EndpointID) (allowed bool) {
 	retirement, known := p.retired[server]
 	if !known || retirement.Gone {
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -2,8 +2,8 @@
 // owns the operator's document (Policy), the leader's planning (Planner) and the
 // node's side (Permit); the retirements themselves are replicated state. A
 // retirement passes through revisions that are committed: announced, so that all
-// know of it; stopped, from which on no node sends a new session or request
-// there; and it is complete once every connected node has confirmed that
+// know of it; stopped, from which on no node sends a new client there;
+// and it is complete once every connected node has confirmed that
 // revision. No type here may be used by two goroutines at once.
 package drain
 
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -13,7 +13,7 @@
 // partitioned and restart, a leader that changes in between, clients that keep
 // coming, keyed ones among them. The real planner and permits meet by seed on a
 // clock of its own. Runs are counted at the stand-in backend. Once the leader
-// has reported that all follow, no connected node may send a new request there,
+// has reported that all follow, no connected node may send a new client there,
 // and one that is isolated must stop within its bound; every request is completed
 // once or rejected.
 
