--- a/internal/proxy/batcher.go
+++ b/internal/proxy/batcher.go
@@ -21,19 +21,20 @@
 	send     func(asks []A, left time.Duration) []R
 }
 
-// NewBatcher holds so many asks, has so many calls under way, each with so many.
-func NewBatcher[A, R any](ring, calls, most int, send func(asks []A, left time.Duration) []R) (batcher *Batcher[A, R]) {
-	return &Batcher[A, R]{queue: make(chan pendingRequest[A, R], ring), slots: make(chan struct{}, calls), maxBatch: most, send: send}
+// NewBatcher queues so many requests and has so many calls in flight, each with at most
+// maxBatch requests.
+func NewBatcher[A, R any](queued, calls, maxBatch int, send func(asks []A, left time.Duration) []R) (batcher *Batcher[A, R]) {
+	return &Batcher[A, R]{queue: make(chan pendingRequest[A, R], queued), slots: make(chan struct{}, calls), maxBatch: maxBatch, send: send}
 }
 
-// Run is the duty that sends, until it is ended.
-func (b *Batcher[A, R]) Run(ended <-chan struct{}) {
+// Run sends batches until done is closed.
+func (b *Batcher[A, R]) Run(done <-chan struct{}) {
 	for {
 		var batch []pendingRequest[A, R]
 		select {
 		case first := <-b.queue:
 			batch = append(batch, first)
-		case <-ended:
+		case <-done:
 			return
 		}
 		b.slots <- struct{}{}
@@ -53,37 +54,37 @@
 	defer func() { <-b.slots }()
 	now := time.Now()
 	var left time.Duration
-	asks, waiting := make([]A, 0, len(batch)), batch[:0]
-	for _, wish := range batch {
-		if rest := wish.deadline.Sub(now); rest > 0 {
-			asks, waiting, left = append(asks, wish.request), append(waiting, wish), max(left, rest)
+	requests, waiting := make([]A, 0, len(batch)), batch[:0]
+	for _, pending := range batch {
+		if remaining := pending.deadline.Sub(now); remaining > 0 {
+			requests, waiting, left = append(requests, pending.request), append(waiting, pending), max(left, remaining)
 		}
 	}
-	if len(asks) == 0 {
+	if len(requests) == 0 {
 		return
 	}
-	replies := b.send(asks, left)
-	if len(replies) != len(asks) {
-		replies = make([]R, len(asks))
+	replies := b.send(requests, left)
+	if len(replies) != len(requests) {
+		replies = make([]R, len(requests))
 	}
 	for i := range waiting {
 		waiting[i].reply <- replies[i]
 	}
 }
 
-// Call asks and waits no longer than limit; taken tells that it may have been
-// sent, answered that the reply is one.
-func (b *Batcher[A, R]) Call(ask A, limit time.Duration) (reply R, taken, answered bool) {
-	wish := pendingRequest[A, R]{ask, time.Now().Add(limit), make(chan R, 1)}
+// Call waits for the reply to a request no longer than limit; queued tells that it may
+// have been sent, answered that reply is one.
+func (b *Batcher[A, R]) Call(request A, limit time.Duration) (reply R, queued, answered bool) {
+	pending := pendingRequest[A, R]{request, time.Now().Add(limit), make(chan R, 1)}
 	select {
-	case b.queue <- wish:
+	case b.queue <- pending:
 	default:
 		return reply, false, false
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case reply = <-wish.reply:
+	case reply = <-pending.reply:
 		return reply, true, true
 	case <-timer.C:
 		return reply, true, false
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -96,7 +96,7 @@
 }
 
 func (d *Daemon) isReady() bool {
-	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.CutOff()
+	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.Isolated()
 }
 
 // self is what this node tells of itself.
@@ -130,7 +130,7 @@
 	if d.ready.Load() {
 		return
 	}
-	if scene := d.state.Snapshot(); scene.Configured && scene.ListComplete && d.ready.CompareAndSwap(false, true) {
+	if snapshot := d.state.Snapshot(); snapshot.Configured && snapshot.ListComplete && d.ready.CompareAndSwap(false, true) {
 		go d.leader.HeartbeatNow()
 	}
 }
@@ -200,14 +200,14 @@
 
 // planWeights gives the plan's weights for a host: its own, or those of the first
 // service under a plan that it goes to.
-func (d *Daemon) planWeights(scene *Snapshot, host string) (weights schedule.Weights) {
+func (d *Daemon) planWeights(snapshot *Snapshot, host string) (weights schedule.Weights) {
 	if !d.state.Policies.hasPlan() {
 		return nil
 	}
 	if weights = d.state.Policies.PlanWeights(host, ""); weights != nil {
 		return weights
 	}
-	for _, service := range scene.View.ServicesOf(host) {
+	for _, service := range snapshot.View.ServicesOf(host) {
 		if weights = d.state.Policies.PlanWeights("", rpc.ServiceName(service)); weights != nil {
 			return weights
 		}
@@ -216,11 +216,11 @@
 }
 
 // resolve tells a client where to go.
-func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
-	scene := d.state.Snapshot()
+func (d *Daemon) resolve(ctx context.Context, host, region, zone string) (addresses []string, ttl time.Duration, err error) {
+	snapshot := d.state.Snapshot()
 	addresses = directory.Answer(directory.Query{
-		Nodes: scene.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: scene.View.HomeRegions(host), Weights: d.planWeights(scene, host),
-		Region: region, Zone: site, Client: httpapi.CallerAddress(ctx),
+		Nodes: snapshot.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: snapshot.View.HomeRegions(host), Weights: d.planWeights(snapshot, host),
+		Region: region, Zone: zone, Client: httpapi.CallerAddress(ctx),
 	})
 	if len(addresses) == 0 && d.isReady() {
 		addresses = []string{d.settings.FrontendAddress}
--- a/internal/proxy/policies.go
+++ b/internal/proxy/policies.go
@@ -32,7 +32,7 @@
 	lastSeen time.Duration
 }
 
-// PlanWeights is the plan's step in force, by host and by service.
+// PlanWeights is the schedule's step in force, by host and by service.
 type PlanWeights struct {
 	Hosts    map[string]schedule.Weights
 	Services map[rpc.ServiceName]schedule.Weights
@@ -53,11 +53,11 @@
 	planWeights atomic.Pointer[PlanWeights]
 	overflow    atomic.Pointer[map[rpc.ServiceName]rpc.ZoneOverflow]
 	recentNodes map[rpc.NodeID]metNode
-	// Retries keeps the written limit on retries.
+	// Retries keeps the operator's limit on retries.
 	Retries *retry.Limiter
-	// Sessions keeps callers where they began.
+	// Sessions keeps clients where their sessions began.
 	Sessions       *Sessions
-	cutOff         atomic.Bool
+	isolated       atomic.Bool
 	hasRetirements atomic.Bool
 }
 
@@ -161,31 +161,31 @@
 	return plan
 }
 
-// AcceptsNew tells whether a new caller may be sent to a backend.
-func (o *Policies) AcceptsNew(now time.Duration, server rpc.EndpointID) (sends bool) {
+// AcceptsNew reports whether a new client may be sent to a backend.
+func (o *Policies) AcceptsNew(now time.Duration, backend rpc.EndpointID) (sends bool) {
 	if !o.hasRetirements.Load() {
 		return true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.drainPermit.AllowsNew(now, server)
+	return o.drainPermit.AllowsNew(now, backend)
 }
 
-// KeepsSessions tells whether a session that is there may stay on a backend: one that
+// KeepsSessions reports whether a session that is there may stay on a backend: one that
 // was retired keeps its sessions as long as the policy lets requests finish.
-func (o *Policies) KeepsSessions(now time.Duration, server rpc.EndpointID, service rpc.ServiceName) (keeps bool) {
+func (o *Policies) KeepsSessions(now time.Duration, backend rpc.EndpointID, service rpc.ServiceName) (keeps bool) {
 	if !o.hasRetirements.Load() {
 		return true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.drainPermit.AllowsNew(now, server) || o.drainPermit.MayFinish(now, server, time.Duration(o.drainPolicy.RuleFor(service).Finish))
+	return o.drainPermit.AllowsNew(now, backend) || o.drainPermit.MayFinish(now, backend, time.Duration(o.drainPolicy.RuleFor(service).Finish))
 }
 
-// CutOff tells that nothing new may be taken.
-func (o *Policies) CutOff() bool { return o.cutOff.Load() }
+// Isolated reports whether this node is isolated: no new request may be taken.
+func (o *Policies) Isolated() bool { return o.isolated.Load() }
 
-// RecentNodes counts the fellows met lately.
+// RecentNodes counts the nodes heard of lately.
 func (o *Policies) RecentNodes(now time.Duration) (known int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -197,147 +197,148 @@
 	return len(o.recentNodes)
 }
 
-// refreshNodes keeps fellows that still stand from being forgotten.
-func (o *Policies) refreshNodes(now time.Duration, fellows map[rpc.NodeID]rpc.Node) {
+// refreshNodes keeps nodes that are still listed from being forgotten.
+func (o *Policies) refreshNodes(now time.Duration, nodes map[rpc.NodeID]rpc.Node) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, fellow := range fellows {
-		o.recentNodes[id] = metNode{fellow, now}
+	for id, node := range nodes {
+		o.recentNodes[id] = metNode{node, now}
 	}
 }
 
-// PlanWeights gives the plan's weights for a request, nil where there are none.
+// PlanWeights gives the schedule's weights for a request, nil where there are none.
 func (o *Policies) PlanWeights(host string, service rpc.ServiceName) (weights schedule.Weights) {
-	moves := o.planWeights.Load()
-	if len(moves.Hosts) > 0 {
-		if weights = moves.Hosts[config.NormalizeHost(host)]; weights != nil {
+	plan := o.planWeights.Load()
+	if len(plan.Hosts) > 0 {
+		if weights = plan.Hosts[config.NormalizeHost(host)]; weights != nil {
 			return weights
 		}
 	}
-	return moves.Services[service]
+	return plan.Services[service]
 }
 
-// OverflowZone draws the site that a request should be sent to, empty for one's own.
-func (o *Policies) OverflowZone(service rpc.ServiceName) (site rpc.ZoneName) {
-	spills := *o.overflow.Load()
-	if len(spills) == 0 {
+// OverflowZone draws the zone that a request should be sent to, "" for the node's own.
+// Weights are in thousandths.
+func (o *Policies) OverflowZone(service rpc.ServiceName) (zone rpc.ZoneName) {
+	overflow := *o.overflow.Load()
+	if len(overflow) == 0 {
 		return ""
 	}
-	at := rand.Intn(1000)
-	for _, to := range spills[service].Targets {
-		if at -= to.Weight; at < 0 {
-			return to.Zone
+	point := rand.Intn(1000)
+	for _, target := range overflow[service].Targets {
+		if point -= target.Weight; point < 0 {
+			return target.Zone
 		}
 	}
 	return ""
 }
 
-// hasPlan tells that a plan is in force.
+// hasPlan reports whether a schedule is in force.
 func (o *Policies) hasPlan() bool {
-	moves := o.planWeights.Load()
-	return len(moves.Hosts)+len(moves.Services) > 0
+	plan := o.planWeights.Load()
+	return len(plan.Hosts)+len(plan.Services) > 0
 }
 
-// Retirements lists the orders this daemon follows, for a fellow that asks.
-func (o *Policies) Retirements() (retired []rpc.Retirement) {
+// Retirements lists the retirements this node follows, for another node that asks.
+func (o *Policies) Retirements() (retirements []rpc.Retirement) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, order := range o.retirements {
-		retired = append(retired, order)
+	for _, retirement := range o.retirements {
+		retirements = append(retirements, retirement)
 	}
-	return retired
+	return retirements
 }
 
-// stateOf tells how an order stands on this daemon.
-func (o *Policies) stateOf(kind, name string) (stamp string, rev uint64, has bool) {
+// stateOf gives what this node knows of a document, a retirement or the schedule.
+func (o *Policies) stateOf(kind, name string) (summary string, revision uint64, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch kind {
 	case history.Document:
-		document, known := o.documents[policy.Kind(name)]
-		return document.Stamp(), document.Rev, known
+		document, found := o.documents[policy.Kind(name)]
+		return document.Stamp(), document.Rev, found
 	case history.Retirement:
-		retired, known := o.retirements[rpc.EndpointID(name)]
-		return retired.Summary(), retired.Rev, known
+		retirement, found := o.retirements[rpc.EndpointID(name)]
+		return retirement.Summary(), retirement.Rev, found
 	}
 	return o.planStep.Summary(), o.planStep.Rev, o.planStep.Rev > 0
 }
 
-// enforcePolicies is the duty that keeps to the policy by time: it asks fellows where
-// no leader is heard, notes when the daemon is cut off, and ends requests that
-// have had their time at a backend that was stopped.
+// enforcePolicies does what policies want at a time, until the node stops: it asks other
+// nodes where no leader is heard, notes when this node is isolated, and ends requests
+// that have had their time at a retired backend.
 func (d *Daemon) enforcePolicies() {
 	ticker := time.NewTicker(policyInterval)
 	defer ticker.Stop()
-	for asked := time.Duration(0); ; {
+	for askedAt := time.Duration(0); ; {
 		select {
 		case <-ticker.C:
 		case <-d.leader.Done:
 			return
 		}
 		now := d.clock.Now()
-		o := d.state.Policies
-		o.mu.Lock()
-		lonely, sessionPolicy := o.drainPermit.ShouldAskPeers(now), o.drainPolicy
-		over := o.drainPermit.Expired(now, func(service rpc.ServiceName) time.Duration {
-			return time.Duration(sessionPolicy.RuleFor(service).Finish)
+		policies := d.state.Policies
+		policies.mu.Lock()
+		unheard, drainPolicy := policies.drainPermit.ShouldAskPeers(now), policies.drainPolicy
+		expired := policies.drainPermit.Expired(now, func(service rpc.ServiceName) time.Duration {
+			return time.Duration(drainPolicy.RuleFor(service).Finish)
 		})
-		o.mu.Unlock()
-		for _, retired := range over {
-			d.state.abortRequests(retired.Server, sessionPolicy.RuleFor(retired.Service).KeyedRequests == drain.KeyedDeadline)
+		policies.mu.Unlock()
+		for _, retirement := range expired {
+			d.state.abortRequests(retirement.Server, drainPolicy.RuleFor(retirement.Service).KeyedRequests == drain.KeyedDeadline)
 		}
-		if sessionPolicy == nil {
-			o.cutOff.Store(false)
+		if drainPolicy == nil {
+			policies.isolated.Store(false)
 			continue
 		}
-		if lonely && now-asked > time.Duration(sessionPolicy.IsolatedAfter)/4 {
-			asked = now
+		if unheard && now-askedAt > time.Duration(drainPolicy.IsolatedAfter)/4 {
+			askedAt = now
 			d.askPeers(now)
 		}
-		o.mu.Lock()
-		cut := o.drainPermit.Isolated(d.clock.Now())
-		o.mu.Unlock()
-		if o.cutOff.Swap(cut) != cut {
-			d.log.Emit(eventlog.IsolationChanged, "isolated", cut)
+		policies.mu.Lock()
+		isolated := policies.drainPermit.Isolated(d.clock.Now())
+		policies.mu.Unlock()
+		if policies.isolated.Swap(isolated) != isolated {
+			d.log.Emit(eventlog.IsolationChanged, "isolated", isolated)
 		}
 	}
 }
 
-// askPeers asks all fellows what they follow; more than half of the fleet,
-// this daemon counted, must answer for it to have heard them.
+// askPeers asks all nodes which retirements they follow; more than half of the fleet,
+// this node counted, must answer for it to count as having heard them.
 func (d *Daemon) askPeers(now time.Duration) {
-	o := d.state.Policies
-	o.mu.Lock()
-	var inners []string
-	for id, met := range o.recentNodes {
+	policies := d.state.Policies
+	policies.mu.Lock()
+	var addresses []string
+	for id, node := range policies.recentNodes {
 		if string(id) != d.settings.Name {
-			inners = append(inners, met.InternalAddress)
+			addresses = append(addresses, node.InternalAddress)
 		}
 	}
-	o.mu.Unlock()
-	var asked sync.WaitGroup
+	policies.mu.Unlock()
+	var calls sync.WaitGroup
 	var answers atomic.Int64
-	places := make(chan struct{}, peerCallsInFlight)
-	for _, inner := range inners {
-		asked.Add(1)
-		places <- struct{}{}
+	slots := make(chan struct{}, peerCallsInFlight)
+	for _, address := range addresses {
+		calls.Add(1)
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-places; asked.Done() }()
-			var reply rpc.RetirementsResponse
-			if err := d.leader.peerClient(inner).Call(rpc.MethodRetirements, rpc.RetirementsRequest{From: rpc.NodeID(d.settings.Name)}, &reply, peerCallTimeout); err != nil {
+			defer func() { <-slots; calls.Done() }()
+			var response rpc.RetirementsResponse
+			if err := d.leader.peerClient(address).Call(rpc.MethodRetirements, rpc.RetirementsRequest{From: rpc.NodeID(d.settings.Name)}, &response, peerCallTimeout); err != nil {
 				return
 			}
 			answers.Add(1)
-			o.mu.Lock()
-			o.applyRetirements(d.clock.Now(), reply.Retirements, d.state.History, true)
-			o.mu.Unlock()
+			policies.mu.Lock()
+			policies.applyRetirements(d.clock.Now(), response.Retirements, d.state.History, true)
+			policies.mu.Unlock()
 		}()
 	}
-	asked.Wait()
-	if 2*(int(answers.Load())+1) > len(inners)+1 {
-		o.mu.Lock()
-		o.drainPermit.PeersHeard(now)
-		o.mu.Unlock()
+	calls.Wait()
+	if 2*(int(answers.Load())+1) > len(addresses)+1 {
+		policies.mu.Lock()
+		policies.drainPermit.PeersHeard(now)
+		policies.mu.Unlock()
 	}
 }
 
--- a/internal/proxy/prober.go
+++ b/internal/proxy/prober.go
@@ -24,16 +24,20 @@
 // ProbeResult is what one probe found.
 type ProbeResult uint8
 
-// The findings.
+// What a probe may find.
 const (
+	// ProbeUp: the backend itself says that it is well.
 	ProbeUp ProbeResult = iota
+	// ProbeDown: it refuses the connection, says that it is not well, or is another one.
 	ProbeDown
+	// ProbeBusy: it is there but has no room for the probe.
 	ProbeBusy
 	ProbeTimedOut
+	// ProbeInvalid: what came is no response, and says nothing.
 	ProbeInvalid
 )
 
-type probedServer struct {
+type probedBackend struct {
 	state     rpc.EndpointState
 	timeouts  int
 	nextProbe time.Duration
@@ -47,7 +51,7 @@
 type Prober struct {
 	daemon         *Daemon
 	mu             sync.Mutex
-	probed         map[rpc.EndpointID]*probedServer
+	probed         map[rpc.EndpointID]*probedBackend
 	fullReportTerm map[rpc.ServiceName]rpc.Term
 	phase          int
 	pruned         time.Duration
@@ -55,7 +59,7 @@
 
 // NewProber has found nothing yet.
 func NewProber(d *Daemon) (prober *Prober) {
-	return &Prober{daemon: d, probed: map[rpc.EndpointID]*probedServer{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
+	return &Prober{daemon: d, probed: map[rpc.EndpointID]*probedBackend{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
 }
 
 // Run probes until the node stops.
@@ -124,103 +128,104 @@
 	}
 }
 
-// applyOutliers brings what the sums of all daemons tell into the states.
-func (p *Prober) applyOutliers(scene *Snapshot, duties []rpc.ServiceName, term rpc.Term, count rpc.Revision) {
+// applyOutliers ejects the backends, and takes those back, of which the outcomes at all
+// nodes say so.
+func (p *Prober) applyOutliers(snapshot *Snapshot, services []rpc.ServiceName, term rpc.Term, revision rpc.Revision) {
 	d := p.daemon
-	changed := d.state.DetectOutliers(duties)
+	changed := d.state.DetectOutliers(services)
 	if len(changed) == 0 {
 		return
 	}
 	reports := map[rpc.ServiceName][]rpc.EndpointState{}
-	for _, service := range duties {
-		for _, server := range scene.Services[service] {
-			aside, moved := changed[server.ID]
-			if !moved {
+	for _, service := range services {
+		for _, backend := range snapshot.Services[service] {
+			ejectedFor, isChanged := changed[backend.ID]
+			if !isChanged {
 				continue
 			}
 			p.mu.Lock()
-			held := p.record(server.ID)
-			held.state.EjectedFor = aside
-			state := held.state
+			probed := p.record(backend.ID)
+			probed.state.EjectedFor = ejectedFor
+			state := probed.state
 			p.mu.Unlock()
-			server.update(d.clock.Now(), nil, &state)
-			d.log.Emit(eventlog.EjectionChanged, eventlog.KeyEndpoint, string(server.ID), "ejected_in", aside)
-			d.state.History.Record(history.Health, string(server.ID), "judged", state.Summary(), 0, true)
+			backend.update(d.clock.Now(), nil, &state)
+			d.log.Emit(eventlog.EjectionChanged, eventlog.KeyEndpoint, string(backend.ID), "ejected_in", ejectedFor)
+			d.state.History.Record(history.Health, string(backend.ID), "judged", state.Summary(), 0, true)
 			reports[service] = append(reports[service], state)
 		}
 	}
 	for service, states := range reports {
 		if d.leader.HasLeader() {
-			go d.leader.Report(rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: count, Service: service, States: states})
+			go d.leader.Report(rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: revision, Service: service, States: states})
 		}
 	}
 }
 
-// record gives what was found of a backend; the caller holds the lock.
-func (p *Prober) record(id rpc.EndpointID) (held *probedServer) {
-	held = p.probed[id]
-	if held == nil {
-		held = &probedServer{state: rpc.EndpointState{Endpoint: id}}
-		p.probed[id] = held
+// record gives what is known of a backend by its probes; the caller holds the lock.
+func (p *Prober) record(id rpc.EndpointID) (probed *probedBackend) {
+	probed = p.probed[id]
+	if probed == nil {
+		probed = &probedBackend{state: rpc.EndpointState{Endpoint: id}}
+		p.probed[id] = probed
 	}
-	return held
+	return probed
 }
 
-// probeSchedule is how often a daemon probes: backends that are well at one interval,
-// those in doubt at another, and never more at once than most.
+// probeSchedule is how often this node probes: healthy backends at one interval, suspect
+// ones at another, and never more in one tick than maxPerTick.
 type probeSchedule struct {
 	healthyInterval, suspectInterval time.Duration
 	maxPerTick                       int
 }
 
-// schedule follows the number of backends to probe and the daemon's share of a
-// processor, so that a large service does not use its owner up. Where all
-// daemons probe, each takes a span that grows with the fleet, so that together
-// they do not flood the backends.
-func (p *Prober) schedule(backends int, alone bool, fellows int) (pace probeSchedule) {
+// schedule follows the number of backends to probe and this node's share of a processor,
+// so that a large service does not use its owner up. Where all nodes probe, not each its
+// own services only, the intervals grow with the fleet, so that together they do not
+// flood the backends.
+func (p *Prober) schedule(backends int, ownOnly bool, nodes int) (schedule probeSchedule) {
 	interval := p.daemon.settings.HealthCheckInterval
 	rate := max(minProbesPerSecond, probesPerCPU*p.daemon.settings.CPUShare)
-	pace.healthyInterval = max(interval, time.Duration(float64(backends)/rate*float64(time.Second)))
-	pace.suspectInterval = interval
-	if !alone {
-		together := interval * time.Duration(max(1, fellows/probersPerBackend))
-		pace.healthyInterval, pace.suspectInterval = max(pace.healthyInterval, together), max(pace.suspectInterval, together)
+	schedule.healthyInterval = max(interval, time.Duration(float64(backends)/rate*float64(time.Second)))
+	schedule.suspectInterval = interval
+	if !ownOnly {
+		together := interval * time.Duration(max(1, nodes/probersPerBackend))
+		schedule.healthyInterval, schedule.suspectInterval = max(schedule.healthyInterval, together), max(schedule.suspectInterval, together)
 	}
-	pace.maxPerTick = max(4, int(2*rate*interval.Seconds()/probePhases))
-	return pace
+	schedule.maxPerTick = max(4, int(2*rate*interval.Seconds()/probePhases))
+	return schedule
 }
 
-// isDue tells whether a backend's next probe is due, and sets the one after it.
-func (p *Prober) isDue(now time.Duration, server *Backend, pace probeSchedule) (owed bool) {
+// isDue reports whether a backend's next probe is due, and sets the one after it.
+func (p *Prober) isDue(now time.Duration, backend *Backend, schedule probeSchedule) (due bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held := p.probed[server.ID]
-	if held == nil {
-		held = &probedServer{state: rpc.EndpointState{Endpoint: server.ID}}
-		held.nextProbe = now + time.Duration(rand.Float64()*float64(pace.suspectInterval))
-		p.probed[server.ID] = held
+	probed := p.probed[backend.ID]
+	if probed == nil {
+		probed = &probedBackend{state: rpc.EndpointState{Endpoint: backend.ID}}
+		probed.nextProbe = now + time.Duration(rand.Float64()*float64(schedule.suspectInterval))
+		p.probed[backend.ID] = probed
 	}
-	interval := pace.healthyInterval
-	if held.state.Health != rpc.Healthy || held.state.WarmupRemaining > 0 || server.suspect(now) {
-		interval = pace.suspectInterval
+	interval := schedule.healthyInterval
+	if probed.state.Health != rpc.Healthy || probed.state.WarmupRemaining > 0 || backend.suspect(now) {
+		interval = schedule.suspectInterval
 	}
-	// What is due later than the pace has it was set at another pace.
-	held.nextProbe = min(held.nextProbe, now+interval)
-	if now < held.nextProbe {
+	// What is due later than the interval was set under another schedule.
+	probed.nextProbe = min(probed.nextProbe, now+interval)
+	if now < probed.nextProbe {
 		return false
 	}
-	held.nextProbe = now + time.Duration((0.9+0.2*rand.Float64())*float64(interval))
+	probed.nextProbe = now + time.Duration((0.9+0.2*rand.Float64())*float64(interval))
 	return true
 }
 
 // prune forgets backends that are gone.
-func (p *Prober) prune(scene *Snapshot) {
+func (p *Prober) prune(snapshot *Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := make(map[rpc.EndpointID]bool, len(p.probed))
-	for _, servers := range scene.Services {
-		for _, server := range servers {
-			listed[server.ID] = true
+	for _, backends := range snapshot.Services {
+		for _, backend := range backends {
+			listed[backend.ID] = true
 		}
 	}
 	for id := range p.probed {
@@ -296,25 +301,26 @@
 	return before, probed.state
 }
 
-// report tells the cache that a round was made; the first to a leader is full.
-func (p *Prober) report(service rpc.ServiceName, servers []*Backend, term rpc.Term, count rpc.Revision) {
+// report tells the state cache that a round was made; the first report to a leader holds
+// all states.
+func (p *Prober) report(service rpc.ServiceName, backends []*Backend, term rpc.Term, revision rpc.Revision) {
 	d := p.daemon
-	leader := d.state.Known().Term
-	ask := rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: count, Service: service}
+	leaderTerm := d.state.Known().Term
+	report := rpc.HealthReport{Node: rpc.NodeID(d.settings.Name), Term: term, ShardMapRevision: revision, Service: service}
 	p.mu.Lock()
-	ask.Full = p.fullReportTerm[service] != leader
-	if ask.Full {
-		for _, server := range servers {
-			if held := p.probed[server.ID]; held != nil && held.state.Health != rpc.HealthUnknown {
-				ask.States = append(ask.States, held.state)
+	report.Full = p.fullReportTerm[service] != leaderTerm
+	if report.Full {
+		for _, backend := range backends {
+			if probed := p.probed[backend.ID]; probed != nil && probed.state.Health != rpc.HealthUnknown {
+				report.States = append(report.States, probed.state)
 			}
 		}
-		ask.Full = len(ask.States) == len(servers)
+		report.Full = len(report.States) == len(backends)
 	}
 	p.mu.Unlock()
-	if d.leader.Report(ask) && ask.Full {
+	if d.leader.Report(report) && report.Full {
 		p.mu.Lock()
-		p.fullReportTerm[service] = leader
+		p.fullReportTerm[service] = leaderTerm
 		p.mu.Unlock()
 	}
 }
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -153,25 +153,25 @@
 
 // mustMove tells that a session may not stay on a backend: it has ended or is about
 // to, its site is evacuated, or it was retired and has had its time.
-func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.EndpointID) (over bool) {
-	server := scene.server(plan.Service, id)
-	return server == nil || server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+func (d *Daemon) mustMove(snapshot *Snapshot, plan *Plan, id rpc.EndpointID) (moves bool) {
+	backend := snapshot.backend(plan.Service, id)
+	return backend == nil || backend.isDraining() || snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(backend.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
 // that are well and warm, else among those elsewhere, else among what there is.
-func (d *Daemon) placeSession(scene *Snapshot, plan *Plan) (chosen rpc.EndpointID) {
+func (d *Daemon) placeSession(snapshot *Snapshot, plan *Plan) (chosen rpc.EndpointID) {
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
-	for _, server := range scene.Services[plan.Service] {
-		if server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.AcceptsNew(now, server.ID) {
+	for _, backend := range snapshot.Services[plan.Service] {
+		if backend.isDraining() || snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(backend.Region)) || !d.state.Policies.AcceptsNew(now, backend.ID) {
 			continue
 		}
-		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
+		candidate := affinity.Candidate{ID: backend.ID, Weight: backend.Slots}
 		switch {
-		case !server.healthyAndWarm(now):
+		case !backend.healthyAndWarm(now):
 			rest = append(rest, candidate)
-		case string(server.Region) == d.settings.Region:
+		case string(backend.Region) == d.settings.Region:
 			here = append(here, candidate)
 		default:
 			away = append(away, candidate)
@@ -185,8 +185,8 @@
 	return ""
 }
 
-// server looks a backend of a service up; they are sorted by id.
-func (s *Snapshot) server(service rpc.ServiceName, id rpc.EndpointID) (server *Backend) {
+// backend looks a backend of a service up; they are sorted by id.
+func (s *Snapshot) backend(service rpc.ServiceName, id rpc.EndpointID) (server *Backend) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
