--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,10 +1,6 @@
 package proxy
 
 import (
-	"errors"
-	"net"
-	"os"
-	"syscall"
 	"time"
 )
 
@@ -66,7 +62,7 @@
 	}
 	backend.markActive(conn, options.Keyed)
 	defer backend.unmarkActive(conn)
-	data := request.encode(options.Deadline-now, backend.ID)
+	data := request.Encode(options.Deadline-now, backend.ID)
 	_ = conn.netConn.SetDeadline(time.Now().Add(options.Deadline - now))
 	if !options.stillAllowed(clock, backend) {
 		_ = conn.netConn.SetDeadline(time.Time{})
@@ -79,7 +75,7 @@
 		backend.closeConn(conn)
 		return Attempt{Outcome: NotSent}
 	}
-	if err != nil && isTimeout(err) {
+	if err != nil && IsTimeout(err) {
 		backend.closeConn(conn)
 		return Attempt{Outcome: ConnectionFailed, Sent: true}
 	}
@@ -107,14 +103,6 @@
 	return now < o.Deadline && now-o.ChosenAt <= choiceLifetime
 }
 
-func isTimeout(err error) bool {
-	if errors.Is(err, syscall.ETIMEDOUT) {
-		return false
-	}
-	var netErr net.Error
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
-}
-
 // Clock is the monotonic clock of a node.
 type Clock struct{ birth time.Time }
 
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -122,7 +122,7 @@
 		}
 		return false
 	}
-	id := parsed.Header.Get(headerRequestID)
+	id := parsed.Header.Get(HeaderRequestID)
 	if kind == apierror.None && r.client.rejectAll {
 		kind = apierror.Overloaded
 	}
@@ -151,12 +151,12 @@
 	if crowded {
 		f.setIdle(client, false)
 	}
-	if err != nil && isTimeout(err) {
+	if err != nil && IsTimeout(err) {
 		// A busy proxy may come to this late: what has arrived meanwhile is a request.
 		_ = client.netConn.SetReadDeadline(time.Now().Add(idleRecheck))
 		_, err = r.in.Peek(1)
 	}
-	if err != nil && !errors.Is(err, io.EOF) && !isTimeout(err) {
+	if err != nil && !errors.Is(err, io.EOF) && !IsTimeout(err) {
 		client.broken.Store(true)
 	}
 	return err == nil && !client.broken.Load() && !client.closing.Load()
@@ -184,7 +184,7 @@
 	switch {
 	case errors.Is(err, errHeadTooLarge):
 		return apierror.HeadersTooLarge
-	case isTimeout(err):
+	case IsTimeout(err):
 		return apierror.RequestTimeout
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 		return apierror.None
@@ -205,7 +205,7 @@
 		return false
 	}
 	r.enqueue(response)
-	deadline := parsed.Header.Get(headerRequestDeadline)
+	deadline := parsed.Header.Get(HeaderRequestDeadline)
 	go func() {
 		handled := f.handle(request, deadline)
 		f.bodyBytesLeft.Add(int64(len(request.Body)))
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -146,7 +146,7 @@
 	case rpc.OperationCompleted:
 		response = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
 		for _, field := range reply.Headers {
-			if field[0] == headerRequestID {
+			if field[0] == HeaderRequestID {
 				field[1] = requestID
 			}
 			response.Headers = append(response.Headers, field)
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -72,7 +72,7 @@
 
 func keyed(id, key string) *Request {
 	r := request("POST", "/key/x", id)
-	r.Headers = append(r.Headers, HeaderField{headerOperationKey, key})
+	r.Headers = append(r.Headers, HeaderField{HeaderOperationKey, key})
 	return r
 }
 
@@ -90,7 +90,7 @@
 		t.Fatalf("%d %d %q, %d runs", first.Status, again.Status, again.Body, backend.count())
 	}
 	for _, line := range again.Headers {
-		if line[0] == headerRequestID && line[1] != "b" || line[0] == headerResponseSignature && line[1] != "stamp-a" {
+		if line[0] == HeaderRequestID && line[1] != "b" || line[0] == HeaderResponseSignature && line[1] != "stamp-a" {
 			t.Fatalf("the repeat carries %v", line)
 		}
 	}
@@ -101,7 +101,7 @@
 func TestWhatBecomesOfAKeyWhoseRunFailed(t *testing.T) {
 	broken := func(int, seen, net.Conn) bool { return false }
 	turned := func(_ int, r seen, conn net.Conn) bool {
-		_, err := conn.Write([]byte(answer(503, r.ID, "", headerNotExecuted+": 1")))
+		_, err := conn.Write([]byte(answer(503, r.ID, "", HeaderNotExecuted+": 1")))
 		return err == nil
 	}
 	for name, c := range map[string]struct {
@@ -132,7 +132,7 @@
 }
 
 func TestAKeyHeldElsewhere(t *testing.T) {
-	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: 200, Headers: [][2]string{{headerResponseSignature, "first"}}, Body: []byte("first body")}
+	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: 200, Headers: [][2]string{{HeaderResponseSignature, "first"}}, Body: []byte("first body")}
 	for name, c := range map[string]struct {
 		recall func(int) rpc.StoredResponse
 		status int
--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -39,7 +39,7 @@
 	request.StreamBody = route.Repeat == config.Download
 	d.state.Policies.Sessions.assignSession(plan, tenant)
 	if route.Repeat == config.Keyed {
-		plan.Key = request.operationKey()
+		plan.Key = request.OperationKey()
 		if plan.Key == "" {
 			return nil, apierror.MissingKey, 0
 		}
--- /dev/null
+++ b/internal/proxy/request_body.go
@@ -0,0 +1,93 @@
+package proxy
+
+import (
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"tinpin/internal/apierror"
+	"tinpin/internal/config"
+)
+
+// readRequest makes the request that is forwarded from its head, and reads its body.
+func (f *Frontend) readRequest(client *clientConn, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
+	target, valid := originForm(parsed)
+	if !valid || parsed.Host == "" {
+		return nil, apierror.BadRequest
+	}
+	request = &Request{
+		Method: parsed.Method, Target: target, Host: parsed.Host,
+		ID: parsed.Header.Get(HeaderRequestID), Headers: ForwardedHeaders(parsed.Header),
+	}
+	if parsed.ContentLength == 0 {
+		request.HasBody = len(parsed.Header["Content-Length"]) > 0
+		return request, apierror.None
+	}
+	if parsed.ContentLength > int64(limits.BodyBytes) {
+		return nil, apierror.BodyTooLarge
+	}
+	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
+		client.unanswered.Wait()
+		_, _ = io.WriteString(client.netConn, "HTTP/1.1 100 Continue\r\n\r\n")
+	}
+	_ = client.netConn.SetReadDeadline(time.Now().Add(bodyTimeout))
+	request.HasBody = true
+	if parsed.ContentLength > 0 {
+		request.Body, kind = f.readSizedBody(parsed)
+	} else {
+		request.Body, kind = f.readChunkedBody(parsed, int64(limits.BodyBytes))
+	}
+	if kind != apierror.None {
+		return nil, kind
+	}
+	return request, apierror.None
+}
+
+// originForm gives the path and query of a request that may name its host in the target too.
+func originForm(parsed *http.Request) (target string, valid bool) {
+	target = parsed.RequestURI
+	if parsed.Method != http.MethodConnect && target != "" && (target[0] == '/' || target == "*") {
+		return target, true
+	}
+	if parsed.URL == nil || parsed.URL.Host == "" || parsed.Method == http.MethodConnect {
+		return "", false
+	}
+	at := strings.Index(target, "://")
+	slash := strings.IndexByte(target[at+3:], '/')
+	if at < 0 || slash < 0 {
+		return "/", true
+	}
+	return target[at+3+slash:], true
+}
+
+// readSizedBody reads a body whose length is known; its bytes are reserved first.
+func (f *Frontend) readSizedBody(parsed *http.Request) (body []byte, kind apierror.Kind) {
+	if f.bodyBytesLeft.Add(-parsed.ContentLength) < 0 {
+		f.bodyBytesLeft.Add(parsed.ContentLength)
+		return nil, apierror.Overloaded
+	}
+	body = make([]byte, parsed.ContentLength)
+	if _, err := io.ReadFull(parsed.Body, body); err != nil {
+		f.bodyBytesLeft.Add(parsed.ContentLength)
+		return nil, apierror.BadRequest
+	}
+	return body, apierror.None
+}
+
+// readChunkedBody reads a body that comes in chunks, up to its limit or what memory is left.
+func (f *Frontend) readChunkedBody(parsed *http.Request, limit int64) (body []byte, kind apierror.Kind) {
+	available := min(limit, max(f.bodyBytesLeft.Load(), 0))
+	body, err := io.ReadAll(io.LimitReader(parsed.Body, available+1))
+	if err != nil {
+		return nil, apierror.BadRequest
+	}
+	if int64(len(body)) > limit {
+		return nil, apierror.BodyTooLarge
+	}
+	if int64(len(body)) > available {
+		return nil, apierror.Overloaded
+	}
+	f.bodyBytesLeft.Add(-int64(len(body)))
+	return body, apierror.None
+}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -49,7 +49,7 @@
 	response.ContentLength = int64(len(response.Body))
 	response.Headers = append(response.Headers, HeaderField{"Content-Type", "application/json"})
 	if requestID != "" {
-		response.Headers = append(response.Headers, HeaderField{headerRequestID, requestID})
+		response.Headers = append(response.Headers, HeaderField{HeaderRequestID, requestID})
 	}
 	if answer.RetryAfterMS > 0 {
 		response.Headers = append(response.Headers, HeaderField{"Retry-After", answer.RetryAfter()})
--- /dev/null
+++ b/internal/proxy/response_headers.go
@@ -0,0 +1,60 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	// defaultKeepAlive is how long a connection to a backend that names no time may stay idle.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is how much sooner than a backend says its connection is given up.
+	keepAliveMargin = 700 * time.Millisecond
+	// maxLoadNumber is the largest number that a backend's load is believed to hold.
+	maxLoadNumber = 1 << 20
+)
+
+// keepAliveOf is how long the connection that brought a response may stay idle.
+func keepAliveOf(response *http.Response) (keepAlive time.Duration) {
+	keepAlive = defaultKeepAlive
+	for _, part := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
+			keepAlive = time.Duration(seconds)*time.Second - keepAliveMargin
+		}
+	}
+	return keepAlive
+}
+
+// parseWarmUp reads how long a backend stays cold: a time with its unit, or a number of
+// milliseconds.
+func parseWarmUp(text string) (left time.Duration, ok bool) {
+	if left, err := time.ParseDuration(text); err == nil {
+		return left, true
+	}
+	if number, err := strconv.ParseFloat(text, 64); err == nil {
+		return time.Duration(number * float64(time.Millisecond)), true
+	}
+	return 0, false
+}
+
+// parseLoad reads what a backend tells of its load: the requests that run, those that wait,
+// and its slots. What does not parse, or is negative or absurd, is ignored.
+func parseLoad(text string) (jobs int, ok bool) {
+	parts := strings.Split(text, ",")
+	if len(parts) != 3 {
+		return 0, false
+	}
+	for i, part := range parts {
+		number, err := strconv.Atoi(strings.TrimSpace(part))
+		if err != nil || number < 0 || number > maxLoadNumber {
+			return 0, false
+		}
+		if i < 2 {
+			jobs += number
+		}
+	}
+	return jobs, true
+}
--- a/internal/proxy/response_reader.go
+++ b/internal/proxy/response_reader.go
@@ -33,7 +33,7 @@
 )
 
 func ownerOf(response *http.Response, id string) responseOwner {
-	ids := response.Header[headerRequestID]
+	ids := response.Header[HeaderRequestID]
 	switch {
 	case len(ids) > 1:
 		return ownerAmbiguous
@@ -48,7 +48,7 @@
 // notExecuted tells that a response says that its request was not run.
 func notExecuted(response *http.Response) bool {
 	return response.StatusCode >= 400 &&
-		(response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
+		(response.Header.Get(HeaderNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
 }
 
 // responseReader reads the response to one request. A response is taken only if it is complete,
@@ -91,7 +91,7 @@
 func (r *responseReader) readFailed(err error) Attempt {
 	r.conn.backend.closeConn(r.conn)
 	switch {
-	case isTimeout(err):
+	case IsTimeout(err):
 		return Attempt{Outcome: TimedOut}
 	case !r.conn.fresh && r.nothingReceived() && errors.Is(err, syscall.ECONNRESET):
 		if r.disabledChecks.has(RetryAfterReset) {
@@ -150,7 +150,7 @@
 // of the attempt, or that it is to be skipped.
 func (r *responseReader) takeFinal(response *http.Response) (attempt Attempt, skip bool) {
 	owner := r.owner(response)
-	body, complete, rest := readBody(response, r.request.bufferLimit())
+	body, complete, rest := readBody(response, bufferLimit(r.request))
 	if !complete && rest == nil {
 		if owner == ownerThisRequest && notExecuted(response) {
 			return r.end(Rejected), false
@@ -190,7 +190,7 @@
 	if response.StatusCode >= 500 {
 		outcome = ServerError
 	}
-	result := Response{Status: response.StatusCode, Headers: returnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
+	result := Response{Status: response.StatusCode, Headers: ReturnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
 	if r.request.Method == http.MethodHead {
 		result.NoBody = true
 		result.ContentLength = max(0, response.ContentLength)
@@ -211,12 +211,12 @@
 // observeHeaders takes what a backend tells of itself beside a response.
 func (r *responseReader) observeHeaders(header http.Header) {
 	backend := r.conn.backend
-	if text := header.Get(headerColdRemaining); text != "" {
+	if text := header.Get(HeaderColdRemaining); text != "" {
 		if left, ok := parseWarmUp(text); ok && left > 0 {
 			backend.startWarmUp(r.clock.Now(), left)
 		}
 	}
-	if text := header.Get(headerInstanceLoad); text != "" {
+	if text := header.Get(HeaderInstanceLoad); text != "" {
 		backend.observeLoad(r.clock.Now(), text)
 	}
 }
@@ -225,8 +225,17 @@
 // stamp or with the word that it was not run, or a status that promises that the request has
 // not run without that word.
 func contradictory(response *http.Response) bool {
-	return response.StatusCode < 300 && response.Header.Get(headerResponseSignature) == "" ||
-		response.Header.Get(headerNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode)
+	return response.StatusCode < 300 && response.Header.Get(HeaderResponseSignature) == "" ||
+		response.Header.Get(HeaderNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode)
+}
+
+// bufferLimit is how many bytes of a body are read before the response is passed on: one that is read
+// completely can still be replaced by another backend's.
+func bufferLimit(request *Request) int64 {
+	if request.StreamBody {
+		return maxStreamedPrefix
+	}
+	return maxBufferedBody
 }
 
 // readBody reads a body completely where it is small; of a large one it gives the beginning and
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -101,7 +101,7 @@
 	if policy == nil {
 		return
 	}
-	asked := plan.Request.affinityInput(tenant)
+	asked := affinityInput(plan.Request, tenant)
 	if len(plan.Route.Targets) > 1 {
 		for _, part := range plan.Route.Targets {
 			if _, ruled := policy.RuleFor(rpc.ServiceName(part.Service)); !ruled {
@@ -203,19 +203,9 @@
 	return s.health != rpc.Unhealthy && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
 }
 
-// operationKey is the request's operation key.
-func (r *Request) operationKey() (key string) {
-	for _, line := range r.Headers {
-		if line[0] == headerOperationKey {
-			key = line[1]
-		}
-	}
-	return key
-}
-
 // affinityInput is the part of a request that may name its session.
-func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.NameSources) {
-	asked = affinity.NameSources{Headers: r.Headers, Key: r.operationKey()}
+func affinityInput(r *Request, tenant *config.Tenant) (asked affinity.NameSources) {
+	asked = affinity.NameSources{Headers: r.Headers, Key: r.OperationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
 	}
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -91,7 +91,7 @@
 		r := ofCaller(method, path, fmt.Sprint("r", run), caller)
 		if run%3 == 0 {
 			r = ofCaller("POST", "/key/x", fmt.Sprint("r", run), caller)
-			r.Headers = append(r.Headers, HeaderField{headerOperationKey, fmt.Sprint("k", run)})
+			r.Headers = append(r.Headers, HeaderField{HeaderOperationKey, fmt.Sprint("k", run)})
 		}
 		before := map[string]int{}
 		for _, backend := range backends {
@@ -153,7 +153,7 @@
 		t.Fatal("the refusal does not say when to come back")
 	}
 	keyed := ofCaller("POST", "/key/x", "b", "anna")
-	keyed.Headers = append(keyed.Headers, HeaderField{headerOperationKey, "k"})
+	keyed.Headers = append(keyed.Headers, HeaderField{HeaderOperationKey, "k"})
 	if verdict = d.Handle(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
@@ -179,7 +179,7 @@
 	busy := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
 		text := answer(200, r.ID, "body of "+r.ID)
 		if n == 1 {
-			text = answer(503, r.ID, "", headerNotExecuted+": 1")
+			text = answer(503, r.ID, "", HeaderNotExecuted+": 1")
 		}
 		_, err := io.WriteString(conn, text)
 		return err == nil
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		got := seen{ID: request.Header.Get(headerRequestID), Target: request.Header.Get(headerTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(headerOperationKey), Header: request.Header}
+		got := seen{ID: request.Header.Get(HeaderRequestID), Target: request.Header.Get(HeaderTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(HeaderOperationKey), Header: request.Header}
 		s.mu.Lock()
 		s.requests = append(s.requests, got)
 		n := len(s.requests)
@@ -90,7 +90,7 @@
 }
 
 func answer(status int, id, body string, lines ...string) string {
-	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, headerRequestID, id, headerResponseSignature, id, len(body))
+	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, HeaderRequestID, id, HeaderResponseSignature, id, len(body))
 	for _, line := range lines {
 		text += line + "\r\n"
 	}
@@ -150,7 +150,7 @@
 }
 
 func ask(method, path, id string, lines ...string) string {
-	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + headerRequestID + ": " + id + "\r\n" + headerRequestDeadline + ": 2500\r\n"
+	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + HeaderRequestID + ": " + id + "\r\n" + HeaderRequestDeadline + ": 2500\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
 	}
