--- a/internal/proxy/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -1,4 +1,4 @@
-package proxy
+package frontend
 
 import (
 	"bufio"
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 )
@@ -32,8 +34,8 @@
 // pendingResponse is the response to one request, in the order of the requests.
 type pendingResponse struct {
 	// handled brings the response once there is one; where it is nil, immediate is it.
-	handled   chan Response
-	immediate Response
+	handled   chan message.Response
+	immediate message.Response
 	// http10 tells that the client speaks HTTP/1.0.
 	http10     bool
 	closeAfter bool
@@ -61,19 +63,19 @@
 }
 
 // serveConn serves one client connection until it ends.
-func (f *Frontend) serveConn(conn net.Conn, rejectAll bool) {
+func (s *Server) serveConn(conn net.Conn, rejectAll bool) {
 	client := &clientConn{netConn: conn, rejectAll: rejectAll}
-	f.setIdle(client, false)
+	s.setIdle(client, false)
 	defer func() {
-		f.mu.Lock()
-		delete(f.conns, client)
-		f.mu.Unlock()
-		f.openConns.Add(-1)
+		s.mu.Lock()
+		delete(s.conns, client)
+		s.mu.Unlock()
+		s.openConns.Add(-1)
 	}()
 	pending := make(chan *pendingResponse, maxPipelined)
 	written := make(chan struct{})
-	go f.writeResponses(client, pending, written)
-	f.readRequests(client, pending)
+	go s.writeResponses(client, pending, written)
+	s.readRequests(client, pending)
 	close(pending)
 	<-written
 	if !client.broken.Load() {
@@ -94,24 +96,24 @@
 
 // requestReader is the reading side of a client connection.
 type requestReader struct {
-	frontend *Frontend
-	client   *clientConn
-	source   *headLimitReader
-	in       *bufio.Reader
-	pending  chan<- *pendingResponse
+	server  *Server
+	client  *clientConn
+	source  *headLimitReader
+	in      *bufio.Reader
+	pending chan<- *pendingResponse
 }
 
 // readRequests reads requests and has them handled until the connection is to end.
-func (f *Frontend) readRequests(client *clientConn, pending chan<- *pendingResponse) {
+func (s *Server) readRequests(client *clientConn, pending chan<- *pendingResponse) {
 	source := &headLimitReader{conn: client.netConn}
-	r := requestReader{frontend: f, client: client, source: source, in: bufio.NewReaderSize(source, 4096), pending: pending}
+	r := requestReader{server: s, client: client, source: source, in: bufio.NewReaderSize(source, 4096), pending: pending}
 	for r.readOne() {
 	}
 }
 
 // readOne reads one request and has it handled; it tells whether another may follow.
 func (r *requestReader) readOne() (more bool) {
-	limits := r.frontend.view().Limits
+	limits := r.server.view().Limits
 	if !r.await(limits.IdleTime) {
 		return false
 	}
@@ -122,13 +124,13 @@
 		}
 		return false
 	}
-	id := parsed.Header.Get(HeaderRequestID)
+	id := parsed.Header.Get(message.HeaderRequestID)
 	if kind == apierror.None && r.client.rejectAll {
 		kind = apierror.Overloaded
 	}
-	var request *Request
+	var request *message.Request
 	if kind == apierror.None {
-		request, kind = r.frontend.readRequest(r.client, parsed, limits)
+		request, kind = r.server.readRequest(r.client, parsed, limits)
 	}
 	if kind != apierror.None {
 		r.reject(kind, id)
@@ -139,24 +141,24 @@
 
 // await waits for the first byte of a request; it returns false when the connection is to end.
 func (r *requestReader) await(idleTime time.Duration) bool {
-	f, client := r.frontend, r.client
+	server, client := r.server, r.client
 	r.source.limit = 0
 	_ = client.netConn.SetReadDeadline(time.Now().Add(idleTime))
 	// Idle times are kept only while connections may have to be closed for others.
-	crowded := f.openConns.Load() > f.maxConns/2
+	crowded := server.openConns.Load() > server.maxConns/2
 	if crowded {
-		f.setIdle(client, true)
+		server.setIdle(client, true)
 	}
 	_, err := r.in.Peek(1)
 	if crowded {
-		f.setIdle(client, false)
+		server.setIdle(client, false)
 	}
-	if err != nil && IsTimeout(err) {
+	if err != nil && message.IsTimeout(err) {
 		// A busy proxy may come to this late: what has arrived meanwhile is a request.
 		_ = client.netConn.SetReadDeadline(time.Now().Add(idleRecheck))
 		_, err = r.in.Peek(1)
 	}
-	if err != nil && !errors.Is(err, io.EOF) && !IsTimeout(err) {
+	if err != nil && !errors.Is(err, io.EOF) && !message.IsTimeout(err) {
 		client.broken.Store(true)
 	}
 	return err == nil && !client.broken.Load() && !client.closing.Load()
@@ -184,7 +186,7 @@
 	switch {
 	case errors.Is(err, errHeadTooLarge):
 		return apierror.HeadersTooLarge
-	case IsTimeout(err):
+	case message.IsTimeout(err):
 		return apierror.RequestTimeout
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 		return apierror.None
@@ -193,11 +195,11 @@
 }
 
 // start has a request handled; it tells whether another may follow.
-func (r *requestReader) start(request *Request, parsed *http.Request) (more bool) {
-	f, client := r.frontend, r.client
-	response := &pendingResponse{handled: make(chan Response, 1), http10: parsed.ProtoMinor == 0, closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead}
+func (r *requestReader) start(request *message.Request, parsed *http.Request) (more bool) {
+	server, client := r.server, r.client
+	response := &pendingResponse{handled: make(chan message.Response, 1), http10: parsed.ProtoMinor == 0, closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead}
 	path, _, _ := strings.Cut(request.Target, "?")
-	if route := f.view().Find(request.Host, path); route != nil && !route.Repeat.Repeatable() {
+	if route := server.view().Find(request.Host, path); route != nil && !route.Repeat.Repeatable() {
 		client.unanswered.Wait()
 	}
 	request.Pipelined = client.unansweredCount.Load() > 0
@@ -205,10 +207,10 @@
 		return false
 	}
 	r.enqueue(response)
-	deadline := parsed.Header.Get(HeaderRequestDeadline)
+	deadline := parsed.Header.Get(message.HeaderRequestDeadline)
 	go func() {
-		handled := f.handle(request, deadline)
-		f.bodyBytesLeft.Add(int64(len(request.Body)))
+		handled := server.handle(request, deadline)
+		server.bodyBytesLeft.Add(int64(len(request.Body)))
 		response.handled <- handled
 	}()
 	return !response.closeAfter
@@ -217,20 +219,20 @@
 func (r *requestReader) enqueue(response *pendingResponse) {
 	r.client.unanswered.Add(1)
 	r.client.unansweredCount.Add(1)
-	r.frontend.inFlight.Add(1)
+	r.server.inFlight.Add(1)
 	r.pending <- response
 }
 
 // reject answers with an error and ends the connection.
 func (r *requestReader) reject(kind apierror.Kind, id string) {
-	response := ErrorResponse(kind, id)
+	response := message.ErrorResponse(kind, id)
 	response.Close = true
 	r.enqueue(&pendingResponse{immediate: response, closeAfter: true})
 }
 
 // writeResponses writes the responses in their order, until one closes the connection; those
 // behind it are only waited for.
-func (f *Frontend) writeResponses(client *clientConn, pending <-chan *pendingResponse, written chan<- struct{}) {
+func (s *Server) writeResponses(client *clientConn, pending <-chan *pendingResponse, written chan<- struct{}) {
 	defer close(written)
 	var buffer []byte
 	ended := false
@@ -241,11 +243,11 @@
 		}
 		switch {
 		case !ended:
-			buffer, ended = f.writeResponse(client, next, response, buffer)
+			buffer, ended = s.writeResponse(client, next, response, buffer)
 		case response.Finish != nil:
 			response.Finish(false)
 		}
-		f.inFlight.Add(-1)
+		s.inFlight.Add(-1)
 		client.unansweredCount.Add(-1)
 		client.unanswered.Done()
 	}
@@ -253,14 +255,14 @@
 
 // writeResponse writes one response. It gives the buffer back for the next, and tells whether
 // the connection has ended with this one.
-func (f *Frontend) writeResponse(client *clientConn, pending *pendingResponse, response Response, buffer []byte) (kept []byte, ended bool) {
+func (s *Server) writeResponse(client *clientConn, pending *pendingResponse, response message.Response, buffer []byte) (kept []byte, ended bool) {
 	conn := client.netConn
 	response.NoBody = response.NoBody || pending.headOnly
-	response.Close = response.Close || pending.closeAfter || f.draining.Load()
+	response.Close = response.Close || pending.closeAfter || s.draining.Load()
 	if response.Close {
 		client.closing.Store(true)
 	}
-	response.KeepAlive = f.view().Limits.IdleTime - idleMargin
+	response.KeepAlive = s.view().Limits.IdleTime - idleMargin
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	buffer, complete := response.Write(conn, buffer, pending.http10)
 	if cap(buffer) > 64<<10 {
--- a/internal/proxy/request_body.go
+++ b/internal/frontend/request_body.go
@@ -1,4 +1,4 @@
-package proxy
+package frontend
 
 import (
 	"io"
@@ -6,19 +6,21 @@
 	"strings"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 )
 
 // readRequest makes the request that is forwarded from its head, and reads its body.
-func (f *Frontend) readRequest(client *clientConn, parsed *http.Request, limits config.LimitItem) (request *Request, kind apierror.Kind) {
+func (s *Server) readRequest(client *clientConn, parsed *http.Request, limits config.LimitItem) (request *message.Request, kind apierror.Kind) {
 	target, valid := originForm(parsed)
 	if !valid || parsed.Host == "" {
 		return nil, apierror.BadRequest
 	}
-	request = &Request{
+	request = &message.Request{
 		Method: parsed.Method, Target: target, Host: parsed.Host,
-		ID: parsed.Header.Get(HeaderRequestID), Headers: ForwardedHeaders(parsed.Header),
+		ID: parsed.Header.Get(message.HeaderRequestID), Headers: message.ForwardedHeaders(parsed.Header),
 	}
 	if parsed.ContentLength == 0 {
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
@@ -34,9 +36,9 @@
 	_ = client.netConn.SetReadDeadline(time.Now().Add(bodyTimeout))
 	request.HasBody = true
 	if parsed.ContentLength > 0 {
-		request.Body, kind = f.readSizedBody(parsed)
+		request.Body, kind = s.readSizedBody(parsed)
 	} else {
-		request.Body, kind = f.readChunkedBody(parsed, int64(limits.BodyBytes))
+		request.Body, kind = s.readChunkedBody(parsed, int64(limits.BodyBytes))
 	}
 	if kind != apierror.None {
 		return nil, kind
@@ -62,22 +64,22 @@
 }
 
 // readSizedBody reads a body whose length is known; its bytes are reserved first.
-func (f *Frontend) readSizedBody(parsed *http.Request) (body []byte, kind apierror.Kind) {
-	if f.bodyBytesLeft.Add(-parsed.ContentLength) < 0 {
-		f.bodyBytesLeft.Add(parsed.ContentLength)
+func (s *Server) readSizedBody(parsed *http.Request) (body []byte, kind apierror.Kind) {
+	if s.bodyBytesLeft.Add(-parsed.ContentLength) < 0 {
+		s.bodyBytesLeft.Add(parsed.ContentLength)
 		return nil, apierror.Overloaded
 	}
 	body = make([]byte, parsed.ContentLength)
 	if _, err := io.ReadFull(parsed.Body, body); err != nil {
-		f.bodyBytesLeft.Add(parsed.ContentLength)
+		s.bodyBytesLeft.Add(parsed.ContentLength)
 		return nil, apierror.BadRequest
 	}
 	return body, apierror.None
 }
 
 // readChunkedBody reads a body that comes in chunks, up to its limit or what memory is left.
-func (f *Frontend) readChunkedBody(parsed *http.Request, limit int64) (body []byte, kind apierror.Kind) {
-	available := min(limit, max(f.bodyBytesLeft.Load(), 0))
+func (s *Server) readChunkedBody(parsed *http.Request, limit int64) (body []byte, kind apierror.Kind) {
+	available := min(limit, max(s.bodyBytesLeft.Load(), 0))
 	body, err := io.ReadAll(io.LimitReader(parsed.Body, available+1))
 	if err != nil {
 		return nil, apierror.BadRequest
@@ -88,6 +90,6 @@
 	if int64(len(body)) > available {
 		return nil, apierror.Overloaded
 	}
-	f.bodyBytesLeft.Add(-int64(len(body)))
+	s.bodyBytesLeft.Add(-int64(len(body)))
 	return body, apierror.None
 }
--- a/internal/proxy/frontend.go
+++ b/internal/frontend/server.go
@@ -1,4 +1,4 @@
-package proxy
+package frontend
 
 import (
 	"errors"
@@ -7,6 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/config"
 	"tinpin/internal/rpc"
 )
@@ -32,14 +34,14 @@
 	acceptRetryPause = 5 * time.Millisecond
 )
 
-// Frontend accepts client connections. A goroutine per connection reads requests with
+// Server accepts client connections. A goroutine per connection reads requests with
 // net/http's codec, idempotent ones ahead of the responses; another writes the responses in
 // order. net/http's own server is not used: it reads a pipelined request only once the one
 // before is answered, and it adds headers of its own. A request that is not idempotent is
 // handled only when all before it on the connection are answered, because a response that
 // closes the connection tells the client that the requests behind it were not read.
-type Frontend struct {
-	handle   func(request *Request, deadline string) Response
+type Server struct {
+	handle   func(request *message.Request, deadline string) message.Response
 	view     func() *config.View
 	draining atomic.Bool
 	// openConns counts connections, those that are only rejected among them.
@@ -55,25 +57,25 @@
 	conns map[*clientConn]time.Time
 }
 
-// NewFrontend handles requests with a function, on at most maxConns connections and with at
+// New handles requests with a function, on at most maxConns connections and with at
 // most bodyBytes of request bodies in memory.
-func NewFrontend(handle func(*Request, string) Response, view func() *config.View, maxConns int, bodyBytes int64) *Frontend {
-	f := &Frontend{handle: handle, view: view, maxConns: int64(maxConns), conns: map[*clientConn]time.Time{}}
-	f.bodyBytesLeft.Store(bodyBytes)
-	return f
+func New(handle func(*message.Request, string) message.Response, view func() *config.View, maxConns int, bodyBytes int64) *Server {
+	s := &Server{handle: handle, view: view, maxConns: int64(maxConns), conns: map[*clientConn]time.Time{}}
+	s.bodyBytesLeft.Store(bodyBytes)
+	return s
 }
 
 // Listen listens on the address and serves.
-func (f *Frontend) Listen(address string) (err error) {
-	if f.listener, err = rpc.Listen(address, 5*time.Second); err != nil {
+func (s *Server) Listen(address string) (err error) {
+	if s.listener, err = rpc.Listen(address, 5*time.Second); err != nil {
 		return err
 	}
-	go f.Serve(f.listener)
+	go s.Serve(s.listener)
 	return nil
 }
 
 // Serve accepts connections until the listener closes.
-func (f *Frontend) Serve(listener net.Listener) {
+func (s *Server) Serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -83,59 +85,59 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		open := f.openConns.Add(1)
-		if open > f.maxConns+maxRejectedConns {
-			f.openConns.Add(-1)
+		open := s.openConns.Add(1)
+		if open > s.maxConns+maxRejectedConns {
+			s.openConns.Add(-1)
 			_ = conn.Close()
 			continue
 		}
 		// Beyond the limit the connection that has been idle longest is closed; where none is
 		// idle, the requests of the new one are rejected with a response the client can trust.
-		go f.serveConn(conn, open > f.maxConns && !f.closeLongestIdle())
+		go s.serveConn(conn, open > s.maxConns && !s.closeLongestIdle())
 	}
 }
 
 // closeLongestIdle closes the connection that has been idle longest, if any is.
-func (f *Frontend) closeLongestIdle() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *Server) closeLongestIdle() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var oldest *clientConn
-	for c, since := range f.conns {
-		if !since.IsZero() && c.unansweredCount.Load() == 0 && (oldest == nil || since.Before(f.conns[oldest])) {
+	for c, since := range s.conns {
+		if !since.IsZero() && c.unansweredCount.Load() == 0 && (oldest == nil || since.Before(s.conns[oldest])) {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	f.conns[oldest] = time.Time{}
+	s.conns[oldest] = time.Time{}
 	_ = oldest.netConn.SetReadDeadline(time.Now())
 	return true
 }
 
 // setIdle records that a connection waits for a request, or no longer does.
-func (f *Frontend) setIdle(c *clientConn, idle bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.conns[c] = (time.Time{}); idle {
-		f.conns[c] = time.Now()
+func (s *Server) setIdle(c *clientConn, idle bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.conns[c] = (time.Time{}); idle {
+		s.conns[c] = time.Now()
 	}
 }
 
 // StartDraining makes every further response close its connection.
-func (f *Frontend) StartDraining() { f.draining.Store(true) }
+func (s *Server) StartDraining() { s.draining.Store(true) }
 
 // InFlight counts requests that are read and not yet answered.
-func (f *Frontend) InFlight() int64 { return f.inFlight.Load() }
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // CloseListener stops listening.
-func (f *Frontend) CloseListener() { _ = f.listener.Close() }
+func (s *Server) CloseListener() { _ = s.listener.Close() }
 
 // CloseConns closes the connections that are still open.
-func (f *Frontend) CloseConns() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+func (s *Server) CloseConns() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
 		_ = c.netConn.Close()
 	}
 }
--- a/internal/proxy/headers.go
+++ b/internal/message/headers.go
@@ -1,4 +1,4 @@
-package proxy
+package message
 
 import (
 	"net/http"
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"tinpin/internal/message"
 )
 
 const (
@@ -21,7 +23,7 @@
 // transport, which repeats requests on its own.
 type Attempt struct {
 	Outcome  Outcome
-	Response Response
+	Response message.Response
 	// Sent tells that the request has left, so that it counts as an arrival.
 	Sent bool
 }
@@ -39,7 +41,7 @@
 }
 
 // runAttempt sends the request to the backend and reads the response.
-func runAttempt(clock Clock, backend *Backend, request *Request, options AttemptOptions) (attempt Attempt) {
+func runAttempt(clock Clock, backend *Backend, request *message.Request, options AttemptOptions) (attempt Attempt) {
 	startedAt := clock.Now()
 	backend.attemptStarted(startedAt)
 	defer func() {
@@ -75,7 +77,7 @@
 		backend.closeConn(conn)
 		return Attempt{Outcome: NotSent}
 	}
-	if err != nil && IsTimeout(err) {
+	if err != nil && message.IsTimeout(err) {
 		backend.closeConn(conn)
 		return Attempt{Outcome: ConnectionFailed, Sent: true}
 	}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -10,6 +10,8 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/rpc"
 )
 
@@ -47,7 +49,7 @@
 		runs          int // on a fresh stream
 	}{
 		"421 without an id":            {nameless(421, ""), 200, 502, 2},
-		"not run without an id":        {nameless(503, HeaderNotExecuted+": 1\r\n"), 200, 502, 2},
+		"not run without an id":        {nameless(503, message.HeaderNotExecuted+": 1\r\n"), 200, 502, 2},
 		"503 without a word":           {nameless(503, ""), 502, 502, 1},
 		"another's, 421 without an id": {answer(200, "other", "not yours") + nameless(421, ""), 502, 502, 1},
 		"1xx, 421 without an id":       {"HTTP/1.1 100 Continue\r\n\r\n" + nameless(421, ""), 502, 502, 1},
@@ -57,10 +59,10 @@
 		"its own 408 without a word":   {answer(408, "ID", "sorry"), 502, 502, 1},
 		"its own 504":                  {answer(504, "ID", "sorry"), 504, 504, 1},
 		"its own 404":                  {answer(404, "ID", "sorry"), 404, 404, 1},
-		"an empty id":                  {nameless(421, HeaderRequestID+":\r\n"), 200, 502, 2},
-		"two ids, mine first":          {answer(200, "ID", "body of ID", HeaderRequestID+": other"), 502, 502, 1},
-		"two ids, mine last":           {answer(200, "other", "body of ID", HeaderRequestID+": ID"), 502, 502, 1},
-		"two ids, not run":             {answer(503, "ID", "", HeaderRequestID+": other", HeaderNotExecuted+": 1"), 502, 502, 1},
+		"an empty id":                  {nameless(421, message.HeaderRequestID+":\r\n"), 200, 502, 2},
+		"two ids, mine first":          {answer(200, "ID", "body of ID", message.HeaderRequestID+": other"), 502, 502, 1},
+		"two ids, mine last":           {answer(200, "other", "body of ID", message.HeaderRequestID+": ID"), 502, 502, 1},
+		"two ids, not run":             {answer(503, "ID", "", message.HeaderRequestID+": other", message.HeaderNotExecuted+": 1"), 502, 502, 1},
 		"an id of another length":      {answer(200, "ID0", "body of ID") + mine, 200, 200, 1},
 		"only ids of another length":   {answer(200, "ID0", ""), 504, 504, 1},
 		"too many of others":           {strings.Repeat(answer(200, "other", "no"), 6) + mine, 502, 502, 1},
@@ -72,9 +74,9 @@
 		"1xx, then mine":               {"HTTP/1.1 103 Early Hints\r\n\r\n" + mine, 200, 200, 1},
 		"1xx without end":              {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 6) + mine, 502, 502, 1},
 		"another protocol":             {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + mine, 502, 502, 1},
-		"a success that was not run":   {answer(200, "ID", "body of ID", HeaderNotExecuted+": 1"), 502, 502, 1},
-		"not run, cut short":           {strings.Replace(answer(503, "ID", "", HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
-		"another's not run, cut short": {strings.Replace(answer(503, "other", "", HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
+		"a success that was not run":   {answer(200, "ID", "body of ID", message.HeaderNotExecuted+": 1"), 502, 502, 1},
+		"not run, cut short":           {strings.Replace(answer(503, "ID", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
+		"another's not run, cut short": {strings.Replace(answer(503, "other", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
 	}
 	for name, c := range cases {
 		bad := func(_ int, r seen, conn net.Conn) bool {
@@ -148,9 +150,9 @@
 		say    string
 		status int
 	}{
-		"turned away":   {answer(503, "up", "", HeaderNotExecuted+": 1"), 503},
+		"turned away":   {answer(503, "up", "", message.HeaderNotExecuted+": 1"), 503},
 		"nothing":       {"", 502},
-		"another's":     {answer(503, "other", "", HeaderNotExecuted+": 1"), 502},
+		"another's":     {answer(503, "other", "", message.HeaderNotExecuted+": 1"), 502},
 		"its own error": {answer(500, "up", ""), 500},
 	} {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -257,7 +259,7 @@
 	for lapse, want := range map[DisabledChecks]int{0: 2, ReuseRejectingConn: 3} {
 		var told sync.Map
 		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
-			no := answer(503, r.ID, "", HeaderNotExecuted+": 1")
+			no := answer(503, r.ID, "", message.HeaderNotExecuted+": 1")
 			if _, again := told.LoadOrStore(conn, true); n == 1 || again {
 				// The second time it comes before the answer to a run.
 				_, err := io.WriteString(conn, no)
--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/rpc"
@@ -17,23 +19,23 @@
 const capacityWaitDivisor = 5
 
 // Handle plans a request and executes the plan.
-func (d *Daemon) Handle(request *Request, deadline string) Response {
+func (d *Daemon) Handle(request *message.Request, deadline string) message.Response {
 	plan, kind, retryAfter := d.newPlan(request, deadline)
 	if kind != apierror.None {
-		return ErrorResponseAfter(kind, request.ID, retryAfter)
+		return message.ErrorResponseAfter(kind, request.ID, retryAfter)
 	}
 	if plan.Key != "" {
 		return d.executeKeyed(plan)
 	}
 	response, kind := d.execute(plan)
 	if kind != apierror.None {
-		return ErrorResponse(kind, request.ID)
+		return message.ErrorResponse(kind, request.ID)
 	}
 	return response
 }
 
 // execute makes the attempts of a plan, once the concurrency limit of its service lets it.
-func (d *Daemon) execute(plan *Plan) (response Response, kind apierror.Kind) {
+func (d *Daemon) execute(plan *Plan) (response message.Response, kind apierror.Kind) {
 	if plan.Session != "" {
 		if kind = d.bind(plan); kind != apierror.None {
 			return response, plan.errorKind(kind)
@@ -58,7 +60,7 @@
 
 // attemptOrServerError makes the attempts of a plan. Where a backend told of its own failure and
 // no other gave a response, that is the response.
-func (d *Daemon) attemptOrServerError(plan *Plan, limiter *ConcurrencyLimiter) (response Response, kind apierror.Kind) {
+func (d *Daemon) attemptOrServerError(plan *Plan, limiter *ConcurrencyLimiter) (response message.Response, kind apierror.Kind) {
 	response, kind = d.runAttempts(plan, limiter)
 	if kind != apierror.None && plan.LastServerError != nil {
 		return *plan.LastServerError, apierror.None
@@ -67,7 +69,7 @@
 }
 
 // runAttempts sends a plan's request until there is a response or an error.
-func (d *Daemon) runAttempts(plan *Plan, limiter *ConcurrencyLimiter) (response Response, kind apierror.Kind) {
+func (d *Daemon) runAttempts(plan *Plan, limiter *ConcurrencyLimiter) (response message.Response, kind apierror.Kind) {
 	arrivals := 0
 	for {
 		now := d.clock.Now()
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/healthcheck"
@@ -19,12 +21,12 @@
 
 // executeKeyed claims the key of a plan's operation before the request leaves, and stores the
 // response for repeats.
-func (d *Daemon) executeKeyed(plan *Plan) Response {
+func (d *Daemon) executeKeyed(plan *Plan) message.Response {
 	request := plan.Request
 	if d.operations.Released(plan.Key, request.ID) {
 		// The release of this claim may still be under way, and would release a new one of the
 		// same name.
-		return ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
+		return message.ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
 	}
 	operation, earlier := d.operations.Begin(plan.Key, request.ID)
 	if earlier != nil {
@@ -43,11 +45,11 @@
 	default:
 		d.releaseKey(plan, operation)
 	}
-	return ErrorResponse(kind, request.ID)
+	return message.ErrorResponse(kind, request.ID)
 }
 
 // claim claims the key of a plan. Where it is not granted, the response is what the client gets.
-func (d *Daemon) claim(plan *Plan, operation *idempotency.HeldOperation) (response Response, granted bool) {
+func (d *Daemon) claim(plan *Plan, operation *idempotency.HeldOperation) (response message.Response, granted bool) {
 	request := plan.Request
 	limit := min(claimTimeout, plan.Deadline-d.clock.Now())
 	for retries := 0; ; retries++ {
@@ -74,7 +76,7 @@
 		default:
 			d.operations.Abandon(operation)
 		}
-		return ErrorResponse(apierror.NoLeader, request.ID), false
+		return message.ErrorResponse(apierror.NoLeader, request.ID), false
 	}
 }
 
@@ -105,7 +107,7 @@
 
 // storeResponse keeps the response of an operation for repeats. Only the allowed regions of a
 // route may store its responses; elsewhere a node there stores it.
-func (d *Daemon) storeResponse(operation *idempotency.HeldOperation, plan *Plan, response Response) {
+func (d *Daemon) storeResponse(operation *idempotency.HeldOperation, plan *Plan, response message.Response) {
 	homes := plan.Route.Homes
 	switch {
 	case response.BodyRest != nil:
@@ -118,7 +120,7 @@
 }
 
 // storeOnPeer has a node within the allowed regions of a route store a response.
-func (d *Daemon) storeOnPeer(operation *idempotency.HeldOperation, plan *Plan, response Response) {
+func (d *Daemon) storeOnPeer(operation *idempotency.HeldOperation, plan *Plan, response message.Response) {
 	snapshot, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var address string
 	var best uint64
@@ -139,19 +141,19 @@
 }
 
 // replay answers a repeat from what the operation's holder told.
-func (d *Daemon) replay(reply rpc.StoredResponse, requestID string) (response Response) {
+func (d *Daemon) replay(reply rpc.StoredResponse, requestID string) (response message.Response) {
 	switch reply.State {
 	case rpc.OperationRunning:
-		return ErrorResponse(apierror.KeyInUse, requestID)
+		return message.ErrorResponse(apierror.KeyInUse, requestID)
 	case rpc.OperationCompleted:
-		response = Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
+		response = message.Response{Status: reply.Status, Body: reply.Body, ContentLength: int64(len(reply.Body))}
 		for _, field := range reply.Headers {
-			if field[0] == HeaderRequestID {
+			if field[0] == message.HeaderRequestID {
 				field[1] = requestID
 			}
 			response.Headers = append(response.Headers, field)
 		}
 		return response
 	}
-	return ErrorResponse(apierror.KeyOutcomeUnknown, requestID)
+	return message.ErrorResponse(apierror.KeyOutcomeUnknown, requestID)
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/idempotency"
 	"tinpin/internal/rpc"
 )
@@ -70,9 +72,9 @@
 	return inner
 }
 
-func keyed(id, key string) *Request {
+func keyed(id, key string) *message.Request {
 	r := request("POST", "/key/x", id)
-	r.Headers = append(r.Headers, HeaderField{HeaderOperationKey, key})
+	r.Headers = append(r.Headers, message.HeaderField{message.HeaderOperationKey, key})
 	return r
 }
 
@@ -90,7 +92,7 @@
 		t.Fatalf("%d %d %q, %d runs", first.Status, again.Status, again.Body, backend.count())
 	}
 	for _, line := range again.Headers {
-		if line[0] == HeaderRequestID && line[1] != "b" || line[0] == HeaderResponseSignature && line[1] != "stamp-a" {
+		if line[0] == message.HeaderRequestID && line[1] != "b" || line[0] == message.HeaderResponseSignature && line[1] != "stamp-a" {
 			t.Fatalf("the repeat carries %v", line)
 		}
 	}
@@ -101,7 +103,7 @@
 func TestWhatBecomesOfAKeyWhoseRunFailed(t *testing.T) {
 	broken := func(int, seen, net.Conn) bool { return false }
 	turned := func(_ int, r seen, conn net.Conn) bool {
-		_, err := conn.Write([]byte(answer(503, r.ID, "", HeaderNotExecuted+": 1")))
+		_, err := conn.Write([]byte(answer(503, r.ID, "", message.HeaderNotExecuted+": 1")))
 		return err == nil
 	}
 	for name, c := range map[string]struct {
@@ -132,7 +134,7 @@
 }
 
 func TestAKeyHeldElsewhere(t *testing.T) {
-	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: 200, Headers: [][2]string{{HeaderResponseSignature, "first"}}, Body: []byte("first body")}
+	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: 200, Headers: [][2]string{{message.HeaderResponseSignature, "first"}}, Body: []byte("first body")}
 	for name, c := range map[string]struct {
 		recall func(int) rpc.StoredResponse
 		status int
@@ -217,7 +219,7 @@
 func TestFinalAnswersAreGivenAtOnce(t *testing.T) {
 	broken := func(int, seen, net.Conn) bool { return false }
 	for name, c := range map[string]struct {
-		request *Request
+		request *message.Request
 		backend bool
 		led     bool
 		status  int
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/affinity"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
@@ -20,7 +22,7 @@
 type Plan struct {
 	Route   *config.Way
 	Service rpc.ServiceName
-	Request *Request
+	Request *message.Request
 	// Key is the operation key with its tenant, where the route is keyed.
 	Key string
 	// StartedAt and Deadline are times of the node's clock.
@@ -32,7 +34,7 @@
 	// MayHaveRun is set once an attempt ended without proof that nothing ran.
 	MayHaveRun bool
 	// LastServerError is the last response in which a backend told of its own failure.
-	LastServerError *Response
+	LastServerError *message.Response
 	connectFailures int
 	// Session is what the request belongs to, under Rule; BoundBackend is the backend that the
 	// request may go to and no other.
--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -6,6 +6,8 @@
 	"strings"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 )
@@ -15,7 +17,7 @@
 
 // newPlan makes the plan of a request, or says why there is none. The tenant's limit comes first:
 // a request beyond it takes nothing.
-func (d *Daemon) newPlan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
+func (d *Daemon) newPlan(request *message.Request, deadline string) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
 	snapshot := d.state.Snapshot()
 	now := d.clock.Now()
 	route, kind := d.findRoute(snapshot, request)
@@ -52,7 +54,7 @@
 }
 
 // findRoute gives the route of a request that may be handled at all.
-func (d *Daemon) findRoute(snapshot *Snapshot, request *Request) (route *config.Way, kind apierror.Kind) {
+func (d *Daemon) findRoute(snapshot *Snapshot, request *message.Request) (route *config.Way, kind apierror.Kind) {
 	if d.state.Policies.CutOff() {
 		return nil, apierror.Isolated
 	}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -13,6 +13,8 @@
 	"syscall"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
 	"tinpin/internal/rpc"
@@ -314,14 +316,14 @@
 	if stream == nil {
 		var err error
 		if stream, err = server.dial(probeTimeout); err != nil {
-			if IsTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
+			if message.IsTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
 				return ProbeTimedOut, 0
 			}
 			return ProbeDown, 0
 		}
 	}
 	_ = stream.netConn.SetDeadline(time.Now().Add(probeTimeout))
-	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + HeaderTargetInstance + ": " + string(server.ID) + "\r\n\r\n"
+	text := "GET " + path + " HTTP/1.1\r\nHost: " + server.Address + "\r\n" + message.HeaderTargetInstance + ": " + string(server.ID) + "\r\n\r\n"
 	if _, err := stream.netConn.Write([]byte(text)); err != nil {
 		server.closeConn(stream)
 		return ProbeInvalid, 0
@@ -330,7 +332,7 @@
 		response, err := http.ReadResponse(stream.reader, &http.Request{Method: http.MethodGet})
 		if err != nil {
 			server.closeConn(stream)
-			if IsTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
+			if message.IsTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
 				return ProbeTimedOut, 0
 			}
 			return ProbeInvalid, 0
@@ -340,7 +342,7 @@
 			server.closeConn(stream)
 			return ProbeInvalid, 0
 		}
-		if response.Header.Get(HeaderRequestID) != "" || response.StatusCode < 200 {
+		if response.Header.Get(message.HeaderRequestID) != "" || response.StatusCode < 200 {
 			continue
 		}
 		if keep := keepAliveOf(response); !response.Close && stream.reader.Buffered() == 0 && keep > 0 {
@@ -349,15 +351,15 @@
 		} else {
 			server.closeConn(stream)
 		}
-		if span, ok := parseWarmUp(response.Header.Get(HeaderColdRemaining)); ok {
+		if span, ok := parseWarmUp(response.Header.Get(message.HeaderColdRemaining)); ok {
 			cold = span
 		}
 		switch {
-		case response.StatusCode == http.StatusOK && response.Header.Get(HeaderInstanceID) == string(server.ID):
+		case response.StatusCode == http.StatusOK && response.Header.Get(message.HeaderInstanceID) == string(server.ID):
 			return ProbeUp, cold
 		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusMisdirectedRequest:
 			return ProbeDown, 0
-		case response.Header.Get(HeaderNotExecuted) != "" || response.StatusCode == http.StatusTooManyRequests:
+		case response.Header.Get(message.HeaderNotExecuted) != "" || response.StatusCode == http.StatusTooManyRequests:
 			return ProbeBusy, 0
 		}
 		return ProbeDown, 0
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -7,13 +7,15 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/rpc"
 )
 
-func request(method, target, id string) *Request {
-	return &Request{Method: method, Target: target, Host: "a.example", ID: id, Headers: []HeaderField{{HeaderRequestID, id}}}
+func request(method, target, id string) *message.Request {
+	return &message.Request{Method: method, Target: target, Host: "a.example", ID: id, Headers: []message.HeaderField{{message.HeaderRequestID, id}}}
 }
 
 // What a backend in trouble does must never reach a client as a success, must
@@ -36,14 +38,14 @@
 	}{
 		"closes without an answer": {first("", false), 200, 502, 2},
 		"garbage":                  {first("garbage\r\n\r\n", false), 200, 502, 2},
-		"cut short":                {first("HTTP/1.1 200 OK\r\n"+HeaderRequestID+": ID\r\n"+HeaderResponseSignature+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
-		"cut in chunks":            {first("HTTP/1.1 200 OK\r\n"+HeaderRequestID+": ID\r\n"+HeaderResponseSignature+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
-		"no end but the stream's":  {first("HTTP/1.1 200 OK\r\n"+HeaderRequestID+": ID\r\n"+HeaderResponseSignature+": s\r\n\r\nwho knows", false), 200, 502, 2},
-		"no stamp":                 {first("HTTP/1.1 200 OK\r\n"+HeaderRequestID+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
+		"cut short":                {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
+		"cut in chunks":            {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
+		"no end but the stream's":  {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\n\r\nwho knows", false), 200, 502, 2},
+		"no stamp":                 {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
 		"another's answer alone":   {first(answer(200, "other", "not yours"), false), 200, 502, 2},
 		"another's answer first":   {first(answer(200, "other", "not yours")+answer(200, "ID", "body of ID"), true), 200, 200, 1},
-		"turned away":              {first(answer(503, "ID", "", HeaderNotExecuted+": 1"), true), 200, 200, 2},
-		"another instance":         {first(answer(421, "ID", "", HeaderInstanceID+": x"), true), 200, 200, 2},
+		"turned away":              {first(answer(503, "ID", "", message.HeaderNotExecuted+": 1"), true), 200, 200, 2},
+		"another instance":         {first(answer(421, "ID", "", message.HeaderInstanceID+": x"), true), 200, 200, 2},
 		"its own failure":          {first(answer(500, "ID", "sorry"), true), 200, 500, 2},
 	}
 	for name, c := range cases {
@@ -90,8 +92,8 @@
 	d := daemonOf(t, backend)
 	conn, in := client(t, d)
 	path := "/once/a%2Fb//c;d?x=%zz&y=1"
-	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+HeaderRequestID+": r1\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+HeaderTargetInstance+": forged\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
-	if response, body, err := receiveOne(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(HeaderResponseSignature) != "stamp-r1" {
+	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+message.HeaderRequestID+": r1\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+message.HeaderTargetInstance+": forged\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
+	if response, body, err := receiveOne(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(message.HeaderResponseSignature) != "stamp-r1" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
 	got := backend.last()
@@ -155,8 +157,8 @@
 		"long head":       {ask("GET", "/safe/", "x", "X: "+strings.Repeat("y", 2500)), 431},
 		"long body":       {ask("POST", "/once/", "x", "Content-Length: 6000"), 413},
 		"long in chunks":  {ask("POST", "/once/", "x", "Transfer-Encoding: chunked") + "1388\r\n" + strings.Repeat("z", 5000) + "\r\n5\r\nabcde\r\n0\r\n\r\n", 413},
-		"deadline is now": {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n" + HeaderRequestID + ": x\r\n" + HeaderRequestDeadline + ": 0\r\n\r\n", 503},
-		"no quorum":       {ask("POST", "/key/", "x", HeaderOperationKey+": k", "Content-Length: 0"), 503},
+		"deadline is now": {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": x\r\n" + message.HeaderRequestDeadline + ": 0\r\n\r\n", 503},
+		"no quorum":       {ask("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 0"), 503},
 	}
 	for name, c := range cases {
 		d := daemonOf(t, backend)
@@ -366,7 +368,7 @@
 	}
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Items: items.Items()})
 	conn, in := client(t, d)
-	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", HeaderOperationKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
+	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
 	for range 2 {
 		response, _, err := receiveOne(t, in, "GET")
 		if err != nil || response.StatusCode != 429 || response.Header.Get("Retry-After") == "" {
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"tinpin/internal/message"
 )
 
 func BenchmarkAnswer(b *testing.B) {
@@ -18,7 +20,7 @@
 			asked := request("GET", way+"x", "a")
 			b.ReportAllocs()
 			for b.Loop() {
-				if verdict := d.Handle(&Request{Method: asked.Method, Target: asked.Target, Host: asked.Host, ID: asked.ID, Headers: asked.Headers}, "2500"); verdict.Status != 200 {
+				if verdict := d.Handle(&message.Request{Method: asked.Method, Target: asked.Target, Host: asked.Host, ID: asked.ID, Headers: asked.Headers}, "2500"); verdict.Status != 200 {
 					b.Fatal(verdict.Status)
 				}
 			}
--- a/internal/proxy/response_reader.go
+++ b/internal/proxy/response_reader.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 )
 
@@ -33,7 +35,7 @@
 )
 
 func ownerOf(response *http.Response, id string) responseOwner {
-	ids := response.Header[HeaderRequestID]
+	ids := response.Header[message.HeaderRequestID]
 	switch {
 	case len(ids) > 1:
 		return ownerAmbiguous
@@ -48,7 +50,7 @@
 // notExecuted tells that a response says that its request was not run.
 func notExecuted(response *http.Response) bool {
 	return response.StatusCode >= 400 &&
-		(response.Header.Get(HeaderNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
+		(response.Header.Get(message.HeaderNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
 }
 
 // responseReader reads the response to one request. A response is taken only if it is complete,
@@ -58,7 +60,7 @@
 type responseReader struct {
 	clock     Clock
 	conn      *Conn
-	request   *Request
+	request   *message.Request
 	startedAt time.Duration
 	// writeFailed tells that the connection broke while the request was written.
 	writeFailed bool
@@ -91,7 +93,7 @@
 func (r *responseReader) readFailed(err error) Attempt {
 	r.conn.backend.closeConn(r.conn)
 	switch {
-	case IsTimeout(err):
+	case message.IsTimeout(err):
 		return Attempt{Outcome: TimedOut}
 	case !r.conn.fresh && r.nothingReceived() && errors.Is(err, syscall.ECONNRESET):
 		if r.disabledChecks.has(RetryAfterReset) {
@@ -190,7 +192,7 @@
 	if response.StatusCode >= 500 {
 		outcome = ServerError
 	}
-	result := Response{Status: response.StatusCode, Headers: ReturnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
+	result := message.Response{Status: response.StatusCode, Headers: message.ReturnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
 	if r.request.Method == http.MethodHead {
 		result.NoBody = true
 		result.ContentLength = max(0, response.ContentLength)
@@ -211,12 +213,12 @@
 // observeHeaders takes what a backend tells of itself beside a response.
 func (r *responseReader) observeHeaders(header http.Header) {
 	backend := r.conn.backend
-	if text := header.Get(HeaderColdRemaining); text != "" {
+	if text := header.Get(message.HeaderColdRemaining); text != "" {
 		if left, ok := parseWarmUp(text); ok && left > 0 {
 			backend.startWarmUp(r.clock.Now(), left)
 		}
 	}
-	if text := header.Get(HeaderInstanceLoad); text != "" {
+	if text := header.Get(message.HeaderInstanceLoad); text != "" {
 		backend.observeLoad(r.clock.Now(), text)
 	}
 }
@@ -225,13 +227,13 @@
 // stamp or with the word that it was not run, or a status that promises that the request has
 // not run without that word.
 func contradictory(response *http.Response) bool {
-	return response.StatusCode < 300 && response.Header.Get(HeaderResponseSignature) == "" ||
-		response.Header.Get(HeaderNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode)
+	return response.StatusCode < 300 && response.Header.Get(message.HeaderResponseSignature) == "" ||
+		response.Header.Get(message.HeaderNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode)
 }
 
 // bufferLimit is how many bytes of a body are read before the response is passed on: one that is read
 // completely can still be replaced by another backend's.
-func bufferLimit(request *Request) int64 {
+func bufferLimit(request *message.Request) int64 {
 	if request.StreamBody {
 		return maxStreamedPrefix
 	}
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/affinity"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
@@ -204,7 +206,7 @@
 }
 
 // affinityInput is the part of a request that may name its session.
-func affinityInput(r *Request, tenant *config.Tenant) (asked affinity.NameSources) {
+func affinityInput(r *message.Request, tenant *config.Tenant) (asked affinity.NameSources) {
 	asked = affinity.NameSources{Headers: r.Headers, Key: r.OperationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/policy"
 	"tinpin/internal/rpc"
 )
@@ -47,9 +49,9 @@
 
 const byCaller = `{"version":2,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
 
-func ofCaller(method, path, id, caller string) (r *Request) {
+func ofCaller(method, path, id, caller string) (r *message.Request) {
 	r = request(method, path, id)
-	r.Headers = append(r.Headers, HeaderField{"X-Caller", caller})
+	r.Headers = append(r.Headers, message.HeaderField{"X-Caller", caller})
 	return r
 }
 
@@ -91,7 +93,7 @@
 		r := ofCaller(method, path, fmt.Sprint("r", run), caller)
 		if run%3 == 0 {
 			r = ofCaller("POST", "/key/x", fmt.Sprint("r", run), caller)
-			r.Headers = append(r.Headers, HeaderField{HeaderOperationKey, fmt.Sprint("k", run)})
+			r.Headers = append(r.Headers, message.HeaderField{message.HeaderOperationKey, fmt.Sprint("k", run)})
 		}
 		before := map[string]int{}
 		for _, backend := range backends {
@@ -153,7 +155,7 @@
 		t.Fatal("the refusal does not say when to come back")
 	}
 	keyed := ofCaller("POST", "/key/x", "b", "anna")
-	keyed.Headers = append(keyed.Headers, HeaderField{HeaderOperationKey, "k"})
+	keyed.Headers = append(keyed.Headers, message.HeaderField{message.HeaderOperationKey, "k"})
 	if verdict = d.Handle(keyed, "2500"); verdict.Status != 503 || backend.count() != 0 {
 		t.Fatalf("keyed: %d, %d runs", verdict.Status, backend.count())
 	}
@@ -168,7 +170,7 @@
 		t.Fatalf("under \"serve\" what may run once gets %d", verdict.Status)
 	}
 	r := ofCaller("GET", "/safe/x", "e", "anna")
-	r.Headers = append(r.Headers, HeaderField{"X-Caller", "ben"})
+	r.Headers = append(r.Headers, message.HeaderField{"X-Caller", "ben"})
 	if verdict = d.Handle(r, "2500"); verdict.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
 		t.Fatalf("a name that is there twice: %d, %+v", verdict.Status, d.state.Policies.Sessions.Status())
 	}
@@ -179,7 +181,7 @@
 	busy := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
 		text := answer(200, r.ID, "body of "+r.ID)
 		if n == 1 {
-			text = answer(503, r.ID, "", HeaderNotExecuted+": 1")
+			text = answer(503, r.ID, "", message.HeaderNotExecuted+": 1")
 		}
 		_, err := io.WriteString(conn, text)
 		return err == nil
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/standin_test.go
@@ -10,6 +10,9 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/frontend"
+	"tinpin/internal/message"
+
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/idempotency"
@@ -66,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		got := seen{ID: request.Header.Get(HeaderRequestID), Target: request.Header.Get(HeaderTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(HeaderOperationKey), Header: request.Header}
+		got := seen{ID: request.Header.Get(message.HeaderRequestID), Target: request.Header.Get(message.HeaderTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(message.HeaderOperationKey), Header: request.Header}
 		s.mu.Lock()
 		s.requests = append(s.requests, got)
 		n := len(s.requests)
@@ -90,7 +93,7 @@
 }
 
 func answer(status int, id, body string, lines ...string) string {
-	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, HeaderRequestID, id, HeaderResponseSignature, id, len(body))
+	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, message.HeaderRequestID, id, message.HeaderResponseSignature, id, len(body))
 	for _, line := range lines {
 		text += line + "\r\n"
 	}
@@ -115,7 +118,7 @@
 	d.leader = NewLeaderClient(p, d.log, clock, d.state, d.operations, 1, d.self)
 	d.retryBudget = NewRetryBudget(p.Bounds.RetryBudgetRatio, p.Bounds.RetryWindow, func() float64 { return 0 })
 	d.tenantLimits = NewTenantLimits(d.state.Leased, nil)
-	d.frontend = NewFrontend(d.Handle, func() *config.View { return d.state.Snapshot().View }, 100, 1<<20)
+	d.frontend = frontend.New(d.Handle, func() *config.View { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
 	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
@@ -150,7 +153,7 @@
 }
 
 func ask(method, path, id string, lines ...string) string {
-	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + HeaderRequestID + ": " + id + "\r\n" + HeaderRequestDeadline + ": 2500\r\n"
+	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": " + id + "\r\n" + message.HeaderRequestDeadline + ": 2500\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
 	}
