--- a/internal/affinity/policy.go
+++ b/internal/affinity/policy.go
@@ -38,8 +38,8 @@
 	// Name of the header or cookie.
 	Name string `json:"name,omitempty"`
 	// Idle is how long a session lasts that nothing is heard of.
-	Idle          policy.Span `json:"idle"`
-	WithoutLeader string      `json:"alone"`
+	Idle          policy.Duration `json:"idle"`
+	WithoutLeader string          `json:"alone"`
 	// MaxSessions is how many sessions are kept; over it the least recently used go.
 	MaxSessions int `json:"most"`
 }
@@ -57,23 +57,23 @@
 const MaxSessionsTotal = 200_000
 
 const (
-	minIdle  = policy.Span(10 * time.Second)
-	maxIdle  = policy.Span(24 * time.Hour)
+	minIdle  = policy.Duration(10 * time.Second)
+	maxIdle  = policy.Duration(24 * time.Hour)
 	maxRules = 5000
 )
 
 // Parse reads a policy and checks what can be seen from it alone.
 func Parse(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
-	if err = policy.Open(body, parsed); err != nil {
+	if err = policy.Decode(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &policy.Faults{}
-	faults.Head(parsed.Version, len(parsed.Rules), maxRules)
+	faults := &policy.ValidationErrors{}
+	faults.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
 	named, sum := map[string]bool{}, 0
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || len(rule.Service) > policy.NameMost || named[rule.Service] {
+		if rule.Service == "" || len(rule.Service) > policy.MaxNameLength || named[rule.Service] {
 			faults.Add(where("service"), "is missing, too long or named twice")
 		}
 		named[rule.Service] = true
@@ -127,5 +127,5 @@
 	if p == nil {
 		return rule, false
 	}
-	return policy.RuleOf(p.Rules, string(service))
+	return policy.RuleFor(p.Rules, string(service))
 }
--- a/internal/config/canon.go
+++ b/internal/config/canon.go
@@ -20,8 +20,8 @@
 	"tinpin/internal/dedup"
 )
 
-// Class marks refused configurations.
-var Class = errs.Class("canon")
+// ErrInvalid marks refused configurations.
+var ErrInvalid = errs.Class("canon")
 
 // Set names one of the kinds of items.
 type Set string
@@ -97,16 +97,16 @@
 type Canon struct {
 	items   map[name]*standing
 	columns map[Set][]string
-	// Overtaken remembers what was confirmed under versions that hold no more.
-	Overtaken *dedup.Record
+	// Superseded remembers what was confirmed under versions that hold no more.
+	Superseded *dedup.Record
 }
 
-// OvertakenMost is how many overtaken versions are remembered.
-const OvertakenMost = 4096
+// MaxSuperseded is how many overtaken versions are remembered.
+const MaxSuperseded = 4096
 
 // New is an empty configuration.
 func New() (c *Canon) {
-	return &Canon{items: map[name]*standing{}, columns: map[Set][]string{}, Overtaken: dedup.New(OvertakenMost)}
+	return &Canon{items: map[name]*standing{}, columns: map[Set][]string{}, Superseded: dedup.New(MaxSuperseded)}
 }
 
 // Items lists every item and mark, in a fixed order.
@@ -165,8 +165,8 @@
 	return size
 }
 
-// Stands tells whether an item is set and not dropped.
-func (c *Canon) Stands(set Set, named string) (stands bool) {
+// Exists tells whether an item is set and not dropped.
+func (c *Canon) Exists(set Set, named string) (stands bool) {
 	found := c.items[name{set, named}]
 	return found != nil && !found.Dropped
 }
@@ -231,7 +231,7 @@
 	for _, field := range s.Fields {
 		value, parseErr := fastjson.Parse(field.JSON)
 		if parseErr != nil {
-			return Class.New("%s: field %s cannot be read", f.item, field.Name)
+			return ErrInvalid.New("%s: field %s cannot be read", f.item, field.Name)
 		}
 		f.values[field.Name] = value
 	}
@@ -246,7 +246,7 @@
 		s.limits = readLimits(f)
 	}
 	if len(f.problems) > 0 {
-		return Class.New("%s: %s", f.item, strings.Join(f.problems, "; "))
+		return ErrInvalid.New("%s: %s", f.item, strings.Join(f.problems, "; "))
 	}
 	return nil
 }
@@ -347,22 +347,22 @@
 	items []Item
 }
 
-// ReadCall reads the body of a Config.Update whole, as it comes from an operator.
-func ReadCall(body []byte) (call Call, err error) {
+// ParseUpdate reads the body of a Config.Update whole, as it comes from an operator.
+func ParseUpdate(body []byte) (call Call, err error) {
 	// The parser bounds the depth, and takes more than JSON; the second look does not.
 	v, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) || fastjson.ValidateBytes(body) != nil {
-		return call, Class.New("the call is not JSON")
+		return call, ErrInvalid.New("the call is not JSON")
 	}
-	if key, twice := dedup.Twice(v); twice {
-		return call, Class.New("an object of the call holds %q twice", key)
+	if key, twice := dedup.DuplicateKey(v); twice {
+		return call, ErrInvalid.New("an object of the call holds %q twice", key)
 	}
 	return readCall(v)
 }
 
 func readCall(v *fastjson.Value) (call Call, err error) {
 	if v.Type() != fastjson.TypeObject {
-		return call, Class.New("the call must be an object")
+		return call, ErrInvalid.New("the call must be an object")
 	}
 	add := func(item Item) (addErr error) {
 		call.items = append(call.items, item)
@@ -391,14 +391,14 @@
 	}
 	err = readObject(v.Get("removals"), "removals", func(set Set, value *fastjson.Value) error {
 		if value.Type() != fastjson.TypeArray {
-			return Class.New("removals of %s must be a list", set)
+			return ErrInvalid.New("removals of %s must be a list", set)
 		}
 		for _, entry := range value.GetArray() {
 			if entry.Type() != fastjson.TypeObject || entry.Get("name") == nil || entry.Get("name").Type() != fastjson.TypeString {
-				return Class.New("a removal of %s lacks its name", set)
+				return ErrInvalid.New("a removal of %s lacks its name", set)
 			}
 			if named := string(entry.GetStringBytes("name")); (named == "") != (set == Limits) {
-				return Class.New("a removal of %s names %q", set, named)
+				return ErrInvalid.New("a removal of %s names %q", set, named)
 			}
 			version, versionErr := readVersion(entry.Get("version"))
 			if versionErr != nil {
@@ -427,7 +427,7 @@
 	}
 	object, objectErr := value.Object()
 	if objectErr != nil {
-		return Class.New("%s must be an object", what)
+		return ErrInvalid.New("%s must be an object", what)
 	}
 	object.Visit(func(key []byte, inner *fastjson.Value) {
 		if err != nil || inner.Type() == fastjson.TypeNull {
@@ -439,18 +439,18 @@
 				return
 			}
 		}
-		err = Class.New("%s holds an unknown set %q", what, key)
+		err = ErrInvalid.New("%s holds an unknown set %q", what, key)
 	})
 	return err
 }
 
 func readVersion(value *fastjson.Value) (version Version, err error) {
 	if value == nil || value.Type() != fastjson.TypeNumber {
-		return 0, Class.New("a version is missing or is no number")
+		return 0, ErrInvalid.New("a version is missing or is no number")
 	}
 	number, err := value.Uint64()
 	if err != nil {
-		return 0, Class.New("a version must be a whole number")
+		return 0, ErrInvalid.New("a version must be a whole number")
 	}
 	return Version(number), nil
 }
@@ -458,7 +458,7 @@
 func readRecord(set Set, value *fastjson.Value) (item Item, err error) {
 	object, objectErr := value.Object()
 	if objectErr != nil {
-		return item, Class.New("%s must be an object", set)
+		return item, ErrInvalid.New("%s must be an object", set)
 	}
 	item = Item{Set: set}
 	object.Visit(func(key []byte, inner *fastjson.Value) {
@@ -470,17 +470,17 @@
 
 func readRows(set Set, value *fastjson.Value) (items []Item, err error) {
 	if value.Type() != fastjson.TypeObject {
-		return nil, Class.New("%s must hold column_names and row_values", set)
+		return nil, ErrInvalid.New("%s must hold column_names and row_values", set)
 	}
 	columnList, rowList := value.Get("column_names"), value.Get("row_values")
 	if columnList == nil || columnList.Type() != fastjson.TypeArray || rowList == nil || rowList.Type() != fastjson.TypeArray {
-		return nil, Class.New("%s must hold column_names and row_values", set)
+		return nil, ErrInvalid.New("%s must hold column_names and row_values", set)
 	}
 	var columns []string
 	taken := map[string]bool{}
 	for _, column := range columnList.GetArray() {
 		if column.Type() != fastjson.TypeString || taken[string(column.GetStringBytes())] {
-			return nil, Class.New("%s: column_names must be distinct texts", set)
+			return nil, ErrInvalid.New("%s: column_names must be distinct texts", set)
 		}
 		taken[string(column.GetStringBytes())] = true
 		columns = append(columns, string(column.GetStringBytes()))
@@ -488,7 +488,7 @@
 	for _, row := range rowList.GetArray() {
 		cells, cellErr := row.Array()
 		if cellErr != nil || len(cells) != len(columns) {
-			return nil, Class.New("%s: a row does not fit its columns", set)
+			return nil, ErrInvalid.New("%s: a row does not fit its columns", set)
 		}
 		item := Item{Set: set}
 		var version *fastjson.Value
@@ -501,17 +501,17 @@
 			}
 			if columns[i] == "name" {
 				if cell.Type() != fastjson.TypeString {
-					return nil, Class.New("%s: a name must be a text", set)
+					return nil, ErrInvalid.New("%s: a name must be a text", set)
 				}
 				item.Name = string(cell.GetStringBytes())
 			}
 			item.Fields = append(item.Fields, Field{columns[i], cell.String()})
 		}
 		if item.Name == "" {
-			return nil, Class.New("%s: a row lacks its name", set)
+			return nil, ErrInvalid.New("%s: a row lacks its name", set)
 		}
 		if item.Version, err = readVersion(version); err != nil {
-			return nil, Class.New("%s %s: %v", set, item.Name, err)
+			return nil, ErrInvalid.New("%s %s: %v", set, item.Name, err)
 		}
 		items = append(items, item)
 	}
@@ -524,17 +524,17 @@
 func (c *Canon) Apply(body []byte, rev uint64) (err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return Class.New("the call is not JSON")
+		return ErrInvalid.New("the call is not JSON")
 	}
 	call, err := readCall(v)
 	if err != nil {
 		return err
 	}
-	return c.Carry(call, rev)
+	return c.ApplyUpdate(call, rev)
 }
 
-// Carry checks a call against what would stand after it, and carries it out.
-func (c *Canon) Carry(call Call, rev uint64) (err error) {
+// ApplyUpdate checks a call against what would stand after it, and carries it out.
+func (c *Canon) ApplyUpdate(call Call, rev uint64) (err error) {
 	fresh := map[name]*standing{}
 	var parsed, stale []*standing
 	for _, item := range call.items {
@@ -581,7 +581,7 @@
 		}
 		for _, target := range item.way.Targets {
 			if !known(target.Service, true) {
-				return Class.New("routes %s names unknown service %s", item.Name, target.Service)
+				return ErrInvalid.New("routes %s names unknown service %s", item.Name, target.Service)
 			}
 		}
 	}
@@ -605,19 +605,19 @@
 		if item.way != nil {
 			place := item.way.Host + " " + item.way.Prefix
 			if other, taken := places[place]; taken {
-				return Class.New("routes %s and %s have the same host and prefix", other, item.Name)
+				return ErrInvalid.New("routes %s and %s have the same host and prefix", other, item.Name)
 			}
 			places[place] = item.Name
 			for _, target := range item.way.Targets {
 				if !known(target.Service, false) {
-					return Class.New("routes %s names unknown service %s", item.Name, target.Service)
+					return ErrInvalid.New("routes %s names unknown service %s", item.Name, target.Service)
 				}
 			}
 		}
 		if item.tenant != nil {
 			for _, host := range item.tenant.Hosts {
 				if other, taken := hosts[host]; taken {
-					return Class.New("tenants %s and %s share host %s", other, item.Name, host)
+					return ErrInvalid.New("tenants %s and %s share host %s", other, item.Name, host)
 				}
 				hosts[host] = item.Name
 			}
@@ -649,10 +649,10 @@
 		if holds == nil {
 			holds = old
 		} else if old != nil {
-			c.Overtaken.Note(old.number(), old.digest())
+			c.Superseded.Remember(old.number(), old.digest())
 		}
 		if item.Version < holds.Version {
-			c.Overtaken.Note(item.number(), item.digest())
+			c.Superseded.Remember(item.number(), item.digest())
 		}
 	}
 	if len(fresh) == 0 {
@@ -668,8 +668,8 @@
 	}
 }
 
-// Describe writes all items that stand, laid out as an upserts object.
-func (c *Canon) Describe() (text []byte) {
+// EncodeUpserts writes all items that stand, laid out as an upserts object.
+func (c *Canon) EncodeUpserts() (text []byte) {
 	items := c.Items()
 	text = append(text, '{')
 	for i, set := range []Set{Routes, Services, Tenants} {
--- a/internal/config/canon_test.go
+++ b/internal/config/canon_test.go
@@ -52,11 +52,11 @@
 	}
 	for name, call := range calls {
 		c := set(t)
-		before := string(c.Describe())
+		before := string(c.EncodeUpserts())
 		if err := c.Apply([]byte(call), 2); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if after := string(c.Describe()); after != before {
+		if after := string(c.EncodeUpserts()); after != before {
 			t.Errorf("%s: changed something: %s", name, cmp.Diff(before, after))
 		}
 	}
@@ -78,12 +78,12 @@
 		{call: route("r1", "a.example", "/13/", "idempotent", "1s", "1s", "s1", "13"), prefix: "/13/"},
 	}
 	for i, step := range steps {
-		if err := c.Apply([]byte(step.call), uint64(i+2)); dedup.Conflict.Has(err) != step.conflict || err != nil && !step.conflict {
+		if err := c.Apply([]byte(step.call), uint64(i+2)); dedup.ErrConflict.Has(err) != step.conflict || err != nil && !step.conflict {
 			t.Fatalf("step %d: %v", i, err)
 		}
 		found := ""
 		for _, prefix := range []string{"/nine/", "/eight/", "/again/", "/eleven/", "/13/"} {
-			if c.View().Find("a.example", prefix+"q") != nil {
+			if c.RoutingTable().Find("a.example", prefix+"q") != nil {
 				found = prefix
 			}
 		}
@@ -99,7 +99,7 @@
 	if err := c.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
 	}
-	if c.View().Find("a.example", "/set/q") == nil {
+	if c.RoutingTable().Find("a.example", "/set/q") == nil {
 		t.Fatal("the higher version of the two must hold")
 	}
 }
@@ -117,14 +117,14 @@
 func TestDescribeGivesWhatWasSent(t *testing.T) {
 	c := set(t)
 	again := New()
-	described := `{"upserts":` + string(c.Describe()) + `}`
+	described := `{"upserts":` + string(c.EncodeUpserts()) + `}`
 	if err := again.Apply([]byte(described), 1); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(c.Items(), again.Items()); diff != "" {
 		t.Fatal(diff)
 	}
-	sent, got := fastjson.MustParse(firstCall).Get("upserts"), fastjson.MustParseBytes(c.Describe())
+	sent, got := fastjson.MustParse(firstCall).Get("upserts"), fastjson.MustParseBytes(c.EncodeUpserts())
 	for _, set := range []string{"routes", "services"} {
 		if sent.Get(set).String() != got.Get(set).String() {
 			t.Errorf("%s: sent %s, got %s", set, sent.Get(set), got.Get(set))
@@ -133,7 +133,7 @@
 }
 
 func TestFindTakesTheLongestPrefix(t *testing.T) {
-	view := set(t).View()
+	view := set(t).RoutingTable()
 	for path, want := range map[string]string{"/x/1": "r1", "/x/y/1": "r2", "/x/y/": "r2", "/x/y": "r1", "/x": "", "/": "", "/z/1": "", "/x/yy/": "r1"} {
 		name := ""
 		if way := view.Find("A.example:8080", path); way != nil {
@@ -155,7 +155,7 @@
 		for i := 0; i < ways; i++ {
 			_ = c.Put(Item{Set: Routes, Name: fmt.Sprint("w", i), Version: 1, Fields: []Field{{"hostname", `"a.example"`}, {"path_prefix", fmt.Sprintf(`"/p%d/"`, i)}, {"route_type", `"keyed"`}, {"timeout", `"1s"`}, {"service_name", `"s1"`}}})
 		}
-		view := c.View()
+		view := c.RoutingTable()
 		b.Run(fmt.Sprint(ways), func(b *testing.B) {
 			for i := 0; i < b.N; i++ {
 				view.Find("a.example", "/p7/a/b")
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -23,7 +23,7 @@
 	}
 	content := &dedup.Content{}
 	if s.Dropped {
-		content.Text("dropped")
+		content.AddText("dropped")
 	}
 	fields := slices.Clone(s.Fields)
 	sort.SliceStable(fields, func(i, j int) bool { return fields[i].Name < fields[j].Name })
@@ -32,8 +32,8 @@
 		if err != nil || value.Type() == fastjson.TypeNull {
 			continue
 		}
-		content.Text(field.Name)
-		content.Value(value)
+		content.AddText(field.Name)
+		content.AddJSON(value)
 	}
 	digest = content.Digest()
 	s.content = &digest
@@ -52,7 +52,7 @@
 	for _, item := range parsed {
 		number := item.number()
 		if other := brought[number]; other != nil && !other.same(item) {
-			return Class.New("the call brings two contents of %s under version %d", item.Path(), item.Version)
+			return ErrInvalid.New("the call brings two contents of %s under version %d", item.Path(), item.Version)
 		}
 		brought[number] = item
 		old := c.items[name{item.Set, item.Name}]
@@ -61,12 +61,12 @@
 		}
 		if old.Version == item.Version {
 			if !old.same(item) {
-				return dedup.Conflict.New("%s stands under version %s with other content", item.Path(), old.Stamp())
+				return dedup.ErrConflict.New("%s stands under version %s with other content", item.Path(), old.Stamp())
 			}
 			continue
 		}
-		if content, known := c.Overtaken.Content(number); known && content != item.digest() {
-			return dedup.Conflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Stamp())
+		if content, known := c.Superseded.Lookup(number); known && content != item.digest() {
+			return dedup.ErrConflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Stamp())
 		}
 	}
 	return nil
--- a/internal/config/content_test.go
+++ b/internal/config/content_test.go
@@ -15,11 +15,11 @@
 
 // update takes a call as an operator's is taken.
 func (c *Canon) update(body []byte, rev uint64) (err error) {
-	call, err := ReadCall(body)
+	call, err := ParseUpdate(body)
 	if err != nil {
 		return err
 	}
-	return c.Carry(call, rev)
+	return c.ApplyUpdate(call, rev)
 }
 
 func TestOneVersionHasOneContent(t *testing.T) {
@@ -57,12 +57,12 @@
 	}
 	c := set(t)
 	for i, step := range steps {
-		before := string(c.Describe())
+		before := string(c.EncodeUpserts())
 		err := c.Apply([]byte(step.call), uint64(i+2))
-		if dedup.Conflict.Has(err) != step.conflict || (err != nil) != (step.conflict || step.refused) {
+		if dedup.ErrConflict.Has(err) != step.conflict || (err != nil) != (step.conflict || step.refused) {
 			t.Errorf("%s: %v", step.name, err)
 		}
-		if err != nil && string(c.Describe()) != before {
+		if err != nil && string(c.EncodeUpserts()) != before {
 			t.Errorf("%s: refused and changed something", step.name)
 		}
 		if step.conflict && !strings.Contains(err.Error(), "version") {
@@ -101,11 +101,11 @@
 	}
 	for name, call := range calls {
 		c := set(t)
-		before := string(c.Describe())
-		if err := c.update([]byte(call), 2); !Class.Has(err) {
+		before := string(c.EncodeUpserts())
+		if err := c.update([]byte(call), 2); !ErrInvalid.Has(err) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if string(c.Describe()) != before || c.Overtaken.Len() != 0 {
+		if string(c.EncodeUpserts()) != before || c.Superseded.Len() != 0 {
 			t.Errorf("%s: changed something", name)
 		}
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	var err error
-	if again.Overtaken, err = dedup.Thaw(OvertakenMost, c.Overtaken.Freeze()); err != nil {
+	if again.Superseded, err = dedup.Restore(MaxSuperseded, c.Superseded.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	return again
@@ -38,24 +38,24 @@
 		c := set(t)
 		for i, call := range [][]byte{one, other, one, other} {
 			replica := copied(t, c)
-			before, noted := string(c.Describe()), c.Overtaken.Len()
+			before, noted := string(c.EncodeUpserts()), c.Superseded.Len()
 			err := c.update(call, uint64(i+2))
-			after := string(c.Describe())
-			if err != nil && (after != before || c.Overtaken.Len() != noted) {
+			after := string(c.EncodeUpserts())
+			if err != nil && (after != before || c.Superseded.Len() != noted) {
 				t.Fatalf("refused with %v, and changed", err)
 			}
 			// What was not let in never comes to a replica.
-			if _, readErr := ReadCall(call); readErr != nil {
+			if _, readErr := ParseUpdate(call); readErr != nil {
 				continue
 			}
-			if replicaErr := replica.Apply(call, uint64(i+2)); (replicaErr == nil) != (err == nil) || string(replica.Describe()) != after || string(replica.Overtaken.Freeze().Entries) != string(c.Overtaken.Freeze().Entries) {
+			if replicaErr := replica.Apply(call, uint64(i+2)); (replicaErr == nil) != (err == nil) || string(replica.EncodeUpserts()) != after || string(replica.Superseded.Snapshot().Entries) != string(c.Superseded.Snapshot().Entries) {
 				t.Fatalf("replicas part: %v, %v", err, replicaErr)
 			}
 			if err != nil {
 				continue
 			}
-			noted = c.Overtaken.Len()
-			if err = c.update(call, uint64(i+20)); err != nil || string(c.Describe()) != after || c.Overtaken.Len() != noted {
+			noted = c.Superseded.Len()
+			if err = c.update(call, uint64(i+20)); err != nil || string(c.EncodeUpserts()) != after || c.Superseded.Len() != noted {
 				t.Fatalf("sent again: %v", err)
 			}
 			if err = New().Apply([]byte(`{"upserts":`+after+`}`), 1); err != nil {
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -20,11 +20,11 @@
 	Keyed         Repeat = "keyed"
 )
 
-// Repeatable tells that a request may run more than once.
-func (r Repeat) Repeatable() bool { return r == Idempotent || r == Download }
+// Retryable tells that a request may run more than once.
+func (r Repeat) Retryable() bool { return r == Idempotent || r == Download }
 
-// Known tells that it is one of the kinds.
-func (r Repeat) Known() bool { return r.Repeatable() || r == NonIdempotent || r == Keyed }
+// Valid tells that it is one of the kinds.
+func (r Repeat) Valid() bool { return r.Retryable() || r == NonIdempotent || r == Keyed }
 
 // Target is a service with its weight in a way's split.
 type Target struct {
@@ -34,24 +34,24 @@
 
 // Way is where requests of a host and prefix go.
 type Way struct {
-	Name, Host, Prefix string
-	Repeat             Repeat
-	Timeout, Aim       time.Duration
-	Priority           int
-	Targets            []Target
-	Rounds             int
-	Homes              []string
-	Version            Version
+	Name, Host, Prefix     string
+	Type                   Repeat
+	Timeout, LatencyTarget time.Duration
+	Priority               int
+	Targets                []Target
+	MaxAttempts            int
+	AllowedRegions         []string
+	Version                Version
 }
 
 // Service is a set of backends and how to treat them.
 type Service struct {
-	Name       string
-	HealthPath string
-	Streams    int
-	Dedupes    bool
-	Cold       time.Duration
-	ColdRate   float64
+	Name             string
+	HealthPath       string
+	MaxConnections   int
+	SelfDeduplicates bool
+	SlowStart        time.Duration
+	SlowStartRate    float64
 }
 
 // Tenant bounds the requests to its hosts.
@@ -63,12 +63,12 @@
 
 // LimitItem bounds what a client may send and how long it may take.
 type LimitItem struct {
-	HeadBytes, BodyBytes int
-	HeadTime, IdleTime   time.Duration
+	MaxHeaderBytes, MaxBodyBytes int
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
-// UsualLimits hold until the operator has set any.
-var UsualLimits = LimitItem{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 5 * time.Second, IdleTime: 30 * time.Second}
+// DefaultLimits hold until the operator has set any.
+var DefaultLimits = LimitItem{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 
 func readWay(called string, f *fields) (way *Way) {
 	way = &Way{Name: called}
@@ -77,21 +77,21 @@
 	if way.Prefix != "" && (way.Prefix[0] != '/' || way.Prefix[len(way.Prefix)-1] != '/') {
 		f.fail("path_prefix", "must begin and end with a slash")
 	}
-	way.Repeat = Repeat(f.text("route_type", true))
-	if !way.Repeat.Known() {
+	way.Type = Repeat(f.text("route_type", true))
+	if !way.Type.Valid() {
 		f.fail("route_type", "matches none of the kinds")
 	}
 	way.Timeout = f.span("timeout", true)
-	way.Aim = f.span("target_latency", false)
-	if way.Aim-way.Timeout >= time.Minute {
+	way.LatencyTarget = f.span("target_latency", false)
+	if way.LatencyTarget-way.Timeout >= time.Minute {
 		f.fail("target_latency", "sits a minute or more above the timeout")
 	}
 	way.Priority = int(f.number("priority", 0, 0))
-	way.Rounds = int(f.number("max_attempts", 1, 0))
-	if way.Rounds < 1 {
-		way.Rounds = 1
+	way.MaxAttempts = int(f.number("max_attempts", 1, 0))
+	if way.MaxAttempts < 1 {
+		way.MaxAttempts = 1
 	}
-	way.Homes = f.texts("allowed_regions")
+	way.AllowedRegions = f.texts("allowed_regions")
 	service := f.text("service_name", false)
 	split := f.get("traffic_split")
 	switch {
@@ -135,16 +135,16 @@
 	if service.HealthPath == "" {
 		service.HealthPath = "/health"
 	}
-	service.Streams = int(f.number("max_connections", 0, 0))
+	service.MaxConnections = int(f.number("max_connections", 0, 0))
 	if protocol := f.text("protocol", false); protocol != "" && protocol != "h1" {
 		f.fail("protocol", "is not spoken here")
 	}
 	if f.flag("tls_enabled") {
 		f.fail("tls_enabled", "is not offered")
 	}
-	service.Dedupes = f.flag("self_dedupes")
-	service.Cold = f.span("cold_start", false)
-	service.ColdRate = f.number("cold_per_s", 0, 0)
+	service.SelfDeduplicates = f.flag("self_dedupes")
+	service.SlowStart = f.span("cold_start", false)
+	service.SlowStartRate = f.number("cold_per_s", 0, 0)
 	return service
 }
 
@@ -176,15 +176,15 @@
 }
 
 func readLimits(f *fields) (limits *LimitItem) {
-	usual := UsualLimits
+	usual := DefaultLimits
 	limits = &usual
-	limits.HeadBytes = int(f.number("max_header_bytes", float64(usual.HeadBytes), 1))
-	limits.BodyBytes = int(f.number("max_body_bytes", float64(usual.BodyBytes), 0))
+	limits.MaxHeaderBytes = int(f.number("max_header_bytes", float64(usual.MaxHeaderBytes), 1))
+	limits.MaxBodyBytes = int(f.number("max_body_bytes", float64(usual.MaxBodyBytes), 0))
 	if f.get("header_timeout") != nil {
-		limits.HeadTime = f.span("header_timeout", true)
+		limits.HeaderTimeout = f.span("header_timeout", true)
 	}
 	if f.get("idle_timeout") != nil {
-		limits.IdleTime = f.span("idle_timeout", true)
+		limits.IdleTimeout = f.span("idle_timeout", true)
 	}
 	return limits
 }
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -11,18 +11,18 @@
 
 // View is one state of the configuration, read-only.
 type View struct {
-	hosts    map[string]map[string]*Way
-	Services map[string]*Service
-	tenants  map[string]*Tenant
-	named    map[string]*Tenant
-	listed   []*Tenant
-	Limits   LimitItem
-	Ways     int
+	hosts      map[string]map[string]*Way
+	Services   map[string]*Service
+	tenants    map[string]*Tenant
+	named      map[string]*Tenant
+	listed     []*Tenant
+	Limits     LimitItem
+	RouteCount int
 }
 
-// View builds the reading of what stands.
-func (c *Canon) View() (view *View) {
-	view = &View{hosts: map[string]map[string]*Way{}, Services: map[string]*Service{}, tenants: map[string]*Tenant{}, named: map[string]*Tenant{}, Limits: UsualLimits}
+// RoutingTable builds the reading of what stands.
+func (c *Canon) RoutingTable() (view *View) {
+	view = &View{hosts: map[string]map[string]*Way{}, Services: map[string]*Service{}, tenants: map[string]*Tenant{}, named: map[string]*Tenant{}, Limits: DefaultLimits}
 	for _, item := range c.items {
 		switch {
 		case item.Dropped:
@@ -33,7 +33,7 @@
 			}
 			item.way.Version = item.Version
 			view.hosts[host][item.way.Prefix] = item.way
-			view.Ways++
+			view.RouteCount++
 		case item.service != nil:
 			view.Services[item.Name] = item.service
 		case item.tenant != nil:
@@ -52,8 +52,8 @@
 	return view
 }
 
-// PlainHost is a host without its port, in small letters.
-func PlainHost(host string) string {
+// NormalizeHost is a host without its port, in small letters.
+func NormalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
 	}
@@ -62,7 +62,7 @@
 
 // Find gives the way with the longest prefix of the path.
 func (v *View) Find(host, path string) (way *Way) {
-	ways := v.hosts[PlainHost(host)]
+	ways := v.hosts[NormalizeHost(host)]
 	if ways == nil {
 		return nil
 	}
@@ -77,7 +77,7 @@
 // ServicesOf lists the services that a host's ways go to, each once.
 func (v *View) ServicesOf(host string) (services []string) {
 	seen := map[string]bool{}
-	for _, way := range v.hosts[PlainHost(host)] {
+	for _, way := range v.hosts[NormalizeHost(host)] {
 		for _, target := range way.Targets {
 			if !seen[target.Service] {
 				seen[target.Service] = true
@@ -93,27 +93,27 @@
 	if len(v.tenants) == 0 {
 		return nil
 	}
-	return v.tenants[PlainHost(host)]
+	return v.tenants[NormalizeHost(host)]
 }
 
 // Tenants lists each tenant once, by name; the list is not to be written to.
 func (v *View) Tenants() (tenants []*Tenant) { return v.listed }
 
-// TenantNamed gives a tenant by its name, nil where there is none.
-func (v *View) TenantNamed(name string) (tenant *Tenant) { return v.named[name] }
+// TenantByName gives a tenant by its name, nil where there is none.
+func (v *View) TenantByName(name string) (tenant *Tenant) { return v.named[name] }
 
-// Homes gives the regions that a host's keyed ways are bound to, none where it
+// HomeRegions gives the regions that a host's keyed ways are bound to, none where it
 // has no such way or they are bound to different ones. Other ways do not
 // matter: they keep no answers and may be served from there as well.
-func (v *View) Homes(host string) (homes []string) {
-	for _, way := range v.hosts[PlainHost(host)] {
-		if way.Repeat != Keyed || len(way.Homes) == 0 {
+func (v *View) HomeRegions(host string) (homes []string) {
+	for _, way := range v.hosts[NormalizeHost(host)] {
+		if way.Type != Keyed || len(way.AllowedRegions) == 0 {
 			continue
 		}
-		if homes != nil && !alike(homes, way.Homes) {
+		if homes != nil && !alike(homes, way.AllowedRegions) {
 			return nil
 		}
-		homes = way.Homes
+		homes = way.AllowedRegions
 	}
 	return homes
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	// What cannot be read is rejected whatever the state.
-	call, err := config.ReadCall(body)
+	call, err := config.ParseUpdate(body)
 	if err != nil {
 		return c.reject(history.Item, &httpapi.Error{Kind: apierror.InvalidConfig, Text: err.Error()})
 	}
@@ -44,7 +44,7 @@
 	// A settled leader has applied all that it or an older leader acknowledged
 	// before the call; contact after the reading proves that no later leader has
 	// acknowledged anything.
-	c.node.ReadState(func(state *statemachine.State) { text = state.Canon.Describe() })
+	c.node.ReadState(func(state *statemachine.State) { text = state.Canon.EncodeUpserts() })
 	if err = c.confirmed(current, nil); err != nil {
 		return nil, err
 	}
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	if err = policy.CheckText(body); err != nil {
+	if err = policy.CheckSyntax(body); err != nil {
 		return c.reject(history.Document, invalidRequest(err))
 	}
 	invalid := c.checkDocument(current, kind, body)
@@ -65,7 +65,7 @@
 
 // withdrawDocument answers Orders.Withdraw.
 func (c *Controller) withdrawDocument(_ context.Context, kind policy.Kind, version policy.Version) (err error) {
-	if !kind.Known() {
+	if !kind.Valid() {
 		return unknownKind(kind)
 	}
 	if _, err = c.leading(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
@@ -76,7 +76,7 @@
 }
 
 func unknownKind(kind policy.Kind) (err error) {
-	return invalidRequest(policy.Class.New("unknown kind of document %q", kind))
+	return invalidRequest(policy.ErrInvalid.New("unknown kind of document %q", kind))
 }
 
 // DocumentStatus is the answer to Orders.Show: the document, and how what it
@@ -87,7 +87,7 @@
 	InForce     bool                       `json:"in_force"`
 	Document    json.RawMessage            `json:"document,omitempty"`
 	Retirements []drain.RetirementStatus   `json:"retiring,omitempty"`
-	Targets     []schedule.Account         `json:"moving,omitempty"`
+	Targets     []schedule.TargetStatus    `json:"moving,omitempty"`
 	Step        uint64                     `json:"step,omitempty"`
 	Sessions    *coordinator.SessionStatus `json:"sessions,omitempty"`
 	Retries     []coordinator.RetryStatus  `json:"retrying,omitempty"`
@@ -95,7 +95,7 @@
 
 // showDocument answers Orders.Show.
 func (c *Controller) showDocument(_ context.Context, kind policy.Kind) (text []byte, err error) {
-	if !kind.Known() {
+	if !kind.Valid() {
 		return nil, unknownKind(kind)
 	}
 	current, err := c.leading("/-/Orders.Show/" + string(kind))
@@ -105,7 +105,7 @@
 	status := DocumentStatus{Kind: kind}
 	c.node.ReadState(func(state *statemachine.State) {
 		document := state.Documents[kind]
-		status.Version, status.InForce, status.Document = document.Version, document.InForce(), json.RawMessage(document.Body)
+		status.Version, status.InForce, status.Document = document.Version, document.Active(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
 			status.Step = state.Move.Count
 		}
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -40,8 +40,8 @@
 }
 
 func TestRetirementSentAgainIsNeverRejected(t *testing.T) {
-	last := policy.Class.New("the last one")
-	unlisted := policy.Class.Wrap(fmt.Errorf("backend %q is %w", "one", coordinator.ErrUnknownBackend))
+	last := policy.ErrInvalid.New("the last one")
+	unlisted := policy.ErrInvalid.Wrap(fmt.Errorf("backend %q is %w", "one", coordinator.ErrUnknownBackend))
 	for _, c := range []struct {
 		earlier earlierRetirement
 		refusal error
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -21,7 +21,7 @@
 
 // invalidRequest is the answer to a request that fails a check.
 func invalidRequest(err error) (answer *httpapi.Error) {
-	if dedup.Conflict.Has(err) {
+	if dedup.ErrConflict.Has(err) {
 		return &httpapi.Error{Kind: apierror.VersionConflict, Text: err.Error()}
 	}
 	return &httpapi.Error{Kind: apierror.RequestRejected, Text: err.Error()}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -74,8 +74,8 @@
 	status.Term, status.Leader = uint64(term), leader.Control
 	c.node.ReadState(func(state *statemachine.State) {
 		status.Revision, status.Claims = state.Rev, state.Claims()
-		status.AcceptedRequests, status.OvertakenVersions = state.Orders.Len(), state.Canon.Overtaken.Len()
-		status.ForgottenRequests = state.Orders.Dropped() + state.Canon.Overtaken.Dropped()
+		status.AcceptedRequests, status.OvertakenVersions = state.Orders.Len(), state.Canon.Superseded.Len()
+		status.ForgottenRequests = state.Orders.Evicted() + state.Canon.Superseded.Evicted()
 	})
 	status.BytesIn, status.BytesOut = rpc.Traffic()
 	if current := c.nodeCalls.Coordinator(); current != nil {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -79,7 +79,7 @@
 		nodes:          newNodeTable(clock, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
 		endpoints:      registry.NewEndpointList(clock),
 		health:         healthcheck.NewStateCache(clock, 3*p.HealthCheckInterval+time.Second),
-		view:           config.New().View(),
+		view:           config.New().RoutingTable(),
 		evacuatedZones: map[rpc.ZoneName]bool{},
 		outcomes:       newOutcomeRelay(),
 		leases:         newLeaseTable(term == 1),
@@ -111,7 +111,7 @@
 	c.node.ReadState(func(state *statemachine.State) {
 		if state.Rev != c.revision {
 			c.revision = state.Rev
-			view = state.Canon.View()
+			view = state.Canon.RoutingTable()
 			c.policies.load(state)
 			c.sessions.load(state)
 		}
@@ -141,7 +141,7 @@
 			return
 		}
 		if service := c.view.Services[string(server.Service)]; service != nil {
-			c.health.Suspect(c.now(), id, server.Service, service.Cold)
+			c.health.Suspect(c.now(), id, server.Service, service.SlowStart)
 		}
 	})
 }
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -27,7 +27,7 @@
 
 func (d *drainState) load(state *statemachine.State) {
 	d.policy = nil
-	if document := state.Documents[policy.DrainPolicy]; document.InForce() {
+	if document := state.Documents[policy.DrainPolicy]; document.Active() {
 		d.policy, _ = drain.Parse([]byte(document.Body))
 	}
 	d.retired = make(map[rpc.EndpointID]rpc.Retirement, len(state.Retired))
@@ -104,10 +104,10 @@
 	defer c.mu.Unlock()
 	server, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
-		return "", policy.Class.Wrap(fmt.Errorf("backend %q is %w", id, ErrUnknownBackend))
+		return "", policy.ErrInvalid.Wrap(fmt.Errorf("backend %q is %w", id, ErrUnknownBackend))
 	}
 	if stock := c.stockOf(server.Service); stock.Usable <= 1 {
-		return "", policy.Class.New("backend %q is the last of service %q that is useful", id, server.Service)
+		return "", policy.ErrInvalid.New("backend %q is the last of service %q that is useful", id, server.Service)
 	}
 	return server.Service, nil
 }
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -56,7 +56,7 @@
 		leases = append(leases, lease)
 	}
 	for _, demand := range request.TenantDemands {
-		if tenant := c.view.TenantNamed(demand.Name); tenant != nil {
+		if tenant := c.view.TenantByName(demand.Name); tenant != nil {
 			leases = append(leases, c.leases.tenants.Grant(now, quota.TenantLimit(tenant), request.ID, nodes, demand)...)
 		}
 	}
@@ -85,19 +85,19 @@
 	if service == nil {
 		return lease, false
 	}
-	shares, sharers := c.nodes.sharesWarmUp(node, server, service.ColdRate, c.settings.ZoneRegions)
+	shares, sharers := c.nodes.sharesWarmUp(node, server, service.SlowStartRate, c.settings.ZoneRegions)
 	if !shares {
 		return lease, false
 	}
 	key := quota.Key{Kind: rpc.WarmupRate, Name: string(id)}
-	return c.leases.rates.Grant(now, key, service.ColdRate, warmUpWindow, node, service.ColdRate/float64(sharers))
+	return c.leases.rates.Grant(now, key, service.SlowStartRate, warmUpWindow, node, service.SlowStartRate/float64(sharers))
 }
 
 // warmUpLimited gives a backend's service where that limits the rate of backends
 // that are warming up, else nil.
 func (c *Coordinator) warmUpLimited(server rpc.Endpoint) (service *config.Service) {
 	service = c.view.Services[string(server.Service)]
-	if service == nil || service.ColdRate <= 0 {
+	if service == nil || service.SlowStartRate <= 0 {
 		return nil
 	}
 	return service
--- a/internal/coordinator/policies.go
+++ b/internal/coordinator/policies.go
@@ -52,7 +52,7 @@
 
 func (r *retryState) load(state *statemachine.State) {
 	r.limit = nil
-	if document := state.Documents[policy.RetryLimit]; document.InForce() {
+	if document := state.Documents[policy.RetryLimit]; document.Active() {
 		r.limit, _ = retry.Parse([]byte(document.Body))
 		r.revision = document.Rev
 	}
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -17,7 +17,7 @@
 	plan     *schedule.Plan
 	step     rpc.ScheduleStep
 	stepper  *schedule.Stepper
-	statuses []schedule.Account
+	statuses []schedule.TargetStatus
 	// wallClock tells the time of day.
 	wallClock func() time.Time
 }
@@ -28,7 +28,7 @@
 
 func (s *scheduleState) load(state *statemachine.State) {
 	s.plan = nil
-	if document := state.Documents[policy.DayPlan]; document.InForce() {
+	if document := state.Documents[policy.DayPlan]; document.Active() {
 		s.plan, _ = schedule.Read([]byte(document.Body))
 	}
 	s.step = state.Move
@@ -58,8 +58,8 @@
 }
 
 // targetState is what a target of the plan has in each region.
-func (c *Coordinator) targetState(target schedule.Target) (state schedule.State) {
-	state.Stock = map[rpc.RegionName]schedule.Stock{}
+func (c *Coordinator) targetState(target schedule.Target) (state schedule.TargetState) {
+	state.Stock = map[rpc.RegionName]schedule.RegionCapacity{}
 	services := []rpc.ServiceName{target.Service}
 	if target.Host != "" {
 		services = nil
@@ -72,7 +72,7 @@
 		for _, loads := range c.followers.loadByNode {
 			for _, load := range loads {
 				if load.Service == service {
-					state.AtWork += load.InFlight
+					state.InFlight += load.InFlight
 				}
 			}
 		}
@@ -80,20 +80,20 @@
 	for zone := range c.evacuatedZones {
 		region := c.regionOf(zone)
 		stock := state.Stock[region]
-		stock.Evacuated = stock.Useful == 0
+		stock.Evacuated = stock.Usable == 0
 		state.Stock[region] = stock
 	}
 	return state
 }
 
 // addStock adds the backends of a service to those of their regions.
-func (c *Coordinator) addStock(service rpc.ServiceName, state *schedule.State) {
+func (c *Coordinator) addStock(service rpc.ServiceName, state *schedule.TargetState) {
 	c.eachBackend(service, func(server rpc.Endpoint, useful bool) {
 		region := c.regionOf(server.Zone)
 		stock := state.Stock[region]
 		stock.Listed++
 		if useful && !c.evacuatedZones[server.Zone] {
-			stock.Useful++
+			stock.Usable++
 			stock.Slots += max(1, server.Slots)
 		}
 		state.Stock[region] = stock
@@ -119,8 +119,8 @@
 }
 
 // ScheduleStatus gives how each target of the plan stands.
-func (c *Coordinator) ScheduleStatus() (statuses []schedule.Account) {
+func (c *Coordinator) ScheduleStatus() (statuses []schedule.TargetStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]schedule.Account{}, c.policies.schedule.statuses...)
+	return append([]schedule.TargetStatus{}, c.policies.schedule.statuses...)
 }
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -54,7 +54,7 @@
 // load reads what is agreed; the caller holds the Coordinator's mu.
 func (s *sessionTable) load(state *statemachine.State) {
 	s.policy = nil
-	if document := state.Documents[policy.SessionAffinity]; document.InForce() {
+	if document := state.Documents[policy.SessionAffinity]; document.Active() {
 		s.policy, _ = affinity.Parse([]byte(document.Body))
 	}
 }
@@ -94,7 +94,7 @@
 		return errors.New("invalid session id")
 	case bind.IdleTimeout <= 0 || bind.IdleTimeout > maxIdle:
 		return errors.New("the idle time is out of bounds")
-	case len(bind.EndedEndpoint) > policy.NameMost:
+	case len(bind.EndedEndpoint) > policy.MaxNameLength:
 		return errLongName
 	case c.view.Services[string(bind.Service)] == nil || !ruled:
 		return errors.New("no affinity rule for the service")
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -42,7 +42,7 @@
 
 func namesFit(names ...string) (good bool) {
 	for _, name := range names {
-		if len(name) > policy.NameMost {
+		if len(name) > policy.MaxNameLength {
 			return false
 		}
 	}
@@ -129,7 +129,7 @@
 func (r *rejectionLog) reject(log *eventlog.Logger, call string, by rpc.NodeID, reason error) (err error) {
 	count := r.count.Add(1)
 	if count <= loggedRejections || count%loggedRejections == 0 {
-		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.NameMost)], eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
+		log.Emit(eventlog.NodeRequestRejected, eventlog.KeyCall, call, eventlog.KeyNode, string(by)[:min(len(by), policy.MaxNameLength)], eventlog.KeyReason, reason.Error(), eventlog.KeyCount, count)
 	}
 	return &InvalidCallError{Call: call, Reason: reason}
 }
--- a/internal/dedup/content.go
+++ b/internal/dedup/content.go
@@ -20,28 +20,28 @@
 // Content gathers parsed values for one digest.
 type Content struct{ text []byte }
 
-// Text adds a text.
-func (c *Content) Text(text string) {
+// AddText adds a text.
+func (c *Content) AddText(text string) {
 	c.text = binary.AppendUvarint(append(c.text, 's'), uint64(len(text)))
 	c.text = append(c.text, text...)
 }
 
-// Number adds a whole number.
-func (c *Content) Number(number uint64) { c.text = binary.AppendUvarint(append(c.text, 'u'), number) }
+// AddUint adds a whole number.
+func (c *Content) AddUint(number uint64) { c.text = binary.AppendUvarint(append(c.text, 'u'), number) }
 
-// Value adds a parsed value.
-func (c *Content) Value(value *fastjson.Value) {
+// AddJSON adds a parsed value.
+func (c *Content) AddJSON(value *fastjson.Value) {
 	switch value.Type() {
 	case fastjson.TypeObject:
 		c.object(value.GetObject())
 	case fastjson.TypeArray:
 		c.text = append(c.text, '[')
 		for _, entry := range value.GetArray() {
-			c.Value(entry)
+			c.AddJSON(entry)
 		}
 		c.text = append(c.text, ']')
 	case fastjson.TypeString:
-		c.Text(string(value.GetStringBytes()))
+		c.AddText(string(value.GetStringBytes()))
 	case fastjson.TypeNumber:
 		c.text = append(c.text, 'n')
 		c.text = append(c.text, plainNumber(value.String())...)
@@ -65,8 +65,8 @@
 	sort.SliceStable(fields, func(i, j int) bool { return fields[i].name < fields[j].name })
 	c.text = append(c.text, '{')
 	for _, field := range fields {
-		c.Text(field.name)
-		c.Value(field.value)
+		c.AddText(field.name)
+		c.AddJSON(field.value)
 	}
 	c.text = append(c.text, '}')
 }
@@ -82,10 +82,10 @@
 func DigestJSON(text []byte) (digest Digest) {
 	content := &Content{}
 	if value, err := fastjson.ParseBytes(text); err == nil {
-		content.Value(value)
+		content.AddJSON(value)
 	} else {
 		content.text = append(content.text, '!')
-		content.Text(string(text))
+		content.AddText(string(text))
 	}
 	return content.Digest()
 }
@@ -116,12 +116,12 @@
 	return sign + short + "e" + strconv.FormatInt(exponent, 10)
 }
 
-// Twice names a key that an object in a value holds twice.
-func Twice(value *fastjson.Value) (key string, twice bool) {
+// DuplicateKey names a key that an object in a value holds twice.
+func DuplicateKey(value *fastjson.Value) (key string, twice bool) {
 	switch value.Type() {
 	case fastjson.TypeArray:
 		for _, entry := range value.GetArray() {
-			if key, twice = Twice(entry); twice {
+			if key, twice = DuplicateKey(entry); twice {
 				return key, true
 			}
 		}
@@ -130,7 +130,7 @@
 		var keys [][]byte
 		object.Visit(func(name []byte, inner *fastjson.Value) {
 			if !twice {
-				key, twice = Twice(inner)
+				key, twice = DuplicateKey(inner)
 			}
 			keys = append(keys, name)
 		})
--- a/internal/dedup/record.go
+++ b/internal/dedup/record.go
@@ -6,11 +6,11 @@
 
 import "github.com/zeebo/errs"
 
-// Class marks a record that cannot be read.
-var Class = errs.Class("record")
+// ErrCorrupt marks a record that cannot be read.
+var ErrCorrupt = errs.Class("record")
 
-// Conflict marks an order refused because another was taken under its number.
-var Conflict = errs.Class("conflict")
+// ErrConflict marks an order refused because another was taken under its number.
+var ErrConflict = errs.Class("conflict")
 
 // Number names an order: its kind, what it is about, and the version, 0 for
 // orders that have none.
@@ -21,9 +21,9 @@
 
 func (n Number) digest() (digest Digest) {
 	content := &Content{}
-	content.Text(n.Kind)
-	content.Text(n.Name)
-	content.Number(n.Version)
+	content.AddText(n.Kind)
+	content.AddText(n.Name)
+	content.AddUint(n.Version)
 	return content.Digest()
 }
 
@@ -42,8 +42,8 @@
 // New is an empty record of a bounded length.
 func New(most int) (record *Record) { return &Record{most: most, known: map[Digest]Digest{}} }
 
-// Note keeps what came under a number; the first holds.
-func (r *Record) Note(number Number, content Digest) { r.note(entry{number.digest(), content}) }
+// Remember keeps what came under a number; the first holds.
+func (r *Record) Remember(number Number, content Digest) { r.note(entry{number.digest(), content}) }
 
 func (r *Record) note(next entry) {
 	if _, known := r.known[next.number]; known {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Content gives what came under a number.
-func (r *Record) Content(number Number) (content Digest, known bool) {
+// Lookup gives what came under a number.
+func (r *Record) Lookup(number Number) (content Digest, known bool) {
 	content, known = r.known[number.digest()]
 	return content, known
 }
@@ -67,8 +67,8 @@
 // Len counts the orders held.
 func (r *Record) Len() int { return len(r.entries) }
 
-// Dropped counts the orders that went for want of room.
-func (r *Record) Dropped() uint64 { return r.dropped }
+// Evicted counts the orders that went for want of room.
+func (r *Record) Evicted() uint64 { return r.dropped }
 
 // Frozen is a record written out.
 type Frozen struct {
@@ -76,8 +76,8 @@
 	Dropped uint64
 }
 
-// Freeze writes the record out.
-func (r *Record) Freeze() (frozen Frozen) {
+// Snapshot writes the record out.
+func (r *Record) Snapshot() (frozen Frozen) {
 	frozen = Frozen{Dropped: r.dropped, Entries: make([]byte, 0, len(r.entries)*entryBytes)}
 	for _, held := range r.entries {
 		frozen.Entries = append(append(frozen.Entries, held.number[:]...), held.content[:]...)
@@ -85,10 +85,10 @@
 	return frozen
 }
 
-// Thaw reads a record back.
-func Thaw(most int, frozen Frozen) (record *Record, err error) {
+// Restore reads a record back.
+func Restore(most int, frozen Frozen) (record *Record, err error) {
 	if len(frozen.Entries)%entryBytes != 0 {
-		return nil, Class.New("%d bytes are no whole number of orders", len(frozen.Entries))
+		return nil, ErrCorrupt.New("%d bytes are no whole number of orders", len(frozen.Entries))
 	}
 	record = New(most)
 	for data := frozen.Entries; len(data) > 0; data = data[entryBytes:] {
--- a/internal/dedup/record_test.go
+++ b/internal/dedup/record_test.go
@@ -11,25 +11,25 @@
 	record := New(3)
 	number := func(i int) Number { return Number{"routes", fmt.Sprint("r", i), uint64(i)} }
 	for i := range 5 {
-		record.Note(number(i), DigestJSON([]byte(fmt.Sprint(i))))
-		record.Note(number(i), DigestJSON([]byte(`"other"`)))
+		record.Remember(number(i), DigestJSON([]byte(fmt.Sprint(i))))
+		record.Remember(number(i), DigestJSON([]byte(`"other"`)))
 	}
-	again, err := Thaw(3, record.Freeze())
+	again, err := Restore(3, record.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, held := range []*Record{record, again} {
-		if held.Len() != 3 || held.Dropped() != 2 {
-			t.Fatalf("%d held, %d dropped", held.Len(), held.Dropped())
+		if held.Len() != 3 || held.Evicted() != 2 {
+			t.Fatalf("%d held, %d dropped", held.Len(), held.Evicted())
 		}
 		for i := range 5 {
-			content, known := held.Content(number(i))
+			content, known := held.Lookup(number(i))
 			if known != (i >= 2) || known && content != DigestJSON([]byte(fmt.Sprint(i))) {
 				t.Errorf("order %d: known %v", i, known)
 			}
 		}
 	}
-	if _, err = Thaw(3, Frozen{Entries: make([]byte, entryBytes+1)}); err == nil {
+	if _, err = Restore(3, Frozen{Entries: make([]byte, entryBytes+1)}); err == nil {
 		t.Error("a cut record was read")
 	}
 }
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -82,7 +82,7 @@
 			t.Errorf("refused example %d was taken", i+1)
 		}
 	}
-	if items.View().Find("shop.example", "/hello/x") == nil || items.View().Find("shop.example", "/pay/x") != nil || items.View().Tenant("shop.example") == nil {
+	if items.RoutingTable().Find("shop.example", "/hello/x") == nil || items.RoutingTable().Find("shop.example", "/pay/x") != nil || items.RoutingTable().Tenant("shop.example") == nil {
 		t.Error("the examples do not leave what the page says")
 	}
 }
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -29,7 +29,7 @@
 )
 
 // Span is a time written as text.
-type Span = policy.Span
+type Span = policy.Duration
 
 // Rule is the policy for one service, or for all.
 type Rule struct {
@@ -66,11 +66,11 @@
 // Parse reads a policy and checks what can be seen from it alone.
 func Parse(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
-	if err = policy.Open(body, parsed); err != nil {
+	if err = policy.Decode(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &policy.Faults{}
-	faults.Head(parsed.Version, len(parsed.Rules), maxRules)
+	faults := &policy.ValidationErrors{}
+	faults.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
@@ -114,7 +114,7 @@
 	if p == nil {
 		return rule
 	}
-	if written, ruled := policy.RuleOf(p.Rules, string(service)); ruled {
+	if written, ruled := policy.RuleFor(p.Rules, string(service)); ruled {
 		return written
 	}
 	return rule
--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -114,7 +114,7 @@
 // readOne reads one request and has it handled; it tells whether another may follow.
 func (r *requestReader) readOne() (more bool) {
 	limits := r.server.view().Limits
-	if !r.await(limits.IdleTime) {
+	if !r.await(limits.IdleTimeout) {
 		return false
 	}
 	parsed, kind := r.readHead(limits)
@@ -167,16 +167,16 @@
 // readHead reads the head of a request. Without a head it returns nil, with no error kind
 // where the client has gone; a head that is too long may come with its kind.
 func (r *requestReader) readHead(limits config.LimitItem) (parsed *http.Request, kind apierror.Kind) {
-	_ = r.client.netConn.SetReadDeadline(time.Now().Add(limits.HeadTime))
+	_ = r.client.netConn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	before := r.source.total - int64(r.in.Buffered())
-	r.source.limit = before + int64(limits.HeadBytes) + 1
+	r.source.limit = before + int64(limits.MaxHeaderBytes) + 1
 	parsed, err := http.ReadRequest(r.in)
 	size := r.source.total - int64(r.in.Buffered()) - before
 	r.source.limit = 0
 	if err != nil {
 		return nil, headErrorKind(err)
 	}
-	if size > int64(limits.HeadBytes) {
+	if size > int64(limits.MaxHeaderBytes) {
 		return parsed, apierror.HeadersTooLarge
 	}
 	return parsed, apierror.None
@@ -199,7 +199,7 @@
 	server, client := r.server, r.client
 	response := &pendingResponse{handled: make(chan message.Response, 1), http10: parsed.ProtoMinor == 0, closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead}
 	path, _, _ := strings.Cut(request.Target, "?")
-	if route := server.view().Find(request.Host, path); route != nil && !route.Repeat.Repeatable() {
+	if route := server.view().Find(request.Host, path); route != nil && !route.Type.Retryable() {
 		client.unanswered.Wait()
 	}
 	request.Pipelined = client.unansweredCount.Load() > 0
@@ -262,7 +262,7 @@
 	if response.Close {
 		client.closing.Store(true)
 	}
-	response.KeepAlive = s.view().Limits.IdleTime - idleMargin
+	response.KeepAlive = s.view().Limits.IdleTimeout - idleMargin
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	buffer, complete := response.Write(conn, buffer, pending.http10)
 	if cap(buffer) > 64<<10 {
--- a/internal/frontend/request_body.go
+++ b/internal/frontend/request_body.go
@@ -26,7 +26,7 @@
 		request.HasBody = len(parsed.Header["Content-Length"]) > 0
 		return request, apierror.None
 	}
-	if parsed.ContentLength > int64(limits.BodyBytes) {
+	if parsed.ContentLength > int64(limits.MaxBodyBytes) {
 		return nil, apierror.BodyTooLarge
 	}
 	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
@@ -38,7 +38,7 @@
 	if parsed.ContentLength > 0 {
 		request.Body, kind = s.readSizedBody(parsed)
 	} else {
-		request.Body, kind = s.readChunkedBody(parsed, int64(limits.BodyBytes))
+		request.Body, kind = s.readChunkedBody(parsed, int64(limits.MaxBodyBytes))
 	}
 	if kind != apierror.None {
 		return nil, kind
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -19,8 +19,8 @@
 	"tinpin/internal/dedup"
 )
 
-// Class marks refused orders.
-var Class = errs.Class("order")
+// ErrInvalid marks refused orders.
+var ErrInvalid = errs.Class("order")
 
 // Kind names one document.
 type Kind string
@@ -36,27 +36,29 @@
 // Kinds lists them.
 var Kinds = []Kind{DrainPolicy, DayPlan, RetryLimit, SessionAffinity}
 
-// Known tells whether there is such a document.
-func (k Kind) Known() bool { return slices.Contains(Kinds, k) }
+// Valid tells whether there is such a document.
+func (k Kind) Valid() bool { return slices.Contains(Kinds, k) }
 
 // AllServices is the rule that holds where a service has none of its own.
 const AllServices = "*"
 
-// NameMost is how long a name in a document may be.
-const NameMost = 256
+// MaxNameLength is how long a name in a document may be.
+const MaxNameLength = 256
 
-// Span is a time written as text.
-type Span time.Duration
+// Duration is a time written as text.
+type Duration time.Duration
 
 // UnmarshalText reads it.
-func (s *Span) UnmarshalText(text []byte) (err error) {
+func (s *Duration) UnmarshalText(text []byte) (err error) {
 	span, err := time.ParseDuration(string(text))
-	*s = Span(span)
+	*s = Duration(span)
 	return err
 }
 
 // MarshalText writes it.
-func (s Span) MarshalText() (text []byte, err error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() (text []byte, err error) {
+	return []byte(time.Duration(s).String()), nil
+}
 
 // Version orders the states of one document.
 type Version uint64
@@ -69,31 +71,31 @@
 	Rev     uint64
 }
 
-// InForce tells that the document is set and not withdrawn.
-func (d Document) InForce() bool { return d.Body != "" }
+// Active tells that the document is set and not withdrawn.
+func (d Document) Active() bool { return d.Body != "" }
 
 // Stamp is the version, with a mark where it was withdrawn.
 func (d Document) Stamp() (stamp string) {
 	stamp = strconv.FormatUint(uint64(d.Version), 10)
-	if !d.InForce() {
+	if !d.Active() {
 		stamp += " withdrawn"
 	}
 	return stamp
 }
 
-// Content is a digest of what the document says, however it is written.
-func (d Document) Content() (content dedup.Digest) { return dedup.DigestJSON([]byte(d.Body)) }
+// Digest is a digest of what the document says, however it is written.
+func (d Document) Digest() (content dedup.Digest) { return dedup.DigestJSON([]byte(d.Body)) }
 
 // Next gives what stands after a call that sets or withdraws, and whether that
 // changes anything.
 func (d Document) Next(next Document) (after Document, changed bool, err error) {
 	switch {
-	case next.Version == d.Version && next.Content() == d.Content():
+	case next.Version == d.Version && next.Digest() == d.Digest():
 		return d, false, nil
 	case next.Version == d.Version:
-		return d, false, dedup.Conflict.New("version %d is not above %d, which holds with other content", next.Version, d.Version)
+		return d, false, dedup.ErrConflict.New("version %d is not above %d, which holds with other content", next.Version, d.Version)
 	case next.Version < d.Version:
-		return d, false, Class.New("version %d is not above %d, which holds", next.Version, d.Version)
+		return d, false, ErrInvalid.New("version %d is not above %d, which holds", next.Version, d.Version)
 	}
 	return next, true, nil
 }
@@ -101,8 +103,8 @@
 // Ruled is a rule for one service, or for all others.
 type Ruled interface{ For() (service string) }
 
-// RuleOf gives the rule of a service: its own, else that of all.
-func RuleOf[Rule Ruled](rules []Rule, service string) (rule Rule, ruled bool) {
+// RuleFor gives the rule of a service: its own, else that of all.
+func RuleFor[Rule Ruled](rules []Rule, service string) (rule Rule, ruled bool) {
 	for _, candidate := range rules {
 		switch candidate.For() {
 		case service:
@@ -116,7 +118,7 @@
 
 // CheckServices tells which services rules name that are not known.
 func CheckServices[Rule Ruled](rules []Rule, known func(service string) bool) (err error) {
-	faults := &Faults{}
+	faults := &ValidationErrors{}
 	for i, rule := range rules {
 		if service := rule.For(); service != AllServices && !known(service) {
 			faults.Add("rules."+strconv.Itoa(i)+".service", "names unknown service "+strconv.Quote(service))
@@ -125,14 +127,14 @@
 	return faults.Err()
 }
 
-// Faults gathers what is wrong with a document.
-type Faults struct{ lines []string }
+// ValidationErrors gathers what is wrong with a document.
+type ValidationErrors struct{ lines []string }
 
 // Add notes one fault.
-func (f *Faults) Add(where, why string) { f.lines = append(f.lines, where+" "+why) }
+func (f *ValidationErrors) Add(where, why string) { f.lines = append(f.lines, where+" "+why) }
 
-// Head notes what is wrong with a document's version and number of rules.
-func (f *Faults) Head(version Version, rules, most int) {
+// CheckHeader notes what is wrong with a document's version and number of rules.
+func (f *ValidationErrors) CheckHeader(version Version, rules, most int) {
 	if version == 0 {
 		f.Add("version", "must be 1 or more")
 	}
@@ -142,36 +144,36 @@
 }
 
 // Err is one error that names every fault, or nil.
-func (f *Faults) Err() (err error) {
+func (f *ValidationErrors) Err() (err error) {
 	if len(f.lines) == 0 {
 		return nil
 	}
-	return Class.New("%s", strings.Join(f.lines, "; "))
+	return ErrInvalid.New("%s", strings.Join(f.lines, "; "))
 }
 
-// CheckText tells why a body is not to be let in, however it would be read.
-func CheckText(body []byte) (err error) {
+// CheckSyntax tells why a body is not to be let in, however it would be read.
+func CheckSyntax(body []byte) (err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) || fastjson.ValidateBytes(body) != nil {
-		return Class.New("the document is not JSON")
+		return ErrInvalid.New("the document is not JSON")
 	}
-	if key, twice := dedup.Twice(v); twice {
-		return Class.New("an object of the document holds %q twice", key)
+	if key, twice := dedup.DuplicateKey(v); twice {
+		return ErrInvalid.New("an object of the document holds %q twice", key)
 	}
 	return nil
 }
 
-// Open reads a body and its version; unknown fields are faults, since a
+// Decode reads a body and its version; unknown fields are faults, since a
 // misspelt one would otherwise be obeyed in its absence.
-func Open(body []byte, into any) (err error) {
+func Decode(body []byte, into any) (err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil || v.Type() != fastjson.TypeObject {
-		return Class.New("the document must be a JSON object")
+		return ErrInvalid.New("the document must be a JSON object")
 	}
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
 	if err = decoder.Decode(into); err != nil {
-		return Class.New("the document cannot be read: %s", strings.TrimPrefix(err.Error(), "json: "))
+		return ErrInvalid.New("the document cannot be read: %s", strings.TrimPrefix(err.Error(), "json: "))
 	}
 	return nil
 }
--- a/internal/policy/order_test.go
+++ b/internal/policy/order_test.go
@@ -10,11 +10,11 @@
 
 func TestTextsThatAreNotLetIn(t *testing.T) {
 	for _, body := range []string{"", "{", `{"version":1}{}`, `{"version":1,"version":2}`, `{"rules":[{"a":1,"b":2,"a":1}]}`, "{\"a\":\"\xff\"}", `{"version":007}`, strings.Repeat("[", 1<<20)} {
-		if CheckText([]byte(body)) == nil {
+		if CheckSyntax([]byte(body)) == nil {
 			t.Errorf("let in: %.40s", body)
 		}
 	}
-	if err := CheckText([]byte(`{"version":1,"rules":[{"a":1},{"a":1}]}`)); err != nil {
+	if err := CheckSyntax([]byte(`{"version":1,"rules":[{"a":1},{"a":1}]}`)); err != nil {
 		t.Error(err)
 	}
 }
@@ -34,7 +34,7 @@
 		{next: Document{Version: 6}, changed: true},
 	} {
 		after, changed, err := standing.Next(c.next)
-		if changed != c.changed || (err != nil) != c.refused || dedup.Conflict.Has(err) != c.conflict || !changed && after.Version != standing.Version {
+		if changed != c.changed || (err != nil) != c.refused || dedup.ErrConflict.Has(err) != c.conflict || !changed && after.Version != standing.Version {
 			t.Errorf("%+v: %v, %v", c.next, changed, err)
 		}
 	}
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -101,7 +101,7 @@
 func (w *ClusterState) chooseEndpoint(scene *Snapshot, wanted Criteria) (chosenServer *Backend, any bool) {
 	c := &selection{state: w, snapshot: scene, criteria: wanted, now: w.clock.Now(), calmLatencyMS: wanted.expectedLatencyMS(), borderFactor: 1}
 	if service := scene.View.Services[string(wanted.Service)]; service != nil {
-		c.maxConnections = service.Streams
+		c.maxConnections = service.MaxConnections
 	}
 	if wanted.Large {
 		c.borderFactor = largeBorderFactor
--- a/internal/proxy/cluster_state.go
+++ b/internal/proxy/cluster_state.go
@@ -97,7 +97,7 @@
 		outliers:    healthcheck.NewOutlierDetector(),
 	}
 	state.Policies.Retries = retry.NewLimiter(state.Leased)
-	state.view = state.config.View()
+	state.view = state.config.RoutingTable()
 	state.publishSnapshot()
 	return state
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -218,7 +218,7 @@
 func (d *Daemon) resolve(ctx context.Context, host, region, site string) (addresses []string, ttl time.Duration, err error) {
 	scene := d.state.Snapshot()
 	addresses = directory.Answer(directory.Query{
-		Nodes: scene.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: scene.View.Homes(host), Weights: d.planWeights(scene, host),
+		Nodes: scene.Nodes, Absent: d.state.AbsentNodes(), AllowedRegions: scene.View.HomeRegions(host), Weights: d.planWeights(scene, host),
 		Region: region, Zone: site, Client: httpapi.CallerAddress(ctx),
 	})
 	if len(addresses) == 0 && d.isReady() {
--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -55,7 +55,7 @@
 // mayWaitForCapacity tells whether a request may look for capacity once more, so that a rejection
 // still lets the client retry in time.
 func (d *Daemon) mayWaitForCapacity(plan *Plan) bool {
-	return d.clock.Now()+capacityPollInterval < min(plan.StartedAt+plan.Route.Aim/capacityWaitDivisor, plan.Deadline)
+	return d.clock.Now()+capacityPollInterval < min(plan.StartedAt+plan.Route.LatencyTarget/capacityWaitDivisor, plan.Deadline)
 }
 
 // attemptOrServerError makes the attempts of a plan. Where a backend told of its own failure and
@@ -118,11 +118,11 @@
 func (d *Daemon) observe(plan *Plan, limiter *ConcurrencyLimiter, began time.Duration, attempt *Attempt) {
 	if attempt.Sent {
 		ended := d.clock.Now()
-		inTime := plan.Route.Aim <= 0 || ended-began <= plan.Route.Aim
+		inTime := plan.Route.LatencyTarget <= 0 || ended-began <= plan.Route.LatencyTarget
 		d.retryBudget.RecordOutcome(ended, plan.Service, attempt.Outcome == Complete && inTime)
 	}
 	if attempt.Outcome == Complete {
-		limiter.ObserveLatency(d.clock.Now()-began, plan.Route.Aim)
+		limiter.ObserveLatency(d.clock.Now()-began, plan.Route.LatencyTarget)
 	}
 }
 
@@ -145,7 +145,7 @@
 			return !backend.isDraining() && d.warmUpLeased(backend) && d.state.Policies.KeepsSessions(d.clock.Now(), backend.ID, plan.Service)
 		}
 	}
-	if !plan.Route.Repeat.Repeatable() {
+	if !plan.Route.Type.Retryable() {
 		options.MaxIdle = d.settings.MaxIdleNonIdempotent
 	}
 	if plan.BoundBackend != "" && plan.wasTried(plan.BoundBackend) && !d.disabledChecks.has(ReuseRejectingConn) {
@@ -159,8 +159,8 @@
 // criteria says what backend a plan's next attempt wants.
 func (d *Daemon) criteria(plan *Plan, tried []rpc.EndpointID) (criteria Criteria) {
 	criteria = Criteria{
-		Service: plan.Service, TargetLatency: plan.Route.Aim, Homes: plan.Route.Homes, Tried: tried,
-		Idempotent: plan.Route.Repeat.Repeatable(), Large: plan.Route.Repeat == config.Download,
+		Service: plan.Service, TargetLatency: plan.Route.LatencyTarget, Homes: plan.Route.AllowedRegions, Tried: tried,
+		Idempotent: plan.Route.Type.Retryable(), Large: plan.Route.Type == config.Download,
 		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
 	}
 	if plan.BoundBackend != "" {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -26,7 +26,7 @@
 // discarded. Arrivals counts the attempts that were sent.
 func (d *Daemon) attemptWithHedge(plan *Plan, backend *Backend, chosenAt time.Duration, arrivals *int) (attempt Attempt, answering *Backend) {
 	wait := hedgeDelay(plan, backend)
-	if !plan.Route.Repeat.Repeatable() || plan.AttemptsLeft < 2 || wait <= 0 || plan.BoundBackend != "" {
+	if !plan.Route.Type.Retryable() || plan.AttemptsLeft < 2 || wait <= 0 || plan.BoundBackend != "" {
 		attempt = runAttempt(d.clock, backend, plan.Request, d.attemptOptions(plan, chosenAt))
 		if attempt.Sent {
 			*arrivals++
@@ -66,7 +66,7 @@
 
 // hedgeDelay is how long a backend may be silent before a second one is asked.
 func hedgeDelay(plan *Plan, backend *Backend) time.Duration {
-	return max(time.Duration(float64(plan.Route.Aim)*hedgeTargetShare), time.Duration(hedgeLatencyFactor*backend.stats.MeanLatency())*time.Millisecond)
+	return max(time.Duration(float64(plan.Route.LatencyTarget)*hedgeTargetShare), time.Duration(hedgeLatencyFactor*backend.stats.MeanLatency())*time.Millisecond)
 }
 
 // startAttempt sends to a backend and brings the result on a channel.
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -56,7 +56,7 @@
 		claimedAt := d.clock.Now()
 		// A new leader may be there in a moment; the wait for one stays inside the time in which a
 		// rejection still lets the client retry in time.
-		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.Aim/4, limit)
+		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.LatencyTarget/4, limit)
 		switch found.Outcome {
 		case rpc.ClaimGranted:
 			// The claim is valid for its window from when it was asked for.
@@ -102,13 +102,13 @@
 // may be followed by another under the same key.
 func (d *Daemon) deduplicates(name rpc.ServiceName) bool {
 	service := d.state.Snapshot().View.Services[string(name)]
-	return service != nil && service.Dedupes
+	return service != nil && service.SelfDeduplicates
 }
 
 // storeResponse keeps the response of an operation for repeats. Only the allowed regions of a
 // route may store its responses; elsewhere a node there stores it.
 func (d *Daemon) storeResponse(operation *idempotency.HeldOperation, plan *Plan, response message.Response) {
-	homes := plan.Route.Homes
+	homes := plan.Route.AllowedRegions
 	switch {
 	case response.BodyRest != nil:
 		d.operations.MarkLost(operation)
@@ -125,7 +125,7 @@
 	var address string
 	var best uint64
 	for id, node := range snapshot.Nodes {
-		if !node.Ready || node.Stopping || absent[id] || !config.AllowsRegion(plan.Route.Homes, string(node.Region)) {
+		if !node.Ready || node.Stopping || absent[id] || !config.AllowsRegion(plan.Route.AllowedRegions, string(node.Region)) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < best {
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -119,7 +119,7 @@
 		backend := newStandIn(t, "i-1", c.script)
 		d := daemonOf(t, backend)
 		led(t, d, &standInForum{script: grant})
-		d.state.Snapshot().View.Services["s"].Dedupes = c.dedupes
+		d.state.Snapshot().View.Services["s"].SelfDeduplicates = c.dedupes
 		if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != c.status {
 			t.Errorf("%s: status %d", name, verdict.Status)
 		}
--- a/internal/proxy/orders.go
+++ b/internal/proxy/orders.go
@@ -90,21 +90,21 @@
 		memory.Record(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, quiet)
 		if document.Kind == policy.DrainPolicy {
 			o.drainPolicy = nil
-			if document.InForce() {
+			if document.Active() {
 				o.drainPolicy, _ = drain.Parse([]byte(document.Body))
 			}
 			o.drainPermit.SetPolicy(o.drainPolicy)
 		}
 		if document.Kind == policy.SessionAffinity {
 			var drainPolicy *affinity.Policy
-			if document.InForce() {
+			if document.Active() {
 				drainPolicy, _ = affinity.Parse([]byte(document.Body))
 			}
 			o.Sessions.Set(drainPolicy)
 		}
 		if document.Kind == policy.RetryLimit {
 			var limit *retry.Policy
-			if document.InForce() {
+			if document.Active() {
 				limit, _ = retry.Parse([]byte(document.Body))
 			}
 			o.Retries.SetPolicy(limit)
@@ -139,7 +139,7 @@
 			weights[part.Region] = part.Weight
 		}
 		if target.Host != "" {
-			moves.Hosts[config.PlainHost(target.Host)] = weights
+			moves.Hosts[config.NormalizeHost(target.Host)] = weights
 		} else {
 			moves.Services[target.Service] = weights
 		}
@@ -196,7 +196,7 @@
 func (o *Policies) PlanWeights(host string, service rpc.ServiceName) (weights schedule.Weights) {
 	moves := o.planWeights.Load()
 	if len(moves.Hosts) > 0 {
-		if weights = moves.Hosts[config.PlainHost(host)]; weights != nil {
+		if weights = moves.Hosts[config.NormalizeHost(host)]; weights != nil {
 			return weights
 		}
 	}
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -71,14 +71,14 @@
 	switch attempt.Outcome {
 	case ServerError:
 		// The backend's own failure is its response, unless another may be asked.
-		if !p.Route.Repeat.Repeatable() || p.AttemptsLeft <= 0 || now >= p.Deadline {
+		if !p.Route.Type.Retryable() || p.AttemptsLeft <= 0 || now >= p.Deadline {
 			return StepRespond, apierror.None
 		}
 		return StepRetry, apierror.None
 	case TimedOut:
 		return StepFail, apierror.DeadlineExceeded
 	case ConnectionFailed, StaleConnection:
-		if !p.Route.Repeat.Repeatable() {
+		if !p.Route.Type.Retryable() {
 			return StepFail, apierror.BackendFailed
 		}
 	case NotSent:
--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -36,11 +36,11 @@
 	}
 	plan = &Plan{
 		Route: route, Service: pickTarget(route, rand.Float64()), Request: request,
-		StartedAt: now, Deadline: now + left, AttemptsLeft: route.Rounds,
+		StartedAt: now, Deadline: now + left, AttemptsLeft: route.MaxAttempts,
 	}
-	request.StreamBody = route.Repeat == config.Download
+	request.StreamBody = route.Type == config.Download
 	d.state.Policies.Sessions.assignSession(plan, tenant)
-	if route.Repeat == config.Keyed {
+	if route.Type == config.Keyed {
 		plan.Key = request.OperationKey()
 		if plan.Key == "" {
 			return nil, apierror.MissingKey, 0
@@ -71,7 +71,7 @@
 		return nil, apierror.NoRoute
 	case request.ID == "":
 		return nil, apierror.BadRequest
-	case request.Pipelined && !route.Repeat.Repeatable():
+	case request.Pipelined && !route.Type.Retryable():
 		// The route has changed since the frontend looked.
 		return nil, apierror.Overloaded
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -228,7 +228,7 @@
 		for first := NotSent; first <= TimedOut; first++ {
 			for second := NotSent; second <= TimedOut; second++ {
 				for rounds := 1; rounds <= 3; rounds++ {
-					plan := &Plan{Route: &config.Way{Repeat: repeat}, Deadline: time.Second, AttemptsLeft: rounds}
+					plan := &Plan{Route: &config.Way{Type: repeat}, Deadline: time.Second, AttemptsLeft: rounds}
 					mayHaveRun, arrivals := false, 0
 					for i, outcome := range []Outcome{first, second, Rejected, Rejected, Rejected} {
 						sent := outcome != NotSent
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -117,7 +117,7 @@
 	}
 	if rule, name, named := s.findSession(policy, plan.Service, asked); named {
 		plan.Rule = rule
-		plan.Session = affinity.SessionIDOf(plan.Service, plan.Route.Homes, name)
+		plan.Session = affinity.SessionIDOf(plan.Service, plan.Route.AllowedRegions, name)
 	}
 }
 
@@ -130,14 +130,14 @@
 		MustLeave: func(server rpc.EndpointID) bool { return d.mustMove(d.state.Snapshot(), plan, server) },
 		ChooseNew: func() rpc.EndpointID { return d.placeSession(d.state.Snapshot(), plan) },
 		AskLeader: func(from, choice rpc.EndpointID) rpc.BindResult {
-			return d.leader.Bind(rpc.SessionBinding{Session: plan.Session, Service: plan.Service, Endpoint: choice, EndedEndpoint: from, IdleTimeout: idle}, plan.Route.Aim/4, limit)
+			return d.leader.Bind(rpc.SessionBinding{Session: plan.Session, Service: plan.Service, Endpoint: choice, EndedEndpoint: from, IdleTimeout: idle}, plan.Route.LatencyTarget/4, limit)
 		},
 	})
 	plan.BoundBackend = server
 	switch {
 	case outcome == affinity.Bound:
 		return apierror.None
-	case outcome == affinity.Unbound, outcome == affinity.NoAnswer && plan.Rule.WithoutLeader == affinity.WithoutLeaderServe && plan.Route.Repeat.Repeatable():
+	case outcome == affinity.Unbound, outcome == affinity.NoAnswer && plan.Rule.WithoutLeader == affinity.WithoutLeaderServe && plan.Route.Type.Retryable():
 		s.count(&s.unkept)
 		return apierror.None
 	}
@@ -158,7 +158,7 @@
 // to, its site is evacuated, or it was retired and has had its time.
 func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.EndpointID) (over bool) {
 	server := scene.server(plan.Service, id)
-	return server == nil || server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.Homes, string(server.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+	return server == nil || server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
@@ -167,7 +167,7 @@
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
 	for _, server := range scene.Services[plan.Service] {
-		if server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.Homes, string(server.Region)) || !d.state.Policies.AcceptsNew(now, server.ID) {
+		if server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.AcceptsNew(now, server.ID) {
 			continue
 		}
 		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
--- a/internal/proxy/update.go
+++ b/internal/proxy/update.go
@@ -141,7 +141,7 @@
 	if len(update.Items) == 0 {
 		return
 	}
-	s.view = s.config.View()
+	s.view = s.config.RoutingTable()
 	names := make([]rpc.ServiceName, 0, len(s.view.Services))
 	for name := range s.view.Services {
 		names = append(names, rpc.ServiceName(name))
@@ -161,7 +161,7 @@
 				continue
 			}
 			if service := s.view.Services[string(backend.Service)]; service != nil {
-				backend.startWarmUp(now, service.Cold)
+				backend.startWarmUp(now, service.SlowStart)
 			}
 		}
 	}
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -22,7 +22,7 @@
 	// few first attempts there are.
 	LeastPerSecond float64 `json:"least_per_s"`
 	// Window is the span over which the limit is counted; it slides.
-	Window policy.Span `json:"window"`
+	Window policy.Duration `json:"window"`
 }
 
 // For is the service that the rule is for.
@@ -37,23 +37,23 @@
 const (
 	maxRatio          = 10
 	maxLeastPerSecond = 100_000
-	minWindow         = policy.Span(time.Second)
-	maxWindow         = policy.Span(10 * time.Minute)
+	minWindow         = policy.Duration(time.Second)
+	maxWindow         = policy.Duration(10 * time.Minute)
 	maxRules          = 5000
 )
 
 // Parse reads a policy and checks what can be seen from it alone.
 func Parse(body []byte) (parsed *Policy, err error) {
 	parsed = &Policy{}
-	if err = policy.Open(body, parsed); err != nil {
+	if err = policy.Decode(body, parsed); err != nil {
 		return nil, err
 	}
-	faults := &policy.Faults{}
-	faults.Head(parsed.Version, len(parsed.Rules), maxRules)
+	faults := &policy.ValidationErrors{}
+	faults.CheckHeader(parsed.Version, len(parsed.Rules), maxRules)
 	named := map[string]bool{}
 	for i, rule := range parsed.Rules {
 		where := func(field string) string { return fmt.Sprintf("rules.%d.%s", i, field) }
-		if rule.Service == "" || len(rule.Service) > policy.NameMost || named[rule.Service] {
+		if rule.Service == "" || len(rule.Service) > policy.MaxNameLength || named[rule.Service] {
 			faults.Add(where("service"), "is missing, too long or named twice")
 		}
 		named[rule.Service] = true
@@ -80,7 +80,7 @@
 	if p == nil {
 		return rule, false
 	}
-	return policy.RuleOf(p.Rules, string(service))
+	return policy.RuleFor(p.Rules, string(service))
 }
 
 // Bound is what is lent of the rule: half of the least may come at once and
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -16,7 +16,7 @@
 		`{"version":1,"rules":[{"service":"a","ratio":11,"least_per_s":1e9,"window":"24h"}]}`:                                                           {"rules.0.ratio", "rules.0.least_per_s", "rules.0.window"},
 		`{"version":1,"rules":[{"service":"a","ratio":"NaN","least_per_s":1,"window":"10s"}]}`:                                                          {"ratio"},
 		`{"version":1,"rules":[{"service":"a","ratio":0.1,"least_per_s":1,"window":"10s"},{"service":"a","ratio":0.1,"least_per_s":1,"window":"10s"}]}`: {"rules.1.service"},
-		`{"version":1,"rules":[{"service":"` + strings.Repeat("x", policy.NameMost+1) + `","ratio":0.1,"least_per_s":1,"window":"10s"}]}`:               {"rules.0.service"},
+		`{"version":1,"rules":[{"service":"` + strings.Repeat("x", policy.MaxNameLength+1) + `","ratio":0.1,"least_per_s":1,"window":"10s"}]}`:          {"rules.0.service"},
 	} {
 		_, err := Parse([]byte(body))
 		if err == nil {
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -118,15 +118,15 @@
 		return
 	}
 	wall := d.start.Add(d.now + d.clocks[d.leader])
-	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.Move, func(schedule.Target) schedule.State {
-		stock := map[rpc.RegionName]schedule.Stock{}
+	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.Move, func(schedule.Target) schedule.TargetState {
+		stock := map[rpc.RegionName]schedule.RegionCapacity{}
 		for _, region := range regions {
-			stock[region] = schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
+			stock[region] = schedule.RegionCapacity{Slots: 40, Usable: 10, Listed: 10}
 			if !d.up(region) {
-				stock[region] = schedule.Stock{Listed: 10}
+				stock[region] = schedule.RegionCapacity{Listed: 10}
 			}
 		}
-		return schedule.State{Stock: stock, AtWork: 20}
+		return schedule.TargetState{Stock: stock, InFlight: 20}
 	})
 	if move == nil {
 		return
@@ -314,20 +314,20 @@
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	wall := time.Date(2026, 5, 4, 15, 0, 0, 0, berlin)
 	agreed := rpc.ScheduleStep{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []rpc.ScheduleTarget{{Host: "book.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}}
-	good := schedule.Stock{Slots: 40, Useful: 10, Listed: 10}
-	for why, mid := range map[string]schedule.Stock{
-		"mid lacks room": {Slots: 5, Useful: 10, Listed: 10}, "mid is being evacuated": {Evacuated: true, Listed: 10},
-		"mid is being drained": {Slots: 40, Useful: 3, Listed: 10}, "mid has no backends": {},
+	good := schedule.RegionCapacity{Slots: 40, Usable: 10, Listed: 10}
+	for why, mid := range map[string]schedule.RegionCapacity{
+		"mid lacks room": {Slots: 5, Usable: 10, Listed: 10}, "mid is being evacuated": {Evacuated: true, Listed: 10},
+		"mid is being drained": {Slots: 40, Usable: 3, Listed: 10}, "mid has no backends": {},
 	} {
-		move, accounts := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.State {
-			return schedule.State{Stock: map[rpc.RegionName]schedule.Stock{"east": good, "mid": mid}, AtWork: 30}
+		move, accounts := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.TargetState {
+			return schedule.TargetState{Stock: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": mid}, InFlight: 30}
 		})
 		if move != nil || len(accounts) != 1 || len(accounts[0].Waiting) < len(why) || accounts[0].Waiting[:len(why)] != why {
 			t.Errorf("%s: %+v %+v", why, move, accounts)
 		}
 	}
-	sound := func(schedule.Target) schedule.State {
-		return schedule.State{Stock: map[rpc.RegionName]schedule.Stock{"east": good, "mid": good}, AtWork: 20}
+	sound := func(schedule.Target) schedule.TargetState {
+		return schedule.TargetState{Stock: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": good}, InFlight: 20}
 	}
 	move, _ := stepper.Step(0, wall, plan, agreed, sound)
 	if move == nil || move.Count != 8 || move.Targets[0].Weights[1].Weight != 250 {
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -20,31 +20,31 @@
 	"tinpin/internal/rpc"
 )
 
-// Clock is a time of day, as in 06:30.
-type Clock int
+// TimeOfDay is a time of day, as in 06:30.
+type TimeOfDay int
 
 // UnmarshalText reads it.
-func (c *Clock) UnmarshalText(text []byte) (err error) {
+func (c *TimeOfDay) UnmarshalText(text []byte) (err error) {
 	hours, minutes, found := strings.Cut(string(text), ":")
 	hour, hourErr := strconv.Atoi(hours)
 	minute, minuteErr := strconv.Atoi(minutes)
 	if !found || hourErr != nil || minuteErr != nil || len(minutes) != 2 || hour < 0 || minute < 0 || minute > 59 || hour*60+minute > 24*60 {
-		return policy.Class.New("%q is no time of day such as 06:30", text)
+		return policy.ErrInvalid.New("%q is no time of day such as 06:30", text)
 	}
-	*c = Clock(hour*60 + minute)
+	*c = TimeOfDay(hour*60 + minute)
 	return nil
 }
 
 // MarshalText writes it.
-func (c Clock) MarshalText() (text []byte, err error) {
+func (c TimeOfDay) MarshalText() (text []byte, err error) {
 	return []byte(fmt.Sprintf("%02d:%02d", int(c)/60, int(c)%60)), nil
 }
 
 // Span is a part of the local day; one that ends before it begins runs over
 // midnight.
 type Span struct {
-	From    Clock                      `json:"from"`
-	To      Clock                      `json:"to"`
+	From    TimeOfDay                  `json:"from"`
+	To      TimeOfDay                  `json:"to"`
 	Weights map[rpc.RegionName]float64 `json:"weights"`
 	Ramp    drain.Span                 `json:"ramp"`
 }
@@ -79,12 +79,12 @@
 type Plan struct {
 	Version policy.Version `json:"version"`
 	Targets []Target       `json:"targets"`
-	// Step is the largest part of the callers moved at once, Every the least
+	// MaxStep is the largest part of the callers moved at once, Every the least
 	// time between two such steps.
-	Step  float64    `json:"step"`
-	Every drain.Span `json:"every"`
-	// Room is the part of a region's slots that moved callers may fill.
-	Room float64 `json:"room"`
+	MaxStep      float64    `json:"step"`
+	StepInterval drain.Span `json:"every"`
+	// MaxUtilization is the part of a region's slots that moved callers may fill.
+	MaxUtilization float64 `json:"room"`
 }
 
 const targetsMost = 1000
@@ -92,20 +92,20 @@
 // Read reads a plan and checks what can be seen from it alone.
 func Read(body []byte) (plan *Plan, err error) {
 	plan = &Plan{}
-	if err = policy.Open(body, plan); err != nil {
+	if err = policy.Decode(body, plan); err != nil {
 		return nil, err
 	}
-	faults := &policy.Faults{}
+	faults := &policy.ValidationErrors{}
 	if plan.Version == 0 {
 		faults.Add("version", "must be 1 or more")
 	}
-	if !(plan.Step > 0 && plan.Step <= 1) {
+	if !(plan.MaxStep > 0 && plan.MaxStep <= 1) {
 		faults.Add("step", "must be above 0 and up to 1")
 	}
-	if plan.Every < drain.Span(time.Second) || plan.Every > drain.Span(time.Hour) {
+	if plan.StepInterval < drain.Span(time.Second) || plan.StepInterval > drain.Span(time.Hour) {
 		faults.Add("every", "must be a time from 1s to 1h")
 	}
-	if !(plan.Room > 0 && plan.Room <= 1) {
+	if !(plan.MaxUtilization > 0 && plan.MaxUtilization <= 1) {
 		faults.Add("room", "must be above 0 and up to 1")
 	}
 	if len(plan.Targets) == 0 || len(plan.Targets) > targetsMost {
@@ -126,7 +126,7 @@
 	return plan, faults.Err()
 }
 
-func (t *Target) check(at string, faults *policy.Faults) {
+func (t *Target) check(at string, faults *policy.ValidationErrors) {
 	var err error
 	if t.location, err = time.LoadLocation(t.TimeZone); err != nil || t.TimeZone == "" || t.TimeZone == "Local" {
 		faults.Add(at+".time_zone", fmt.Sprintf("%q is no known time zone", t.TimeZone))
@@ -163,7 +163,7 @@
 }
 
 func (s Span) overlaps(other Span) bool {
-	inside := func(minute Clock, span Span) bool {
+	inside := func(minute TimeOfDay, span Span) bool {
 		away := (int(minute) - int(span.From) + 24*60) % (24 * 60)
 		return away < span.minutes()
 	}
@@ -172,7 +172,7 @@
 
 // Check tells what a plan names that is not known.
 func (p *Plan) Check(service func(string) bool, region func(rpc.RegionName) bool) (err error) {
-	faults := &policy.Faults{}
+	faults := &policy.ValidationErrors{}
 	for i, target := range p.Targets {
 		at := fmt.Sprintf("targets.%d", i)
 		if target.Service != "" && !service(string(target.Service)) {
--- a/internal/schedule/plan_test.go
+++ b/internal/schedule/plan_test.go
@@ -80,10 +80,10 @@
 		if weights == nil {
 			t.Fatalf("%s: no weights", now)
 		}
-		if begun && weights["b"] != Whole {
+		if begun && weights["b"] != WeightSum {
 			t.Fatalf("%s: went back", now)
 		}
-		begun = begun || weights["b"] == Whole
+		begun = begun || weights["b"] == WeightSum
 	}
 	if !begun {
 		t.Fatal("the second span never began")
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -11,8 +11,8 @@
 	"tinpin/internal/rpc"
 )
 
-// Whole is the sum of a target's weights.
-const Whole = 1000
+// WeightSum is the sum of a target's weights.
+const WeightSum = 1000
 
 // Weights is the weight of each region in thousandths; nil where the plan says
 // nothing for the moment, so that nearness alone decides.
@@ -83,10 +83,10 @@
 func blend(from, to Weights, part float64) (weights Weights) {
 	parts := map[rpc.RegionName]float64{}
 	for region, weight := range from {
-		parts[region] += (1 - part) * float64(weight) / Whole
+		parts[region] += (1 - part) * float64(weight) / WeightSum
 	}
 	for region, weight := range to {
-		parts[region] += part * float64(weight) / Whole
+		parts[region] += part * float64(weight) / WeightSum
 	}
 	return round(parts)
 }
@@ -97,18 +97,18 @@
 	var most rpc.RegionName
 	sum := 0
 	for region, part := range parts {
-		weights[region] = int(part*Whole + 0.5)
+		weights[region] = int(part*WeightSum + 0.5)
 		sum += weights[region]
 		if most == "" || weights[region] > weights[most] || weights[region] == weights[most] && region < most {
 			most = region
 		}
 	}
-	weights[most] += Whole - sum
+	weights[most] += WeightSum - sum
 	return weights
 }
 
-// Toward moves weights toward others by no more than a part of all callers.
-func Toward(from, to Weights, most int) (next Weights, there bool) {
+// StepToward moves weights toward others by no more than a part of all callers.
+func StepToward(from, to Weights, most int) (next Weights, there bool) {
 	if from == nil || to == nil {
 		return to, true
 	}
--- a/internal/schedule/stepper.go
+++ b/internal/schedule/stepper.go
@@ -15,24 +15,24 @@
 	"tinpin/internal/rpc"
 )
 
-// Stock is what a region has of a target's backends.
-type Stock struct {
+// RegionCapacity is what a region has of a target's backends.
+type RegionCapacity struct {
 	// Slots are those of backends that may be sent new callers; Useful counts
 	// these backends and Listed all of the region.
-	Slots, Useful, Listed int
+	Slots, Usable, Listed int
 	// Evacuated tells that sites of the region are being emptied.
 	Evacuated bool
 }
 
-// State is a region as the leader sees it for one target.
-type State struct {
-	Stock map[rpc.RegionName]Stock
-	// AtWork is how many requests of the target are at work in all.
-	AtWork int
+// TargetState is a region as the leader sees it for one target.
+type TargetState struct {
+	Stock map[rpc.RegionName]RegionCapacity
+	// InFlight is how many requests of the target are at work in all.
+	InFlight int
 }
 
-// Account is one target's standing, for operators.
-type Account struct {
+// TargetStatus is one target's standing, for operators.
+type TargetStatus struct {
 	Target  string         `json:"target"`
 	Now     map[string]int `json:"now"`
 	Wanted  map[string]int `json:"wanted"`
@@ -47,10 +47,10 @@
 
 // Step says which move to commit next, nil for none, and how each target
 // stands. now is the steady clock, wall the time of day.
-func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed rpc.ScheduleStep, state func(Target) State) (next *rpc.ScheduleStep, accounts []Account) {
+func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed rpc.ScheduleStep, state func(Target) TargetState) (next *rpc.ScheduleStep, accounts []TargetStatus) {
 	mine := agreed.Version == uint64(plan.Version)
 	behind := agreed.Instant > wall.Unix()
-	paced := s.any && now-s.stepped < time.Duration(plan.Every)
+	paced := s.any && now-s.stepped < time.Duration(plan.StepInterval)
 	move := rpc.ScheduleStep{Version: uint64(plan.Version), Count: agreed.Count + 1, Instant: max(wall.Unix(), agreed.Instant)}
 	changed := !mine
 	for i := range plan.Targets {
@@ -60,8 +60,8 @@
 		if behind {
 			wanted = held
 		}
-		account := Account{Target: target.Name(), Now: plain(held), Wanted: plain(wanted)}
-		weights, _ := Toward(held, wanted, int(plan.Step*Whole))
+		account := TargetStatus{Target: target.Name(), Now: plain(held), Wanted: plain(wanted)}
+		weights, _ := StepToward(held, wanted, int(plan.MaxStep*WeightSum))
 		if !weights.equal(held) {
 			if account.Waiting = s.waits(plan, held, weights, state(target)); account.Waiting != "" {
 				weights = held
@@ -89,7 +89,7 @@
 func (s *Stepper) Committed(now time.Duration) { s.stepped, s.any = now, true }
 
 // waits tells why a step has to wait, empty where it need not.
-func (s *Stepper) waits(plan *Plan, held, weights Weights, state State) (why string) {
+func (s *Stepper) waits(plan *Plan, held, weights Weights, state TargetState) (why string) {
 	regions := make([]string, 0, len(weights))
 	for region := range weights {
 		regions = append(regions, string(region))
@@ -106,11 +106,11 @@
 			return fmt.Sprintf("%s is being evacuated", region)
 		case stock.Listed == 0:
 			return fmt.Sprintf("%s has no backends", region)
-		case 2*stock.Useful < stock.Listed:
-			return fmt.Sprintf("%s is being drained or is down: %d of %d backends are of use", region, stock.Useful, stock.Listed)
+		case 2*stock.Usable < stock.Listed:
+			return fmt.Sprintf("%s is being drained or is down: %d of %d backends are of use", region, stock.Usable, stock.Listed)
 		}
-		need := float64(state.AtWork) * float64(weights[region]) / Whole
-		if room := plan.Room * float64(stock.Slots); need > room {
+		need := float64(state.InFlight) * float64(weights[region]) / WeightSum
+		if room := plan.MaxUtilization * float64(stock.Slots); need > room {
 			return fmt.Sprintf("%s lacks room: %.0f at work would meet %.0f slots", region, need, room)
 		}
 	}
--- a/internal/statemachine/fixtures_test.go
+++ b/internal/statemachine/fixtures_test.go
@@ -85,13 +85,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := policy.Span(time.Second)
+	second := policy.Duration(time.Second)
 	want := []any{
 		&drain.Policy{Version: 2, IsolatedAfter: 10 * second, WhenIsolated: "stop", Rules: []drain.Rule{
 			{Service: "*", Notice: 2 * second, Finish: 30 * second, KeyedRequests: "deadline", LeastShare: 0.5},
 			{Service: "pay", Notice: second, Finish: 60 * second, KeyedRequests: "finish", LeastShare: 0.25},
 		}},
-		&schedule.Plan{Version: 3, Step: 0.1, Every: 30 * second, Room: 0.8, Targets: []schedule.Target{{
+		&schedule.Plan{Version: 3, MaxStep: 0.1, StepInterval: 30 * second, MaxUtilization: 0.8, Targets: []schedule.Target{{
 			Host: "shop.example", TimeZone: "Europe/Berlin",
 			Spans: []schedule.Span{{From: 390, To: 1080, Weights: map[rpc.RegionName]float64{"east": 3, "west": 1}, Ramp: 1800 * second}},
 		}}},
--- a/internal/statemachine/orders.go
+++ b/internal/statemachine/orders.go
@@ -21,7 +21,7 @@
 const ordersMost = 4096
 
 func refusal(err error) (result Result) {
-	return Result{Problem: err.Error(), Conflict: dedup.Conflict.Has(err)}
+	return Result{Problem: err.Error(), Conflict: dedup.ErrConflict.Has(err)}
 }
 
 func documentNumber(kind policy.Kind, version policy.Version) (number dedup.Number) {
@@ -48,8 +48,8 @@
 
 func orderContent(command Command) (digest dedup.Digest) {
 	content := &dedup.Content{}
-	content.Number(uint64(command.Kind))
-	content.Text(command.Site)
+	content.AddUint(uint64(command.Kind))
+	content.AddText(command.Site)
 	return content.Digest()
 }
 
@@ -59,9 +59,9 @@
 	if !command.namedOrder() {
 		return false, nil
 	}
-	content, known := s.Orders.Content(orderNumber(command))
+	content, known := s.Orders.Lookup(orderNumber(command))
 	if known && content != orderContent(command) {
-		return false, dedup.Conflict.New("order %q is another one", command.Key)
+		return false, dedup.ErrConflict.New("order %q is another one", command.Key)
 	}
 	return known, nil
 }
@@ -76,14 +76,14 @@
 		}
 	}
 	standing := s.Documents[next.Kind]
-	if standing.Version == next.Version && standing.Content() == next.Content() {
+	if standing.Version == next.Version && standing.Digest() == next.Digest() {
 		return standing, true, nil
 	}
-	if content, known := s.Orders.Content(documentNumber(next.Kind, next.Version)); known {
-		if content == next.Content() {
+	if content, known := s.Orders.Lookup(documentNumber(next.Kind, next.Version)); known {
+		if content == next.Digest() {
 			return standing, true, nil
 		}
-		return after, false, dedup.Conflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, standing.Stamp())
+		return after, false, dedup.ErrConflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, standing.Stamp())
 	}
 	if next.Body != "" {
 		if next, err = ReadDocument(next.Kind, []byte(next.Body), s.Canon); err != nil {
@@ -96,7 +96,7 @@
 
 // ReadDocument reads a document and checks it against the services that stand.
 func ReadDocument(kind policy.Kind, body []byte, items *config.Canon) (document policy.Document, err error) {
-	known := func(service string) bool { return items.Stands(config.Services, service) }
+	known := func(service string) bool { return items.Exists(config.Services, service) }
 	document = policy.Document{Kind: kind, Body: string(body)}
 	switch kind {
 	case policy.DrainPolicy:
@@ -124,7 +124,7 @@
 		}
 		document.Version, err = limit.Version, limit.CheckServices(known)
 	default:
-		err = policy.Class.New("unknown kind of document %q", kind)
+		err = policy.ErrInvalid.New("unknown kind of document %q", kind)
 	}
 	return document, err
 }
@@ -136,11 +136,11 @@
 		return err
 	}
 	if before := s.Documents[next.Kind]; before.Version > 0 {
-		s.Orders.Note(documentNumber(before.Kind, before.Version), before.Content())
+		s.Orders.Remember(documentNumber(before.Kind, before.Version), before.Digest())
 	}
 	after.Rev = rev
 	s.Documents[next.Kind], s.Rev = after, rev
-	if next.Kind == policy.DayPlan && !after.InForce() {
+	if next.Kind == policy.DayPlan && !after.Active() {
 		// The count and its time stay, so that no later step goes back.
 		s.Move.Targets, s.Move.Rev = nil, rev
 	}
@@ -151,7 +151,7 @@
 // was ever taken from an operator.
 func (s *State) RetireTaken(id rpc.EndpointID) (stands, taken bool) {
 	standing, known := s.Retired[id]
-	_, taken = s.Orders.Content(retireNumber(id))
+	_, taken = s.Orders.Lookup(retireNumber(id))
 	return known && !standing.Gone, taken
 }
 
@@ -161,7 +161,7 @@
 func (s *State) retire(rev uint64, command Command) {
 	id := rpc.EndpointID(command.Site)
 	if command.Kind == CommandRetire && command.Holder == drain.ByOperator {
-		s.Orders.Note(retireNumber(id), dedup.Digest{})
+		s.Orders.Remember(retireNumber(id), dedup.Digest{})
 	}
 	standing, known := s.Retired[id]
 	known = known && !standing.Gone
--- a/internal/statemachine/orders_test.go
+++ b/internal/statemachine/orders_test.go
@@ -296,11 +296,11 @@
 			}
 			again.Apply(uint64(i+1), commands[0], 0)
 		}
-		if diff := cmp.Diff(string(again.Canon.Describe()), string(state.Canon.Describe())); diff != "" {
+		if diff := cmp.Diff(string(again.Canon.EncodeUpserts()), string(state.Canon.EncodeUpserts())); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
-		for _, pair := range [][2]*dedup.Record{{again.Orders, state.Orders}, {again.Canon.Overtaken, state.Canon.Overtaken}} {
-			if diff := cmp.Diff(pair[0].Freeze(), pair[1].Freeze()); diff != "" {
+		for _, pair := range [][2]*dedup.Record{{again.Orders, state.Orders}, {again.Canon.Superseded, state.Canon.Superseded}} {
+			if diff := cmp.Diff(pair[0].Snapshot(), pair[1].Snapshot()); diff != "" {
 				t.Fatalf("seed %d: %s", seed, diff)
 			}
 		}
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -141,7 +141,7 @@
 		return Result{Granted: true}
 	}
 	if command.namedOrder() {
-		s.Orders.Note(orderNumber(command), orderContent(command))
+		s.Orders.Remember(orderNumber(command), orderContent(command))
 	}
 	switch command.Kind {
 	case CommandConfig:
@@ -188,7 +188,7 @@
 		s.retire(rev, command)
 	case CommandMove:
 		var next rpc.ScheduleStep
-		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].InForce() {
+		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].Active() {
 			return Result{Problem: "the step does not follow what is agreed"}
 		}
 		next.Rev = rev
@@ -227,7 +227,7 @@
 // Snapshot writes the state out for a snapshot.
 func (s *State) Snapshot() (data []byte, err error) {
 	still := frozen{Canon: s.Canon.Items(), Evacuations: s.Evacuations, Documents: s.Documents, Retired: s.Retired, Move: s.Move, Bindings: s.bindings, Seq: s.seq, Rev: s.Rev,
-		Columns: s.Canon.Columns(), Overtaken: s.Canon.Overtaken.Freeze(), Orders: s.Orders.Freeze()}
+		Columns: s.Canon.Columns(), Overtaken: s.Canon.Superseded.Snapshot(), Orders: s.Orders.Snapshot()}
 	for _, claim := range s.order {
 		if s.claims[claim.Key] == claim {
 			still.Claims = append(still.Claims, claim.Claim)
@@ -255,10 +255,10 @@
 	if err = state.Canon.Restore(still.Canon); err != nil {
 		return nil, err
 	}
-	if state.Canon.Overtaken, err = dedup.Thaw(config.OvertakenMost, still.Overtaken); err != nil {
+	if state.Canon.Superseded, err = dedup.Restore(config.MaxSuperseded, still.Overtaken); err != nil {
 		return nil, err
 	}
-	if state.Orders, err = dedup.Thaw(ordersMost, still.Orders); err != nil {
+	if state.Orders, err = dedup.Restore(ordersMost, still.Orders); err != nil {
 		return nil, err
 	}
 	if still.Evacuations != nil {
