--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -152,7 +152,7 @@
 			standing, _ := m.state.Binding(session.Session)
 			session.Seq = standing.Seq
 		}
-		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Upto: session.Seq})
+		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Number: session.Seq})
 	}
 	m.unbinds = nil
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -44,7 +44,7 @@
 	// A settled leader has applied all that it or an older leader acknowledged
 	// before the call; contact after the reading proves that no later leader has
 	// acknowledged anything.
-	c.node.ReadState(func(state *statemachine.State) { text = state.Canon.EncodeUpserts() })
+	c.node.ReadState(func(state *statemachine.State) { text = state.Config.EncodeUpserts() })
 	if err = c.confirmed(current, nil); err != nil {
 		return nil, err
 	}
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -46,7 +46,7 @@
 			return c.reject(history.Document, invalidRequest(invalid))
 		}
 	}
-	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(kind), Body: body})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(kind), Body: body})
 	return c.acknowledge(history.Document, string(kind), "set", result, err)
 }
 
@@ -71,7 +71,7 @@
 	if _, err = c.leading(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
 	}
-	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(kind), Upto: uint64(version)})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(kind), Number: uint64(version)})
 	return c.acknowledge(history.Document, string(kind), "withdrawn", result, err)
 }
 
@@ -107,7 +107,7 @@
 		document := state.Documents[kind]
 		status.Version, status.InForce, status.Document = document.Version, document.Active(), json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
-			status.Step = state.Move.Count
+			status.Step = state.ScheduleStep.Count
 		}
 	})
 	switch kind {
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -136,7 +136,7 @@
 		if err := sure(t, retire(id, false)); statusOf(t, err) != 422 {
 			t.Fatalf("%s, never taken: %v", id, err)
 		}
-		if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Body: []byte("s"), Claim: statemachine.Claim{Holder: drain.ByOperator}})); err != nil {
+		if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Subject: string(id), Body: []byte("s"), Claim: statemachine.Claim{Holder: drain.ByOperator}})); err != nil {
 			t.Fatal(err)
 		}
 		if err := sure(t, retire(id, false)); err != nil {
@@ -183,7 +183,7 @@
 			}
 		})
 	}
-	if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Site: "two", Claim: statemachine.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
+	if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Subject: "two", Claim: statemachine.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
 		t.Fatal(err)
 	}
 	phase := ""
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -20,14 +20,14 @@
 
 // evacuate answers Evacuations.Start and Evacuations.Stop.
 func (c *Controller) evacuate(_ context.Context, zone string, start bool, requestName string) (err error) {
-	kind, verb := statemachine.CommandReturn, "Stop"
+	kind, verb := statemachine.CommandEndEvacuation, "Stop"
 	if start {
-		kind, verb = statemachine.CommandEvacuate, "Start"
+		kind, verb = statemachine.CommandStartEvacuation, "Start"
 	}
 	if err = c.requireLeader(withRequestName("/-/Evacuations."+verb+"/"+url.PathEscape(zone), requestName)); err != nil {
 		return err
 	}
-	result, err := c.propose(statemachine.Command{Kind: kind, Site: zone, Claim: statemachine.Claim{Key: requestName}})
+	result, err := c.propose(statemachine.Command{Kind: kind, Subject: zone, Claim: statemachine.Claim{Key: requestName}})
 	if err != nil {
 		return err
 	}
--- a/internal/controller/retirement.go
+++ b/internal/controller/retirement.go
@@ -30,7 +30,7 @@
 	}
 	r := &retirement{
 		controller: c, current: current, id: id,
-		command: statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Claim: statemachine.Claim{Holder: drain.ByOperator, Key: requestName}},
+		command: statemachine.Command{Kind: statemachine.CommandRetire, Subject: string(id), Claim: statemachine.Claim{Holder: drain.ByOperator, Key: requestName}},
 	}
 	return r.carryOut()
 }
@@ -39,7 +39,7 @@
 	if _, err = c.leading(withRequestName("/-/Backends.Restore/"+url.PathEscape(string(id)), requestName)); err != nil {
 		return "", err
 	}
-	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandRestore, Site: string(id), Claim: statemachine.Claim{Key: requestName}})
+	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandCancelRetire, Subject: string(id), Claim: statemachine.Claim{Key: requestName}})
 	return "restored", c.acknowledge(history.Retirement, string(id), "restored", result, err)
 }
 
@@ -85,8 +85,8 @@
 // readEarlier reads what is agreed on this backend and request.
 func (r *retirement) readEarlier() {
 	r.controller.node.ReadState(func(state *statemachine.State) {
-		r.earlier.active, r.earlier.accepted = state.RetireTaken(r.id)
-		r.earlier.named, _ = state.TakenByName(r.command)
+		r.earlier.active, r.earlier.accepted = state.RetirementStatus(r.id)
+		r.earlier.named, _ = state.AcceptedByName(r.command)
 	})
 }
 
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -73,9 +73,9 @@
 	status.InContact = c.node.HoldsLease(term, 0)
 	status.Term, status.Leader = uint64(term), leader.Control
 	c.node.ReadState(func(state *statemachine.State) {
-		status.Revision, status.Claims = state.Rev, state.Claims()
-		status.AcceptedRequests, status.OvertakenVersions = state.Orders.Len(), state.Canon.Superseded.Len()
-		status.ForgottenRequests = state.Orders.Evicted() + state.Canon.Superseded.Evicted()
+		status.Revision, status.Claims = state.Revision, state.ClaimCount()
+		status.AcceptedRequests, status.OvertakenVersions = state.Accepted.Len(), state.Config.Superseded.Len()
+		status.ForgottenRequests = state.Accepted.Evicted() + state.Config.Superseded.Evicted()
 	})
 	status.BytesIn, status.BytesOut = rpc.Traffic()
 	if current := c.nodeCalls.Coordinator(); current != nil {
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -38,18 +38,18 @@
 	switch request.Kind {
 	case history.Item:
 		var item config.Item
-		item, has = state.Canon.Find(request.Name)
+		item, has = state.Config.Find(request.Name)
 		return item.Stamp(), item.Rev, has
 	case history.Document:
 		document, has := state.Documents[policy.Kind(request.Name)]
 		return document.Stamp(), document.Rev, has
 	case history.Retirement:
-		retired, has := state.Retired[rpc.EndpointID(request.Name)]
+		retired, has := state.Retirements[rpc.EndpointID(request.Name)]
 		return retired.Summary(), retired.Rev, has
 	case history.Evacuation:
 		evacuation, has := state.Evacuations[request.Name]
 		return evacuation.Stamp(), evacuation.Rev, has
 	default:
-		return state.Move.Summary(), state.Move.Rev, state.Move.Rev > 0
+		return state.ScheduleStep.Summary(), state.ScheduleStep.Rev, state.ScheduleStep.Rev > 0
 	}
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -109,9 +109,9 @@
 	var view *config.RoutingTable
 	active := map[rpc.ZoneName]bool{}
 	c.node.ReadState(func(state *statemachine.State) {
-		if state.Rev != c.revision {
-			c.revision = state.Rev
-			view = state.Canon.RoutingTable()
+		if state.Revision != c.revision {
+			c.revision = state.Revision
+			view = state.Config.RoutingTable()
 			c.policies.load(state)
 			c.sessions.load(state)
 		}
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -30,8 +30,8 @@
 	if document := state.Documents[policy.DrainPolicy]; document.Active() {
 		d.policy, _ = drain.Parse([]byte(document.Body))
 	}
-	d.retired = make(map[rpc.EndpointID]rpc.Retirement, len(state.Retired))
-	for id, retired := range state.Retired {
+	d.retired = make(map[rpc.EndpointID]rpc.Retirement, len(state.Retirements))
+	for id, retired := range state.Retirements {
 		d.retired[id] = retired
 	}
 }
@@ -52,7 +52,7 @@
 	// Under a policy, backends that the platform drains are retired as well.
 	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, server rpc.Endpoint) {
 		if _, retired := d.retired[id]; server.Draining && !retired {
-			commands = append(commands, statemachine.Command{Kind: statemachine.CommandRetire, Site: string(id), Body: []byte(server.Service), Claim: statemachine.Claim{Holder: drain.ByPlatform}})
+			commands = append(commands, statemachine.Command{Kind: statemachine.CommandRetire, Subject: string(id), Body: []byte(server.Service), Claim: statemachine.Claim{Holder: drain.ByPlatform}})
 		}
 	})
 	return commands
@@ -68,14 +68,14 @@
 	for id, retired := range d.retired {
 		if _, listed := c.endpoints.Endpoints.Get(id); !retired.Gone && !listed && c.endpoints.Complete {
 			// It has left the platform's list: the retirement is over.
-			commands = append(commands, statemachine.Command{Kind: statemachine.CommandRestore, Site: string(id)})
+			commands = append(commands, statemachine.Command{Kind: statemachine.CommandCancelRetire, Subject: string(id)})
 		}
 		list = append(list, retired)
 	}
 	var stops []rpc.EndpointID
 	stops, d.statuses = d.tracker.Plan(now, d.policy, list, c.listFollowers(now), c.stockOf)
 	for _, id := range stops {
-		commands = append(commands, statemachine.Command{Kind: statemachine.CommandStop, Site: string(id)})
+		commands = append(commands, statemachine.Command{Kind: statemachine.CommandStopRetired, Subject: string(id)})
 	}
 	for _, status := range d.statuses {
 		c.policies.logged.record(c.log, eventlog.RetirementProgress, status.Backend, string(status.Phase), eventlog.KeyReason, status.Reason)
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -138,7 +138,7 @@
 		}})
 	}
 	for _, release := range request.Releases {
-		add(statemachine.CommandFree, release)
+		add(statemachine.CommandReleaseClaim, release)
 	}
 	for _, claim := range request.Claims {
 		add(statemachine.CommandClaim, claim)
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -31,7 +31,7 @@
 	if document := state.Documents[policy.DayPlan]; document.Active() {
 		s.plan, _ = schedule.Read([]byte(document.Body))
 	}
-	s.step = state.Move
+	s.step = state.ScheduleStep
 }
 
 // stepSchedule gives the command for the next step of the plan, if one is due;
@@ -54,7 +54,7 @@
 	if err != nil {
 		return command, false
 	}
-	return statemachine.Command{Kind: statemachine.CommandMove, Body: body}, true
+	return statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}, true
 }
 
 // targetState is what a target of the plan has in each region.
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -108,12 +108,12 @@
 			update.Documents = append(update.Documents, document)
 		}
 	}
-	for _, retired := range state.Retired {
+	for _, retired := range state.Retirements {
 		if retired.Rev >= seen.LogIndex {
 			update.Retirements = append(update.Retirements, retired)
 		}
 	}
-	if move := state.Move; move.Rev >= seen.LogIndex && move.Rev > 0 {
+	if move := state.ScheduleStep; move.Rev >= seen.LogIndex && move.Rev > 0 {
 		update.ScheduleStep = &move
 	}
 	for _, evacuation := range state.Evacuations {
@@ -125,7 +125,7 @@
 
 func (c *Coordinator) itemPart(state *statemachine.State, position itemPosition) (part itemPart) {
 	cache := &c.encoded.items
-	cache.use(state.Rev)
+	cache.use(state.Revision)
 	part, known := cache.parts[position]
 	if !known {
 		part = buildItemPart(state, position)
@@ -137,10 +137,10 @@
 }
 
 func buildItemPart(state *statemachine.State, position itemPosition) (part itemPart) {
-	items, done := state.Canon.After(position.revision, position.path, itemPartBytes)
+	items, done := state.Config.After(position.revision, position.path, itemPartBytes)
 	part = itemPart{items: items, next: position}
 	if done {
-		part.next = itemPosition{max(position.revision, state.Rev), rpc.AfterAllItems}
+		part.next = itemPosition{max(position.revision, state.Revision), rpc.AfterAllItems}
 	} else if last := len(items) - 1; last >= 0 {
 		part.next = itemPosition{items[last].Rev, items[last].Path()}
 	}
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	state := statemachine.NewState()
-	state.Canon, state.Rev = items, 5
+	state.Config, state.Revision = items, 5
 	c := newTestCoordinator()
 	c.revision = 5
 	sent := 0
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -67,7 +67,7 @@
 	alive := func() bool { return edge.life == life }
 	giveBack := func() {
 		edge.book.Release(op)
-		s.later(300, func() { s.apply(statemachine.CommandFree, claim) })
+		s.later(300, func() { s.apply(statemachine.CommandReleaseClaim, claim) })
 	}
 	run := func() {
 		if !alive() {
@@ -131,12 +131,12 @@
 		}
 		if edge.life != held.Life {
 			if s.fault.oldAnswers {
-				s.apply(statemachine.CommandFree, held)
+				s.apply(statemachine.CommandReleaseClaim, held)
 			}
 			return
 		}
 		if edge.book.Find(held.Key, held.Request).State == rpc.OperationReleased {
-			s.later(100, func() { s.apply(statemachine.CommandFree, held) })
+			s.later(100, func() { s.apply(statemachine.CommandReleaseClaim, held) })
 		}
 	}
 }
--- a/internal/raft/catchup_test.go
+++ b/internal/raft/catchup_test.go
@@ -104,7 +104,7 @@
 		s.step()
 	}
 	for key := range s.acked {
-		if _, known := core.state.Held(key); !known {
+		if _, known := core.state.ClaimOf(key); !known {
 			t.Fatalf("%s: key %s is not in its state", trouble, key)
 		}
 	}
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -70,7 +70,7 @@
 		{Index: 30, Term: 6, Data: statemachine.EncodeCommands(storedstate.EachKind())},
 		{Index: 31, Term: 6, Members: append(append([]Member(nil), storedMembers...), storedLearner)},
 		{Index: 32, Term: 7, Data: statemachine.EncodeCommands([]statemachine.Command{{Kind: statemachine.CommandBarrier}})},
-		{Index: 33, Term: 8, Data: []byte{1, byte(statemachine.CommandFree), 0, 0, 5, 'k', 'e', 'y', '-', '1', 8, 'd', 'i', 'g', 'e', 's', 't', '-', '1', 6, 'n', 'o', 'd', 'e', '-', '1', 128, 128, 128, 128, 128, 32, 0}},
+		{Index: 33, Term: 8, Data: []byte{1, byte(statemachine.CommandReleaseClaim), 0, 0, 5, 'k', 'e', 'y', '-', '1', 8, 'd', 'i', 'g', 'e', 's', 't', '-', '1', 6, 'n', 'o', 'd', 'e', '-', '1', 128, 128, 128, 128, 128, 32, 0}},
 	}
 }
 
@@ -263,7 +263,7 @@
 	for name, command := range map[string]statemachine.Command{
 		"an evacuation": storedstate.Commands[2], "a withdrawn one": storedstate.Commands[4], "a retirement": storedstate.Commands[10], "one taken back": storedstate.Commands[14],
 		"an overtaken policy":       storedstate.Commands[5],
-		"a policy":                  {Kind: statemachine.CommandOrder, Site: "drain-policy", Body: append([]byte(" "), storedstate.Documents["drain-policy"]...)},
+		"a policy":                  {Kind: statemachine.CommandDocument, Subject: "drain-policy", Body: append([]byte(" "), storedstate.Documents["drain-policy"]...)},
 		"an overtaken route":        {Kind: statemachine.CommandConfig, Body: []byte(storedstate.OvertakenRoute)},
 		"a configuration in force":  storedstate.Commands[1],
 		"a claim by its own holder": storedstate.Commands[22],
@@ -272,12 +272,12 @@
 			t.Errorf("%s, sent again: %+v", name, result)
 		}
 	}
-	if stands, taken := state.RetireTaken("book-1"); stands || !taken {
+	if stands, taken := state.RetirementStatus("book-1"); stands || !taken {
 		t.Error("a retirement that was taken back:", stands, taken)
 	}
 	for name, command := range map[string]statemachine.Command{
-		"an evacuation": {Kind: statemachine.CommandEvacuate, Site: "west-2", Claim: statemachine.Claim{Key: "order-1"}},
-		"a policy":      {Kind: statemachine.CommandOrder, Site: "drain-policy", Body: bytes.Replace([]byte(storedstate.OvertakenPolicy), []byte("serve"), []byte("stop"), 1)},
+		"an evacuation": {Kind: statemachine.CommandStartEvacuation, Subject: "west-2", Claim: statemachine.Claim{Key: "order-1"}},
+		"a policy":      {Kind: statemachine.CommandDocument, Subject: "drain-policy", Body: bytes.Replace([]byte(storedstate.OvertakenPolicy), []byte("serve"), []byte("stop"), 1)},
 		"a route":       {Kind: statemachine.CommandConfig, Body: bytes.Replace([]byte(storedstate.OvertakenRoute), []byte("2s"), []byte("4s"), 1)},
 	} {
 		if result := state.Apply(99, command, 0); !result.Conflict {
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -130,11 +130,11 @@
 	n.changeMembers()
 	if n.ticks%25 == 0 {
 		n.mu.RLock()
-		upto := n.state.Expirable(n.Now(), n.props.Bounds.KeyWindow+15*time.Second)
+		upto := n.state.ExpiredClaims(n.Now(), n.props.Bounds.KeyWindow+15*time.Second)
 		n.mu.RUnlock()
 		if upto > 0 {
 			select {
-			case n.proposals <- proposal{statemachine.Command{Kind: statemachine.CommandExpire, Upto: upto}, make(chan Outcome, 1), time.Now(), proposalTimeout}:
+			case n.proposals <- proposal{statemachine.Command{Kind: statemachine.CommandExpireClaims, Number: upto}, make(chan Outcome, 1), time.Now(), proposalTimeout}:
 			default:
 			}
 		}
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -70,7 +70,7 @@
 		return "no majority is left"
 	}
 	for _, key := range sortedKeys(s.acked) {
-		if held, known := leader.state.Held(key); !known || held != s.acked[key] {
+		if held, known := leader.state.ClaimOf(key); !known || held != s.acked[key] {
 			return "acknowledged key " + key + " is lost"
 		}
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -282,12 +282,12 @@
 			n.History.Record(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
 		}
 	}
-	for id, retired := range n.state.Retired {
+	for id, retired := range n.state.Retirements {
 		if retired.Rev > before {
 			n.History.Record(history.Retirement, string(id), "applied", retired.Summary(), retired.Rev, quiet)
 		}
 	}
-	if move := n.state.Move; move.Rev > before {
+	if move := n.state.ScheduleStep; move.Rev > before {
 		n.History.Record(history.ScheduleStep, "day-plan", "applied", move.Summary(), move.Rev, quiet)
 	}
 }
@@ -301,14 +301,14 @@
 	now := n.Now()
 	results := make([]statemachine.Result, len(commands))
 	n.mu.Lock()
-	before := n.state.Rev
+	before := n.state.Revision
 	for i, command := range commands {
 		results[i] = n.state.Apply(uint64(entry.Index), command, now)
 	}
-	changed = n.state.Rev != before
+	changed = n.state.Revision != before
 	if changed {
 		n.noteOrders(before, entry.Index <= n.loaded)
-		for _, item := range n.state.Canon.Since(before) {
+		for _, item := range n.state.Config.Since(before) {
 			n.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
 		}
 		for _, evacuation := range n.state.Evacuations {
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -564,7 +564,7 @@
 		return "no leader after all is healed"
 	}
 	for _, key := range sortedKeys(s.acked) {
-		if held, known := leader.state.Held(key); !known || held != s.acked[key] {
+		if held, known := leader.state.ClaimOf(key); !known || held != s.acked[key] {
 			return fmt.Sprintf("acknowledged key %s is lost or another's", key)
 		}
 	}
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -82,8 +82,8 @@
 	if err = items.Apply([]byte(`{"upserts":{"services":{"column_names":["name","version"],"row_values":[["book",1]]}}}`), 1); err != nil {
 		t.Fatal(err)
 	}
-	d.state.Canon = items
-	if result := d.apply(statemachine.Command{Kind: statemachine.CommandOrder, Site: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
+	d.state.Config = items
+	if result := d.apply(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
 		t.Fatal(result.Problem)
 	}
 	for _, region := range regions {
@@ -99,9 +99,9 @@
 
 func (d *day) apply(command statemachine.Command) (result statemachine.Result) {
 	d.rev++
-	before := d.state.Move
+	before := d.state.ScheduleStep
 	result = d.state.Apply(d.rev, command, d.now)
-	if after := d.state.Move; after.Rev != before.Rev {
+	if after := d.state.ScheduleStep; after.Rev != before.Rev {
 		d.moves++
 		if after.Count != before.Count+1 || after.Instant < before.Instant {
 			d.t.Fatalf("step %d of %d follows step %d of %d", after.Count, after.Instant, before.Count, before.Instant)
@@ -118,7 +118,7 @@
 		return
 	}
 	wall := d.start.Add(d.now + d.clocks[d.leader])
-	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.Move, func(schedule.Target) schedule.TargetState {
+	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.ScheduleStep, func(schedule.Target) schedule.TargetState {
 		stock := map[rpc.RegionName]schedule.RegionCapacity{}
 		for _, region := range regions {
 			stock[region] = schedule.RegionCapacity{Slots: 40, Usable: 10, Listed: 10}
@@ -132,7 +132,7 @@
 		return
 	}
 	body, _ := json.Marshal(move)
-	if d.apply(statemachine.Command{Kind: statemachine.CommandMove, Body: body}).Problem == "" {
+	if d.apply(statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}).Problem == "" {
 		d.stepper.Committed(d.now)
 	}
 	// Something is often lost just at a step.
@@ -152,11 +152,11 @@
 
 func (d *day) follow() {
 	for _, edge := range d.edges {
-		if edge.count == d.state.Move.Count || d.luck.Intn(3) == 0 {
+		if edge.count == d.state.ScheduleStep.Count || d.luck.Intn(3) == 0 {
 			continue
 		}
-		edge.count, edge.weights = d.state.Move.Count, schedule.Weights{}
-		for _, target := range d.state.Move.Targets {
+		edge.count, edge.weights = d.state.ScheduleStep.Count, schedule.Weights{}
+		for _, target := range d.state.ScheduleStep.Targets {
 			for _, part := range target.Weights {
 				edge.weights[part.Region] = part.Weight
 			}
@@ -223,7 +223,7 @@
 	region := d.serve(edge)
 	if region == "" {
 		edge.book.Release(op)
-		d.apply(statemachine.Command{Kind: statemachine.CommandFree, Claim: claim})
+		d.apply(statemachine.Command{Kind: statemachine.CommandReleaseClaim, Claim: claim})
 		return false
 	}
 	d.runs[tap.key]++
--- a/internal/simulation/desk.go
+++ b/internal/simulation/desk.go
@@ -50,7 +50,7 @@
 		back(c.elsewhere(), news{})
 		return
 	}
-	got := news{term: c.raft.Term(), rev: c.state.Rev, from: c}
+	got := news{term: c.raft.Term(), rev: c.state.Revision, from: c}
 	for _, history := range histories {
 		got.seen = append(got.seen, history.look(c.state))
 	}
--- a/internal/simulation/order.go
+++ b/internal/simulation/order.go
@@ -34,14 +34,14 @@
 		return statemachine.Command{Kind: statemachine.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
 	case "document":
 		if o.call.content == unwritten {
-			return statemachine.Command{Kind: statemachine.CommandOrder, Site: name, Upto: o.call.version}
+			return statemachine.Command{Kind: statemachine.CommandDocument, Subject: name, Number: o.call.version}
 		}
-		return statemachine.Command{Kind: statemachine.CommandOrder, Site: name, Body: []byte(documentText(o.call))}
+		return statemachine.Command{Kind: statemachine.CommandDocument, Subject: name, Body: []byte(documentText(o.call))}
 	case "evacuation":
 		if o.call.content == "active" {
-			return statemachine.Command{Kind: statemachine.CommandEvacuate, Site: name}
+			return statemachine.Command{Kind: statemachine.CommandStartEvacuation, Subject: name}
 		}
-		return statemachine.Command{Kind: statemachine.CommandReturn, Site: name}
+		return statemachine.Command{Kind: statemachine.CommandEndEvacuation, Subject: name}
 	}
 	return statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
 }
@@ -63,7 +63,7 @@
 	sort, name := sortOf(h.name)
 	switch sort {
 	case "config":
-		item, known := state.Canon.Find("services/" + name)
+		item, known := state.Config.Find("services/" + name)
 		if !known {
 			return seen
 		}
@@ -84,7 +84,7 @@
 			seen.content = standing.Stamp()
 		}
 	case "key":
-		claim, _ := state.Held(name)
+		claim, _ := state.ClaimOf(name)
 		seen.content = claim.Request
 	}
 	return seen
@@ -111,12 +111,12 @@
 		result.Problem = ""
 	case p == TwoRuns && command.Kind == statemachine.CommandClaim:
 		result.Granted = true
-	case p == ResentRefused && command.Kind == statemachine.CommandOrder && len(command.Body) > 0:
+	case p == ResentRefused && command.Kind == statemachine.CommandDocument && len(command.Body) > 0:
 		var version uint64
 		_, behind, _ := strings.Cut(string(command.Body), `"version":`)
 		number, _, _ := strings.Cut(behind, ",")
 		version, _ = strconv.ParseUint(number, 10, 64)
-		if uint64(state.Documents[policy.Kind(command.Site)].Version) > version {
+		if uint64(state.Documents[policy.Kind(command.Subject)].Version) > version {
 			result.Problem = "the version is not above the one that holds"
 		}
 	}
--- a/internal/statemachine/binding.go
+++ b/internal/statemachine/binding.go
@@ -24,7 +24,7 @@
 // BindCommand is the command of an ask.
 func BindCommand(bind rpc.SessionBinding) (command Command) {
 	return Command{
-		Kind: CommandBind, Site: string(bind.Service), Upto: uint64(bind.IdleTimeout),
+		Kind: CommandBind, Subject: string(bind.Service), Number: uint64(bind.IdleTimeout),
 		Claim: Claim{Key: string(bind.Session), Request: string(bind.Endpoint), Holder: string(bind.EndedEndpoint)},
 	}
 }
@@ -59,10 +59,10 @@
 	case len(s.bindings) >= affinity.MaxSessionsTotal:
 		return Result{Problem: "there are too many sessions"}
 	default:
-		standing = Binding{Service: rpc.ServiceName(command.Site), Server: rpc.EndpointID(command.Request)}
+		standing = Binding{Service: rpc.ServiceName(command.Subject), Server: rpc.EndpointID(command.Request)}
 	}
 	s.seq++
-	standing.Seq, standing.Idle = s.seq, time.Duration(command.Upto)
+	standing.Seq, standing.Idle = s.seq, time.Duration(command.Number)
 	s.bindings[session] = standing
 	result.Granted, result.Binding = true, standing
 	return result
@@ -71,7 +71,7 @@
 // unbind carries a CommandUnbind out.
 func (s *State) unbind(command Command) {
 	session := rpc.SessionID(command.Key)
-	if standing, bound := s.bindings[session]; bound && standing.Seq == command.Upto {
+	if standing, bound := s.bindings[session]; bound && standing.Seq == command.Number {
 		delete(s.bindings, session)
 	}
 }
--- a/internal/statemachine/command_encoding.go
+++ b/internal/statemachine/command_encoding.go
@@ -21,12 +21,12 @@
 	for _, command := range commands {
 		data = append(data, byte(command.Kind))
 		data = binaryformat.AppendBytes(data, command.Body)
-		data = binaryformat.AppendBytes(data, command.Site)
+		data = binaryformat.AppendBytes(data, command.Subject)
 		data = binaryformat.AppendBytes(data, command.Key)
 		data = binaryformat.AppendBytes(data, command.Request)
 		data = binaryformat.AppendBytes(data, command.Holder)
 		data = binary.AppendUvarint(data, command.Life)
-		data = binary.AppendUvarint(data, command.Upto)
+		data = binary.AppendUvarint(data, command.Number)
 	}
 	return data
 }
@@ -46,12 +46,12 @@
 		}
 		command.Kind, r.Rest = CommandKind(r.Rest[0]), r.Rest[1:]
 		command.Body = r.Bytes()
-		command.Site = string(r.Bytes())
+		command.Subject = string(r.Bytes())
 		command.Key = string(r.Bytes())
 		command.Request = string(r.Bytes())
 		command.Holder = string(r.Bytes())
 		command.Life = r.Uint()
-		command.Upto = r.Uint()
+		command.Number = r.Uint()
 		commands = append(commands, command)
 	}
 	if r.Malformed || len(r.Rest) != 0 {
--- a/internal/statemachine/fixtures_test.go
+++ b/internal/statemachine/fixtures_test.go
@@ -27,8 +27,8 @@
 // Numbers that are stored are the ones that were.
 func TestStoredKindsOfCommandsHold(t *testing.T) {
 	commands := []statemachine.CommandKind{
-		statemachine.CommandConfig, statemachine.CommandEvacuate, statemachine.CommandReturn, statemachine.CommandClaim, statemachine.CommandFree, statemachine.CommandExpire, statemachine.CommandBarrier,
-		statemachine.CommandOrder, statemachine.CommandRetire, statemachine.CommandStop, statemachine.CommandRestore, statemachine.CommandMove, statemachine.CommandBind, statemachine.CommandUnbind,
+		statemachine.CommandConfig, statemachine.CommandStartEvacuation, statemachine.CommandEndEvacuation, statemachine.CommandClaim, statemachine.CommandReleaseClaim, statemachine.CommandExpireClaims, statemachine.CommandBarrier,
+		statemachine.CommandDocument, statemachine.CommandRetire, statemachine.CommandStopRetired, statemachine.CommandCancelRetire, statemachine.CommandScheduleStep, statemachine.CommandBind, statemachine.CommandUnbind,
 	}
 	for i, kind := range commands {
 		if int(kind) != i+1 {
--- a/internal/statemachine/orders.go
+++ b/internal/statemachine/orders.go
@@ -36,7 +36,7 @@
 // operator gave it a name of its own, the key.
 func (c Command) namedOrder() (named bool) {
 	switch c.Kind {
-	case CommandEvacuate, CommandReturn, CommandRetire, CommandRestore:
+	case CommandStartEvacuation, CommandEndEvacuation, CommandRetire, CommandCancelRetire:
 		return c.Key != ""
 	}
 	return false
@@ -49,17 +49,17 @@
 func orderContent(command Command) (digest dedup.Digest) {
 	content := &dedup.ContentHash{}
 	content.AddUint(uint64(command.Kind))
-	content.AddText(command.Site)
+	content.AddText(command.Subject)
 	return content.Digest()
 }
 
-// TakenByName tells whether an order was taken under the name that it has, or
+// AcceptedByName tells whether an order was taken under the name that it has, or
 // why not where another was.
-func (s *State) TakenByName(command Command) (taken bool, err error) {
+func (s *State) AcceptedByName(command Command) (taken bool, err error) {
 	if !command.namedOrder() {
 		return false, nil
 	}
-	content, known := s.Orders.Lookup(orderNumber(command))
+	content, known := s.Accepted.Lookup(orderNumber(command))
 	if known && content != orderContent(command) {
 		return false, dedup.ErrConflict.New("order %q is another one", command.Key)
 	}
@@ -79,14 +79,14 @@
 	if standing.Version == next.Version && standing.Digest() == next.Digest() {
 		return standing, true, nil
 	}
-	if content, known := s.Orders.Lookup(documentNumber(next.Kind, next.Version)); known {
+	if content, known := s.Accepted.Lookup(documentNumber(next.Kind, next.Version)); known {
 		if content == next.Digest() {
 			return standing, true, nil
 		}
 		return after, false, dedup.ErrConflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, standing.Stamp())
 	}
 	if next.Body != "" {
-		if next, err = ReadDocument(next.Kind, []byte(next.Body), s.Canon); err != nil {
+		if next, err = ParseDocument(next.Kind, []byte(next.Body), s.Config); err != nil {
 			return after, false, err
 		}
 	}
@@ -94,8 +94,8 @@
 	return after, err == nil && !changed, err
 }
 
-// ReadDocument reads a document and checks it against the services that stand.
-func ReadDocument(kind policy.Kind, body []byte, items *config.Store) (document policy.Document, err error) {
+// ParseDocument reads a document and checks it against the services that stand.
+func ParseDocument(kind policy.Kind, body []byte, items *config.Store) (document policy.Document, err error) {
 	known := func(service string) bool { return items.Exists(config.Services, service) }
 	document = policy.Document{Kind: kind, Body: string(body)}
 	switch kind {
@@ -130,28 +130,28 @@
 }
 
 func (s *State) setDocument(rev uint64, command Command) (err error) {
-	next := policy.Document{Kind: policy.Kind(command.Site), Version: policy.Version(command.Upto), Body: string(command.Body)}
+	next := policy.Document{Kind: policy.Kind(command.Subject), Version: policy.Version(command.Number), Body: string(command.Body)}
 	after, taken, err := s.CheckDocument(next)
 	if err != nil || taken {
 		return err
 	}
 	if before := s.Documents[next.Kind]; before.Version > 0 {
-		s.Orders.Remember(documentNumber(before.Kind, before.Version), before.Digest())
+		s.Accepted.Remember(documentNumber(before.Kind, before.Version), before.Digest())
 	}
 	after.Rev = rev
-	s.Documents[next.Kind], s.Rev = after, rev
+	s.Documents[next.Kind], s.Revision = after, rev
 	if next.Kind == policy.DayPlan && !after.Active() {
 		// The count and its time stay, so that no later step goes back.
-		s.Move.Targets, s.Move.Rev = nil, rev
+		s.ScheduleStep.Targets, s.ScheduleStep.Rev = nil, rev
 	}
 	return nil
 }
 
-// RetireTaken tells whether an order to retire a backend stands, and whether one
+// RetirementStatus tells whether an order to retire a backend stands, and whether one
 // was ever taken from an operator.
-func (s *State) RetireTaken(id rpc.EndpointID) (stands, taken bool) {
-	standing, known := s.Retired[id]
-	_, taken = s.Orders.Lookup(retireNumber(id))
+func (s *State) RetirementStatus(id rpc.EndpointID) (stands, taken bool) {
+	standing, known := s.Retirements[id]
+	_, taken = s.Accepted.Lookup(retireNumber(id))
 	return known && !standing.Gone, taken
 }
 
@@ -159,34 +159,34 @@
 const takenBackMost = 512
 
 func (s *State) retire(rev uint64, command Command) {
-	id := rpc.EndpointID(command.Site)
+	id := rpc.EndpointID(command.Subject)
 	if command.Kind == CommandRetire && command.Holder == drain.ByOperator {
-		s.Orders.Remember(retireNumber(id), dedup.Digest{})
+		s.Accepted.Remember(retireNumber(id), dedup.Digest{})
 	}
-	standing, known := s.Retired[id]
+	standing, known := s.Retirements[id]
 	known = known && !standing.Gone
 	switch {
 	case command.Kind == CommandRetire && !known:
 		standing = rpc.Retirement{Server: id, Service: rpc.ServiceName(command.Body), By: command.Holder, Announced: rev}
-	case command.Kind == CommandStop && known && standing.Stopped == 0:
+	case command.Kind == CommandStopRetired && known && standing.Stopped == 0:
 		standing.Stopped = rev
-	case command.Kind == CommandRestore && known:
+	case command.Kind == CommandCancelRetire && known:
 		standing.Gone = true
 	default:
 		return
 	}
 	standing.Rev = rev
-	s.Retired[id], s.Rev = standing, rev
+	s.Retirements[id], s.Revision = standing, rev
 	var goneID rpc.EndpointID
 	gone := 0
-	for other, retired := range s.Retired {
+	for other, retired := range s.Retirements {
 		if retired.Gone {
-			if gone++; goneID == "" || retired.Rev < s.Retired[goneID].Rev {
+			if gone++; goneID == "" || retired.Rev < s.Retirements[goneID].Rev {
 				goneID = other
 			}
 		}
 	}
 	if gone > takenBackMost {
-		delete(s.Retired, goneID)
+		delete(s.Retirements, goneID)
 	}
 }
--- a/internal/statemachine/orders_fuzz_test.go
+++ b/internal/statemachine/orders_fuzz_test.go
@@ -21,7 +21,7 @@
 		state := NewState()
 		state.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
 		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Stamp(), state.Documents[kind].Body) }
-		command := Command{Kind: CommandOrder, Site: string(kind), Body: body}
+		command := Command{Kind: CommandDocument, Subject: string(kind), Body: body}
 		before := stands()
 		if len(body) == 0 {
 			return
@@ -34,7 +34,7 @@
 		}
 		version := uint64(state.Documents[kind].Version)
 		if version+1 > version {
-			state.Apply(3, Command{Kind: CommandOrder, Site: string(kind), Upto: version + 1}, 0)
+			state.Apply(3, Command{Kind: CommandDocument, Subject: string(kind), Number: version + 1}, 0)
 		}
 		state = thawed(t, state)
 		after := stands()
--- a/internal/statemachine/orders_test.go
+++ b/internal/statemachine/orders_test.go
@@ -24,11 +24,11 @@
 const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
 
 func drainPolicyCommand(version int, service, notice string) (command Command) {
-	return Command{Kind: CommandOrder, Site: string(policy.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
+	return Command{Kind: CommandDocument, Subject: string(policy.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
 }
 
 func withdrawal(version int) (command Command) {
-	return Command{Kind: CommandOrder, Site: string(policy.DrainPolicy), Upto: uint64(version)}
+	return Command{Kind: CommandDocument, Subject: string(policy.DrainPolicy), Number: uint64(version)}
 }
 
 func thawed(t *testing.T, state *State) (again *State) {
@@ -57,7 +57,7 @@
 		{"five", drainPolicyCommand(5, "desk", "1s"), yes, 5},
 		{"another operator's six", drainPolicyCommand(6, "pay", "1s"), yes, 6},
 		{"five again", drainPolicyCommand(5, "desk", "1s"), yes, 6},
-		{"five, written otherwise", Command{Kind: CommandOrder, Site: string(policy.DrainPolicy), Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
+		{"five, written otherwise", Command{Kind: CommandDocument, Subject: string(policy.DrainPolicy), Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
 		{"five, other content", drainPolicyCommand(5, "desk", "2s"), conflict, 6},
 		{"six, other content", drainPolicyCommand(6, "pay", "2s"), conflict, 6},
 		{"older, never taken", drainPolicyCommand(3, "pay", "1s"), no, 6},
@@ -76,7 +76,7 @@
 		{"nought", drainPolicyCommand(0, "pay", "1s"), no, 8},
 	}
 	for i, step := range steps {
-		before := state.Rev
+		before := state.Revision
 		result := state.Apply(uint64(i+1), step.command, 0)
 		got := yes
 		if result.Problem != "" {
@@ -88,7 +88,7 @@
 		if got != step.want || state.Documents[policy.DrainPolicy].Version != step.version {
 			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Problem, state.Documents[policy.DrainPolicy].Version)
 		}
-		if got != yes && state.Rev != before {
+		if got != yes && state.Revision != before {
 			t.Errorf("%s: refused and changed something", step.name)
 		}
 		state = thawed(t, state)
@@ -99,23 +99,23 @@
 	state := NewState()
 	id := rpc.EndpointID("i-1")
 	at := func(kind CommandKind, by string) Command {
-		return Command{Kind: kind, Site: string(id), Body: []byte("pay"), Claim: Claim{Holder: by}}
+		return Command{Kind: kind, Subject: string(id), Body: []byte("pay"), Claim: Claim{Holder: by}}
 	}
 	for i, step := range []struct {
 		command       Command
 		stands, taken bool
 	}{
-		{at(CommandRestore, ""), false, false},
+		{at(CommandCancelRetire, ""), false, false},
 		{at(CommandRetire, drain.ByPlatform), true, false},
 		{at(CommandRetire, drain.ByOperator), true, true},
-		{at(CommandRestore, ""), false, true},
-		{at(CommandRestore, ""), false, true},
+		{at(CommandCancelRetire, ""), false, true},
+		{at(CommandCancelRetire, ""), false, true},
 	} {
 		if result := state.Apply(uint64(i+1), step.command, 0); result.Problem != "" {
 			t.Errorf("step %d: %s", i, result.Problem)
 		}
 		state = thawed(t, state)
-		if stands, taken := state.RetireTaken(id); stands != step.stands || taken != step.taken {
+		if stands, taken := state.RetirementStatus(id); stands != step.stands || taken != step.taken {
 			t.Errorf("step %d: stands %v, taken %v", i, stands, taken)
 		}
 	}
@@ -124,29 +124,29 @@
 func TestANamedOrderTakesEffectOnce(t *testing.T) {
 	state := NewState()
 	order := func(kind CommandKind, site, name string) Command {
-		return Command{Kind: kind, Site: site, Body: []byte("pay"), Claim: Claim{Holder: drain.ByOperator, Key: name}}
+		return Command{Kind: kind, Subject: site, Body: []byte("pay"), Claim: Claim{Holder: drain.ByOperator, Key: name}}
 	}
 	for i, step := range []struct {
 		command           Command
 		conflict          bool
 		evacuated, stands bool
 	}{
-		{command: order(CommandEvacuate, "z", "a"), evacuated: true},
-		{command: order(CommandReturn, "z", "b")},
-		{command: order(CommandEvacuate, "z", "a")},
-		{command: order(CommandEvacuate, "z", "b"), conflict: true},
-		{command: order(CommandEvacuate, "y", "a"), conflict: true},
-		{command: order(CommandEvacuate, "z", ""), evacuated: true},
-		{command: order(CommandReturn, "z", "b"), evacuated: true},
+		{command: order(CommandStartEvacuation, "z", "a"), evacuated: true},
+		{command: order(CommandEndEvacuation, "z", "b")},
+		{command: order(CommandStartEvacuation, "z", "a")},
+		{command: order(CommandStartEvacuation, "z", "b"), conflict: true},
+		{command: order(CommandStartEvacuation, "y", "a"), conflict: true},
+		{command: order(CommandStartEvacuation, "z", ""), evacuated: true},
+		{command: order(CommandEndEvacuation, "z", "b"), evacuated: true},
 		{command: order(CommandRetire, "i-1", "c"), evacuated: true, stands: true},
-		{command: order(CommandRestore, "i-1", "d"), evacuated: true},
+		{command: order(CommandCancelRetire, "i-1", "d"), evacuated: true},
 		{command: order(CommandRetire, "i-1", "c"), evacuated: true},
 		{command: order(CommandRetire, "i-1", "e"), evacuated: true, stands: true},
-		{command: order(CommandRestore, "i-1", "d"), evacuated: true, stands: true},
+		{command: order(CommandCancelRetire, "i-1", "d"), evacuated: true, stands: true},
 	} {
 		result := state.Apply(uint64(i+1), step.command, 0)
 		state = thawed(t, state)
-		stands, _ := state.RetireTaken("i-1")
+		stands, _ := state.RetirementStatus("i-1")
 		if result.Conflict != step.conflict || (result.Problem != "") != step.conflict || state.Evacuations["z"].Active != step.evacuated || stands != step.stands {
 			t.Errorf("step %d: %+v, evacuated %v, retired %v", i, result, state.Evacuations["z"].Active, stands)
 		}
@@ -165,7 +165,7 @@
 	full.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
 	full.Apply(2, drainPolicyCommand(5, "pay", "1s"), 0)
 	var data bytes.Buffer
-	if err := gob.NewEncoder(&data).Encode(older{Canon: full.Canon.Items(), Documents: full.Documents, Rev: 2}); err != nil {
+	if err := gob.NewEncoder(&data).Encode(older{Canon: full.Config.Items(), Documents: full.Documents, Rev: 2}); err != nil {
 		t.Fatal(err)
 	}
 	state, err := Restore(data.Bytes(), 0)
@@ -202,9 +202,9 @@
 	case 1:
 		next = &sent{command: withdrawal(version)}
 	case 2:
-		kind, name := []CommandKind{CommandEvacuate, CommandReturn}[pick%2], fmt.Sprint("name ", o.luck.Intn(40))
+		kind, name := []CommandKind{CommandStartEvacuation, CommandEndEvacuation}[pick%2], fmt.Sprint("name ", o.luck.Intn(40))
 		return &sent{
-			command: Command{Kind: kind, Site: "z", Claim: Claim{Key: name}},
+			command: Command{Kind: kind, Subject: "z", Claim: Claim{Key: name}},
 			numbers: []dedup.Key{{Kind: "order", Name: name}}, contents: []string{fmt.Sprint(kind)},
 		}
 	default:
@@ -234,7 +234,7 @@
 // stands is all that orders have brought about.
 func stands(state *State) (text string) {
 	document := state.Documents[policy.DrainPolicy]
-	return fmt.Sprint(state.Canon.Items(), document.Stamp(), document.Body, state.Evacuations["z"].Active)
+	return fmt.Sprint(state.Config.Items(), document.Stamp(), document.Body, state.Evacuations["z"].Active)
 }
 
 func TestOrdersOfTwoOperatorsKeepTheirWord(t *testing.T) {
@@ -296,10 +296,10 @@
 			}
 			again.Apply(uint64(i+1), commands[0], 0)
 		}
-		if diff := cmp.Diff(string(again.Canon.EncodeUpserts()), string(state.Canon.EncodeUpserts())); diff != "" {
+		if diff := cmp.Diff(string(again.Config.EncodeUpserts()), string(state.Config.EncodeUpserts())); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
-		for _, pair := range [][2]*dedup.Table{{again.Orders, state.Orders}, {again.Canon.Superseded, state.Canon.Superseded}} {
+		for _, pair := range [][2]*dedup.Table{{again.Accepted, state.Accepted}, {again.Config.Superseded, state.Config.Superseded}} {
 			if diff := cmp.Diff(pair[0].Snapshot(), pair[1].Snapshot()); diff != "" {
 				t.Fatalf("seed %d: %s", seed, diff)
 			}
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -25,23 +25,23 @@
 // The commands.
 const (
 	CommandConfig CommandKind = iota + 1
-	CommandEvacuate
-	CommandReturn
+	CommandStartEvacuation
+	CommandEndEvacuation
 	CommandClaim
-	CommandFree
-	CommandExpire
+	CommandReleaseClaim
+	CommandExpireClaims
 	CommandBarrier
-	// CommandOrder sets the document that Site names, or withdraws it where Body
+	// CommandDocument sets the document that Site names, or withdraws it where Body
 	// is empty; Upto is then the version.
-	CommandOrder
+	CommandDocument
 	// CommandRetire announces that the backend Site of the service Body be
 	// retired, by Holder; CommandStop commits its stop, CommandRestore takes the
 	// order back.
 	CommandRetire
-	CommandStop
-	CommandRestore
-	// CommandMove commits a step of the day's plan.
-	CommandMove
+	CommandStopRetired
+	CommandCancelRetire
+	// CommandScheduleStep commits a step of the day's plan.
+	CommandScheduleStep
 	// CommandBind binds the session Key of the service Site to the backend
 	// Request, for the idle time Upto, or moves it there from the backend Holder;
 	// CommandUnbind ends the binding of the session Key that has the number Upto.
@@ -51,11 +51,11 @@
 
 // Command is one wish put before the cores.
 type Command struct {
-	Kind CommandKind
-	Body []byte
-	Site string
+	Kind    CommandKind
+	Body    []byte
+	Subject string
 	Claim
-	Upto uint64
+	Number uint64
 }
 
 // Claim says which daemon holds an operation key and for which request.
@@ -100,29 +100,29 @@
 
 // State is the agreed state.
 type State struct {
-	Canon       *config.Store
-	Evacuations map[string]Evacuation
-	Documents   map[policy.Kind]policy.Document
-	Retired     map[rpc.EndpointID]rpc.Retirement
-	Move        rpc.ScheduleStep
-	Orders      *dedup.Table
-	bindings    map[rpc.SessionID]Binding
-	claims      map[string]*heldClaim
-	order       []*heldClaim
-	seq         uint64
-	Rev         uint64
+	Config       *config.Store
+	Evacuations  map[string]Evacuation
+	Documents    map[policy.Kind]policy.Document
+	Retirements  map[rpc.EndpointID]rpc.Retirement
+	ScheduleStep rpc.ScheduleStep
+	Accepted     *dedup.Table
+	bindings     map[rpc.SessionID]Binding
+	claims       map[string]*heldClaim
+	order        []*heldClaim
+	seq          uint64
+	Revision     uint64
 }
 
 // NewState is empty.
 func NewState() (state *State) {
-	return &State{Canon: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retired: map[rpc.EndpointID]rpc.Retirement{}, Orders: dedup.New(ordersMost), bindings: map[rpc.SessionID]Binding{}, claims: map[string]*heldClaim{}}
+	return &State{Config: config.New(), Evacuations: map[string]Evacuation{}, Documents: map[policy.Kind]policy.Document{}, Retirements: map[rpc.EndpointID]rpc.Retirement{}, Accepted: dedup.New(ordersMost), bindings: map[rpc.SessionID]Binding{}, claims: map[string]*heldClaim{}}
 }
 
-// Claims counts the keys held.
-func (s *State) Claims() int { return len(s.claims) }
+// ClaimCount counts the keys held.
+func (s *State) ClaimCount() int { return len(s.claims) }
 
-// Held looks a key up.
-func (s *State) Held(key string) (claim Claim, held bool) {
+// ClaimOf looks a key up.
+func (s *State) ClaimOf(key string) (claim Claim, held bool) {
 	found, held := s.claims[key]
 	if !held {
 		return claim, false
@@ -133,7 +133,7 @@
 // Apply carries one command out at the log's place rev; now is this core's
 // steady clock.
 func (s *State) Apply(rev uint64, command Command, now time.Duration) (result Result) {
-	taken, err := s.TakenByName(command)
+	taken, err := s.AcceptedByName(command)
 	if err != nil {
 		return refusal(err)
 	}
@@ -141,19 +141,19 @@
 		return Result{Granted: true}
 	}
 	if command.namedOrder() {
-		s.Orders.Remember(orderNumber(command), orderContent(command))
+		s.Accepted.Remember(orderNumber(command), orderContent(command))
 	}
 	switch command.Kind {
 	case CommandConfig:
-		if err := s.Canon.Apply(command.Body, rev); err != nil {
+		if err := s.Config.Apply(command.Body, rev); err != nil {
 			return refusal(err)
 		}
-		s.Rev = rev
-	case CommandEvacuate, CommandReturn:
-		active := command.Kind == CommandEvacuate
-		if standing := s.Evacuations[command.Site]; standing.Active != active {
-			s.Evacuations[command.Site] = Evacuation{Site: command.Site, Active: active, Rev: rev}
-			s.Rev = rev
+		s.Revision = rev
+	case CommandStartEvacuation, CommandEndEvacuation:
+		active := command.Kind == CommandStartEvacuation
+		if standing := s.Evacuations[command.Subject]; standing.Active != active {
+			s.Evacuations[command.Subject] = Evacuation{Site: command.Subject, Active: active, Rev: rev}
+			s.Revision = rev
 		}
 	case CommandClaim:
 		if held, taken := s.claims[command.Key]; taken {
@@ -163,13 +163,13 @@
 		claim := &heldClaim{Claim: command.Claim, Seq: s.seq, at: now}
 		s.claims[command.Key] = claim
 		s.order = append(s.order, claim)
-	case CommandFree:
+	case CommandReleaseClaim:
 		if held, taken := s.claims[command.Key]; taken && held.Claim == command.Claim {
 			delete(s.claims, command.Key)
 		}
-	case CommandExpire:
+	case CommandExpireClaims:
 		cut := 0
-		for cut < len(s.order) && s.order[cut].Seq <= command.Upto {
+		for cut < len(s.order) && s.order[cut].Seq <= command.Number {
 			if s.claims[s.order[cut].Key] == s.order[cut] {
 				delete(s.claims, s.order[cut].Key)
 			}
@@ -180,25 +180,25 @@
 		return s.bind(command)
 	case CommandUnbind:
 		s.unbind(command)
-	case CommandOrder:
+	case CommandDocument:
 		if err := s.setDocument(rev, command); err != nil {
 			return refusal(err)
 		}
-	case CommandRetire, CommandStop, CommandRestore:
+	case CommandRetire, CommandStopRetired, CommandCancelRetire:
 		s.retire(rev, command)
-	case CommandMove:
+	case CommandScheduleStep:
 		var next rpc.ScheduleStep
-		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.Move, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].Active() {
+		if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.ScheduleStep, next, uint64(s.Documents[policy.DayPlan].Version)) || !s.Documents[policy.DayPlan].Active() {
 			return Result{Problem: "the step does not follow what is agreed"}
 		}
 		next.Rev = rev
-		s.Move, s.Rev = next, rev
+		s.ScheduleStep, s.Revision = next, rev
 	}
 	return Result{Granted: true}
 }
 
-// Expirable gives the place up to which claims are older than window.
-func (s *State) Expirable(now, window time.Duration) (upto uint64) {
+// ExpiredClaims gives the place up to which claims are older than window.
+func (s *State) ExpiredClaims(now, window time.Duration) (upto uint64) {
 	for _, claim := range s.order {
 		if now-claim.at <= window {
 			break
@@ -226,8 +226,8 @@
 
 // Snapshot writes the state out for a snapshot.
 func (s *State) Snapshot() (data []byte, err error) {
-	still := frozen{Canon: s.Canon.Items(), Evacuations: s.Evacuations, Documents: s.Documents, Retired: s.Retired, Move: s.Move, Bindings: s.bindings, Seq: s.seq, Rev: s.Rev,
-		Columns: s.Canon.Columns(), Overtaken: s.Canon.Superseded.Snapshot(), Orders: s.Orders.Snapshot()}
+	still := frozen{Canon: s.Config.Items(), Evacuations: s.Evacuations, Documents: s.Documents, Retired: s.Retirements, Move: s.ScheduleStep, Bindings: s.bindings, Seq: s.seq, Rev: s.Revision,
+		Columns: s.Config.Columns(), Overtaken: s.Config.Superseded.Snapshot(), Orders: s.Accepted.Snapshot()}
 	for _, claim := range s.order {
 		if s.claims[claim.Key] == claim {
 			still.Claims = append(still.Claims, claim.Claim)
@@ -251,14 +251,14 @@
 	if err = gob.NewDecoder(bytes.NewReader(data)).Decode(&still); err != nil {
 		return nil, err
 	}
-	state.Canon.SetColumns(still.Columns)
-	if err = state.Canon.Restore(still.Canon); err != nil {
+	state.Config.SetColumns(still.Columns)
+	if err = state.Config.Restore(still.Canon); err != nil {
 		return nil, err
 	}
-	if state.Canon.Superseded, err = dedup.Restore(config.MaxSuperseded, still.Overtaken); err != nil {
+	if state.Config.Superseded, err = dedup.Restore(config.MaxSuperseded, still.Overtaken); err != nil {
 		return nil, err
 	}
-	if state.Orders, err = dedup.Restore(ordersMost, still.Orders); err != nil {
+	if state.Accepted, err = dedup.Restore(ordersMost, still.Orders); err != nil {
 		return nil, err
 	}
 	if still.Evacuations != nil {
@@ -268,13 +268,13 @@
 		state.Documents = still.Documents
 	}
 	if still.Retired != nil {
-		state.Retired = still.Retired
+		state.Retirements = still.Retired
 	}
 	if still.Bindings != nil {
 		state.bindings = still.Bindings
 	}
-	state.Move = still.Move
-	state.seq, state.Rev = still.Seq, still.Rev
+	state.ScheduleStep = still.Move
+	state.seq, state.Revision = still.Seq, still.Rev
 	for i, claim := range still.Claims {
 		held := &heldClaim{Claim: claim, Seq: still.Seqs[i], at: now}
 		state.claims[claim.Key] = held
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -6,9 +6,9 @@
 )
 
 func TestScribe(t *testing.T) {
-	commands := []Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}
+	commands := []Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpireClaims, Number: 77}}
 	read, err := DecodeCommands(EncodeCommands(commands))
-	if err != nil || len(read) != 3 || read[0].Claim != commands[0].Claim || string(read[1].Body) != "{}" || read[2].Upto != 77 {
+	if err != nil || len(read) != 3 || read[0].Claim != commands[0].Claim || string(read[1].Body) != "{}" || read[2].Number != 77 {
 		t.Fatalf("read back %v, %v", read, err)
 	}
 	data := EncodeCommands(commands)
@@ -27,19 +27,19 @@
 	if !claim("a", "r1", 0).Granted || claim("a", "r2", time.Second).Granted || !claim("a", "r1", time.Second).Granted {
 		t.Fatal("a key is granted to its first request alone, however often that asks")
 	}
-	state.Apply(2, Command{Kind: CommandFree, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Life: 1}}, 0)
+	state.Apply(2, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Life: 1}}, 0)
 	if claim("a", "r3", 0).Granted {
 		t.Fatal("only its own holder may free a key")
 	}
-	state.Apply(3, Command{Kind: CommandFree, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Life: 1}}, 0)
+	state.Apply(3, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Life: 1}}, 0)
 	if !claim("a", "r3", 5*time.Second).Granted {
 		t.Fatal("a freed key can be claimed")
 	}
 	claim("b", "r4", 50*time.Second)
-	if upto := state.Expirable(64*time.Second, 60*time.Second); upto == 0 {
+	if upto := state.ExpiredClaims(64*time.Second, 60*time.Second); upto == 0 {
 		t.Fatal("the freed claim is past the window")
 	} else {
-		state.Apply(4, Command{Kind: CommandExpire, Upto: upto}, 0)
+		state.Apply(4, Command{Kind: CommandExpireClaims, Number: upto}, 0)
 	}
 	if claim("a", "r5", 0).Granted {
 		t.Fatal("the claim of r3 is not yet past the window")
@@ -49,16 +49,16 @@
 		t.Fatal(err)
 	}
 	thawed, err := Restore(data, 100*time.Second)
-	if err != nil || thawed.Claims() != 2 {
-		t.Fatalf("thawed %d claims, %v", thawed.Claims(), err)
+	if err != nil || thawed.ClaimCount() != 2 {
+		t.Fatalf("thawed %d claims, %v", thawed.ClaimCount(), err)
 	}
-	if thawed.Expirable(159*time.Second, 60*time.Second) != 0 || thawed.Expirable(161*time.Second, 60*time.Second) == 0 {
+	if thawed.ExpiredClaims(159*time.Second, 60*time.Second) != 0 || thawed.ExpiredClaims(161*time.Second, 60*time.Second) == 0 {
 		t.Fatal("after a restart ages count from the restart")
 	}
 }
 
 func FuzzCommands(f *testing.F) {
-	f.Add(EncodeCommands([]Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpire, Upto: 77}}))
+	f.Add(EncodeCommands([]Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpireClaims, Number: 77}}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 1})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		commands, err := DecodeCommands(data)
