--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -150,9 +150,9 @@
 	for _, session := range m.unbinds {
 		if m.fault.staleUnbind {
 			standing, _ := m.state.Binding(session.Session)
-			session.Seq = standing.Seq
+			session.Sequence = standing.Seq
 		}
-		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Number: session.Seq})
+		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Number: session.Sequence})
 	}
 	m.unbinds = nil
 }
--- a/internal/affinity/tracker.go
+++ b/internal/affinity/tracker.go
@@ -24,8 +24,8 @@
 
 // ExpiredSession is a session that is off the desk, with the number of its binding.
 type ExpiredSession struct {
-	Session rpc.SessionID
-	Seq     uint64
+	Session  rpc.SessionID
+	Sequence uint64
 }
 
 // Tracker of one leadership.
--- a/internal/affinity/tracker_test.go
+++ b/internal/affinity/tracker_test.go
@@ -17,7 +17,7 @@
 	}
 	eight := func(rpc.ServiceName) int { return 8 }
 	over := desk.Expire(21*time.Second, eight, 100)
-	if len(over) != 2 || over[0].Session != session(1) || over[1].Session != session(2) || over[0].Seq != 1 || desk.Evicted != 2 {
+	if len(over) != 2 || over[0].Session != session(1) || over[1].Session != session(2) || over[0].Sequence != 1 || desk.Evicted != 2 {
 		t.Fatalf("the least recently used go: %v, %d counted", over, desk.Evicted)
 	}
 	at := 3*time.Second + time.Minute + FreshFor(time.Minute) + callMargin
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -227,7 +227,7 @@
 		c.scanBindings()
 	}
 	for _, over := range s.expiry.Expire(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
-		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Seq})
+		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Sequence})
 	}
 	if len(s.pendingUnbinds) == 0 {
 		return
