--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -12,12 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/frontend"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/directory"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/frontend"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/idempotency"
 	"tinpin/internal/rpc"
