--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -141,7 +141,7 @@
 			return
 		}
 		if service := c.view.Services[string(endpoint.Service)]; service != nil {
-			c.health.Suspect(c.now(), id, endpoint.Service, service.SlowStart)
+			c.health.MarkWarmingUp(c.now(), id, endpoint.Service, service.SlowStart)
 		}
 	})
 }
--- a/internal/healthcheck/statecache.go
+++ b/internal/healthcheck/statecache.go
@@ -90,8 +90,8 @@
 	return c.States.Set(state.Endpoint, state)
 }
 
-// Suspect marks backends as cold till their owner says otherwise.
-func (c *StateCache) Suspect(now time.Duration, server rpc.EndpointID, service rpc.ServiceName, cold time.Duration) {
+// MarkWarmingUp marks backends as cold till their owner says otherwise.
+func (c *StateCache) MarkWarmingUp(now time.Duration, server rpc.EndpointID, service rpc.ServiceName, cold time.Duration) {
 	if cold <= 0 {
 		return
 	}
