--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -55,7 +55,7 @@
 
 // findRoute gives the route of a request that may be handled at all.
 func (d *Daemon) findRoute(snapshot *Snapshot, request *message.Request) (route *config.Route, kind apierror.Kind) {
-	if d.state.Policies.CutOff() {
+	if d.state.Policies.Isolated() {
 		return nil, apierror.Isolated
 	}
 	if !snapshot.Configured {
