--- a/internal/affinity/name.go
+++ b/internal/affinity/name.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"encoding/base64"
 	"net/textproto"
-	"sort"
+	"slices"
 	"strings"
 
 	"tinpin/internal/rpc"
@@ -96,7 +96,7 @@
 // one may be forbidden to the other.
 func SessionIDOf(service rpc.ServiceName, homes []string, name string) (session rpc.SessionID) {
 	sorted := append([]string{}, homes...)
-	sort.Strings(sorted)
+	slices.Sort(sorted)
 	hash := sha256.New()
 	for _, part := range append([]string{string(service), name}, sorted...) {
 		_, _ = hash.Write([]byte(part))
--- a/internal/affinity/policy_test.go
+++ b/internal/affinity/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestInvalidPoliciesAreRejectedWhole(t *testing.T) {
+func TestInvalidPoliciesAreRejected(t *testing.T) {
 	for body, wants := range map[string][]string{
 		`{"version":1,"rulez":[]}`: {"rulez"},
 		`{"version":0,"rules":[]}`: {"version", "rules must hold"},
--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -16,12 +16,12 @@
 // join, stop, are killed and partitioned, leaders change, and backends end and
 // appear. The backends record which session and operation they ran.
 type simulation struct {
-	luck     *rand.Rand
+	rng      *rand.Rand
 	now      time.Duration
 	fault    injectedBug
 	state    *statemachine.State
 	rev      uint64
-	desk     *affinity.Tracker
+	tracker  *affinity.Tracker
 	unbinds  []affinity.ExpiredSession
 	unbindAt time.Duration
 	backends map[rpc.EndpointID]*backend
@@ -76,16 +76,16 @@
 }
 
 func (m *simulation) addNode() {
-	m.nodes = append(m.nodes, &node{binder: affinity.NewBinder(500), lag: time.Duration(m.luck.Intn(400)) * time.Millisecond, odd: m.fault.ownSubset && len(m.nodes) == 2})
+	m.nodes = append(m.nodes, &node{binder: affinity.NewBinder(500), lag: time.Duration(m.rng.Intn(400)) * time.Millisecond, odd: m.fault.ownSubset && len(m.nodes) == 2})
 }
 
 // lead opens a new leader's desk on what is agreed.
 func (m *simulation) lead() {
-	m.desk, m.unbinds = affinity.NewTracker(), nil
+	m.tracker, m.unbinds = affinity.NewTracker(), nil
 	if m.fault.lostAtHand {
 		bad := statemachine.NewState()
 		m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
-			if m.luck.Intn(4) > 0 {
+			if m.rng.Intn(4) > 0 {
 				bad.Apply(1, statemachine.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Server, IdleTimeout: binding.Idle}), m.now)
 			}
 		})
@@ -100,7 +100,7 @@
 		panic(err)
 	}
 	m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
-		m.desk.Add(m.now, binding.Service, session, binding.Idle, binding.Seq)
+		m.tracker.Add(m.now, binding.Service, session, binding.Idle, binding.Seq)
 	})
 }
 
@@ -117,13 +117,13 @@
 // ask is the leader's answer to a node, as the forum gives it.
 func (m *simulation) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
 	standing, bound := m.state.Binding(bind.Session)
-	server, propose, answered := m.desk.Lookup(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
+	server, propose, answered := m.tracker.Lookup(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
 		return rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
 	}
-	if m.luck.Intn(50) == 0 {
+	if m.rng.Intn(50) == 0 {
 		// It may have been carried out and nobody knows.
-		if m.luck.Intn(2) == 0 {
+		if m.rng.Intn(2) == 0 {
 			m.apply(statemachine.BindCommand(propose))
 		}
 		return rpc.BindResult{}
@@ -132,19 +132,19 @@
 	if result.Problem != "" {
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
-	m.desk.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
+	m.tracker.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Server}
 }
 
 // tend unbinds what is past its time; a call that was lost is sent again a
 // while later.
-func (m *simulation) tend() {
-	m.unbinds = append(m.unbinds, m.desk.Expire(m.now, func(rpc.ServiceName) int { return 5000 }, 64)...)
+func (m *simulation) expire() {
+	m.unbinds = append(m.unbinds, m.tracker.Expire(m.now, func(rpc.ServiceName) int { return 5000 }, 64)...)
 	if m.now < m.unbindAt {
 		return
 	}
-	if m.luck.Intn(3) == 0 {
-		m.unbindAt = m.now + time.Duration(m.luck.Intn(4000))*time.Millisecond
+	if m.rng.Intn(3) == 0 {
+		m.unbindAt = m.now + time.Duration(m.rng.Intn(4000))*time.Millisecond
 		return
 	}
 	for _, session := range m.unbinds {
@@ -175,7 +175,7 @@
 		ChooseNew: func() rpc.EndpointID { return affinity.Choose(c.session, all) },
 		AskLeader: func(from, choice rpc.EndpointID) rpc.BindResult {
 			if n.odd {
-				return rpc.BindResult{Outcome: rpc.Bound, Endpoint: all[m.luck.Intn(len(all))].ID}
+				return rpc.BindResult{Outcome: rpc.Bound, Endpoint: all[m.rng.Intn(len(all))].ID}
 			}
 			if m.now < n.cut {
 				return rpc.BindResult{}
@@ -196,7 +196,7 @@
 }
 
 func simulate(seed int64, fault injectedBug) (m *simulation) {
-	m = &simulation{luck: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
+	m = &simulation{rng: rand.New(rand.NewSource(seed)), fault: fault, state: statemachine.NewState(), backends: map[rpc.EndpointID]*backend{}, runs: map[string]int{}}
 	m.lead()
 	for i := 0; i < 12; i++ {
 		m.addBackend()
@@ -207,7 +207,7 @@
 	for m.now < 3*time.Minute {
 		m.now += 20 * time.Millisecond
 		m.callClients()
-		m.tend()
+		m.expire()
 		m.injectFault()
 	}
 	return m
@@ -215,10 +215,10 @@
 
 // callClients lets clients appear, and each whose time has come call any node.
 func (m *simulation) callClients() {
-	if len(m.callers) < 200 && m.luck.Intn(2) == 0 {
+	if len(m.callers) < 200 && m.rng.Intn(2) == 0 {
 		name := fmt.Sprint("caller-", len(m.runs), "-", len(m.callers), "-", m.now)
 		m.callers = append(m.callers, &caller{
-			name: name, session: affinity.SessionIDOf(service, nil, name), next: m.now, steps: 4 + m.luck.Intn(12),
+			name: name, session: affinity.SessionIDOf(service, nil, name), next: m.now, steps: 4 + m.rng.Intn(12),
 		})
 	}
 	left := m.callers[:0]
@@ -234,9 +234,9 @@
 }
 
 func (m *simulation) callAnyNode(c *caller) {
-	n := m.nodes[m.luck.Intn(len(m.nodes))]
+	n := m.nodes[m.rng.Intn(len(m.nodes))]
 	for n.gone {
-		n = m.nodes[m.luck.Intn(len(m.nodes))]
+		n = m.nodes[m.rng.Intn(len(m.nodes))]
 	}
 	if !m.visit(c, n) {
 		m.refused++
@@ -244,8 +244,8 @@
 		return
 	}
 	c.step++
-	c.next = m.now + time.Duration(200+m.luck.Intn(9000))*time.Millisecond
-	if m.luck.Intn(6) == 0 {
+	c.next = m.now + time.Duration(200+m.rng.Intn(9000))*time.Millisecond
+	if m.rng.Intn(6) == 0 {
 		// Some come back when their session may have expired.
 		c.next += 8 * time.Second
 	}
@@ -253,8 +253,8 @@
 
 // injectFault draws one fault or none.
 func (m *simulation) injectFault() {
-	n := m.nodes[m.luck.Intn(len(m.nodes))]
-	switch m.luck.Intn(300) {
+	n := m.nodes[m.rng.Intn(len(m.nodes))]
+	switch m.rng.Intn(300) {
 	case 0:
 		if len(m.nodes) < 14 {
 			m.addNode()
@@ -265,7 +265,7 @@
 		// Killed and started again: it remembers nothing.
 		n.binder, n.gone = affinity.NewBinder(500), false
 	case 3:
-		n.cut = m.now + time.Duration(m.luck.Intn(8000))*time.Millisecond
+		n.cut = m.now + time.Duration(m.rng.Intn(8000))*time.Millisecond
 	case 4:
 		m.lead()
 	case 5:
@@ -293,7 +293,7 @@
 		}
 	}
 	if len(live) > 8 {
-		live[m.luck.Intn(len(live))].ended = m.now
+		live[m.rng.Intn(len(live))].ended = m.now
 	}
 }
 
--- a/internal/affinity/tracker.go
+++ b/internal/affinity/tracker.go
@@ -53,8 +53,10 @@
 }
 
 // Add tracks a session that was bound.
-func (t *Tracker) Add(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration, seq uint64) {
-	t.sessionsOf(service).Add(session, lastUse{now, idle, seq})
+func (t *Tracker) Add(
+	now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration, sequence uint64,
+) {
+	t.sessionsOf(service).Add(session, lastUse{now, idle, sequence})
 }
 
 // Known tells whether a session is tracked.
@@ -64,7 +66,9 @@
 
 // Touch notes that a session is in use; one that is not tracked must be bound
 // through the log.
-func (t *Tracker) Touch(now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration) (known bool) {
+func (t *Tracker) Touch(
+	now time.Duration, service rpc.ServiceName, session rpc.SessionID, idle time.Duration,
+) (known bool) {
 	sessions := t.sessionsOf(service)
 	last, known := sessions.Get(session)
 	if known {
@@ -106,8 +110,8 @@
 ) (expired []ExpiredSession) {
 	for service, sessions := range t.sessions {
 		for len(expired) < maxExpired {
-			session, last, any := sessions.GetOldest()
-			if !any {
+			session, last, found := sessions.GetOldest()
+			if !found {
 				break
 			}
 			overLimit := sessions.Len() > limit(service)
--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -9,7 +9,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"sort"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -108,7 +108,7 @@
 		})
 		wave = next
 	}
-	sort.Slice(f.Controllers, func(i, j int) bool { return f.Controllers[i].Name < f.Controllers[j].Name })
+	slices.SortFunc(f.Controllers, func(a, b controller.Status) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // inspectNodes asks the nodes that the leader knows.
@@ -127,8 +127,8 @@
 		f.Nodes = append(f.Nodes, status)
 		f.addresses[status.Name] = address
 	})
-	sort.Slice(f.Nodes, func(i, j int) bool { return f.Nodes[i].Name < f.Nodes[j].Name })
-	sort.Strings(f.Unreachable)
+	slices.SortFunc(f.Nodes, func(a, b proxy.NodeStatus) int { return strings.Compare(a.Name, b.Name) })
+	slices.Sort(f.Unreachable)
 }
 
 // Leader is the controller that leads in the highest term; nil if none does.
--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -110,7 +110,7 @@
 			daemons = append(daemons, daemon)
 		}
 	}
-	sort.Strings(daemons)
+	slices.Sort(daemons)
 	return daemons
 }
 
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"sort"
 	"time"
 
@@ -119,7 +120,7 @@
 			status.Missing = append(status.Missing, string(follower.ID))
 		}
 	}
-	sort.Strings(status.Missing)
+	slices.Sort(status.Missing)
 	return status
 }
 
@@ -160,10 +161,10 @@
 	case policy != nil && policy.WhenIsolated == IsolatedStop && 2*confirmed <= len(followers):
 		return Waiting, fmt.Sprintf("only %d of %d daemons confirm", confirmed, len(followers))
 	}
-	least := max(1, int(math.Ceil(rule.LeastShare*float64(counts.Listed))))
-	if remaining := counts.Usable - 1; remaining < least {
+	minUsable := max(1, int(math.Ceil(rule.MinShare*float64(counts.Listed))))
+	if remaining := counts.Usable - 1; remaining < minUsable {
 		return Waiting, fmt.Sprintf("%d of %d backends would be left, the least share is %d",
-			max(0, remaining), counts.Listed, least)
+			max(0, remaining), counts.Listed, minUsable)
 	}
 	return Stopping, ""
 }
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -18,45 +18,45 @@
 // once or rejected.
 
 type injectedBug struct {
-	deaf  bool // permits ignore the stop
-	blind bool // an isolated node goes on
-	hasty bool // the planner commits the stop with nobody confirming
+	ignoresStop      bool // permits ignore the stop
+	ignoresIsolation bool // an isolated node goes on
+	stopsUnconfirmed bool // the planner commits the stop with nobody confirming
 }
 
 type simNode struct {
-	id      rpc.NodeID
-	permit  *Permit
-	rev     uint64
-	fresh   bool // has what is agreed
-	cutTill time.Duration
-	downTil time.Duration
-	beatAt  time.Duration
+	id               rpc.NodeID
+	permit           *Permit
+	revision         uint64
+	fresh            bool // has what is agreed
+	partitionedUntil time.Duration
+	downUntil        time.Duration
+	heartbeatAt      time.Duration
 }
 
 type simulation struct {
-	t       *testing.T
-	luck    *rand.Rand
-	fault   injectedBug
-	now     time.Duration
-	rev     uint64
-	agreed  map[rpc.EndpointID]rpc.Retirement
-	policy  *Policy
-	daemons []*simNode
-	desk    *Planner
-	heard   map[rpc.NodeID]Follower
-	heardAt map[rpc.NodeID]time.Duration
-	led     bool
-	newLead time.Duration
-	// together is when the leader told that all follow.
-	together map[rpc.EndpointID]time.Duration
-	late     int
-	runs     map[string]int
-	sent     int
-	refused  int
-	unclear  int
-	atWork   map[rpc.EndpointID][]runningRequest
-	ended    map[rpc.EndpointID]bool
-	emptied  bool
+	t           *testing.T
+	rng         *rand.Rand
+	fault       injectedBug
+	now         time.Duration
+	rev         uint64
+	agreed      map[rpc.EndpointID]rpc.Retirement
+	policy      *Policy
+	nodes       []*simNode
+	planner     *Planner
+	followers   map[rpc.NodeID]Follower
+	followersAt map[rpc.NodeID]time.Duration
+	hasLeader   bool
+	newLead     time.Duration
+	// complete is when the leader told that all follow.
+	complete       map[rpc.EndpointID]time.Duration
+	late           int
+	runs           map[string]int
+	sent           int
+	rejected       int
+	outcomeUnknown int
+	inFlight       map[rpc.EndpointID][]runningRequest
+	ended          map[rpc.EndpointID]bool
+	drained        bool
 }
 
 type runningRequest struct {
@@ -72,9 +72,9 @@
 		t.Fatal(err)
 	}
 	s := &simulation{
-		t: t, luck: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.EndpointID]rpc.Retirement{}, policy: policy, desk: NewPlanner(),
-		heard: map[rpc.NodeID]Follower{}, heardAt: map[rpc.NodeID]time.Duration{}, led: true, together: map[rpc.EndpointID]time.Duration{},
-		runs: map[string]int{}, atWork: map[rpc.EndpointID][]runningRequest{}, ended: map[rpc.EndpointID]bool{},
+		t: t, rng: rand.New(rand.NewSource(seed)), fault: fault, agreed: map[rpc.EndpointID]rpc.Retirement{}, policy: policy, planner: NewPlanner(),
+		followers: map[rpc.NodeID]Follower{}, followersAt: map[rpc.NodeID]time.Duration{}, hasLeader: true, complete: map[rpc.EndpointID]time.Duration{},
+		runs: map[string]int{}, inFlight: map[rpc.EndpointID][]runningRequest{}, ended: map[rpc.EndpointID]bool{},
 	}
 	for i := range 12 {
 		s.join(i)
@@ -85,66 +85,68 @@
 func (s *simulation) join(i int) {
 	daemon := &simNode{id: rpc.NodeID(fmt.Sprint("edge-", i)), permit: NewPermit(s.now)}
 	daemon.permit.SetPolicy(s.policy)
-	s.daemons = append(s.daemons, daemon)
+	s.nodes = append(s.nodes, daemon)
 }
 
-func (s *simulation) inTouch(d *simNode) bool { return s.now >= d.cutTill && s.now >= d.downTil }
+func (s *simulation) connected(d *simNode) bool {
+	return s.now >= d.partitionedUntil && s.now >= d.downUntil
+}
 
-// beat lets a daemon in touch tell how far it is and take what is agreed.
-func (s *simulation) beat(d *simNode) {
-	if !s.inTouch(d) {
+// heartbeat lets a daemon in touch tell how far it is and take what is agreed.
+func (s *simulation) heartbeat(d *simNode) {
+	if !s.connected(d) {
 		return
 	}
-	if s.led {
-		s.heard[d.id] = Follower{ID: d.id, Revision: d.rev, Connected: true}
-		s.heardAt[d.id] = s.now
+	if s.hasLeader {
+		s.followers[d.id] = Follower{ID: d.id, Revision: d.revision, Connected: true}
+		s.followersAt[d.id] = s.now
 		for _, order := range s.agreed {
 			d.permit.Apply(s.now, order)
 		}
-		d.rev, d.fresh = s.rev, true
-		d.permit.LeaderHeard(s.now)
-		d.beatAt = s.now
+		d.revision, d.fresh = s.rev, true
+		d.permit.LeaderResponded(s.now)
+		d.heartbeatAt = s.now
 		return
 	}
 	// Without a leader the fellows are asked.
 	if d.permit.ShouldAskPeers(s.now) {
 		answers := 0
-		for _, other := range s.daemons {
-			if other != d && s.inTouch(other) {
+		for _, other := range s.nodes {
+			if other != d && s.connected(other) {
 				answers++
 				for _, order := range other.permit.retired {
 					d.permit.Apply(s.now, order)
 				}
 			}
 		}
-		if 2*(answers+1) > len(s.daemons) {
-			d.permit.PeersHeard(s.now)
+		if 2*(answers+1) > len(s.nodes) {
+			d.permit.PeersResponded(s.now)
 		}
 	}
 }
 
 func (s *simulation) lead() {
-	if !s.led {
+	if !s.hasLeader {
 		if s.now >= s.newLead {
 			// A new leader has what is agreed, and has heard nobody yet.
-			s.led, s.desk, s.heard = true, NewPlanner(), map[rpc.NodeID]Follower{}
+			s.hasLeader, s.planner, s.followers = true, NewPlanner(), map[rpc.NodeID]Follower{}
 		}
 		return
 	}
 	var followers []Follower
-	for _, d := range s.daemons {
-		follower, known := s.heard[d.id]
+	for _, d := range s.nodes {
+		follower, known := s.followers[d.id]
 		if !known {
 			follower = Follower{ID: d.id}
 		}
-		follower.Connected = known && s.now-s.heardAt[d.id] < time.Second
+		follower.Connected = known && s.now-s.followersAt[d.id] < time.Second
 		followers = append(followers, follower)
 	}
 	var orders []rpc.Retirement
 	for _, order := range s.agreed {
 		orders = append(orders, order)
 	}
-	stops, accounts := s.desk.Plan(s.now, s.policy, orders, followers, func(rpc.ServiceName) EndpointCounts {
+	stops, statuses := s.planner.Plan(s.now, s.policy, orders, followers, func(rpc.ServiceName) EndpointCounts {
 		useful := 8
 		for _, order := range s.agreed {
 			if order.Stopped > 0 {
@@ -153,7 +155,7 @@
 		}
 		return EndpointCounts{Listed: 8, Usable: useful}
 	})
-	if s.fault.hasty {
+	if s.fault.stopsUnconfirmed {
 		for id, order := range s.agreed {
 			if order.Stopped == 0 {
 				stops = append(stops, id)
@@ -166,91 +168,91 @@
 		order.Stopped, order.Rev = s.rev, s.rev
 		s.agreed[id] = order
 	}
-	for _, account := range accounts {
-		id := rpc.EndpointID(account.Backend)
-		if _, told := s.together[id]; !told && account.Phase == Complete {
-			s.together[id] = s.now
+	for _, status := range statuses {
+		id := rpc.EndpointID(status.Backend)
+		if _, told := s.complete[id]; !told && status.Phase == Complete {
+			s.complete[id] = s.now
 		}
 	}
 }
 
 // call is one client's keyed operation at one daemon.
 func (s *simulation) call(n int) {
-	d := s.daemons[s.luck.Intn(len(s.daemons))]
-	if s.now < d.downTil || !d.fresh {
-		s.refused++
+	d := s.nodes[s.rng.Intn(len(s.nodes))]
+	if s.now < d.downUntil || !d.fresh {
+		s.rejected++
 		return
 	}
 	s.sent++
-	if d.permit.Isolated(s.now) && !s.fault.blind {
-		s.refused++
+	if d.permit.Isolated(s.now) && !s.fault.ignoresIsolation {
+		s.rejected++
 		return
 	}
-	first := s.luck.Intn(8)
+	first := s.rng.Intn(8)
 	for i := range 8 {
 		id := rpc.EndpointID(fmt.Sprint("i-", (first+i)%8))
-		if !d.permit.AllowsNew(s.now, id) && !s.fault.deaf {
+		if !d.permit.AllowsNew(s.now, id) && !s.fault.ignoresStop {
 			continue
 		}
 		if s.ended[id] {
 			continue
 		}
-		if at, told := s.together[id]; told {
+		if at, told := s.complete[id]; told {
 			// Who was heard by the leader since then follows; who was not has its
 			// bound, with a second for the turn of its own duty.
-			if d.beatAt > at || s.now > at+simLost+time.Second {
+			if d.heartbeatAt > at || s.now > at+simLost+time.Second {
 				s.late++
 			}
 		}
 		key := fmt.Sprint("k-", n)
 		s.runs[key]++
-		s.atWork[id] = append(s.atWork[id], runningRequest{key, s.now + time.Duration(s.luck.Intn(800))*time.Millisecond})
+		s.inFlight[id] = append(s.inFlight[id], runningRequest{key, s.now + time.Duration(s.rng.Intn(800))*time.Millisecond})
 		return
 	}
-	s.emptied = true
-	s.refused++
+	s.drained = true
+	s.rejected++
 }
 
 func (s *simulation) play() {
 	const step = 50 * time.Millisecond
 	ops := 0
 	for s.now = 0; s.now < 40*time.Second; s.now += step {
-		switch s.luck.Intn(60) {
+		switch s.rng.Intn(60) {
 		case 0:
-			d := s.daemons[s.luck.Intn(len(s.daemons))]
-			d.cutTill = s.now + time.Duration(s.luck.Intn(9000))*time.Millisecond
+			d := s.nodes[s.rng.Intn(len(s.nodes))]
+			d.partitionedUntil = s.now + time.Duration(s.rng.Intn(9000))*time.Millisecond
 		case 1:
-			d := s.daemons[s.luck.Intn(len(s.daemons))]
-			d.downTil = s.now + time.Second
-			d.permit, d.rev, d.fresh = NewPermit(s.now), 0, false
+			d := s.nodes[s.rng.Intn(len(s.nodes))]
+			d.downUntil = s.now + time.Second
+			d.permit, d.revision, d.fresh = NewPermit(s.now), 0, false
 			d.permit.SetPolicy(s.policy)
 		case 2:
-			if s.led && s.luck.Intn(3) == 0 {
-				s.led, s.newLead = false, s.now+time.Duration(500+s.luck.Intn(4000))*time.Millisecond
+			if s.hasLeader && s.rng.Intn(3) == 0 {
+				s.hasLeader, s.newLead = false, s.now+time.Duration(500+s.rng.Intn(4000))*time.Millisecond
 			}
 		case 3:
-			if len(s.daemons) < 16 {
-				s.join(len(s.daemons))
+			if len(s.nodes) < 16 {
+				s.join(len(s.nodes))
 			}
 		case 4:
-			if s.led && len(s.agreed) < 7 {
+			if s.hasLeader && len(s.agreed) < 7 {
 				id := rpc.EndpointID(fmt.Sprint("i-", len(s.agreed)))
 				s.rev++
 				s.agreed[id] = rpc.Retirement{Server: id, Service: "pay", By: ByOperator, Announced: s.rev, Rev: s.rev}
 			}
 		}
-		for _, d := range s.daemons {
-			if s.luck.Intn(5) == 0 {
-				s.beat(d)
+		for _, d := range s.nodes {
+			if s.rng.Intn(5) == 0 {
+				s.heartbeat(d)
 			}
 		}
 		s.lead()
-		for id, at := range s.together {
+		for id, at := range s.complete {
 			if s.now > at+10*time.Second && !s.ended[id] {
 				s.ended[id] = true
-				for _, run := range s.atWork[id] {
+				for _, run := range s.inFlight[id] {
 					if run.end > s.now {
-						s.unclear++
+						s.outcomeUnknown++
 					}
 				}
 			}
@@ -270,18 +272,18 @@
 		if s.late > 0 {
 			t.Fatalf("seed %d: %d new callers were sent to a backend after all were said to follow", seed, s.late)
 		}
-		if s.unclear > 0 {
-			t.Fatalf("seed %d: %d requests were at work when their backend ended", seed, s.unclear)
+		if s.outcomeUnknown > 0 {
+			t.Fatalf("seed %d: %d requests were at work when their backend ended", seed, s.outcomeUnknown)
 		}
 		for key, runs := range s.runs {
 			if runs != 1 {
 				t.Fatalf("seed %d: %s ran %d times", seed, key, runs)
 			}
 		}
-		if s.emptied {
+		if s.drained {
 			t.Fatalf("seed %d: a daemon had no backend left though the least share stays", seed)
 		}
-		stopped += len(s.together)
+		stopped += len(s.complete)
 		useful += len(s.runs)
 	}
 	if stopped < 60 || useful < 60*1500 {
@@ -290,7 +292,7 @@
 }
 
 func TestInjectedBugsAreFound(t *testing.T) {
-	for name, fault := range map[string]injectedBug{"deaf": {deaf: true}, "blind": {blind: true}} {
+	for name, fault := range map[string]injectedBug{"deaf": {ignoresStop: true}, "blind": {ignoresIsolation: true}} {
 		found := false
 		for seed := int64(1); seed <= 60 && !found; seed++ {
 			s := newSimulation(t, seed, fault)
@@ -305,7 +307,7 @@
 
 // The least share holds an order back and says so; it goes on when there is
 // room again. The platform's own word is not held back.
-func TestLeastShareHoldsARetirement(t *testing.T) {
+func TestMinShareHoldsARetirement(t *testing.T) {
 	policy, _ := Parse([]byte(sound))
 	desk := NewPlanner()
 	all := []Follower{{ID: "a", Revision: 9, Connected: true}, {ID: "b", Revision: 9, Connected: true}, {ID: "c"}}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestTheOldestChangesAreForgotten(t *testing.T) {
+func TestOldestChangesAreDropped(t *testing.T) {
 	recorder := New(eventlog.Discard())
 	for i := range capacity + 3 {
 		recorder.Record(Item, "r", "applied", fmt.Sprint(i), uint64(i), true)
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -38,7 +38,8 @@
 // New makes a notifier for the receiver at an http address, in the name of a
 // daemon, and starts to send.
 func New(target, daemon string, log *eventlog.Logger) (notifier *Notifier, err error) {
-	protocol, err := cloudevents.NewHTTP(cloudevents.WithTarget(target), cehttp.WithClient(http.Client{Timeout: sendTimeout}))
+	protocol, err := cloudevents.NewHTTP(
+		cloudevents.WithTarget(target), cehttp.WithClient(http.Client{Timeout: sendTimeout}))
 	if err != nil {
 		return nil, fmt.Errorf("notify: receiver %s: %w", target, err)
 	}
@@ -46,7 +47,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("notify: receiver %s: %w", target, err)
 	}
-	notifier = &Notifier{client: client, source: "/tinpin/" + daemon, log: log, queue: make(chan history.Change, queueCapacity)}
+	notifier = &Notifier{
+		client: client, source: "/tinpin/" + daemon, log: log, queue: make(chan history.Change, queueCapacity),
+	}
 	go notifier.run()
 	return notifier, nil
 }
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -1,7 +1,8 @@
 package retry
 
 import (
-	"sort"
+	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -62,15 +63,17 @@
 	// service are held back or pass again. It is set before the first use.
 	OnGateChange func(service rpc.ServiceName, open bool)
 
-	mu          sync.Mutex
-	policy      *Policy
-	leaderHeard time.Duration
-	services    map[rpc.ServiceName]*serviceState
+	mu                sync.Mutex
+	policy            *Policy
+	leaderRespondedTo time.Duration
+	services          map[rpc.ServiceName]*serviceState
 }
 
 // NewLimiter makes a limiter that draws on the rates leased to this node.
 func NewLimiter(leased func(kind rpc.LeaseKind, service string) float64) (limiter *Limiter) {
-	return &Limiter{leased: leased, OnGateChange: func(rpc.ServiceName, bool) {}, services: map[rpc.ServiceName]*serviceState{}}
+	return &Limiter{
+		leased: leased, OnGateChange: func(rpc.ServiceName, bool) {}, services: map[rpc.ServiceName]*serviceState{},
+	}
 }
 
 // SetPolicy sets the policy in force, nil for none. What was earned under another
@@ -90,11 +93,11 @@
 	}
 }
 
-// LeaderHeard notes that the leader answered a heartbeat that was sent at a time.
-func (l *Limiter) LeaderHeard(asked time.Duration) {
+// LeaderResponded notes that the leader answered a heartbeat that was sent at a time.
+func (l *Limiter) LeaderResponded(asked time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaderHeard = max(l.leaderHeard, asked)
+	l.leaderRespondedTo = max(l.leaderRespondedTo, asked)
 }
 
 // stateOf is a service's state, nil where no rule holds. The caller holds l.mu.
@@ -128,10 +131,10 @@
 		return
 	}
 	earned := state.rule.Ratio
-	switch silence := now - l.leaderHeard; {
-	case silence > quota.RetryMinimumDuration:
+	switch sinceLeader := now - l.leaderRespondedTo; {
+	case sinceLeader > quota.RetryMinimumDuration:
 		earned = 0
-	case silence > contactTime:
+	case sinceLeader > contactTime:
 		earned *= isolatedRatio
 	}
 	state.budget.Earn(now, time.Duration(state.rule.Window), earned)
@@ -214,6 +217,6 @@
 			PassFraction: state.gate.PassFraction(now),
 		})
 	}
-	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
+	slices.SortFunc(statuses, func(a, b ServiceStatus) int { return strings.Compare(a.Service, b.Service) })
 	return statuses
 }
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -7,7 +7,7 @@
 	"tinpin/internal/policy"
 )
 
-func TestInvalidPoliciesAreRejectedWhole(t *testing.T) {
+func TestInvalidPoliciesAreRejected(t *testing.T) {
 	for body, wants := range map[string][]string{
 		`[]`:                       {"must be a JSON object"},
 		`{"version":1,"rulez":[]}`: {"rulez"},
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -15,51 +15,50 @@
 // own: nodes join, restart and are partitioned, leaders change, the limit is
 // changed. First attempts and retries are counted at the backend.
 type simulation struct {
-	luck    *rand.Rand
-	now     time.Duration
-	fault   injectedBug
-	limited bool
-	lender  *quota.RateAllocator
-	version int
-	policy  *Policy
-	nodes   []*node
-	backend backend
-	firsts  []time.Duration
-	retries []time.Duration
-	calls   []*call
+	rng           *rand.Rand
+	now           time.Duration
+	fault         injectedBug
+	limited       bool
+	allocator     *quota.RateAllocator
+	version       int
+	policy        *Policy
+	nodes         []*node
+	backend       backend
+	firstAttempts []time.Duration
+	retries       []time.Duration
+	calls         []*call
 }
 
 type injectedBug struct {
-	secondSpender bool // a node retries beside the limiter
-	noWait        bool // a new leader lends at once
-	deafNode      bool // a node out of touch keeps the whole ratio for good
+	bypassesLimiter  bool // a node retries beside the limiter
+	grantsAtOnce     bool // a new leader lends at once
+	ignoresIsolation bool // a node out of touch keeps the whole ratio for good
 }
 
 type node struct {
-	id       rpc.NodeID
-	limiter  *Limiter
-	shares   *quota.Leases
-	beat     time.Duration
-	cut      time.Duration
-	version  int
-	deafFrom time.Duration
+	id               rpc.NodeID
+	limiter          *Limiter
+	leases           *quota.Leases
+	heartbeatAt      time.Duration
+	partitionedUntil time.Duration
+	version          int
+	deafFrom         time.Duration
 }
 
 // call is one request; it is retried once where that is let.
 type call struct {
-	node     *node
-	service  rpc.ServiceName
-	born     time.Duration
-	sent     time.Duration
-	attempts int
-	answered time.Duration
-	done     bool
+	node      *node
+	begun     time.Duration
+	sent      time.Duration
+	attempts  int
+	completed time.Duration
+	done      bool
 }
 
 const (
-	deadline  = time.Second
-	work      = 4 * time.Millisecond
-	queueMost = 300
+	deadline = time.Second
+	work     = 4 * time.Millisecond
+	maxQueue = 300
 )
 
 // backend works through a queue, also through what nobody waits for any more.
@@ -81,19 +80,19 @@
 }
 
 func (c *simulation) restart(n *node) {
-	n.shares, n.version = quota.NewLeases(), 0
+	n.leases, n.version = quota.NewLeases(), 0
 	n.limiter = NewLimiter(func(kind rpc.LeaseKind, service string) float64 {
-		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
+		return n.leases.Amount(c.now, quota.Key{Kind: kind, Name: service})
 	})
-	n.limiter.leaderHeard = -time.Hour
-	if c.fault.noWait {
+	n.limiter.leaderRespondedTo = -time.Hour
+	if c.fault.grantsAtOnce {
 		// Tokens out of nowhere at each start.
-		n.limiter.leaderHeard = 0
+		n.limiter.leaderRespondedTo = 0
 	}
 }
 
-func (c *simulation) write(version int, ratio, least float64) {
-	policy, err := Parse([]byte(fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","ratio":%g,"least_per_s":%g,"window":"10s"}]}`, version, ratio, least)))
+func (c *simulation) write(version int, ratio, minPerSecond float64) {
+	policy, err := Parse([]byte(fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","ratio":%g,"least_per_s":%g,"window":"10s"}]}`, version, ratio, minPerSecond)))
 	if err != nil {
 		panic(err)
 	}
@@ -104,16 +103,16 @@
 	c.now += 10 * time.Millisecond
 	present := 0
 	for _, n := range c.nodes {
-		if c.now >= n.cut {
+		if c.now >= n.partitionedUntil {
 			present++
 		}
 	}
 	for _, n := range c.nodes {
-		if c.now < n.cut || c.now < n.beat {
+		if c.now < n.partitionedUntil || c.now < n.heartbeatAt {
 			continue
 		}
-		asked := c.now - time.Duration(c.luck.Intn(60))*time.Millisecond
-		n.beat = c.now + time.Duration(300+c.luck.Intn(400))*time.Millisecond
+		asked := c.now - time.Duration(c.rng.Intn(60))*time.Millisecond
+		n.heartbeatAt = c.now + time.Duration(300+c.rng.Intn(400))*time.Millisecond
 		if n.version != c.version {
 			n.version = c.version
 			n.limiter.SetPolicy(c.policy)
@@ -121,11 +120,11 @@
 		n.limiter.Refill(c.now)
 		for _, demand := range n.limiter.Demands() {
 			rule, _ := c.policy.RuleFor("s")
-			for _, lease := range c.lender.Grant(c.now, rule.Bound("s"), n.id, present, demand) {
-				n.shares.Add(asked, lease)
+			for _, lease := range c.allocator.Grant(c.now, rule.Bound("s"), n.id, present, demand) {
+				n.leases.Add(asked, lease)
 			}
 		}
-		n.limiter.LeaderHeard(asked)
+		n.limiter.LeaderResponded(asked)
 	}
 	c.serve()
 	for _, call := range c.calls {
@@ -135,7 +134,7 @@
 	}
 	kept := c.calls[:0]
 	for _, call := range c.calls {
-		if !call.done && c.now-call.born >= deadline {
+		if !call.done && c.now-call.begun >= deadline {
 			call.done = true
 			call.node.limiter.RecordOutcome(c.now, "s", false)
 		}
@@ -154,7 +153,7 @@
 		c.backend.queue = c.backend.queue[1:]
 		c.backend.free += time.Duration(float64(work) * c.backend.slow)
 		if !next.call.done {
-			next.call.done, next.call.answered = true, c.now
+			next.call.done, next.call.completed = true, c.now
 			next.call.node.limiter.RecordOutcome(c.now, "s", true)
 		}
 	}
@@ -163,36 +162,36 @@
 func (c *simulation) arrive(call *call) {
 	call.attempts++
 	call.sent = c.now
-	if len(c.backend.queue) < queueMost {
+	if len(c.backend.queue) < maxQueue {
 		c.backend.queue = append(c.backend.queue, &arrival{call, call.attempts})
 	}
 }
 
 func (c *simulation) first() (made *call) {
-	n := c.nodes[c.luck.Intn(len(c.nodes))]
+	n := c.nodes[c.rng.Intn(len(c.nodes))]
 	for n.version == 0 {
 		// A node that knows no configuration takes no request.
-		n = c.nodes[c.luck.Intn(len(c.nodes))]
+		n = c.nodes[c.rng.Intn(len(c.nodes))]
 	}
-	made = &call{node: n, born: c.now}
+	made = &call{node: n, begun: c.now}
 	n.limiter.FirstAttempt(c.now, "s")
-	c.firsts = append(c.firsts, c.now)
+	c.firstAttempts = append(c.firstAttempts, c.now)
 	c.calls = append(c.calls, made)
 	c.arrive(made)
 	return made
 }
 
 func (c *simulation) retry(call *call) {
-	second := c.fault.secondSpender && c.luck.Intn(5) == 0
-	if c.limited && !second && call.node.limiter.AllowRetry(c.now, c.now+work, call.born+deadline, "s") != Allowed {
+	second := c.fault.bypassesLimiter && c.rng.Intn(5) == 0
+	if c.limited && !second && call.node.limiter.AllowRetry(c.now, c.now+work, call.begun+deadline, "s") != Allowed {
 		return
 	}
 	c.retries = append(c.retries, c.now)
 	c.arrive(call)
 }
 
-// worst is the most by which a window between two times passes the limit.
-func (c *simulation) worst(from, upto time.Duration, ratio, least float64) (worst float64) {
+// maxExcess is the most by which a window between two times passes the limit.
+func (c *simulation) maxExcess(from, upto time.Duration, ratio, least float64) (worst float64) {
 	window := 10 * time.Second
 	count := func(times []time.Duration, after, till time.Duration) (n float64) {
 		lo := sort.Search(len(times), func(i int) bool { return times[i] > after })
@@ -204,7 +203,7 @@
 		if at-window < from || at > upto {
 			continue
 		}
-		worst = max(worst, count(c.retries, at-window, at)-ratio*count(c.firsts, at-window-window/8, at)-least*window.Seconds())
+		worst = max(worst, count(c.retries, at-window, at)-ratio*count(c.firstAttempts, at-window-window/8, at)-least*window.Seconds())
 	}
 	return worst
 }
@@ -213,8 +212,8 @@
 // limit is lowered at 70 s, and what is sent from 142 s on is judged by the lowered
 // limit. It returns the fraction of the requests begun ten seconds after the
 // recovery that were answered in time.
-func simulate(seed int64, limited, trouble bool, fault injectedBug) (c *simulation, goodAfter float64) {
-	c = &simulation{luck: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, lender: quota.NewRateAllocator(quota.RetryLeases, 0, 1600*time.Millisecond, true)}
+func simulate(seed int64, limited, faults bool, fault injectedBug) (c *simulation, goodAfter float64) {
+	c = &simulation{rng: rand.New(rand.NewSource(seed)), fault: fault, limited: limited, allocator: quota.NewRateAllocator(quota.RetryLeases, 0, 1600*time.Millisecond, true)}
 	c.backend.slow = 1
 	c.write(1, 0.1, 2)
 	for i := 0; i < 20; i++ {
@@ -226,19 +225,19 @@
 	}
 	for c.now < 170*time.Second {
 		c.schedule()
-		for i := c.luck.Intn(4); i > 0; i-- {
+		for i := c.rng.Intn(4); i > 0; i-- {
 			if made := c.first(); c.now > 60*time.Second && c.now < 68*time.Second {
 				after = append(after, made)
 			}
 		}
 		c.step()
-		if trouble {
+		if faults {
 			c.injectFault()
 		}
 	}
 	good := 0
 	for _, call := range after {
-		if call.answered > 0 && call.answered-call.born <= deadline {
+		if call.completed > 0 && call.completed-call.begun <= deadline {
 			good++
 		}
 	}
@@ -255,15 +254,15 @@
 		c.write(2, 0.02, 0.5)
 	}
 	// A draw that decides nothing; without it all seeds would play other days.
-	c.luck.Float64()
+	c.rng.Float64()
 }
 
 // injectFault draws one fault or none, and keeps up the injected bug.
 func (c *simulation) injectFault() {
-	n := c.nodes[c.luck.Intn(len(c.nodes))]
-	switch c.luck.Intn(600) {
+	n := c.nodes[c.rng.Intn(len(c.nodes))]
+	switch c.rng.Intn(600) {
 	case 0:
-		n.cut = c.now + time.Duration(c.luck.Intn(20000))*time.Millisecond
+		n.partitionedUntil = c.now + time.Duration(c.rng.Intn(20000))*time.Millisecond
 	case 1:
 		c.restart(n)
 	case 2:
@@ -271,24 +270,24 @@
 			c.join()
 		}
 	case 3:
-		c.lender = quota.NewRateAllocator(quota.RetryLeases, c.now, 1600*time.Millisecond, c.fault.noWait)
+		c.allocator = quota.NewRateAllocator(quota.RetryLeases, c.now, 1600*time.Millisecond, c.fault.grantsAtOnce)
 	case 4:
-		if c.fault.deafNode {
-			n.cut = time.Hour
+		if c.fault.ignoresIsolation {
+			n.partitionedUntil = time.Hour
 		}
 	}
-	if !c.fault.deafNode {
+	if !c.fault.ignoresIsolation {
 		return
 	}
 	for _, n := range c.nodes {
-		if n.cut == time.Hour {
-			n.limiter.LeaderHeard(c.now)
+		if n.partitionedUntil == time.Hour {
+			n.limiter.LeaderResponded(c.now)
 		}
 	}
 }
 
 func (c *simulation) excess() (passed float64) {
-	return max(c.worst(0, 70*time.Second, 0.1, 2), c.worst(142*time.Second, 170*time.Second, 0.02, 0.5))
+	return max(c.maxExcess(0, 70*time.Second, 0.1, 2), c.maxExcess(142*time.Second, 170*time.Second, 0.02, 0.5))
 }
 
 func TestLimitHoldsInEveryWindow(t *testing.T) {
@@ -307,7 +306,7 @@
 }
 
 func TestInjectedBugsAreFound(t *testing.T) {
-	for name, fault := range map[string]injectedBug{"second spender": {secondSpender: true}, "deaf node": {deafNode: true}} {
+	for name, fault := range map[string]injectedBug{"second spender": {bypassesLimiter: true}, "deaf node": {ignoresIsolation: true}} {
 		found := false
 		for seed := int64(1); seed <= 12 && !found; seed++ {
 			c, _ := simulate(seed, true, true, fault)
