--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,11 +1,9 @@
 package proxy
 
 import (
-	"errors"
-	"net"
-	"os"
-	"syscall"
 	"time"
+
+	"tinpin/internal/message"
 )
 
 const (
@@ -25,7 +23,7 @@
 // transport, which repeats requests on its own.
 type Attempt struct {
 	Outcome  Outcome
-	Response Response
+	Response message.Response
 	// Sent tells that the request has left, so that it counts as an arrival.
 	Sent bool
 }
@@ -43,7 +41,7 @@
 }
 
 // runAttempt sends the request to the backend and reads the response.
-func runAttempt(clock Clock, backend *Backend, request *Request, options AttemptOptions) (attempt Attempt) {
+func runAttempt(clock Clock, backend *Backend, request *message.Request, options AttemptOptions) (attempt Attempt) {
 	startedAt := clock.Now()
 	backend.attemptStarted(startedAt)
 	defer func() {
@@ -66,7 +64,7 @@
 	}
 	backend.markActive(conn, options.Keyed)
 	defer backend.unmarkActive(conn)
-	data := request.encode(options.Deadline-now, backend.ID)
+	data := request.Encode(options.Deadline-now, backend.ID)
 	_ = conn.netConn.SetDeadline(time.Now().Add(options.Deadline - now))
 	if !options.stillAllowed(clock, backend) {
 		_ = conn.netConn.SetDeadline(time.Time{})
@@ -79,7 +77,7 @@
 		backend.closeConn(conn)
 		return Attempt{Outcome: NotSent}
 	}
-	if err != nil && isTimeout(err) {
+	if err != nil && message.IsTimeout(err) {
 		backend.closeConn(conn)
 		return Attempt{Outcome: ConnectionFailed, Sent: true}
 	}
@@ -107,14 +105,6 @@
 	return now < o.Deadline && now-o.ChosenAt <= choiceLifetime
 }
 
-func isTimeout(err error) bool {
-	if errors.Is(err, syscall.ETIMEDOUT) {
-		return false
-	}
-	var netErr net.Error
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
-}
-
 // Clock is the monotonic clock of a node.
 type Clock struct{ birth time.Time }
 
