--- a/cmd/tinpin/command.go
+++ b/cmd/tinpin/command.go
@@ -103,7 +103,9 @@
 // parse reads flags and exactly want arguments from args. If done, the command
 // line was wrong or asked for help, and code is what to end with. title names
 // the form of the command in messages.
-func (i *invocation) parse(title string, flags *flag.FlagSet, args []string, want int) (words []string, code int, done bool) {
+func (i *invocation) parse(
+	title string, flags *flag.FlagSet, args []string, want int,
+) (words []string, code int, done bool) {
 	flags.SetOutput(io.Discard)
 	err := flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
--- a/cmd/tinpin/daemon.go
+++ b/cmd/tinpin/daemon.go
@@ -30,7 +30,9 @@
 }
 
 // serve runs a role until it is told to stop.
-func serve(call *invocation, start func(p settings.Settings, log *eventlog.Logger) (running daemon, err error)) (code int) {
+func serve(
+	call *invocation, start func(p settings.Settings, log *eventlog.Logger) (running daemon, err error),
+) (code int) {
 	role := call.command.name
 	if _, code, done := call.parse(role, newFlags(role), call.args, 0); done {
 		return code
@@ -56,7 +58,9 @@
 }
 
 // attend heeds signals and changes of the settings file until told to stop.
-func attend(running daemon, path string, signals <-chan os.Signal, check <-chan time.Time, log *eventlog.Logger) (code int) {
+func attend(
+	running daemon, path string, signals <-chan os.Signal, check <-chan time.Time, log *eventlog.Logger,
+) (code int) {
 	last := fileVersion(path)
 	for {
 		select {
--- a/cmd/tinpin/main_test.go
+++ b/cmd/tinpin/main_test.go
@@ -23,7 +23,7 @@
 	cases := map[string]struct {
 		args []string
 		code int
-		says string
+		text string
 	}{
 		"help":             {[]string{"help"}, 0, "tinpin status"},
 		"version":          {[]string{"version"}, 0, Version},
@@ -53,12 +53,12 @@
 	for name, c := range cases {
 		var out, bad bytes.Buffer
 		code := run(c.args, &out, &bad)
-		said := out.String() + bad.String()
-		if code != c.code || !strings.Contains(said, c.says) {
-			t.Errorf("%s: code %d, said %q", name, code, said)
+		output := out.String() + bad.String()
+		if code != c.code || !strings.Contains(output, c.text) {
+			t.Errorf("%s: code %d, said %q", name, code, output)
 		}
-		if code != 0 && strings.Count(strings.TrimSpace(said), "\n") > 0 {
-			t.Errorf("%s: more than one line: %q", name, said)
+		if code != 0 && strings.Count(strings.TrimSpace(output), "\n") > 0 {
+			t.Errorf("%s: more than one line: %q", name, output)
 		}
 	}
 }
--- a/internal/adminclient/call.go
+++ b/internal/adminclient/call.go
@@ -32,8 +32,8 @@
 
 func (e *RejectedError) Error() string { return "refused: " + e.Text }
 
-// UnclearError tells that nobody answered whether a request is in force.
-type UnclearError struct {
+// OutcomeUnknownError tells that nobody answered whether a request is in force.
+type OutcomeUnknownError struct {
 	// RequestName is the name to send the same request with, empty for a request
 	// that has a version.
 	RequestName string
@@ -41,7 +41,7 @@
 	Err error
 }
 
-func (e *UnclearError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	again := "the same may be sent again"
 	if e.RequestName != "" {
 		again += " with -order " + e.RequestName
@@ -50,10 +50,10 @@
 }
 
 // Unwrap gives what the last address failed with.
-func (e *UnclearError) Unwrap() error { return e.Err }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
 // withRequestName adds the request's name, the same for each address tried.
-func (c *Client) withRequestName(path string) (whole string) {
+func (c *Client) withRequestName(path string) (full string) {
 	name := c.RequestName
 	if name == "" {
 		name = rand.Text()
@@ -82,7 +82,7 @@
 		}
 	}
 	if method == http.MethodPost {
-		return nil, &UnclearError{RequestName: requestNameOf(path), Err: err}
+		return nil, &OutcomeUnknownError{RequestName: requestNameOf(path), Err: err}
 	}
 	return nil, err
 }
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -42,7 +42,9 @@
 // Run carries out one request and prints what came of it; done tells that it is
 // in force as asked. subject, verb and the number of arguments must be as Verbs
 // has them.
-func (c *Client) Run(ctx context.Context, out io.Writer, subject, verb string, arguments []string) (done bool, err error) {
+func (c *Client) Run(
+	ctx context.Context, out io.Writer, subject, verb string, arguments []string,
+) (done bool, err error) {
 	kind := kindBySubject[subject]
 	switch verb {
 	case "set", "check":
@@ -64,7 +66,9 @@
 	return true, printDocument(out, status)
 }
 
-func (c *Client) set(ctx context.Context, out io.Writer, kind policy.Kind, file string, checkOnly bool) (done bool, err error) {
+func (c *Client) set(
+	ctx context.Context, out io.Writer, kind policy.Kind, file string, checkOnly bool,
+) (done bool, err error) {
 	body, err := os.ReadFile(file)
 	if err != nil {
 		return false, err
@@ -82,7 +86,9 @@
 	return err == nil, err
 }
 
-func (c *Client) sendForStatus(ctx context.Context, out io.Writer, path string, body []byte) (status string, err error) {
+func (c *Client) sendForStatus(
+	ctx context.Context, out io.Writer, path string, body []byte,
+) (status string, err error) {
 	answer, err := c.call(ctx, http.MethodPost, path, body)
 	if err != nil {
 		return "", err
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -16,7 +16,7 @@
 	for _, c := range []struct {
 		statuses []int
 		good     bool
-		said     string
+		text     string
 	}{
 		{[]int{200}, true, ""},
 		{[]int{503, 200}, true, ""},
@@ -39,7 +39,7 @@
 		if slices.ContainsFunc(names, func(name string) bool { return name != "" }) {
 			t.Errorf("a request with a version got the names %q", names)
 		}
-		if good != c.good || good != strings.Contains(out.String(), "acknowledged") || !good && !strings.Contains(err.Error(), c.said) {
+		if good != c.good || good != strings.Contains(out.String(), "acknowledged") || !good && !strings.Contains(err.Error(), c.text) {
 			t.Errorf("%v: %v, %q, %v", c.statuses, good, out.String(), err)
 		}
 	}
--- a/internal/adminclient/print.go
+++ b/internal/adminclient/print.go
@@ -20,7 +20,8 @@
 	}
 	_, _ = fmt.Fprintf(table, "%s\tversion %d\t%s\n", status.Kind, status.Version, state)
 	for _, retirement := range status.Retirements {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d of %d follow\t%s %s\n", retirement.Backend, retirement.Service, retirement.Phase,
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d of %d follow\t%s %s\n",
+			retirement.Backend, retirement.Service, retirement.Phase,
 			retirement.Confirmed, retirement.Nodes, retirement.Reason, strings.Join(retirement.Missing, ","))
 	}
 	if status.Sessions != nil {
@@ -33,7 +34,8 @@
 		_, _ = fmt.Fprintf(table, "step\t%d\n", status.Step)
 	}
 	for _, target := range status.Targets {
-		_, _ = fmt.Fprintf(table, "%s\tnow %v\twanted %v\t%s\n", target.Target, target.Now, target.Wanted, target.Waiting)
+		_, _ = fmt.Fprintf(table, "%s\tnow %v\twanted %v\t%s\n",
+			target.Target, target.Now, target.Wanted, target.Waiting)
 	}
 	if err = table.Flush(); err != nil || !status.InForce {
 		return err
@@ -56,6 +58,8 @@
 	if !limit.InForceEverywhere {
 		everywhere = "does not hold everywhere yet"
 	}
-	_, _ = fmt.Fprintf(table, "%s\tratio %g\tleast %g/s in %s\tlent %.3f\t%d of %d follow\t%s %s\n", limit.Service, limit.Ratio,
-		limit.LeastPerSecond, limit.Window, limit.Granted, limit.Followers, limit.Nodes, everywhere, strings.Join(limit.Missing, ","))
+	_, _ = fmt.Fprintf(table, "%s\tratio %g\tleast %g/s in %s\tlent %.3f\t%d of %d follow\t%s %s\n",
+		limit.Service, limit.Ratio,
+		limit.MinPerSecond, limit.Window, limit.Granted, limit.Followers, limit.Nodes,
+		everywhere, strings.Join(limit.Missing, ","))
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -90,9 +90,9 @@
 	if err != nil {
 		return err
 	}
-	c.node.History.OnChange = func(mark history.Change) {
-		if mark.Action != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
-			notifier.Notify(mark)
+	c.node.History.OnChange = func(change history.Change) {
+		if change.Action != changeAcknowledged && c.nodeCalls.Coordinator() != nil {
+			notifier.Notify(change)
 		}
 	}
 	return nil
@@ -108,7 +108,8 @@
 	}
 	c.apiServer, err = httpapi.Serve(c.settings.ControlAddress, httpapi.Handlers{
 		UpdateConfig: c.updateConfig, DescribeConfig: c.describeConfig, Evacuate: c.evacuate,
-		SetDocument: c.setDocument, WithdrawDocument: c.withdrawDocument, ShowDocument: c.showDocument, RetireBackend: c.retireBackend,
+		SetDocument: c.setDocument, WithdrawDocument: c.withdrawDocument, ShowDocument: c.showDocument,
+		RetireBackend: c.retireBackend,
 	})
 	return err
 }
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -46,7 +46,8 @@
 			return c.reject(history.Document, invalidRequest(invalid))
 		}
 	}
-	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(kind), Body: body})
+	command := statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(kind), Body: body}
+	result, err := c.propose(command)
 	return c.acknowledge(history.Document, string(kind), "set", result, err)
 }
 
@@ -71,7 +72,8 @@
 	if _, err = c.leading(fmt.Sprintf("/-/Orders.Withdraw/%s/%d", kind, version)); err != nil {
 		return err
 	}
-	result, err := c.propose(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(kind), Number: uint64(version)})
+	command := statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(kind), Number: uint64(version)}
+	result, err := c.propose(command)
 	return c.acknowledge(history.Document, string(kind), "withdrawn", result, err)
 }
 
@@ -105,7 +107,8 @@
 	status := DocumentStatus{Kind: kind}
 	c.node.ReadState(func(state *statemachine.State) {
 		document := state.Documents[kind]
-		status.Version, status.InForce, status.Document = document.Version, document.Active(), json.RawMessage(document.Body)
+		status.Version, status.InForce = document.Version, document.Active()
+		status.Document = json.RawMessage(document.Body)
 		if kind == policy.DayPlan {
 			status.Step = state.ScheduleStep.Count
 		}
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -43,19 +43,19 @@
 	last := policy.ErrInvalid.New("the last one")
 	unlisted := policy.ErrInvalid.Wrap(fmt.Errorf("backend %q is %w", "one", coordinator.ErrUnknownBackend))
 	for _, c := range []struct {
-		earlier earlierRetirement
-		refusal error
-		status  int
-		phase   string
+		earlier   earlierRetirement
+		rejection error
+		status    int
+		phase     string
 	}{
 		{earlierRetirement{}, unlisted, 422, ""},
 		{earlierRetirement{}, last, 422, ""},
 		{earlierRetirement{accepted: true}, unlisted, 200, "left"},
 		{earlierRetirement{accepted: true}, last, 503, ""},
 	} {
-		phase, err := c.earlier.answer(c.refusal)
+		phase, err := c.earlier.answer(c.rejection)
 		if status := statusOf(t, err); status != c.status || phase != c.phase {
-			t.Errorf("%+v, %v: %d %q", c.earlier, c.refusal, status, phase)
+			t.Errorf("%+v, %v: %d %q", c.earlier, c.rejection, status, phase)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		return func() error { return c.updateConfig(none, []byte(body)) }
 	}
 	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["pay",%s,4]]}}}`
-	config := func(most string) func() error { return update(fmt.Sprintf(services, most)) }
+	config := func(limit string) func() error { return update(fmt.Sprintf(services, limit)) }
 	for i, step := range []struct {
 		send   func() error
 		status int
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -52,7 +52,8 @@
 	if result.Problem != "" {
 		return c.reject(subject, rejectedResult(apierror.RequestRejected, result))
 	}
-	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, subject, eventlog.KeyName, name, eventlog.KeyChange, change)
+	c.log.Emit(eventlog.OperatorRequestAccepted, eventlog.KeyKind, subject, eventlog.KeyName, name,
+		eventlog.KeyChange, change)
 	c.node.History.Record(subject, name, changeAcknowledged, "", 0, true)
 	return nil
 }
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -11,7 +11,7 @@
 )
 
 // withRequestName adds to a path the name that the operator gave the request.
-func withRequestName(path, name string) (whole string) {
+func withRequestName(path, name string) (full string) {
 	if name == "" {
 		return path
 	}
@@ -24,10 +24,12 @@
 	if start {
 		kind, verb = statemachine.CommandStartEvacuation, "Start"
 	}
-	if err = c.requireLeader(withRequestName("/-/Evacuations."+verb+"/"+url.PathEscape(zone), requestName)); err != nil {
+	path := "/-/Evacuations." + verb + "/" + url.PathEscape(zone)
+	if err = c.requireLeader(withRequestName(path, requestName)); err != nil {
 		return err
 	}
-	result, err := c.propose(statemachine.Command{Kind: kind, Subject: zone, Claim: statemachine.Claim{Key: requestName}})
+	command := statemachine.Command{Kind: kind, Subject: zone, Claim: statemachine.Claim{Key: requestName}}
+	result, err := c.propose(command)
 	if err != nil {
 		return err
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -72,11 +72,12 @@
 func newCoordinator(p settings.Settings, log *eventlog.Logger, term rpc.Term) (c *Coordinator) {
 	revisions := &registry.RevisionCounter{}
 	revisions.Next()
+	timeouts := registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}
 	return &Coordinator{
 		settings: p, log: log, term: term, started: time.Now(),
 		changed: make(chan struct{}), closed: make(chan struct{}),
 		revisions:      revisions,
-		nodes:          newNodeTable(revisions, registry.NodeTimeouts{Absent: healthcheck.TakeoverDelay, Expired: removeNodeAfter}),
+		nodes:          newNodeTable(revisions, timeouts),
 		endpoints:      registry.NewEndpointList(revisions),
 		health:         healthcheck.NewStateCache(revisions, 3*p.HealthCheckInterval+time.Second),
 		routingTable:   config.New().RoutingTable(),
--- a/internal/coordinator/followers.go
+++ b/internal/coordinator/followers.go
@@ -14,8 +14,8 @@
 
 // follower is how far one node follows the agreed state, by its last heartbeat.
 type follower struct {
-	logIndex  uint64
-	lastHeard time.Duration
+	logIndex      uint64
+	lastHeartbeat time.Duration
 }
 
 // followerTable is what heartbeats prove of how far the nodes follow, and the
@@ -52,7 +52,7 @@
 // list gives the nodes that count, and forgets those not heard for long.
 func (t *followerTable) list(now time.Duration, connected func(id rpc.NodeID) bool) (followers []drain.Follower) {
 	for id, known := range t.byNode {
-		if now-known.lastHeard > rememberNode {
+		if now-known.lastHeartbeat > rememberNode {
 			delete(t.byNode, id)
 			delete(t.loadByNode, id)
 			continue
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -25,7 +25,7 @@
 // LeadershipChecker proves that this controller leads in a term and that no
 // other can.
 type LeadershipChecker interface {
-	HoldsLease(term raft.Term, patience time.Duration) (proven bool)
+	HoldsLease(term raft.Term, timeout time.Duration) (proven bool)
 }
 
 // Handler answers the remote calls of nodes, on any controller. One that does
@@ -170,7 +170,8 @@
 	default:
 		held := answer.Result.Held
 		found.Outcome = rpc.ClaimHeld
-		found.Holder, found.Incarnation, found.Request = rpc.NodeID(held.Holder), rpc.Incarnation(held.Life), held.Request
+		found.Holder, found.Incarnation = rpc.NodeID(held.Holder), rpc.Incarnation(held.Life)
+		found.Request = held.Request
 		found.InternalAddress, _ = coordinator.NodeAddress(found.Holder)
 	}
 	return found
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -15,9 +15,9 @@
 	warmUpWindow = 1200 * time.Millisecond
 	// retrySlackShare is the part of the configured slack that is granted.
 	retrySlackShare = 0.7
-	// ratePerSharer is how much of a warming backend's rate, in requests a
+	// ratePerSubsetMember is how much of a warming backend's rate, in requests a
 	// second, is worth one more node to share it.
-	ratePerSharer = 3
+	ratePerSubsetMember = 3
 )
 
 // leaseTable is what is granted of each fleet-wide limit.
@@ -58,7 +58,8 @@
 	}
 	for _, demand := range request.TenantDemands {
 		if tenant := c.routingTable.TenantByName(demand.Name); tenant != nil {
-			leases = append(leases, c.leases.tenants.Grant(now, quota.TenantLimit(tenant), request.ID, nodes, demand)...)
+			leases = append(leases, c.leases.tenants.Grant(
+				now, quota.TenantLimit(tenant), request.ID, nodes, demand)...)
 		}
 	}
 	for _, demand := range request.RetryDemands {
@@ -77,7 +78,9 @@
 }
 
 // grantWarmUp gives a node its share of the rate of a backend that is warming up.
-func (c *Coordinator) grantWarmUp(now time.Duration, node rpc.NodeID, id rpc.EndpointID) (lease rpc.Lease, granted bool) {
+func (c *Coordinator) grantWarmUp(
+	now time.Duration, node rpc.NodeID, id rpc.EndpointID,
+) (lease rpc.Lease, granted bool) {
 	endpoint, listed := c.endpoints.Endpoints.Get(id)
 	if !listed || endpoint.Draining || c.health.WarmupUntil(id)+time.Second < now {
 		return lease, false
@@ -86,12 +89,13 @@
 	if service == nil {
 		return lease, false
 	}
-	shares, sharers := c.nodes.sharesWarmUp(node, endpoint, service.SlowStartRate, c.settings.ZoneRegions)
-	if !shares {
+	isMember, members := c.nodes.sharesWarmUp(node, endpoint, service.SlowStartRate, c.settings.ZoneRegions)
+	if !isMember {
 		return lease, false
 	}
 	key := quota.Key{Kind: rpc.WarmupRate, Name: string(id)}
-	return c.leases.rates.Grant(now, key, service.SlowStartRate, warmUpWindow, node, service.SlowStartRate/float64(sharers))
+	rate := service.SlowStartRate
+	return c.leases.rates.Grant(now, key, rate, warmUpWindow, node, rate/float64(members))
 }
 
 // warmUpLimited gives a backend's service where that limits the rate of backends
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -162,9 +162,9 @@
 // that the load of many such backends is spread.
 func (t *nodeTable) sharesWarmUp(
 	node rpc.NodeID, endpoint rpc.Endpoint, rate float64, regions map[string]string,
-) (shares bool, sharers int) {
+) (isMember bool, members int) {
 	nearest := t.nearest(endpoint.Zone, regions)
-	sharers = min(len(nearest), max(1, int(rate/ratePerSharer)))
+	members = min(len(nearest), max(1, int(rate/ratePerSubsetMember)))
 	rank := healthcheck.Rank(string(node), string(endpoint.ID))
 	isNear, before := false, 0
 	for _, id := range nearest {
@@ -174,7 +174,7 @@
 			before++
 		}
 	}
-	return isNear && before < sharers, max(1, sharers)
+	return isNear && before < members, max(1, members)
 }
 
 // NodeAddress gives a node's internal address and the incarnation it was last
--- a/internal/coordinator/outcomes.go
+++ b/internal/coordinator/outcomes.go
@@ -18,7 +18,10 @@
 }
 
 func newOutcomeRelay() (r outcomeRelay) {
-	return outcomeRelay{pendingByOwner: map[rpc.NodeID][]rpc.OutcomeCount{}, ownerByService: map[rpc.ServiceName]rpc.NodeID{}}
+	return outcomeRelay{
+		pendingByOwner: map[rpc.NodeID][]rpc.OutcomeCount{},
+		ownerByService: map[rpc.ServiceName]rpc.NodeID{},
+	}
 }
 
 func (r *outcomeRelay) forgetOwners() { r.ownerByService = map[rpc.ServiceName]rpc.NodeID{} }
--- a/internal/coordinator/parts_test.go
+++ b/internal/coordinator/parts_test.go
@@ -9,7 +9,7 @@
 	"tinpin/internal/rpc"
 )
 
-func TestPartsOfAnotherVersionAreForgotten(t *testing.T) {
+func TestPartsOfAnotherVersionAreDropped(t *testing.T) {
 	var cache partCache[int, string, int]
 	cache.use(1)
 	cache.parts["a"] = 7
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -1,7 +1,8 @@
 package coordinator
 
 import (
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"tinpin/internal/quota"
@@ -10,10 +11,10 @@
 
 // RetryStatus is how the limit on retries to one service stands.
 type RetryStatus struct {
-	Service        string  `json:"service"`
-	Ratio          float64 `json:"ratio"`
-	LeastPerSecond float64 `json:"least_per_s"`
-	Window         string  `json:"window"`
+	Service      string  `json:"service"`
+	Ratio        float64 `json:"ratio"`
+	MinPerSecond float64 `json:"least_per_s"`
+	Window       string  `json:"window"`
 	// Granted is the part of the least rate that nodes hold now.
 	Granted float64 `json:"lent"`
 	// Followers of Nodes keep the limit; InForceEverywhere tells that no node can
@@ -42,22 +43,22 @@
 		}
 		missing = append(missing, string(node.ID))
 		// One that only older leaders heard counts from the start of this term.
-		if now-c.followers.byNode[node.ID].lastHeard <= retryLimitMemory {
+		if now-c.followers.byNode[node.ID].lastHeartbeat <= retryLimitMemory {
 			everywhere = false
 		}
 	}
-	sort.Strings(missing)
+	slices.Sort(missing)
 	for name := range c.routingTable.Services {
 		rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name))
 		if !limited {
 			continue
 		}
 		statuses = append(statuses, RetryStatus{
-			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
+			Service: name, Ratio: rule.Ratio, MinPerSecond: rule.LeastPerSecond, Window: time.Duration(rule.Window).String(),
 			Granted:   c.leases.retries.Granted(now, name),
 			Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
 		})
 	}
-	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
+	slices.SortFunc(statuses, func(a, b RetryStatus) int { return strings.Compare(a.Service, b.Service) })
 	return statuses
 }
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -2,7 +2,8 @@
 
 import (
 	"errors"
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"tinpin/internal/affinity"
@@ -294,6 +295,6 @@
 			Sessions: c.sessions.expiry.Count(rpc.ServiceName(name)), Limit: rule.MaxSessions,
 		})
 	}
-	sort.Slice(status.Services, func(i, j int) bool { return status.Services[i].Service < status.Services[j].Service })
+	slices.SortFunc(status.Services, func(a, b ServiceSessions) int { return strings.Compare(a.Service, b.Service) })
 	return status
 }
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -2,7 +2,8 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
+	"strings"
 
 	"tinpin/internal/history"
 	"tinpin/internal/quota"
@@ -96,7 +97,7 @@
 			Ready: node.Ready && !node.Stopping, Connected: t.registry.Present(id),
 		})
 	})
-	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
+	slices.SortFunc(nodes, func(a, b NodeStatus) int { return strings.Compare(a.Name, b.Name) })
 	return nodes
 }
 
@@ -116,7 +117,7 @@
 	for _, tenant := range c.routingTable.Tenants() {
 		add("tenant "+tenant.Name, c.leases.tenants.Granted(now, tenant.Name))
 	}
-	sort.Slice(grants, func(i, j int) bool { return grants[i].Limit < grants[j].Limit })
+	slices.SortFunc(grants, func(a, b GrantStatus) int { return strings.Compare(a.Limit, b.Limit) })
 	return grants
 }
 
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -82,6 +82,11 @@
 	if err = validateDemands("retries", request.RetryDemands); err != nil {
 		return err
 	}
+	return validateMeasurements(request)
+}
+
+// validateMeasurements checks the load and the outcomes that a node reports.
+func validateMeasurements(request rpc.HeartbeatRequest) (err error) {
 	for _, load := range request.Loads {
 		if !namesFit(string(load.Service)) || load.InFlight < 0 || load.InFlight > maxCount {
 			return fmt.Errorf("%d requests in flight", load.InFlight)
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -21,7 +21,7 @@
 		path, body string
 		failure    error
 		status     int
-		says       string
+		text       string
 	}{
 		"acknowledged": {"/-/Config.Update", "{}", nil, 200, "acknowledged"},
 		"typed":        {"/-/Config.Update", "{}", &Error{Kind: apierror.InvalidConfig, Text: "no such field"}, 400, "no such field"},
@@ -35,7 +35,7 @@
 		request.Header.Set("Content-Type", "application/json")
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
-		if recorder.Code != c.status || !strings.Contains(recorder.Body.String(), c.says) {
+		if recorder.Code != c.status || !strings.Contains(recorder.Body.String(), c.text) {
 			t.Errorf("%s: %d %q", name, recorder.Code, recorder.Body.String())
 		}
 		if name == "redirect" && recorder.Header().Get("Location") != "http://x" {
