--- a/internal/raft/catchup_test.go
+++ b/internal/raft/catchup_test.go
@@ -16,7 +16,7 @@
 }
 
 func (l *thinLink) put(message Message) {
-	if laneOf(message).bulk {
+	if pathOf(message).bulk {
 		if len(l.bulk) < 512 {
 			l.bulk = append(l.bulk, message)
 		}
--- a/internal/raft/courier.go
+++ b/internal/raft/courier.go
@@ -15,66 +15,66 @@
 	Messages []Message
 }
 
-// lane names one stream to one core.
-type lane struct {
+// sendPath names one stream to one core.
+type sendPath struct {
 	to   ID
 	bulk bool
 }
 
-func laneOf(message Message) lane {
-	return lane{message.To, len(message.Entries) > 0 || message.Part != nil || message.Snapshot != nil}
+func pathOf(message Message) sendPath {
+	return sendPath{message.To, len(message.Entries) > 0 || message.Part != nil || message.Snapshot != nil}
 }
 
-// sender carries messages to one core.
-type sender struct {
-	ring   chan Message
+// peerSender carries messages to one core.
+type peerSender struct {
+	queue  chan Message
 	caller *rpc.Client
 }
 
 const (
-	// callBytes bounds what one call carries beyond its first message.
-	callBytes = 32 << 10
-	callFloor = 500 * time.Millisecond
+	// maxCallBytes bounds what one call carries beyond its first message.
+	maxCallBytes   = 32 << 10
+	minCallTimeout = 500 * time.Millisecond
 )
 
-// callTime is how long a call of some bytes may take.
-func callTime(bytes int) (limit time.Duration) {
-	return callFloor + time.Duration(bytes)*time.Second/slowLinkBytesPerSecond
+// callTimeout is how long a call of some bytes may take.
+func callTimeout(bytes int) (limit time.Duration) {
+	return minCallTimeout + time.Duration(bytes)*time.Second/slowLinkBytesPerSecond
 }
 
-func (n *Node) post(message Message) {
+func (n *Node) send(message Message) {
 	n.mu.Lock()
-	inner := n.book[message.To]
-	way := laneOf(message)
+	inner := n.peerAddresses[message.To]
+	way := pathOf(message)
 	s := n.senders[way]
 	if inner != "" && (s == nil || s.caller.Address != inner) {
 		if s != nil {
-			close(s.ring)
+			close(s.queue)
 		}
-		s = &sender{ring: make(chan Message, 512), caller: rpc.NewClient(inner)}
+		s = &peerSender{queue: make(chan Message, 512), caller: rpc.NewClient(inner)}
 		n.senders[way] = s
-		s.caller.DialWait = courierDial
-		go n.courier(s)
+		s.caller.DialWait = peerDialTimeout
+		go n.sendLoop(s)
 	}
 	if s != nil {
 		select {
-		case s.ring <- message:
+		case s.queue <- message:
 		default:
 		}
 	}
 	n.mu.Unlock()
 }
 
-// gather adds messages that wait, up to what one call may carry.
-func (s *sender) gather(first Message) (messages []Message, next *Message, size int, open bool) {
+// nextBatch adds messages that wait, up to what one call may carry.
+func (s *peerSender) nextBatch(first Message) (messages []Message, next *Message, size int, open bool) {
 	messages, size = []Message{first}, first.size()
 	for len(messages) < 64 {
 		select {
-		case message, more := <-s.ring:
+		case message, more := <-s.queue:
 			if !more {
 				return nil, nil, 0, false
 			}
-			if size+message.size() > callBytes {
+			if size+message.size() > maxCallBytes {
 				return messages, &message, size, true
 			}
 			messages, size = append(messages, message), size+message.size()
@@ -85,7 +85,7 @@
 	return messages, nil, size, true
 }
 
-func (n *Node) courier(s *sender) {
+func (n *Node) sendLoop(s *peerSender) {
 	defer s.caller.Close()
 	var kept *Message
 	for {
@@ -97,7 +97,7 @@
 			select {
 			case <-n.stop:
 				return
-			case message, open = <-s.ring:
+			case message, open = <-s.queue:
 				if !open {
 					return
 				}
@@ -105,11 +105,11 @@
 		}
 		batch := MessageBatch{From: n.self.ID, Inner: n.self.Inner}
 		var size int
-		if batch.Messages, kept, size, open = s.gather(message); !open {
+		if batch.Messages, kept, size, open = s.nextBatch(message); !open {
 			return
 		}
-		if err := s.caller.Call(rpc.MethodStep, &batch, &Empty{}, callTime(size)); err != nil {
-			n.lost(message)
+		if err := s.caller.Call(rpc.MethodStep, &batch, &Empty{}, callTimeout(size)); err != nil {
+			n.reportLost(message)
 			select {
 			case <-time.After(20 * time.Millisecond):
 			case <-n.stop:
@@ -119,13 +119,13 @@
 	}
 }
 
-// lost tells the agreement that entries or a part did not arrive.
-func (n *Node) lost(message Message) {
-	if !laneOf(message).bulk {
+// reportLost tells the agreement that entries or a part did not arrive.
+func (n *Node) reportLost(message Message) {
+	if !pathOf(message).bulk {
 		return
 	}
 	select {
-	case n.tells <- func() { n.carry(n.raft.ReportLost(message.To)) }:
+	case n.calls <- func() { n.handleOutput(n.raft.ReportLost(message.To)) }:
 	default:
 	}
 }
@@ -133,7 +133,7 @@
 // Step takes messages of the agreement.
 func (d *Service) Step(batch MessageBatch, _ *Empty) (err error) {
 	d.node.mu.Lock()
-	d.node.book[batch.From] = batch.Inner
+	d.node.peerAddresses[batch.From] = batch.Inner
 	d.node.mu.Unlock()
 	select {
 	case d.node.inbox <- batch.Messages:
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -7,19 +7,19 @@
 	"tinpin/internal/eventlog"
 )
 
-// scribe is the duty that writes the disk.
-func (n *Node) scribe() {
-	defer n.stopped.Done()
+// writeLoop is the duty that writes the disk.
+func (n *Node) writeLoop() {
+	defer n.goroutines.Done()
 	for {
 		var writes []Write
 		select {
 		case <-n.stop:
 			return
-		case writes = <-n.disk:
+		case writes = <-n.writes:
 		}
 		for more := true; more && len(writes) < 512; {
 			select {
-			case next := <-n.disk:
+			case next := <-n.writes:
 				writes = append(writes, next...)
 			default:
 				more = false
@@ -32,7 +32,7 @@
 			}
 			n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
 			select {
-			case n.tells <- func() { n.carry(n.raft.TransferLeadership()) }:
+			case n.calls <- func() { n.handleOutput(n.raft.TransferLeadership()) }:
 			default:
 			}
 			if pause > time.Second {
@@ -42,11 +42,11 @@
 		}
 		for _, write := range writes {
 			for _, message := range write.AfterSync {
-				n.post(message)
+				n.send(message)
 			}
 		}
 		select {
-		case n.synced <- len(writes):
+		case n.syncedWrites <- len(writes):
 		case <-n.stop:
 			return
 		}
--- a/internal/raft/house.go
+++ b/internal/raft/house.go
@@ -16,17 +16,17 @@
 )
 
 type joiner struct {
-	member Member
-	at     int
+	member   Member
+	seenTick int
 }
 
 const (
-	houseTicks   = 5
-	askTicks     = 10
-	joinerTicks  = 10 * askTicks
-	leavingTicks = 2 * electTicks
-	refusedTicks = 400
-	maxRefused   = 64
+	reconcileTicks        = 5
+	joinRetryTicks        = 10
+	joinerExpiryTicks     = 10 * joinRetryTicks
+	leavingExpiryTicks    = 2 * electionTicks
+	joinRejectionLogTicks = 400
+	maxRejectedJoiners    = 64
 )
 
 // JoinRequest asks to be taken in.
@@ -49,38 +49,38 @@
 		return nil
 	}
 	select {
-	case d.node.tells <- func() { d.node.noteJoiner(ask.Member) }:
+	case d.node.calls <- func() { d.node.handleJoin(ask.Member) }:
 	default:
 	}
 	return nil
 }
 
-// noteJoiner keeps a newcomer for the next decision, or says why it cannot be
+// handleJoin keeps a newcomer for the next decision, or says why it cannot be
 // taken in.
-func (n *Node) noteJoiner(newcomer Member) {
-	why := n.membership.RejectReason(n.raft.Members(), newcomer)
+func (n *Node) handleJoin(newcomer Member) {
+	why := n.policy.RejectReason(n.raft.Members(), newcomer)
 	if _, member := FindMember(n.raft.Members(), newcomer.ID); why == "" && member {
 		return
 	}
-	if _, waits := n.joiners[newcomer.ID]; why == "" && !waits && len(n.joiners) >= n.membership.MaxLearners {
+	if _, waits := n.joiners[newcomer.ID]; why == "" && !waits && len(n.joiners) >= n.policy.MaxLearners {
 		why = "too many wait to be taken in"
 	}
 	if why == "" {
-		n.takeJoiner(newcomer)
+		n.addJoiner(newcomer)
 		return
 	}
-	if said, known := n.refused[newcomer.ID]; known && n.ticks-said < refusedTicks {
+	if said, known := n.rejectedJoiners[newcomer.ID]; known && n.ticks-said < joinRejectionLogTicks {
 		return
 	}
-	if len(n.refused) >= maxRefused {
-		n.refused = map[ID]int{}
+	if len(n.rejectedJoiners) >= maxRejectedJoiners {
+		n.rejectedJoiners = map[ID]int{}
 	}
-	n.refused[newcomer.ID] = n.ticks
+	n.rejectedJoiners[newcomer.ID] = n.ticks
 	n.log.Emit(eventlog.JoinRejected, eventlog.KeyMember, string(newcomer.ID), "address", newcomer.Inner, eventlog.KeyReason, why)
 }
 
-// takeJoiner keeps the newest life at an address.
-func (n *Node) takeJoiner(newcomer Member) {
+// addJoiner keeps the newest life at an address.
+func (n *Node) addJoiner(newcomer Member) {
 	_, waits := n.joiners[newcomer.ID]
 	for id, other := range n.joiners {
 		if other.member.Inner == newcomer.Inner {
@@ -93,10 +93,10 @@
 	}
 }
 
-// roll is what this leader sees of the members.
-func (n *Node) roll() (roll View) {
+// membershipView is what this leader sees of the members.
+func (n *Node) membershipView() (roll View) {
 	for id, joiner := range n.joiners {
-		if n.ticks-joiner.at > joinerTicks {
+		if n.ticks-joiner.seenTick > joinerExpiryTicks {
 			delete(n.joiners, id)
 			continue
 		}
@@ -104,7 +104,7 @@
 	}
 	sort.Slice(roll.Joining, func(i, j int) bool { return roll.Joining[i].ID < roll.Joining[j].ID })
 	for id, at := range n.leaving {
-		if n.ticks-at > leavingTicks {
+		if n.ticks-at > leavingExpiryTicks {
 			delete(n.leaving, id)
 		}
 	}
@@ -114,13 +114,13 @@
 	return roll
 }
 
-// keepHouse takes newcomers in, lets the departed go, expires old keys and,
+// reconcileMembers takes newcomers in, lets the departed go, expires old keys and,
 // where this core is no member, asks to become one.
-func (n *Node) keepHouse() {
+func (n *Node) reconcileMembers() {
 	if n.raft.Role() != Leader {
 		_, member := FindMember(n.raft.Members(), n.self.ID)
-		if !n.parting && (!member || n.ticks-n.heardAt > 2*electTicks) && n.ticks%askTicks == 0 {
-			n.askToJoin()
+		if !n.departing && (!member || n.ticks-n.leaderSeenTick > 2*electionTicks) && n.ticks%joinRetryTicks == 0 {
+			n.requestJoin()
 		}
 		return
 	}
@@ -130,7 +130,7 @@
 	n.changeMembers()
 	if n.ticks%25 == 0 {
 		n.mu.RLock()
-		upto := n.state.ExpiredClaims(n.Now(), n.props.Bounds.KeyWindow+15*time.Second)
+		upto := n.state.ExpiredClaims(n.Now(), n.settings.Bounds.KeyWindow+15*time.Second)
 		n.mu.RUnlock()
 		if upto > 0 {
 			select {
@@ -144,40 +144,40 @@
 // changeMembers makes the one change of membership that is due; after one it
 // looks again at each tick, as the second of two should not be waited for.
 func (n *Node) changeMembers() {
-	roll := n.roll()
-	decision := n.membership.Decide(roll)
+	roll := n.membershipView()
+	decision := n.policy.Decide(roll)
 	if decision.Change == NoChange {
-		n.changed = false
+		n.membersChanged = false
 		return
 	}
 	accepted, out := n.raft.ProposeMembers(decision.Next)
 	if !accepted {
 		return
 	}
-	n.changed = true
-	n.membership.Record(roll, decision)
+	n.membersChanged = true
+	n.policy.Record(roll, decision)
 	delete(n.joiners, decision.Member.ID)
 	n.log.Emit(eventlog.MembershipChanged, eventlog.KeyChange, decision.Change.String(), eventlog.KeyMember, string(decision.Member.ID), eventlog.KeyMembers, len(decision.Next))
-	n.carry(out)
+	n.handleOutput(out)
 }
 
-func (n *Node) askToJoin() {
+func (n *Node) requestJoin() {
 	n.mu.RLock()
 	targets := map[string]bool{}
 	for _, seed := range n.seeds {
-		targets[n.props.SeedInternalAddress(seed)] = true
+		targets[n.settings.SeedInternalAddress(seed)] = true
 	}
-	for _, inner := range n.book {
+	for _, inner := range n.peerAddresses {
 		targets[inner] = true
 	}
 	n.mu.RUnlock()
 	delete(targets, n.self.Inner)
 	for target := range targets {
-		go n.askOneToJoin(target)
+		go n.requestJoinAt(target)
 	}
 }
 
-func (n *Node) askOneToJoin(target string) {
+func (n *Node) requestJoinAt(target string) {
 	caller := rpc.NewClient(target)
 	defer caller.Close()
 	var reply JoinResponse
@@ -186,7 +186,7 @@
 	}
 	n.mu.Lock()
 	for _, inner := range reply.Inners {
-		n.book[ID("heard-"+inner)] = inner
+		n.peerAddresses[ID("heard-"+inner)] = inner
 	}
 	n.mu.Unlock()
 }
--- a/internal/raft/house_test.go
+++ b/internal/raft/house_test.go
@@ -10,10 +10,10 @@
 
 // housed is a core's house without its listeners, disk and duties.
 func housed(members []Member) (n *Node) {
-	raft := New(members[0].ID, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
+	raft := New(members[0].ID, Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
-		log: eventlog.Discard(), raft: raft, self: members[0], membership: NewPolicy(1, 0, 0),
-		joiners: map[ID]joiner{}, leaving: map[ID]int{}, refused: map[ID]int{},
+		log: eventlog.Discard(), raft: raft, self: members[0], policy: NewPolicy(1, 0, 0),
+		joiners: map[ID]joiner{}, leaving: map[ID]int{}, rejectedJoiners: map[ID]int{},
 	}
 }
 
@@ -23,22 +23,22 @@
 	for i := range 1000 {
 		id := ID(fmt.Sprint("new-", i))
 		for _, newcomer := range []Member{{ID: id, Inner: string(id)}, {ID: id}, {Inner: string(id)}, {ID: "b", Inner: string(id)}, {ID: "b", Inner: "b"}} {
-			n.noteJoiner(newcomer)
+			n.handleJoin(newcomer)
 		}
 	}
-	if len(n.joiners) != n.membership.MaxLearners || len(n.refused) > maxRefused {
-		t.Errorf("%d joiners and %d refusals are kept", len(n.joiners), len(n.refused))
+	if len(n.joiners) != n.policy.MaxLearners || len(n.rejectedJoiners) > maxRejectedJoiners {
+		t.Errorf("%d joiners and %d refusals are kept", len(n.joiners), len(n.rejectedJoiners))
 	}
 	for id, joiner := range n.joiners {
 		if id == "" || id == "b" || joiner.member.Inner == "" {
 			t.Errorf("%+v waits to be taken in", joiner.member)
 		}
 	}
-	if _, said := n.refused["b"]; !said {
+	if _, said := n.rejectedJoiners["b"]; !said {
 		t.Error("an id that is a member's at another address was not refused")
 	}
-	n.ticks += joinerTicks + 1
-	if waiting := n.roll().Joining; len(waiting) != 0 || len(n.joiners) != 0 {
+	n.ticks += joinerExpiryTicks + 1
+	if waiting := n.membershipView().Joining; len(waiting) != 0 || len(n.joiners) != 0 {
 		t.Errorf("%d are still kept after they stopped asking", len(waiting))
 	}
 }
@@ -46,8 +46,8 @@
 // Of two lives at one address the one that asked last waits.
 func TestNewestLifeWaits(t *testing.T) {
 	n := housed(group(3, 0))
-	n.noteJoiner(Member{ID: "first", Inner: "x"})
-	n.noteJoiner(Member{ID: "second", Inner: "x"})
+	n.handleJoin(Member{ID: "first", Inner: "x"})
+	n.handleJoin(Member{ID: "second", Inner: "x"})
 	if _, newest := n.joiners["second"]; !newest || len(n.joiners) != 1 {
 		t.Errorf("%v wait", n.joiners)
 	}
@@ -55,7 +55,7 @@
 
 // A core that does not lead, or leaves itself, says nothing to a leaver.
 func TestOnlyALeaderAnswersALeaver(t *testing.T) {
-	if parting := housed(group(3, 1)).noteLeaving("b"); parting != 0 {
+	if parting := housed(group(3, 1)).handleLeave("b"); parting != 0 {
 		t.Errorf("a follower said %d", parting)
 	}
 	for _, c := range []struct {
@@ -71,18 +71,18 @@
 	} {
 		n := housed(c.members)
 		elect(t, n.raft)
-		if parting := n.noteLeaving(c.id); parting != c.parting {
+		if parting := n.handleLeave(c.id); parting != c.parting {
 			t.Errorf("%s: %d, want %d", c.name, parting, c.parting)
 		}
 		if _, marked := n.leaving[c.id]; marked != (c.parting == LeavePending) {
 			t.Errorf("%s: noted %v", c.name, marked)
 		}
-		n.ticks += leavingTicks + 1
-		if n.roll().Leaving(c.id) {
+		n.ticks += leavingExpiryTicks + 1
+		if n.membershipView().Leaving(c.id) {
 			t.Errorf("%s: a leaver that asks no more is still noted", c.name)
 		}
-		n.parting = true
-		if parting := n.noteLeaving(c.id); parting != 0 {
+		n.departing = true
+		if parting := n.handleLeave(c.id); parting != 0 {
 			t.Errorf("%s: a leader that leaves itself said %d", c.name, parting)
 		}
 	}
@@ -95,7 +95,7 @@
 	answer := func(out Output) {
 		issued += len(out.Writes)
 	}
-	for range 4 * electTicks {
+	for range 4 * electionTicks {
 		answer(r.Tick())
 		if r.role == Candidate {
 			break
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -79,9 +79,9 @@
 func (m *contactModel) at() time.Duration { return time.Duration(m.now) * time.Millisecond }
 
 func (m *contactModel) start(core *contactCore) {
-	core.raft = New(core.id, Timing{beatTicks, electTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
+	core.raft = New(core.id, Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
 	if m.fault.forgets {
-		core.raft.leaderSilentTicks, core.raft.timeoutTicks = electTicks, 2
+		core.raft.leaderSilentTicks, core.raft.timeoutTicks = electionTicks, 2
 	}
 	core.up, core.queue, core.inbox, core.ticked, core.held, core.slow, core.lease = true, nil, nil, false, 0, 0, lease{}
 	core.tick = m.now + 25
@@ -126,7 +126,7 @@
 	if known {
 		span := core.raft.timing.LeaseTicks()
 		if m.fault.long {
-			span = electTicks
+			span = electionTicks
 		}
 		core.lease = lease{term: core.raft.Term(), until: sent + time.Duration(span)*tickInterval}
 	}
@@ -381,7 +381,7 @@
 // A calm group answers all the time, and a leader that is cut off, either way,
 // stops within the lease and before another answers.
 func TestALeaderThatIsCutOffStopsAnswering(t *testing.T) {
-	span := int(Timing{beatTicks, electTicks}.LeaseTicks() * 25)
+	span := int(Timing{heartbeatTicks, electionTicks}.LeaseTicks() * 25)
 	for name, ways := range map[string][2]bool{"both ways": {true, true}, "hears nothing": {true, false}, "says nothing": {false, true}} {
 		longest, gap, gaps := 0, 0, 0
 		for seed := int64(1); seed <= 200; seed++ {
@@ -438,7 +438,7 @@
 func TestARoundIsHeardBeforeTheDisk(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}}
 	base := Snapshot{Index: 1, Term: 1, Members: members}
-	raft := New("b", Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{Term: 2}, base, nil)
+	raft := New("b", Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{Term: 2}, base, nil)
 	entry := Message{Kind: MsgAppend, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 2, Index: 2}}, Round: 9}
 	out := raft.Step(entry)
 	if len(out.Messages) != 1 || out.Messages[0].Kind != MsgHeartbeatResponse || out.Messages[0].Round != 9 || out.Messages[0].Index != 0 {
@@ -456,7 +456,7 @@
 // Contact is with the voters alone, the leader among them only if it votes.
 func TestContactCountsVoters(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}, {ID: "l"}}
-	raft := &Replica{id: "a", timing: Timing{beatTicks, electTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
+	raft := &Replica{id: "a", timing: Timing{heartbeatTicks, electionTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
 	for round := range 5 {
 		raft.At(time.Duration(round) * time.Second).startHeartbeatRound()
 	}
@@ -477,7 +477,7 @@
 // Who asks while the proof has lapsed waits for the next round, and no longer
 // than its patience or the leadership.
 func TestInContactWaitsForTheNextRound(t *testing.T) {
-	n := &Node{birth: time.Now(), stop: make(chan struct{})}
+	n := &Node{startedAt: time.Now(), stop: make(chan struct{})}
 	if n.HoldsLease(7, time.Minute) {
 		t.Fatal("a core that never led is in contact")
 	}
@@ -502,12 +502,12 @@
 
 // A leader that was not heard for an election is named to nobody.
 func TestAnOldLeaderIsNotNamed(t *testing.T) {
-	n := &Node{birth: time.Now().Add(-time.Minute), members: []Member{{ID: "a", Control: "a:1"}}, leader: "a"}
-	n.heard = n.Now()
+	n := &Node{startedAt: time.Now().Add(-time.Minute), members: []Member{{ID: "a", Control: "a:1"}}, leader: "a"}
+	n.leaderHeardAt = n.Now()
 	if _, _, _, leader, _ := n.Status(); leader.ID != "a" {
 		t.Fatalf("named %+v", leader)
 	}
-	n.heard -= leaderHintElections * electTicks * tickInterval
+	n.leaderHeardAt -= leaderHintElections * electionTicks * tickInterval
 	if _, _, _, leader, _ := n.Status(); leader.ID != "" {
 		t.Fatalf("named %+v", leader)
 	}
@@ -519,8 +519,8 @@
 	n := wishing(t, 3)
 	term := n.raft.Term()
 	tell := func() {
-		n.carry(n.raft.At(n.Now()).ReportSynced(int(n.raft.writesIssued - n.raft.writesDone)))
-		n.carry(n.raft.At(n.Now()).Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: term, Index: n.raft.LastIndex(), Round: n.raft.heartbeatRound}))
+		n.handleOutput(n.raft.At(n.Now()).ReportSynced(int(n.raft.writesIssued - n.raft.writesDone)))
+		n.handleOutput(n.raft.At(n.Now()).Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: term, Index: n.raft.LastIndex(), Round: n.raft.heartbeatRound}))
 	}
 	// So that nothing here depends on how fast this machine is, rounds go out in the
 	// hour to come but where a freeze is played.
@@ -534,12 +534,12 @@
 	if ahead(); !n.HoldsLease(term, 0) || !n.raft.CommittedInTerm() {
 		t.Fatal("a leader that was answered does not answer")
 	}
-	n.birth = n.birth.Add(-2 * time.Hour)
+	n.startedAt = n.startedAt.Add(-2 * time.Hour)
 	if n.HoldsLease(term, 0) {
 		t.Fatal("after a freeze it answers before it ticks")
 	}
-	for range beatTicks {
-		n.carry(n.raft.At(n.Now()).Tick())
+	for range heartbeatTicks {
+		n.handleOutput(n.raft.At(n.Now()).Tick())
 	}
 	if n.HoldsLease(term, 0) {
 		t.Fatal("after a freeze it answers before it was answered")
@@ -547,7 +547,7 @@
 	if ahead(); !n.HoldsLease(term, 0) {
 		t.Fatal("after a new round it does not answer")
 	}
-	n.carry(n.raft.At(n.Now()).TransferLeadership())
+	n.handleOutput(n.raft.At(n.Now()).TransferLeadership())
 	if n.raft.transferTarget != "b" || n.HoldsLease(term, 0) {
 		t.Fatal("a leader that hands over answers")
 	}
@@ -560,14 +560,14 @@
 // leads those who want to come in.
 func TestWhoIsCutOffPartsWithNobody(t *testing.T) {
 	n := wishing(t, 3)
-	n.tells, n.joiners, n.refused = make(chan func(), 8), map[ID]joiner{}, map[ID]int{}
-	n.carry(n.raft.At(n.Now() + time.Hour).ReportSynced(int(n.raft.writesIssued - n.raft.writesDone)))
+	n.calls, n.joiners, n.rejectedJoiners = make(chan func(), 8), map[ID]joiner{}, map[ID]int{}
+	n.handleOutput(n.raft.At(n.Now() + time.Hour).ReportSynced(int(n.raft.writesIssued - n.raft.writesDone)))
 	n.raft.startHeartbeatRound()
-	n.carry(n.raft.Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.LastIndex(), Round: n.raft.heartbeatRound}))
+	n.handleOutput(n.raft.Step(Message{Kind: MsgAppendResponse, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.LastIndex(), Round: n.raft.heartbeatRound}))
 	ended := make(chan bool)
 	go func() {
 		defer close(ended)
-		for tell := range n.tells {
+		for tell := range n.calls {
 			tell()
 		}
 	}()
@@ -580,8 +580,8 @@
 		if err := n.Service().Join(JoinRequest{Member{ID: "a"}}, &joined); err != nil || joined.Leader != (want != 0) {
 			t.Errorf("parting %d: leads %v, %v", want, joined.Leader, err)
 		}
-		n.birth = n.birth.Add(-2 * time.Hour)
+		n.startedAt = n.startedAt.Add(-2 * time.Hour)
 	}
-	close(n.tells)
+	close(n.calls)
 	<-ended
 }
--- a/internal/raft/leave.go
+++ b/internal/raft/leave.go
@@ -30,7 +30,7 @@
 func (d *Service) Leave(ask LeaveRequest, reply *LeaveResponse) (err error) {
 	parting := make(chan LeaveStatus, 1)
 	select {
-	case d.node.tells <- func() { parting <- d.node.noteLeaving(ask.ID) }:
+	case d.node.calls <- func() { parting <- d.node.handleLeave(ask.ID) }:
 	default:
 		return nil
 	}
@@ -54,9 +54,9 @@
 	resignSpan = 50 * time.Millisecond
 )
 
-// noteLeaving answers for the leader; it is zero where this core does not lead.
-func (n *Node) noteLeaving(id ID) (parting LeaveStatus) {
-	if !n.raft.CommittedInTerm() || n.parting {
+// handleLeave answers for the leader; it is zero where this core does not lead.
+func (n *Node) handleLeave(id ID) (parting LeaveStatus) {
+	if !n.raft.CommittedInTerm() || n.departing {
 		return 0
 	}
 	delete(n.joiners, id)
@@ -66,7 +66,7 @@
 		return LeavePending
 	case !known:
 		return LeaveCompleted
-	case !member.Voter || !n.membership.HasSuccessor(n.roll(), id):
+	case !member.Voter || !n.policy.HasSuccessor(n.membershipView(), id):
 		delete(n.leaving, id)
 		return LeaveAsMember
 	}
@@ -79,12 +79,12 @@
 // Where no leader answers it goes on asking for a third of that time if a
 // successor is known, and only shortly if too few are left to elect one.
 func (n *Node) leave() {
-	grace := n.props.Bounds.GracePeriod
+	grace := n.settings.Bounds.GracePeriod
 	end := time.Now().Add(grace * 3 / 4)
-	ask, near := n.part()
+	ask, near := n.prepareLeave()
 	heard, reached := time.Now(), time.Now()
 	for ask {
-		parting, majority := n.askToLeave()
+		parting, majority := n.requestLeave()
 		if parting == LeaveAsMember || parting == LeaveCompleted {
 			break
 		}
@@ -99,7 +99,7 @@
 			break
 		}
 		time.Sleep(tickInterval)
-		n.part()
+		n.prepareLeave()
 	}
 	// What was handed to the couriers may go out, and another may take over.
 	time.Sleep(resignSpan)
@@ -113,26 +113,26 @@
 	return leads
 }
 
-// standing is how a core that leaves stands in its group.
-type standing struct{ ask, near bool }
+// departure is how a core that leaves stands in its group.
+type departure struct{ isMember, successorNear bool }
 
-// part resigns and tells whether the leader is to be asked, which it is not
+// prepareLeave resigns and tells whether the leader is to be asked, which it is not
 // where this core led and knows that nobody is near, and whether a member that
 // could take its place is known.
-func (n *Node) part() (ask, near bool) {
-	done := make(chan standing, 1)
+func (n *Node) prepareLeave() (ask, near bool) {
+	done := make(chan departure, 1)
 	resign := func() {
-		n.parting = true
-		var now standing
+		n.departing = true
+		var now departure
 		members := n.raft.Members()
-		_, now.ask = FindMember(members, n.self.ID)
+		_, now.isMember = FindMember(members, n.self.ID)
 		for _, member := range members {
-			now.near = now.near || !member.Voter
+			now.successorNear = now.successorNear || !member.Voter
 		}
 		if n.raft.Role() == Leader {
-			now.ask = now.ask && n.membership.HasSuccessor(n.roll(), n.self.ID)
+			now.isMember = now.isMember && n.policy.HasSuccessor(n.membershipView(), n.self.ID)
 			if n.raft.AcceptsProposals() {
-				n.carry(n.raft.TransferLeadership())
+				n.handleOutput(n.raft.TransferLeadership())
 			}
 		}
 		done <- now
@@ -140,21 +140,21 @@
 	timer := time.NewTimer(resignWait)
 	defer timer.Stop()
 	select {
-	case n.tells <- resign:
+	case n.calls <- resign:
 	case <-timer.C:
 		return false, false
 	}
 	select {
 	case now := <-done:
-		return now.ask, now.near
+		return now.isMember, now.successorNear
 	case <-timer.C:
 		return false, false
 	}
 }
 
-// askToLeave asks all voters at once; the one that leads has an answer. With
+// requestLeave asks all voters at once; the one that leads has an answer. With
 // none, it tells whether enough answered to elect one.
-func (n *Node) askToLeave() (parting LeaveStatus, majority bool) {
+func (n *Node) requestLeave() (parting LeaveStatus, majority bool) {
 	type answer struct {
 		parting LeaveStatus
 		reached bool
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -20,61 +20,61 @@
 )
 
 const (
-	tickInterval    = 25 * time.Millisecond
-	beatTicks       = 2
-	electTicks      = 9
-	maxInFlight     = 3
-	proposalTimeout = 700 * time.Millisecond
-	courierDial     = 120 * time.Millisecond
-	maxProposals    = 2048
-	compactCount    = 4000
-	compactBytes    = 12 << 20
-	refusalTicks    = 40
+	tickInterval      = 25 * time.Millisecond
+	heartbeatTicks    = 2
+	electionTicks     = 9
+	maxInFlight       = 3
+	proposalTimeout   = 700 * time.Millisecond
+	peerDialTimeout   = 120 * time.Millisecond
+	maxProposals      = 2048
+	compactCount      = 4000
+	compactBytes      = 12 << 20
+	rejectionLogTicks = 40
 )
 
 // Node is one core.
 type Node struct {
-	props     settings.Settings
-	log       *eventlog.Logger
-	self      Member
-	raft      *Replica
-	store     *Store
-	birth     time.Time
-	inbox     chan []Message
-	proposals chan proposal
-	synced    chan int
-	disk      chan []Write
-	tells     chan func()
-	stop      chan struct{}
-	stopped   sync.WaitGroup
+	settings     settings.Settings
+	log          *eventlog.Logger
+	self         Member
+	raft         *Replica
+	store        *Store
+	startedAt    time.Time
+	inbox        chan []Message
+	proposals    chan proposal
+	syncedWrites chan int
+	writes       chan []Write
+	calls        chan func()
+	stop         chan struct{}
+	goroutines   sync.WaitGroup
 
-	lease   atomic.Pointer[lease]
-	mu      sync.RWMutex
-	state   *statemachine.State
-	role    Role
-	heard   time.Duration
-	settled bool
-	leader  ID
-	term    Term
-	members []Member
-	book    map[ID]string
-	seeds   []string
+	lease           atomic.Pointer[lease]
+	mu              sync.RWMutex
+	state           *statemachine.State
+	role            Role
+	leaderHeardAt   time.Duration
+	committedInTerm bool
+	leader          ID
+	term            Term
+	members         []Member
+	peerAddresses   map[ID]string
+	seeds           []string
 
-	senders map[lane]*sender
-	pending map[Index]pendingEntry
-	joiners map[ID]joiner
-	leaving map[ID]int
-	refused map[ID]int
-	parting bool
-	changed bool
+	senders         map[sendPath]*peerSender
+	pending         map[Index]pendingEntry
+	joiners         map[ID]joiner
+	leaving         map[ID]int
+	rejectedJoiners map[ID]int
+	departing       bool
+	membersChanged  bool
 
-	membership *Policy
+	policy *Policy
 
-	logSize int
-	loaded  Index
-	faulty  refusals
-	ticks   int
-	heardAt int
+	logSize        int
+	replayEnd      Index
+	rejections     rejectionLog
+	ticks          int
+	leaderSeenTick int
 
 	// History remembers what became of changes here.
 	History *history.Recorder
@@ -103,11 +103,11 @@
 		return nil, errors.Join(err, store.Close())
 	}
 	node = &Node{
-		props: p, log: log, store: store, birth: time.Now(),
-		inbox: make(chan []Message, 256), proposals: make(chan proposal, maxProposals), synced: make(chan int, 256),
-		disk: make(chan []Write, 1024), tells: make(chan func(), 64), stop: make(chan struct{}),
-		book: map[ID]string{}, senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
-		leaving: map[ID]int{}, refused: map[ID]int{}, membership: NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
+		settings: p, log: log, store: store, startedAt: time.Now(),
+		inbox: make(chan []Message, 256), proposals: make(chan proposal, maxProposals), syncedWrites: make(chan int, 256),
+		writes: make(chan []Write, 1024), calls: make(chan func(), 64), stop: make(chan struct{}),
+		peerAddresses: map[ID]string{}, senders: map[sendPath]*peerSender{}, pending: map[Index]pendingEntry{}, joiners: map[ID]joiner{},
+		leaving: map[ID]int{}, rejectedJoiners: map[ID]int{}, policy: NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, History: history.New(log), OnChange: func() {}, OnLeadership: func(bool, Term) {},
 	}
 	inner := p.ControllerInternalAddress()
@@ -124,20 +124,20 @@
 	var seed [8]byte
 	_, _ = crand.Read(seed[:])
 	luck := rand.New(rand.NewSource(int64(seed[0]) | int64(seed[1])<<8 | int64(seed[2])<<16 | int64(seed[3])<<24))
-	node.raft = New(id, Timing{HeartbeatTicks: beatTicks, ElectionTicks: electTicks}, luck, hard, base, entries)
-	node.loaded = node.raft.LastIndex()
-	node.publish()
+	node.raft = New(id, Timing{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks}, luck, hard, base, entries)
+	node.replayEnd = node.raft.LastIndex()
+	node.publishStatus()
 	return node, nil
 }
 
 // Now is this core's steady clock.
-func (n *Node) Now() time.Duration { return time.Since(n.birth) }
+func (n *Node) Now() time.Duration { return time.Since(n.startedAt) }
 
 // Run starts the duties.
 func (n *Node) Run() {
-	n.stopped.Add(2)
-	go n.council()
-	go n.scribe()
+	n.goroutines.Add(2)
+	go n.eventLoop()
+	go n.writeLoop()
 }
 
 // Close leaves the group where a successor is near, hands leadership over if
@@ -148,7 +148,7 @@
 	// A disk that stands still must not hold the end up.
 	closed := make(chan struct{})
 	go func() {
-		n.stopped.Wait()
+		n.goroutines.Wait()
 		_ = n.store.Close()
 		close(closed)
 	}()
@@ -177,10 +177,10 @@
 func (n *Node) Status() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	if n.role == Leader || n.Now()-n.heard < leaderHintElections*electTicks*tickInterval {
+	if n.role == Leader || n.Now()-n.leaderHeardAt < leaderHintElections*electionTicks*tickInterval {
 		leader, _ = FindMember(n.members, n.leader)
 	}
-	return n.role == Leader, n.settled, n.term, leader, n.members
+	return n.role == Leader, n.committedInTerm, n.term, leader, n.members
 }
 
 // Self is this core as a member.
@@ -195,9 +195,9 @@
 // Service gives the receiver for inner calls.
 func (n *Node) Service() (desk *Service) { return &Service{n} }
 
-// council is the duty that steps the agreement.
-func (n *Node) council() {
-	defer n.stopped.Done()
+// eventLoop is the duty that steps the agreement.
+func (n *Node) eventLoop() {
+	defer n.goroutines.Done()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -210,34 +210,34 @@
 			return
 		case batch := <-n.inbox:
 			for _, message := range batch {
-				n.carry(n.raft.At(n.Now()).Step(message))
+				n.handleOutput(n.raft.At(n.Now()).Step(message))
 			}
 		case first := <-wishes:
 			n.proposeBatch(first)
-		case orders := <-n.synced:
-			n.carry(n.raft.At(n.Now()).ReportSynced(orders))
-		case tell := <-n.tells:
+		case orders := <-n.syncedWrites:
+			n.handleOutput(n.raft.At(n.Now()).ReportSynced(orders))
+		case tell := <-n.calls:
 			tell()
 		case <-ticker.C:
 			n.ticks++
-			n.carry(n.raft.At(n.Now()).Tick())
-			if n.ticks%houseTicks == 0 {
-				n.keepHouse()
-			} else if n.changed && n.raft.CommittedInTerm() {
+			n.handleOutput(n.raft.At(n.Now()).Tick())
+			if n.ticks%reconcileTicks == 0 {
+				n.reconcileMembers()
+			} else if n.membersChanged && n.raft.CommittedInTerm() {
 				n.changeMembers()
 			}
 		}
 	}
 }
 
-// carry does what a step asked for.
-func (n *Node) carry(out Output) {
-	n.endLease()
+// handleOutput does what a step asked for.
+func (n *Node) handleOutput(out Output) {
+	n.revokeLease()
 	for _, message := range out.Messages {
-		n.post(message)
+		n.send(message)
 	}
 	for _, refusal := range out.Rejected {
-		n.faulty.say(n.log, n.ticks, refusal)
+		n.rejections.record(n.log, n.ticks, refusal)
 	}
 	if len(out.Writes) > 0 {
 		for _, write := range out.Writes {
@@ -246,7 +246,7 @@
 			}
 		}
 		select {
-		case n.disk <- out.Writes:
+		case n.writes <- out.Writes:
 		case <-n.stop:
 			return
 		}
@@ -266,7 +266,7 @@
 	for _, entry := range out.Committed {
 		changed = n.apply(entry) || changed
 	}
-	n.publish()
+	n.publishStatus()
 	if changed {
 		n.OnChange()
 	}
@@ -275,8 +275,8 @@
 	}
 }
 
-// noteOrders marks the documents, retirements and moves that changed.
-func (n *Node) noteOrders(before uint64, quiet bool) {
+// recordChanges marks the documents, retirements and moves that changed.
+func (n *Node) recordChanges(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
 		if document.Rev > before {
 			n.History.Record(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
@@ -307,13 +307,13 @@
 	}
 	changed = n.state.Revision != before
 	if changed {
-		n.noteOrders(before, entry.Index <= n.loaded)
+		n.recordChanges(before, entry.Index <= n.replayEnd)
 		for _, item := range n.state.Config.Since(before) {
-			n.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.loaded)
+			n.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.replayEnd)
 		}
 		for _, evacuation := range n.state.Evacuations {
 			if evacuation.Rev > before {
-				n.History.Record(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.loaded)
+				n.History.Record(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.replayEnd)
 			}
 		}
 	}
@@ -345,28 +345,28 @@
 		return
 	}
 	n.logSize = 0
-	n.carry(out)
+	n.handleOutput(out)
 	n.log.Emit(eventlog.SnapshotWritten, eventlog.KeyIndex, uint64(n.raft.SnapshotIndex()), eventlog.KeyBytes, len(data))
 }
 
-// publish makes the standing of the agreement known to other duties.
-func (n *Node) publish() {
+// publishStatus makes the standing of the agreement known to other duties.
+func (n *Node) publishStatus() {
 	role, leader, term, settled := n.raft.Role(), n.raft.LeaderID(), n.raft.Term(), n.raft.CommittedInTerm()
 	n.mu.Lock()
-	before := n.role == Leader && n.settled
+	before := n.role == Leader && n.committedInTerm
 	was := n.term
-	n.role, n.leader, n.term, n.settled, n.heard = role, leader, term, settled, n.raft.leaderHeardAt
+	n.role, n.leader, n.term, n.committedInTerm, n.leaderHeardAt = role, leader, term, settled, n.raft.leaderHeardAt
 	members := n.raft.Members()
 	if len(members) != len(n.members) || len(members) > 0 && &members[0] != &n.members[0] {
 		n.members = members
 		for _, member := range members {
-			n.book[member.ID] = member.Inner
+			n.peerAddresses[member.ID] = member.Inner
 		}
 	}
 	n.mu.Unlock()
-	n.renewLease()
+	n.extendLease()
 	if leader != "" {
-		n.heardAt = n.ticks
+		n.leaderSeenTick = n.ticks
 	}
 	after := role == Leader && settled
 	if before && (!after || was != term) {
--- a/internal/raft/node_lease.go
+++ b/internal/raft/node_lease.go
@@ -15,9 +15,9 @@
 	return l != nil && l.term == term && now < l.until
 }
 
-// leaseNow is the lease that the agreement gives now; a leader that has not
+// currentLease is the lease that the agreement gives now; a leader that has not
 // committed in its own term has none.
-func (n *Node) leaseNow() (term Term, until time.Duration) {
+func (n *Node) currentLease() (term Term, until time.Duration) {
 	if !n.raft.CommittedInTerm() {
 		return 0, 0
 	}
@@ -28,22 +28,22 @@
 	return n.raft.Term(), sent + time.Duration(n.raft.timing.LeaseTicks())*tickInterval
 }
 
-// endLease takes back what does not hold any more; it comes before anything is
+// revokeLease takes back what does not hold any more; it comes before anything is
 // sent that lets another lead.
-func (n *Node) endLease() {
+func (n *Node) revokeLease() {
 	held := n.lease.Load()
 	if held == nil {
 		return
 	}
-	if term, until := n.leaseNow(); term != held.term || until == 0 {
+	if term, until := n.currentLease(); term != held.term || until == 0 {
 		n.setLease(held, term, 0)
 	}
 }
 
-// renewLease gives what was proven; it comes after all that is committed was
+// extendLease gives what was proven; it comes after all that is committed was
 // applied.
-func (n *Node) renewLease() {
-	term, until := n.leaseNow()
+func (n *Node) extendLease() {
+	term, until := n.currentLease()
 	n.setLease(n.lease.Load(), term, until)
 }
 
--- a/internal/raft/refusals.go
+++ b/internal/raft/refusals.go
@@ -4,16 +4,16 @@
 
 import "tinpin/internal/eventlog"
 
-type refusals struct {
-	count  int
-	saidAt int
+type rejectionLog struct {
+	count      int
+	loggedTick int
 }
 
-func (r *refusals) say(log *eventlog.Logger, ticks int, refusal Rejection) {
+func (r *rejectionLog) record(log *eventlog.Logger, ticks int, refusal Rejection) {
 	r.count++
-	if r.saidAt > 0 && ticks-r.saidAt < refusalTicks {
+	if r.loggedTick > 0 && ticks-r.loggedTick < rejectionLogTicks {
 		return
 	}
-	r.saidAt = max(ticks, 1)
+	r.loggedTick = max(ticks, 1)
 	log.Emit(eventlog.PeerMessageRejected, eventlog.KeyFrom, string(refusal.From), eventlog.KeyKind, int(refusal.Kind), eventlog.KeyReason, refusal.Reason, eventlog.KeyCount, r.count)
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -137,7 +137,7 @@
 	if entries, bytes := sent(); entries != maxInflightAppends || bytes > maxInflightBytes+maxAppendBytes {
 		t.Fatalf("%d entries of %d bytes are under way", entries, bytes)
 	}
-	for i := 0; i < electTicks+maxInflightAppends; i++ {
+	for i := 0; i < electionTicks+maxInflightAppends; i++ {
 		leader.take(leader.raft.Tick())
 		beat(11)
 	}
--- a/internal/raft/timing.go
+++ b/internal/raft/timing.go
@@ -5,7 +5,7 @@
 
 // DefaultTiming is the timing of a controller.
 func DefaultTiming() Timing {
-	return Timing{HeartbeatTicks: beatTicks, ElectionTicks: electTicks}
+	return Timing{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks}
 }
 
 // TermAt is the term of the entry at an index, zero where the log in memory has none.
--- a/internal/raft/wishes.go
+++ b/internal/raft/wishes.go
@@ -116,5 +116,5 @@
 		return
 	}
 	n.pending[index] = pendingEntry{term, batch}
-	n.carry(out)
+	n.handleOutput(out)
 }
--- a/internal/raft/wishes_test.go
+++ b/internal/raft/wishes_test.go
@@ -18,14 +18,14 @@
 		base.Members = append(base.Members, Member{ID: id, Voter: true})
 	}
 	n = &Node{
-		log: eventlog.Discard(), birth: time.Now(), proposals: make(chan proposal, 2), disk: make(chan []Write, 64), stop: make(chan struct{}), book: map[ID]string{},
-		senders: map[lane]*sender{}, pending: map[Index]pendingEntry{}, state: statemachine.NewState(), History: history.New(eventlog.Discard()), OnChange: func() {}, OnLeadership: func(bool, Term) {},
-	}
-	n.raft = New("a", Timing{beatTicks, electTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
-	for range 2 * electTicks {
-		n.carry(n.raft.Tick())
-		n.carry(n.raft.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: "a", Term: n.raft.Term() + 1}))
-		n.carry(n.raft.Step(Message{Kind: MsgVoteResponse, From: "b", To: "a", Term: n.raft.Term()}))
+		log: eventlog.Discard(), startedAt: time.Now(), proposals: make(chan proposal, 2), writes: make(chan []Write, 64), stop: make(chan struct{}), peerAddresses: map[ID]string{},
+		senders: map[sendPath]*peerSender{}, pending: map[Index]pendingEntry{}, state: statemachine.NewState(), History: history.New(eventlog.Discard()), OnChange: func() {}, OnLeadership: func(bool, Term) {},
+	}
+	n.raft = New("a", Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
+	for range 2 * electionTicks {
+		n.handleOutput(n.raft.Tick())
+		n.handleOutput(n.raft.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: "a", Term: n.raft.Term() + 1}))
+		n.handleOutput(n.raft.Step(Message{Kind: MsgVoteResponse, From: "b", To: "a", Term: n.raft.Term()}))
 		if n.raft.Role() == Leader {
 			return n
 		}
@@ -86,7 +86,7 @@
 	if _, now := answered(done); now {
 		t.Fatal("answered before a majority has it")
 	}
-	n.carry(n.raft.Step(Message{Kind: MsgAppend, From: "b", To: "a", Term: n.raft.Term() + 1, Index: 1, LogTerm: 1}))
+	n.handleOutput(n.raft.Step(Message{Kind: MsgAppend, From: "b", To: "a", Term: n.raft.Term() + 1, Index: 1, LogTerm: 1}))
 	if answer, now := answered(done); !now || answer.Rejected || answer.Known {
 		t.Fatalf("%+v, answered %v", answer, now)
 	}
