--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -39,11 +39,11 @@
 }
 
 const (
-	maxRatio          = 10
-	maxLeastPerSecond = 100_000
-	minWindow         = policy.Duration(time.Second)
-	maxWindow         = policy.Duration(10 * time.Minute)
-	maxRules          = 5000
+	maxRatio  = 10
+	maxRate   = 100_000
+	minWindow = policy.Duration(time.Second)
+	maxWindow = policy.Duration(10 * time.Minute)
+	maxRules  = 5000
 )
 
 // Parse reads a policy and checks what can be seen from it alone.
@@ -71,8 +71,8 @@
 	if !(r.Ratio >= 0 && r.Ratio <= maxRatio) {
 		invalid.Add(prefix+"ratio", fmt.Sprintf("must be a number from 0 to %d", maxRatio))
 	}
-	if !(r.MinPerSecond >= 0 && r.MinPerSecond <= maxLeastPerSecond) {
-		invalid.Add(prefix+"least_per_s", fmt.Sprintf("must be a number from 0 to %d", maxLeastPerSecond))
+	if !(r.MinPerSecond >= 0 && r.MinPerSecond <= maxRate) {
+		invalid.Add(prefix+"least_per_s", fmt.Sprintf("must be a number from 0 to %d", maxRate))
 	}
 	if r.Window < minWindow || r.Window > maxWindow {
 		invalid.Add(prefix+"window", "must be a time from 1s to 10m")
