--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -96,7 +96,7 @@
 }
 
 func (d *Daemon) isReady() bool {
-	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.CutOff()
+	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.Isolated()
 }
 
 // self is what this node tells of itself.
--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -53,7 +53,7 @@
 
 // findRoute gives the route of a request that may be handled at all.
 func (d *Daemon) findRoute(snapshot *Snapshot, request *Request) (route *config.Route, kind apierror.Kind) {
-	if d.state.Policies.CutOff() {
+	if d.state.Policies.Isolated() {
 		return nil, apierror.Isolated
 	}
 	if !snapshot.Configured {
--- a/internal/proxy/policies.go
+++ b/internal/proxy/policies.go
@@ -57,7 +57,7 @@
 	Retries *retry.Limiter
 	// Sessions keeps callers where they began.
 	Sessions       *Sessions
-	cutOff         atomic.Bool
+	isolated       atomic.Bool
 	hasRetirements atomic.Bool
 }
 
@@ -182,8 +182,8 @@
 	return o.drainPermit.AllowsNew(now, server) || o.drainPermit.MayFinish(now, server, time.Duration(o.drainPolicy.RuleFor(service).Finish))
 }
 
-// CutOff tells that nothing new may be taken.
-func (o *Policies) CutOff() bool { return o.cutOff.Load() }
+// Isolated tells that nothing new may be taken.
+func (o *Policies) Isolated() bool { return o.isolated.Load() }
 
 // RecentNodes counts the fellows met lately.
 func (o *Policies) RecentNodes(now time.Duration) (known int) {
@@ -287,7 +287,7 @@
 			d.state.abortRequests(retired.Server, sessionPolicy.RuleFor(retired.Service).KeyedRequests == drain.KeyedDeadline)
 		}
 		if sessionPolicy == nil {
-			o.cutOff.Store(false)
+			o.isolated.Store(false)
 			continue
 		}
 		if lonely && now-asked > time.Duration(sessionPolicy.IsolatedAfter)/4 {
@@ -297,7 +297,7 @@
 		o.mu.Lock()
 		cut := o.drainPermit.Isolated(d.clock.Now())
 		o.mu.Unlock()
-		if o.cutOff.Swap(cut) != cut {
+		if o.isolated.Swap(cut) != cut {
 			d.log.Emit(eventlog.IsolationChanged, "isolated", cut)
 		}
 	}
--- a/internal/proxy/prober.go
+++ b/internal/proxy/prober.go
@@ -33,7 +33,7 @@
 	ProbeInvalid
 )
 
-type probedServer struct {
+type probedBackend struct {
 	state     rpc.EndpointState
 	timeouts  int
 	nextProbe time.Duration
@@ -47,7 +47,7 @@
 type Prober struct {
 	daemon         *Daemon
 	mu             sync.Mutex
-	probed         map[rpc.EndpointID]*probedServer
+	probed         map[rpc.EndpointID]*probedBackend
 	fullReportTerm map[rpc.ServiceName]rpc.Term
 	phase          int
 	pruned         time.Duration
@@ -55,7 +55,7 @@
 
 // NewProber has found nothing yet.
 func NewProber(d *Daemon) (prober *Prober) {
-	return &Prober{daemon: d, probed: map[rpc.EndpointID]*probedServer{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
+	return &Prober{daemon: d, probed: map[rpc.EndpointID]*probedBackend{}, fullReportTerm: map[rpc.ServiceName]rpc.Term{}}
 }
 
 // Run probes until the node stops.
@@ -157,10 +157,10 @@
 }
 
 // record gives what was found of a backend; the caller holds the lock.
-func (p *Prober) record(id rpc.EndpointID) (held *probedServer) {
+func (p *Prober) record(id rpc.EndpointID) (held *probedBackend) {
 	held = p.probed[id]
 	if held == nil {
-		held = &probedServer{state: rpc.EndpointState{Endpoint: id}}
+		held = &probedBackend{state: rpc.EndpointState{Endpoint: id}}
 		p.probed[id] = held
 	}
 	return held
@@ -196,7 +196,7 @@
 	defer p.mu.Unlock()
 	held := p.probed[server.ID]
 	if held == nil {
-		held = &probedServer{state: rpc.EndpointState{Endpoint: server.ID}}
+		held = &probedBackend{state: rpc.EndpointState{Endpoint: server.ID}}
 		held.nextProbe = now + time.Duration(rand.Float64()*float64(pace.suspectInterval))
 		p.probed[server.ID] = held
 	}
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -104,7 +104,7 @@
 
 // chooseBound is the choice where a session is bound to one backend.
 func (c *selection) chooseBound() (chosen *Backend, anyUsable bool) {
-	backend := c.snapshot.server(c.criteria.Service, c.criteria.Bound)
+	backend := c.snapshot.backend(c.criteria.Service, c.criteria.Bound)
 	if backend == nil {
 		return nil, false
 	}
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -154,7 +154,7 @@
 // mustMove tells that a session may not stay on a backend: it has ended or is about
 // to, its site is evacuated, or it was retired and has had its time.
 func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.EndpointID) (over bool) {
-	server := scene.server(plan.Service, id)
+	server := scene.backend(plan.Service, id)
 	return server == nil || server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
@@ -185,8 +185,8 @@
 	return ""
 }
 
-// server looks a backend of a service up; they are sorted by id.
-func (s *Snapshot) server(service rpc.ServiceName, id rpc.EndpointID) (server *Backend) {
+// backend looks a backend of a service up; they are sorted by id.
+func (s *Snapshot) backend(service rpc.ServiceName, id rpc.EndpointID) (server *Backend) {
 	servers := s.Services[service]
 	at := sort.Search(len(servers), func(i int) bool { return servers[i].ID >= id })
 	if at < len(servers) && servers[at].ID == id {
