--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -5,6 +5,8 @@
 	"net/http"
 	"syscall"
 	"time"
+
+	"tinpin/internal/message"
 )
 
 // probeEndpoint makes one health check: over an idle connection if there is one and no
@@ -12,13 +14,13 @@
 func probeEndpoint(clock Clock, backend *Backend, path string, fresh bool) (result ProbeResult, warmUp time.Duration) {
 	conn, err := probeConn(clock, backend, fresh)
 	if err != nil {
-		if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
+		if message.IsTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
 			return ProbeTimedOut, 0
 		}
 		return ProbeDown, 0
 	}
 	_ = conn.netConn.SetDeadline(time.Now().Add(probeTimeout))
-	text := "GET " + path + " HTTP/1.1\r\nHost: " + backend.Address + "\r\n" + headerTargetInstance + ": " + string(backend.ID) + "\r\n\r\n"
+	text := "GET " + path + " HTTP/1.1\r\nHost: " + backend.Address + "\r\n" + message.HeaderTargetInstance + ": " + string(backend.ID) + "\r\n\r\n"
 	if _, err = conn.netConn.Write([]byte(text)); err != nil {
 		backend.closeConn(conn)
 		return ProbeInvalid, 0
@@ -35,7 +37,7 @@
 		backend.closeConn(conn)
 	}
 	result = probeResultOf(response, string(backend.ID))
-	if span, ok := parseWarmUp(response.Header.Get(headerColdRemaining)); ok && result == ProbeUp {
+	if span, ok := parseWarmUp(response.Header.Get(message.HeaderColdRemaining)); ok && result == ProbeUp {
 		warmUp = span
 	}
 	return result, warmUp
@@ -57,7 +59,7 @@
 	for skipped := 0; skipped <= maxSkippedResponses; skipped++ {
 		response, err := http.ReadResponse(conn.reader, &http.Request{Method: http.MethodGet})
 		if err != nil {
-			if isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
+			if message.IsTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) {
 				return nil, ProbeTimedOut
 			}
 			return nil, ProbeInvalid
@@ -65,7 +67,7 @@
 		if _, whole, _ := readBody(response, maxBufferedBody); !whole {
 			return nil, ProbeInvalid
 		}
-		if response.Header.Get(headerRequestID) == "" && response.StatusCode >= 200 {
+		if response.Header.Get(message.HeaderRequestID) == "" && response.StatusCode >= 200 {
 			return response, ProbeInvalid
 		}
 	}
@@ -76,11 +78,11 @@
 // names itself: at its address there may be another one by now.
 func probeResultOf(response *http.Response, id string) (result ProbeResult) {
 	switch status := response.StatusCode; {
-	case status == http.StatusOK && response.Header.Get(headerInstanceID) == id:
+	case status == http.StatusOK && response.Header.Get(message.HeaderInstanceID) == id:
 		return ProbeUp
 	case status == http.StatusOK, status == http.StatusMisdirectedRequest:
 		return ProbeDown
-	case response.Header.Get(headerNotExecuted) != "", status == http.StatusTooManyRequests:
+	case response.Header.Get(message.HeaderNotExecuted) != "", status == http.StatusTooManyRequests:
 		return ProbeBusy
 	}
 	return ProbeDown
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -10,6 +10,7 @@
 	"tinpin/internal/affinity"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
@@ -100,7 +101,7 @@
 	if policy == nil {
 		return
 	}
-	asked := plan.Request.affinityInput(tenant)
+	asked := affinityInput(plan.Request, tenant)
 	if len(plan.Route.Targets) > 1 {
 		for _, part := range plan.Route.Targets {
 			if _, ruled := policy.RuleFor(rpc.ServiceName(part.Service)); !ruled {
@@ -153,25 +154,25 @@
 
 // mustMove tells that a session may not stay on a backend: it has ended or is about
 // to, its site is evacuated, or it was retired and has had its time.
-func (d *Daemon) mustMove(scene *Snapshot, plan *Plan, id rpc.EndpointID) (over bool) {
-	server := scene.backend(plan.Service, id)
-	return server == nil || server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
+func (d *Daemon) mustMove(snapshot *Snapshot, plan *Plan, id rpc.EndpointID) (moves bool) {
+	backend := snapshot.backend(plan.Service, id)
+	return backend == nil || backend.isDraining() || snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(backend.Region)) || !d.state.Policies.KeepsSessions(d.clock.Now(), id, plan.Service)
 }
 
 // placeSession chooses where a new session begins: among the backends of the region
 // that are well and warm, else among those elsewhere, else among what there is.
-func (d *Daemon) placeSession(scene *Snapshot, plan *Plan) (chosen rpc.EndpointID) {
+func (d *Daemon) placeSession(snapshot *Snapshot, plan *Plan) (chosen rpc.EndpointID) {
 	now := d.clock.Now()
 	var here, away, rest []affinity.Candidate
-	for _, server := range scene.Services[plan.Service] {
-		if server.isDraining() || scene.Evacuated[server.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(server.Region)) || !d.state.Policies.AcceptsNew(now, server.ID) {
+	for _, backend := range snapshot.Services[plan.Service] {
+		if backend.isDraining() || snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(plan.Route.AllowedRegions, string(backend.Region)) || !d.state.Policies.AcceptsNew(now, backend.ID) {
 			continue
 		}
-		candidate := affinity.Candidate{ID: server.ID, Weight: server.Slots}
+		candidate := affinity.Candidate{ID: backend.ID, Weight: backend.Slots}
 		switch {
-		case !server.healthyAndWarm(now):
+		case !backend.healthyAndWarm(now):
 			rest = append(rest, candidate)
-		case string(server.Region) == d.settings.Region:
+		case string(backend.Region) == d.settings.Region:
 			here = append(here, candidate)
 		default:
 			away = append(away, candidate)
@@ -202,19 +203,9 @@
 	return s.health != rpc.Unhealthy && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
 }
 
-// operationKey is the request's operation key.
-func (r *Request) operationKey() (key string) {
-	for _, line := range r.Headers {
-		if line[0] == headerOperationKey {
-			key = line[1]
-		}
-	}
-	return key
-}
-
 // affinityInput is the part of a request that may name its session.
-func (r *Request) affinityInput(tenant *config.Tenant) (asked affinity.NameSources) {
-	asked = affinity.NameSources{Headers: r.Headers, Key: r.operationKey()}
+func affinityInput(r *message.Request, tenant *config.Tenant) (asked affinity.NameSources) {
+	asked = affinity.NameSources{Headers: r.Headers, Key: r.OperationKey()}
 	if tenant != nil {
 		asked.Tenant = tenant.Name
 	}
