--- a/internal/healthcheck/assignment.go
+++ b/internal/healthcheck/assignment.go
@@ -2,7 +2,7 @@
 
 import (
 	"maps"
-	"sort"
+	"slices"
 	"time"
 
 	"tinpin/internal/rpc"
@@ -177,7 +177,7 @@
 			services = append(services, name)
 		}
 	}
-	sort.Slice(services, func(i, j int) bool { return services[i] < services[j] })
+	slices.Sort(services)
 	return services
 }
 
--- a/internal/healthcheck/outlier.go
+++ b/internal/healthcheck/outlier.go
@@ -134,7 +134,8 @@
 		usual = norm.sum(now).failureRatio()
 	}
 	isOutlier := func(sum outcomes) bool {
-		return sum.failed >= minFailures && sum.failed >= minFailureRatio*sum.total() && sum.failed >= minRatioToNorm*usual*sum.total()
+		return sum.failed >= minFailures && sum.failed >= minFailureRatio*sum.total() &&
+			sum.failed >= minRatioToNorm*usual*sum.total()
 	}
 	var total outcomes
 	var outlying, sound []rpc.ZoneName
@@ -198,7 +199,9 @@
 }
 
 // review lets an ejected endpoint return, or reports that it stays ejected.
-func (d *OutlierDetector) review(now time.Duration, id rpc.EndpointID, endpoint *suspect, changed map[rpc.EndpointID]string) (stays bool) {
+func (d *OutlierDetector) review(
+	now time.Duration, id rpc.EndpointID, endpoint *suspect, changed map[rpc.EndpointID]string,
+) (stays bool) {
 	since := now - endpoint.ejectedAt
 	if since >= endpoint.ejection && endpoint.successes >= successesToReturn || since >= 2*endpoint.ejection {
 		endpoint.ejectedFor, endpoint.returnedAt = "", now
@@ -217,7 +220,9 @@
 
 // eject ejects the worst outliers of a service of a number of endpoints, of which some
 // are ejected already.
-func (d *OutlierDetector) eject(now time.Duration, outliers []outlier, size, ejected int, changed map[rpc.EndpointID]string) {
+func (d *OutlierDetector) eject(
+	now time.Duration, outliers []outlier, size, ejected int, changed map[rpc.EndpointID]string,
+) {
 	room := int(maxEjectedPart * float64(size))
 	if len(outliers)+ejected > 2*room {
 		// Most of the service fails: that is no fault of single endpoints.
--- a/internal/healthcheck/statecache.go
+++ b/internal/healthcheck/statecache.go
@@ -63,7 +63,9 @@
 
 // Report takes the report of a node. It says whether the report was accepted and
 // whether it changed a state.
-func (c *StateCache) Report(now time.Duration, report rpc.HealthReport, absent map[rpc.NodeID]bool) (accepted, changed bool) {
+func (c *StateCache) Report(
+	now time.Duration, report rpc.HealthReport, absent map[rpc.NodeID]bool,
+) (accepted, changed bool) {
 	rightful := c.ring.Owner(report.Service, absent)
 	owner := c.owners[report.Service]
 	if owner == nil {
@@ -103,14 +105,18 @@
 	return c.States.Set(state.Endpoint, state)
 }
 
-// MarkWarmingUp notes that an endpoint is warming up until its owner says otherwise.
-func (c *StateCache) MarkWarmingUp(now time.Duration, endpoint rpc.EndpointID, service rpc.ServiceName, remaining time.Duration) {
+// SetWarmingUp notes that an endpoint is warming up until its owner says otherwise.
+func (c *StateCache) SetWarmingUp(
+	now time.Duration, endpoint rpc.EndpointID, service rpc.ServiceName, remaining time.Duration,
+) {
 	if remaining <= 0 {
 		return
 	}
 	old, _ := c.States.Get(endpoint)
 	c.serviceOf[endpoint] = service
-	c.store(now, rpc.EndpointState{Endpoint: endpoint, Health: old.Health, EjectedFor: old.EjectedFor, WarmupRemaining: remaining})
+	c.store(now, rpc.EndpointState{
+		Endpoint: endpoint, Health: old.Health, EjectedFor: old.EjectedFor, WarmupRemaining: remaining,
+	})
 }
 
 // WarmupUntil is the end of an endpoint's warm-up, 0 for none.
--- a/internal/healthcheck/zonebalance.go
+++ b/internal/healthcheck/zonebalance.go
@@ -18,8 +18,8 @@
 	// between two updates.
 	demandSmoothing = 0.25
 	balanceInterval = 200 * time.Millisecond
-	// forgottenDemand is the demand below which a zone without requests is forgotten.
-	forgottenDemand = 0.05
+	// staleDemand is the demand below which a zone without requests is forgotten.
+	staleDemand = 0.05
 	// minOverflowPermille is the least part worth sending away, in thousandths.
 	minOverflowPermille = 40
 )
@@ -45,7 +45,11 @@
 
 // NewZoneBalancer makes a balancer without any demand.
 func NewZoneBalancer() (balancer *ZoneBalancer) {
-	return &ZoneBalancer{demand: map[ServiceZone]float64{}, overflows: map[ServiceZone]rpc.ZoneOverflow{}, updatedAt: -time.Hour}
+	return &ZoneBalancer{
+		demand:    map[ServiceZone]float64{},
+		overflows: map[ServiceZone]rpc.ZoneOverflow{},
+		updatedAt: -time.Hour,
+	}
 }
 
 // Due reports whether it is time for an update.
@@ -59,15 +63,17 @@
 
 // Update takes the requests in flight by the zone that their clients came to, and the
 // usable slots of each zone, and computes the overflows anew.
-func (b *ZoneBalancer) Update(now time.Duration, inFlight, slots map[ServiceZone]float64, region func(rpc.ZoneName) string) {
+func (b *ZoneBalancer) Update(
+	now time.Duration, inFlight, slots map[ServiceZone]float64, region func(rpc.ZoneName) string,
+) {
 	b.updatedAt = now
 	b.smooth(inFlight)
 	b.overflows = map[ServiceZone]rpc.ZoneOverflow{}
 	for service, regions := range b.loads(slots, region) {
 		for _, load := range regions {
 			if load.slots > 0 {
-				most := max(freeUtilization, maxRelativeUtilization*load.demand/load.slots)
-				b.level(service, load.zones, most, slots)
+				maxUtilization := max(freeUtilization, maxRelativeUtilization*load.demand/load.slots)
+				b.level(service, load.zones, maxUtilization, slots)
 			}
 		}
 	}
@@ -75,55 +81,59 @@
 
 // smooth lets the demand follow the requests in flight.
 func (b *ZoneBalancer) smooth(inFlight map[ServiceZone]float64) {
-	for place := range b.demand {
-		if _, reported := inFlight[place]; !reported {
-			if b.demand[place] *= 1 - demandSmoothing; b.demand[place] < forgottenDemand {
-				delete(b.demand, place)
+	for key := range b.demand {
+		if _, reported := inFlight[key]; !reported {
+			if b.demand[key] *= 1 - demandSmoothing; b.demand[key] < staleDemand {
+				delete(b.demand, key)
 			}
 		}
 	}
-	for place, requests := range inFlight {
-		b.demand[place] += (requests - b.demand[place]) * demandSmoothing
+	for key, requests := range inFlight {
+		b.demand[key] += (requests - b.demand[key]) * demandSmoothing
 	}
 }
 
 // loads sums demand and slots by service and region.
-func (b *ZoneBalancer) loads(slots map[ServiceZone]float64, region func(rpc.ZoneName) string) (loads map[rpc.ServiceName]map[string]*regionLoad) {
+func (b *ZoneBalancer) loads(
+	slots map[ServiceZone]float64, region func(rpc.ZoneName) string,
+) (loads map[rpc.ServiceName]map[string]*regionLoad) {
 	loads = map[rpc.ServiceName]map[string]*regionLoad{}
-	add := func(place ServiceZone, demand, slots float64) {
-		if loads[place.Service] == nil {
-			loads[place.Service] = map[string]*regionLoad{}
+	add := func(key ServiceZone, demand, slots float64) {
+		if loads[key.Service] == nil {
+			loads[key.Service] = map[string]*regionLoad{}
 		}
-		name := region(place.Zone)
-		load := loads[place.Service][name]
+		name := region(key.Zone)
+		load := loads[key.Service][name]
 		if load == nil {
 			load = &regionLoad{}
-			loads[place.Service][name] = load
+			loads[key.Service][name] = load
 		}
 		load.demand += demand
 		load.slots += slots
-		if !slices.Contains(load.zones, place.Zone) {
-			load.zones = append(load.zones, place.Zone)
+		if !slices.Contains(load.zones, key.Zone) {
+			load.zones = append(load.zones, key.Zone)
 		}
 	}
-	for place, demand := range b.demand {
-		add(place, demand, 0)
+	for key, demand := range b.demand {
+		add(key, demand, 0)
 	}
-	for place, count := range slots {
-		add(place, 0, count)
+	for key, count := range slots {
+		add(key, 0, count)
 	}
 	return loads
 }
 
 // level computes the overflows of one service within one region, so that no zone has
 // more than a part of its slots in flight.
-func (b *ZoneBalancer) level(service rpc.ServiceName, zones []rpc.ZoneName, most float64, slots map[ServiceZone]float64) {
-	sort.Slice(zones, func(i, k int) bool { return zones[i] < zones[k] })
+func (b *ZoneBalancer) level(
+	service rpc.ServiceName, zones []rpc.ZoneName, maxUtilization float64, slots map[ServiceZone]float64,
+) {
+	slices.Sort(zones)
 	spare := map[rpc.ZoneName]float64{}
 	total := 0.0
 	for _, zone := range zones {
-		place := ServiceZone{service, zone}
-		if left := most*slots[place] - b.demand[place]; left > 0 {
+		key := ServiceZone{service, zone}
+		if left := maxUtilization*slots[key] - b.demand[key]; left > 0 {
 			spare[zone] = left
 			total += left
 		}
@@ -132,29 +142,29 @@
 		return
 	}
 	for _, zone := range zones {
-		place := ServiceZone{service, zone}
-		excess := b.demand[place] - most*slots[place]
-		if excess <= 0 || b.demand[place] <= 0 {
+		key := ServiceZone{service, zone}
+		excess := b.demand[key] - maxUtilization*slots[key]
+		if excess <= 0 || b.demand[key] <= 0 {
 			continue
 		}
 		overflow := rpc.ZoneOverflow{Service: service}
 		for _, other := range zones {
-			part := int(1000 * excess / b.demand[place] * spare[other] / total)
+			part := int(1000 * excess / b.demand[key] * spare[other] / total)
 			if part > 0 {
 				overflow.Targets = append(overflow.Targets, rpc.ZoneWeight{Zone: other, Weight: part})
 				overflow.Permille += part
 			}
 		}
 		if overflow.Permille >= minOverflowPermille {
-			b.overflows[place] = overflow
+			b.overflows[key] = overflow
 		}
 	}
 }
 
 // Overflows lists what the nodes of a zone send to other zones, in order of services.
 func (b *ZoneBalancer) Overflows(zone rpc.ZoneName) (overflows []rpc.ZoneOverflow) {
-	for place, overflow := range b.overflows {
-		if place.Zone == zone {
+	for key, overflow := range b.overflows {
+		if key.Zone == zone {
 			overflows = append(overflows, overflow)
 		}
 	}
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -35,7 +35,9 @@
 }
 
 func (o *Operation) response() (response rpc.StoredResponse) {
-	return rpc.StoredResponse{State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo}
+	return rpc.StoredResponse{
+		State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo,
+	}
 }
 
 // claimed names an operation by its key and request.
@@ -66,7 +68,9 @@
 func NewStore(retention time.Duration, maxBytes int, now func() time.Duration) (store *Store) {
 	return &Store{
 		retention: retention, maxBytes: maxBytes, now: now,
-		operations: map[string]*Operation{}, storedForOthers: map[claimed]*Operation{}, released: map[claimed]time.Duration{},
+		operations:      map[string]*Operation{},
+		storedForOthers: map[claimed]*Operation{},
+		released:        map[claimed]time.Duration{},
 	}
 }
 
@@ -144,16 +148,16 @@
 	s.finish(held, rpc.OperationCompleted)
 }
 
-// MarkMoved notes that an operation is complete and which node stores its response.
-func (s *Store) MarkMoved(held *HeldOperation, address string) {
+// SetMoved notes that an operation is complete and which node stores its response.
+func (s *Store) SetMoved(held *HeldOperation, address string) {
 	s.mu.Lock()
 	held.operation.movedTo = address
 	s.mu.Unlock()
 	s.finish(held, rpc.OperationMoved)
 }
 
-// MarkLost notes that nobody knows whether an operation ran.
-func (s *Store) MarkLost(held *HeldOperation) { s.finish(held, rpc.OperationLost) }
+// SetLost notes that nobody knows whether an operation ran.
+func (s *Store) SetLost(held *HeldOperation) { s.finish(held, rpc.OperationLost) }
 
 // Release notes that an operation has not run and will not.
 func (s *Store) Release(held *HeldOperation) {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -29,11 +29,11 @@
 }
 
 // amountOf is what a holder may be using. It is exact after Allocator.unexpired.
-func (l *limitGrants) amountOf(holder rpc.NodeID) (most float64) {
+func (l *limitGrants) amountOf(holder rpc.NodeID) (amount float64) {
 	for _, grant := range l.holders[holder] {
-		most = max(most, grant.amount)
+		amount = max(amount, grant.amount)
 	}
-	return most
+	return amount
 }
 
 // set replaces a holder's grants.
@@ -97,7 +97,9 @@
 }
 
 // Grant gives a node as much as it wants of what is free of a limit.
-func (a *Allocator) Grant(now time.Duration, key Key, limit float64, window time.Duration, to rpc.NodeID, want float64) (lease rpc.Lease, granted bool) {
+func (a *Allocator) Grant(
+	now time.Duration, key Key, limit float64, window time.Duration, to rpc.NodeID, want float64,
+) (lease rpc.Lease, granted bool) {
 	if now < a.started+a.leaseDuration+window {
 		return lease, false
 	}
@@ -118,8 +120,10 @@
 }
 
 // GrantAtLeast is Grant if at least a given amount is free, else it grants nothing.
-func (a *Allocator) GrantAtLeast(now time.Duration, key Key, limit float64, window time.Duration, to rpc.NodeID, want, least float64) (lease rpc.Lease, granted bool) {
-	if current := a.unexpired(now, key); limit-(current.sum-current.amountOf(to)) < least {
+func (a *Allocator) GrantAtLeast(
+	now time.Duration, key Key, limit float64, window time.Duration, to rpc.NodeID, want, minAmount float64,
+) (lease rpc.Lease, granted bool) {
+	if current := a.unexpired(now, key); limit-(current.sum-current.amountOf(to)) < minAmount {
 		return lease, false
 	}
 	return a.Grant(now, key, limit, window, to, want)
@@ -127,7 +131,9 @@
 
 // Renew prolongs what a node already holds from a predecessor. That may be in use
 // anyhow, so it needs no waiting.
-func (a *Allocator) Renew(now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64) (lease rpc.Lease) {
+func (a *Allocator) Renew(
+	now time.Duration, key Key, window time.Duration, to rpc.NodeID, amount float64,
+) (lease rpc.Lease) {
 	a.unexpired(now, key).set(to, []grant{{amount, now + a.leaseDuration + window}})
 	return a.lease(key, amount)
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// A request without a token is asked to come back after leastRetryAfter at least and
-	// mostRetryAfter at most, or noRateRetryAfter if no tokens come at all.
-	leastRetryAfter  = 50 * time.Millisecond
-	mostRetryAfter   = 2 * time.Second
+	// A request without a token is asked to come back after minRetryAfter at least and
+	// maxRetryAfter at most, or noRateRetryAfter if no tokens come at all.
+	minRetryAfter    = 50 * time.Millisecond
+	maxRetryAfter    = 2 * time.Second
 	noRateRetryAfter = 500 * time.Millisecond
 )
 
@@ -32,7 +32,9 @@
 }
 
 // Admit takes one token. If there is none it tells when to come back.
-func (b *TokenBucket) Admit(now time.Duration, limit RateLimit, part float64) (admitted bool, retryAfter time.Duration) {
+func (b *TokenBucket) Admit(
+	now time.Duration, limit RateLimit, part float64,
+) (admitted bool, retryAfter time.Duration) {
 	elapsed := b.elapsed(now)
 	rate := part * limit.Rate
 	b.tokens = min(b.tokens+rate*elapsed, part*max(limit.Burst, 1))
@@ -45,7 +47,7 @@
 		return false, noRateRetryAfter
 	}
 	retryAfter = time.Duration((1 - b.tokens) / rate * float64(time.Second))
-	return false, min(max(retryAfter, leastRetryAfter), mostRetryAfter)
+	return false, min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
 
 // Refill brings the tokens up to now. A node calls it as parts change, so that time
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -112,51 +112,56 @@
 		demands:  map[string]*demandTable{},
 	}
 	if first {
-		allocator.shares, allocator.minimums = NewFirstAllocator(leaseDuration), NewFirstAllocator(kinds.MinimumDuration)
+		allocator.shares = NewFirstAllocator(leaseDuration)
+		allocator.minimums = NewFirstAllocator(kinds.MinimumDuration)
 	}
 	return allocator
 }
 
 // Grant gives a node its parts of a limit, with so many nodes present.
-func (a *RateAllocator) Grant(now time.Duration, limit RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand) (leases []rpc.Lease) {
+func (a *RateAllocator) Grant(
+	now time.Duration, limit RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand,
+) (leases []rpc.Lease) {
 	present = max(1, present)
-	// One request of the burst is the least part that can admit anything.
-	least := 1 / max(limit.Burst, 1)
+	// One request of the burst is the smallest part that can admit anything.
+	minPart := 1 / max(limit.Burst, 1)
 	demands := a.demands[limit.Name]
 	if demands == nil {
 		demands = &demandTable{of: map[rpc.NodeID]demandEntry{}}
 		a.demands[limit.Name] = demands
 	}
 	sum := demands.note(now, to, demand.Rate)
-	leases = a.grantMinimum(now, limit, to, present, demand, least)
+	leases = a.grantMinimum(now, limit, to, present, demand, minPart)
 	free := 1 - minimumPart
 	want := basePart * free / float64(present)
 	if demand.Rate > 0 {
 		want += min(demandHeadroom*demand.Rate/limit.Rate, (1-basePart)*free*demand.Rate/sum)
 	}
-	want = max(want, least)
+	want = max(want, minPart)
 	shareKey := Key{a.kinds.Share, limit.Name}
 	if want <= free {
-		if lease, granted := a.shares.GrantAtLeast(now, shareKey, free, 0, to, want, least); granted {
+		if lease, granted := a.shares.GrantAtLeast(now, shareKey, free, 0, to, want, minPart); granted {
 			leases = append(leases, lease)
 		}
-	} else if lease, granted := a.shares.GrantAtLeast(now, shareKey, free, 0, to, free, min(least, free)); granted {
+	} else if lease, granted := a.shares.GrantAtLeast(now, shareKey, free, 0, to, free, min(minPart, free)); granted {
 		leases = append(leases, lease)
 	}
 	return leases
 }
 
 // grantMinimum renews the guaranteed minimum that a node holds, or gives it one.
-func (a *RateAllocator) grantMinimum(now time.Duration, limit RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand, least float64) (leases []rpc.Lease) {
+func (a *RateAllocator) grantMinimum(
+	now time.Duration, limit RateLimit, to rpc.NodeID, present int, demand rpc.RateDemand, minPart float64,
+) (leases []rpc.Lease) {
 	key := Key{a.kinds.Minimum, limit.Name}
 	if demand.Minimum > 0 {
 		return []rpc.Lease{a.minimums.Renew(now, key, 0, to, demand.Minimum)}
 	}
 	minimum := minimumPart / float64(present+spareNodes)
-	if minimum < least {
+	if minimum < minPart {
 		return nil
 	}
-	if lease, granted := a.minimums.Grant(now, key, minimumPart, 0, to, minimum); granted && lease.Amount >= least {
+	if lease, granted := a.minimums.Grant(now, key, minimumPart, 0, to, minimum); granted && lease.Amount >= minPart {
 		return []rpc.Lease{lease}
 	}
 	return nil
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -19,7 +19,10 @@
 
 // NewEndpointList makes an empty list.
 func NewEndpointList(counter *RevisionCounter) (list *EndpointList) {
-	return &EndpointList{Endpoints: NewChangeLog[rpc.EndpointID, rpc.Endpoint](counter), missed: map[rpc.EndpointID]int{}}
+	return &EndpointList{
+		Endpoints: NewChangeLog[rpc.EndpointID, rpc.Endpoint](counter),
+		missed:    map[rpc.EndpointID]int{},
+	}
 }
 
 // ApplyPage takes what one page shows, and reports the endpoints that are new. The
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -1,7 +1,7 @@
 package registry
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"tinpin/internal/rpc"
@@ -55,12 +55,12 @@
 // Tick finds the nodes that have become absent, and removes those that have expired.
 func (r *NodeRegistry) Tick(now time.Duration) (lost []rpc.NodeID, changed bool) {
 	for id, known := range r.presences {
-		silence := now - known.lastHeartbeat
-		if silence > r.timeouts.Absent && !known.absent {
+		sinceHeartbeat := now - known.lastHeartbeat
+		if sinceHeartbeat > r.timeouts.Absent && !known.absent {
 			known.absent, changed = true, true
 			lost = append(lost, id)
 		}
-		if silence > r.timeouts.Expired {
+		if sinceHeartbeat > r.timeouts.Expired {
 			delete(r.presences, id)
 			r.Nodes.Remove(id)
 			changed = true
@@ -76,7 +76,7 @@
 			absent = append(absent, id)
 		}
 	}
-	sort.Slice(absent, func(i, j int) bool { return absent[i] < absent[j] })
+	slices.Sort(absent)
 	return absent
 }
 
@@ -96,6 +96,6 @@
 			members = append(members, id)
 		}
 	})
-	sort.Slice(members, func(i, j int) bool { return members[i] < members[j] })
+	slices.Sort(members)
 	return members
 }
--- a/internal/registry/platform.go
+++ b/internal/registry/platform.go
@@ -24,10 +24,10 @@
 var ErrInvalidPage = errors.New("invalid page of the endpoint list")
 
 const (
-	// platformDialTimeout, platformSilence and platformTimeout bound the wait for a
+	// platformDialTimeout, platformAckTimeout and platformTimeout bound the wait for a
 	// connection to the platform, for its acknowledgements and for a page.
 	platformDialTimeout = 500 * time.Millisecond
-	platformSilence     = 1500 * time.Millisecond
+	platformAckTimeout  = 1500 * time.Millisecond
 	platformTimeout     = 2 * time.Second
 	platformIdleTimeout = 30 * time.Second
 	// maxPageBytes and maxPages bound what the platform can make the leader read.
@@ -105,7 +105,7 @@
 
 // NewPlatformClient makes a client of the platform at an address.
 func NewPlatformClient(address string) (client *PlatformClient) {
-	dialer := &net.Dialer{Timeout: platformDialTimeout, Control: rpc.UserTimeout(platformSilence), KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: platformDialTimeout, Control: rpc.UserTimeout(platformAckTimeout), KeepAlive: -1}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: platformIdleTimeout, DisableCompression: true,
@@ -115,7 +115,9 @@
 
 // Walk reads all pages with a pause between them, hands over each as it comes, and
 // returns the whole list.
-func (p *PlatformClient) Walk(pause time.Duration, each func(page []rpc.Endpoint)) (endpoints []rpc.Endpoint, pages int, err error) {
+func (p *PlatformClient) Walk(
+	pause time.Duration, each func(page []rpc.Endpoint),
+) (endpoints []rpc.Endpoint, pages int, err error) {
 	token := ""
 	for {
 		body, read, err := p.fetch(token)
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -26,8 +26,8 @@
 	// dialWait bounds the wait for a connection. A machine without power answers
 	// nothing, and what waits behind the dial waits with it.
 	dialWait = 400 * time.Millisecond
-	// dialSilence is how long the other end may acknowledge nothing.
-	dialSilence = time.Second
+	// ackTimeout is how long the other end may acknowledge nothing.
+	ackTimeout = time.Second
 	// idleCallLimit is how long a call must have waited on a silent connection for the
 	// connection to be given up. A shorter wait proves nothing: the other end or the
 	// way there may only be slow, and a connection that has ended is noticed by itself.
@@ -69,7 +69,7 @@
 	if c.client != nil {
 		return c.client, nil
 	}
-	conn, err := Dial(c.Address, min(wait, c.DialWait), dialSilence)
+	conn, err := Dial(c.Address, min(wait, c.DialWait), ackTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -21,17 +21,17 @@
 }
 
 // Dial opens a connection. It waits no longer than wait, and the connection ends when
-// the other end acknowledges nothing for as long as silence.
-func Dial(address string, wait, silence time.Duration) (conn net.Conn, err error) {
-	dialer := net.Dialer{Timeout: wait, KeepAlive: -1, Control: UserTimeout(silence)}
+// the other end acknowledges nothing for as long as ackTimeout.
+func Dial(address string, wait, ackTimeout time.Duration) (conn net.Conn, err error) {
+	dialer := net.Dialer{Timeout: wait, KeepAlive: -1, Control: UserTimeout(ackTimeout)}
 	dialer.SetMultipathTCP(false)
 	return dialer.Dial("tcp4", address)
 }
 
 // Listen opens a listener. Its connections end when the other end acknowledges nothing
-// for as long as silence.
-func Listen(address string, silence time.Duration) (listener net.Listener, err error) {
-	config := net.ListenConfig{Control: UserTimeout(silence), KeepAlive: -1}
+// for as long as ackTimeout.
+func Listen(address string, ackTimeout time.Duration) (listener net.Listener, err error) {
+	config := net.ListenConfig{Control: UserTimeout(ackTimeout), KeepAlive: -1}
 	config.SetMultipathTCP(false)
 	return config.Listen(context.Background(), "tcp4", address)
 }
--- a/internal/rpc/ids.go
+++ b/internal/rpc/ids.go
@@ -7,8 +7,9 @@
 	// EndpointID names one run of a backend. The platform gives a backend that was
 	// started again another one.
 	EndpointID string
-	// ZoneName names a zone, RegionName the region in which it lies.
-	ZoneName   string
+	// ZoneName names a zone.
+	ZoneName string
+	// RegionName names a region, in which zones lie.
 	RegionName string
 	// ServiceName names a service of the configuration.
 	ServiceName string
@@ -19,10 +20,9 @@
 // Incarnation tells the runs of one node apart: each start has another.
 type Incarnation uint64
 
-// Term numbers leaderships, as package raft counts them. Revision numbers the
-// changes of what one leader sends to nodes; revisions of different terms cannot be
-// compared.
-type (
-	Term     uint64
-	Revision uint64
-)
+// Term numbers leaderships, as package raft counts them.
+type Term uint64
+
+// Revision numbers the changes of what one leader sends to nodes. Revisions of
+// different terms cannot be compared.
+type Revision uint64
--- a/internal/rpc/wire/mirror.go
+++ b/internal/rpc/wire/mirror.go
@@ -51,7 +51,7 @@
 	return mirrored, err
 }
 
-// tagged tells whether a field below a type has a tag. Types within which the
+// tagged reports whether a field below a type has a tag. Types within which the
 // question is open are passed down, since a type may contain itself.
 func tagged(of reflect.Type, open []reflect.Type) (has bool) {
 	if ownEncoding(of) || slices.Contains(open, of) {
@@ -73,10 +73,11 @@
 	return false
 }
 
-// ownEncoding tells that gob leaves the encoding to the type itself.
+// ownEncoding reports whether gob leaves the encoding to the type itself.
 func ownEncoding(of reflect.Type) (own bool) {
 	pointer := reflect.PointerTo(of)
-	return pointer.Implements(reflect.TypeFor[gob.GobEncoder]()) || pointer.Implements(reflect.TypeFor[encoding.BinaryMarshaler]())
+	return pointer.Implements(reflect.TypeFor[gob.GobEncoder]()) ||
+		pointer.Implements(reflect.TypeFor[encoding.BinaryMarshaler]())
 }
 
 // inner is the mirrored type of a part of another one.
@@ -143,7 +144,8 @@
 		case !token.IsIdentifier(name) || !token.IsExported(name):
 			return nil, fmt.Errorf("%w: name %q of field %s of %v", ErrUnsupported, name, field.Name, of)
 		case used[name] != "":
-			return nil, fmt.Errorf("%w: fields %s and %s of %v are both called %s", ErrUnsupported, used[name], field.Name, of, name)
+			return nil, fmt.Errorf("%w: fields %s and %s of %v are both called %s",
+				ErrUnsupported, used[name], field.Name, of, name)
 		case containsInterface(field.Type, nil):
 			return nil, fmt.Errorf("%w: field %s of %v holds an interface", ErrUnsupported, field.Name, of)
 		}
@@ -157,7 +159,7 @@
 	return reflect.StructOf(fields), nil
 }
 
-// containsInterface tells that a value of a type may hold one of any other type,
+// containsInterface reports whether a value of a type may hold one of any other type,
 // whose names nobody has looked at.
 func containsInterface(of reflect.Type, open []reflect.Type) (contains bool) {
 	if ownEncoding(of) || slices.Contains(open, of) {
@@ -187,7 +189,8 @@
 	if of == mirrored {
 		return nil
 	}
-	if of.Kind() != mirrored.Kind() || of.Size() != mirrored.Size() || of.Align() != mirrored.Align() || of.FieldAlign() != mirrored.FieldAlign() {
+	if of.Kind() != mirrored.Kind() || of.Size() != mirrored.Size() ||
+		of.Align() != mirrored.Align() || of.FieldAlign() != mirrored.FieldAlign() {
 		return fmt.Errorf("%w: layout of %v differs from that of %v", ErrUnsupported, of, mirrored)
 	}
 	switch of.Kind() {
