--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -35,7 +35,9 @@
 }
 
 func (o *Operation) response() (response rpc.StoredResponse) {
-	return rpc.StoredResponse{State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo}
+	return rpc.StoredResponse{
+		State: o.state, Status: o.status, Headers: o.headers, Body: o.body, InternalAddress: o.movedTo,
+	}
 }
 
 // claimed names an operation by its key and request.
@@ -66,7 +68,9 @@
 func NewStore(retention time.Duration, maxBytes int, now func() time.Duration) (store *Store) {
 	return &Store{
 		retention: retention, maxBytes: maxBytes, now: now,
-		operations: map[string]*Operation{}, storedForOthers: map[claimed]*Operation{}, released: map[claimed]time.Duration{},
+		operations:      map[string]*Operation{},
+		storedForOthers: map[claimed]*Operation{},
+		released:        map[claimed]time.Duration{},
 	}
 }
 
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -74,12 +74,12 @@
 	Round    uint64
 	Snapshot *Snapshot
 	Force    bool
-	Chunk    *SnapshotChunk
+	Chunk    *SnapshotChunk `wire:"Part"`
 	// Idle is set by a member that has known no leader since its start; Life is the
 	// incarnation of that start and Age how long ago it was. See startState.
 	Idle        bool
-	Incarnation uint64
-	SinceStart  time.Duration
+	Incarnation uint64        `wire:"Life"`
+	SinceStart  time.Duration `wire:"Age"`
 }
 
 // fromLeader tells that only the leader of its term sends such a message.
