--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -1,5 +1,3 @@
-// Content is what an item says, whatever the way it is written: two items of one
-// version are the same if their parsed fields are, null standing for absent.
 package config
 
 import (
@@ -11,6 +9,9 @@
 	"tinpin/internal/dedup"
 )
 
+// Two items of one version are the same if their parsed fields are, null standing
+// for absent.
+
 // number names the state of an item that a call brings.
 func (s *entry) number() (number dedup.Key) {
 	return dedup.Key{Kind: string(s.Set), Name: s.Name, Version: uint64(s.Version)}
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -1,6 +1,3 @@
-// The typed readings of the items: ways (routes), services, tenants and the
-// one item of limits. Each reading checks its own fields; what needs a look at
-// other items is checked where a call is carried out.
 package config
 
 import (
@@ -9,6 +6,9 @@
 	"github.com/valyala/fastjson"
 )
 
+// The typed forms of the items. Each checks its own fields; what needs a look at
+// other items is checked where an update is applied.
+
 // RouteType says what may be done again with a request of a way.
 type RouteType string
 
--- a/internal/config/view.go
+++ b/internal/config/routing_table.go
@@ -1,7 +1,3 @@
-// View is the configuration made ready for the request path: ways by host and
-// prefix, services by name, tenants by host. It is built once a change and
-// never written to afterwards, so requests read it without a lock. Finding a
-// way costs one look-up per segment of the path, however many ways there are.
 package config
 
 import (
@@ -9,6 +5,10 @@
 	"strings"
 )
 
+// A RoutingTable is built once a change and never written to afterwards, so requests
+// read it without a lock. Finding a route costs one look-up per segment of the path,
+// however many routes there are.
+
 // RoutingTable is one state of the configuration, read-only.
 type RoutingTable struct {
 	hosts      map[string]map[string]*Route
--- a/internal/dedup/content.go
+++ b/internal/dedup/content.go
@@ -1,6 +1,3 @@
-// Content tells whether two texts of JSON say the same: a digest over the
-// parsed values, whatever the order of keys, the escapes in texts, the forms of
-// numbers, and whether a field is null or left out.
 package dedup
 
 import (
@@ -14,6 +11,9 @@
 	"github.com/valyala/fastjson"
 )
 
+// The digest of JSON is that of the parsed values: the order of keys, escapes in
+// texts, the forms of numbers, and whether a field is null or left out don't count.
+
 // Digest stands for a content, or for the number it came under.
 type Digest [8]byte
 
--- a/internal/dedup/content_test.go
+++ b/internal/dedup/content_test.go
@@ -1,8 +1,9 @@
-// Texts that say the same have one digest, others have not.
 package dedup
 
 import "testing"
 
+// Texts that say the same have one digest, others have not.
+
 func TestContentIsWhatIsSaidNotHow(t *testing.T) {
 	same := [][]string{
 		{`7`, `7.0`, `70e-1`, `0.7E1`, `7e+0`}, {`0`, `-0`, `0.0`, `0e9`}, {`-1200`, `-1.2e3`}, {`1e400`, `10e399`},
--- a/internal/dedup/record.go
+++ b/internal/dedup/table.go
@@ -1,7 +1,8 @@
-// Package record remembers which orders were taken: for the number of each, a
-// digest of what it said. It is part of what the cores agree on, so that the
-// same order, sent again to any of them, is confirmed again and another one
-// under its number is not. It is bounded: the oldest go first, and are counted.
+// Package dedup remembers which requests of operators were accepted: for the key of
+// each, a digest of its content. It is part of the replicated state, so that the
+// same request, sent again to any controller, is accepted again and another one
+// under its key is not. The table is bounded: the oldest go first, and are counted.
+// Whoever owns a Table guards it; the digests keep no state.
 package dedup
 
 import "github.com/zeebo/errs"
--- a/internal/dedup/record_test.go
+++ b/internal/dedup/table_test.go
@@ -1,5 +1,3 @@
-// A record keeps the first content of a number, drops the oldest, and is the
-// same after it was written out and read back.
 package dedup
 
 import (
@@ -7,6 +5,9 @@
 	"testing"
 )
 
+// A record keeps the first content of a number, drops the oldest, and is the
+// same after it was written out and read back.
+
 func TestARecordKeepsTheFirstAndDropsTheOldest(t *testing.T) {
 	record := New(3)
 	number := func(i int) Key { return Key{"routes", fmt.Sprint("r", i), uint64(i)} }
--- a/internal/policy/order.go
+++ b/internal/policy/policy.go
@@ -1,8 +1,10 @@
-// Package order holds what the operator's documents (the drain policy, the
-// day's plan, the limit on retries, session affinity) have in common: each is one written document with a version, agreed on by the cores, set
-// whole or not at all. The highest version holds; the same content under it
-// changes nothing; an older version, or another content under the version that
-// holds, is refused. Faults of a document are gathered and told in one line.
+// Package policy holds what the operator's documents (the drain policy, the day's
+// plan, the limit on retries, session affinity) have in common: each is one document
+// with a version, agreed on by the controllers, set whole or not at all. The highest
+// version holds; the same content under it changes nothing; an older version, or
+// other content under the version that holds, is rejected. All that is wrong with a
+// document is reported in one error. What a document means is known to its own package.
+// Functions keep no state.
 package policy
 
 import (
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -1,10 +1,3 @@
-// A whole day rolls over three regions in simulated time, over midnight and
-// over the change to summer time. The agreed state, the stepper, the
-// directory's answers and the daemons' books of keys are the real ones; cores'
-// clocks differ, leaders, daemons and whole regions are lost at steps, and
-// clients repeat their taps across each step, often in another region. Every
-// tap is one run, and callers are served by a region that is awake whenever
-// one can serve.
 package schedule_test
 
 import (
@@ -23,6 +16,14 @@
 	"tinpin/internal/statemachine"
 )
 
+// A whole day rolls over three regions in simulated time, over midnight and
+// over the change to summer time. The agreed state, the stepper, the
+// directory's answers and the daemons' books of keys are the real ones; cores'
+// clocks differ, leaders, daemons and whole regions are lost at steps, and
+// clients repeat their taps across each step, often in another region. Every
+// tap is one run, and callers are served by a region that is awake whenever
+// one can serve.
+
 const dayPlan = `{"version":1,"step":0.25,"every":"20s","room":0.9,"targets":[{"host":"book.example","time_zone":"Europe/Berlin","spans":[
  {"from":"06:00","to":"14:00","weights":{"east":1},"ramp":"20m"},
  {"from":"14:00","to":"22:00","weights":{"mid":1},"ramp":"20m"},
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -1,8 +1,7 @@
-// Package dayplan moves callers between regions as the working day moves. This
-// file is the written plan: for a host or a service, spans of local time with
-// the weight of each region, and a ramp over which a span's weights take the
-// place of those before. Time zones come from the standard library's data,
-// which is built in.
+// Package schedule moves clients between regions as the working day moves: it reads
+// the day plan, turns it and a moment into the weights of regions, and paces the
+// steps that the leader proposes. It neither proposes nor applies steps. A Stepper
+// belongs to the goroutine of the leader's term; the rest keeps no state.
 package schedule
 
 import (
--- a/internal/schedule/stepper.go
+++ b/internal/schedule/stepper.go
@@ -1,10 +1,3 @@
-// Stepper is the leader's side of the plan. Only it reads the time of day, and
-// only to say what the plan wants now; what is done is agreed, in steps whose
-// count and whose own time never go back. A clock that was set back, or a new
-// leader whose clock is behind, therefore commits nothing until it has caught
-// up; one that missed steps goes from what is agreed toward the present, by
-// the plan's pace. A step that would send more to a region waits while that
-// region lacks room or is being emptied, and says so.
 package schedule
 
 import (
@@ -15,6 +8,14 @@
 	"tinpin/internal/rpc"
 )
 
+// Stepper is the leader's side of the plan. Only it reads the time of day, and
+// only to say what the plan wants now; what is done is agreed, in steps whose
+// count and whose own time never go back. A clock that was set back, or a new
+// leader whose clock is behind, therefore commits nothing until it has caught
+// up; one that missed steps goes from what is agreed toward the present, by
+// the plan's pace. A step that would send more to a region waits while that
+// region lacks room or is being emptied, and says so.
+
 // RegionCapacity is what a region has of a target's backends.
 type RegionCapacity struct {
 	// Slots are those of backends that may be sent new callers; Useful counts
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/weights.go
@@ -1,8 +1,3 @@
-// Schedule turns a plan and a moment into weights. Spans are placed on the
-// calendar by the moments they begin at, not by asking what the clock on the
-// wall shows now: where summer time ends and an hour comes twice, a span that
-// has begun stays begun, and where an hour is left out its spans begin at the
-// change.
 package schedule
 
 import (
@@ -11,6 +6,12 @@
 	"tinpin/internal/rpc"
 )
 
+// Schedule turns a plan and a moment into weights. Spans are placed on the
+// calendar by the moments they begin at, not by asking what the clock on the
+// wall shows now: where summer time ends and an hour comes twice, a span that
+// has begun stays begun, and where an hour is left out its spans begin at the
+// change.
+
 // WeightSum is the sum of a target's weights.
 const WeightSum = 1000
 
