--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -1,9 +1,8 @@
-// Node drives one core: a duty steps the agreement, another writes the disk,
-// one per fellow core sends, all joined by bounded rings. Wishes that wait
-// together become one log entry. A wish whose fate cannot be known is answered
-// as unclear, never as refused.
 package raft
 
+// A Node drives one replica: the event loop steps it, the write loop owns the disk, and two
+// send loops a peer carry its messages, joined by bounded channels.
+
 import (
 	crand "crypto/rand"
 	"errors"
@@ -32,7 +31,7 @@
 	rejectionLogTicks = 40
 )
 
-// Node is one core.
+// Node is one controller's part of the group.
 type Node struct {
 	settings     settings.Settings
 	log          *eventlog.Logger
@@ -79,12 +78,12 @@
 	// History remembers what became of changes here.
 	History *history.Recorder
 
-	// OnChange is called after the state changed, OnRole when leadership came or went.
+	// OnChange is called after the state changed, OnLeadership when leadership came or went.
 	OnChange     func()
 	OnLeadership func(leads bool, term Term)
 }
 
-// OpenNode opens the disk and makes the core ready to run.
+// OpenNode opens the disk and makes the node ready to run.
 func OpenNode(p settings.Settings, log *eventlog.Logger) (node *Node, err error) {
 	if p.DataDirectory == "" {
 		return nil, Class.New("data is empty: an accord daemon needs a folder")
@@ -130,10 +129,10 @@
 	return node, nil
 }
 
-// Now is this core's steady clock.
+// Now is this node's steady clock.
 func (n *Node) Now() time.Duration { return time.Since(n.startedAt) }
 
-// Run starts the duties.
+// Run starts the event loop and the write loop.
 func (n *Node) Run() {
 	n.goroutines.Add(2)
 	go n.eventLoop()
@@ -172,7 +171,7 @@
 	look(n.state)
 }
 
-// Status tells who leads, as this core knows. A leader that was not heard for
+// Status tells who leads, as far as this node knows. A leader that was not heard for
 // the longest election is not named.
 func (n *Node) Status() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
@@ -183,19 +182,20 @@
 	return n.role == Leader, n.committedInTerm, n.term, leader, n.members
 }
 
-// Self is this core as a member.
+// Self is this node as a member.
 func (n *Node) Self() Member { return n.self }
 
-// Empty is an answer that says nothing.
+// Empty is a response without content.
 type Empty struct{}
 
-// Service takes inner calls from other cores.
+// Service receives the calls of other controllers.
 type Service struct{ node *Node }
 
-// Service gives the receiver for inner calls.
-func (n *Node) Service() (desk *Service) { return &Service{n} }
+// Service is the receiver to register for calls of other controllers.
+func (n *Node) Service() *Service { return &Service{n} }
 
-// eventLoop is the duty that steps the agreement.
+// eventLoop steps the replica. The replica, the pending proposals and what the membership
+// policy needs belong to its goroutine alone; others reach them through calls.
 func (n *Node) eventLoop() {
 	defer n.goroutines.Done()
 	ticker := time.NewTicker(tickInterval)
@@ -230,7 +230,8 @@
 	}
 }
 
-// handleOutput does what a step asked for.
+// handleOutput carries out what a step asked for. The lease is revoked before anything is
+// sent that may let another lead, and extended by publishStatus after all was applied.
 func (n *Node) handleOutput(out Output) {
 	n.revokeLease()
 	for _, message := range out.Messages {
@@ -239,28 +240,11 @@
 	for _, refusal := range out.Rejected {
 		n.rejections.record(n.log, n.ticks, refusal)
 	}
-	if len(out.Writes) > 0 {
-		for _, write := range out.Writes {
-			for i := range write.Entries {
-				n.logSize += len(write.Entries[i].Data) + 32
-			}
-		}
-		select {
-		case n.writes <- out.Writes:
-		case <-n.stop:
-			return
-		}
+	if len(out.Writes) > 0 && !n.queueWrites(out.Writes) {
+		return
 	}
 	if out.Restore != nil {
-		state, err := statemachine.Restore(out.Restore.Data, n.Now())
-		if err != nil {
-			n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
-			os.Exit(1)
-		}
-		n.mu.Lock()
-		n.state = state
-		n.mu.Unlock()
-		n.OnChange()
+		n.restoreState(out.Restore)
 	}
 	changed := false
 	for _, entry := range out.Committed {
@@ -275,6 +259,34 @@
 	}
 }
 
+// queueWrites hands writes to the write loop; it is false where the node stops.
+func (n *Node) queueWrites(writes []Write) (queued bool) {
+	for _, write := range writes {
+		for i := range write.Entries {
+			n.logSize += len(write.Entries[i].Data) + 32
+		}
+	}
+	select {
+	case n.writes <- writes:
+		return true
+	case <-n.stop:
+		return false
+	}
+}
+
+// restoreState replaces the state by that of a snapshot; a node that cannot read it ends.
+func (n *Node) restoreState(snapshot *Snapshot) {
+	state, err := statemachine.Restore(snapshot.Data, n.Now())
+	if err != nil {
+		n.log.Emit(eventlog.DiskWriteFailed, eventlog.KeyError, err.Error())
+		os.Exit(1)
+	}
+	n.mu.Lock()
+	n.state = state
+	n.mu.Unlock()
+	n.OnChange()
+}
+
 // recordChanges marks the documents, retirements and moves that changed.
 func (n *Node) recordChanges(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
@@ -377,12 +389,17 @@
 		n.log.Emit(eventlog.LeaderElected, eventlog.KeyTerm, uint64(term))
 		n.OnLeadership(true, term)
 	}
-	if role != Leader && len(n.pending) > 0 {
-		for index, waiting := range n.pending {
-			for i := range waiting.proposals {
-				waiting.proposals[i].done <- Outcome{}
-			}
-			delete(n.pending, index)
+	if role != Leader {
+		n.abandonPending()
+	}
+}
+
+// abandonPending answers all pending proposals as unknown: a later leader may commit them.
+func (n *Node) abandonPending() {
+	for index, waiting := range n.pending {
+		for i := range waiting.proposals {
+			waiting.proposals[i].done <- Outcome{}
 		}
+		delete(n.pending, index)
 	}
 }
--- a/internal/raft/node_leave.go
+++ b/internal/raft/node_leave.go
@@ -1,9 +1,9 @@
-// Leaving by agreement: a core that is asked to stop hands leadership over and
-// asks the leader to be taken out. Where nobody is near to take its place the
-// leader says so at once, and the core ends as the voter it is; else it stays
-// until the new set is committed, within the time it has.
 package raft
 
+// A controller that is asked to stop transfers its leadership and asks the leader to be
+// removed. Where no successor is near the leader says so at once, and it stops as the voter
+// it is; else it stays until the new set is committed, within the time it has.
+
 import (
 	"time"
 
--- a/internal/raft/node_membership.go
+++ b/internal/raft/node_membership.go
@@ -1,7 +1,8 @@
-// Keeping house: the leader carries out what the policy of membership decides,
-// and a core that is no member asks to become one.
 package raft
 
+// The leader carries out what the membership policy decides, and a controller that is no
+// member asks to become one.
+
 import (
 	crand "crypto/rand"
 	"encoding/hex"
--- a/internal/raft/node_proposals.go
+++ b/internal/raft/node_proposals.go
@@ -1,8 +1,8 @@
-// Wishes are commands put before the cores by this daemon's own duties. Those
-// that wait together become one log entry; one whose fate cannot be known is
-// answered as unclear, never as refused.
 package raft
 
+// Proposals that wait together become one log entry. One whose fate cannot be known is
+// answered as unknown, never as rejected.
+
 import (
 	"time"
 
--- a/internal/raft/node_rejections.go
+++ b/internal/raft/node_rejections.go
@@ -1,7 +1,8 @@
-// Refused messages of the agreement are counted, and logged no more than once a
-// second, so that a core gone wild fills no disk.
 package raft
 
+// Rejected messages are counted, and logged no more than once a second, so that a faulty
+// peer fills no disk.
+
 import "tinpin/internal/eventlog"
 
 type rejectionLog struct {
--- a/internal/raft/node_sender.go
+++ b/internal/raft/node_sender.go
@@ -1,8 +1,8 @@
-// Couriers carry the messages of the agreement, two duties for each other core:
-// one for entries and parts of snapshots, one for all that is small, so that a
-// beat is never held up behind what takes long on a thin link.
 package raft
 
+// Each peer has two send loops: one for entries and snapshot chunks, one for all that is
+// small, so that a heartbeat is never held up behind what takes long on a thin link.
+
 import (
 	"time"
 	"tinpin/internal/rpc"
--- a/internal/raft/policy.go
+++ b/internal/raft/policy.go
@@ -1,11 +1,11 @@
-// The policy of membership as a small state machine: what the leader sees of
-// the members goes in, at most one change comes out. A dead or wiped voter is
-// removed before its successor is raised, because it counts for nothing and
-// the smaller group needs no more members than before; a voter that leaves but
-// still answers is removed after its successor was raised, so that at each
-// instant as many losses are borne as before. Its times follow the settings.
 package raft
 
+// The policy of membership: what the leader sees of the members goes in, at most one change
+// comes out. A voter that is lost is removed before its successor is promoted, because it
+// counts for nothing and the smaller group needs no more members than before; a voter that
+// leaves but still answers is removed after its successor was promoted, so that at each
+// instant as many losses are borne as before. Its times follow the settings.
+
 import "time"
 
 // Change tells the changes of membership apart.
