--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -106,7 +106,8 @@
 // readRequests reads requests and has them handled until the connection is to end.
 func (s *Server) readRequests(client *clientConn, pending chan<- *pendingResponse) {
 	source := &headLimitReader{conn: client.netConn}
-	r := requestReader{server: s, client: client, source: source, in: bufio.NewReaderSize(source, 4096), pending: pending}
+	in := bufio.NewReaderSize(source, 4096)
+	r := requestReader{server: s, client: client, source: source, in: in, pending: pending}
 	for r.readOne() {
 	}
 }
@@ -197,7 +198,10 @@
 // start has a request handled; it tells whether another may follow.
 func (r *requestReader) start(request *message.Request, parsed *http.Request) (more bool) {
 	server, client := r.server, r.client
-	response := &pendingResponse{handled: make(chan message.Response, 1), http10: parsed.ProtoMinor == 0, closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead}
+	response := &pendingResponse{
+		handled: make(chan message.Response, 1), http10: parsed.ProtoMinor == 0,
+		closeAfter: parsed.Close, headOnly: parsed.Method == http.MethodHead,
+	}
 	path, _, _ := strings.Cut(request.Target, "?")
 	if route := server.view().Find(request.Host, path); route != nil && !route.Type.Retryable() {
 		client.unanswered.Wait()
@@ -255,7 +259,9 @@
 
 // writeResponse writes one response. It gives the buffer back for the next, and tells whether
 // the connection has ended with this one.
-func (s *Server) writeResponse(client *clientConn, pending *pendingResponse, response message.Response, buffer []byte) (kept []byte, ended bool) {
+func (s *Server) writeResponse(
+	client *clientConn, pending *pendingResponse, response message.Response, buffer []byte,
+) (kept []byte, ended bool) {
 	conn := client.netConn
 	response.NoBody = response.NoBody || pending.headOnly
 	response.Close = response.Close || pending.closeAfter || s.draining.Load()
--- a/internal/frontend/idle_test.go
+++ b/internal/frontend/idle_test.go
@@ -25,7 +25,7 @@
 
 // A request that arrives just as its idle connection is to be closed is answered, not cut off.
 func TestARequestThatMeetsTheIdleEndIsAnswered(t *testing.T) {
-	server, _ := serve(t, bodyOf)
+	server, _ := serve(t, 100, bodyOf)
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	go server.serveConn(&lateConn{Conn: ours}, false)
--- a/internal/frontend/request_body.go
+++ b/internal/frontend/request_body.go
@@ -13,7 +13,9 @@
 )
 
 // readRequest makes the request that is forwarded from its head, and reads its body.
-func (s *Server) readRequest(client *clientConn, parsed *http.Request, limits config.ClientLimits) (request *message.Request, kind apierror.Kind) {
+func (s *Server) readRequest(
+	client *clientConn, parsed *http.Request, limits config.ClientLimits,
+) (request *message.Request, kind apierror.Kind) {
 	target, valid := originForm(parsed)
 	if !valid || parsed.Host == "" {
 		return nil, apierror.BadRequest
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -59,7 +59,10 @@
 
 // New handles requests with a function, on at most maxConns connections and with at
 // most bodyBytes of request bodies in memory.
-func New(handle func(*message.Request, string) message.Response, view func() *config.RoutingTable, maxConns int, bodyBytes int64) *Server {
+func New(
+	handle func(*message.Request, string) message.Response, view func() *config.RoutingTable,
+	maxConns int, bodyBytes int64,
+) *Server {
 	s := &Server{handle: handle, view: view, maxConns: int64(maxConns), conns: map[*clientConn]time.Time{}}
 	s.bodyBytesLeft.Store(bodyBytes)
 	return s
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -15,7 +15,9 @@
 )
 
 // serve answers requests with a function, under the configuration that holds until there is one.
-func serve(t *testing.T, handle func(*message.Request) message.Response) (server *Server, address string) {
+func serve(
+	t *testing.T, maxConns int, handle func(*message.Request) message.Response,
+) (server *Server, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -23,7 +25,8 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	view := config.New().RoutingTable()
-	server = New(func(request *message.Request, _ string) message.Response { return handle(request) }, func() *config.RoutingTable { return view }, 100, 1<<20)
+	handleAny := func(request *message.Request, _ string) message.Response { return handle(request) }
+	server = New(handleAny, func() *config.RoutingTable { return view }, maxConns, 1<<20)
 	go server.Serve(listener)
 	return server, listener.Addr().String()
 }
@@ -72,14 +75,13 @@
 func TestConnectionsBeyondTheLimit(t *testing.T) {
 	gate := make(chan struct{})
 	var handled atomic.Int64
-	server, address := serve(t, func(request *message.Request) message.Response {
+	server, address := serve(t, 1, func(request *message.Request) message.Response {
 		handled.Add(1)
 		if request.ID == "slow" {
 			<-gate
 		}
 		return bodyOf(request)
 	})
-	server.maxConns = 1
 	first, firstIn := dial(t, address)
 	_, _ = io.WriteString(first, get("/safe/1", "one"))
 	if _, body, err := receive(t, firstIn); err != nil || body != "body of one" {
--- a/internal/message/headers.go
+++ b/internal/message/headers.go
@@ -69,7 +69,8 @@
 	fields = make([]HeaderField, 0, len(header))
 	for name, values := range header {
 		switch name {
-		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length":
+		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
+			"Upgrade", "Content-Length":
 			continue
 		}
 		for _, value := range values {
--- a/internal/message/response_test.go
+++ b/internal/message/response_test.go
@@ -7,12 +7,13 @@
 )
 
 // Clients are told to let an idle connection go, unless the response closes it.
-func TestKeepAliveIsToldWhereTheConnectionStays(t *testing.T) {
-	told := string(Response{Status: 200, KeepAlive: 13500 * time.Millisecond}.appendHead(nil, false))
-	if !strings.Contains(told, "\r\nKeep-Alive: timeout=13\r\n") {
-		t.Errorf("clients are not told when the connection ends: %q", told)
+func TestKeepAliveIsSentWhereTheConnectionStays(t *testing.T) {
+	head := string(Response{Status: 200, KeepAlive: 13500 * time.Millisecond}.appendHead(nil, false))
+	if !strings.Contains(head, "\r\nKeep-Alive: timeout=13\r\n") {
+		t.Errorf("clients are not told when the connection ends: %q", head)
 	}
-	if told = string(Response{Status: 200, Close: true, KeepAlive: time.Minute}.appendHead(nil, false)); strings.Contains(told, "Keep-Alive") {
-		t.Errorf("a connection that closes is promised: %q", told)
+	head = string(Response{Status: 200, Close: true, KeepAlive: time.Minute}.appendHead(nil, false))
+	if strings.Contains(head, "Keep-Alive") {
+		t.Errorf("a connection that closes is promised: %q", head)
 	}
 }
