--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -8,6 +8,7 @@
 
 	"tinpin/internal/apierror"
 	"tinpin/internal/coordinator"
+	"tinpin/internal/dedup"
 	"tinpin/internal/drain"
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
@@ -43,19 +44,19 @@
 	last := policy.ErrInvalid.New("the last one")
 	unlisted := policy.ErrInvalid.Wrap(fmt.Errorf("backend %q is %w", "one", coordinator.ErrUnknownBackend))
 	for _, c := range []struct {
-		earlier earlierRetirement
-		refusal error
-		status  int
-		phase   string
+		earlier   earlierRetirement
+		rejection error
+		status    int
+		phase     string
 	}{
 		{earlierRetirement{}, unlisted, 422, ""},
 		{earlierRetirement{}, last, 422, ""},
 		{earlierRetirement{accepted: true}, unlisted, 200, "left"},
 		{earlierRetirement{accepted: true}, last, 503, ""},
 	} {
-		phase, err := c.earlier.answer(c.refusal)
+		phase, err := c.earlier.answer(c.rejection)
 		if status := statusOf(t, err); status != c.status || phase != c.phase {
-			t.Errorf("%+v, %v: %d %q", c.earlier, c.refusal, status, phase)
+			t.Errorf("%+v, %v: %d %q", c.earlier, c.rejection, status, phase)
 		}
 	}
 }
@@ -66,7 +67,11 @@
 		conflict bool
 		status   int
 	}{{apierror.InvalidConfig, false, 400}, {apierror.RequestRejected, false, 422}, {apierror.InvalidConfig, true, 409}, {apierror.RequestRejected, true, 409}} {
-		if status := statusOf(t, rejectedResult(c.kind, statemachine.Result{Problem: "no", Conflict: c.conflict})); status != c.status {
+		err := errors.New("no")
+		if c.conflict {
+			err = dedup.ErrConflict.New("no")
+		}
+		if status := statusOf(t, rejectedResult(c.kind, statemachine.Result{Err: err})); status != c.status {
 			t.Errorf("%+v: %d", c, status)
 		}
 	}
@@ -88,7 +93,7 @@
 		return func() error { return c.updateConfig(none, []byte(body)) }
 	}
 	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["pay",%s,4]]}}}`
-	config := func(most string) func() error { return update(fmt.Sprintf(services, most)) }
+	config := func(limit string) func() error { return update(fmt.Sprintf(services, limit)) }
 	for i, step := range []struct {
 		send   func() error
 		status int
--- a/internal/raft/node_membership.go
+++ b/internal/raft/node_membership.go
@@ -35,7 +35,7 @@
 // JoinResponse names the leader where it is another.
 type JoinResponse struct {
 	Leader          bool
-	MemberAddresses []string
+	MemberAddresses []string `wire:"Inners"`
 }
 
 // Join notes a core that wants to be taken in.
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestScribe(t *testing.T) {
+func TestCommandsAreDecodedAsEncoded(t *testing.T) {
 	commands := []Command{{Kind: CommandClaim, Claim: Claim{"k", "r", "h", 9}}, {Kind: CommandConfig, Body: []byte("{}")}, {Kind: CommandExpireClaims, Number: 77}}
 	read, err := DecodeCommands(EncodeCommands(commands))
 	if err != nil || len(read) != 3 || read[0].Claim != commands[0].Claim || string(read[1].Body) != "{}" || read[2].Number != 77 {
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestStateKeys(t *testing.T) {
+func TestAKeyIsGrantedToItsFirstRequest(t *testing.T) {
 	state := NewState()
 	claim := func(key, request string, at time.Duration) Result {
 		return state.Apply(1, Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: request, Holder: "h", Incarnation: 1}}, at)
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	thawed, err := Restore(data, 100*time.Second)
-	if err != nil || thawed.ClaimCount() != 2 {
-		t.Fatalf("thawed %d claims, %v", thawed.ClaimCount(), err)
+	restored, err := Restore(data, 100*time.Second)
+	if err != nil || restored.ClaimCount() != 2 {
+		t.Fatalf("restored %d claims, %v", restored.ClaimCount(), err)
 	}
-	if thawed.ExpiredClaims(159*time.Second, 60*time.Second) != 0 || thawed.ExpiredClaims(161*time.Second, 60*time.Second) == 0 {
+	if restored.ExpiredClaims(159*time.Second, 60*time.Second) != 0 || restored.ExpiredClaims(161*time.Second, 60*time.Second) == 0 {
 		t.Fatal("after a restart ages count from the restart")
 	}
 }
