--- a/tools/lint/main.go
+++ b/tools/lint/main.go
@@ -29,8 +29,9 @@
 	root := flag.String("root", ".", "top directory of the repository")
 	table := flag.Bool("table", false, "print counts by package and tool instead of findings")
 	all := flag.Bool("all", false, "list pending findings too")
+	entries := flag.Bool("entries", false, "print the pending entries that the findings would need")
 	flag.Parse()
-	err := run(*root, flag.Args(), options{table: *table, all: *all}, os.Stdout)
+	err := run(*root, flag.Args(), options{table: *table, all: *all, entries: *entries}, os.Stdout)
 	switch {
 	case errors.Is(err, errFindings):
 		os.Exit(1)
@@ -40,10 +41,11 @@
 	}
 }
 
-// options select what is printed; they don't change what fails.
+// options select what is reported instead of the findings that are enforced.
 type options struct {
-	table bool
-	all   bool
+	table   bool
+	all     bool
+	entries bool
 }
 
 func run(root string, args []string, opts options, out io.Writer) error {
@@ -68,12 +70,19 @@
 		findings = append(findings, found...)
 	}
 	sortFindings(findings)
-	if opts.table {
+	switch {
+	case opts.table:
 		return printTable(out, findings)
-	}
-	if len(args) > 0 || opts.all {
+	case opts.entries:
+		return printEntries(out, findings)
+	case opts.all || len(args) > 0:
 		return printFindings(out, findings)
 	}
+	return enforce(root, findings, out)
+}
+
+// enforce reports the findings that are not pending, and stale pending entries.
+func enforce(root string, findings []finding, out io.Writer) error {
 	pending, err := readPending(filepath.Join(root, pendingFile))
 	if err != nil {
 		return err
--- a/tools/lint/pending.go
+++ b/tools/lint/pending.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
+	"maps"
 	"os"
 	"path"
 	"slices"
@@ -108,3 +110,23 @@
 	sortFindings(stale)
 	return stale
 }
+
+// printEntries prints the entries that the findings would need: what a package
+// that was renamed or split takes along. Whether it may is decided in review.
+func printEntries(out io.Writer, findings []finding) error {
+	needed := map[string][]string{}
+	for _, f := range findings {
+		id := f.tool
+		if f.tool == "revive" || f.tool == "staticcheck" {
+			id += "/" + f.check
+		}
+		if !slices.Contains(needed[f.pkg], id) {
+			needed[f.pkg] = append(needed[f.pkg], id)
+		}
+	}
+	for _, pkg := range slices.Sorted(maps.Keys(needed)) {
+		slices.Sort(needed[pkg])
+		fmt.Fprintln(out, pkg, strings.Join(needed[pkg], " "))
+	}
+	return nil
+}
--- a/tools/lint/pending_test.go
+++ b/tools/lint/pending_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -81,3 +82,27 @@
 		}
 	}
 }
+
+func TestEntriesOfFindings(t *testing.T) {
+	findings := []finding{
+		newFinding("words", "internal/b/b.go", 0, "file", ""),
+		newFinding("revive", "internal/a/a.go", 1, "exported", ""),
+		newFinding("revive", "internal/a/a.go", 2, "exported", ""),
+		newFinding("words", "internal/b/b.go", 1, "identifier", ""),
+		newFinding("gofumpt", "internal/a/a.go", 0, "format", ""),
+	}
+	var out bytes.Buffer
+	if err := printEntries(&out, findings); err != nil {
+		t.Fatal(err)
+	}
+	if want := "internal/a gofumpt revive/exported\ninternal/b words\n"; out.String() != want {
+		t.Errorf("printed %q, want %q", out.String(), want)
+	}
+	list, err := parsePending(t, out.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if enforced, _ := list.split(findings); len(enforced) > 0 || len(list.stale(findings)) > 0 {
+		t.Errorf("the entries do not cover their findings: %v", enforced)
+	}
+}
