--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -6,6 +6,8 @@
 	"strings"
 	"time"
 
+	"tinpin/internal/message"
+
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 )
@@ -15,7 +17,7 @@
 
 // newPlan makes the plan of a request, or says why there is none. The tenant's limit comes first:
 // a request beyond it takes nothing.
-func (d *Daemon) newPlan(request *Request, deadline string) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
+func (d *Daemon) newPlan(request *message.Request, deadline string) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
 	snapshot := d.state.Snapshot()
 	now := d.clock.Now()
 	route, kind := d.findRoute(snapshot, request)
@@ -39,7 +41,7 @@
 	request.StreamBody = route.Type == config.Download
 	d.state.Policies.Sessions.assignSession(plan, tenant)
 	if route.Type == config.Keyed {
-		plan.Key = request.operationKey()
+		plan.Key = request.OperationKey()
 		if plan.Key == "" {
 			return nil, apierror.MissingKey, 0
 		}
@@ -52,8 +54,8 @@
 }
 
 // findRoute gives the route of a request that may be handled at all.
-func (d *Daemon) findRoute(snapshot *Snapshot, request *Request) (route *config.Route, kind apierror.Kind) {
-	if d.state.Policies.CutOff() {
+func (d *Daemon) findRoute(snapshot *Snapshot, request *message.Request) (route *config.Route, kind apierror.Kind) {
+	if d.state.Policies.Isolated() {
 		return nil, apierror.Isolated
 	}
 	if !snapshot.Configured {
