--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -12,7 +12,12 @@
 		name         string
 		distance     Distance
 		small, large float64
-	}{{"in the subset", InSubset, 40, 40}, {"same zone", SameZone, 50, 50}, {"same region", SameRegion, 90, 190}, {"other region", OtherRegion, 190, 490}} {
+	}{
+		{"in the subset", InSubset, 40, 40},
+		{"same zone", SameZone, 50, 50},
+		{"same region", SameRegion, 90, 190},
+		{"other region", OtherRegion, 190, 490},
+	} {
 		if got := small.AtDistance(40, c.distance); got != c.small {
 			t.Errorf("%s: %g, want %g", c.name, got, c.small)
 		}
@@ -40,7 +45,9 @@
 }
 
 func TestCapacityIsSharedByTheNodes(t *testing.T) {
-	for _, c := range []struct{ slots, nodes, maxConnections, want int }{{4, 1, 0, 12}, {4, 3, 0, 4}, {4, 3, 6, 2}, {1, 9, 0, 2}, {1, 9, 5, 1}} {
+	for _, c := range []struct{ slots, nodes, maxConnections, want int }{
+		{4, 1, 0, 12}, {4, 3, 0, 4}, {4, 3, 6, 2}, {1, 9, 0, 2}, {1, 9, 5, 1},
+	} {
 		if got := Capacity(c.slots, c.nodes, c.maxConnections); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -59,7 +59,8 @@
 		old, now := NewSubset(self, "harbour", before, perBackend), NewSubset(self, "harbour", after, perBackend)
 		for j := range backends {
 			id := rpc.EndpointID(fmt.Sprint("i-", j))
-			if old.Contains(id, perBackend) != now.Contains(id, perBackend) && (now.Contains(id, perBackend) || !taken.Contains(id, perBackend)) {
+			had, has := old.Contains(id, perBackend), now.Contains(id, perBackend)
+			if had != has && (has || !taken.Contains(id, perBackend)) {
 				t.Errorf("%s moved at %s though the new node did not take it", id, self)
 			}
 		}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -11,8 +11,9 @@
 package directory
 
 import (
+	"cmp"
 	"math/rand"
-	"sort"
+	"slices"
 	"time"
 
 	"tinpin/internal/config"
@@ -88,7 +89,9 @@
 func (q *Query) distance(node *rpc.Node) (distance int) {
 	redirected := q.redirected()
 	switch {
-	case redirected && config.AllowsRegion(q.AllowedRegions, string(node.Region)), !redirected && string(node.Zone) == q.Zone:
+	case redirected && config.AllowsRegion(q.AllowedRegions, string(node.Region)):
+		return nearest
+	case !redirected && string(node.Zone) == q.Zone:
 		return nearest
 	case string(node.Region) == q.Region:
 		return sameRegion
@@ -123,7 +126,8 @@
 		addresses = append(addresses, pick(byDistance[elsewhere], q.Client, maxNearest)...)
 	}
 	if len(addresses) == maxNearest && !q.redirected() {
-		farther := append(pick(byDistance[sameRegion], q.Client, maxFarther), pick(byDistance[elsewhere], q.Client, maxFarther)...)
+		farther := pick(byDistance[sameRegion], q.Client, maxFarther)
+		farther = append(farther, pick(byDistance[elsewhere], q.Client, maxFarther)...)
 		addresses = append(addresses, farther[:min(len(farther), maxFarther)]...)
 	}
 	return addresses
@@ -137,19 +141,15 @@
 		for _, one := range candidates {
 			ranks[one.id] = healthcheck.Rank(string(one.id), client)
 		}
-		sort.Slice(candidates, func(i, j int) bool {
-			left, right := candidates[i].id, candidates[j].id
-			if ranks[left] != ranks[right] {
-				return ranks[left] < ranks[right]
-			}
-			return left < right
+		slices.SortFunc(candidates, func(left, right candidate) int {
+			return cmp.Or(cmp.Compare(ranks[left.id], ranks[right.id]), cmp.Compare(left.id, right.id))
 		})
 		candidates = candidates[:limit]
 	}
 	for _, one := range candidates {
 		addresses = append(addresses, one.address)
 	}
-	sort.Strings(addresses)
+	slices.Sort(addresses)
 	return addresses
 }
 
@@ -176,7 +176,7 @@
 	if sum == 0 {
 		return ""
 	}
-	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
+	slices.Sort(names)
 	point := rand.Intn(sum)
 	for _, name := range names {
 		if point -= q.Weights[name]; point < 0 {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -11,7 +11,10 @@
 func TestAnswers(t *testing.T) {
 	nodes := map[rpc.NodeID]rpc.Node{}
 	add := func(id, zone, region string, ready, stopping bool) {
-		nodes[rpc.NodeID(id)] = rpc.Node{ID: rpc.NodeID(id), Zone: rpc.ZoneName(zone), Region: rpc.RegionName(region), FrontendAddress: id, Ready: ready, Stopping: stopping}
+		nodes[rpc.NodeID(id)] = rpc.Node{
+			ID: rpc.NodeID(id), Zone: rpc.ZoneName(zone), Region: rpc.RegionName(region),
+			FrontendAddress: id, Ready: ready, Stopping: stopping,
+		}
 	}
 	add("a1", "a", "north", true, false)
 	add("a2", "a", "north", true, false)
@@ -26,7 +29,11 @@
 		for _, id := range absent {
 			away[id] = true
 		}
-		if got := strings.Join(Answer(Query{Nodes: nodes, Absent: away, AllowedRegions: allowed, Region: region, Zone: zone, Client: "client"}), " "); got != want {
+		query := Query{
+			Nodes: nodes, Absent: away, AllowedRegions: allowed,
+			Region: region, Zone: zone, Client: "client",
+		}
+		if got := strings.Join(Answer(query), " "); got != want {
 			t.Errorf("%s %s: %q, want %q", region, zone, got, want)
 		}
 	}
@@ -49,7 +56,9 @@
 	for n := 0; n < 120; n++ {
 		zone := fmt.Sprint("zone-", n%3)
 		id := rpc.NodeID(fmt.Sprintf("%s-%d", zone, n))
-		nodes[id] = rpc.Node{ID: id, Zone: rpc.ZoneName(zone), Region: "north", FrontendAddress: string(id), Ready: true}
+		nodes[id] = rpc.Node{
+			ID: id, Zone: rpc.ZoneName(zone), Region: "north", FrontendAddress: string(id), Ready: true,
+		}
 	}
 	named := map[string]int{}
 	changed := 0
@@ -66,10 +75,12 @@
 		if len(answer) != maxNearest+maxFarther || own != maxNearest {
 			t.Fatalf("%v", answer)
 		}
-		if again := Answer(Query{Nodes: nodes, Region: "north", Zone: "zone-0", Client: client}); strings.Join(again, " ") != strings.Join(answer, " ") {
+		again := Answer(Query{Nodes: nodes, Region: "north", Zone: "zone-0", Client: client})
+		if strings.Join(again, " ") != strings.Join(answer, " ") {
 			t.Fatalf("%v, then %v", answer, again)
 		}
-		lost := Answer(Query{Nodes: nodes, Absent: map[rpc.NodeID]bool{"zone-0-0": true}, Region: "north", Zone: "zone-0", Client: client})
+		absent := map[rpc.NodeID]bool{"zone-0-0": true}
+		lost := Answer(Query{Nodes: nodes, Absent: absent, Region: "north", Zone: "zone-0", Client: client})
 		if strings.Join(lost, " ") != strings.Join(answer, " ") {
 			changed++
 		}
@@ -82,7 +93,9 @@
 			t.Errorf("zone-0-%d is named to %d of 300 clients, the mean is 45", n, count)
 		}
 	}
-	if far := Answer(Query{Nodes: nodes, AllowedRegions: []string{"north"}, Region: "south", Zone: "elsewhere", Client: "c"}); len(far) != maxNearest {
+	north := []string{"north"}
+	far := Answer(Query{Nodes: nodes, AllowedRegions: north, Region: "south", Zone: "elsewhere", Client: "c"})
+	if len(far) != maxNearest {
 		t.Errorf("a client from elsewhere gets %v", far)
 	}
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -99,7 +99,7 @@
 	return d.ready.Load() && !d.stopping.Load() && !d.state.Policies.Isolated()
 }
 
-// self is what this node tells of itself.
+// self is what this node says about itself.
 func (d *Daemon) self() rpc.Node {
 	return rpc.Node{
 		ID: rpc.NodeID(d.settings.Name), Incarnation: d.incarnation, Zone: rpc.ZoneName(d.settings.Zone), Region: rpc.RegionName(d.settings.Region),
@@ -138,7 +138,7 @@
 // Reload applies changed settings.
 func (d *Daemon) Reload(p settings.Settings) { d.leader.SetSeeds(p.Seeds) }
 
-// Stop ends in order: told to the leader first, so that no directory names
+// Stop ends in order: the leader is notified first, so that no directory names
 // this daemon any more; then each answer closes its stream; then, when the
 // clients must have learned it and nothing is at work, the end.
 func (d *Daemon) Stop() {
@@ -167,7 +167,7 @@
 	close(d.leader.Done)
 }
 
-// PeerService takes inner calls of fellows.
+// PeerService answers calls of other nodes. Its method names are part of the protocol.
 type PeerService struct{ daemon *Daemon }
 
 // Recall tells how an operation held here stands.
@@ -178,14 +178,14 @@
 	}
 	*reply = k.daemon.operations.Find(ask.Key, ask.Request)
 	if reply.State == rpc.OperationReleased {
-		// The one who asks was told that the claim stands: it may have been
+		// The caller was told that the claim stands: it may have been
 		// carried out behind the word that gave it back, which is said again.
 		k.daemon.leader.Release(rpc.KeyClaim{Key: ask.Key, Request: ask.Request})
 	}
 	return nil
 }
 
-// Keep stores an answer for a fellow that may not keep it itself.
+// Keep stores a response for a node that may not store it itself.
 func (k *PeerService) Keep(ask rpc.StoreRequest, reply *rpc.StoreAcknowledgement) (err error) {
 	k.daemon.operations.StoreForOther(ask.Key, ask.Request, ask.Response)
 	reply.Stored = true
--- a/internal/proxy/policies.go
+++ b/internal/proxy/policies.go
@@ -342,7 +342,7 @@
 	}
 }
 
-// Orders tells a fellow what this daemon follows.
+// Orders tells another node which retirements this one follows.
 func (k *PeerService) Orders(_ rpc.RetirementsRequest, reply *rpc.RetirementsResponse) (err error) {
 	reply.Retirements = k.daemon.state.Policies.Retirements()
 	return nil
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -51,8 +51,8 @@
 func (s *StatusService) Trace(ask rpc.TraceRequest, reply *rpc.TraceResponse) (err error) {
 	w := s.daemon.state
 	reply.Name = s.daemon.settings.Name
-	for _, told := range w.History.Changes(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
-		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: told.Action, Summary: told.State, LogIndex: told.Revision, Age: told.Age})
+	for _, change := range w.History.Changes(history.Subject{Kind: ask.Kind, Name: ask.Name}) {
+		reply.Entries = append(reply.Entries, rpc.TraceEntry{Event: change.Action, Summary: change.State, LogIndex: change.Revision, Age: change.Age})
 	}
 	reply.Summary, reply.LogIndex, reply.Present = w.StateOf(ask.Kind, ask.Name)
 	return nil
--- a/internal/proxy/stub_node.go
+++ b/internal/proxy/stub_node.go
@@ -30,7 +30,7 @@
 	return node
 }
 
-// self is what the node tells of itself.
+// self is what the node says about itself.
 func (n *StubNode) self() rpc.Node {
 	return rpc.Node{
 		ID: rpc.NodeID(n.settings.Name), Incarnation: n.incarnation, Zone: rpc.ZoneName(n.settings.Zone), Region: rpc.RegionName(n.settings.Region),
