--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -64,7 +64,7 @@
 	for _, demand := range request.RetryDemands {
 		service := rpc.ServiceName(demand.Name)
 		rule, limited := c.policies.retry.limit.RuleFor(service)
-		if limited && rule.LeastPerSecond > 0 && c.routingTable.Services[demand.Name] != nil {
+		if limited && rule.MinPerSecond > 0 && c.routingTable.Services[demand.Name] != nil {
 			leases = append(leases, c.leases.retries.Grant(now, rule.Bound(service), request.ID, nodes, demand)...)
 		}
 	}
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -109,7 +109,7 @@
 	add("retry slack", c.leases.rates.Granted(now, quota.Key{Kind: rpc.RetrySlack}))
 	for name := range c.routingTable.Services {
 		if rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name)); limited {
-			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.LeastPerSecond)
+			limit := fmt.Sprintf("retries of %s (ratio %g, least %g/s)", name, rule.Ratio, rule.MinPerSecond)
 			add(limit, c.leases.retries.Granted(now, name))
 		}
 	}
--- a/internal/drain/permit.go
+++ b/internal/drain/permit.go
@@ -17,17 +17,17 @@
 type Permit struct {
 	isolatedAfter     time.Duration // 0 without a policy
 	stopsWhenIsolated bool
-	// leaderHeard and peersHeard are when the last request was sent that the leader,
+	// leaderRespondedTo and peersHeard are when the last request was sent that the leader,
 	// or more than half of the peers, answered.
-	leaderHeard, peersHeard time.Duration
-	retired                 map[rpc.EndpointID]rpc.Retirement
-	stoppedAt               map[rpc.EndpointID]time.Duration // when the stop was received
+	leaderRespondedTo, peersRespondedTo time.Duration
+	retired                             map[rpc.EndpointID]rpc.Retirement
+	stoppedAt                           map[rpc.EndpointID]time.Duration // when the stop was received
 }
 
 // NewPermit makes a permit of a node that counts as connected.
 func NewPermit(now time.Duration) (permit *Permit) {
 	return &Permit{
-		leaderHeard: now, peersHeard: now,
+		leaderRespondedTo: now, peersRespondedTo: now,
 		retired: map[rpc.EndpointID]rpc.Retirement{}, stoppedAt: map[rpc.EndpointID]time.Duration{},
 	}
 }
@@ -40,11 +40,15 @@
 	}
 }
 
-// LeaderHeard notes that the leader answered a heartbeat that was sent at a time.
-func (p *Permit) LeaderHeard(asked time.Duration) { p.leaderHeard = max(p.leaderHeard, asked) }
+// LeaderResponded notes that the leader answered a heartbeat that was sent at a time.
+func (p *Permit) LeaderResponded(asked time.Duration) {
+	p.leaderRespondedTo = max(p.leaderRespondedTo, asked)
+}
 
-// PeersHeard notes that more than half of the peers answered what was sent at a time.
-func (p *Permit) PeersHeard(asked time.Duration) { p.peersHeard = max(p.peersHeard, asked) }
+// PeersResponded notes that more than half of the peers answered what was sent at a time.
+func (p *Permit) PeersResponded(asked time.Duration) {
+	p.peersRespondedTo = max(p.peersRespondedTo, asked)
+}
 
 // Apply applies a committed retirement; an older revision changes nothing.
 func (p *Permit) Apply(now time.Duration, retirement rpc.Retirement) {
@@ -68,12 +72,12 @@
 
 // Isolated tells that the node must accept nothing new at all.
 func (p *Permit) Isolated(now time.Duration) bool {
-	return p.stopsWhenIsolated && now-max(p.leaderHeard, p.peersHeard) > p.isolatedAfter
+	return p.stopsWhenIsolated && now-max(p.leaderRespondedTo, p.peersRespondedTo) > p.isolatedAfter
 }
 
 // ShouldAskPeers tells that the peers should be asked whether they are there.
 func (p *Permit) ShouldAskPeers(now time.Duration) bool {
-	return p.stopsWhenIsolated && now-p.leaderHeard > p.isolatedAfter/3
+	return p.stopsWhenIsolated && now-p.leaderRespondedTo > p.isolatedAfter/3
 }
 
 // AllowsNew tells whether a new client may be sent to a backend.
@@ -85,7 +89,7 @@
 	if retirement.Stopped > 0 {
 		return false
 	}
-	return p.isolatedAfter == 0 || now-p.leaderHeard <= p.isolatedAfter
+	return p.isolatedAfter == 0 || now-p.leaderRespondedTo <= p.isolatedAfter
 }
 
 // MayFinish tells that a backend was stopped and what is in flight may go on.
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -160,7 +160,7 @@
 	case policy != nil && policy.WhenIsolated == IsolatedStop && 2*confirmed <= len(followers):
 		return Waiting, fmt.Sprintf("only %d of %d daemons confirm", confirmed, len(followers))
 	}
-	least := max(1, int(math.Ceil(rule.LeastShare*float64(counts.Listed))))
+	least := max(1, int(math.Ceil(rule.MinShare*float64(counts.Listed))))
 	if remaining := counts.Usable - 1; remaining < least {
 		return Waiting, fmt.Sprintf("%d of %d backends would be left, the least share is %d",
 			max(0, remaining), counts.Listed, least)
--- a/internal/drain/policy.go
+++ b/internal/drain/policy.go
@@ -43,8 +43,8 @@
 	// KeyedRequests is "finish", or "deadline" to let keyed requests run until their
 	// own deadline.
 	KeyedRequests string `json:"keyed"`
-	// LeastShare is the fraction of the service's backends that must stay in use.
-	LeastShare float64 `json:"least_share"`
+	// MinShare is the fraction of the service's backends that must stay in use.
+	MinShare float64 `json:"least_share"`
 }
 
 // For is the service that the rule is for.
@@ -103,7 +103,7 @@
 	if r.KeyedRequests != KeyedFinish && r.KeyedRequests != KeyedDeadline {
 		invalid.Add(prefix+"keyed", `must be "finish" or "deadline"`)
 	}
-	if !(r.LeastShare >= 0 && r.LeastShare < 1) {
+	if !(r.MinShare >= 0 && r.MinShare < 1) {
 		invalid.Add(prefix+"least_share", "must be 0 or more and below 1")
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 // defaultRule holds where no policy or no rule does.
-var defaultRule = Rule{Service: AllServices, Finish: Span(30 * time.Second), KeyedRequests: KeyedDeadline, LeastShare: 0}
+var defaultRule = Rule{Service: AllServices, Finish: Span(30 * time.Second), KeyedRequests: KeyedDeadline, MinShare: 0}
 
 // RuleFor is the rule of a service.
 func (p *Policy) RuleFor(service rpc.ServiceName) (rule Rule) {
--- a/internal/drain/policy_test.go
+++ b/internal/drain/policy_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if policy.RuleFor("pay").KeyedRequests != KeyedFinish || policy.RuleFor("other").LeastShare != 0.5 || (*Policy)(nil).RuleFor("x").KeyedRequests != KeyedDeadline {
+	if policy.RuleFor("pay").KeyedRequests != KeyedFinish || policy.RuleFor("other").MinShare != 0.5 || (*Policy)(nil).RuleFor("x").KeyedRequests != KeyedDeadline {
 		t.Fatal("a service's own rule goes before the one for all, and a usual one holds without a policy")
 	}
 	if err = policy.CheckServices(func(service string) bool { return service == "book" }); err == nil || !strings.Contains(err.Error(), `rules.1.service names unknown service "pay"`) {
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -102,7 +102,7 @@
 			d.permit.Apply(s.now, order)
 		}
 		d.rev, d.fresh = s.rev, true
-		d.permit.LeaderHeard(s.now)
+		d.permit.LeaderResponded(s.now)
 		d.beatAt = s.now
 		return
 	}
@@ -118,7 +118,7 @@
 			}
 		}
 		if 2*(answers+1) > len(s.daemons) {
-			d.permit.PeersHeard(s.now)
+			d.permit.PeersResponded(s.now)
 		}
 	}
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -30,7 +30,7 @@
 	NodeJoined
 	NodeExpired
 	ShardMapChanged
-	Headless
+	NoLeader
 	LeaderFound
 	ConfigAccepted
 	EvacuationAccepted
@@ -80,7 +80,7 @@
 	NodeJoined:              {"node joined", info},
 	NodeExpired:             {"node expired", warn},
 	ShardMapChanged:         {"shard map changed", info},
-	Headless:                {"no leader, this node probes all services", warn},
+	NoLeader:                {"no leader, this node probes all services", warn},
 	LeaderFound:             {"leader found", info},
 	ConfigAccepted:          {"configuration accepted", info},
 	EvacuationAccepted:      {"evacuation started or ended", info},
--- a/internal/proxy/cluster_state.go
+++ b/internal/proxy/cluster_state.go
@@ -212,7 +212,7 @@
 		s.log.Emit(eventlog.ShardMapChanged, eventlog.KeyVersion, uint64(s.assignment.AppliedMap().Revision), eventlog.KeyMembers, len(s.assignment.AppliedMap().Members))
 	}
 	if headless {
-		s.log.Emit(eventlog.Headless)
+		s.log.Emit(eventlog.NoLeader)
 	}
 	shards := s.assignment.AppliedMap()
 	return s.assignment.AssignedServices(), shards.Term, shards.Revision
--- a/internal/proxy/policies.go
+++ b/internal/proxy/policies.go
@@ -77,8 +77,8 @@
 func (o *Policies) apply(now, requestedAt time.Duration, update *rpc.Update, recorder *history.Recorder, unlogged bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drainPermit.LeaderHeard(requestedAt)
-	o.Retries.LeaderHeard(requestedAt)
+	o.drainPermit.LeaderResponded(requestedAt)
+	o.Retries.LeaderResponded(requestedAt)
 	overflow := make(map[rpc.ServiceName]rpc.ZoneOverflow, len(update.ZoneOverflows))
 	for _, service := range update.ZoneOverflows {
 		overflow[service.Service] = service
@@ -337,7 +337,7 @@
 	calls.Wait()
 	if 2*(int(answers.Load())+1) > len(addresses)+1 {
 		policies.mu.Lock()
-		policies.drainPermit.PeersHeard(now)
+		policies.drainPermit.PeersResponded(now)
 		policies.mu.Unlock()
 	}
 }
--- a/internal/retry/limiter.go
+++ b/internal/retry/limiter.go
@@ -62,10 +62,10 @@
 	// service are held back or pass again. It is set before the first use.
 	OnGateChange func(service rpc.ServiceName, open bool)
 
-	mu          sync.Mutex
-	policy      *Policy
-	leaderHeard time.Duration
-	services    map[rpc.ServiceName]*serviceState
+	mu                sync.Mutex
+	policy            *Policy
+	leaderRespondedTo time.Duration
+	services          map[rpc.ServiceName]*serviceState
 }
 
 // NewLimiter makes a limiter that draws on the rates leased to this node.
@@ -90,11 +90,11 @@
 	}
 }
 
-// LeaderHeard notes that the leader answered a heartbeat that was sent at a time.
-func (l *Limiter) LeaderHeard(asked time.Duration) {
+// LeaderResponded notes that the leader answered a heartbeat that was sent at a time.
+func (l *Limiter) LeaderResponded(asked time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaderHeard = max(l.leaderHeard, asked)
+	l.leaderRespondedTo = max(l.leaderRespondedTo, asked)
 }
 
 // stateOf is a service's state, nil where no rule holds. The caller holds l.mu.
@@ -128,7 +128,7 @@
 		return
 	}
 	earned := state.rule.Ratio
-	switch silence := now - l.leaderHeard; {
+	switch silence := now - l.leaderRespondedTo; {
 	case silence > quota.RetryMinimumDuration:
 		earned = 0
 	case silence > contactTime:
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -22,9 +22,9 @@
 	Service string `json:"service"`
 	// Ratio of retries to first attempts.
 	Ratio float64 `json:"ratio"`
-	// LeastPerSecond is what all nodes together may retry besides, however
+	// MinPerSecond is what all nodes together may retry besides, however
 	// few first attempts there are.
-	LeastPerSecond float64 `json:"least_per_s"`
+	MinPerSecond float64 `json:"least_per_s"`
 	// Window is the sliding time over which the limit is counted.
 	Window policy.Duration `json:"window"`
 }
@@ -71,7 +71,7 @@
 	if !(r.Ratio >= 0 && r.Ratio <= maxRatio) {
 		invalid.Add(prefix+"ratio", fmt.Sprintf("must be a number from 0 to %d", maxRatio))
 	}
-	if !(r.LeastPerSecond >= 0 && r.LeastPerSecond <= maxLeastPerSecond) {
+	if !(r.MinPerSecond >= 0 && r.MinPerSecond <= maxLeastPerSecond) {
 		invalid.Add(prefix+"least_per_s", fmt.Sprintf("must be a number from 0 to %d", maxLeastPerSecond))
 	}
 	if r.Window < minWindow || r.Window > maxWindow {
@@ -95,6 +95,6 @@
 // Bound is the least rate as the leader leases it: half of it may come at once and
 // half of it as a rate, so that no window holds more than the whole.
 func (r Rule) Bound(service rpc.ServiceName) (bound quota.RateLimit) {
-	rate := r.LeastPerSecond / 2
+	rate := r.MinPerSecond / 2
 	return quota.RateLimit{Name: string(service), Rate: rate, Burst: rate * time.Duration(r.Window).Seconds()}
 }
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -85,10 +85,10 @@
 	n.limiter = NewLimiter(func(kind rpc.LeaseKind, service string) float64 {
 		return n.shares.Amount(c.now, quota.Key{Kind: kind, Name: service})
 	})
-	n.limiter.leaderHeard = -time.Hour
+	n.limiter.leaderRespondedTo = -time.Hour
 	if c.fault.noWait {
 		// Tokens out of nowhere at each start.
-		n.limiter.leaderHeard = 0
+		n.limiter.leaderRespondedTo = 0
 	}
 }
 
@@ -125,7 +125,7 @@
 				n.shares.Add(asked, lease)
 			}
 		}
-		n.limiter.LeaderHeard(asked)
+		n.limiter.LeaderResponded(asked)
 	}
 	c.serve()
 	for _, call := range c.calls {
@@ -282,7 +282,7 @@
 	}
 	for _, n := range c.nodes {
 		if n.cut == time.Hour {
-			n.limiter.LeaderHeard(c.now)
+			n.limiter.LeaderResponded(c.now)
 		}
 	}
 }
--- a/internal/statemachine/fixtures_test.go
+++ b/internal/statemachine/fixtures_test.go
@@ -88,14 +88,14 @@
 	second := policy.Duration(time.Second)
 	want := []any{
 		&drain.Policy{Version: 2, IsolatedAfter: 10 * second, WhenIsolated: "stop", Rules: []drain.Rule{
-			{Service: "*", Notice: 2 * second, Finish: 30 * second, KeyedRequests: "deadline", LeastShare: 0.5},
-			{Service: "pay", Notice: second, Finish: 60 * second, KeyedRequests: "finish", LeastShare: 0.25},
+			{Service: "*", Notice: 2 * second, Finish: 30 * second, KeyedRequests: "deadline", MinShare: 0.5},
+			{Service: "pay", Notice: second, Finish: 60 * second, KeyedRequests: "finish", MinShare: 0.25},
 		}},
 		&schedule.Plan{Version: 3, MaxStep: 0.1, StepInterval: 30 * second, MaxUtilization: 0.8, Targets: []schedule.Target{{
 			Host: "shop.example", TimeZone: "Europe/Berlin",
 			Spans: []schedule.Span{{From: 390, To: 1080, Weights: map[rpc.RegionName]float64{"east": 3, "west": 1}, Ramp: 1800 * second}},
 		}}},
-		&retry.Policy{Version: 1, Rules: []retry.Rule{{Service: "*", Ratio: 0.2, LeastPerSecond: 10, Window: 10 * second}}},
+		&retry.Policy{Version: 1, Rules: []retry.Rule{{Service: "*", Ratio: 0.2, MinPerSecond: 10, Window: 10 * second}}},
 		&affinity.Policy{Version: 7, Rules: []affinity.Rule{{Service: "pay", Source: "cookie", Name: "sid", Idle: 600 * second, WithoutLeader: "serve", MaxSessions: 1000}}},
 	}
 	if diff := cmp.Diff(want, []any{drainPolicy, plan, limit, sessions}, cmpopts.IgnoreUnexported(schedule.Target{})); diff != "" {
