--- a/internal/adminclient/print.go
+++ b/internal/adminclient/print.go
@@ -57,5 +57,5 @@
 		everywhere = "does not hold everywhere yet"
 	}
 	_, _ = fmt.Fprintf(table, "%s\tratio %g\tleast %g/s in %s\tlent %.3f\t%d of %d follow\t%s %s\n", limit.Service, limit.Ratio,
-		limit.LeastPerSecond, limit.Window, limit.Granted, limit.Followers, limit.Nodes, everywhere, strings.Join(limit.Missing, ","))
+		limit.MinPerSecond, limit.Window, limit.Granted, limit.Followers, limit.Nodes, everywhere, strings.Join(limit.Missing, ","))
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -28,9 +28,9 @@
 	// AcceptedRequests and OvertakenVersions count what the records of operators'
 	// requests and of overtaken versions hold; ForgottenRequests what was dropped
 	// from either for want of room.
-	AcceptedRequests  int    `json:"orders_remembered"`
-	OvertakenVersions int    `json:"overtaken_remembered"`
-	ForgottenRequests uint64 `json:"orders_forgotten"`
+	AcceptedRequests   int    `json:"orders_remembered"`
+	SupersededVersions int    `json:"overtaken_remembered"`
+	EvictedRequests    uint64 `json:"orders_forgotten"`
 	// BytesIn and BytesOut are those of internal calls since the start.
 	BytesIn  int64 `json:"bytes_in"`
 	BytesOut int64 `json:"bytes_out"`
@@ -74,8 +74,8 @@
 	status.Term, status.Leader = uint64(term), leader.Control
 	c.node.ReadState(func(state *statemachine.State) {
 		status.Revision, status.Claims = state.Revision, state.ClaimCount()
-		status.AcceptedRequests, status.OvertakenVersions = state.Accepted.Len(), state.Config.Superseded.Len()
-		status.ForgottenRequests = state.Accepted.Evicted() + state.Config.Superseded.Evicted()
+		status.AcceptedRequests, status.SupersededVersions = state.Accepted.Len(), state.Config.Superseded.Len()
+		status.EvictedRequests = state.Accepted.Evicted() + state.Config.Superseded.Evicted()
 	})
 	status.BytesIn, status.BytesOut = rpc.Traffic()
 	if current := c.nodeCalls.Coordinator(); current != nil {
--- a/internal/controller/status_test.go
+++ b/internal/controller/status_test.go
@@ -16,7 +16,7 @@
 "owners":{"s":"edge-1"},"backends":2,"backends_down":1,"lent":[{"bound":"retry slack","lent":0.5}]}}`
 	want := Status{
 		Role: "controller", Name: "core-1", ID: "x", IsLeader: true, Settled: true, InContact: true, Term: 7, Leader: "c:1",
-		Revision: 40, Claims: 2, AcceptedRequests: 3, OvertakenVersions: 4, ForgottenRequests: 5, BytesIn: 6, BytesOut: 8,
+		Revision: 40, Claims: 2, AcceptedRequests: 3, SupersededVersions: 4, EvictedRequests: 5, BytesIn: 6, BytesOut: 8,
 		Coordinator: &coordinator.Status{
 			Nodes:           []coordinator.NodeStatus{{Name: "edge-1", Zone: "a", InternalAddress: "e:2", Ready: true, Connected: true}},
 			ShardMapVersion: 9, ShardMapMembers: []string{"edge-1"}, Owners: map[string]string{"s": "edge-1"},
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -10,10 +10,10 @@
 
 // RetryStatus is how the limit on retries to one service stands.
 type RetryStatus struct {
-	Service        string  `json:"service"`
-	Ratio          float64 `json:"ratio"`
-	LeastPerSecond float64 `json:"least_per_s"`
-	Window         string  `json:"window"`
+	Service      string  `json:"service"`
+	Ratio        float64 `json:"ratio"`
+	MinPerSecond float64 `json:"least_per_s"`
+	Window       string  `json:"window"`
 	// Granted is the part of the least rate that nodes hold now.
 	Granted float64 `json:"lent"`
 	// Followers of Nodes keep the limit; InForceEverywhere tells that no node can
@@ -53,7 +53,7 @@
 			continue
 		}
 		statuses = append(statuses, RetryStatus{
-			Service: name, Ratio: rule.Ratio, LeastPerSecond: rule.MinPerSecond, Window: time.Duration(rule.Window).String(),
+			Service: name, Ratio: rule.Ratio, MinPerSecond: rule.MinPerSecond, Window: time.Duration(rule.Window).String(),
 			Granted:   c.leases.retries.Granted(now, name),
 			Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
 		})
