--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -1,7 +1,8 @@
 package coordinator
 
 import (
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"tinpin/internal/quota"
@@ -42,11 +43,11 @@
 		}
 		missing = append(missing, string(node.ID))
 		// One that only older leaders heard counts from the start of this term.
-		if now-c.followers.byNode[node.ID].lastHeard <= retryLimitMemory {
+		if now-c.followers.byNode[node.ID].lastHeartbeat <= retryLimitMemory {
 			everywhere = false
 		}
 	}
-	sort.Strings(missing)
+	slices.Sort(missing)
 	for name := range c.routingTable.Services {
 		rule, limited := c.policies.retry.limit.RuleFor(rpc.ServiceName(name))
 		if !limited {
@@ -58,6 +59,6 @@
 			Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
 		})
 	}
-	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Service < statuses[j].Service })
+	slices.SortFunc(statuses, func(a, b RetryStatus) int { return strings.Compare(a.Service, b.Service) })
 	return statuses
 }
