--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -196,7 +196,7 @@
 	switch {
 	case answer.Rejected || !answer.Known:
 		return rpc.BindResult{}
-	case answer.Result.Problem != "":
+	case answer.Result.Err != nil:
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
 	binding := answer.Result.Binding
