--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -129,7 +129,7 @@
 		return rpc.BindResult{}
 	}
 	result := m.apply(statemachine.BindCommand(propose))
-	if result.Problem != "" {
+	if result.Err != nil {
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
 	m.tracker.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Sequence)
--- a/internal/balancer/cost.go
+++ b/internal/balancer/cost.go
@@ -67,7 +67,7 @@
 	// Unhealthy is what the health checks say, Ejected what the outcomes of all
 	// nodes say, Unavailable what this node saw itself.
 	Unhealthy, Ejected, Unavailable bool
-	// CanaryDue tells that a request may try the backend though it is ejected.
+	// CanaryDue tells that a canary request may go to the backend though it is ejected.
 	CanaryDue bool
 	// WarmingUp backends take only what a lease allows; WarmUpSends counts what
 	// this node sent within the lease's second.
@@ -83,7 +83,7 @@
 func (o *Observation) Excluded() bool { return o.Unhealthy && o.Unavailable }
 
 // TakesCanary tells that a backend has nothing against it but its ejection, and that a
-// trial is due.
+// canary request is due.
 func (o *Observation) TakesCanary() bool {
 	return o.Ejected && !o.Unhealthy && !o.Unavailable && o.CanaryDue
 }
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -83,8 +83,8 @@
 		t.Fatal(err)
 	}
 	d.state.Config = items
-	if result := d.apply(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Problem != "" {
-		t.Fatal(result.Problem)
+	if result := d.apply(statemachine.Command{Kind: statemachine.CommandDocument, Subject: string(policy.DayPlan), Body: []byte(dayPlan)}); result.Err != nil {
+		t.Fatal(result.Err)
 	}
 	for _, region := range regions {
 		for i := range 2 {
@@ -132,7 +132,7 @@
 		return
 	}
 	body, _ := json.Marshal(move)
-	if d.apply(statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}).Problem == "" {
+	if d.apply(statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}).Err == nil {
 		d.stepper.Committed(d.now)
 	}
 	// Something is often lost just at a step.
--- a/internal/statemachine/orders_fuzz_test.go
+++ b/internal/statemachine/documents_fuzz_test.go
@@ -26,9 +26,9 @@
 		if len(body) == 0 {
 			return
 		}
-		if result := state.Apply(2, command, 0); result.Problem != "" {
+		if result := state.Apply(2, command, 0); result.Err != nil {
 			if stands() != before {
-				t.Fatalf("refused with %s, and changed", result.Problem)
+				t.Fatalf("refused with %s, and changed", result.Err)
 			}
 			return
 		}
@@ -36,10 +36,10 @@
 		if version+1 > version {
 			state.Apply(3, Command{Kind: CommandDocument, Subject: string(kind), Number: version + 1}, 0)
 		}
-		state = thawed(t, state)
+		state = restored(t, state)
 		after := stands()
-		if result := state.Apply(4, command, 0); result.Problem != "" || stands() != after {
-			t.Fatalf("version %d sent again: %q", version, result.Problem)
+		if result := state.Apply(4, command, 0); result.Err != nil || stands() != after {
+			t.Fatalf("version %d sent again: %q", version, result.Err)
 		}
 	})
 }
