--- a/internal/affinity/binder.go
+++ b/internal/affinity/binder.go
@@ -61,7 +61,9 @@
 }
 
 // Bind finds the backend of a session that lasts for idle after each use.
-func (b *Binder) Bind(session rpc.SessionID, idle time.Duration, view RequestView) (server rpc.EndpointID, outcome Outcome) {
+func (b *Binder) Bind(
+	session rpc.SessionID, idle time.Duration, view RequestView,
+) (server rpc.EndpointID, outcome Outcome) {
 	now := view.Now()
 	b.mu.Lock()
 	known, fresh := b.cache.Find(now, session)
--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -60,7 +60,8 @@
 
 // statusOf asks daemons of one role for their status.
 func statusOf[Status any](addresses []string, handle func(address string, status Status, err error)) {
-	callAll(addresses, rpc.MethodStatus, rpc.StatusRequest{}, func(address string, response rpc.StatusResponse, err error) {
+	request := rpc.StatusRequest{}
+	callAll(addresses, rpc.MethodStatus, request, func(address string, response rpc.StatusResponse, err error) {
 		var status Status
 		if err == nil {
 			err = json.Unmarshal(response.JSON, &status)
@@ -134,7 +135,8 @@
 // Leader is the controller that leads in the highest term; nil if none does.
 func (f *Fleet) Leader() (leader *controller.Status) {
 	for i := range f.Controllers {
-		if status := &f.Controllers[i]; status.IsLeader && status.Settled && (leader == nil || status.Term > leader.Term) {
+		status := &f.Controllers[i]
+		if status.IsLeader && status.Settled && (leader == nil || status.Term > leader.Term) {
 			leader = status
 		}
 	}
--- a/internal/drain/sim_test.go
+++ b/internal/drain/sim_test.go
@@ -309,19 +309,19 @@
 // room again. The platform's own word is not held back.
 func TestMinShareHoldsARetirement(t *testing.T) {
 	policy, _ := Parse([]byte(sound))
-	desk := NewPlanner()
+	planner := NewPlanner()
 	all := []Follower{{ID: "a", Revision: 9, Connected: true}, {ID: "b", Revision: 9, Connected: true}, {ID: "c"}}
 	orders := []rpc.Retirement{{Server: "i", Service: "book", By: ByOperator, Announced: 9, Rev: 9}}
 	stock := EndpointCounts{Listed: 4, Usable: 2}
-	step := func(now time.Duration) (stops []rpc.EndpointID, account RetirementStatus) {
-		stops, accounts := desk.Plan(now, policy, orders, all, func(rpc.ServiceName) EndpointCounts { return stock })
-		return stops, accounts[0]
+	step := func(now time.Duration) (stops []rpc.EndpointID, status RetirementStatus) {
+		stops, statuses := planner.Plan(now, policy, orders, all, func(rpc.ServiceName) EndpointCounts { return stock })
+		return stops, statuses[0]
 	}
-	if stops, account := step(0); len(stops) != 0 || account.Phase != Announced {
-		t.Fatalf("notice: %v %+v", stops, account)
+	if stops, status := step(0); len(stops) != 0 || status.Phase != Announced {
+		t.Fatalf("notice: %v %+v", stops, status)
 	}
-	if stops, account := step(2 * time.Second); len(stops) != 0 || account.Phase != Waiting || account.Reason == "" {
-		t.Fatalf("least share: %v %+v", stops, account)
+	if stops, status := step(2 * time.Second); len(stops) != 0 || status.Phase != Waiting || status.Reason == "" {
+		t.Fatalf("least share: %v %+v", stops, status)
 	}
 	stock.Usable = 4
 	if stops, _ := step(3 * time.Second); len(stops) != 1 {
@@ -334,7 +334,7 @@
 	orders[0].By = ByOperator
 	stock.Usable = 4
 	all[1].Connected, all[1].Revision = false, 0
-	if stops, account := step(5 * time.Second); len(stops) != 0 || account.Phase != Waiting {
-		t.Fatalf("one of three confirms, yet: %v %+v", stops, account)
+	if stops, status := step(5 * time.Second); len(stops) != 0 || status.Phase != Waiting {
+		t.Fatalf("one of three confirms, yet: %v %+v", stops, status)
 	}
 }
--- a/internal/retry/gate_test.go
+++ b/internal/retry/gate_test.go
@@ -18,16 +18,16 @@
 	if got := passed(0, 100); got != 100 {
 		t.Fatalf("%d of 100 pass an open gate", got)
 	}
-	learn := func(now time.Duration, inTime bool) {
+	record := func(now time.Duration, inTime bool) {
 		for i := 0; i < gateSamples; i++ {
 			gate.Record(now, inTime)
 		}
 	}
-	learn(time.Second, false)
+	record(time.Second, false)
 	if got := passed(time.Second, 200); got < 9 || got > 10 {
 		t.Fatalf("%d of 200 pass a shut gate", got)
 	}
-	learn(2*time.Second, true)
+	record(2*time.Second, true)
 	last := 0
 	for second := 2; second <= 8; second++ {
 		got := passed(time.Duration(second)*time.Second, 200)
@@ -42,21 +42,21 @@
 }
 
 func TestEarnedBudgetExpires(t *testing.T) {
-	var purse Budget
+	var budget Budget
 	window := 8 * time.Second
 	for i := 0; i < 20; i++ {
-		purse.Earn(time.Second, window, 0.1)
+		budget.Earn(time.Second, window, 0.1)
 	}
-	if !purse.Spend(time.Second, window) {
+	if !budget.Spend(time.Second, window) {
 		t.Fatal("two were earned, none can be spent")
 	}
-	if purse.Spend(3*time.Second, window) {
+	if budget.Spend(3*time.Second, window) {
 		t.Fatal("what was earned two seconds ago should have lapsed")
 	}
 	for i := 0; i < 10; i++ {
-		purse.Earn(time.Hour, window, 0.1)
+		budget.Earn(time.Hour, window, 0.1)
 	}
-	if !purse.Spend(time.Hour, window) || purse.Spend(time.Hour, window) {
+	if !budget.Spend(time.Hour, window) || budget.Spend(time.Hour, window) {
 		t.Fatal("ten tenths are one retry")
 	}
 }
--- a/internal/retry/sim_test.go
+++ b/internal/retry/sim_test.go
@@ -42,7 +42,6 @@
 	heartbeatAt      time.Duration
 	partitionedUntil time.Duration
 	version          int
-	deafFrom         time.Duration
 }
 
 // call is one request; it is retried once where that is let.
