--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -12,7 +12,7 @@
 
 const (
 	// canaryProbability is how often an idempotent request tries a backend that is
-	// ejected, where there is one; each is tried at most once in trialInterval.
+	// ejected, where there is one; each is tried at most once in canaryInterval.
 	canaryProbability = 0.1
 	canaryInterval    = time.Second
 	// minJitter and jitter spread the costs, so that nodes that know the same do
