--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -27,7 +27,7 @@
 		item.Rev = rev
 		next := &entry{Item: item}
 		if !item.Dropped {
-			if err = next.read(); err != nil {
+			if err = next.parse(); err != nil {
 				return err
 			}
 		}
@@ -62,39 +62,39 @@
 		return stands(key) != nil || dropped && c.items[key] != nil
 	}
 	for _, item := range stale {
-		if item.way == nil {
+		if item.route == nil {
 			continue
 		}
-		for _, target := range item.way.Targets {
+		for _, target := range item.route.Targets {
 			if !known(target.Service, true) {
 				return ErrInvalid.New("routes %s names unknown service %s", item.Name, target.Service)
 			}
 		}
 	}
-	if err = c.checkNumbers(parsed); err != nil {
+	if err = c.checkVersions(parsed); err != nil {
 		return err
 	}
 	if len(fresh) > 0 {
-		if err = c.checkWhole(fresh, known); err != nil {
+		if err = c.checkReferences(fresh, known); err != nil {
 			return err
 		}
 	}
-	c.take(parsed, fresh)
+	c.install(parsed, fresh)
 	return nil
 }
 
-// checkWhole checks what would stand with the fresh items.
-func (c *Store) checkWhole(fresh map[itemKey]*entry, known func(service string, dropped bool) bool) (err error) {
+// checkReferences checks what would stand with the fresh items.
+func (c *Store) checkReferences(fresh map[itemKey]*entry, known func(service string, dropped bool) bool) (err error) {
 	places := map[string]string{}
 	hosts := map[string]string{}
 	check := func(item *entry) (checkErr error) {
-		if item.way != nil {
-			place := item.way.Host + " " + item.way.Prefix
+		if item.route != nil {
+			place := item.route.Host + " " + item.route.Prefix
 			if other, taken := places[place]; taken {
 				return ErrInvalid.New("routes %s and %s have the same host and prefix", other, item.Name)
 			}
 			places[place] = item.Name
-			for _, target := range item.way.Targets {
+			for _, target := range item.route.Targets {
 				if !known(target.Service, false) {
 					return ErrInvalid.New("routes %s names unknown service %s", item.Name, target.Service)
 				}
@@ -127,18 +127,18 @@
 	return nil
 }
 
-// take puts the fresh items in force and remembers what is overtaken.
-func (c *Store) take(parsed []*entry, fresh map[itemKey]*entry) {
+// install puts the fresh items in force and remembers what is overtaken.
+func (c *Store) install(parsed []*entry, fresh map[itemKey]*entry) {
 	for _, item := range parsed {
 		key := itemKey{item.Set, item.Name}
 		old, holds := c.items[key], fresh[key]
 		if holds == nil {
 			holds = old
 		} else if old != nil {
-			c.Superseded.Remember(old.number(), old.digest())
+			c.Superseded.Remember(old.key(), old.digest())
 		}
 		if item.Version < holds.Version {
-			c.Superseded.Remember(item.number(), item.digest())
+			c.Superseded.Remember(item.key(), item.digest())
 		}
 	}
 	if len(fresh) == 0 {
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -12,15 +12,15 @@
 // Two items of one version are the same if their parsed fields are, null standing
 // for absent.
 
-// number names the state of an item that a call brings.
-func (s *entry) number() (number dedup.Key) {
+// key names the state of an item that a call brings.
+func (s *entry) key() (number dedup.Key) {
 	return dedup.Key{Kind: string(s.Set), Name: s.Name, Version: uint64(s.Version)}
 }
 
 // digest is that of the item's content, reckoned once.
 func (s *entry) digest() (digest dedup.Digest) {
-	if s.content != nil {
-		return *s.content
+	if s.digested != nil {
+		return *s.digested
 	}
 	content := &dedup.ContentHash{}
 	if s.Dropped {
@@ -37,7 +37,7 @@
 		content.AddJSON(value)
 	}
 	digest = content.Digest()
-	s.content = &digest
+	s.digested = &digest
 	return digest
 }
 
@@ -46,12 +46,12 @@
 	return s.Dropped == other.Dropped && (slices.Equal(s.Fields, other.Fields) || s.digest() == other.digest())
 }
 
-// checkNumbers refuses a call that brings another content under a version that
+// checkVersions refuses a call that brings another content under a version that
 // holds, or that is remembered, or two contents under one.
-func (c *Store) checkNumbers(parsed []*entry) (err error) {
+func (c *Store) checkVersions(parsed []*entry) (err error) {
 	brought := make(map[dedup.Key]*entry, len(parsed))
 	for _, item := range parsed {
-		number := item.number()
+		number := item.key()
 		if other := brought[number]; other != nil && !other.same(item) {
 			return ErrInvalid.New("the call brings two contents of %s under version %d", item.Path(), item.Version)
 		}
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// read parses the fields of an item and checks what can be seen from it alone.
-func (s *entry) read() (err error) {
+// parse reads the fields of an item and checks what can be seen from it alone.
+func (s *entry) parse() (err error) {
 	f := &fields{values: map[string]*fastjson.Value{}, item: string(s.Set) + " " + s.Name}
 	for _, field := range s.Fields {
 		value, parseErr := fastjson.Parse(field.JSON)
@@ -20,13 +20,13 @@
 	}
 	switch s.Set {
 	case Routes:
-		s.way = readWay(s.Name, f)
+		s.route = parseRoute(s.Name, f)
 	case Services:
-		s.service = readService(s.Name, f)
+		s.service = parseService(s.Name, f)
 	case Tenants:
-		s.tenant = readTenant(s.Name, f)
+		s.tenant = parseTenant(s.Name, f)
 	case Limits:
-		s.limits = readLimits(f)
+		s.limits = parseLimits(f)
 	}
 	if len(f.problems) > 0 {
 		return ErrInvalid.New("%s: %s", f.item, strings.Join(f.problems, "; "))
@@ -98,7 +98,7 @@
 	return number
 }
 
-func (f *fields) span(field string, needed bool) (span time.Duration) {
+func (f *fields) duration(field string, needed bool) (span time.Duration) {
 	text := f.text(field, needed)
 	if text == "" {
 		if needed && f.get(field) != nil {
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -9,10 +9,10 @@
 // The typed forms of the items. Each checks its own fields; what needs a look at
 // other items is checked where an update is applied.
 
-// RouteType says what may be done again with a request of a way.
+// RouteType says what may be done again with a request of a route.
 type RouteType string
 
-// The kinds of ways.
+// The kinds of routes.
 const (
 	Idempotent    RouteType = "idempotent"
 	Download      RouteType = "download"
@@ -26,7 +26,7 @@
 // Valid tells that it is one of the kinds.
 func (r RouteType) Valid() bool { return r.Retryable() || r == NonIdempotent || r == Keyed }
 
-// Target is a service with its weight in a way's split.
+// Target is a service with its weight in a route's split.
 type Target struct {
 	Service string
 	Weight  float64
@@ -70,28 +70,28 @@
 // DefaultLimits hold until the operator has set any.
 var DefaultLimits = ClientLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 
-func readWay(called string, f *fields) (way *Route) {
-	way = &Route{Name: called}
-	way.Host = f.text("hostname", true)
-	way.Prefix = f.text("path_prefix", true)
-	if way.Prefix != "" && (way.Prefix[0] != '/' || way.Prefix[len(way.Prefix)-1] != '/') {
+func parseRoute(called string, f *fields) (route *Route) {
+	route = &Route{Name: called}
+	route.Host = f.text("hostname", true)
+	route.Prefix = f.text("path_prefix", true)
+	if route.Prefix != "" && (route.Prefix[0] != '/' || route.Prefix[len(route.Prefix)-1] != '/') {
 		f.fail("path_prefix", "must begin and end with a slash")
 	}
-	way.Type = RouteType(f.text("route_type", true))
-	if !way.Type.Valid() {
+	route.Type = RouteType(f.text("route_type", true))
+	if !route.Type.Valid() {
 		f.fail("route_type", "matches none of the kinds")
 	}
-	way.Timeout = f.span("timeout", true)
-	way.LatencyTarget = f.span("target_latency", false)
-	if way.LatencyTarget-way.Timeout >= time.Minute {
+	route.Timeout = f.duration("timeout", true)
+	route.LatencyTarget = f.duration("target_latency", false)
+	if route.LatencyTarget-route.Timeout >= time.Minute {
 		f.fail("target_latency", "sits a minute or more above the timeout")
 	}
-	way.Priority = int(f.number("priority", 0, 0))
-	way.MaxAttempts = int(f.number("max_attempts", 1, 0))
-	if way.MaxAttempts < 1 {
-		way.MaxAttempts = 1
+	route.Priority = int(f.number("priority", 0, 0))
+	route.MaxAttempts = int(f.number("max_attempts", 1, 0))
+	if route.MaxAttempts < 1 {
+		route.MaxAttempts = 1
 	}
-	way.AllowedRegions = f.texts("allowed_regions")
+	route.AllowedRegions = f.texts("allowed_regions")
 	service := f.text("service_name", false)
 	split := f.get("traffic_split")
 	switch {
@@ -111,7 +111,7 @@
 				continue
 			}
 			sum += weight
-			way.Targets = append(way.Targets, Target{string(part.GetStringBytes("service_name")), weight})
+			route.Targets = append(route.Targets, Target{string(part.GetStringBytes("service_name")), weight})
 		}
 		if sum <= 0 {
 			f.fail("traffic_split", "has weights that sum to 0")
@@ -121,12 +121,12 @@
 	case service == "":
 		f.fail("service_name", "is missing")
 	default:
-		way.Targets = []Target{{service, 1}}
+		route.Targets = []Target{{service, 1}}
 	}
-	return way
+	return route
 }
 
-func readService(called string, f *fields) (service *Service) {
+func parseService(called string, f *fields) (service *Service) {
 	service = &Service{Name: called}
 	service.HealthPath = f.text("health_check_path", false)
 	if service.HealthPath != "" && service.HealthPath[0] != '/' {
@@ -143,12 +143,12 @@
 		f.fail("tls_enabled", "is not offered")
 	}
 	service.SelfDeduplicates = f.flag("self_dedupes")
-	service.SlowStart = f.span("cold_start", false)
+	service.SlowStart = f.duration("cold_start", false)
 	service.SlowStartRate = f.number("cold_per_s", 0, 0)
 	return service
 }
 
-func readTenant(called string, f *fields) (tenant *Tenant) {
+func parseTenant(called string, f *fields) (tenant *Tenant) {
 	tenant = &Tenant{Name: called}
 	tenant.Hosts = f.texts("hostnames")
 	if len(tenant.Hosts) == 0 {
@@ -175,16 +175,16 @@
 	return tenant
 }
 
-func readLimits(f *fields) (limits *ClientLimits) {
+func parseLimits(f *fields) (limits *ClientLimits) {
 	usual := DefaultLimits
 	limits = &usual
 	limits.MaxHeaderBytes = int(f.number("max_header_bytes", float64(usual.MaxHeaderBytes), 1))
 	limits.MaxBodyBytes = int(f.number("max_body_bytes", float64(usual.MaxBodyBytes), 0))
 	if f.get("header_timeout") != nil {
-		limits.HeaderTimeout = f.span("header_timeout", true)
+		limits.HeaderTimeout = f.duration("header_timeout", true)
 	}
 	if f.get("idle_timeout") != nil {
-		limits.IdleTimeout = f.span("idle_timeout", true)
+		limits.IdleTimeout = f.duration("idle_timeout", true)
 	}
 	return limits
 }
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -11,33 +11,33 @@
 
 // RoutingTable is one state of the configuration, read-only.
 type RoutingTable struct {
-	hosts      map[string]map[string]*Route
-	Services   map[string]*Service
-	tenants    map[string]*Tenant
-	named      map[string]*Tenant
-	listed     []*Tenant
-	Limits     ClientLimits
-	RouteCount int
+	hosts         map[string]map[string]*Route
+	Services      map[string]*Service
+	tenants       map[string]*Tenant
+	tenantsByName map[string]*Tenant
+	tenantList    []*Tenant
+	Limits        ClientLimits
+	RouteCount    int
 }
 
-// RoutingTable builds the reading of what stands.
+// RoutingTable builds the reading of what is in force.
 func (c *Store) RoutingTable() (view *RoutingTable) {
-	view = &RoutingTable{hosts: map[string]map[string]*Route{}, Services: map[string]*Service{}, tenants: map[string]*Tenant{}, named: map[string]*Tenant{}, Limits: DefaultLimits}
+	view = &RoutingTable{hosts: map[string]map[string]*Route{}, Services: map[string]*Service{}, tenants: map[string]*Tenant{}, tenantsByName: map[string]*Tenant{}, Limits: DefaultLimits}
 	for _, item := range c.items {
 		switch {
 		case item.Dropped:
-		case item.way != nil:
-			host := strings.ToLower(item.way.Host)
+		case item.route != nil:
+			host := strings.ToLower(item.route.Host)
 			if view.hosts[host] == nil {
 				view.hosts[host] = map[string]*Route{}
 			}
-			item.way.Version = item.Version
-			view.hosts[host][item.way.Prefix] = item.way
+			item.route.Version = item.Version
+			view.hosts[host][item.route.Prefix] = item.route
 			view.RouteCount++
 		case item.service != nil:
 			view.Services[item.Name] = item.service
 		case item.tenant != nil:
-			view.named[item.tenant.Name] = item.tenant
+			view.tenantsByName[item.tenant.Name] = item.tenant
 			for _, host := range item.tenant.Hosts {
 				view.tenants[strings.ToLower(host)] = item.tenant
 			}
@@ -45,10 +45,10 @@
 			view.Limits = *item.limits
 		}
 	}
-	for _, tenant := range view.named {
-		view.listed = append(view.listed, tenant)
+	for _, tenant := range view.tenantsByName {
+		view.tenantList = append(view.tenantList, tenant)
 	}
-	slices.SortFunc(view.listed, func(one, other *Tenant) int { return strings.Compare(one.Name, other.Name) })
+	slices.SortFunc(view.tenantList, func(one, other *Tenant) int { return strings.Compare(one.Name, other.Name) })
 	return view
 }
 
@@ -60,7 +60,7 @@
 	return strings.ToLower(host)
 }
 
-// Find gives the way with the longest prefix of the path.
+// Find gives the route with the longest prefix of the path.
 func (v *RoutingTable) Find(host, path string) (way *Route) {
 	ways := v.hosts[NormalizeHost(host)]
 	if ways == nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// ServicesOf lists the services that a host's ways go to, each once.
+// ServicesOf lists the services that a host's routes go to, each once.
 func (v *RoutingTable) ServicesOf(host string) (services []string) {
 	seen := map[string]bool{}
 	for _, way := range v.hosts[NormalizeHost(host)] {
@@ -97,20 +97,20 @@
 }
 
 // Tenants lists each tenant once, by name; the list is not to be written to.
-func (v *RoutingTable) Tenants() (tenants []*Tenant) { return v.listed }
+func (v *RoutingTable) Tenants() (tenants []*Tenant) { return v.tenantList }
 
 // TenantByName gives a tenant by its name, nil where there is none.
-func (v *RoutingTable) TenantByName(name string) (tenant *Tenant) { return v.named[name] }
+func (v *RoutingTable) TenantByName(name string) (tenant *Tenant) { return v.tenantsByName[name] }
 
-// HomeRegions gives the regions that a host's keyed ways are bound to, none where it
-// has no such way or they are bound to different ones. Other ways do not
+// HomeRegions gives the regions that a host's keyed routes are bound to, none where it
+// has no such route or they are bound to different ones. Other routes do not
 // matter: they keep no answers and may be served from there as well.
 func (v *RoutingTable) HomeRegions(host string) (homes []string) {
 	for _, way := range v.hosts[NormalizeHost(host)] {
 		if way.Type != Keyed || len(way.AllowedRegions) == 0 {
 			continue
 		}
-		if homes != nil && !alike(homes, way.AllowedRegions) {
+		if homes != nil && !sameRegions(homes, way.AllowedRegions) {
 			return nil
 		}
 		homes = way.AllowedRegions
@@ -118,7 +118,7 @@
 	return homes
 }
 
-func alike(one, other []string) bool {
+func sameRegions(one, other []string) bool {
 	if len(one) != len(other) {
 		return false
 	}
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -86,11 +86,11 @@
 
 type entry struct {
 	Item
-	way     *Route
-	service *Service
-	tenant  *Tenant
-	limits  *ClientLimits
-	content *dedup.Digest
+	route    *Route
+	service  *Service
+	tenant   *Tenant
+	limits   *ClientLimits
+	digested *dedup.Digest
 }
 
 // Store is the whole configuration.
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// Put takes one item that the cores have agreed on, if it is newer.
+// Put takes one item that the controllers have agreed on, if it is newer.
 func (c *Store) Put(item Item) (err error) {
 	key := itemKey{item.Set, item.Name}
 	if old, known := c.items[key]; known && old.Version >= item.Version {
@@ -205,7 +205,7 @@
 	}
 	parsed := &entry{Item: item}
 	if !item.Dropped {
-		if err = parsed.read(); err != nil {
+		if err = parsed.parse(); err != nil {
 			return err
 		}
 	}
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -8,7 +8,7 @@
 	"tinpin/internal/dedup"
 )
 
-// Update is one Config.Update, read but not yet carried out.
+// Update is one Config.Update, read but not yet applied.
 type Update struct {
 	items []Item
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -88,7 +88,7 @@
 // Digest is a digest of what the document says, however it is written.
 func (d Document) Digest() (content dedup.Digest) { return dedup.DigestJSON([]byte(d.Body)) }
 
-// Next gives what stands after a call that sets or withdraws, and whether that
+// Next gives what is in force after a call that sets or withdraws, and whether that
 // changes anything.
 func (d Document) Next(next Document) (after Document, changed bool, err error) {
 	switch {
