--- a/cmd/tinpin-trial/main.go
+++ b/cmd/tinpin-trial/main.go
@@ -52,7 +52,7 @@
 }
 
 func read(args []string, bad io.Writer) (call trialCall, err error) {
-	call.options = simulation.Usual()
+	call.options = simulation.DefaultOptions()
 	set := flag.NewFlagSet("tinpin-trial", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	set.IntVar(&call.seeds.Seeds, "seeds", 100, "how many seeds are played")
@@ -60,7 +60,7 @@
 	set.IntVar(&call.seeds.Parallel, "parallel", 2, "how many are played side by side")
 	set.DurationVar(&call.seeds.Limit, "limit", 10*time.Minute, "after which real time no further seed is begun")
 	set.DurationVar(&call.options.Length, "length", call.options.Length, "the simulated time of troubles")
-	set.IntVar(&call.options.Cores, "cores", call.options.Cores, "how many cores there are")
+	set.IntVar(&call.options.Controllers, "cores", call.options.Controllers, "how many cores there are")
 	set.IntVar(&call.options.Losses, "losses", call.options.Losses, "how many lost cores are borne")
 	set.IntVar(&call.options.Operators, "operators", call.options.Operators, "how many operators there are")
 	set.IntVar(&call.options.Edges, "edges", call.options.Edges, "how many edges there are")
@@ -89,11 +89,11 @@
 		call.options.Check,
 		call.seeds.Check,
 		func() (kindErr error) {
-			call.options.Troubles, kindErr = simulation.ReadKinds(call.kinds)
+			call.options.Faults, kindErr = simulation.ParseFaultKinds(call.kinds)
 			return kindErr
 		},
 		func() error {
-			if call.plant != "" && call.plant != "all" && !simulation.Plant(call.plant).Known() {
+			if call.plant != "" && call.plant != "all" && !simulation.InjectedBug(call.plant).Known() {
 				return simulation.Class.New("unknown planted fault %q", call.plant)
 			}
 			return nil
@@ -135,11 +135,11 @@
 
 func list(out io.Writer) {
 	_, _ = fmt.Fprintln(out, "troubles:")
-	for _, known := range simulation.KindTexts {
+	for _, known := range simulation.FaultKindTexts {
 		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Kind, known.Text)
 	}
 	_, _ = fmt.Fprintln(out, "planted faults:")
-	for _, known := range simulation.PlantTexts {
+	for _, known := range simulation.InjectedBugTexts {
 		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Plant, known.Text)
 	}
 }
@@ -171,7 +171,7 @@
 	}
 	kept := map[string]bool{}
 	for _, verdict := range report.Broken {
-		check := simulation.CheckOf(verdict.Broken)
+		check := simulation.CheckOf(verdict.Failure)
 		if kept[check] || len(kept) == casesMost {
 			continue
 		}
@@ -181,15 +181,15 @@
 		if err = short.Write(path); err != nil {
 			return 1, err
 		}
-		_, _ = fmt.Fprintf(bad, "seed %d is kept in %s, with %d of %d troubles and %s: %s\n", verdict.Seed, path, len(short.Troubles), short.Drawn, short.Options.Length, short.Broken)
+		_, _ = fmt.Fprintf(bad, "seed %d is kept in %s, with %d of %d troubles and %s: %s\n", verdict.Seed, path, len(short.Faults), short.Drawn, short.Options.Length, short.Failure)
 	}
 	return 1, nil
 }
 
 func (c trialCall) seek(out, bad io.Writer) (code int) {
-	plants := simulation.Plants()
+	plants := simulation.InjectedBugs()
 	if c.plant != "all" {
-		plants = []simulation.Plant{simulation.Plant(c.plant)}
+		plants = []simulation.InjectedBug{simulation.InjectedBug(c.plant)}
 	}
 	var finds []simulation.Find
 	for _, plant := range plants {
@@ -219,12 +219,12 @@
 	})
 	if c.json {
 		err = print(out, verdict)
-	} else if verdict.Broken == "" {
+	} else if verdict.Failure == "" {
 		_, _ = fmt.Fprintln(out, "nothing broke")
 	} else {
-		_, _ = fmt.Fprintf(out, "broke at %s: %s\n", verdict.At, verdict.Broken)
+		_, _ = fmt.Fprintf(out, "broke at %s: %s\n", verdict.At, verdict.Failure)
 	}
-	if verdict.Broken != "" {
+	if verdict.Failure != "" {
 		code = 1
 	}
 	return code, err
--- a/cmd/tinpin-trial/main_test.go
+++ b/cmd/tinpin-trial/main_test.go
@@ -59,15 +59,15 @@
 }
 
 func TestAKeptCaseReplays(t *testing.T) {
-	options := simulation.Usual()
-	options.Length, options.Plant = 4_000_000_000, simulation.TwoRuns
+	options := simulation.DefaultOptions()
+	options.Length, options.InjectedBug = 4_000_000_000, simulation.TwoRuns
 	verdict := simulation.Play(1, options)
 	path := filepath.Join(t.TempDir(), "case.json")
 	if err := simulation.CaseOf(verdict, options).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	var out, bad bytes.Buffer
-	if code := run([]string{"-replay", path}, &out, &bad); code != 1 || !strings.Contains(out.String(), verdict.Broken) || !strings.Contains(out.String(), "leads in term") {
+	if code := run([]string{"-replay", path}, &out, &bad); code != 1 || !strings.Contains(out.String(), verdict.Failure) || !strings.Contains(out.String(), "leads in term") {
 		t.Error(code, out.String(), bad.String())
 	}
 }
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, kind := range simulation.Kinds() {
+	for _, kind := range simulation.FaultKinds() {
 		if !strings.Contains(string(data), "`"+string(kind)+"`") {
 			t.Errorf("%s is not on the page", kind)
 		}
--- a/internal/simulation/agenda.go
+++ b/internal/simulation/agenda.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-type errand struct {
+type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
-type errands []errand
+type eventHeap []event
 
-func (e errands) Len() int { return len(e) }
+func (e eventHeap) Len() int { return len(e) }
 
-func (e errands) Less(i, j int) bool {
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 
-func (e errands) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *errands) Push(x any) { *e = append(*e, x.(errand)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
-func (e *errands) Pop() (last any) {
+func (e *eventHeap) Pop() (last any) {
 	end := len(*e) - 1
 	last = (*e)[end]
-	(*e)[end] = errand{}
+	(*e)[end] = event{}
 	*e = (*e)[:end]
 	return last
 }
 
-// Agenda holds what is due.
-type Agenda struct {
+// EventQueue holds what is due.
+type EventQueue struct {
 	now   time.Duration
 	seq   uint64
 	steps uint64
-	due   errands
+	due   eventHeap
 }
 
 // After puts something onto the agenda.
-func (a *Agenda) After(span time.Duration, run func()) {
+func (a *EventQueue) After(span time.Duration, run func()) {
 	a.seq++
-	heap.Push(&a.due, errand{a.now + span, a.seq, run})
+	heap.Push(&a.due, event{a.now + span, a.seq, run})
 }
 
 // Step carries out what is due next, up to a time, and tells whether there was any.
-func (a *Agenda) Step(until time.Duration) (done bool) {
+func (a *EventQueue) Step(until time.Duration) (done bool) {
 	if len(a.due) == 0 || a.due[0].at > until {
 		a.now = until
 		return false
 	}
-	next := heap.Pop(&a.due).(errand)
+	next := heap.Pop(&a.due).(event)
 	a.now = next.at
 	a.steps++
 	next.run()
--- a/internal/simulation/caller.go
+++ b/internal/simulation/caller.go
@@ -15,36 +15,36 @@
 
 // Caller is one operator or edge.
 type Caller struct {
-	world  *World
-	number int
-	luck   *rand.Rand
-	leader *Core
-	busy   int
+	cluster *Cluster
+	number  int
+	rng     *rand.Rand
+	leader  *Controller
+	busy    int
 }
 
 // reply is what comes back from a core: elsewhere it says who leads, if it knows.
 type reply struct {
-	told      told
-	elsewhere bool
-	leader    *Core
+	outcome    observation
+	redirected bool
+	leader     *Controller
 }
 
 // pick chooses the core that led when last heard, or any.
-func (c *Caller) pick(after *Core) (core *Core) {
-	if c.luck.Intn(3) > 0 && c.leader != nil && c.leader != after && c.leader.up {
+func (c *Caller) pick(after *Controller) (core *Controller) {
+	if c.rng.Intn(3) > 0 && c.leader != nil && c.leader != after && c.leader.up {
 		return c.leader
 	}
-	cores := c.world.standing()
-	return cores[c.luck.Intn(len(cores))]
+	cores := c.cluster.remaining()
+	return cores[c.rng.Intn(len(cores))]
 }
 
 // attempt asks one core once.
-func (c *Caller) attempt(history *History, asked call, to *Core, handle func(reply func(reply)), done func(reply reply, core *Core)) {
-	op := history.begin(c.number, asked, c.world.agenda.now)
+func (c *Caller) attempt(history *History, asked call, to *Controller, handle func(reply func(reply)), done func(reply reply, core *Controller)) {
+	op := history.begin(c.number, asked, c.cluster.events.now)
 	open := true
-	c.world.network.ask(to, func(back func(func())) {
+	c.cluster.network.ask(to, func(back func(func())) {
 		handle(func(answer reply) {
-			if answer.elsewhere {
+			if answer.redirected {
 				history.forget(op)
 			}
 			back(func() {
@@ -52,14 +52,14 @@
 					return
 				}
 				open = false
-				if !answer.elsewhere {
-					history.end(op, answer.told, c.world.agenda.now)
+				if !answer.redirected {
+					history.end(op, answer.outcome, c.cluster.events.now)
 				}
 				done(answer, to)
 			})
 		})
 	})
-	c.world.agenda.After(callLimit, func() {
+	c.cluster.events.After(callLimit, func() {
 		if open {
 			open = false
 			done(reply{}, to)
@@ -67,29 +67,29 @@
 	})
 }
 
-// insist asks until there is a clear answer or the time is up.
-func (c *Caller) insist(history *History, asked call, handle func(core *Core, reply func(reply)), done func(told told)) {
-	until := c.world.agenda.now + orderLimit
-	var try func(to *Core)
+// askUntilAnswered asks until there is a clear answer or the time is up.
+func (c *Caller) askUntilAnswered(history *History, asked call, handle func(core *Controller, reply func(reply)), done func(told observation)) {
+	until := c.cluster.events.now + orderLimit
+	var try func(to *Controller)
 	follow := 0
-	try = func(to *Core) {
-		c.attempt(history, asked, to, func(back func(reply)) { handle(to, back) }, func(answer reply, core *Core) {
+	try = func(to *Controller) {
+		c.attempt(history, asked, to, func(back func(reply)) { handle(to, back) }, func(answer reply, core *Controller) {
 			switch {
-			case answer.elsewhere && answer.leader != nil && follow < 2:
+			case answer.redirected && answer.leader != nil && follow < 2:
 				follow++
 				c.leader = answer.leader
 				try(answer.leader)
-			case answer.told.outcome != unclear:
+			case answer.outcome.outcome != unknown:
 				c.leader = core
-				done(answer.told)
-			case c.world.agenda.now > until || c.world.ending:
-				done(told{})
+				done(answer.outcome)
+			case c.cluster.events.now > until || c.cluster.ending:
+				done(observation{})
 			default:
 				if c.leader == core {
 					c.leader = nil
 				}
 				follow = 0
-				c.world.agenda.After(time.Duration(30+c.luck.Intn(300))*time.Millisecond, func() { try(c.pick(core)) })
+				c.cluster.events.After(time.Duration(30+c.rng.Intn(300))*time.Millisecond, func() { try(c.pick(core)) })
 			}
 		})
 	}
@@ -97,15 +97,15 @@
 }
 
 // order has a register changed, and now and then sends the same again later.
-func (c *Caller) order(o Order, again int) {
+func (c *Caller) order(o Request, again int) {
 	c.busy++
-	c.insist(o.history, o.call, func(core *Core, back func(reply)) { core.take(o, back) }, func(answer told) {
+	c.askUntilAnswered(o.history, o.call, func(core *Controller, back func(reply)) { core.handleRequest(o, back) }, func(answer observation) {
 		c.busy--
-		c.world.count(answer)
-		if again > 0 && !c.world.ending && c.luck.Intn(3) == 0 {
-			c.world.agenda.After(time.Duration(c.luck.Intn(4000))*time.Millisecond, func() {
-				if !c.world.ending {
-					o.another = !o.another
+		c.cluster.count(answer)
+		if again > 0 && !c.cluster.ending && c.rng.Intn(3) == 0 {
+			c.cluster.events.After(time.Duration(c.rng.Intn(4000))*time.Millisecond, func() {
+				if !c.cluster.ending {
+					o.reworded = !o.reworded
 					c.order(o, again-1)
 				}
 			})
@@ -116,7 +116,7 @@
 // read reads a register through the leader.
 func (c *Caller) read(history *History, done func()) {
 	c.busy++
-	c.insist(history, call{verb: read}, func(core *Core, back func(reply)) { core.describe(history, back) }, func(told) {
+	c.askUntilAnswered(history, call{verb: read}, func(core *Controller, back func(reply)) { core.handleRead(history, back) }, func(observation) {
 		c.busy--
 		done()
 	})
--- a/internal/simulation/case.go
+++ b/internal/simulation/case.go
@@ -11,13 +11,13 @@
 
 // Case of one run that broke.
 type Case struct {
-	Seed     int64     `json:"seed"`
-	Options  Options   `json:"options"`
-	Troubles []Trouble `json:"troubles"`
-	Broken   string    `json:"broken"`
-	Drawn    int       `json:"drawn"`
-	Plays    int       `json:"plays"`
-	Log      []string  `json:"log"`
+	Seed    int64    `json:"seed"`
+	Options Options  `json:"options"`
+	Faults  []Fault  `json:"troubles"`
+	Failure string   `json:"broken"`
+	Drawn   int      `json:"drawn"`
+	Plays   int      `json:"plays"`
+	Log     []string `json:"log"`
 }
 
 // CheckOf names the check that a run broke.
@@ -27,9 +27,9 @@
 }
 
 // CaseOf is the whole case of a seed.
-func CaseOf(verdict Verdict, options Options) (kept Case) {
-	troubles := Draw(verdict.Seed, options)
-	return Case{Seed: verdict.Seed, Options: options, Troubles: troubles, Broken: verdict.Broken, Drawn: len(troubles), Log: verdict.Log}
+func CaseOf(verdict RunResult, options Options) (kept Case) {
+	troubles := DrawFaults(verdict.Seed, options)
+	return Case{Seed: verdict.Seed, Options: options, Faults: troubles, Failure: verdict.Failure, Drawn: len(troubles), Log: verdict.Log}
 }
 
 // Shorten makes a case shorter as long as it breaks in the same check: it ends
@@ -37,22 +37,22 @@
 func (c Case) Shorten(limit time.Duration) (short Case) {
 	short = c
 	begin := time.Now()
-	try := func(options Options, troubles []Trouble) (same bool) {
+	try := func(options Options, troubles []Fault) (same bool) {
 		if time.Since(begin) > limit {
 			return false
 		}
 		verdict := PlayWith(c.Seed, options, troubles, nil)
 		short.Plays++
-		if verdict.Broken == "" || CheckOf(verdict.Broken) != CheckOf(c.Broken) {
+		if verdict.Failure == "" || CheckOf(verdict.Failure) != CheckOf(c.Failure) {
 			return false
 		}
-		short.Options, short.Troubles, short.Broken, short.Log = options, troubles, verdict.Broken, verdict.Log
+		short.Options, short.Faults, short.Failure, short.Log = options, troubles, verdict.Failure, verdict.Log
 		return true
 	}
 	for part := time.Duration(1); part < 8; part++ {
 		options := short.Options
 		options.Length = c.Options.Length * part / 8
-		if options.Length >= time.Second && try(options, before(short.Troubles, options.Length)) {
+		if options.Length >= time.Second && try(options, before(short.Faults, options.Length)) {
 			break
 		}
 	}
@@ -62,11 +62,11 @@
 	} {
 		options := short.Options
 		fewer(&options)
-		try(options, short.Troubles)
+		try(options, short.Faults)
 	}
-	for size := len(short.Troubles); size > 0; size /= 2 {
-		for from := 0; from < len(short.Troubles); {
-			rest := append(append([]Trouble(nil), short.Troubles[:from]...), short.Troubles[min(len(short.Troubles), from+size):]...)
+	for size := len(short.Faults); size > 0; size /= 2 {
+		for from := 0; from < len(short.Faults); {
+			rest := append(append([]Fault(nil), short.Faults[:from]...), short.Faults[min(len(short.Faults), from+size):]...)
 			if !try(short.Options, rest) {
 				from += size
 			}
@@ -75,7 +75,7 @@
 	return short
 }
 
-func before(troubles []Trouble, end time.Duration) (kept []Trouble) {
+func before(troubles []Fault, end time.Duration) (kept []Fault) {
 	for _, trouble := range troubles {
 		if trouble.At < end {
 			kept = append(kept, trouble)
@@ -102,8 +102,8 @@
 	if err = json.Unmarshal(data, &kept); err != nil {
 		return kept, Class.New("%s is not a case: %v", path, err)
 	}
-	for _, trouble := range kept.Troubles {
-		if kinds, kindErr := ReadKinds(string(trouble.Kind)); kindErr != nil || len(kinds) != 1 || trouble.At < 0 || trouble.Span < 0 || trouble.Core < 0 {
+	for _, trouble := range kept.Faults {
+		if kinds, kindErr := ParseFaultKinds(string(trouble.Kind)); kindErr != nil || len(kinds) != 1 || trouble.At < 0 || trouble.Span < 0 || trouble.Core < 0 {
 			return kept, Class.New("%s: the trouble %q at %s cannot be brought about", path, trouble.Kind, trouble.At)
 		}
 	}
@@ -111,6 +111,6 @@
 }
 
 // Replay plays the case again and tells each step.
-func (c Case) Replay(noted func(line string)) (verdict Verdict) {
-	return PlayWith(c.Seed, c.Options, c.Troubles, noted)
+func (c Case) Replay(noted func(line string)) (verdict RunResult) {
+	return PlayWith(c.Seed, c.Options, c.Faults, noted)
 }
--- a/internal/simulation/case_test.go
+++ b/internal/simulation/case_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func small(plant Plant) (options Options) {
-	options = Usual()
-	options.Length, options.Plant = 8*time.Second, plant
+func small(plant InjectedBug) (options Options) {
+	options = DefaultOptions()
+	options.Length, options.InjectedBug = 8*time.Second, plant
 	return options
 }
 
@@ -26,19 +26,19 @@
 
 // A case that broke is made shorter, kept, and breaks again when it is read back.
 func TestACaseIsShortenedAndReplays(t *testing.T) {
-	options := small(LoneCommit)
-	options.Troubles = []Kind{Cut, Storm, Freeze, Reset}
-	var verdict Verdict
-	for seed := int64(1); verdict.Broken == "" && seed < 60; seed++ {
+	options := small(CommitWithoutQuorum)
+	options.Faults = []FaultKind{Cut, Storm, Freeze, Reset}
+	var verdict RunResult
+	for seed := int64(1); verdict.Failure == "" && seed < 60; seed++ {
 		verdict = Play(seed, options)
 	}
-	if verdict.Broken == "" {
+	if verdict.Failure == "" {
 		t.Fatal("no seed found the planted fault")
 	}
 	whole := CaseOf(verdict, options)
 	short := whole.Shorten(10 * time.Second)
-	if len(short.Troubles) > len(whole.Troubles) || short.Options.Length > whole.Options.Length || CheckOf(short.Broken) != CheckOf(whole.Broken) {
-		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(whole.Troubles), whole.Options.Length, len(short.Troubles), short.Options.Length, whole.Broken, short.Broken)
+	if len(short.Faults) > len(whole.Faults) || short.Options.Length > whole.Options.Length || CheckOf(short.Failure) != CheckOf(whole.Failure) {
+		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(whole.Faults), whole.Options.Length, len(short.Faults), short.Options.Length, whole.Failure, short.Failure)
 	}
 	path := filepath.Join(t.TempDir(), "case.json")
 	if err := short.Write(path); err != nil {
@@ -49,8 +49,8 @@
 		t.Fatal(err)
 	}
 	lines := 0
-	if again := kept.Replay(func(string) { lines++ }); again.Broken != short.Broken || lines == 0 {
-		t.Fatalf("%q became %q in %d lines", short.Broken, again.Broken, lines)
+	if again := kept.Replay(func(string) { lines++ }); again.Failure != short.Failure || lines == 0 {
+		t.Fatalf("%q became %q in %d lines", short.Failure, again.Failure, lines)
 	}
 }
 
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	patience    = 900 * time.Millisecond
-	staleWish   = 700 * time.Millisecond
-	mostPending = 3
-	mostHeld    = 400
-	compactMost = 60
-	joinAge     = 100
-	tailMost    = 20
+	proposalTimeout     = 900 * time.Millisecond
+	staleProposalAge    = 700 * time.Millisecond
+	maxPending          = 3
+	maxDeferred         = 400
+	compactionThreshold = 60
+	maxJoinAge          = 100
+	logTailEntries      = 20
 )
 
 // Answer is what became of a wish.
@@ -29,64 +29,64 @@
 	Clear  bool
 }
 
-type wish struct {
-	command statemachine.Command
-	born    time.Duration
-	done    func(answer Answer)
+type proposal struct {
+	command   statemachine.Command
+	createdAt time.Duration
+	done      func(answer Answer)
 }
 
 type pendingEntry struct {
-	term   raft.Term
-	wishes []wish
+	term      raft.Term
+	proposals []proposal
 }
 
-type joiner struct {
+type joiningController struct {
 	member raft.Member
 	at     int
 }
 
-// Core is one machine of the core, with the process on it.
-type Core struct {
-	world  *World
-	host   string
-	member raft.Member
-	disk   *Disk
-	luck   *rand.Rand
-
-	up, gone   bool
-	life       int
-	raft       *raft.Replica
-	state      *statemachine.State
-	pending    map[raft.Index]pendingEntry
-	wishes     []wish
-	joiners    []joiner
-	leaving    map[raft.ID]int
-	leavingNow bool
-	membership *raft.Policy
-	ticks      int
-	heardAt    int
+// Controller is one machine of the core, with the process on it.
+type Controller struct {
+	cluster *Cluster
+	host    string
+	member  raft.Member
+	disk    *Disk
+	rng     *rand.Rand
+
+	up, gone     bool
+	incarnation  int
+	raft         *raft.Replica
+	state        *statemachine.State
+	pending      map[raft.Index]pendingEntry
+	proposals    []proposal
+	joining      []joiningController
+	leaving      map[raft.ID]int
+	leavingNow   bool
+	membership   *raft.Policy
+	ticks        int
+	leaderSeenAt int
 
 	queue   []raft.Write
 	writing []raft.Write
 
-	frozen    bool
-	held      []func()
-	heldTick  bool
-	slowUntil time.Duration
-	busyUntil time.Duration
-	tickDue   bool
-	stalled   time.Duration
-	fullUntil time.Duration
-	wall      time.Duration
-	lease     Lease
+	frozen          bool
+	deferred        []func()
+	deferredTick    bool
+	slowUntil       time.Duration
+	busyUntil       time.Duration
+	tickDue         bool
+	stalledUntil    time.Duration
+	fullUntil       time.Duration
+	wallClockOffset time.Duration
+	lease           Lease
 
 	// lostAt is when the core was last lost, in the sense of the losses borne.
 	lostAt time.Duration
 }
 
 // start runs the process from what its disk holds.
-func (c *Core) start() {
-	w := c.world
+func (c *Controller) start() {
+	w := c.cluster
 	if c.up || c.gone {
 		return
 	}
@@ -95,61 +95,61 @@
 		w.fail("%v", err)
 		return
 	}
-	w.witness.Loaded(c.host, base, log)
-	if w.broken != "" {
+	w.invariants.Loaded(c.host, base, log)
+	if w.failure != "" {
 		return
 	}
-	c.life++
+	c.incarnation++
 	c.member.ID = c.disk.id
-	c.raft = raft.New(c.disk.id, raft.DefaultTiming(), rand.New(rand.NewSource(c.luck.Int63())), hard, base, log)
-	if c.state, err = statemachine.Restore(base.Data, w.agenda.now); err != nil {
+	c.raft = raft.New(c.disk.id, raft.DefaultTiming(), rand.New(rand.NewSource(c.rng.Int63())), hard, base, log)
+	if c.state, err = statemachine.Restore(base.Data, w.events.now); err != nil {
 		w.fail("%s: the snapshot of %d cannot be read: %v", c.host, base.Index, err)
 		return
 	}
-	c.up, c.frozen, c.held, c.heldTick, c.tickDue = true, false, nil, false, false
-	c.raft.SetLogTail(raft.LogTail{Entries: tailMost, Bytes: 1 << 20})
+	c.up, c.frozen, c.deferred, c.deferredTick, c.tickDue = true, false, nil, false, false
+	c.raft.SetLogTail(raft.LogTail{Entries: logTailEntries, Bytes: 1 << 20})
 	c.lease, c.leaving, c.leavingNow, c.membership = Lease{}, map[raft.ID]int{}, false, w.newMembership()
-	c.pending, c.wishes, c.joiners, c.queue, c.writing = map[raft.Index]pendingEntry{}, nil, nil, nil, nil
-	c.stalled, c.slowUntil, c.busyUntil, c.ticks, c.heardAt = 0, 0, 0, 0, 0
-	w.note("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.LastIndex())
-	c.scheduleTick(c.life)
+	c.pending, c.proposals, c.joining, c.queue, c.writing = map[raft.Index]pendingEntry{}, nil, nil, nil, nil
+	c.stalledUntil, c.slowUntil, c.busyUntil, c.ticks, c.leaderSeenAt = 0, 0, 0, 0, 0
+	w.logEvent("%s starts as %s with term %d, a snapshot of %d and a log up to %d", c.host, c.member.ID, hard.Term, base.Index, c.raft.LastIndex())
+	c.scheduleTick(c.incarnation)
 }
 
 // end ends the process; with the power goes all that was not synced.
-func (c *Core) end(power bool) {
+func (c *Controller) end(power bool) {
 	if !c.up {
 		return
 	}
-	c.up, c.frozen, c.held = false, false, nil
-	c.lostAt = c.world.agenda.now
+	c.up, c.frozen, c.deferred = false, false, nil
+	c.lostAt = c.cluster.events.now
 	var err error
 	switch {
 	case power:
-		err = c.disk.LosePower(c.writing, c.luck)
+		err = c.disk.LosePower(c.writing, c.rng)
 	default:
-		if len(c.writing) > 0 && c.luck.Intn(2) == 0 {
+		if len(c.writing) > 0 && c.rng.Intn(2) == 0 {
 			err = c.disk.Write(c.writing)
 		}
 		_ = c.disk.Close()
 	}
 	if err != nil {
-		c.world.fail("%s: %v", c.host, err)
+		c.cluster.fail("%s: %v", c.host, err)
 	}
 	c.queue, c.writing = nil, nil
-	for _, waiting := range c.wishes {
-		c.world.drop(waiting)
+	for _, waiting := range c.proposals {
+		c.cluster.drop(waiting)
 	}
-	c.wishes, c.pending = nil, map[raft.Index]pendingEntry{}
+	c.proposals, c.pending = nil, map[raft.Index]pendingEntry{}
 }
 
-func (c *Core) scheduleTick(life int) {
-	c.world.agenda.After(raft.TickInterval, func() {
-		if !c.up || c.life != life {
+func (c *Controller) scheduleTick(life int) {
+	c.cluster.events.After(raft.TickInterval, func() {
+		if !c.up || c.incarnation != life {
 			return
 		}
 		c.scheduleTick(life)
 		if c.frozen {
-			c.heldTick = true
+			c.deferredTick = true
 			return
 		}
 		if c.tickDue {
@@ -161,28 +161,28 @@
 }
 
 // receive has the process do something now, or when it can.
-func (c *Core) receive(run func()) {
+func (c *Controller) receive(run func()) {
 	if !c.up {
 		return
 	}
 	if c.frozen {
-		if len(c.held) < mostHeld {
-			c.held = append(c.held, run)
+		if len(c.deferred) < maxDeferred {
+			c.deferred = append(c.deferred, run)
 		}
 		return
 	}
-	now := c.world.agenda.now
+	now := c.cluster.events.now
 	if now >= c.slowUntil && now >= c.busyUntil {
 		run()
 		return
 	}
 	if now < c.slowUntil {
-		c.busyUntil = max(c.busyUntil, now) + time.Duration(2+c.luck.Intn(24))*time.Millisecond
+		c.busyUntil = max(c.busyUntil, now) + time.Duration(2+c.rng.Intn(24))*time.Millisecond
 	}
-	life := c.life
-	c.world.agenda.After(c.busyUntil-now, func() {
+	life := c.incarnation
+	c.cluster.events.After(c.busyUntil-now, func() {
 		switch {
-		case !c.up || c.life != life:
+		case !c.up || c.incarnation != life:
 		case c.frozen:
 			c.receive(run)
 		default:
@@ -191,64 +191,64 @@
 	})
 }
 
-func (c *Core) freeze() { c.frozen, c.heldTick = c.up, false }
+func (c *Controller) freeze() { c.frozen, c.deferredTick = c.up, false }
 
-// thaw wakes the process: mostly its handlers run before its first tick, and
+// resume wakes the process: mostly its handlers run before its first tick, and
 // not always in the order in which they were called.
-func (c *Core) thaw() {
+func (c *Controller) resume() {
 	if !c.up || !c.frozen {
 		return
 	}
 	c.frozen = false
-	c.lostAt = c.world.agenda.now
-	held := c.held
-	c.held = nil
-	if c.luck.Intn(2) == 0 {
-		c.luck.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
-	}
-	tick := c.heldTick && !c.tickDue
-	if tick && c.luck.Intn(4) == 0 {
+	c.lostAt = c.cluster.events.now
+	held := c.deferred
+	c.deferred = nil
+	if c.rng.Intn(2) == 0 {
+		c.rng.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
+	}
+	tick := c.deferredTick && !c.tickDue
+	if tick && c.rng.Intn(4) == 0 {
 		tick = false
 		c.tick()
 	}
-	life := c.life
+	life := c.incarnation
 	for _, run := range held {
-		if c.up && c.life == life {
+		if c.up && c.incarnation == life {
 			run()
 		}
 	}
-	if tick && c.up && c.life == life {
+	if tick && c.up && c.incarnation == life {
 		c.tick()
 	}
 }
 
-func (c *Core) tick() {
+func (c *Controller) tick() {
 	c.tickDue = false
 	c.ticks++
-	c.carry(c.at().Tick())
-	if c.ticks%houseTicks == 0 && c.up {
-		c.keepHouse()
+	c.perform(c.replica().Tick())
+	if c.ticks%reconcileTicks == 0 && c.up {
+		c.reconcileMembership()
 	}
 	c.propose()
 }
 
 // step takes a message from another core.
-func (c *Core) step(message raft.Message) {
-	if c.world.options.Plant == LateSnapshot && c.dropBehind(message) {
+func (c *Controller) step(message raft.Message) {
+	if c.cluster.options.InjectedBug == LateSnapshot && c.dropBehind(message) {
 		return
 	}
-	c.carry(c.at().Step(message))
+	c.perform(c.replica().Step(message))
 	c.propose()
 }
 
 // dropBehind is the planted fault of a late snapshot: the log is put away for it.
-func (c *Core) dropBehind(message raft.Message) (dropped bool) {
+func (c *Controller) dropBehind(message raft.Message) (dropped bool) {
 	snapshot := message.Snapshot
 	if message.Kind != raft.MsgSnapshot || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
 		snapshot.Index >= c.raft.LastIndex() || len(c.queue)+len(c.writing) > 0 {
 		return false
 	}
-	state, err := statemachine.Restore(snapshot.Data, c.world.agenda.now)
+	state, err := statemachine.Restore(snapshot.Data, c.cluster.events.now)
 	if err != nil {
 		return false
 	}
@@ -262,23 +262,23 @@
 	}
 	c.disk.base, c.disk.log = *snapshot, nil
 	c.state = state
-	c.raft = raft.New(c.member.ID, raft.DefaultTiming(), rand.New(rand.NewSource(c.luck.Int63())), hard, *snapshot, nil)
+	c.raft = raft.New(c.member.ID, raft.DefaultTiming(), rand.New(rand.NewSource(c.rng.Int63())), hard, *snapshot, nil)
 	return true
 }
 
-// carry does what a step asked for.
-func (c *Core) carry(out raft.Output) {
-	w := c.world
+// perform does what a step asked for.
+func (c *Controller) perform(out raft.Output) {
+	w := c.cluster
 	c.lease.end(c)
 	for _, message := range out.Messages {
 		c.post(message)
 	}
 	if len(out.Writes) > 0 {
 		c.queue = append(c.queue, out.Writes...)
-		switch w.options.Plant {
+		switch w.options.InjectedBug {
 		case ForgetSync:
 			c.report(out.Writes)
-		case EarlyTell:
+		case SendBeforeSync:
 			for _, write := range out.Writes {
 				for _, message := range write.AfterSync {
 					c.post(message)
@@ -288,46 +288,46 @@
 		c.write()
 	}
 	if out.Restore != nil {
-		state, err := statemachine.Restore(out.Restore.Data, w.agenda.now)
+		state, err := statemachine.Restore(out.Restore.Data, w.events.now)
 		if err != nil {
 			w.fail("%s: the snapshot of %d cannot be read: %v", c.host, out.Restore.Index, err)
 			return
 		}
-		w.witness.Restored(c.host, *out.Restore)
+		w.invariants.Restored(c.host, *out.Restore)
 		c.state = state
 	}
 	for _, entry := range out.Committed {
 		c.apply(entry)
 	}
 	if c.raft.Role() == raft.Leader {
-		w.witness.Leads(c.raft.Term(), c.member.ID)
+		w.invariants.Leads(c.raft.Term(), c.member.ID)
 	} else {
-		c.forsake()
+		c.abandonPending()
 	}
 	c.lease.renew(c)
 	if c.raft.LeaderID() != "" {
-		c.heardAt = c.ticks
+		c.leaderSeenAt = c.ticks
 	}
-	if len(out.Committed) > 0 && c.raft.CommitIndex()-c.raft.SnapshotIndex() > compactMost {
+	if len(out.Committed) > 0 && c.raft.CommitIndex()-c.raft.SnapshotIndex() > compactionThreshold {
 		c.compact()
 	}
 }
 
-// forsake leaves those without a clear answer whose entries another leader decides on.
-func (c *Core) forsake() {
+// abandonPending leaves those without a clear answer whose entries another leader decides on.
+func (c *Controller) abandonPending() {
 	for _, index := range sortedKeys(c.pending) {
-		for _, waiting := range c.pending[index].wishes {
-			c.answer(waiting, Answer{Clear: c.world.options.Plant == UnclearNo, Result: statemachine.Result{Err: errors.New("not carried out")}})
+		for _, waiting := range c.pending[index].proposals {
+			c.answer(waiting, Answer{Clear: c.cluster.options.InjectedBug == UnknownAsRejected, Result: statemachine.Result{Err: errors.New("not carried out")}})
 		}
 	}
 	clear(c.pending)
 }
 
-func (c *Core) answer(waiting wish, answer Answer) { waiting.done(answer) }
+func (c *Controller) answer(waiting proposal, answer Answer) { waiting.done(answer) }
 
-func (c *Core) apply(entry raft.Entry) {
-	w := c.world
-	w.witness.Applied(c.host, entry)
+func (c *Controller) apply(entry raft.Entry) {
+	w := c.cluster
+	w.invariants.Applied(c.host, entry)
 	commands, err := statemachine.DecodeCommands(entry.Data)
 	if err != nil {
 		w.fail("%s: entry %d: %v", c.host, entry.Index, err)
@@ -335,66 +335,66 @@
 	}
 	results := make([]statemachine.Result, len(commands))
 	for i, command := range commands {
-		results[i] = w.options.Plant.bend(c.state, command, c.state.Apply(uint64(entry.Index), command, w.agenda.now))
+		results[i] = w.options.InjectedBug.bend(c.state, command, c.state.Apply(uint64(entry.Index), command, w.events.now))
 	}
 	waiting, known := c.pending[entry.Index]
 	if !known {
 		return
 	}
 	delete(c.pending, entry.Index)
-	for i := range waiting.wishes {
+	for i := range waiting.proposals {
 		if waiting.term == entry.Term && i < len(results) {
-			c.answer(waiting.wishes[i], Answer{Result: results[i], Clear: true})
+			c.answer(waiting.proposals[i], Answer{Result: results[i], Clear: true})
 		} else {
-			c.answer(waiting.wishes[i], Answer{})
+			c.answer(waiting.proposals[i], Answer{})
 		}
 	}
 }
 
-func (c *Core) compact() {
+func (c *Controller) compact() {
 	data, err := c.state.Snapshot()
 	if err != nil {
-		c.world.fail("%s: the state cannot be written: %v", c.host, err)
+		c.cluster.fail("%s: the state cannot be written: %v", c.host, err)
 		return
 	}
 	if done, out := c.raft.Compact(c.raft.CommitIndex(), data); done {
-		c.carry(out)
+		c.perform(out)
 	}
 }
 
 // write has the disk take up what waits, if it is idle.
-func (c *Core) write() {
+func (c *Controller) write() {
 	if len(c.writing) > 0 || len(c.queue) == 0 {
 		return
 	}
 	c.writing, c.queue = c.queue, nil
-	c.finishIn(time.Duration(800+c.luck.Intn(2500)) * time.Microsecond)
+	c.finishIn(time.Duration(800+c.rng.Intn(2500)) * time.Microsecond)
 }
 
-func (c *Core) finishIn(span time.Duration) {
-	life := c.life
-	c.world.agenda.After(span, func() {
-		if !c.up || c.life != life {
+func (c *Controller) finishIn(span time.Duration) {
+	life := c.incarnation
+	c.cluster.events.After(span, func() {
+		if !c.up || c.incarnation != life {
 			return
 		}
-		now := c.world.agenda.now
-		if now < c.stalled {
-			c.finishIn(c.stalled - now)
+		now := c.cluster.events.now
+		if now < c.stalledUntil {
+			c.finishIn(c.stalledUntil - now)
 			return
 		}
 		if now < c.fullUntil {
-			c.carry(c.raft.TransferLeadership())
+			c.perform(c.raft.TransferLeadership())
 			c.finishIn(80 * time.Millisecond)
 			return
 		}
 		writes := c.writing
 		if err := c.disk.Write(writes); err != nil {
-			c.world.fail("%s: %v", c.host, err)
+			c.cluster.fail("%s: %v", c.host, err)
 			return
 		}
-		c.world.witness.Wrote(c.host, writes)
+		c.cluster.invariants.Wrote(c.host, writes)
 		c.writing = nil
-		if c.world.options.Plant != ForgetSync {
+		if c.cluster.options.InjectedBug != ForgetSync {
 			c.receive(func() { c.report(writes) })
 		}
 		c.write()
@@ -402,35 +402,35 @@
 }
 
 // report tells the agreement what is on disk, and sends what waited for it.
-func (c *Core) report(writes []raft.Write) {
+func (c *Controller) report(writes []raft.Write) {
 	for _, write := range writes {
-		if c.world.options.Plant != EarlyTell {
+		if c.cluster.options.InjectedBug != SendBeforeSync {
 			for _, message := range write.AfterSync {
 				c.post(message)
 			}
 		}
 	}
-	c.carry(c.at().ReportSynced(len(writes)))
+	c.perform(c.replica().ReportSynced(len(writes)))
 	c.propose()
 }
 
-func (c *Core) post(message raft.Message) {
-	c.world.witness.Sends(c, message)
-	c.world.network.post(c, message)
+func (c *Controller) post(message raft.Message) {
+	c.cluster.invariants.Sends(c, message)
+	c.cluster.network.post(c, message)
 }
 
-// put asks for a command to be carried out.
-func (c *Core) put(command statemachine.Command, done func(answer Answer)) {
-	open, life := true, c.life
+// submit asks for a command to be carried out.
+func (c *Controller) submit(command statemachine.Command, done func(answer Answer)) {
+	open, life := true, c.incarnation
 	once := func(answer Answer) {
 		if open {
 			open = false
 			done(answer)
 		}
 	}
-	c.wishes = append(c.wishes, wish{command, c.world.agenda.now, once})
-	c.world.agenda.After(patience, func() {
-		if c.up && c.life == life {
+	c.proposals = append(c.proposals, proposal{command, c.cluster.events.now, once})
+	c.cluster.events.After(proposalTimeout, func() {
+		if c.up && c.incarnation == life {
 			c.receive(func() { once(Answer{}) })
 		}
 	})
@@ -438,17 +438,17 @@
 }
 
 // propose puts the wishes that wait together into the log.
-func (c *Core) propose() {
-	for c.up && len(c.wishes) > 0 && (c.raft.Role() != raft.Leader || c.raft.AcceptsProposals() && len(c.pending) < mostPending) {
-		var batch []wish
-		for _, waiting := range c.wishes {
-			if c.world.agenda.now-waiting.born > staleWish || c.raft.Role() != raft.Leader {
+func (c *Controller) propose() {
+	for c.up && len(c.proposals) > 0 && (c.raft.Role() != raft.Leader || c.raft.AcceptsProposals() && len(c.pending) < maxPending) {
+		var batch []proposal
+		for _, waiting := range c.proposals {
+			if c.cluster.events.now-waiting.createdAt > staleProposalAge || c.raft.Role() != raft.Leader {
 				c.answer(waiting, Answer{})
 				continue
 			}
 			batch = append(batch, waiting)
 		}
-		c.wishes = nil
+		c.proposals = nil
 		if len(batch) == 0 {
 			return
 		}
@@ -464,20 +464,20 @@
 			return
 		}
 		c.pending[index] = pendingEntry{term, batch}
-		if c.world.options.Plant == LoneCommit {
+		if c.cluster.options.InjectedBug == CommitWithoutQuorum {
 			for _, waiting := range batch {
 				c.answer(waiting, Answer{Clear: true, Result: statemachine.Result{Granted: true}})
 			}
 		}
-		c.carry(out)
+		c.perform(out)
 	}
 }
 
-// leads tells whether this core may answer as the leader does.
-func (c *Core) leads() (leads bool) { return c.raft.CommittedInTerm() }
+// isLeader tells whether this core may answer as the leader does.
+func (c *Controller) isLeader() (leads bool) { return c.raft.CommittedInTerm() }
 
-// fresh tells whether it may answer from its state at this moment.
-func (c *Core) fresh() (fresh bool) { return c.leads() && c.lease.covers(c) }
+// mayServeReads tells whether it may answer from its state at this moment.
+func (c *Controller) mayServeReads() (fresh bool) { return c.isLeader() && c.lease.covers(c) }
 
-// at gives the agreement the steady time.
-func (c *Core) at() (state *raft.Replica) { return c.raft.At(c.world.agenda.now) }
+// replica gives the agreement the steady time.
+func (c *Controller) replica() (state *raft.Replica) { return c.raft.At(c.cluster.events.now) }
--- a/internal/simulation/desk.go
+++ b/internal/simulation/desk.go
@@ -4,10 +4,10 @@
 
 import "tinpin/internal/raft"
 
-// elsewhere says who leads, if this core knows.
-func (c *Core) elsewhere() (answer reply) {
-	answer.elsewhere = true
-	for _, other := range c.world.cores {
+// redirect says who leads, if this core knows.
+func (c *Controller) redirect() (answer reply) {
+	answer.redirected = true
+	for _, other := range c.cluster.cores {
 		if other != c && c.raft.LeaderID() == other.member.ID {
 			answer.leader = other
 		}
@@ -15,44 +15,44 @@
 	return answer
 }
 
-// take has an order carried out.
-func (c *Core) take(o Order, back func(reply)) {
-	if !c.leads() {
-		back(c.elsewhere())
+// handleRequest has an order carried out.
+func (c *Controller) handleRequest(o Request, back func(reply)) {
+	if !c.isLeader() {
+		back(c.redirect())
 		return
 	}
-	c.put(o.command(), func(answer Answer) { back(reply{told: o.answerOf(answer)}) })
+	c.submit(o.command(), func(answer Answer) { back(reply{outcome: o.answerOf(answer)}) })
 }
 
-// describe reads a register, where contact proves that this core leads.
-func (c *Core) describe(history *History, back func(reply)) {
+// handleRead reads a register, where contact proves that this core leads.
+func (c *Controller) handleRead(history *History, back func(reply)) {
 	switch {
-	case !c.leads():
-		back(c.elsewhere())
-	case !c.fresh():
+	case !c.isLeader():
+		back(c.redirect())
+	case !c.mayServeReads():
 		back(reply{})
 	default:
-		back(reply{told: history.look(c.state)})
+		back(reply{outcome: history.look(c.state)})
 	}
 }
 
-// news is what a beat of an edge is answered with.
-type news struct {
-	term raft.Term
-	rev  uint64
-	from *Core
-	seen []told
+// update is what a beat of an edge is answered with.
+type update struct {
+	term     raft.Term
+	revision uint64
+	from     *Controller
+	observed []observation
 }
 
-// beat answers an edge from the state as it stands.
-func (c *Core) beat(histories []*History, back func(reply, news)) {
-	if !c.fresh() {
-		back(c.elsewhere(), news{})
+// handleHeartbeat answers an edge from the state as it stands.
+func (c *Controller) handleHeartbeat(histories []*History, back func(reply, update)) {
+	if !c.mayServeReads() {
+		back(c.redirect(), update{})
 		return
 	}
-	got := news{term: c.raft.Term(), rev: c.state.Revision, from: c}
+	got := update{term: c.raft.Term(), revision: c.state.Revision, from: c}
 	for _, history := range histories {
-		got.seen = append(got.seen, history.look(c.state))
+		got.observed = append(got.observed, history.look(c.state))
 	}
-	back(reply{told: told{outcome: confirmed}}, got)
+	back(reply{outcome: observation{outcome: confirmed}}, got)
 }
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -19,10 +19,10 @@
 
 // Disk of one core.
 type Disk struct {
-	fs    *vfs.MemFS
-	store *raft.Store
-	id    raft.ID
-	plant Plant
+	fs          *vfs.MemFS
+	store       *raft.Store
+	id          raft.ID
+	injectedBug InjectedBug
 
 	// What must be on disk.
 	hard raft.HardState
@@ -31,8 +31,8 @@
 }
 
 // newDisk founds the disk of one core.
-func newDisk(id raft.ID, base raft.Snapshot, plant Plant) (disk *Disk, err error) {
-	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, plant: plant}
+func newDisk(id raft.ID, base raft.Snapshot, injectedBug InjectedBug) (disk *Disk, err error) {
+	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, injectedBug: injectedBug}
 	if err = disk.fs.MkdirAll(folder, 0o755); err != nil {
 		return nil, Class.Wrap(err)
 	}
@@ -63,7 +63,7 @@
 		return hard, base, log, Class.Wrap(err)
 	case id != d.id:
 		return hard, base, log, Class.New("the disk of %s gave back the id %q", d.id, id)
-	case hard != d.hard && d.plant != LoseVote:
+	case hard != d.hard && d.injectedBug != LoseVote:
 		return hard, base, log, Class.New("the disk of %s gave back term %d and vote %q for %d and %q", d.id, hard.Term, hard.Vote, d.hard.Term, d.hard.Vote)
 	case base.Index != d.base.Index || base.Term != d.base.Term:
 		return hard, base, log, Class.New("the disk of %s gave back a snapshot of %d for one of %d", d.id, base.Index, d.base.Index)
@@ -91,13 +91,13 @@
 
 // Write carries orders out.
 func (d *Disk) Write(writes []raft.Write) (err error) {
-	if d.plant == CutTail {
+	if d.injectedBug == CutTail {
 		if err = d.writeUncut(writes); err != nil {
 			return err
 		}
 	}
 	carried := writes
-	if d.plant == LoseVote {
+	if d.injectedBug == LoseVote {
 		carried = append([]raft.Write(nil), writes...)
 		for i := range carried {
 			carried[i].HardState = nil
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -11,7 +11,7 @@
 	return raft.Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
 }
 
-func founded(t *testing.T, plant Plant) (disk *Disk) {
+func founded(t *testing.T, plant InjectedBug) (disk *Disk) {
 	t.Helper()
 	disk, err := newDisk("a", raft.Snapshot{Index: 1, Term: 1}, plant)
 	if err != nil {
@@ -24,7 +24,7 @@
 // An entry of an older term takes the place of two newer ones: the second must
 // be gone in the same write, and where the planted fault leaves it, it is found.
 func TestACutThatIsNotInItsWriteIsFound(t *testing.T) {
-	for _, plant := range []Plant{"", CutTail} {
+	for _, plant := range []InjectedBug{"", CutTail} {
 		disk := founded(t, plant)
 		if err := disk.Write([]raft.Write{{Entries: []raft.Entry{entryOf(2, 6), entryOf(3, 6)}}}); err != nil {
 			t.Fatal(err)
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -12,58 +12,58 @@
 // Edge is one edge daemon.
 type Edge struct {
 	*Caller
-	term    raft.Term
-	rev     uint64
-	beating bool
+	term          raft.Term
+	revision      uint64
+	heartbeatOpen bool
 }
 
-// live beats and claims until the end.
-func (e *Edge) live() {
-	if e.world.ending {
+// run beats and claims until the end.
+func (e *Edge) run() {
+	if e.cluster.ending {
 		return
 	}
-	e.world.agenda.After(time.Duration(60+e.luck.Intn(240))*time.Millisecond, e.live)
-	e.beat()
-	if e.busy < 4 && e.luck.Intn(3) == 0 {
+	e.cluster.events.After(time.Duration(60+e.rng.Intn(240))*time.Millisecond, e.run)
+	e.heartbeat()
+	if e.busy < 4 && e.rng.Intn(3) == 0 {
 		e.claim()
 	}
 }
 
-// beat asks for news of what is worked on, one beat at a time; now and then it
+// heartbeat asks for news of what is worked on, one beat at a time; now and then it
 // asks any core, as one does that has just started.
-func (e *Edge) beat() {
-	if e.beating {
+func (e *Edge) heartbeat() {
+	if e.heartbeatOpen {
 		return
 	}
-	e.beating = true
+	e.heartbeatOpen = true
 	to := e.pick(nil)
-	if e.luck.Intn(4) == 0 {
+	if e.rng.Intn(4) == 0 {
 		to = e.pick(to)
 	}
-	histories := e.world.current()
+	histories := e.cluster.current()
 	reads := make([]*operation, len(histories))
 	for i, history := range histories {
-		reads[i] = history.begin(e.number, call{verb: read}, e.world.agenda.now)
+		reads[i] = history.begin(e.number, call{verb: read}, e.cluster.events.now)
 	}
-	var got news
+	var got update
 	e.attempt(&History{}, call{verb: read}, to, func(back func(reply)) {
-		to.beat(histories, func(answer reply, told news) {
+		to.handleHeartbeat(histories, func(answer reply, told update) {
 			got = told
 			back(answer)
 		})
-	}, func(answer reply, core *Core) {
-		e.beating = false
+	}, func(answer reply, core *Controller) {
+		e.heartbeatOpen = false
 		for i, history := range histories {
-			if got.from == nil || answer.told.outcome != confirmed {
+			if got.from == nil || answer.outcome.outcome != confirmed {
 				history.forget(reads[i])
 			} else {
-				history.end(reads[i], got.seen[i], e.world.agenda.now)
+				history.end(reads[i], got.observed[i], e.cluster.events.now)
 			}
 		}
 		switch {
-		case answer.elsewhere:
+		case answer.redirected:
 			e.leader = answer.leader
-		case answer.told.outcome == confirmed:
+		case answer.outcome.outcome == confirmed:
 			e.leader = core
 			e.follow(got)
 		default:
@@ -73,19 +73,19 @@
 }
 
 // follow takes news of a leader unless its term is over.
-func (e *Edge) follow(got news) {
-	if got.term < e.term && e.world.options.Plant != EdgeBack {
+func (e *Edge) follow(got update) {
+	if got.term < e.term && e.cluster.options.InjectedBug != EdgeBack {
 		return
 	}
-	if got.term < e.term || got.rev < e.rev {
-		e.world.fail("epochs only forward: an edge at term %d and place %d takes term %d and place %d from %s", e.term, e.rev, got.term, got.rev, got.from.host)
+	if got.term < e.term || got.revision < e.revision {
+		e.cluster.fail("epochs only forward: an edge at term %d and place %d takes term %d and place %d from %s", e.term, e.revision, got.term, got.revision, got.from.host)
 	}
-	e.term, e.rev = got.term, got.rev
+	e.term, e.revision = got.term, got.revision
 }
 
 // claim asks for a key that other edges ask for too.
 func (e *Edge) claim() {
-	history := e.world.key()
-	e.world.requests++
-	e.order(Order{history: history, call: call{content: fmt.Sprintf("%d-%d", e.number, e.world.requests)}}, 1)
+	history := e.cluster.key()
+	e.cluster.requests++
+	e.order(Request{history: history, call: call{content: fmt.Sprintf("%d-%d", e.number, e.cluster.requests)}}, 1)
 }
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -36,7 +36,7 @@
 type outcome uint8
 
 const (
-	unclear outcome = iota
+	unknown outcome = iota
 	confirmed
 	refused
 )
@@ -48,8 +48,8 @@
 	content string
 }
 
-// told is what was answered.
-type told struct {
+// observation is what was answered.
+type observation struct {
 	outcome outcome
 	version uint64
 	content string
@@ -59,7 +59,7 @@
 type operation struct {
 	client     int
 	call       call
-	told       told
+	told       observation
 	from, upto time.Duration
 }
 
@@ -85,8 +85,8 @@
 }
 
 // end notes the answer.
-func (h *History) end(op *operation, told told, now time.Duration) {
-	if told.outcome == unclear {
+func (h *History) end(op *operation, told observation, now time.Duration) {
+	if told.outcome == unknown {
 		return
 	}
 	if op.call.verb == set {
@@ -143,7 +143,7 @@
 }
 
 // step carries one call out on what holds, and tells whether it may be answered so.
-func (h Shape) step(now standing, call call, told told) (right bool, after standing) {
+func (h Shape) step(now standing, call call, told observation) (right bool, after standing) {
 	if call.verb == read {
 		return told.outcome != confirmed || told.version == now.version && told.content == now.content, now
 	}
@@ -160,14 +160,14 @@
 		if now.content == "" {
 			now.content = call.content
 		}
-		return told.outcome == unclear || now.content == call.content, now
+		return told.outcome == unknown || now.content == call.content, now
 	}
 	content, known := now.under(call.version)
 	switch {
 	case told.outcome == refused:
 		return known && content != call.content || !known && call.version < now.version, now
 	case known:
-		return told.outcome == unclear || content == call.content, now
+		return told.outcome == unknown || content == call.content, now
 	case call.version > now.version || told.outcome == confirmed:
 		return true, now.take(call)
 	}
@@ -178,7 +178,7 @@
 	return porcupine.Model{
 		Init: func() any { return standing{} },
 		Step: func(state, input, output any) (bool, any) {
-			right, after := h.step(state.(standing), input.(call), output.(told))
+			right, after := h.step(state.(standing), input.(call), output.(observation))
 			return right, after
 		},
 	}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -8,12 +8,12 @@
 // Histories that can and cannot be explained.
 func TestHistoriesAreExplained(t *testing.T) {
 	set := func(version uint64, content string) call { return call{verb: set, version: version, content: content} }
-	yes, no, open := told{outcome: confirmed}, told{outcome: refused}, told{}
-	seen := func(version uint64, content string) told { return told{confirmed, version, content} }
+	yes, no, open := observation{outcome: confirmed}, observation{outcome: refused}, observation{}
+	seen := func(version uint64, content string) observation { return observation{confirmed, version, content} }
 	look := call{verb: read}
 	type line struct {
 		call call
-		told told
+		told observation
 	}
 	for name, c := range map[string]struct {
 		shape Shape
--- a/internal/simulation/house.go
+++ b/internal/simulation/house.go
@@ -12,28 +12,28 @@
 
 const (
 	// slowTicks is how long the planted slow strike-out waits.
-	slowTicks    = 320
-	houseTicks   = 5
-	askTicks     = 10
-	leavingTicks = 18
-	leavePause   = 100 * time.Millisecond
+	slowTicks      = 320
+	reconcileTicks = 5
+	askTicks       = 10
+	leavingTicks   = 18
+	leavePause     = 100 * time.Millisecond
 )
 
 // newMembership is the real policy, as the settings ask for it.
-func (w *World) newMembership() (membership *raft.Policy) {
+func (w *Cluster) newMembership() (membership *raft.Policy) {
 	membership = raft.NewPolicy(w.options.Losses, 0, w.options.CatchUp)
-	if w.options.Plant == SlowStrike {
+	if w.options.InjectedBug == SlowVoterRemoval {
 		membership.VoterTimeout = slowTicks
 	}
 	return membership
 }
 
-func (c *Core) isMember() (member bool) {
+func (c *Controller) isMember() (member bool) {
 	_, member = c.memberOf(c.member.ID)
 	return member
 }
 
-func (c *Core) memberOf(id raft.ID) (member raft.Member, known bool) {
+func (c *Controller) memberOf(id raft.ID) (member raft.Member, known bool) {
 	for _, member = range c.raft.Members() {
 		if member.ID == id {
 			return member, true
@@ -42,9 +42,9 @@
 	return raft.Member{}, false
 }
 
-func (c *Core) keepHouse() {
+func (c *Controller) reconcileMembership() {
 	if c.raft.Role() != raft.Leader {
-		if !c.leavingNow && (!c.isMember() || c.ticks-c.heardAt > 18) && c.ticks%askTicks == 0 {
+		if !c.leavingNow && (!c.isMember() || c.ticks-c.leaderSeenAt > 18) && c.ticks%askTicks == 0 {
 			c.askToJoin()
 		}
 		return
@@ -54,16 +54,16 @@
 	}
 }
 
-// roll is what this leader sees of the members.
-func (c *Core) roll() (roll raft.View) {
-	kept := c.joiners[:0]
-	for _, joiner := range c.joiners {
-		if c.ticks-joiner.at <= joinAge {
+// membershipView is what this leader sees of the members.
+func (c *Controller) membershipView() (roll raft.View) {
+	kept := c.joining[:0]
+	for _, joiner := range c.joining {
+		if c.ticks-joiner.at <= maxJoinAge {
 			kept = append(kept, joiner)
 			roll.Joining = append(roll.Joining, joiner.member)
 		}
 	}
-	c.joiners = kept
+	c.joining = kept
 	for id, at := range c.leaving {
 		if c.ticks-at > leavingTicks {
 			delete(c.leaving, id)
@@ -75,10 +75,10 @@
 	return roll
 }
 
-func (c *Core) changeMembers() {
-	roll := c.roll()
+func (c *Controller) changeMembers() {
+	roll := c.membershipView()
 	decision := c.membership.Decide(roll)
-	if c.world.options.Plant == ShrinkFirst {
+	if c.cluster.options.InjectedBug == ShrinkFirst {
 		decision = c.shrink(roll, decision)
 	}
 	if decision.Change == raft.NoChange {
@@ -86,14 +86,14 @@
 	}
 	if accepted, out := c.raft.ProposeMembers(decision.Next); accepted {
 		c.membership.Record(roll, decision)
-		c.dropJoiner(decision.Member.ID)
-		c.world.note("%s: %s of %s, members are %s", c.host, decision.Change, decision.Member.ID, membersText(decision.Next))
-		c.carry(out)
+		c.removeJoining(decision.Member.ID)
+		c.cluster.logEvent("%s: %s of %s, members are %s", c.host, decision.Change, decision.Member.ID, membersText(decision.Next))
+		c.perform(out)
 	}
 }
 
 // shrink is the planted fault of a voter struck out with nobody for its place.
-func (c *Core) shrink(roll raft.View, usual raft.Decision) (decision raft.Decision) {
+func (c *Controller) shrink(roll raft.View, usual raft.Decision) (decision raft.Decision) {
 	for i, member := range roll.Members {
 		if member.Voter && member.ID != roll.Self && roll.SinceHeard(member.ID) > 12 {
 			c.membership.Voters = 2
@@ -104,73 +104,73 @@
 	return usual
 }
 
-func (c *Core) askToJoin() {
-	for _, other := range c.world.cores {
+func (c *Controller) askToJoin() {
+	for _, other := range c.cluster.cores {
 		if other != c {
 			member := c.member
-			c.world.network.call(c, other, func() { other.takeJoiner(member) })
+			c.cluster.network.call(c, other, func() { other.addJoining(member) })
 		}
 	}
 }
 
-func (c *Core) takeJoiner(member raft.Member) {
+func (c *Controller) addJoining(member raft.Member) {
 	if _, known := c.memberOf(member.ID); known || c.raft.Role() != raft.Leader || c.membership.RejectReason(c.raft.Members(), member) != "" {
 		return
 	}
-	waits := slices.ContainsFunc(c.joiners, func(j joiner) bool { return j.member.ID == member.ID })
-	c.joiners = slices.DeleteFunc(c.joiners, func(j joiner) bool { return j.member.Inner == member.Inner })
-	c.joiners = append(c.joiners, joiner{member, c.ticks})
+	waits := slices.ContainsFunc(c.joining, func(j joiningController) bool { return j.member.ID == member.ID })
+	c.joining = slices.DeleteFunc(c.joining, func(j joiningController) bool { return j.member.Inner == member.Inner })
+	c.joining = append(c.joining, joiningController{member, c.ticks})
 	if !waits && c.raft.CommittedInTerm() {
 		c.changeMembers()
 	}
 }
 
-func (c *Core) dropJoiner(id raft.ID) {
-	c.joiners = slices.DeleteFunc(c.joiners, func(j joiner) bool { return j.member.ID == id })
+func (c *Controller) removeJoining(id raft.ID) {
+	c.joining = slices.DeleteFunc(c.joining, func(j joiningController) bool { return j.member.ID == id })
 }
 
 // leave has a core that was asked to stop resign and ask to be taken out, and
 // ends it once it may go or its time is up.
-func (c *Core) leave(until time.Duration, gone func()) {
-	life := c.life
+func (c *Controller) leave(until time.Duration, gone func()) {
+	life := c.incarnation
 	ask := func(run func()) {
 		c.receive(func() {
-			if c.life == life {
+			if c.incarnation == life {
 				run()
 			}
 		})
 	}
 	ended := false
 	end := func() {
-		if !ended && c.life == life {
+		if !ended && c.incarnation == life {
 			ended = true
 			gone()
 		}
 	}
-	c.world.agenda.After(until-c.world.agenda.now, end)
+	c.cluster.events.After(until-c.cluster.events.now, end)
 	var again func()
 	again = func() {
-		if ended || !c.up || c.life != life {
+		if ended || !c.up || c.incarnation != life {
 			return
 		}
-		c.world.agenda.After(leavePause, func() { ask(again) })
+		c.cluster.events.After(leavePause, func() { ask(again) })
 		c.leavingNow = true
 		if c.raft.Role() == raft.Leader {
-			if !c.membership.HasSuccessor(c.roll(), c.member.ID) {
-				c.carry(c.at().TransferLeadership())
-				c.world.agenda.After(leavePause, end)
+			if !c.membership.HasSuccessor(c.membershipView(), c.member.ID) {
+				c.perform(c.replica().TransferLeadership())
+				c.cluster.events.After(leavePause, end)
 				return
 			}
 			if c.raft.AcceptsProposals() {
-				c.carry(c.at().TransferLeadership())
+				c.perform(c.replica().TransferLeadership())
 			}
 			return
 		}
-		for _, other := range c.world.standing() {
+		for _, other := range c.cluster.remaining() {
 			if other != c {
-				c.world.network.call(c, other, func() {
+				c.cluster.network.call(c, other, func() {
 					if other.partsWith(c.member.ID) {
-						c.world.network.call(other, c, end)
+						c.cluster.network.call(other, c, end)
 					}
 				})
 			}
@@ -180,16 +180,16 @@
 }
 
 // partsWith notes a core that is about to end, and tells whether it may go now.
-func (c *Core) partsWith(id raft.ID) (now bool) {
-	if !c.fresh() || c.leavingNow {
+func (c *Controller) partsWith(id raft.ID) (now bool) {
+	if !c.mayServeReads() || c.leavingNow {
 		return false
 	}
-	c.dropJoiner(id)
+	c.removeJoining(id)
 	member, known := c.memberOf(id)
 	switch {
 	case !known:
 		return !c.raft.MembersChanging()
-	case !member.Voter || !c.membership.HasSuccessor(c.roll(), id):
+	case !member.Voter || !c.membership.HasSuccessor(c.membershipView(), id):
 		delete(c.leaving, id)
 		return true
 	}
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -24,25 +24,25 @@
 
 // The largest hunt.
 const (
-	SeedsMost    = 10_000_000
-	ParallelMost = 256
-	LimitMost    = 24 * time.Hour
+	MaxSeeds    = 10_000_000
+	MaxParallel = 256
+	MaxLimit    = 24 * time.Hour
 )
 
 // Check names every size that cannot be played, in one message.
 func (r Range) Check() (err error) {
 	var faults []string
-	if r.Seeds < 1 || r.Seeds > SeedsMost {
-		faults = append(faults, fmt.Sprintf("seeds is %d and must be from 1 to %d", r.Seeds, SeedsMost))
+	if r.Seeds < 1 || r.Seeds > MaxSeeds {
+		faults = append(faults, fmt.Sprintf("seeds is %d and must be from 1 to %d", r.Seeds, MaxSeeds))
 	}
 	if r.From < 0 || r.From > 1<<53 {
 		faults = append(faults, fmt.Sprintf("from is %d and must be from 0 to %d", r.From, int64(1)<<53))
 	}
-	if r.Parallel < 1 || r.Parallel > ParallelMost {
-		faults = append(faults, fmt.Sprintf("parallel is %d and must be from 1 to %d", r.Parallel, ParallelMost))
+	if r.Parallel < 1 || r.Parallel > MaxParallel {
+		faults = append(faults, fmt.Sprintf("parallel is %d and must be from 1 to %d", r.Parallel, MaxParallel))
 	}
-	if r.Limit < time.Second || r.Limit > LimitMost {
-		faults = append(faults, fmt.Sprintf("limit is %s and must be from 1s to %s", r.Limit, LimitMost))
+	if r.Limit < time.Second || r.Limit > MaxLimit {
+		faults = append(faults, fmt.Sprintf("limit is %s and must be from 1s to %s", r.Limit, MaxLimit))
 	}
 	if len(faults) > 0 {
 		return Class.New("%s", strings.Join(faults, "; "))
@@ -55,7 +55,7 @@
 	Options   Options        `json:"options"`
 	Range     Range          `json:"range"`
 	Played    int            `json:"played"`
-	Broken    []Verdict      `json:"broken"`
+	Broken    []RunResult    `json:"broken"`
 	Checks    map[string]int `json:"checks"`
 	Steps     uint64         `json:"steps"`
 	Confirmed int            `json:"confirmed"`
@@ -68,7 +68,7 @@
 
 // Hunt plays the seeds; after each it tells how far it is.
 func Hunt(options Options, seeds Range, told func(report Report)) (report Report) {
-	report = Report{Options: options, Range: seeds, Broken: []Verdict{}, Checks: map[string]int{}}
+	report = Report{Options: options, Range: seeds, Broken: []RunResult{}, Checks: map[string]int{}}
 	begin := time.Now()
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -91,7 +91,7 @@
 				mu.Lock()
 				report.add(verdict)
 				report.Took = time.Since(begin)
-				if seeds.First && verdict.Broken != "" {
+				if seeds.First && verdict.Failure != "" {
 					end = min(end, seed)
 				}
 				told(report)
@@ -101,11 +101,11 @@
 	}
 	workers.Wait()
 	report.Took = time.Since(begin)
-	slices.SortFunc(report.Broken, func(a, b Verdict) int { return cmp.Compare(a.Seed, b.Seed) })
+	slices.SortFunc(report.Broken, func(a, b RunResult) int { return cmp.Compare(a.Seed, b.Seed) })
 	return report
 }
 
-func (r *Report) add(verdict Verdict) {
+func (r *Report) add(verdict RunResult) {
 	r.Played++
 	r.Steps += verdict.Steps
 	r.Confirmed += verdict.Confirmed
@@ -113,9 +113,9 @@
 	r.Open += verdict.Open
 	r.Unchecked += verdict.Unchecked
 	r.Simulated += verdict.At
-	if verdict.Broken != "" {
+	if verdict.Failure != "" {
 		r.Broken = append(r.Broken, verdict)
-		r.Checks[CheckOf(verdict.Broken)]++
+		r.Checks[CheckOf(verdict.Failure)]++
 	}
 }
 
@@ -136,8 +136,8 @@
 	_, _ = fmt.Fprintln(table, "check\tseeds\tfirst seed\tat\twhat")
 	for _, check := range sortedKeys(r.Checks) {
 		for _, verdict := range r.Broken {
-			if CheckOf(verdict.Broken) == check {
-				what := strings.TrimPrefix(verdict.Broken, check+": ")
+			if CheckOf(verdict.Failure) == check {
+				what := strings.TrimPrefix(verdict.Failure, check+": ")
 				_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\n", check, r.Checks[check], verdict.Seed, verdict.At.Round(time.Millisecond), what)
 				break
 			}
@@ -149,22 +149,22 @@
 
 // Find tells how many seeds it takes until a planted fault is found.
 type Find struct {
-	Plant  Plant  `json:"plant"`
-	Found  bool   `json:"found"`
-	Seeds  int    `json:"seeds"`
-	Seed   int64  `json:"seed,omitempty"`
-	Broken string `json:"broken,omitempty"`
+	InjectedBug InjectedBug `json:"plant"`
+	Found       bool        `json:"found"`
+	Seeds       int         `json:"seeds"`
+	Seed        int64       `json:"seed,omitempty"`
+	Broken      string      `json:"broken,omitempty"`
 }
 
 // Seek plays seeds with a planted fault until one of them breaks.
-func Seek(plant Plant, options Options, seeds Range, told func(report Report)) (find Find) {
-	options.Plant = plant
+func Seek(plant InjectedBug, options Options, seeds Range, told func(report Report)) (find Find) {
+	options.InjectedBug = plant
 	seeds.First = true
 	report := Hunt(options, seeds, told)
-	find = Find{Plant: plant, Seeds: report.Played}
+	find = Find{InjectedBug: plant, Seeds: report.Played}
 	if len(report.Broken) > 0 {
 		first := report.Broken[0]
-		find.Found, find.Seed, find.Broken, find.Seeds = true, first.Seed, first.Broken, int(first.Seed-seeds.From)+1
+		find.Found, find.Seed, find.Broken, find.Seeds = true, first.Seed, first.Failure, int(first.Seed-seeds.From)+1
 	}
 	return find
 }
@@ -178,7 +178,7 @@
 		if find.Found {
 			found = "yes"
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", find.Plant, found, find.Seeds, find.Broken)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", find.InjectedBug, found, find.Seeds, find.Broken)
 	}
 	_ = table.Flush()
 }
--- a/internal/simulation/lease.go
+++ b/internal/simulation/lease.go
@@ -20,7 +20,7 @@
 	sent, received, wall time.Duration
 }
 
-func (l *Lease) now(c *Core) (term raft.Term, until time.Duration) {
+func (l *Lease) now(c *Controller) (term raft.Term, until time.Duration) {
 	if !c.raft.CommittedInTerm() {
 		return 0, 0
 	}
@@ -30,9 +30,9 @@
 	}
 	span := time.Duration(raft.DefaultTiming().LeaseTicks()) * raft.TickInterval
 	if sent != l.sent {
-		l.sent, l.received, l.wall = sent, c.world.agenda.now, c.wall
+		l.sent, l.received, l.wall = sent, c.cluster.events.now, c.wallClockOffset
 	}
-	switch c.world.options.Plant {
+	switch c.cluster.options.InjectedBug {
 	case LeaseFromReceipt:
 		sent = l.received
 	case LongLease:
@@ -43,22 +43,22 @@
 	return c.raft.Term(), sent + span
 }
 
-func (l *Lease) end(c *Core) {
+func (l *Lease) end(c *Controller) {
 	if term, until := l.now(c); term != l.term || until == 0 {
 		l.term, l.until = term, 0
 	}
 }
 
-func (l *Lease) renew(c *Core) { l.term, l.until = l.now(c) }
+func (l *Lease) renew(c *Controller) { l.term, l.until = l.now(c) }
 
 // covers tells that the leadership is proven at this moment.
-func (l *Lease) covers(c *Core) (covers bool) {
-	now := c.world.agenda.now
-	switch c.world.options.Plant {
+func (l *Lease) covers(c *Controller) (covers bool) {
+	now := c.cluster.events.now
+	switch c.cluster.options.InjectedBug {
 	case StaleRead, EdgeBack:
 		return true
 	case WallLease:
-		now += c.wall
+		now += c.wallClockOffset
 	}
 	return l.term == c.raft.Term() && now < l.until
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,44 +9,44 @@
 	"tinpin/internal/raft"
 )
 
-type way struct{ from, to *Core }
+type link struct{ from, to *Controller }
 
 // Network of one run.
 type Network struct {
-	world   *World
-	luck    *rand.Rand
-	cut     map[way]int
-	late    map[way][]func()
-	lossy   time.Duration
-	answers time.Duration
-	resets  map[*Core]int
+	cluster          *Cluster
+	rng              *rand.Rand
+	cut              map[link]int
+	delayed          map[link][]func()
+	lossyUntil       time.Duration
+	dropAnswersUntil time.Duration
+	resets           map[*Controller]int
 }
 
-func newNetwork(world *World, luck *rand.Rand) (network *Network) {
-	return &Network{world: world, luck: luck, cut: map[way]int{}, late: map[way][]func(){}, resets: map[*Core]int{}}
+func newNetwork(world *Cluster, luck *rand.Rand) (network *Network) {
+	return &Network{cluster: world, rng: luck, cut: map[link]int{}, delayed: map[link][]func(){}, resets: map[*Controller]int{}}
 }
 
 func (n *Network) delay() (span time.Duration) {
-	span = time.Duration(300+n.luck.Intn(2500)) * time.Microsecond
-	if n.world.agenda.now < n.lossy && n.luck.Intn(4) == 0 {
-		span += time.Duration(n.luck.Intn(400)) * time.Millisecond
+	span = time.Duration(300+n.rng.Intn(2500)) * time.Microsecond
+	if n.cluster.events.now < n.lossyUntil && n.rng.Intn(4) == 0 {
+		span += time.Duration(n.rng.Intn(400)) * time.Millisecond
 	}
 	return span
 }
 
 // post carries a message of the agreement.
-func (n *Network) post(from *Core, message raft.Message) {
+func (n *Network) post(from *Controller, message raft.Message) {
 	copies, lost := 1, 0
-	if n.world.agenda.now < n.lossy {
+	if n.cluster.events.now < n.lossyUntil {
 		lost = 20
-		if n.luck.Intn(8) == 0 {
+		if n.rng.Intn(8) == 0 {
 			copies = 2
 		}
 	}
-	if n.luck.Intn(1000) < 2+10*lost {
+	if n.rng.Intn(1000) < 2+10*lost {
 		return
 	}
-	for _, to := range n.world.cores {
+	for _, to := range n.cluster.cores {
 		if to.disk.id != message.To {
 			continue
 		}
@@ -61,44 +61,44 @@
 }
 
 // call carries something from one core to another.
-func (n *Network) call(from, to *Core, run func()) {
-	link := way{from, to}
-	resets, life := n.resets[from]+n.resets[to], to.life
+func (n *Network) call(from, to *Controller, run func()) {
+	path := link{from, to}
+	resets, life := n.resets[from]+n.resets[to], to.incarnation
 	deliver := func() {
-		if n.resets[from]+n.resets[to] == resets && to.life == life {
+		if n.resets[from]+n.resets[to] == resets && to.incarnation == life {
 			to.receive(run)
 		}
 	}
-	if n.cut[link] > 0 {
-		if n.luck.Intn(3) == 0 && len(n.late[link]) < 64 {
-			n.late[link] = append(n.late[link], deliver)
+	if n.cut[path] > 0 {
+		if n.rng.Intn(3) == 0 && len(n.delayed[path]) < 64 {
+			n.delayed[path] = append(n.delayed[path], deliver)
 		}
 		return
 	}
-	n.world.agenda.After(n.delay(), deliver)
+	n.cluster.events.After(n.delay(), deliver)
 }
 
-// part cuts a link for a time.
-func (n *Network) part(from, to *Core, span time.Duration) {
-	link := way{from, to}
-	n.cut[link]++
-	n.world.agenda.After(span, func() {
-		if n.cut[link]--; n.cut[link] > 0 {
+// partition cuts a link for a time.
+func (n *Network) partition(from, to *Controller, span time.Duration) {
+	path := link{from, to}
+	n.cut[path]++
+	n.cluster.events.After(span, func() {
+		if n.cut[path]--; n.cut[path] > 0 {
 			return
 		}
-		delete(n.cut, link)
-		late := n.late[link]
-		delete(n.late, link)
+		delete(n.cut, path)
+		late := n.delayed[path]
+		delete(n.delayed, path)
 		for _, deliver := range late {
-			n.world.agenda.After(n.delay()+time.Duration(n.luck.Intn(60))*time.Millisecond, deliver)
+			n.cluster.events.After(n.delay()+time.Duration(n.rng.Intn(60))*time.Millisecond, deliver)
 		}
 	})
 }
 
-// parted tells whether a core cannot speak with another, one way or the other.
-func (n *Network) parted(core *Core) (parted bool) {
-	for _, other := range n.world.cores {
-		if other != core && !other.gone && (n.cut[way{core, other}] > 0 || n.cut[way{other, core}] > 0) {
+// isPartitioned tells whether a core cannot speak with another, one way or the other.
+func (n *Network) isPartitioned(core *Controller) (parted bool) {
+	for _, other := range n.cluster.cores {
+		if other != core && !other.gone && (n.cut[link{core, other}] > 0 || n.cut[link{other, core}] > 0) {
 			return true
 		}
 	}
@@ -107,22 +107,22 @@
 
 // ask carries a caller's call to a core, and its answer back. The caller hears
 // nothing where the call or the answer is lost; it gives up by itself.
-func (n *Network) ask(to *Core, handle func(reply func(back func()))) {
+func (n *Network) ask(to *Controller, handle func(reply func(back func()))) {
 	if !to.up {
 		return
 	}
-	resets, life := n.resets[to], to.life
+	resets, life := n.resets[to], to.incarnation
 	whole := func() bool { return n.resets[to] == resets }
-	n.world.agenda.After(n.delay(), func() {
-		if !whole() || to.life != life {
+	n.cluster.events.After(n.delay(), func() {
+		if !whole() || to.incarnation != life {
 			return
 		}
 		to.receive(func() {
 			handle(func(back func()) {
-				if n.world.agenda.now < n.answers && n.luck.Intn(2) == 0 {
+				if n.cluster.events.now < n.dropAnswersUntil && n.rng.Intn(2) == 0 {
 					return
 				}
-				n.world.agenda.After(n.delay(), func() {
+				n.cluster.events.After(n.delay(), func() {
 					if whole() {
 						back()
 					}
--- a/internal/simulation/options_test.go
+++ b/internal/simulation/options_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestSizesThatCannotBePlayedAreEachNamed(t *testing.T) {
-	if err := Usual().Check(); err != nil {
+	if err := DefaultOptions().Check(); err != nil {
 		t.Fatal(err)
 	}
-	wrong := Options{Length: -time.Second, Cores: 0, Losses: -1, Operators: 0, Edges: 1 << 20, Gap: 0, CatchUp: 2 * LengthMost, Plant: "no such"}
+	wrong := Options{Length: -time.Second, Controllers: 0, Losses: -1, Operators: 0, Edges: 1 << 20, Gap: 0, CatchUp: 2 * MaxLength, InjectedBug: "no such"}
 	err := wrong.Check()
 	if err == nil {
 		t.Fatal("taken")
@@ -20,12 +20,12 @@
 			t.Errorf("%s is not named in %q", name, err)
 		}
 	}
-	few := Usual()
-	few.Cores, few.Losses = 4, 2
+	few := DefaultOptions()
+	few.Controllers, few.Losses = 4, 2
 	if few.Check() == nil {
 		t.Error("four cores were said to bear two losses")
 	}
-	ranges := Range{Seeds: 0, From: -1, Parallel: ParallelMost + 1, Limit: -time.Second}
+	ranges := Range{Seeds: 0, From: -1, Parallel: MaxParallel + 1, Limit: -time.Second}
 	for _, name := range []string{"seeds", "from", "parallel", "limit"} {
 		if err = ranges.Check(); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s is not named in %v", name, err)
@@ -34,17 +34,17 @@
 }
 
 func TestKindsAreRead(t *testing.T) {
-	kinds, err := ReadKinds("cut, freeze,cut")
+	kinds, err := ParseFaultKinds("cut, freeze,cut")
 	if err != nil || len(kinds) != 2 || kinds[0] != Cut || kinds[1] != Freeze {
 		t.Error(kinds, err)
 	}
-	if all, allErr := ReadKinds("all"); allErr != nil || len(all) != len(KindTexts) {
+	if all, allErr := ParseFaultKinds("all"); allErr != nil || len(all) != len(FaultKindTexts) {
 		t.Error(all, allErr)
 	}
-	if none, noneErr := ReadKinds("none"); noneErr != nil || len(none) != 0 {
+	if none, noneErr := ParseFaultKinds("none"); noneErr != nil || len(none) != 0 {
 		t.Error(none, noneErr)
 	}
-	if _, err = ReadKinds("cut,quake"); err == nil {
+	if _, err = ParseFaultKinds("cut,quake"); err == nil {
 		t.Error("an unknown kind was taken")
 	}
 }
--- a/internal/simulation/order.go
+++ b/internal/simulation/order.go
@@ -14,12 +14,12 @@
 
 const unwritten = ""
 
-// Order for one register.
-type Order struct {
+// Request for one register.
+type Request struct {
 	history *History
 	call    call
-	// another writes the same content in other words.
-	another bool
+	// reworded writes the same content in other words.
+	reworded bool
 }
 
 // sort of a register is what stands before the slash of its name.
@@ -28,11 +28,11 @@
 	return sort, rest
 }
 
-func (o Order) command() (command statemachine.Command) {
+func (o Request) command() (command statemachine.Command) {
 	sort, name := sortOf(o.history.name)
 	switch sort {
 	case "config":
-		return statemachine.Command{Kind: statemachine.CommandConfig, Body: []byte(itemText(name, o.call, o.another))}
+		return statemachine.Command{Kind: statemachine.CommandConfig, Body: []byte(itemText(name, o.call, o.reworded))}
 	case "document":
 		if o.call.content == unwritten {
 			return statemachine.Command{Kind: statemachine.CommandDocument, Subject: name, Number: o.call.version}
@@ -59,7 +59,7 @@
 }
 
 // look reads a register from the agreed state.
-func (h *History) look(state *statemachine.State) (seen told) {
+func (h *History) look(state *statemachine.State) (seen observation) {
 	seen.outcome = confirmed
 	sort, name := sortOf(h.name)
 	switch sort {
@@ -92,11 +92,11 @@
 }
 
 // answerOf is what the caller of an order is told.
-func (o Order) answerOf(answer Answer) (told told) {
+func (o Request) answerOf(answer Answer) (told observation) {
 	sort, _ := sortOf(o.history.name)
 	switch {
 	case !answer.Clear:
-		told.outcome = unclear
+		told.outcome = unknown
 	case sort == "key" && !answer.Result.Granted, sort != "key" && answer.Result.Err != nil:
 		told.outcome = refused
 	default:
@@ -106,7 +106,7 @@
 }
 
 // bend is what a planted fault makes of the outcome of a command.
-func (p Plant) bend(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
+func (p InjectedBug) bend(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
 	switch {
 	case p == TwoContents && command.Kind == statemachine.CommandConfig:
 		result.Err = nil
--- a/internal/simulation/plant.go
+++ b/internal/simulation/plant.go
@@ -5,48 +5,48 @@
 
 import "slices"
 
-// Plant names a planted fault.
-type Plant string
+// InjectedBug names a planted fault.
+type InjectedBug string
 
 // The planted faults.
 const (
-	CutTail          Plant = "cutTail"
-	LateSnapshot     Plant = "lateSnapshot"
-	EarlyTell        Plant = "earlyTell"
-	ForgetSync       Plant = "forgetSync"
-	LoseVote         Plant = "loseVote"
-	RestartVotes     Plant = "restartVotes"
-	LoneCommit       Plant = "loneCommit"
-	TwoContents      Plant = "twoContents"
-	ResentRefused    Plant = "resentRefused"
-	UnclearNo        Plant = "unclearNo"
-	TwoRuns          Plant = "twoRuns"
-	SlowStrike       Plant = "slowStrike"
-	ShrinkFirst      Plant = "shrinkFirst"
-	StaleRead        Plant = "staleRead"
-	LeaseFromReceipt Plant = "leaseFromReceipt"
-	LongLease        Plant = "longLease"
-	WallLease        Plant = "wallLease"
-	EdgeBack         Plant = "edgeBack"
+	CutTail             InjectedBug = "cutTail"
+	LateSnapshot        InjectedBug = "lateSnapshot"
+	SendBeforeSync      InjectedBug = "earlyTell"
+	ForgetSync          InjectedBug = "forgetSync"
+	LoseVote            InjectedBug = "loseVote"
+	RestartVotes        InjectedBug = "restartVotes"
+	CommitWithoutQuorum InjectedBug = "loneCommit"
+	TwoContents         InjectedBug = "twoContents"
+	ResentRefused       InjectedBug = "resentRefused"
+	UnknownAsRejected   InjectedBug = "unclearNo"
+	TwoRuns             InjectedBug = "twoRuns"
+	SlowVoterRemoval    InjectedBug = "slowStrike"
+	ShrinkFirst         InjectedBug = "shrinkFirst"
+	StaleRead           InjectedBug = "staleRead"
+	LeaseFromReceipt    InjectedBug = "leaseFromReceipt"
+	LongLease           InjectedBug = "longLease"
+	WallLease           InjectedBug = "wallLease"
+	EdgeBack            InjectedBug = "edgeBack"
 )
 
-// PlantTexts says what each planted fault is.
-var PlantTexts = []struct {
-	Plant Plant
+// InjectedBugTexts says what each planted fault is.
+var InjectedBugTexts = []struct {
+	Plant InjectedBug
 	Text  string
 }{
 	{CutTail, "what lay on disk behind a rewritten place of the log comes back"},
 	{LateSnapshot, "a snapshot that comes late, or again, drops the entries behind it"},
-	{EarlyTell, "what stands behind a write is told before the write is on disk"},
+	{SendBeforeSync, "what stands behind a write is told before the write is on disk"},
 	{ForgetSync, "the disk says that it has written before it has"},
 	{LoseVote, "term and vote never reach the disk"},
 	{RestartVotes, "a core that lost its disk comes back under its old id, as a voter"},
-	{LoneCommit, "the leader confirms what it has only put into its own log"},
+	{CommitWithoutQuorum, "the leader confirms what it has only put into its own log"},
 	{TwoContents, "another content under the version that holds is confirmed"},
 	{ResentRefused, "an order that was taken is refused when it is sent again after another"},
-	{UnclearNo, "an order whose fate is open is answered as refused"},
+	{UnknownAsRejected, "an order whose fate is open is answered as refused"},
 	{TwoRuns, "a key that is held is granted to whoever asks next"},
-	{SlowStrike, "a lost voter is struck out only after 8 s"},
+	{SlowVoterRemoval, "a lost voter is struck out only after 8 s"},
 	{ShrinkFirst, "a silent voter is struck out at once, and its place stays empty"},
 	{StaleRead, "a leader answers without having been in contact with a majority"},
 	{LeaseFromReceipt, "a leader's lease counts from when a round was answered, not from when it was sent"},
@@ -56,11 +56,11 @@
 }
 
 // Known tells whether there is such a fault.
-func (p Plant) Known() (known bool) { return slices.Contains(Plants(), p) }
+func (p InjectedBug) Known() (known bool) { return slices.Contains(InjectedBugs(), p) }
 
-// Plants lists the planted faults.
-func Plants() (plants []Plant) {
-	for _, known := range PlantTexts {
+// InjectedBugs lists the planted faults.
+func InjectedBugs() (plants []InjectedBug) {
+	for _, known := range InjectedBugTexts {
 		plants = append(plants, known.Plant)
 	}
 	return plants
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -11,10 +11,10 @@
 	"tinpin/internal/raft"
 )
 
-// Verdict of one run.
-type Verdict struct {
+// RunResult of one run.
+type RunResult struct {
 	Seed      int64         `json:"seed"`
-	Broken    string        `json:"broken,omitempty"`
+	Failure   string        `json:"broken,omitempty"`
 	At        time.Duration `json:"at"`
 	Steps     uint64        `json:"steps"`
 	Confirmed int           `json:"confirmed"`
@@ -26,55 +26,55 @@
 	Log []string `json:"-"`
 }
 
-// Draw gives the troubles of a seed.
-func Draw(seed int64, options Options) (troubles []Trouble) {
-	return draw(rand.New(rand.NewSource(seed^0x5eed)), options)
+// DrawFaults gives the troubles of a seed.
+func DrawFaults(seed int64, options Options) (troubles []Fault) {
+	return drawFaults(rand.New(rand.NewSource(seed^0x5eed)), options)
 }
 
 // Play plays a seed with the troubles that it draws.
-func Play(seed int64, options Options) (verdict Verdict) {
-	return PlayWith(seed, options, Draw(seed, options), nil)
+func Play(seed int64, options Options) (verdict RunResult) {
+	return PlayWith(seed, options, DrawFaults(seed, options), nil)
 }
 
 // PlayWith plays a seed with given troubles; each step that is noted is told.
-func PlayWith(seed int64, options Options, troubles []Trouble, noted func(line string)) (verdict Verdict) {
-	w := newWorld(seed, options, noted)
+func PlayWith(seed int64, options Options, troubles []Fault, noted func(line string)) (verdict RunResult) {
+	w := newCluster(seed, options, noted)
 	defer w.close()
 	for _, trouble := range troubles {
-		w.agenda.After(trouble.At, func() { w.strike(trouble) })
+		w.events.After(trouble.At, func() { w.inject(trouble) })
 	}
 	w.run(options.Length)
 	var full time.Duration
-	if w.broken == "" {
-		full = w.calmDown()
+	if w.failure == "" {
+		full = w.quiesce()
 	}
-	at := w.agenda.now
-	if w.broken == "" {
+	at := w.events.now
+	if w.failure == "" {
 		w.readAll()
-		at = w.agenda.now
+		at = w.events.now
 	}
-	w.explain()
-	return Verdict{
-		Seed: seed, Broken: w.broken, At: at, Steps: w.agenda.steps, Confirmed: w.counts[confirmed], Refused: w.counts[refused],
-		Open: w.counts[unclear], Unchecked: w.unchecked, Full: full, Log: w.log,
+	w.checkHistories()
+	return RunResult{
+		Seed: seed, Failure: w.failure, At: at, Steps: w.events.steps, Confirmed: w.counts[confirmed], Refused: w.counts[refused],
+		Open: w.counts[unknown], Unchecked: w.unchecked, Full: full, Log: w.log,
 	}
 }
 
-// calmDown heals everything and waits until the core is at full strength.
-func (w *World) calmDown() (took time.Duration) {
+// quiesce heals everything and waits until the core is at full strength.
+func (w *Cluster) quiesce() (took time.Duration) {
 	w.ending = true
 	w.heal()
-	calm := w.agenda.now
+	calm := w.events.now
 	lacks := ""
-	for w.agenda.now-calm < calmMost && w.broken == "" {
-		w.run(w.agenda.now + 50*time.Millisecond)
-		if lacks = w.lacks(); lacks == "" {
+	for w.events.now-calm < maxQuiesceWait && w.failure == "" {
+		w.run(w.events.now + 50*time.Millisecond)
+		if lacks = w.missing(); lacks == "" {
 			break
 		}
 	}
-	took = w.agenda.now - calm
-	switch allowed := w.options.CatchUp + calmSpan; {
-	case w.broken != "":
+	took = w.events.now - calm
+	switch allowed := w.options.CatchUp + quiesceAllowance; {
+	case w.failure != "":
 	case lacks != "":
 		w.fail("full strength once calm: after %s %s", took, lacks)
 	case took > allowed:
@@ -83,13 +83,13 @@
 	return took
 }
 
-// lacks tells what is missing to full strength.
-func (w *World) lacks() (lacks string) {
-	leader := w.settled()
+// missing tells what is missing to full strength.
+func (w *Cluster) missing() (lacks string) {
+	leader := w.establishedLeader()
 	if leader == nil {
 		return "nobody leads"
 	}
-	voters, cores, ids := 0, w.standing(), map[raft.ID]bool{}
+	voters, cores, ids := 0, w.remaining(), map[raft.ID]bool{}
 	for _, core := range cores {
 		ids[core.member.ID] = true
 	}
@@ -113,20 +113,20 @@
 }
 
 // readAll reads every register through the leader, and holds all cores against it.
-func (w *World) readAll() {
-	w.run(w.agenda.now + callLimit + patience)
+func (w *Cluster) readAll() {
+	w.run(w.events.now + callLimit + proposalTimeout)
 	reader, open := w.newCaller(), len(w.histories)
 	for _, history := range w.histories {
 		reader.read(history, func() { open-- })
 	}
-	w.run(w.agenda.now + orderLimit)
-	leader := w.settled()
+	w.run(w.events.now + orderLimit)
+	leader := w.establishedLeader()
 	switch {
-	case w.broken != "":
+	case w.failure != "":
 	case open > 0 || leader == nil:
 		w.fail("answers once calm: %d of %d registers could not be read", open, len(w.histories))
 	default:
-		for _, core := range w.standing() {
+		for _, core := range w.remaining() {
 			for _, history := range w.histories {
 				if has, holds := history.look(core.state), history.look(leader.state); has != holds {
 					w.fail("one state: %s has %d %q of %s, the leader %d %q", core.host, has.version, has.content, history.name, holds.version, holds.content)
@@ -136,9 +136,9 @@
 	}
 }
 
-// explain checks the histories.
-func (w *World) explain() {
-	if w.broken != "" {
+// checkHistories checks the histories.
+func (w *Cluster) checkHistories() {
+	if w.failure != "" {
 		return
 	}
 	for _, history := range w.histories {
@@ -149,7 +149,7 @@
 		if !right {
 			w.fail("linearizable: the calls for %s cannot be explained by any order of them", history.name)
 			for _, line := range history.Text() {
-				w.note("%s", line)
+				w.logEvent("%s", line)
 			}
 			return
 		}
--- a/internal/simulation/set_test.go
+++ b/internal/simulation/set_test.go
@@ -22,11 +22,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			options := Usual()
-			options.Cores, options.Losses, options.Length = c.cores, c.losses, c.length
+			options := DefaultOptions()
+			options.Controllers, options.Losses, options.Length = c.cores, c.losses, c.length
 			for seed := c.from; seed < c.from+int64(c.seeds); seed++ {
-				if verdict := Play(seed, options); verdict.Broken != "" {
-					t.Errorf("seed %d at %s: %s", seed, verdict.At, verdict.Broken)
+				if verdict := Play(seed, options); verdict.Failure != "" {
+					t.Errorf("seed %d at %s: %s", seed, verdict.At, verdict.Failure)
 				} else if verdict.Confirmed == 0 {
 					t.Errorf("seed %d: nothing was confirmed", seed)
 				}
@@ -38,23 +38,23 @@
 // Each planted fault is found, by the troubles that bring it out.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	type sought struct {
-		troubles []Kind
+		troubles []FaultKind
 		seeds    int
 		from     int64
 	}
-	leases := []Kind{Freeze, Cut, OneWay, Storm}
-	plants := map[Plant]sought{
-		EarlyTell: {nil, 3, 1}, ForgetSync: {nil, 3, 1}, LoseVote: {[]Kind{Kill, Power}, 10, 1}, LoneCommit: {[]Kind{Cut, Storm}, 10, 1},
-		TwoContents: {nil, 3, 1}, ResentRefused: {nil, 3, 1}, UnclearNo: {[]Kind{Cut, Freeze, Storm}, 20, 1}, TwoRuns: {nil, 3, 1},
-		SlowStrike: {[]Kind{Replace, Wipe}, 10, 1}, ShrinkFirst: {[]Kind{Freeze, Cut, Kill}, 20, 1},
-		StaleRead: {leases, 80, 26}, EdgeBack: {leases, 60, 18}, RestartVotes: {[]Kind{Storm, WipeRest}, 40, 1},
+	leases := []FaultKind{Freeze, Cut, OneWay, Storm}
+	plants := map[InjectedBug]sought{
+		SendBeforeSync: {nil, 3, 1}, ForgetSync: {nil, 3, 1}, LoseVote: {[]FaultKind{Kill, Power}, 10, 1}, CommitWithoutQuorum: {[]FaultKind{Cut, Storm}, 10, 1},
+		TwoContents: {nil, 3, 1}, ResentRefused: {nil, 3, 1}, UnknownAsRejected: {[]FaultKind{Cut, Freeze, Storm}, 20, 1}, TwoRuns: {nil, 3, 1},
+		SlowVoterRemoval: {[]FaultKind{Replace, Wipe}, 10, 1}, ShrinkFirst: {[]FaultKind{Freeze, Cut, Kill}, 20, 1},
+		StaleRead: {leases, 80, 26}, EdgeBack: {leases, 60, 18}, RestartVotes: {[]FaultKind{Storm, WipeRest}, 40, 1},
 	}
 	var mu sync.Mutex
 	for plant, how := range plants {
 		t.Run(string(plant), func(t *testing.T) {
 			t.Parallel()
-			options := Usual()
-			options.Length, options.Gap, options.Troubles = 10*time.Second, 400*time.Millisecond, how.troubles
+			options := DefaultOptions()
+			options.Length, options.Gap, options.Faults = 10*time.Second, 400*time.Millisecond, how.troubles
 			find := Seek(plant, options, Range{Seeds: how.seeds, From: how.from, Parallel: 1, Limit: time.Minute}, func(Report) {})
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/simulation/strike.go
+++ b/internal/simulation/strike.go
@@ -12,33 +12,33 @@
 	"tinpin/internal/raft"
 )
 
-// leaveMost is three quarters of the time that a core has to end.
-const leaveMost = 3750 * time.Millisecond
+// maxLeaveTime is three quarters of the time that a core has to end.
+const maxLeaveTime = 3750 * time.Millisecond
 
-func (c *Core) troubled() (troubled bool) {
-	now := c.world.agenda.now
-	return !c.up || c.leavingNow || c.frozen || now < c.slowUntil || now < c.stalled || now < c.fullUntil || c.world.network.parted(c)
+func (c *Controller) faulty() (troubled bool) {
+	now := c.cluster.events.now
+	return !c.up || c.leavingNow || c.frozen || now < c.slowUntil || now < c.stalledUntil || now < c.fullUntil || c.cluster.network.isPartitioned(c)
 }
 
-// watch keeps the account; while more are in trouble than are borne, nobody's
+// watchLosses keeps the account; while more are in trouble than are borne, nobody's
 // time to catch up runs.
-func (w *World) watch() {
-	w.agenda.After(50*time.Millisecond, w.watch)
-	w.account()
+func (w *Cluster) watchLosses() {
+	w.events.After(50*time.Millisecond, w.watchLosses)
+	w.updateLosses()
 }
 
-func (w *World) account() (lost int) {
-	now, troubled := w.agenda.now, 0
-	for _, core := range w.standing() {
-		if core.troubled() {
+func (w *Cluster) updateLosses() (lost int) {
+	now, troubled := w.events.now, 0
+	for _, core := range w.remaining() {
+		if core.faulty() {
 			troubled++
 			core.lostAt = now
 		}
 	}
-	for _, core := range w.standing() {
+	for _, core := range w.remaining() {
 		if core.lost() {
 			lost++
-			if troubled > w.options.Losses || now < w.network.lossy {
+			if troubled > w.options.Losses || now < w.network.lossyUntil {
 				core.lostAt = now
 			}
 		}
@@ -46,11 +46,13 @@
 	return lost
 }
 
-func (c *Core) lost() (lost bool) { return c.world.agenda.now-c.lostAt < c.world.options.CatchUp }
+func (c *Controller) lost() (lost bool) {
+	return c.cluster.events.now-c.lostAt < c.cluster.options.CatchUp
+}
 
-// bearable tells whether this core may lose its disk now.
-func (w *World) bearable(core *Core) (bearable bool) {
-	lost := w.account()
+// canLose tells whether this core may lose its disk now.
+func (w *Cluster) canLose(core *Controller) (bearable bool) {
+	lost := w.updateLosses()
 	if core.lost() {
 		lost--
 	}
@@ -58,28 +60,28 @@
 }
 
 // later carries something out for a core unless its process has changed meanwhile.
-func (c *Core) later(span time.Duration, run func()) {
-	life := c.life
-	c.world.agenda.After(span, func() {
-		if c.life == life {
+func (c *Controller) later(span time.Duration, run func()) {
+	life := c.incarnation
+	c.cluster.events.After(span, func() {
+		if c.incarnation == life {
 			run()
 		}
 	})
 }
 
-// again starts a core after a time.
-func (c *Core) again(span time.Duration) { c.world.agenda.After(span, c.start) }
+// restartAfter starts a core after a time.
+func (c *Controller) restartAfter(span time.Duration) { c.cluster.events.After(span, c.start) }
 
 // wipe takes the disk of a core that is down.
-func (c *Core) wipe() {
-	w := c.world
+func (c *Controller) wipe() {
+	w := c.cluster
 	_ = c.disk.Close()
-	w.lives++
-	id, base := raft.ID(fmt.Sprintf("%s-%d", c.host, w.lives)), raft.Snapshot{}
-	if w.options.Plant == RestartVotes {
-		id, base = c.disk.id, w.founding()
+	w.identities++
+	id, base := raft.ID(fmt.Sprintf("%s-%d", c.host, w.identities)), raft.Snapshot{}
+	if w.options.InjectedBug == RestartVotes {
+		id, base = c.disk.id, w.bugInitialSnapshot()
 	}
-	disk, err := newDisk(id, base, w.options.Plant)
+	disk, err := newDisk(id, base, w.options.InjectedBug)
 	if err != nil {
 		w.fail("%v", err)
 		return
@@ -87,8 +89,8 @@
 	c.disk, c.member.ID = disk, id
 }
 
-// founding is the planted fault's first snapshot, as if all started for the first time.
-func (w *World) founding() (base raft.Snapshot) {
+// bugInitialSnapshot is the planted fault's first snapshot, as if all started for the first time.
+func (w *Cluster) bugInitialSnapshot() (base raft.Snapshot) {
 	base = raft.Snapshot{Index: 1, Term: 1}
 	for i := range 3 {
 		host := fmt.Sprintf("core-%d", i)
@@ -97,27 +99,27 @@
 	return base
 }
 
-// strike brings one trouble about.
-func (w *World) strike(trouble Trouble) {
-	cores := w.standing()
+// inject brings one trouble about.
+func (w *Cluster) inject(trouble Fault) {
+	cores := w.remaining()
 	core := cores[trouble.Core%len(cores)]
-	luck := rand.New(rand.NewSource(trouble.Luck))
-	if leader := w.settled(); leader != nil && luck.Intn(3) == 0 {
+	luck := rand.New(rand.NewSource(trouble.Seed))
+	if leader := w.establishedLeader(); leader != nil && luck.Intn(3) == 0 {
 		core = leader
 	}
 	span := trouble.Span
-	w.note("trouble: %s of %s for %s", trouble.Kind, core.host, span)
+	w.logEvent("trouble: %s of %s for %s", trouble.Kind, core.host, span)
 	switch trouble.Kind {
 	case Freeze:
 		core.freeze()
-		core.later(span, core.thaw)
+		core.later(span, core.resume)
 	case Slow:
-		core.slowUntil = w.agenda.now + span
+		core.slowUntil = w.events.now + span
 	case Clock:
 		step := time.Duration(luck.Intn(7200)-3600) * time.Second
 		for all := luck.Intn(2) == 0; len(cores) > 0; cores = cores[1:] {
 			if all || cores[0] == core {
-				cores[0].wall += step
+				cores[0].wallClockOffset += step
 			}
 		}
 	case Cut, OneWay:
@@ -128,62 +130,62 @@
 		}
 		for _, other := range cores {
 			if other != core && out {
-				w.network.part(core, other, span)
+				w.network.partition(core, other, span)
 			}
 			if other != core && in {
-				w.network.part(other, core, span)
+				w.network.partition(other, core, span)
 			}
 		}
 	case Reset:
 		w.network.resets[core]++
 	case Lossy:
-		w.network.lossy = w.agenda.now + span
+		w.network.lossyUntil = w.events.now + span
 	case Answers:
-		w.network.answers = w.agenda.now + span
+		w.network.dropAnswersUntil = w.events.now + span
 	case Kill, Power:
 		core.end(trouble.Kind == Power)
-		core.again(span / 2)
+		core.restartAfter(span / 2)
 	case PowerAll:
 		for _, each := range cores {
 			each.end(true)
-			each.again(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
+			each.restartAfter(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
 		}
 	case Wipe:
-		if w.bearable(core) {
+		if w.canLose(core) {
 			core.end(true)
 			core.wipe()
-			core.again(span / 2)
+			core.restartAfter(span / 2)
 		}
 	case WipeRest:
 		w.wipeRest(core, luck, span)
 	case Replace:
-		if w.bearable(core) {
+		if w.canLose(core) {
 			core.end(true)
 			w.replace(core, span/2)
 		}
 	case Supersede:
-		w.supersede(core, luck, span)
+		w.stopAndReplace(core, luck, span)
 	case Flap:
 		w.flap(core, 2+luck.Intn(4), span)
 	case Stall:
-		core.stalled = w.agenda.now + span
+		core.stalledUntil = w.events.now + span
 	case Full:
-		core.fullUntil = w.agenda.now + span
+		core.fullUntil = w.events.now + span
 	case Storm:
-		w.storm = w.agenda.now + span + time.Second
+		w.requestBurstUntil = w.events.now + span + time.Second
 	}
 }
 
 // wipeRest is the closing fault: some lose their disks, all others lose power.
-func (w *World) wipeRest(core *Core, luck *rand.Rand, span time.Duration) {
-	if w.account() > 0 {
+func (w *Cluster) wipeRest(core *Controller, luck *rand.Rand, span time.Duration) {
+	if w.updateLosses() > 0 {
 		return
 	}
-	cores := w.standing()
+	cores := w.remaining()
 	first := luck.Intn(len(cores))
 	for _, each := range cores {
 		each.end(true)
-		each.again(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
+		each.restartAfter(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
 	}
 	for i := range w.options.Losses {
 		cores[(first+i)%len(cores)].wipe()
@@ -191,59 +193,59 @@
 }
 
 // replace has a new core take the place of one that is gone for good.
-func (w *World) replace(core *Core, span time.Duration) {
+func (w *Cluster) replace(core *Controller, span time.Duration) {
 	core.gone = true
-	w.successor(span)
+	w.startReplacement(span)
 }
 
-func (w *World) successor(span time.Duration) (core *Core) {
-	w.lives++
+func (w *Cluster) startReplacement(span time.Duration) (core *Controller) {
+	w.identities++
 	host := w.newHost()
-	core = w.addCore(host, raft.ID(fmt.Sprintf("%s-%d", host, w.lives)), raft.Snapshot{})
-	core.lostAt = w.agenda.now
-	core.again(span)
+	core = w.addCore(host, raft.ID(fmt.Sprintf("%s-%d", host, w.identities)), raft.Snapshot{})
+	core.lostAt = w.events.now
+	core.restartAfter(span)
 	return core
 }
 
-// supersede asks a core to stop, which leaves by agreement and ends; its
+// stopAndReplace asks a core to stop, which leaves by agreement and ends; its
 // successor may be there before that or come after it.
-func (w *World) supersede(core *Core, luck *rand.Rand, span time.Duration) {
-	if !w.bearable(core) || !core.up || core.frozen || core.leavingNow {
+func (w *Cluster) stopAndReplace(core *Controller, luck *rand.Rand, span time.Duration) {
+	if !w.canLose(core) || !core.up || core.frozen || core.leavingNow {
 		return
 	}
-	core.lostAt = w.agenda.now
-	var successor *Core
+	core.lostAt = w.events.now
+	var successor *Controller
 	if luck.Intn(2) == 0 {
-		successor = w.successor(0)
+		successor = w.startReplacement(0)
 	}
-	core.leave(w.agenda.now+leaveMost, func() {
+	core.leave(w.events.now+maxLeaveTime, func() {
 		core.end(false)
 		core.gone = true
-		w.note("%s has gone", core.host)
+		w.logEvent("%s has gone", core.host)
 		if successor == nil {
-			successor = w.successor(span / 4)
+			successor = w.startReplacement(span / 4)
 		}
-		successor.lostAt = w.agenda.now
+		successor.lostAt = w.events.now
 	})
 }
 
-func (w *World) flap(core *Core, times int, span time.Duration) {
+func (w *Cluster) flap(core *Controller, times int, span time.Duration) {
 	if times == 0 || core.gone || w.ending {
 		return
 	}
 	core.end(false)
-	core.again(span / 3)
-	w.agenda.After(span, func() { w.flap(core, times-1, span) })
+	core.restartAfter(span / 3)
+	w.events.After(span, func() { w.flap(core, times-1, span) })
 }
 
 // heal ends all troubles.
-func (w *World) heal() {
-	w.note("calm")
-	w.network.cut, w.network.late = map[way]int{}, map[way][]func(){}
-	w.network.lossy, w.network.answers, w.storm = 0, 0, 0
-	for _, core := range w.standing() {
-		core.slowUntil, core.stalled, core.fullUntil = 0, 0, 0
-		core.thaw()
+func (w *Cluster) heal() {
+	w.logEvent("calm")
+	w.network.cut, w.network.delayed = map[link]int{}, map[link][]func(){}
+	w.network.lossyUntil, w.network.dropAnswersUntil, w.requestBurstUntil = 0, 0, 0
+	for _, core := range w.remaining() {
+		core.slowUntil, core.stalledUntil, core.fullUntil = 0, 0, 0
+		core.resume()
 		core.start()
 	}
 }
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/trouble.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// Kind of trouble.
-type Kind string
+// FaultKind of trouble.
+type FaultKind string
 
 // The kinds of trouble.
 const (
-	Freeze    Kind = "freeze"
-	Slow      Kind = "slow"
-	Clock     Kind = "clock"
-	Cut       Kind = "cut"
-	OneWay    Kind = "oneway"
-	Reset     Kind = "reset"
-	Lossy     Kind = "lossy"
-	Answers   Kind = "answers"
-	Kill      Kind = "kill"
-	Power     Kind = "power"
-	PowerAll  Kind = "power-all"
-	Wipe      Kind = "wipe"
-	WipeRest  Kind = "wipe-rest"
-	Replace   Kind = "replace"
-	Supersede Kind = "supersede"
-	Flap      Kind = "flap"
-	Stall     Kind = "stall"
-	Full      Kind = "full"
-	Storm     Kind = "storm"
+	Freeze    FaultKind = "freeze"
+	Slow      FaultKind = "slow"
+	Clock     FaultKind = "clock"
+	Cut       FaultKind = "cut"
+	OneWay    FaultKind = "oneway"
+	Reset     FaultKind = "reset"
+	Lossy     FaultKind = "lossy"
+	Answers   FaultKind = "answers"
+	Kill      FaultKind = "kill"
+	Power     FaultKind = "power"
+	PowerAll  FaultKind = "power-all"
+	Wipe      FaultKind = "wipe"
+	WipeRest  FaultKind = "wipe-rest"
+	Replace   FaultKind = "replace"
+	Supersede FaultKind = "supersede"
+	Flap      FaultKind = "flap"
+	Stall     FaultKind = "stall"
+	Full      FaultKind = "full"
+	Storm     FaultKind = "storm"
 )
 
-// KindTexts says what each kind of trouble is.
-var KindTexts = []struct {
-	Kind Kind
+// FaultKindTexts says what each kind of trouble is.
+var FaultKindTexts = []struct {
+	Kind FaultKind
 	Text string
 }{
 	{Freeze, "a core stands still while the steady time runs on, its handlers often wake before its ticks"},
@@ -62,25 +62,25 @@
 	{Storm, "hundreds of changes come at once"},
 }
 
-// Kinds lists the kinds of trouble.
-func Kinds() (kinds []Kind) {
-	for _, known := range KindTexts {
+// FaultKinds lists the kinds of trouble.
+func FaultKinds() (kinds []FaultKind) {
+	for _, known := range FaultKindTexts {
 		kinds = append(kinds, known.Kind)
 	}
 	return kinds
 }
 
-// ReadKinds reads a list of kinds, as in freeze,cut.
-func ReadKinds(text string) (kinds []Kind, err error) {
+// ParseFaultKinds reads a list of kinds, as in freeze,cut.
+func ParseFaultKinds(text string) (kinds []FaultKind, err error) {
 	if text == "" || text == "all" {
-		return Kinds(), nil
+		return FaultKinds(), nil
 	}
 	if text == "none" {
 		return nil, nil
 	}
 	for _, name := range strings.Split(text, ",") {
-		kind := Kind(strings.TrimSpace(name))
-		if !slices.Contains(Kinds(), kind) {
+		kind := FaultKind(strings.TrimSpace(name))
+		if !slices.Contains(FaultKinds(), kind) {
 			return nil, Class.New("unknown kind of trouble %q", name)
 		}
 		if !slices.Contains(kinds, kind) {
@@ -90,18 +90,18 @@
 	return kinds, nil
 }
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
+// Fault is one thing that goes wrong.
+type Fault struct {
 	At   time.Duration `json:"at"`
-	Kind Kind          `json:"kind"`
+	Kind FaultKind     `json:"kind"`
 	Core int           `json:"core"`
-	Luck int64         `json:"luck"`
+	Seed int64         `json:"luck"`
 	Span time.Duration `json:"span"`
 }
 
-// draw chooses the troubles of a run; now and then one comes right after another.
-func draw(luck *rand.Rand, options Options) (troubles []Trouble) {
-	if len(options.Troubles) == 0 {
+// drawFaults chooses the troubles of a run; now and then one comes right after another.
+func drawFaults(luck *rand.Rand, options Options) (troubles []Fault) {
+	if len(options.Faults) == 0 {
 		return nil
 	}
 	for at := 2 * time.Second; ; {
@@ -112,8 +112,8 @@
 		if at += gap; at >= options.Length {
 			return troubles
 		}
-		troubles = append(troubles, Trouble{
-			At: at, Kind: options.Troubles[luck.Intn(len(options.Troubles))], Core: luck.Intn(64), Luck: luck.Int63n(1 << 40),
+		troubles = append(troubles, Fault{
+			At: at, Kind: options.Faults[luck.Intn(len(options.Faults))], Core: luck.Intn(64), Seed: luck.Int63n(1 << 40),
 			Span: time.Duration(50+luck.ExpFloat64()*900) * time.Millisecond,
 		})
 	}
--- a/internal/simulation/witness.go
+++ b/internal/simulation/witness.go
@@ -10,35 +10,35 @@
 	"tinpin/internal/raft"
 )
 
-type place struct {
+type entryID struct {
 	index raft.Index
 	term  raft.Term
 }
 
-type voted struct {
+type voteID struct {
 	id   raft.ID
 	term raft.Term
 }
 
-type written struct {
-	mark   uint64
+type entryRecord struct {
+	digest uint64
 	before raft.Term
 }
 
-// Witness of one run.
-type Witness struct {
-	world   *World
+// InvariantChecker of one run.
+type InvariantChecker struct {
+	world   *Cluster
 	leaders map[raft.Term]raft.ID
-	votes   map[voted]raft.ID
+	votes   map[voteID]raft.ID
 	agreed  map[raft.Index]uint64
-	logs    map[place]written
+	logs    map[entryID]entryRecord
 }
 
-func newWitness(world *World) (witness *Witness) {
-	return &Witness{world: world, leaders: map[raft.Term]raft.ID{}, votes: map[voted]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[place]written{}}
+func newInvariantChecker(world *Cluster) (witness *InvariantChecker) {
+	return &InvariantChecker{world: world, leaders: map[raft.Term]raft.ID{}, votes: map[voteID]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[entryID]entryRecord{}}
 }
 
-func markOf(entry raft.Entry) (mark uint64) {
+func digestOf(entry raft.Entry) (mark uint64) {
 	hash := fnv.New64a()
 	var term [8]byte
 	binary.BigEndian.PutUint64(term[:], uint64(entry.Term))
@@ -54,20 +54,20 @@
 }
 
 // Leads notes who leads a term.
-func (t *Witness) Leads(term raft.Term, id raft.ID) {
+func (t *InvariantChecker) Leads(term raft.Term, id raft.ID) {
 	other, known := t.leaders[term]
 	if known && other != id {
 		t.world.fail("one leader a term: in term %d lead %s and %s", term, other, id)
 	}
 	if !known {
 		t.leaders[term] = id
-		t.world.note("%s leads in term %d", id, term)
+		t.world.logEvent("%s leads in term %d", id, term)
 	}
 }
 
 // Applied notes what a core takes as committed.
-func (t *Witness) Applied(host string, entry raft.Entry) {
-	mark := markOf(entry)
+func (t *InvariantChecker) Applied(host string, entry raft.Entry) {
+	mark := digestOf(entry)
 	if other, known := t.agreed[entry.Index]; known && other != mark {
 		t.world.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
 	}
@@ -75,14 +75,14 @@
 }
 
 // Restored notes a state that a core takes from a snapshot.
-func (t *Witness) Restored(host string, snapshot raft.Snapshot) {
+func (t *InvariantChecker) Restored(host string, snapshot raft.Snapshot) {
 	if _, known := t.agreed[snapshot.Index]; !known && snapshot.Index > 1 {
 		t.world.fail("only what is committed: %s takes a snapshot of %d, which nobody has applied", host, snapshot.Index)
 	}
 }
 
 // Wrote notes the entries that a core has put on its disk.
-func (t *Witness) Wrote(host string, writes []raft.Write) {
+func (t *InvariantChecker) Wrote(host string, writes []raft.Write) {
 	for _, write := range writes {
 		for i, entry := range write.Entries {
 			var before raft.Term
@@ -95,7 +95,7 @@
 }
 
 // Loaded looks at the whole log that a core starts from.
-func (t *Witness) Loaded(host string, base raft.Snapshot, log []raft.Entry) {
+func (t *InvariantChecker) Loaded(host string, base raft.Snapshot, log []raft.Entry) {
 	before := base.Term
 	for _, entry := range log {
 		t.match(host, entry, before)
@@ -105,23 +105,23 @@
 
 // match holds a log to the matching property: a place and a term have one
 // entry, and one entry before it.
-func (t *Witness) match(host string, entry raft.Entry, before raft.Term) {
-	at := place{entry.Index, entry.Term}
-	mark := markOf(entry)
+func (t *InvariantChecker) match(host string, entry raft.Entry, before raft.Term) {
+	at := entryID{entry.Index, entry.Term}
+	mark := digestOf(entry)
 	known, seen := t.logs[at]
 	switch {
-	case seen && known.mark != mark:
+	case seen && known.digest != mark:
 		t.world.fail("logs match: %s has another entry %d of term %d than those before it", host, entry.Index, entry.Term)
 	case seen && known.before != 0 && before != 0 && known.before != before:
 		t.world.fail("logs match: before entry %d of term %d, %s has one of term %d and another core one of term %d", entry.Index, entry.Term, host, before, known.before)
 	case before == 0:
 		before = known.before
 	}
-	t.logs[at] = written{mark, before}
+	t.logs[at] = entryRecord{mark, before}
 }
 
 // Sends looks at a message on its way out: what it says must be on disk.
-func (t *Witness) Sends(core *Core, message raft.Message) {
+func (t *InvariantChecker) Sends(core *Controller, message raft.Message) {
 	switch message.Kind {
 	case raft.MsgAppendResponse:
 		if message.Reject || message.Term != core.raft.Term() {
@@ -139,8 +139,8 @@
 	}
 }
 
-func (t *Witness) vote(core *Core, term raft.Term, chosen raft.ID) {
-	at := voted{core.member.ID, term}
+func (t *InvariantChecker) vote(core *Controller, term raft.Term, chosen raft.ID) {
+	at := voteID{core.member.ID, term}
 	if other, known := t.votes[at]; known && other != chosen {
 		t.world.fail("one vote a term: %s votes for %s and for %s in term %d", core.member.ID, other, chosen, term)
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	mostOpen  = 6
-	mostCalls = 26
-	// calmSpan is how long a calm core may take beyond catch_up to be at full
+	maxOpenOperations = 6
+	maxWrites         = 26
+	// quiesceAllowance is how long a calm core may take beyond catch_up to be at full
 	// strength, calmMost how long it is waited for.
-	calmSpan = 2 * time.Second
-	calmMost = 30 * time.Second
+	quiesceAllowance = 2 * time.Second
+	maxQuiesceWait   = 30 * time.Second
 	// checkLimit is how long one history may be looked at.
 	checkLimit = 10 * time.Second
 )
 
-// World is one run.
-type World struct {
-	options  Options
-	agenda   Agenda
-	luck     *rand.Rand
-	cores    []*Core
-	network  *Network
-	witness  *Witness
-	callers  int
-	lives    int
-	hosts    int
-	requests int
-	ending   bool
-	storm    time.Duration
-	broken   string
-	log      []string
-	noted    func(line string)
+// Cluster is one run.
+type Cluster struct {
+	options           Options
+	events            EventQueue
+	rng               *rand.Rand
+	cores             []*Controller
+	network           *Network
+	invariants        *InvariantChecker
+	callers           int
+	identities        int
+	hosts             int
+	requests          int
+	ending            bool
+	requestBurstUntil time.Duration
+	failure           string
+	log               []string
+	onEvent           func(line string)
 
 	histories []*History
 	items     []*History
@@ -53,17 +53,17 @@
 	unchecked int
 }
 
-func newWorld(seed int64, options Options, noted func(line string)) (w *World) {
-	w = &World{options: options, luck: rand.New(rand.NewSource(seed)), counts: map[outcome]int{}, noted: noted}
-	w.network, w.witness = newNetwork(w, w.branch()), newWitness(w)
+func newCluster(seed int64, options Options, noted func(line string)) (w *Cluster) {
+	w = &Cluster{options: options, rng: rand.New(rand.NewSource(seed)), counts: map[outcome]int{}, onEvent: noted}
+	w.network, w.invariants = newNetwork(w, w.forkRNG()), newInvariantChecker(w)
 	var founders []raft.Member
-	for i := range options.Cores {
+	for i := range options.Controllers {
 		host := w.newHost()
 		if i < 3 {
 			founders = append(founders, raft.Member{ID: raft.ID("founder-" + host), Inner: host, Voter: true})
 		}
 	}
-	for i := range options.Cores {
+	for i := range options.Controllers {
 		host := fmt.Sprintf("core-%d", i)
 		id, base := raft.ID(host+"-0"), raft.Snapshot{}
 		if i < 3 {
@@ -77,41 +77,41 @@
 	}
 	for range options.Operators {
 		operator := &Operator{w.newCaller()}
-		w.agenda.After(time.Duration(operator.luck.Intn(800))*time.Millisecond, operator.live)
+		w.events.After(time.Duration(operator.rng.Intn(800))*time.Millisecond, operator.live)
 	}
 	for range options.Edges {
 		edge := &Edge{Caller: w.newCaller()}
-		w.agenda.After(time.Duration(edge.luck.Intn(800))*time.Millisecond, edge.live)
+		w.events.After(time.Duration(edge.rng.Intn(800))*time.Millisecond, edge.run)
 	}
-	w.watch()
+	w.watchLosses()
 	return w
 }
 
-// branch gives luck that does not depend on how others use theirs.
-func (w *World) branch() (luck *rand.Rand) { return rand.New(rand.NewSource(w.luck.Int63())) }
+// forkRNG gives luck that does not depend on how others use theirs.
+func (w *Cluster) forkRNG() (luck *rand.Rand) { return rand.New(rand.NewSource(w.rng.Int63())) }
 
-func (w *World) newHost() (host string) {
+func (w *Cluster) newHost() (host string) {
 	host = fmt.Sprintf("core-%d", w.hosts)
 	w.hosts++
 	return host
 }
 
-func (w *World) addCore(host string, id raft.ID, base raft.Snapshot) (core *Core) {
-	disk, err := newDisk(id, base, w.options.Plant)
+func (w *Cluster) addCore(host string, id raft.ID, base raft.Snapshot) (core *Controller) {
+	disk, err := newDisk(id, base, w.options.InjectedBug)
 	if err != nil {
 		w.fail("%v", err)
 	}
-	core = &Core{world: w, host: host, member: raft.Member{ID: id, Inner: host}, disk: disk, luck: w.branch()}
+	core = &Controller{cluster: w, host: host, member: raft.Member{ID: id, Inner: host}, disk: disk, rng: w.forkRNG()}
 	w.cores = append(w.cores, core)
 	return core
 }
 
-func (w *World) newCaller() (caller *Caller) {
+func (w *Cluster) newCaller() (caller *Caller) {
 	w.callers++
-	return &Caller{world: w, number: w.callers, luck: w.branch()}
+	return &Caller{cluster: w, number: w.callers, rng: w.forkRNG()}
 }
 
-func (w *World) newHistory(shape Shape, name string) (history *History) {
+func (w *Cluster) newHistory(shape Shape, name string) (history *History) {
 	if name == "" {
 		name = fmt.Sprintf("config/item-%d", len(w.histories))
 	}
@@ -120,25 +120,25 @@
 	return history
 }
 
-func (h *History) full() (full bool) { return h.open >= mostOpen || h.writes >= mostCalls }
+func (h *History) full() (full bool) { return h.open >= maxOpenOperations || h.writes >= maxWrites }
 
 // item gives one of the items that are worked on; one with many calls is left.
-func (w *World) item() (history *History) {
-	at := w.luck.Intn(len(w.items))
+func (w *Cluster) item() (history *History) {
+	at := w.rng.Intn(len(w.items))
 	if w.items[at].full() {
 		w.items[at] = w.newHistory(Versioned, "")
 	}
 	return w.items[at]
 }
 
-func (w *World) site() (history *History) {
+func (w *Cluster) evacuatedZone() (history *History) {
 	if w.evacuated == nil || w.evacuated.full() {
 		w.evacuated = w.newHistory(Flag, fmt.Sprintf("evacuation/site-%d", len(w.histories)))
 	}
 	return w.evacuated
 }
 
-func (w *World) key() (history *History) {
+func (w *Cluster) key() (history *History) {
 	if w.claimed == nil || w.claimed.open > 2 || w.claimed.writes >= 6 {
 		w.claimed = w.newHistory(Key, fmt.Sprintf("key/k-%d", len(w.histories)))
 	}
@@ -146,7 +146,7 @@
 }
 
 // current lists the registers that are worked on.
-func (w *World) current() (histories []*History) {
+func (w *Cluster) current() (histories []*History) {
 	histories = append([]*History{w.document}, w.items...)
 	if w.evacuated != nil {
 		histories = append(histories, w.evacuated)
@@ -155,20 +155,20 @@
 }
 
 // recent gives a register to read.
-func (w *World) recent() (history *History) {
+func (w *Cluster) recent() (history *History) {
 	current := w.current()
-	return current[w.luck.Intn(len(current))]
+	return current[w.rng.Intn(len(current))]
 }
 
-func (w *World) count(answer told) { w.counts[answer.outcome]++ }
+func (w *Cluster) count(answer observation) { w.counts[answer.outcome]++ }
 
 // drop ends a wish whose process is gone; its caller hears nothing.
-func (w *World) drop(wish) {}
+func (w *Cluster) drop(proposal) {}
 
-func (w *World) note(format string, args ...any) {
-	line := fmt.Sprintf("%10s ", w.agenda.now.Round(time.Microsecond)) + fmt.Sprintf(format, args...)
-	if w.noted != nil {
-		w.noted(line)
+func (w *Cluster) logEvent(format string, args ...any) {
+	line := fmt.Sprintf("%10s ", w.events.now.Round(time.Microsecond)) + fmt.Sprintf(format, args...)
+	if w.onEvent != nil {
+		w.onEvent(line)
 		return
 	}
 	if w.log = append(w.log, line); len(w.log) > 400 {
@@ -177,16 +177,16 @@
 }
 
 // fail notes the first thing that broke.
-func (w *World) fail(format string, args ...any) {
-	if w.broken != "" {
+func (w *Cluster) fail(format string, args ...any) {
+	if w.failure != "" {
 		return
 	}
-	w.broken = fmt.Sprintf(format, args...)
-	w.note("BROKEN: %s", w.broken)
+	w.failure = fmt.Sprintf(format, args...)
+	w.logEvent("BROKEN: %s", w.failure)
 }
 
-// standing lists the cores that have not gone for good.
-func (w *World) standing() (cores []*Core) {
+// remaining lists the cores that have not gone for good.
+func (w *Cluster) remaining() (cores []*Controller) {
 	for _, core := range w.cores {
 		if !core.gone {
 			cores = append(cores, core)
@@ -195,7 +195,7 @@
 	return cores
 }
 
-func (w *World) settled() (leader *Core) {
+func (w *Cluster) establishedLeader() (leader *Controller) {
 	for _, core := range w.cores {
 		if core.up && !core.frozen && core.raft.CommittedInTerm() && (leader == nil || core.raft.Term() > leader.raft.Term()) {
 			leader = core
@@ -205,13 +205,13 @@
 }
 
 // run plays on up to a time, or until something breaks.
-func (w *World) run(until time.Duration) {
-	for w.broken == "" && w.agenda.Step(until) {
+func (w *Cluster) run(until time.Duration) {
+	for w.failure == "" && w.events.Step(until) {
 	}
 }
 
 // close puts the disks away.
-func (w *World) close() {
+func (w *Cluster) close() {
 	for _, core := range w.cores {
 		_ = core.disk.Close()
 	}
