--- a/internal/simulation/caller.go
+++ b/internal/simulation/caller.go
@@ -1,7 +1,8 @@
+package simulation
+
 // Caller asks cores as operators and edges do: it follows where it is sent,
 // goes on to another core where it hears nothing or nothing clear, and gives
 // an order up after a time. What it asked and was told is kept as history.
-package simulation
 
 import (
 	"math/rand"
@@ -68,7 +69,7 @@
 }
 
 // askUntilAnswered asks until there is a clear answer or the time is up.
-func (c *Caller) askUntilAnswered(history *History, asked call, handle func(core *Controller, reply func(reply)), done func(told observation)) {
+func (c *Caller) askUntilAnswered(history *History, asked call, handle func(core *Controller, reply func(reply)), done func(observed observation)) {
 	until := c.cluster.events.now + orderLimit
 	var try func(to *Controller)
 	follow := 0
--- a/internal/simulation/case.go
+++ b/internal/simulation/case.go
@@ -1,6 +1,7 @@
+package simulation
+
 // Case is a run that broke, as it is kept in a file: it replays step by step,
 // and it is made shorter as far as it still breaks in the same check.
-package simulation
 
 import (
 	"encoding/json"
@@ -27,9 +28,9 @@
 }
 
 // CaseOf is the whole case of a seed.
-func CaseOf(verdict RunResult, options Options) (kept Case) {
-	troubles := DrawFaults(verdict.Seed, options)
-	return Case{Seed: verdict.Seed, Options: options, Faults: troubles, Failure: verdict.Failure, Drawn: len(troubles), Log: verdict.Log}
+func CaseOf(result RunResult, options Options) (kept Case) {
+	faults := DrawFaults(result.Seed, options)
+	return Case{Seed: result.Seed, Options: options, Faults: faults, Failure: result.Failure, Drawn: len(faults), Log: result.Log}
 }
 
 // Shorten makes a case shorter as long as it breaks in the same check: it ends
@@ -37,16 +38,16 @@
 func (c Case) Shorten(limit time.Duration) (short Case) {
 	short = c
 	begin := time.Now()
-	try := func(options Options, troubles []Fault) (same bool) {
+	try := func(options Options, faults []Fault) (same bool) {
 		if time.Since(begin) > limit {
 			return false
 		}
-		verdict := PlayWith(c.Seed, options, troubles, nil)
+		result := PlayWith(c.Seed, options, faults, nil)
 		short.Plays++
-		if verdict.Failure == "" || CheckOf(verdict.Failure) != CheckOf(c.Failure) {
+		if result.Failure == "" || CheckOf(result.Failure) != CheckOf(c.Failure) {
 			return false
 		}
-		short.Options, short.Faults, short.Failure, short.Log = options, troubles, verdict.Failure, verdict.Log
+		short.Options, short.Faults, short.Failure, short.Log = options, faults, result.Failure, result.Log
 		return true
 	}
 	for part := time.Duration(1); part < 8; part++ {
@@ -75,10 +76,10 @@
 	return short
 }
 
-func before(troubles []Fault, end time.Duration) (kept []Fault) {
-	for _, trouble := range troubles {
-		if trouble.At < end {
-			kept = append(kept, trouble)
+func before(faults []Fault, end time.Duration) (kept []Fault) {
+	for _, fault := range faults {
+		if fault.At < end {
+			kept = append(kept, fault)
 		}
 	}
 	return kept
@@ -102,15 +103,15 @@
 	if err = json.Unmarshal(data, &kept); err != nil {
 		return kept, Class.New("%s is not a case: %v", path, err)
 	}
-	for _, trouble := range kept.Faults {
-		if kinds, kindErr := ParseFaultKinds(string(trouble.Kind)); kindErr != nil || len(kinds) != 1 || trouble.At < 0 || trouble.Span < 0 || trouble.Core < 0 {
-			return kept, Class.New("%s: the trouble %q at %s cannot be brought about", path, trouble.Kind, trouble.At)
+	for _, fault := range kept.Faults {
+		if kinds, kindErr := ParseFaultKinds(string(fault.Kind)); kindErr != nil || len(kinds) != 1 || fault.At < 0 || fault.Span < 0 || fault.Core < 0 {
+			return kept, Class.New("%s: the trouble %q at %s cannot be brought about", path, fault.Kind, fault.At)
 		}
 	}
 	return kept, kept.Options.Check()
 }
 
 // Replay plays the case again and tells each step.
-func (c Case) Replay(noted func(line string)) (verdict RunResult) {
+func (c Case) Replay(noted func(line string)) (result RunResult) {
 	return PlayWith(c.Seed, c.Options, c.Faults, noted)
 }
--- a/internal/simulation/case_test.go
+++ b/internal/simulation/case_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func small(plant InjectedBug) (options Options) {
+func small(bug InjectedBug) (options Options) {
 	options = DefaultOptions()
-	options.Length, options.InjectedBug = 8*time.Second, plant
+	options.Length, options.InjectedBug = 8*time.Second, bug
 	return options
 }
 
@@ -28,17 +28,17 @@
 func TestACaseIsShortenedAndReplays(t *testing.T) {
 	options := small(CommitWithoutQuorum)
 	options.Faults = []FaultKind{Cut, Storm, Freeze, Reset}
-	var verdict RunResult
-	for seed := int64(1); verdict.Failure == "" && seed < 60; seed++ {
-		verdict = Play(seed, options)
+	var result RunResult
+	for seed := int64(1); result.Failure == "" && seed < 60; seed++ {
+		result = Play(seed, options)
 	}
-	if verdict.Failure == "" {
+	if result.Failure == "" {
 		t.Fatal("no seed found the planted fault")
 	}
-	whole := CaseOf(verdict, options)
-	short := whole.Shorten(10 * time.Second)
-	if len(short.Faults) > len(whole.Faults) || short.Options.Length > whole.Options.Length || CheckOf(short.Failure) != CheckOf(whole.Failure) {
-		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(whole.Faults), whole.Options.Length, len(short.Faults), short.Options.Length, whole.Failure, short.Failure)
+	complete := CaseOf(result, options)
+	short := complete.Shorten(10 * time.Second)
+	if len(short.Faults) > len(complete.Faults) || short.Options.Length > complete.Options.Length || CheckOf(short.Failure) != CheckOf(complete.Failure) {
+		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(complete.Faults), complete.Options.Length, len(short.Faults), short.Options.Length, complete.Failure, short.Failure)
 	}
 	path := filepath.Join(t.TempDir(), "case.json")
 	if err := short.Write(path); err != nil {
--- a/internal/simulation/world.go
+++ b/internal/simulation/cluster.go
@@ -1,4 +1,4 @@
-// Package trial plays the control side by seed in simulated time: the real
+// Package simulation plays the control side by seed in simulated time: the real
 // agreement, store, state and policy of members in several cores, with
 // operators and edges as callers, under troubles that the seed draws. World is
 // one such run with all that is in it.
@@ -88,7 +88,7 @@
 }
 
 // forkRNG gives luck that does not depend on how others use theirs.
-func (w *Cluster) forkRNG() (luck *rand.Rand) { return rand.New(rand.NewSource(w.rng.Int63())) }
+func (w *Cluster) forkRNG() (rng *rand.Rand) { return rand.New(rand.NewSource(w.rng.Int63())) }
 
 func (w *Cluster) newHost() (host string) {
 	host = fmt.Sprintf("core-%d", w.hosts)
--- a/internal/simulation/core.go
+++ b/internal/simulation/controller.go
@@ -1,8 +1,9 @@
+package simulation
+
 // Core drives one core as a node does, in simulated time: it ticks the
 // agreement, carries its messages, has its disk write, applies what is
 // committed to the real state, puts wishes together, cuts the log and keeps
 // house. While it is frozen what comes to it waits; its steady clock runs on.
-package simulation
 
 import (
 	"errors"
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -1,8 +1,9 @@
+package simulation
+
 // Disk is the disk of one core: the real store over a file system in memory
 // that keeps only what was synced when power is lost, and then perhaps a part
 // of the record that was being written. Beside it stands what the disk must
 // hold, so that what is read back can be held against what was written.
-package simulation
 
 import (
 	"io"
@@ -170,7 +171,7 @@
 }
 
 // LosePower ends the machine; of the orders under way a part may be written.
-func (d *Disk) LosePower(under []raft.Write, luck *rand.Rand) (err error) {
+func (d *Disk) LosePower(under []raft.Write, rng *rand.Rand) (err error) {
 	if d.store == nil {
 		return nil
 	}
@@ -191,7 +192,7 @@
 	if name == "" {
 		return nil
 	}
-	return d.tear(name, torn, luck)
+	return d.tear(name, torn, rng)
 }
 
 func (d *Disk) newestLog() (name string, data []byte, err error) {
@@ -223,12 +224,12 @@
 
 // tear puts a part of what was not synced behind what was, short of the whole:
 // a record that lies whole on disk is one that was written.
-func (d *Disk) tear(name string, whole []byte, luck *rand.Rand) (err error) {
+func (d *Disk) tear(name string, complete []byte, rng *rand.Rand) (err error) {
 	kept, err := d.read(name)
-	if err != nil || len(kept) == 0 || len(whole) <= len(kept)+1 {
+	if err != nil || len(kept) == 0 || len(complete) <= len(kept)+1 {
 		return err
 	}
-	part := append(kept, whole[len(kept):len(kept)+1+luck.Intn(len(whole)-len(kept)-1)]...)
+	part := append(kept, complete[len(kept):len(kept)+1+rng.Intn(len(complete)-len(kept)-1)]...)
 	file, err := d.fs.Create(d.fs.PathJoin(folder, name))
 	if err != nil {
 		return Class.Wrap(err)
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -11,9 +11,9 @@
 	return raft.Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
 }
 
-func founded(t *testing.T, plant InjectedBug) (disk *Disk) {
+func founded(t *testing.T, bug InjectedBug) (disk *Disk) {
 	t.Helper()
-	disk, err := newDisk("a", raft.Snapshot{Index: 1, Term: 1}, plant)
+	disk, err := newDisk("a", raft.Snapshot{Index: 1, Term: 1}, bug)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,14 +24,14 @@
 // An entry of an older term takes the place of two newer ones: the second must
 // be gone in the same write, and where the planted fault leaves it, it is found.
 func TestACutThatIsNotInItsWriteIsFound(t *testing.T) {
-	for _, plant := range []InjectedBug{"", CutTail} {
-		disk := founded(t, plant)
+	for _, bug := range []InjectedBug{"", CutTail} {
+		disk := founded(t, bug)
 		if err := disk.Write([]raft.Write{{Entries: []raft.Entry{entryOf(2, 6), entryOf(3, 6)}}}); err != nil {
 			t.Fatal(err)
 		}
 		err := disk.Write([]raft.Write{{TruncateFrom: 2, Entries: []raft.Entry{entryOf(2, 5)}}})
-		if found := err != nil; found != (plant == CutTail) {
-			t.Errorf("%q: %v", plant, err)
+		if found := err != nil; found != (bug == CutTail) {
+			t.Errorf("%q: %v", bug, err)
 		}
 	}
 }
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -1,6 +1,7 @@
+package simulation
+
 // Edge beats to the leader and follows its term and the place of its news,
 // which only go forward, and claims keys.
-package simulation
 
 import (
 	"fmt"
@@ -47,8 +48,8 @@
 	}
 	var got update
 	e.attempt(&History{}, call{verb: read}, to, func(back func(reply)) {
-		to.handleHeartbeat(histories, func(answer reply, told update) {
-			got = told
+		to.handleHeartbeat(histories, func(answer reply, observed update) {
+			got = observed
 			back(answer)
 		})
 	}, func(answer reply, core *Controller) {
--- a/internal/simulation/agenda.go
+++ b/internal/simulation/eventqueue.go
@@ -1,6 +1,7 @@
+package simulation
+
 // Agenda is the simulated time: what is due, in the order of its time and, at
 // one time, in the order in which it was put there.
-package simulation
 
 import (
 	"container/heap"
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/faults.go
@@ -1,7 +1,8 @@
+package simulation
+
 // Trouble is one thing that goes wrong at a time that the seed has chosen. All
 // of a run are drawn before it starts, so that a failing run can be made
 // shorter by leaving some of them out.
-package simulation
 
 import (
 	"math/rand"
@@ -100,21 +101,21 @@
 }
 
 // drawFaults chooses the troubles of a run; now and then one comes right after another.
-func drawFaults(luck *rand.Rand, options Options) (troubles []Fault) {
+func drawFaults(rng *rand.Rand, options Options) (faults []Fault) {
 	if len(options.Faults) == 0 {
 		return nil
 	}
 	for at := 2 * time.Second; ; {
-		gap := time.Duration(luck.ExpFloat64() * float64(options.Gap))
-		if luck.Intn(4) == 0 {
-			gap = time.Duration(luck.Intn(120)) * time.Millisecond
+		gap := time.Duration(rng.ExpFloat64() * float64(options.Gap))
+		if rng.Intn(4) == 0 {
+			gap = time.Duration(rng.Intn(120)) * time.Millisecond
 		}
 		if at += gap; at >= options.Length {
-			return troubles
+			return faults
 		}
-		troubles = append(troubles, Fault{
-			At: at, Kind: options.Faults[luck.Intn(len(options.Faults))], Core: luck.Intn(64), Seed: luck.Int63n(1 << 40),
-			Span: time.Duration(50+luck.ExpFloat64()*900) * time.Millisecond,
+		faults = append(faults, Fault{
+			At: at, Kind: options.Faults[rng.Intn(len(options.Faults))], Core: rng.Intn(64), Seed: rng.Int63n(1 << 40),
+			Span: time.Duration(50+rng.ExpFloat64()*900) * time.Millisecond,
 		})
 	}
 }
--- a/internal/simulation/desk.go
+++ b/internal/simulation/handlers.go
@@ -1,7 +1,8 @@
-// The desk of a core: what callers ask of it, answered as the council and the
-// forum do.
 package simulation
 
+// The requests that callers send a controller, answered as controller and
+// coordinator answer them.
+
 import "tinpin/internal/raft"
 
 // redirect says who leads, if this core knows.
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -1,10 +1,11 @@
+package simulation
+
 // History is what callers asked and were told of one register: an item, a
 // document, an evacuation or a key. It must be explained by some order of the
 // calls, each carried out at one moment between its sending and its answer; a
 // call without a clear answer may have been carried out at any time since, or
 // never. A number that was confirmed for one content is confirmed for no other,
 // what was taken is never refused, and a key has one run.
-package simulation
 
 import (
 	"fmt"
@@ -85,14 +86,14 @@
 }
 
 // end notes the answer.
-func (h *History) end(op *operation, told observation, now time.Duration) {
-	if told.outcome == unknown {
+func (h *History) end(op *operation, observed observation, now time.Duration) {
+	if observed.outcome == unknown {
 		return
 	}
 	if op.call.verb == set {
 		h.open--
 	}
-	op.told, op.upto = told, now
+	op.told, op.upto = observed, now
 }
 
 // forget takes back a call that nobody took up.
@@ -143,32 +144,32 @@
 }
 
 // step carries one call out on what holds, and tells whether it may be answered so.
-func (h Shape) step(now standing, call call, told observation) (right bool, after standing) {
+func (h Shape) step(now standing, call call, observed observation) (right bool, after standing) {
 	if call.verb == read {
-		return told.outcome != confirmed || told.version == now.version && told.content == now.content, now
+		return observed.outcome != confirmed || observed.version == now.version && observed.content == now.content, now
 	}
 	switch h {
 	case Flag:
-		if told.outcome != refused {
+		if observed.outcome != refused {
 			now.content = call.content
 		}
-		return told.outcome != refused, now
+		return observed.outcome != refused, now
 	case Key:
-		if told.outcome == refused {
+		if observed.outcome == refused {
 			return now.content != "" && now.content != call.content, now
 		}
 		if now.content == "" {
 			now.content = call.content
 		}
-		return told.outcome == unknown || now.content == call.content, now
+		return observed.outcome == unknown || now.content == call.content, now
 	}
 	content, known := now.under(call.version)
 	switch {
-	case told.outcome == refused:
+	case observed.outcome == refused:
 		return known && content != call.content || !known && call.version < now.version, now
 	case known:
-		return told.outcome == unknown || content == call.content, now
-	case call.version > now.version || told.outcome == confirmed:
+		return observed.outcome == unknown || content == call.content, now
+	case call.version > now.version || observed.outcome == confirmed:
 		return true, now.take(call)
 	}
 	return true, now
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -1,6 +1,7 @@
-// Hunt plays many seeds side by side and gathers what broke.
 package simulation
 
+// Hunt plays many seeds side by side and gathers what broke.
+
 import (
 	"cmp"
 	"fmt"
@@ -67,7 +68,7 @@
 }
 
 // Hunt plays the seeds; after each it tells how far it is.
-func Hunt(options Options, seeds Range, told func(report Report)) (report Report) {
+func Hunt(options Options, seeds Range, observed func(report Report)) (report Report) {
 	report = Report{Options: options, Range: seeds, Broken: []RunResult{}, Checks: map[string]int{}}
 	begin := time.Now()
 	var mu sync.Mutex
@@ -87,14 +88,14 @@
 		go func() {
 			defer workers.Done()
 			for seed, more := draw(); more; seed, more = draw() {
-				verdict := Play(seed, options)
+				result := Play(seed, options)
 				mu.Lock()
-				report.add(verdict)
+				report.add(result)
 				report.Took = time.Since(begin)
-				if seeds.First && verdict.Failure != "" {
+				if seeds.First && result.Failure != "" {
 					end = min(end, seed)
 				}
-				told(report)
+				observed(report)
 				mu.Unlock()
 			}
 		}()
@@ -105,17 +106,17 @@
 	return report
 }
 
-func (r *Report) add(verdict RunResult) {
+func (r *Report) add(result RunResult) {
 	r.Played++
-	r.Steps += verdict.Steps
-	r.Confirmed += verdict.Confirmed
-	r.Refused += verdict.Refused
-	r.Open += verdict.Open
-	r.Unchecked += verdict.Unchecked
-	r.Simulated += verdict.At
-	if verdict.Failure != "" {
-		r.Broken = append(r.Broken, verdict)
-		r.Checks[CheckOf(verdict.Failure)]++
+	r.Steps += result.Steps
+	r.Confirmed += result.Confirmed
+	r.Refused += result.Refused
+	r.Open += result.Open
+	r.Unchecked += result.Unchecked
+	r.Simulated += result.At
+	if result.Failure != "" {
+		r.Broken = append(r.Broken, result)
+		r.Checks[CheckOf(result.Failure)]++
 	}
 }
 
@@ -135,10 +136,10 @@
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "check\tseeds\tfirst seed\tat\twhat")
 	for _, check := range sortedKeys(r.Checks) {
-		for _, verdict := range r.Broken {
-			if CheckOf(verdict.Failure) == check {
-				what := strings.TrimPrefix(verdict.Failure, check+": ")
-				_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\n", check, r.Checks[check], verdict.Seed, verdict.At.Round(time.Millisecond), what)
+		for _, result := range r.Broken {
+			if CheckOf(result.Failure) == check {
+				what := strings.TrimPrefix(result.Failure, check+": ")
+				_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\n", check, r.Checks[check], result.Seed, result.At.Round(time.Millisecond), what)
 				break
 			}
 		}
@@ -157,11 +158,11 @@
 }
 
 // Seek plays seeds with a planted fault until one of them breaks.
-func Seek(plant InjectedBug, options Options, seeds Range, told func(report Report)) (find Find) {
-	options.InjectedBug = plant
+func Seek(bug InjectedBug, options Options, seeds Range, observed func(report Report)) (find Find) {
+	options.InjectedBug = bug
 	seeds.First = true
-	report := Hunt(options, seeds, told)
-	find = Find{InjectedBug: plant, Seeds: report.Played}
+	report := Hunt(options, seeds, observed)
+	find = Find{InjectedBug: bug, Seeds: report.Played}
 	if len(report.Broken) > 0 {
 		first := report.Broken[0]
 		find.Found, find.Seed, find.Broken, find.Seeds = true, first.Seed, first.Failure, int(first.Seed-seeds.From)+1
--- a/internal/simulation/strike.go
+++ b/internal/simulation/inject.go
@@ -1,8 +1,9 @@
+package simulation
+
 // Strike brings the troubles about, and keeps the account of what is lost: a
 // core counts as lost while it is down, frozen, slowed or cut off, and for
 // catch_up after it is back. Disks are lost only within the losses that are
 // borne; whatever keeps its disk may go at any time.
-package simulation
 
 import (
 	"fmt"
@@ -100,32 +101,32 @@
 }
 
 // inject brings one trouble about.
-func (w *Cluster) inject(trouble Fault) {
+func (w *Cluster) inject(fault Fault) {
 	cores := w.remaining()
-	core := cores[trouble.Core%len(cores)]
-	luck := rand.New(rand.NewSource(trouble.Seed))
-	if leader := w.establishedLeader(); leader != nil && luck.Intn(3) == 0 {
+	core := cores[fault.Core%len(cores)]
+	rng := rand.New(rand.NewSource(fault.Seed))
+	if leader := w.establishedLeader(); leader != nil && rng.Intn(3) == 0 {
 		core = leader
 	}
-	span := trouble.Span
-	w.logEvent("trouble: %s of %s for %s", trouble.Kind, core.host, span)
-	switch trouble.Kind {
+	span := fault.Span
+	w.logEvent("trouble: %s of %s for %s", fault.Kind, core.host, span)
+	switch fault.Kind {
 	case Freeze:
 		core.freeze()
 		core.later(span, core.resume)
 	case Slow:
 		core.slowUntil = w.events.now + span
 	case Clock:
-		step := time.Duration(luck.Intn(7200)-3600) * time.Second
-		for all := luck.Intn(2) == 0; len(cores) > 0; cores = cores[1:] {
+		step := time.Duration(rng.Intn(7200)-3600) * time.Second
+		for all := rng.Intn(2) == 0; len(cores) > 0; cores = cores[1:] {
 			if all || cores[0] == core {
 				cores[0].wallClockOffset += step
 			}
 		}
 	case Cut, OneWay:
 		in, out := true, true
-		if trouble.Kind == OneWay {
-			in = luck.Intn(2) == 0
+		if fault.Kind == OneWay {
+			in = rng.Intn(2) == 0
 			out = !in
 		}
 		for _, other := range cores {
@@ -143,12 +144,12 @@
 	case Answers:
 		w.network.dropAnswersUntil = w.events.now + span
 	case Kill, Power:
-		core.end(trouble.Kind == Power)
+		core.end(fault.Kind == Power)
 		core.restartAfter(span / 2)
 	case PowerAll:
 		for _, each := range cores {
 			each.end(true)
-			each.restartAfter(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
+			each.restartAfter(span/2 + time.Duration(rng.Intn(300))*time.Millisecond)
 		}
 	case Wipe:
 		if w.canLose(core) {
@@ -157,16 +158,16 @@
 			core.restartAfter(span / 2)
 		}
 	case WipeRest:
-		w.wipeRest(core, luck, span)
+		w.wipeRest(core, rng, span)
 	case Replace:
 		if w.canLose(core) {
 			core.end(true)
 			w.replace(core, span/2)
 		}
 	case Supersede:
-		w.stopAndReplace(core, luck, span)
+		w.stopAndReplace(core, rng, span)
 	case Flap:
-		w.flap(core, 2+luck.Intn(4), span)
+		w.flap(core, 2+rng.Intn(4), span)
 	case Stall:
 		core.stalledUntil = w.events.now + span
 	case Full:
@@ -177,15 +178,15 @@
 }
 
 // wipeRest is the closing fault: some lose their disks, all others lose power.
-func (w *Cluster) wipeRest(core *Controller, luck *rand.Rand, span time.Duration) {
+func (w *Cluster) wipeRest(core *Controller, rng *rand.Rand, span time.Duration) {
 	if w.updateLosses() > 0 {
 		return
 	}
 	cores := w.remaining()
-	first := luck.Intn(len(cores))
+	first := rng.Intn(len(cores))
 	for _, each := range cores {
 		each.end(true)
-		each.restartAfter(span/2 + time.Duration(luck.Intn(300))*time.Millisecond)
+		each.restartAfter(span/2 + time.Duration(rng.Intn(300))*time.Millisecond)
 	}
 	for i := range w.options.Losses {
 		cores[(first+i)%len(cores)].wipe()
@@ -209,13 +210,13 @@
 
 // stopAndReplace asks a core to stop, which leaves by agreement and ends; its
 // successor may be there before that or come after it.
-func (w *Cluster) stopAndReplace(core *Controller, luck *rand.Rand, span time.Duration) {
+func (w *Cluster) stopAndReplace(core *Controller, rng *rand.Rand, span time.Duration) {
 	if !w.canLose(core) || !core.up || core.frozen || core.leavingNow {
 		return
 	}
 	core.lostAt = w.events.now
 	var successor *Controller
-	if luck.Intn(2) == 0 {
+	if rng.Intn(2) == 0 {
 		successor = w.startReplacement(0)
 	}
 	core.leave(w.events.now+maxLeaveTime, func() {
--- a/internal/simulation/plant.go
+++ b/internal/simulation/injectedbugs.go
@@ -1,7 +1,8 @@
+package simulation
+
 // Plant is a fault that the trial puts in on purpose, so as to show that its
 // checks find it. Each is brought about in the trial, on the way between the
 // real machines and what drives them; no daemon can be set to any of them.
-package simulation
 
 import "slices"
 
@@ -59,9 +60,9 @@
 func (p InjectedBug) Known() (known bool) { return slices.Contains(InjectedBugs(), p) }
 
 // InjectedBugs lists the planted faults.
-func InjectedBugs() (plants []InjectedBug) {
+func InjectedBugs() (bugs []InjectedBug) {
 	for _, known := range InjectedBugTexts {
-		plants = append(plants, known.Plant)
+		bugs = append(bugs, known.Plant)
 	}
-	return plants
+	return bugs
 }
--- a/internal/simulation/witness.go
+++ b/internal/simulation/invariants.go
@@ -1,7 +1,8 @@
+package simulation
+
 // Witness holds every core to what must be true at each step: one leader a
 // term, one vote a core and term, logs that match, one committed entry a
 // place, and nothing told as held that is not on disk.
-package simulation
 
 import (
 	"encoding/binary"
@@ -34,11 +35,11 @@
 	logs    map[entryID]entryRecord
 }
 
-func newInvariantChecker(world *Cluster) (witness *InvariantChecker) {
-	return &InvariantChecker{world: world, leaders: map[raft.Term]raft.ID{}, votes: map[voteID]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[entryID]entryRecord{}}
+func newInvariantChecker(cluster *Cluster) (invariants *InvariantChecker) {
+	return &InvariantChecker{world: cluster, leaders: map[raft.Term]raft.ID{}, votes: map[voteID]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[entryID]entryRecord{}}
 }
 
-func digestOf(entry raft.Entry) (mark uint64) {
+func digestOf(entry raft.Entry) (digest uint64) {
 	hash := fnv.New64a()
 	var term [8]byte
 	binary.BigEndian.PutUint64(term[:], uint64(entry.Term))
@@ -67,11 +68,11 @@
 
 // Applied notes what a core takes as committed.
 func (t *InvariantChecker) Applied(host string, entry raft.Entry) {
-	mark := digestOf(entry)
-	if other, known := t.agreed[entry.Index]; known && other != mark {
+	digest := digestOf(entry)
+	if other, known := t.agreed[entry.Index]; known && other != digest {
 		t.world.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
 	}
-	t.agreed[entry.Index] = mark
+	t.agreed[entry.Index] = digest
 }
 
 // Restored notes a state that a core takes from a snapshot.
@@ -107,17 +108,17 @@
 // entry, and one entry before it.
 func (t *InvariantChecker) match(host string, entry raft.Entry, before raft.Term) {
 	at := entryID{entry.Index, entry.Term}
-	mark := digestOf(entry)
+	digest := digestOf(entry)
 	known, seen := t.logs[at]
 	switch {
-	case seen && known.digest != mark:
+	case seen && known.digest != digest:
 		t.world.fail("logs match: %s has another entry %d of term %d than those before it", host, entry.Index, entry.Term)
 	case seen && known.before != 0 && before != 0 && known.before != before:
 		t.world.fail("logs match: before entry %d of term %d, %s has one of term %d and another core one of term %d", entry.Index, entry.Term, host, before, known.before)
 	case before == 0:
 		before = known.before
 	}
-	t.logs[at] = entryRecord{mark, before}
+	t.logs[at] = entryRecord{digest, before}
 }
 
 // Sends looks at a message on its way out: what it says must be on disk.
--- a/internal/simulation/lease.go
+++ b/internal/simulation/lease.go
@@ -1,8 +1,9 @@
+package simulation
+
 // Lease is for how long a core's contact with a majority proves that it leads,
 // kept as a node keeps it: taken back before anything is sent that lets another
 // lead, renewed once all that is committed was applied, and looked at when an
 // answer is made.
-package simulation
 
 import (
 	"time"
--- a/internal/simulation/house.go
+++ b/internal/simulation/membership.go
@@ -1,7 +1,8 @@
+package simulation
+
 // Keeping house in simulated time: the leader asks the real policy which
 // change of members is due; a core that is no member asks to become one, and
 // one that is asked to stop asks to be taken out.
-package simulation
 
 import (
 	"slices"
@@ -55,12 +56,12 @@
 }
 
 // membershipView is what this leader sees of the members.
-func (c *Controller) membershipView() (roll raft.View) {
+func (c *Controller) membershipView() (view raft.View) {
 	kept := c.joining[:0]
-	for _, joiner := range c.joining {
-		if c.ticks-joiner.at <= maxJoinAge {
-			kept = append(kept, joiner)
-			roll.Joining = append(roll.Joining, joiner.member)
+	for _, candidate := range c.joining {
+		if c.ticks-candidate.at <= maxJoinAge {
+			kept = append(kept, candidate)
+			view.Joining = append(view.Joining, candidate.member)
 		}
 	}
 	c.joining = kept
@@ -69,23 +70,23 @@
 			delete(c.leaving, id)
 		}
 	}
-	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = c.member.ID, c.ticks, c.raft.Members(), c.raft.CaughtUp
-	roll.Leaving = func(id raft.ID) bool { _, leaving := c.leaving[id]; return leaving }
-	roll.SinceHeard = func(id raft.ID) int { ticks, _ := c.raft.SinceHeard(id); return ticks }
-	return roll
+	view.Self, view.Tick, view.Members, view.CaughtUp = c.member.ID, c.ticks, c.raft.Members(), c.raft.CaughtUp
+	view.Leaving = func(id raft.ID) bool { _, leaving := c.leaving[id]; return leaving }
+	view.SinceHeard = func(id raft.ID) int { ticks, _ := c.raft.SinceHeard(id); return ticks }
+	return view
 }
 
 func (c *Controller) changeMembers() {
-	roll := c.membershipView()
-	decision := c.membership.Decide(roll)
+	view := c.membershipView()
+	decision := c.membership.Decide(view)
 	if c.cluster.options.InjectedBug == ShrinkFirst {
-		decision = c.shrink(roll, decision)
+		decision = c.shrink(view, decision)
 	}
 	if decision.Change == raft.NoChange {
 		return
 	}
 	if accepted, out := c.raft.ProposeMembers(decision.Next); accepted {
-		c.membership.Record(roll, decision)
+		c.membership.Record(view, decision)
 		c.removeJoining(decision.Member.ID)
 		c.cluster.logEvent("%s: %s of %s, members are %s", c.host, decision.Change, decision.Member.ID, membersText(decision.Next))
 		c.perform(out)
@@ -93,11 +94,11 @@
 }
 
 // shrink is the planted fault of a voter struck out with nobody for its place.
-func (c *Controller) shrink(roll raft.View, usual raft.Decision) (decision raft.Decision) {
-	for i, member := range roll.Members {
-		if member.Voter && member.ID != roll.Self && roll.SinceHeard(member.ID) > 12 {
+func (c *Controller) shrink(view raft.View, usual raft.Decision) (decision raft.Decision) {
+	for i, member := range view.Members {
+		if member.Voter && member.ID != view.Self && view.SinceHeard(member.ID) > 12 {
 			c.membership.Voters = 2
-			rest := append(append([]raft.Member(nil), roll.Members[:i]...), roll.Members[i+1:]...)
+			rest := append(append([]raft.Member(nil), view.Members[:i]...), view.Members[i+1:]...)
 			return raft.Decision{Change: raft.Remove, Member: member, Next: rest}
 		}
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,6 +1,7 @@
+package simulation
+
 // Network carries messages between cores and calls to them. Links are cut one
 // way or both; what is under way through a cut may come late, once it heals.
-package simulation
 
 import (
 	"math/rand"
@@ -22,8 +23,8 @@
 	resets           map[*Controller]int
 }
 
-func newNetwork(world *Cluster, luck *rand.Rand) (network *Network) {
-	return &Network{cluster: world, rng: luck, cut: map[link]int{}, delayed: map[link][]func(){}, resets: map[*Controller]int{}}
+func newNetwork(cluster *Cluster, rng *rand.Rand) (network *Network) {
+	return &Network{cluster: cluster, rng: rng, cut: map[link]int{}, delayed: map[link][]func(){}, resets: map[*Controller]int{}}
 }
 
 func (n *Network) delay() (span time.Duration) {
@@ -112,9 +113,9 @@
 		return
 	}
 	resets, life := n.resets[to], to.incarnation
-	whole := func() bool { return n.resets[to] == resets }
+	complete := func() bool { return n.resets[to] == resets }
 	n.cluster.events.After(n.delay(), func() {
-		if !whole() || to.incarnation != life {
+		if !complete() || to.incarnation != life {
 			return
 		}
 		to.receive(func() {
@@ -123,7 +124,7 @@
 					return
 				}
 				n.cluster.events.After(n.delay(), func() {
-					if whole() {
+					if complete() {
 						back()
 					}
 				})
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -1,6 +1,7 @@
+package simulation
+
 // Operator changes items, documents and evacuations, often at one time with
 // others and under one version, sends orders again, and reads back.
-package simulation
 
 import (
 	"fmt"
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -1,6 +1,7 @@
-// Options say what is played, and which sizes are refused.
 package simulation
 
+// Options say what is played, and which sizes are refused.
+
 import (
 	"strings"
 	"time"
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,7 +1,8 @@
+package simulation
+
 // Play is one run from its start to its verdict: troubles and callers for the
 // length of the run, then calm, in which the core has to come back to full
 // strength; at last every register is read and every history explained.
-package simulation
 
 import (
 	"fmt"
@@ -27,21 +28,21 @@
 }
 
 // DrawFaults gives the troubles of a seed.
-func DrawFaults(seed int64, options Options) (troubles []Fault) {
+func DrawFaults(seed int64, options Options) (faults []Fault) {
 	return drawFaults(rand.New(rand.NewSource(seed^0x5eed)), options)
 }
 
 // Play plays a seed with the troubles that it draws.
-func Play(seed int64, options Options) (verdict RunResult) {
+func Play(seed int64, options Options) (result RunResult) {
 	return PlayWith(seed, options, DrawFaults(seed, options), nil)
 }
 
 // PlayWith plays a seed with given troubles; each step that is noted is told.
-func PlayWith(seed int64, options Options, troubles []Fault, noted func(line string)) (verdict RunResult) {
+func PlayWith(seed int64, options Options, faults []Fault, noted func(line string)) (result RunResult) {
 	w := newCluster(seed, options, noted)
 	defer w.close()
-	for _, trouble := range troubles {
-		w.events.After(trouble.At, func() { w.inject(trouble) })
+	for _, fault := range faults {
+		w.events.After(fault.At, func() { w.inject(fault) })
 	}
 	w.run(options.Length)
 	var full time.Duration
@@ -64,15 +65,15 @@
 func (w *Cluster) quiesce() (took time.Duration) {
 	w.ending = true
 	w.heal()
-	calm := w.events.now
+	quietSince := w.events.now
 	lacks := ""
-	for w.events.now-calm < maxQuiesceWait && w.failure == "" {
+	for w.events.now-quietSince < maxQuiesceWait && w.failure == "" {
 		w.run(w.events.now + 50*time.Millisecond)
 		if lacks = w.missing(); lacks == "" {
 			break
 		}
 	}
-	took = w.events.now - calm
+	took = w.events.now - quietSince
 	switch allowed := w.options.CatchUp + quiesceAllowance; {
 	case w.failure != "":
 	case lacks != "":
--- a/internal/simulation/order.go
+++ b/internal/simulation/request.go
@@ -1,6 +1,7 @@
+package simulation
+
 // Order is what an operator wants done to one register, as the command that
 // brings it about in the real state, and how the register is read there.
-package simulation
 
 import (
 	"errors"
@@ -92,17 +93,17 @@
 }
 
 // answerOf is what the caller of an order is told.
-func (o Request) answerOf(answer Answer) (told observation) {
+func (o Request) answerOf(answer Answer) (observed observation) {
 	sort, _ := sortOf(o.history.name)
 	switch {
 	case !answer.Clear:
-		told.outcome = unknown
+		observed.outcome = unknown
 	case sort == "key" && !answer.Result.Granted, sort != "key" && answer.Result.Err != nil:
-		told.outcome = refused
+		observed.outcome = refused
 	default:
-		told.outcome = confirmed
+		observed.outcome = confirmed
 	}
-	return told
+	return observed
 }
 
 // bend is what a planted fault makes of the outcome of a command.
--- a/internal/simulation/set_test.go
+++ b/internal/simulation/set_test.go
@@ -25,9 +25,9 @@
 			options := DefaultOptions()
 			options.Controllers, options.Losses, options.Length = c.cores, c.losses, c.length
 			for seed := c.from; seed < c.from+int64(c.seeds); seed++ {
-				if verdict := Play(seed, options); verdict.Failure != "" {
-					t.Errorf("seed %d at %s: %s", seed, verdict.At, verdict.Failure)
-				} else if verdict.Confirmed == 0 {
+				if result := Play(seed, options); result.Failure != "" {
+					t.Errorf("seed %d at %s: %s", seed, result.At, result.Failure)
+				} else if result.Confirmed == 0 {
 					t.Errorf("seed %d: nothing was confirmed", seed)
 				}
 			}
@@ -43,19 +43,19 @@
 		from     int64
 	}
 	leases := []FaultKind{Freeze, Cut, OneWay, Storm}
-	plants := map[InjectedBug]sought{
+	bugs := map[InjectedBug]sought{
 		SendBeforeSync: {nil, 3, 1}, ForgetSync: {nil, 3, 1}, LoseVote: {[]FaultKind{Kill, Power}, 10, 1}, CommitWithoutQuorum: {[]FaultKind{Cut, Storm}, 10, 1},
 		TwoContents: {nil, 3, 1}, ResentRefused: {nil, 3, 1}, UnknownAsRejected: {[]FaultKind{Cut, Freeze, Storm}, 20, 1}, TwoRuns: {nil, 3, 1},
 		SlowVoterRemoval: {[]FaultKind{Replace, Wipe}, 10, 1}, ShrinkFirst: {[]FaultKind{Freeze, Cut, Kill}, 20, 1},
 		StaleRead: {leases, 80, 26}, EdgeBack: {leases, 60, 18}, RestartVotes: {[]FaultKind{Storm, WipeRest}, 40, 1},
 	}
 	var mu sync.Mutex
-	for plant, how := range plants {
-		t.Run(string(plant), func(t *testing.T) {
+	for bug, how := range bugs {
+		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			options := DefaultOptions()
 			options.Length, options.Gap, options.Faults = 10*time.Second, 400*time.Millisecond, how.troubles
-			find := Seek(plant, options, Range{Seeds: how.seeds, From: how.from, Parallel: 1, Limit: time.Minute}, func(Report) {})
+			find := Seek(bug, options, Range{Seeds: how.seeds, From: how.from, Parallel: 1, Limit: time.Minute}, func(Report) {})
 			mu.Lock()
 			defer mu.Unlock()
 			if !find.Found {
