--- a/cmd/tinpin/affinity.go
+++ b/cmd/tinpin/affinity.go
@@ -1,3 +1,7 @@
 package main
 
-var affinityCommand = command{name: "affinity", usage: documentUsage("session affinity", "its sessions"), run: runDocument}
+var affinityCommand = command{
+	name:  "affinity",
+	usage: documentUsage("session affinity", "its sessions"),
+	run:   runDocument,
+}
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -14,7 +14,9 @@
 
 var (
 	errNoLeader  = &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no leader is settled now"}
-	errNoContact = &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "no contact with a majority of the controllers now"}
+	errNoContact = &httpapi.Error{
+		Kind: apierror.OutcomeUnknown, Text: "no contact with a majority of the controllers now",
+	}
 	// errListIncomplete is that of a new leader, which is no reason to reject.
 	errListIncomplete = &httpapi.Error{Kind: apierror.OutcomeUnknown, Text: "the platform's list is not read yet"}
 )
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -71,7 +71,8 @@
 	for id, retired := range d.retired {
 		if _, listed := c.endpoints.Endpoints.Get(id); !retired.Gone && !listed && c.endpoints.Complete {
 			// It has left the platform's list: the retirement is over.
-			commands = append(commands, statemachine.Command{Kind: statemachine.CommandCancelRetire, Subject: string(id)})
+			command := statemachine.Command{Kind: statemachine.CommandCancelRetire, Subject: string(id)}
+			commands = append(commands, command)
 		}
 		list = append(list, retired)
 	}
--- a/internal/coordinator/retry.go
+++ b/internal/coordinator/retry.go
@@ -54,7 +54,8 @@
 			continue
 		}
 		statuses = append(statuses, RetryStatus{
-			Service: name, Ratio: rule.Ratio, MinPerSecond: rule.MinPerSecond, Window: time.Duration(rule.Window).String(),
+			Service: name, Ratio: rule.Ratio, MinPerSecond: rule.MinPerSecond,
+			Window:    time.Duration(rule.Window).String(),
 			Granted:   c.leases.retries.Granted(now, name),
 			Followers: followers, Nodes: len(nodes), Missing: missing, InForceEverywhere: everywhere,
 		})
--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -45,7 +45,8 @@
 	var next *rpc.ScheduleStep
 	next, s.statuses = s.stepper.Step(now, s.wallClock(), s.plan, s.step, c.targetState)
 	for _, status := range s.statuses {
-		c.policies.logged.record(c.log, eventlog.ScheduleProgress, status.Target, status.Waiting, "wanted", status.Wanted)
+		c.policies.logged.record(c.log, eventlog.ScheduleProgress, status.Target, status.Waiting,
+			"wanted", status.Wanted)
 	}
 	if next == nil {
 		return command, false
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -107,7 +107,9 @@
 
 // backendEnded tells whether and why a session may not stay on a backend; the
 // caller holds mu.
-func (c *Coordinator) backendEnded(now time.Duration, id rpc.EndpointID, service rpc.ServiceName) (ended bool, why string) {
+func (c *Coordinator) backendEnded(
+	now time.Duration, id rpc.EndpointID, service rpc.ServiceName,
+) (ended bool, why string) {
 	endpoint, listed := c.endpoints.Endpoints.Get(id)
 	if !listed {
 		return c.endpoints.Complete, "gone"
@@ -203,8 +205,10 @@
 	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
 	if answer.Result.Moved {
 		c.sessions.moved++
-		c.log.Emit(eventlog.SessionMoved, eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service),
-			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server), eventlog.KeyReason, reason)
+		c.log.Emit(eventlog.SessionMoved,
+			eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service),
+			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server),
+			eventlog.KeyReason, reason)
 		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
 	}
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Server}
@@ -231,7 +235,8 @@
 	}
 	for _, over := range s.expiry.Expire(now, c.sessionLimit, maxUnbinds-len(s.pendingUnbinds)) {
 		s.pendingUnbinds = append(s.pendingUnbinds, statemachine.Command{
-			Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)}, Number: over.Sequence,
+			Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(over.Session)},
+			Number: over.Sequence,
 		})
 	}
 	if len(s.pendingUnbinds) == 0 {
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -192,7 +192,9 @@
 		return page
 	}
 	page = c.buildEndpointPage(now, after)
-	warmingUp := slices.ContainsFunc(page.States, func(state rpc.EndpointState) bool { return state.WarmupRemaining > 0 })
+	warmingUp := slices.ContainsFunc(page.States, func(state rpc.EndpointState) bool {
+		return state.WarmupRemaining > 0
+	})
 	// The remaining time of a warm-up is different a moment later.
 	if len(page.Endpoints) > packThreshold && page.Compress() == nil && !warmingUp && !cache.full() {
 		cache.parts[after] = page
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -93,7 +93,8 @@
 		}
 	}
 	for _, row := range request.Outcomes {
-		if !namesFit(string(row.Endpoint), string(row.Service)) || row.Succeeded > maxOutcomes || row.Failed > maxOutcomes {
+		if !namesFit(string(row.Endpoint), string(row.Service)) ||
+			row.Succeeded > maxOutcomes || row.Failed > maxOutcomes {
 			return fmt.Errorf("outcomes of %d good and %d bad requests", row.Succeeded, row.Failed)
 		}
 	}
@@ -106,7 +107,8 @@
 	case request.Node == "" || !namesFit(string(request.Node), string(request.Service)):
 		return errBadName
 	case request.Term > c.term || request.Term == c.term && request.ShardMapRevision > c.nodes.shardMapRevision:
-		return fmt.Errorf("findings by a shard map %d of term %d that was never sent", request.ShardMapRevision, request.Term)
+		return fmt.Errorf("findings by a shard map %d of term %d that was never sent",
+			request.ShardMapRevision, request.Term)
 	}
 	for _, state := range request.States {
 		endpoint, listed := c.endpoints.Endpoints.Get(state.Endpoint)
--- a/internal/coordinator/zonebalance.go
+++ b/internal/coordinator/zonebalance.go
@@ -10,7 +10,8 @@
 // balanceZones recomputes which part of their requests zones should send to the
 // backends of others; the caller holds mu.
 func (c *Coordinator) balanceZones(now time.Duration) {
-	c.zoneBalance.Update(now, c.loadByZone(), c.slotsByZone(now), func(zone rpc.ZoneName) string { return string(c.regionOf(zone)) })
+	region := func(zone rpc.ZoneName) string { return string(c.regionOf(zone)) }
+	c.zoneBalance.Update(now, c.loadByZone(), c.slotsByZone(now), region)
 }
 
 // loadByZone sums the requests in flight that connected nodes report.
@@ -35,11 +36,11 @@
 func (c *Coordinator) slotsByZone(now time.Duration) (slots map[healthcheck.ServiceZone]float64) {
 	slots = map[healthcheck.ServiceZone]float64{}
 	c.endpoints.Endpoints.Each(func(id rpc.EndpointID, endpoint rpc.Endpoint) {
-		place := healthcheck.ServiceZone{Service: endpoint.Service, Zone: endpoint.Zone}
+		serviceZone := healthcheck.ServiceZone{Service: endpoint.Service, Zone: endpoint.Zone}
 		if c.takesFullLoad(now, id, endpoint) {
-			slots[place] += float64(max(1, endpoint.Slots))
+			slots[serviceZone] += float64(max(1, endpoint.Slots))
 		} else {
-			slots[place] += 0
+			slots[serviceZone] += 0
 		}
 	})
 	return slots
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -52,7 +52,9 @@
 func (a api) NewError(_ context.Context, err error) (response *oas.OtherStatusCodeWithHeaders) {
 	failed := asError(err)
 	row := failed.Kind.Response()
-	response = &oas.OtherStatusCodeWithHeaders{StatusCode: row.Status, Response: oas.Problem{ErrorMessage: failed.Error()}}
+	response = &oas.OtherStatusCodeWithHeaders{
+		StatusCode: row.Status, Response: oas.Problem{ErrorMessage: failed.Error()},
+	}
 	if failed.Location != "" {
 		response.Location = oas.NewOptString(failed.Location)
 	}
