--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -142,7 +142,7 @@
 			return
 		}
 		if service := c.routingTable.Services[string(endpoint.Service)]; service != nil {
-			c.health.MarkWarmingUp(c.now(), id, endpoint.Service, service.SlowStart)
+			c.health.SetWarmingUp(c.now(), id, endpoint.Service, service.SlowStart)
 		}
 	})
 }
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -76,7 +76,7 @@
 	now := c.now()
 	for _, endpoint := range added {
 		if endpoint.WarmupRemaining > 0 {
-			c.health.MarkWarmingUp(now, endpoint.ID, endpoint.Service, endpoint.WarmupRemaining)
+			c.health.SetWarmingUp(now, endpoint.ID, endpoint.Service, endpoint.WarmupRemaining)
 		}
 	}
 	if changed {
--- a/internal/healthcheck/statecache.go
+++ b/internal/healthcheck/statecache.go
@@ -103,8 +103,8 @@
 	return c.States.Set(state.Endpoint, state)
 }
 
-// MarkWarmingUp notes that an endpoint is warming up until its owner says otherwise.
-func (c *StateCache) MarkWarmingUp(now time.Duration, endpoint rpc.EndpointID, service rpc.ServiceName, remaining time.Duration) {
+// SetWarmingUp notes that an endpoint is warming up until its owner says otherwise.
+func (c *StateCache) SetWarmingUp(now time.Duration, endpoint rpc.EndpointID, service rpc.ServiceName, remaining time.Duration) {
 	if remaining <= 0 {
 		return
 	}
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -78,7 +78,7 @@
 			switch {
 			case !alive():
 			case s.random.Intn(4) == 0: // the response is lost
-				node.store.MarkLost(op)
+				node.store.SetLost(op)
 				if s.bug.releaseFailed {
 					release()
 				}
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -144,16 +144,16 @@
 	s.finish(held, rpc.OperationCompleted)
 }
 
-// MarkMoved notes that an operation is complete and which node stores its response.
-func (s *Store) MarkMoved(held *HeldOperation, address string) {
+// SetMoved notes that an operation is complete and which node stores its response.
+func (s *Store) SetMoved(held *HeldOperation, address string) {
 	s.mu.Lock()
 	held.operation.movedTo = address
 	s.mu.Unlock()
 	s.finish(held, rpc.OperationMoved)
 }
 
-// MarkLost notes that nobody knows whether an operation ran.
-func (s *Store) MarkLost(held *HeldOperation) { s.finish(held, rpc.OperationLost) }
+// SetLost notes that nobody knows whether an operation ran.
+func (s *Store) SetLost(held *HeldOperation) { s.finish(held, rpc.OperationLost) }
 
 // Release notes that an operation has not run and will not.
 func (s *Store) Release(held *HeldOperation) {
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -18,7 +18,7 @@
 		t.Fatal("a running key does not begin again")
 	}
 	store.Complete(operation, 200, [][2]string{{"A", "b"}}, []byte("body"))
-	store.MarkLost(operation)
+	store.SetLost(operation)
 	if response := store.Find("k", "r1"); response.State != rpc.OperationCompleted || string(response.Body) != "body" {
 		t.Fatalf("complete once, always complete: %v", response)
 	}
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -41,7 +41,7 @@
 		d.storeResponse(operation, plan, response)
 		return response
 	case plan.MayHaveRun && !(kind == apierror.BackendFailed && d.deduplicates(plan.Service)):
-		d.operations.MarkLost(operation)
+		d.operations.SetLost(operation)
 	default:
 		d.releaseKey(plan, operation)
 	}
@@ -111,7 +111,7 @@
 	homes := plan.Route.AllowedRegions
 	switch {
 	case response.BodyRest != nil:
-		d.operations.MarkLost(operation)
+		d.operations.SetLost(operation)
 	case config.AllowsRegion(homes, d.settings.Region):
 		d.operations.Complete(operation, response.Status, response.Headers, response.Body)
 	default:
@@ -134,10 +134,10 @@
 	}
 	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: response.Status, Headers: response.Headers, Body: response.Body}
 	if address == "" || !d.leader.StoreAt(address, rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: stored}) {
-		d.operations.MarkLost(operation)
+		d.operations.SetLost(operation)
 		return
 	}
-	d.operations.MarkMoved(operation, address)
+	d.operations.SetMoved(operation, address)
 }
 
 // replay answers a repeat from what the operation's holder told.
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -235,7 +235,7 @@
 		}
 	}
 	if d.luck.Intn(12) == 0 {
-		edge.book.MarkLost(op)
+		edge.book.SetLost(op)
 		return false
 	}
 	edge.book.Complete(op, 200, nil, []byte(request))
