--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -33,7 +33,7 @@
 		}
 		ask := Message{
 			Kind: kind, To: member.ID, Term: term, Index: r.lastIndex(), LogTerm: r.termAt(r.lastIndex()),
-			Force: force, Life: lives[member.ID],
+			Force: force, Incarnation: lives[member.ID],
 		}
 		if pre {
 			ask.Round = r.preVoteRound
@@ -117,7 +117,7 @@
 		Kind: MsgPreVoteResponse, To: m.From, Term: m.Term, Reject: !granted, Hint: Index(r.hardState.Term), Round: m.Round,
 	}
 	if idle {
-		response.Idle, response.Life, response.Age = true, r.incarnation, r.sinceStart()
+		response.Idle, response.Incarnation, response.SinceStart = true, r.incarnation, r.sinceStart()
 	}
 	r.send(response)
 }
@@ -139,7 +139,7 @@
 // active, the candidate is not the target of a transfer, and it was not this start of
 // this replica that answered it with Idle.
 func (r *Replica) ignoresVote(m Message) bool {
-	return m.Term > r.hardState.Term && !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Life == r.incarnation)
+	return m.Term > r.hardState.Term && !m.Force && r.withholdsVote() && !(r.knowsNoLeader() && m.Incarnation == r.incarnation)
 }
 
 // handleVote answers a candidate of this term; a vote goes out once it is on disk.
--- a/internal/raft/fixtures_test.go
+++ b/internal/raft/fixtures_test.go
@@ -40,22 +40,22 @@
 
 // wireFixtures are the records of the disk and the calls between cores.
 func wireFixtures() (fixtures []wiretest.Fixture) {
-	part := &SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: 0xc0ffee01, Sum: 0x7a5b0f11, Data: []byte("ate\x00\xff")}
+	part := &SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, TotalBytes: 7, Offset: 2, SnapshotChecksum: 0xc0ffee01, ChunkChecksum: 0x7a5b0f11, Data: []byte("ate\x00\xff")}
 	message := Message{
-		Kind: MsgSnapshotChunk, From: "a", To: "b", Term: 8, Index: 44, LogTerm: 7, Commit: 43, Reject: true, Hint: 41, Round: 1 << 33, Force: true, Idle: true, Life: 1<<63 + 1, Age: 1500 * time.Millisecond,
-		Entries: []Entry{{Term: 7, Index: 45, Members: storedMembers, Data: []byte("entry\x00\xff")}}, Snapshot: &storedSnapshot, Part: part,
+		Kind: MsgSnapshotChunk, From: "a", To: "b", Term: 8, Index: 44, LogTerm: 7, Commit: 43, Reject: true, Hint: 41, Round: 1 << 33, Force: true, Idle: true, Incarnation: 1<<63 + 1, SinceStart: 1500 * time.Millisecond,
+		Entries: []Entry{{Term: 7, Index: 45, Members: storedMembers, Data: []byte("entry\x00\xff")}}, Snapshot: &storedSnapshot, Chunk: part,
 	}
 	return []wiretest.Fixture{
 		{Name: "hard_state", Value: storedHard},
 		{Name: "core_id", Value: storedID},
 		{Name: "snapshot", Value: storedSnapshot},
 		{Name: "membership", Value: append([]Member{storedLearner}, storedMembers...)},
-		{Name: "core_step_request", Value: MessageBatch{From: "a", Inner: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
+		{Name: "core_step_request", Value: MessageBatch{From: "a", Address: "10.0.2.1:7100", Messages: []Message{message, {Kind: MsgHeartbeatResponse, From: "a", To: "b", Term: 8, Round: 9}}}},
 		{Name: "core_step_reply", Value: Empty{}},
 		{Name: "core_join_request", Value: JoinRequest{Member: storedMembers[0]}},
-		{Name: "core_join_reply", Value: JoinResponse{Leader: true, Inners: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
+		{Name: "core_join_reply", Value: JoinResponse{Leader: true, MemberAddresses: []string{"10.0.2.1:7100", "10.0.2.2:7100"}}},
 		{Name: "core_leave_request", Value: LeaveRequest{ID: "founder-10.0.2.1"}},
-		{Name: "core_leave_reply", Value: LeaveResponse{Parting: LeaveCompleted}},
+		{Name: "core_leave_reply", Value: LeaveResponse{Status: LeaveCompleted}},
 	}
 }
 
@@ -100,8 +100,8 @@
 // A sum that was sent with a part of a snapshot is the one that is reckoned now,
 // and so is the seal of a record.
 func TestChecksumsHold(t *testing.T) {
-	part := SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, Total: 7, Offset: 2, Whole: binaryformat.Checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
-	got := []uint32{part.Whole, part.sum(), sealSum(keyEntry(7), []byte("value"))}
+	part := SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, TotalBytes: 7, Offset: 2, SnapshotChecksum: binaryformat.Checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
+	got := []uint32{part.SnapshotChecksum, part.sum(), sealSum(keyEntry(7), []byte("value"))}
 	if diff := cmp.Diff([]uint32{1802194548, 3866943754, 4062685565}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -574,8 +574,8 @@
 	for _, want := range []LeaveStatus{LeaveCompleted, 0} {
 		var left LeaveResponse
 		var joined JoinResponse
-		if err := n.Service().Leave(LeaveRequest{"unknown"}, &left); err != nil || left.Parting != want {
-			t.Errorf("parting %d, want %d: %v", left.Parting, want, err)
+		if err := n.Service().Leave(LeaveRequest{"unknown"}, &left); err != nil || left.Status != want {
+			t.Errorf("parting %d, want %d: %v", left.Status, want, err)
 		}
 		if err := n.Service().Join(JoinRequest{Member{ID: "a"}}, &joined); err != nil || joined.Leader != (want != 0) {
 			t.Errorf("parting %d: leads %v, %v", want, joined.Leader, err)
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -74,12 +74,12 @@
 	Round    uint64
 	Snapshot *Snapshot
 	Force    bool
-	Part     *SnapshotChunk
+	Chunk    *SnapshotChunk
 	// Idle is set by a member that has known no leader since its start; Life is the
 	// incarnation of that start and Age how long ago it was. See startState.
-	Idle bool
-	Life uint64
-	Age  time.Duration
+	Idle        bool
+	Incarnation uint64
+	SinceStart  time.Duration
 }
 
 // fromLeader tells that only the leader of its term sends such a message.
@@ -96,8 +96,8 @@
 	if m.Snapshot != nil {
 		size += len(m.Snapshot.Data)
 	}
-	if m.Part != nil {
-		size += len(m.Part.Data)
+	if m.Chunk != nil {
+		size += len(m.Chunk.Data)
 	}
 	return size
 }
--- a/internal/raft/node_leave.go
+++ b/internal/raft/node_leave.go
@@ -24,7 +24,7 @@
 type LeaveRequest struct{ ID ID }
 
 // LeaveResponse is empty where the core asked does not lead.
-type LeaveResponse struct{ Parting LeaveStatus }
+type LeaveResponse struct{ Status LeaveStatus }
 
 // Leave notes a core that is about to end.
 func (d *Service) Leave(ask LeaveRequest, reply *LeaveResponse) (err error) {
@@ -37,13 +37,13 @@
 	timer := time.NewTimer(leaveWait)
 	defer timer.Stop()
 	select {
-	case reply.Parting = <-parting:
+	case reply.Status = <-parting:
 	case <-timer.C:
 	case <-d.node.stop:
 	}
 	// One that is cut off may not know whom a later leader has taken in.
-	if _, _, term, _, _ := d.node.Status(); reply.Parting != 0 && !d.node.HoldsLease(term, 0) {
-		reply.Parting = 0
+	if _, _, term, _, _ := d.node.Status(); reply.Status != 0 && !d.node.HoldsLease(term, 0) {
+		reply.Status = 0
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 			defer caller.Close()
 			var reply LeaveResponse
 			err := caller.Call(rpc.MethodLeave, LeaveRequest{n.self.ID}, &reply, leaveWait)
-			answers <- answer{reply.Parting, err == nil}
+			answers <- answer{reply.Status, err == nil}
 		}()
 	}
 	for ; asked > 0; asked-- {
--- a/internal/raft/node_membership.go
+++ b/internal/raft/node_membership.go
@@ -34,8 +34,8 @@
 
 // JoinResponse names the leader where it is another.
 type JoinResponse struct {
-	Leader bool
-	Inners []string
+	Leader          bool
+	MemberAddresses []string
 }
 
 // Join notes a core that wants to be taken in.
@@ -43,7 +43,7 @@
 	leads, _, term, _, members := d.node.Status()
 	reply.Leader = leads && d.node.HoldsLease(term, 0)
 	for _, member := range members {
-		reply.Inners = append(reply.Inners, member.Inner)
+		reply.MemberAddresses = append(reply.MemberAddresses, member.Inner)
 	}
 	if !leads {
 		return nil
@@ -185,7 +185,7 @@
 		return
 	}
 	n.mu.Lock()
-	for _, inner := range reply.Inners {
+	for _, inner := range reply.MemberAddresses {
 		n.peerAddresses[ID("heard-"+inner)] = inner
 	}
 	n.mu.Unlock()
--- a/internal/raft/node_sender.go
+++ b/internal/raft/node_sender.go
@@ -11,7 +11,7 @@
 // MessageBatch is what one core sends another.
 type MessageBatch struct {
 	From     ID
-	Inner    string
+	Address  string
 	Messages []Message
 }
 
@@ -22,7 +22,7 @@
 }
 
 func pathOf(message Message) sendPath {
-	return sendPath{message.To, len(message.Entries) > 0 || message.Part != nil || message.Snapshot != nil}
+	return sendPath{message.To, len(message.Entries) > 0 || message.Chunk != nil || message.Snapshot != nil}
 }
 
 // peerSender carries messages to one core.
@@ -103,7 +103,7 @@
 				}
 			}
 		}
-		batch := MessageBatch{From: n.self.ID, Inner: n.self.Inner}
+		batch := MessageBatch{From: n.self.ID, Address: n.self.Inner}
 		var size int
 		if batch.Messages, kept, size, open = s.nextBatch(message); !open {
 			return
@@ -133,7 +133,7 @@
 // Step takes messages of the agreement.
 func (d *Service) Step(batch MessageBatch, _ *Empty) (err error) {
 	d.node.mu.Lock()
-	d.node.peerAddresses[batch.From] = batch.Inner
+	d.node.peerAddresses[batch.From] = batch.Address
 	d.node.mu.Unlock()
 	select {
 	case d.node.inbox <- batch.Messages:
--- a/internal/raft/node_sender_test.go
+++ b/internal/raft/node_sender_test.go
@@ -14,7 +14,7 @@
 	}{
 		{Message{Kind: MsgAppend, To: "b"}, false},
 		{Message{Kind: MsgAppend, To: "b", Entries: run(2, 3, 1)}, true},
-		{Message{Kind: MsgSnapshotChunk, To: "b", Part: &SnapshotChunk{}}, true},
+		{Message{Kind: MsgSnapshotChunk, To: "b", Chunk: &SnapshotChunk{}}, true},
 		{Message{Kind: MsgSnapshot, To: "b", Snapshot: &Snapshot{}}, true},
 		{Message{Kind: MsgSnapshotChunkResponse, To: "b"}, false},
 		{Message{Kind: MsgVote, To: "b"}, false},
@@ -59,7 +59,7 @@
 	}
 	// One message that is larger than a call goes alone.
 	s.queue <- Message{Kind: MsgAppend}
-	if messages, next, _, open := s.nextBatch(Message{Part: &SnapshotChunk{Data: make([]byte, maxCallBytes)}}); len(messages) != 1 || next == nil || !open {
+	if messages, next, _, open := s.nextBatch(Message{Chunk: &SnapshotChunk{Data: make([]byte, maxCallBytes)}}); len(messages) != 1 || next == nil || !open {
 		t.Fatalf("%d messages with a large one", len(messages))
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -14,14 +14,14 @@
 // SnapshotChunk is a piece of a snapshot's data. Whole is the crc32c of all the data, Sum
 // that of this chunk with its fields.
 type SnapshotChunk struct {
-	Index   Index
-	Term    Term
-	Members []Member
-	Total   uint64
-	Offset  uint64
-	Whole   uint32
-	Sum     uint32
-	Data    []byte
+	Index            Index
+	Term             Term
+	Members          []Member
+	TotalBytes       uint64
+	Offset           uint64
+	SnapshotChecksum uint32
+	ChunkChecksum    uint32
+	Data             []byte
 }
 
 // snapshot is the snapshot that the chunk is part of, with data.
@@ -32,7 +32,7 @@
 // sum is the checksum of the chunk's fields and data.
 func (p *SnapshotChunk) sum() uint32 {
 	var head []byte
-	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.Total, p.Offset, uint64(p.Whole)} {
+	for _, number := range []uint64{uint64(p.Index), uint64(p.Term), p.TotalBytes, p.Offset, uint64(p.SnapshotChecksum)} {
 		head = binaryformat.AppendUint(head, number)
 	}
 	for _, member := range p.Members {
@@ -86,10 +86,10 @@
 		end := min(s.sentOffset+r.chunkBytes, s.total())
 		part := &SnapshotChunk{
 			Index: s.snapshot.Index, Term: s.snapshot.Term, Members: s.snapshot.Members,
-			Total: s.total(), Offset: s.sentOffset, Whole: s.checksum, Data: s.snapshot.Data[s.sentOffset:end:end],
+			TotalBytes: s.total(), Offset: s.sentOffset, SnapshotChecksum: s.checksum, Data: s.snapshot.Data[s.sentOffset:end:end],
 		}
-		part.Sum = part.sum()
-		r.send(Message{Kind: MsgSnapshotChunk, To: id, Part: part, Round: r.heartbeatRound})
+		part.ChunkChecksum = part.sum()
+		r.send(Message{Kind: MsgSnapshotChunk, To: id, Chunk: part, Round: r.heartbeatRound})
 		s.sentOffset = end
 		s.inflightChunks++
 	}
@@ -126,25 +126,25 @@
 }
 
 func (g *incomingSnapshot) matches(m Message) bool {
-	return g != nil && g.leaderTerm == m.Term && g.chunk.Index == m.Part.Index && g.chunk.Term == m.Part.Term &&
-		g.chunk.Total == m.Part.Total && g.chunk.Whole == m.Part.Whole
+	return g != nil && g.leaderTerm == m.Term && g.chunk.Index == m.Chunk.Index && g.chunk.Term == m.Chunk.Term &&
+		g.chunk.TotalBytes == m.Chunk.TotalBytes && g.chunk.SnapshotChecksum == m.Chunk.SnapshotChecksum
 }
 
 // supersededBy tells that a chunk is of a snapshot that replaces this one.
 func (g *incomingSnapshot) supersededBy(m Message) bool {
-	return g == nil || m.Term > g.leaderTerm || m.Term == g.leaderTerm && m.Part.Index > g.chunk.Index
+	return g == nil || m.Term > g.leaderTerm || m.Term == g.leaderTerm && m.Chunk.Index > g.chunk.Index
 }
 
 func (r *Replica) sendChunkResponse(m Message, offset uint64, refused bool) {
 	r.send(Message{
-		Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Part.Index, LogTerm: m.Part.Term, Hint: Index(offset), Reject: refused,
+		Kind: MsgSnapshotChunkResponse, To: m.From, Index: m.Chunk.Index, LogTerm: m.Chunk.Term, Hint: Index(offset), Reject: refused,
 		Round: r.confirmRound(m.Round),
 	})
 }
 
 func (r *Replica) handleSnapshotChunk(m Message) {
-	part := m.Part
-	if part.Sum != part.sum() {
+	part := m.Chunk
+	if part.ChunkChecksum != part.sum() {
 		r.reject(m, "part's checksum is wrong")
 		return
 	}
@@ -172,12 +172,12 @@
 		return
 	}
 	g.data = append(g.data, part.Data...)
-	if uint64(len(g.data)) < part.Total {
+	if uint64(len(g.data)) < part.TotalBytes {
 		r.sendChunkResponse(m, uint64(len(g.data)), false)
 		return
 	}
 	r.incoming = nil
-	if binaryformat.Checksum(g.data) != part.Whole {
+	if binaryformat.Checksum(g.data) != part.SnapshotChecksum {
 		r.reject(m, "snapshot's checksum is wrong")
 		r.sendChunkResponse(m, 0, true)
 		return
--- a/internal/raft/snapshot_test.go
+++ b/internal/raft/snapshot_test.go
@@ -48,8 +48,8 @@
 		for _, m := range pass(leader, follower, nil) {
 			if isPart(m) {
 				now++
-				if len(m.Part.Data) > 100 {
-					t.Fatalf("a part of %d bytes", len(m.Part.Data))
+				if len(m.Chunk.Data) > 100 {
+					t.Fatalf("a part of %d bytes", len(m.Chunk.Data))
 				}
 			}
 		}
@@ -78,7 +78,7 @@
 	count := func(messages []Message) {
 		for _, m := range messages {
 			if isPart(m) {
-				sent[m.Part.Offset]++
+				sent[m.Chunk.Offset]++
 			}
 		}
 	}
@@ -112,8 +112,8 @@
 func TestPartsThatDoNotFitChangeNothing(t *testing.T) {
 	data := bytes.Repeat([]byte("x"), 250)
 	part := func(index Index, offset uint64) (p *SnapshotChunk) {
-		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, Total: 250, Offset: offset, Whole: binaryformat.Checksum(data), Data: data[offset:min(offset+100, 250)]}
-		p.Sum = p.sum()
+		p = &SnapshotChunk{Index: index, Term: 2, Members: trio, TotalBytes: 250, Offset: offset, SnapshotChecksum: binaryformat.Checksum(data), Data: data[offset:min(offset+100, 250)]}
+		p.ChunkChecksum = p.sum()
 		return p
 	}
 	b := newBench(t, "b", HardState{Term: 3})
@@ -130,10 +130,10 @@
 		}
 		return tell, len(out.Rejected)
 	}
-	if tell, _ := give(Message{Part: part(20, 100)}); !tell.Reject || tell.Hint != 0 || b.raft.incoming != nil {
+	if tell, _ := give(Message{Chunk: part(20, 100)}); !tell.Reject || tell.Hint != 0 || b.raft.incoming != nil {
 		t.Fatalf("a part from the middle: %+v", tell)
 	}
-	if tell, _ := give(Message{Part: part(20, 0)}); tell.Kind != MsgSnapshotChunkResponse || tell.Reject || tell.Hint != 100 {
+	if tell, _ := give(Message{Chunk: part(20, 0)}); tell.Kind != MsgSnapshotChunkResponse || tell.Reject || tell.Hint != 100 {
 		t.Fatalf("the first part: %+v", tell)
 	}
 	spoiled := part(20, 100)
@@ -141,14 +141,14 @@
 	renamed := part(20, 100)
 	renamed.Index = 30
 	beyond := part(20, 200)
-	beyond.Offset, beyond.Sum = 240, 0
-	beyond.Sum = beyond.sum()
+	beyond.Offset, beyond.ChunkChecksum = 240, 0
+	beyond.ChunkChecksum = beyond.sum()
 	huge := part(20, 0)
-	huge.Total, huge.Sum = maxSnapshotBytes+1, 0
-	huge.Sum = huge.sum()
+	huge.TotalBytes, huge.ChunkChecksum = maxSnapshotBytes+1, 0
+	huge.ChunkChecksum = huge.sum()
 	for name, m := range map[string]Message{
-		"no part": {}, "spoiled": {Part: spoiled}, "renamed": {Part: renamed}, "beyond the end": {Part: beyond},
-		"huge": {Part: huge}, "older snapshot": {Part: part(19, 0)},
+		"no part": {}, "spoiled": {Chunk: spoiled}, "renamed": {Chunk: renamed}, "beyond the end": {Chunk: beyond},
+		"huge": {Chunk: huge}, "older snapshot": {Chunk: part(19, 0)},
 	} {
 		if tell, refused := give(m); refused != 1 || tell.Kind != 0 {
 			t.Errorf("%s: refused %d, told %+v", name, refused, tell)
@@ -158,22 +158,22 @@
 		offset uint64
 		reject bool
 	}{"the first again": {0, false}, "the third too early": {200, true}} {
-		if tell, refused := give(Message{Part: part(20, c.offset)}); refused != 0 || tell.Reject != c.reject || tell.Hint != 100 {
+		if tell, refused := give(Message{Chunk: part(20, c.offset)}); refused != 0 || tell.Reject != c.reject || tell.Hint != 100 {
 			t.Errorf("%s: %+v", name, tell)
 		}
 	}
 	if have := len(b.raft.incoming.data); have != 100 || len(b.queued) != 0 || b.raft.LastIndex() != 1 {
 		t.Fatalf("%d bytes are kept, %d orders", have, len(b.queued))
 	}
-	give(Message{Part: part(20, 100)})
-	give(Message{Part: part(20, 200)})
+	give(Message{Chunk: part(20, 100)})
+	give(Message{Chunk: part(20, 200)})
 	b.syncAll()
 	if len(b.rest) != 1 || !bytes.Equal(b.rest[0].Data, data) || b.raft.LastIndex() != 20 {
 		t.Fatalf("%d restored, ends at %d", len(b.rest), b.raft.LastIndex())
 	}
 	// A newer leader's snapshot replaces what was gathered of an older one's.
-	give(Message{Part: part(30, 0)})
-	if tell, _ := give(Message{Term: 4, Part: part(30, 100)}); !tell.Reject || tell.Hint != 0 {
+	give(Message{Chunk: part(30, 0)})
+	if tell, _ := give(Message{Term: 4, Chunk: part(30, 100)}); !tell.Reject || tell.Hint != 0 {
 		t.Fatalf("another leader's part: %+v", tell)
 	}
 }
@@ -189,11 +189,11 @@
 			if m.To != "b" {
 				continue
 			}
-			if isPart(m) && m.Part.Offset == 300 && refused == 0 {
-				spoiled := *m.Part
+			if isPart(m) && m.Chunk.Offset == 300 && refused == 0 {
+				spoiled := *m.Chunk
 				spoiled.Data = append([]byte{'!'}, spoiled.Data[1:]...)
-				spoiled.Sum = spoiled.sum()
-				m.Part = &spoiled
+				spoiled.ChunkChecksum = spoiled.sum()
+				m.Chunk = &spoiled
 			}
 			out := follower.raft.Step(m)
 			if refused += len(out.Rejected); len(out.Rejected) > 0 {
--- a/internal/raft/startup.go
+++ b/internal/raft/startup.go
@@ -47,8 +47,8 @@
 
 // recordIdlePeer counts an Idle answer of a member that had started before it was asked.
 func (r *Replica) recordIdlePeer(m Message) {
-	if m.Idle && m.Round == r.preVoteRound && m.Life != 0 && m.Age >= r.now-r.preVoteAt {
-		r.idlePeers[m.From] = m.Life
+	if m.Idle && m.Round == r.preVoteRound && m.Incarnation != 0 && m.SinceStart >= r.now-r.preVoteAt {
+		r.idlePeers[m.From] = m.Incarnation
 	}
 }
 
--- a/internal/raft/startup_test.go
+++ b/internal/raft/startup_test.go
@@ -25,7 +25,7 @@
 // the things that make it a proof.
 func TestOnlyTheWordOfAllReplacesTheWait(t *testing.T) {
 	word := func(from ID, attempt, life uint64, age time.Duration) Message {
-		return Message{Kind: MsgPreVoteResponse, From: from, To: "a", Term: 6, Reject: true, Hint: 5, Round: attempt, Idle: true, Life: life, Age: age}
+		return Message{Kind: MsgPreVoteResponse, From: from, To: "a", Term: 6, Reject: true, Hint: 5, Round: attempt, Idle: true, Incarnation: life, SinceStart: age}
 	}
 	at, later := 300*time.Millisecond, 310*time.Millisecond
 	young := word("c", 1, 8, 5*time.Millisecond)
@@ -54,7 +54,7 @@
 			t.Errorf("%s: stands %v", name, stands)
 		}
 		for _, ask := range asks {
-			if want := map[ID]uint64{"b": 7, "c": 8}[ask.To]; ask.Kind != MsgVote || ask.Life != want {
+			if want := map[ID]uint64{"b": 7, "c": 8}[ask.To]; ask.Kind != MsgVote || ask.Incarnation != want {
 				t.Errorf("%s: %+v", name, ask)
 			}
 		}
@@ -65,7 +65,7 @@
 // heard a leader since it gave its word, nor by one that stands itself.
 func TestAVoteIsGivenByTheStartThatGaveItsWord(t *testing.T) {
 	ask := func(r *Replica, life uint64) Message {
-		return Message{Kind: MsgVote, From: "c", To: "a", Term: 7, Index: 9, LogTerm: 5, Life: life}
+		return Message{Kind: MsgVote, From: "c", To: "a", Term: 7, Index: 9, LogTerm: 5, Incarnation: life}
 	}
 	for name, c := range map[string]struct {
 		do     func(r *Replica)
--- a/internal/raft/validate.go
+++ b/internal/raft/validate.go
@@ -22,7 +22,7 @@
 		return "impossible index"
 	case len(m.Entries) > 0 && m.Kind != MsgAppend,
 		(m.Snapshot != nil) != (m.Kind == MsgSnapshot),
-		(m.Part != nil) != (m.Kind == MsgSnapshotChunk):
+		(m.Chunk != nil) != (m.Kind == MsgSnapshotChunk):
 		return "content of another kind"
 	}
 	switch m.Kind {
@@ -35,8 +35,8 @@
 	case MsgSnapshot:
 		return r.snapshotRejectReason(m, position{m.Snapshot.Index, m.Snapshot.Term}, m.Snapshot.Members)
 	case MsgSnapshotChunk:
-		part := m.Part
-		if part.Total > maxSnapshotBytes || part.Offset > part.Total || uint64(len(part.Data)) > part.Total-part.Offset {
+		part := m.Chunk
+		if part.TotalBytes > maxSnapshotBytes || part.Offset > part.TotalBytes || uint64(len(part.Data)) > part.TotalBytes-part.Offset {
 			return "part lies outside its snapshot"
 		}
 		return r.snapshotRejectReason(m, position{part.Index, part.Term}, part.Members)
--- a/internal/raft/validate_test.go
+++ b/internal/raft/validate_test.go
@@ -20,7 +20,7 @@
 
 func TestImpossibleMessagesAreRefusedAndChangeNothing(t *testing.T) {
 	good := Snapshot{Index: 20, Term: 3, Members: trio}
-	part := SnapshotChunk{Index: 20, Term: 3, Members: trio, Total: 4, Data: []byte("data")}
+	part := SnapshotChunk{Index: 20, Term: 3, Members: trio, TotalBytes: 4, Data: []byte("data")}
 	with := func(change func(p *SnapshotChunk)) *SnapshotChunk { p := part; change(&p); return &p }
 	cases := map[string]Message{
 		"no kind": {}, "unknown kind": {Kind: MsgSnapshotChunkResponse + 1}, "no sender": {Kind: MsgAppend, From: "-", Index: 5, LogTerm: 2}, "itself": {Kind: MsgAppend, From: "b", Index: 5, LogTerm: 2},
@@ -40,11 +40,11 @@
 		"a snapshot without members": {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 3}}, "a snapshot of place 0": {Kind: MsgSnapshot, Snapshot: &Snapshot{Term: 3, Members: trio}},
 		"a snapshot of a later term":    {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 4, Members: trio}},
 		"a snapshot that goes back":     {Kind: MsgSnapshot, Snapshot: &Snapshot{Index: 20, Term: 1, Members: trio}},
-		"a part without members":        {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Members = nil })},
-		"a part beyond its end":         {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Offset = 2 })},
-		"a part of too much":            {Kind: MsgSnapshotChunk, Part: with(func(p *SnapshotChunk) { p.Total = maxSnapshotBytes + 1 })},
-		"a part with a wrong checksum":  {Kind: MsgSnapshotChunk, Part: &part},
-		"a part and a snapshot at once": {Kind: MsgSnapshotChunk, Part: &part, Snapshot: &good},
+		"a part without members":        {Kind: MsgSnapshotChunk, Chunk: with(func(p *SnapshotChunk) { p.Members = nil })},
+		"a part beyond its end":         {Kind: MsgSnapshotChunk, Chunk: with(func(p *SnapshotChunk) { p.Offset = 2 })},
+		"a part of too much":            {Kind: MsgSnapshotChunk, Chunk: with(func(p *SnapshotChunk) { p.TotalBytes = maxSnapshotBytes + 1 })},
+		"a part with a wrong checksum":  {Kind: MsgSnapshotChunk, Chunk: &part},
+		"a part and a snapshot at once": {Kind: MsgSnapshotChunk, Chunk: &part, Snapshot: &good},
 	}
 	for name, m := range cases {
 		b := newBench(t, "b", HardState{Term: 3}, run(2, 10, 2)...)
@@ -122,8 +122,8 @@
 			if m.Kind == MsgSnapshotChunk || next()%16 == 0 {
 				whole := bytes.Repeat([]byte{byte(end.index)}, 8)
 				offset := next() % 9
-				m.Part = &SnapshotChunk{Index: end.index, Term: end.term, Members: trio[:next()%4], Total: 8, Offset: uint64(offset), Whole: binaryformat.Checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
-				m.Part.Sum = m.Part.sum()
+				m.Chunk = &SnapshotChunk{Index: end.index, Term: end.term, Members: trio[:next()%4], TotalBytes: 8, Offset: uint64(offset), SnapshotChecksum: binaryformat.Checksum(whole), Data: whole[offset:min(offset+next()%5, 8)]}
+				m.Chunk.ChunkChecksum = m.Chunk.sum()
 			}
 			before := b.mark()
 			out := b.raft.Step(m)
