--- a/internal/raft/node_leave.go
+++ b/internal/raft/node_leave.go
@@ -24,7 +24,9 @@
 type LeaveRequest struct{ ID ID }
 
 // LeaveResponse is empty where the core asked does not lead.
-type LeaveResponse struct{ Status LeaveStatus }
+type LeaveResponse struct {
+	Status LeaveStatus `wire:"Parting"`
+}
 
 // Leave notes a core that is about to end.
 func (d *Service) Leave(ask LeaveRequest, reply *LeaveResponse) (err error) {
--- a/internal/raft/node_sender.go
+++ b/internal/raft/node_sender.go
@@ -11,7 +11,7 @@
 // MessageBatch is what one core sends another.
 type MessageBatch struct {
 	From     ID
-	Address  string
+	Address  string `wire:"Inner"`
 	Messages []Message
 }
 
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -17,10 +17,10 @@
 	Index            Index
 	Term             Term
 	Members          []Member
-	TotalBytes       uint64
+	TotalBytes       uint64 `wire:"Total"`
 	Offset           uint64
-	SnapshotChecksum uint32
-	ChunkChecksum    uint32
+	SnapshotChecksum uint32 `wire:"Whole"`
+	ChunkChecksum    uint32 `wire:"Sum"`
 	Data             []byte
 }
 
