--- a/internal/affinity/sim_test.go
+++ b/internal/affinity/sim_test.go
@@ -86,7 +86,7 @@
 		bad := statemachine.NewState()
 		m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 			if m.rng.Intn(4) > 0 {
-				bad.Apply(1, statemachine.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Server, IdleTimeout: binding.Idle}), m.now)
+				bad.Apply(1, statemachine.BindCommand(rpc.SessionBinding{Session: session, Service: binding.Service, Endpoint: binding.Endpoint, IdleTimeout: binding.IdleTimeout}), m.now)
 			}
 		})
 		m.state = bad
@@ -100,7 +100,7 @@
 		panic(err)
 	}
 	m.state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
-		m.tracker.Add(m.now, binding.Service, session, binding.Idle, binding.Seq)
+		m.tracker.Add(m.now, binding.Service, session, binding.IdleTimeout, binding.Sequence)
 	})
 }
 
@@ -117,7 +117,7 @@
 // ask is the leader's answer to a node, as the forum gives it.
 func (m *simulation) ask(bind rpc.SessionBinding) (found rpc.BindResult) {
 	standing, bound := m.state.Binding(bind.Session)
-	server, propose, answered := m.tracker.Lookup(m.now, bind, standing.Server, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
+	server, propose, answered := m.tracker.Lookup(m.now, bind, standing.Endpoint, bound, func(id rpc.EndpointID) bool { return m.ended(id, 50*time.Millisecond) })
 	if answered {
 		return rpc.BindResult{Outcome: rpc.Bound, Endpoint: server}
 	}
@@ -132,8 +132,8 @@
 	if result.Problem != "" {
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
-	m.tracker.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Seq)
-	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Server}
+	m.tracker.Add(m.now, bind.Service, bind.Session, bind.IdleTimeout, result.Binding.Sequence)
+	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: result.Binding.Endpoint}
 }
 
 // tend unbinds what is past its time; a call that was lost is sent again a
@@ -150,7 +150,7 @@
 	for _, session := range m.unbinds {
 		if m.fault.staleUnbind {
 			standing, _ := m.state.Binding(session.Session)
-			session.Sequence = standing.Seq
+			session.Sequence = standing.Sequence
 		}
 		m.apply(statemachine.Command{Kind: statemachine.CommandUnbind, Claim: statemachine.Claim{Key: string(session.Session)}, Number: session.Sequence})
 	}
--- a/internal/config/canon.go
+++ b/internal/config/canon.go
@@ -60,8 +60,8 @@
 	return string(i.Set) + "/" + i.Name
 }
 
-// Stamp is the item's version, with a mark where it was dropped.
-func (i Item) Stamp() (stamp string) {
+// Summary is the item's version, with a mark where it was dropped.
+func (i Item) Summary() (stamp string) {
 	stamp = strconv.FormatUint(uint64(i.Version), 10)
 	if i.Dropped {
 		stamp += " dropped"
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -61,12 +61,12 @@
 		}
 		if old.Version == item.Version {
 			if !old.same(item) {
-				return dedup.ErrConflict.New("%s stands under version %s with other content", item.Path(), old.Stamp())
+				return dedup.ErrConflict.New("%s stands under version %s with other content", item.Path(), old.Summary())
 			}
 			continue
 		}
 		if content, known := c.Superseded.Lookup(number); known && content != item.digest() {
-			return dedup.ErrConflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Stamp())
+			return dedup.ErrConflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Summary())
 		}
 	}
 	return nil
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -41,16 +41,16 @@
 	case history.Item:
 		var item config.Item
 		item, has = state.Config.Find(request.Name)
-		return item.Stamp(), item.Rev, has
+		return item.Summary(), item.Rev, has
 	case history.Document:
 		document, has := state.Documents[policy.Kind(request.Name)]
-		return document.Stamp(), document.Rev, has
+		return document.Summary(), document.Rev, has
 	case history.Retirement:
 		retired, has := state.Retirements[rpc.EndpointID(request.Name)]
 		return retired.Summary(), retired.Rev, has
 	case history.Evacuation:
 		evacuation, has := state.Evacuations[request.Name]
-		return evacuation.Stamp(), evacuation.Rev, has
+		return evacuation.Summary(), evacuation.Revision, has
 	default:
 		return state.ScheduleStep.Summary(), state.ScheduleStep.Rev, state.ScheduleStep.Rev > 0
 	}
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -135,7 +135,7 @@
 	commands = make([]statemachine.Command, 0, len(request.Releases)+len(request.Claims))
 	add := func(kind statemachine.CommandKind, claim rpc.KeyClaim) {
 		commands = append(commands, statemachine.Command{Kind: kind, Claim: statemachine.Claim{
-			Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Life: uint64(request.Incarnation),
+			Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Incarnation: uint64(request.Incarnation),
 		}})
 	}
 	for _, release := range request.Releases {
@@ -170,7 +170,7 @@
 	default:
 		held := answer.Result.Held
 		found.Outcome = rpc.ClaimHeld
-		found.Holder, found.Incarnation = rpc.NodeID(held.Holder), rpc.Incarnation(held.Life)
+		found.Holder, found.Incarnation = rpc.NodeID(held.Holder), rpc.Incarnation(held.Incarnation)
 		found.Request = held.Request
 		found.InternalAddress, _ = coordinator.NodeAddress(found.Holder)
 	}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -65,7 +65,7 @@
 func (s *sessionTable) scan(now time.Duration, state *statemachine.State) {
 	state.EachBinding(func(session rpc.SessionID, binding statemachine.Binding) {
 		if !s.expiry.Known(binding.Service, session) {
-			s.expiry.Add(now, binding.Service, session, binding.Idle, binding.Seq)
+			s.expiry.Add(now, binding.Service, session, binding.IdleTimeout, binding.Sequence)
 		}
 	})
 }
@@ -182,7 +182,7 @@
 			ended, proposals.reasons[i] = c.backendEnded(now, id, bind.Service)
 			return ended
 		}
-		endpoint, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Server, bound, hasEnded)
+		endpoint, bind, answered := c.sessions.expiry.Lookup(now, bind, standing.Endpoint, bound, hasEnded)
 		if answered {
 			found[i] = rpc.BindResult{Outcome: rpc.Bound, Endpoint: endpoint}
 			continue
@@ -202,16 +202,16 @@
 		return rpc.BindResult{Outcome: rpc.BindTableFull}
 	}
 	binding := answer.Result.Binding
-	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Seq)
+	c.sessions.expiry.Add(c.now(), bind.Service, bind.Session, bind.IdleTimeout, binding.Sequence)
 	if answer.Result.Moved {
 		c.sessions.moved++
 		c.log.Emit(eventlog.SessionMoved,
 			eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service),
-			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Server),
+			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Endpoint),
 			eventlog.KeyReason, reason)
-		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Server), binding.Seq, false)
+		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Endpoint), binding.Sequence, false)
 	}
-	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Server}
+	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Endpoint}
 }
 
 // sessionLimit is how many sessions a service may have.
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -118,9 +118,9 @@
 		update.ScheduleStep = &move
 	}
 	for _, evacuation := range state.Evacuations {
-		if evacuation.Rev >= known.LogIndex {
+		if evacuation.Revision >= known.LogIndex {
 			update.Evacuations = append(update.Evacuations, rpc.Evacuation{
-				Zone: rpc.ZoneName(evacuation.Site), Active: evacuation.Active, LogIndex: evacuation.Rev,
+				Zone: rpc.ZoneName(evacuation.Zone), Active: evacuation.Active, LogIndex: evacuation.Revision,
 			})
 		}
 	}
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -63,7 +63,7 @@
 		}
 		return
 	}
-	claim := statemachine.Claim{Key: key, Request: request, Holder: node.name, Life: node.incarnation}
+	claim := statemachine.Claim{Key: key, Request: request, Holder: node.name, Incarnation: node.incarnation}
 	alive := func() bool { return node.incarnation == incarnation }
 	release := func() {
 		node.store.Release(op)
@@ -129,7 +129,7 @@
 		if node.name != held.Holder {
 			continue
 		}
-		if node.incarnation != held.Life {
+		if node.incarnation != held.Incarnation {
 			if s.bug.oldAnswers {
 				s.apply(statemachine.CommandReleaseClaim, held)
 			}
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -74,8 +74,8 @@
 // Active tells that the document is set and not withdrawn.
 func (d Document) Active() bool { return d.Body != "" }
 
-// Stamp is the version, with a mark where it was withdrawn.
-func (d Document) Stamp() (stamp string) {
+// Summary is the version, with a mark where it was withdrawn.
+func (d Document) Summary() (stamp string) {
 	stamp = strconv.FormatUint(uint64(d.Version), 10)
 	if !d.Active() {
 		stamp += " withdrawn"
--- a/internal/proxy/cluster_state.go
+++ b/internal/proxy/cluster_state.go
@@ -259,7 +259,7 @@
 	switch kind {
 	case history.Item:
 		item, found := s.config.Find(name)
-		return item.Stamp(), item.Rev, found
+		return item.Summary(), item.Rev, found
 	case history.Document, history.Retirement, history.ScheduleStep:
 		return s.Policies.stateOf(kind, name)
 	case history.Evacuation:
--- a/internal/proxy/policies.go
+++ b/internal/proxy/policies.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		o.documents[document.Kind] = document
-		recorder.Record(history.Document, string(document.Kind), "applied", document.Stamp(), document.Rev, unlogged)
+		recorder.Record(history.Document, string(document.Kind), "applied", document.Summary(), document.Rev, unlogged)
 		o.applyDocument(document)
 	}
 	o.applyRetirements(now, update.Retirements, recorder, unlogged)
@@ -256,7 +256,7 @@
 	switch kind {
 	case history.Document:
 		document, found := o.documents[policy.Kind(name)]
-		return document.Stamp(), document.Rev, found
+		return document.Summary(), document.Rev, found
 	case history.Retirement:
 		retirement, found := o.retirements[rpc.EndpointID(name)]
 		return retirement.Summary(), retirement.Rev, found
--- a/internal/proxy/update.go
+++ b/internal/proxy/update.go
@@ -133,7 +133,7 @@
 	}
 	unlogged := initial || len(update.Items) > maxLoggedItems
 	for _, item := range update.Items {
-		s.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, unlogged)
+		s.History.Record(history.Item, item.Path(), "applied", item.Summary(), item.Rev, unlogged)
 	}
 	if update.LogIndex > s.known.LogIndex || update.LogIndex == s.known.LogIndex && update.LastItem > s.known.LastItem {
 		s.known.LogIndex, s.known.LastItem = update.LogIndex, update.LastItem
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -279,7 +279,7 @@
 func (n *Node) recordChanges(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
 		if document.Rev > before {
-			n.History.Record(history.Document, string(kind), "applied", document.Stamp(), document.Rev, quiet)
+			n.History.Record(history.Document, string(kind), "applied", document.Summary(), document.Rev, quiet)
 		}
 	}
 	for id, retired := range n.state.Retirements {
@@ -309,11 +309,11 @@
 	if changed {
 		n.recordChanges(before, entry.Index <= n.replayEnd)
 		for _, item := range n.state.Config.Since(before) {
-			n.History.Record(history.Item, item.Path(), "applied", item.Stamp(), item.Rev, entry.Index <= n.replayEnd)
+			n.History.Record(history.Item, item.Path(), "applied", item.Summary(), item.Rev, entry.Index <= n.replayEnd)
 		}
 		for _, evacuation := range n.state.Evacuations {
-			if evacuation.Rev > before {
-				n.History.Record(history.Evacuation, evacuation.Site, "applied", evacuation.Stamp(), evacuation.Rev, entry.Index <= n.replayEnd)
+			if evacuation.Revision > before {
+				n.History.Record(history.Evacuation, evacuation.Zone, "applied", evacuation.Summary(), evacuation.Revision, entry.Index <= n.replayEnd)
 			}
 		}
 	}
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -430,7 +430,7 @@
 		if !core.up || core.raft.Role() != Leader {
 			continue
 		}
-		command := statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: key, Request: fmt.Sprintf("r%d-%s", s.next, host), Holder: "edge", Life: 1}}
+		command := statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: key, Request: fmt.Sprintf("r%d-%s", s.next, host), Holder: "edge", Incarnation: 1}}
 		index, term, accepted, out := core.raft.Propose(statemachine.EncodeCommands([]statemachine.Command{command}))
 		if accepted {
 			core.pending[index] = simPending{term, command}
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -209,12 +209,12 @@
 	if old != nil {
 		return old.Response().State == rpc.OperationCompleted
 	}
-	claim := statemachine.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Life: edge.life}
+	claim := statemachine.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Incarnation: edge.life}
 	result := d.apply(statemachine.Command{Kind: statemachine.CommandClaim, Claim: claim})
 	if !result.Granted && !d.unsafe {
 		edge.book.Abandon(op)
 		for _, holder := range d.edges {
-			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Life {
+			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Incarnation {
 				return holder.book.Find(tap.key, result.Held.Request).State == rpc.OperationCompleted
 			}
 		}
--- a/internal/simulation/order.go
+++ b/internal/simulation/order.go
@@ -43,7 +43,7 @@
 		}
 		return statemachine.Command{Kind: statemachine.CommandEndEvacuation, Subject: name}
 	}
-	return statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: name, Request: o.call.content, Holder: "edge", Life: 1}}
+	return statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: name, Request: o.call.content, Holder: "edge", Incarnation: 1}}
 }
 
 func itemText(name string, call call, another bool) (text string) {
@@ -81,7 +81,7 @@
 		}
 	case "evacuation":
 		if standing := state.Evacuations[name]; standing.Active {
-			seen.content = standing.Stamp()
+			seen.content = standing.Summary()
 		}
 	case "key":
 		claim, _ := state.ClaimOf(name)
--- a/internal/statemachine/binding.go
+++ b/internal/statemachine/binding.go
@@ -15,10 +15,10 @@
 
 // Binding of one session.
 type Binding struct {
-	Service rpc.ServiceName
-	Server  rpc.EndpointID
-	Idle    time.Duration
-	Seq     uint64
+	Service     rpc.ServiceName
+	Endpoint    rpc.EndpointID
+	IdleTimeout time.Duration
+	Sequence    uint64
 }
 
 // BindCommand is the command of an ask.
@@ -41,7 +41,7 @@
 	for session := range s.bindings {
 		sessions = append(sessions, session)
 	}
-	sort.Slice(sessions, func(i, j int) bool { return s.bindings[sessions[i]].Seq < s.bindings[sessions[j]].Seq })
+	sort.Slice(sessions, func(i, j int) bool { return s.bindings[sessions[i]].Sequence < s.bindings[sessions[j]].Sequence })
 	for _, session := range sessions {
 		visit(session, s.bindings[session])
 	}
@@ -52,17 +52,17 @@
 	session, from := rpc.SessionID(command.Key), rpc.EndpointID(command.Holder)
 	standing, bound := s.bindings[session]
 	switch {
-	case bound && from != "" && from == standing.Server:
-		standing.Server = rpc.EndpointID(command.Request)
-		result.Moved = from != standing.Server
+	case bound && from != "" && from == standing.Endpoint:
+		standing.Endpoint = rpc.EndpointID(command.Request)
+		result.Moved = from != standing.Endpoint
 	case bound:
 	case len(s.bindings) >= affinity.MaxSessionsTotal:
 		return Result{Problem: "there are too many sessions"}
 	default:
-		standing = Binding{Service: rpc.ServiceName(command.Subject), Server: rpc.EndpointID(command.Request)}
+		standing = Binding{Service: rpc.ServiceName(command.Subject), Endpoint: rpc.EndpointID(command.Request)}
 	}
 	s.seq++
-	standing.Seq, standing.Idle = s.seq, time.Duration(command.Number)
+	standing.Sequence, standing.IdleTimeout = s.seq, time.Duration(command.Number)
 	s.bindings[session] = standing
 	result.Granted, result.Binding = true, standing
 	return result
@@ -71,7 +71,7 @@
 // unbind carries a CommandUnbind out.
 func (s *State) unbind(command Command) {
 	session := rpc.SessionID(command.Key)
-	if standing, bound := s.bindings[session]; bound && standing.Seq == command.Number {
+	if standing, bound := s.bindings[session]; bound && standing.Sequence == command.Number {
 		delete(s.bindings, session)
 	}
 }
--- a/internal/statemachine/command_encoding.go
+++ b/internal/statemachine/command_encoding.go
@@ -25,7 +25,7 @@
 		data = binaryformat.AppendBytes(data, command.Key)
 		data = binaryformat.AppendBytes(data, command.Request)
 		data = binaryformat.AppendBytes(data, command.Holder)
-		data = binary.AppendUvarint(data, command.Life)
+		data = binary.AppendUvarint(data, command.Incarnation)
 		data = binary.AppendUvarint(data, command.Number)
 	}
 	return data
@@ -50,7 +50,7 @@
 		command.Key = string(r.Bytes())
 		command.Request = string(r.Bytes())
 		command.Holder = string(r.Bytes())
-		command.Life = r.Uint()
+		command.Incarnation = r.Uint()
 		command.Number = r.Uint()
 		commands = append(commands, command)
 	}
--- a/internal/statemachine/orders.go
+++ b/internal/statemachine/orders.go
@@ -83,7 +83,7 @@
 		if content == next.Digest() {
 			return standing, true, nil
 		}
-		return after, false, dedup.ErrConflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, standing.Stamp())
+		return after, false, dedup.ErrConflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, standing.Summary())
 	}
 	if next.Body != "" {
 		if next, err = ParseDocument(next.Kind, []byte(next.Body), s.Config); err != nil {
--- a/internal/statemachine/orders_fuzz_test.go
+++ b/internal/statemachine/orders_fuzz_test.go
@@ -20,7 +20,7 @@
 		kind := policy.Kinds[int(pick)%len(policy.Kinds)]
 		state := NewState()
 		state.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
-		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Stamp(), state.Documents[kind].Body) }
+		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Summary(), state.Documents[kind].Body) }
 		command := Command{Kind: CommandDocument, Subject: string(kind), Body: body}
 		before := stands()
 		if len(body) == 0 {
--- a/internal/statemachine/orders_test.go
+++ b/internal/statemachine/orders_test.go
@@ -234,7 +234,7 @@
 // stands is all that orders have brought about.
 func stands(state *State) (text string) {
 	document := state.Documents[policy.DrainPolicy]
-	return fmt.Sprint(state.Config.Items(), document.Stamp(), document.Body, state.Evacuations["z"].Active)
+	return fmt.Sprint(state.Config.Items(), document.Summary(), document.Body, state.Evacuations["z"].Active)
 }
 
 func TestOrdersOfTwoOperatorsKeepTheirWord(t *testing.T) {
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -60,10 +60,10 @@
 
 // Claim says which daemon holds an operation key and for which request.
 type Claim struct {
-	Key     string
-	Request string
-	Holder  string
-	Life    uint64
+	Key         string
+	Request     string
+	Holder      string
+	Incarnation uint64
 }
 
 // Result is what applying a command gave.
@@ -79,13 +79,13 @@
 
 // Evacuation is the standing order for one site, with the place of its last change.
 type Evacuation struct {
-	Site   string
-	Active bool
-	Rev    uint64
+	Zone     string
+	Active   bool
+	Revision uint64
 }
 
-// Stamp tells the order in a word.
-func (e Evacuation) Stamp() (stamp string) {
+// Summary tells the order in a word.
+func (e Evacuation) Summary() (stamp string) {
 	if e.Active {
 		return "active"
 	}
@@ -152,7 +152,7 @@
 	case CommandStartEvacuation, CommandEndEvacuation:
 		active := command.Kind == CommandStartEvacuation
 		if standing := s.Evacuations[command.Subject]; standing.Active != active {
-			s.Evacuations[command.Subject] = Evacuation{Site: command.Subject, Active: active, Rev: rev}
+			s.Evacuations[command.Subject] = Evacuation{Zone: command.Subject, Active: active, Revision: rev}
 			s.Revision = rev
 		}
 	case CommandClaim:
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -22,16 +22,16 @@
 func TestStateKeys(t *testing.T) {
 	state := NewState()
 	claim := func(key, request string, at time.Duration) Result {
-		return state.Apply(1, Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: request, Holder: "h", Life: 1}}, at)
+		return state.Apply(1, Command{Kind: CommandClaim, Claim: Claim{Key: key, Request: request, Holder: "h", Incarnation: 1}}, at)
 	}
 	if !claim("a", "r1", 0).Granted || claim("a", "r2", time.Second).Granted || !claim("a", "r1", time.Second).Granted {
 		t.Fatal("a key is granted to its first request alone, however often that asks")
 	}
-	state.Apply(2, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Life: 1}}, 0)
+	state.Apply(2, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r2", Holder: "h", Incarnation: 1}}, 0)
 	if claim("a", "r3", 0).Granted {
 		t.Fatal("only its own holder may free a key")
 	}
-	state.Apply(3, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Life: 1}}, 0)
+	state.Apply(3, Command{Kind: CommandReleaseClaim, Claim: Claim{Key: "a", Request: "r1", Holder: "h", Incarnation: 1}}, 0)
 	if !claim("a", "r3", 5*time.Second).Granted {
 		t.Fatal("a freed key can be claimed")
 	}
--- a/internal/testutil/storedstate/storedstate.go
+++ b/internal/testutil/storedstate/storedstate.go
@@ -56,12 +56,12 @@
 	{Kind: statemachine.CommandBind, Subject: "pay", Number: uint64(5 * time.Minute), Claim: statemachine.Claim{Key: "session-1", Request: "pay-2", Holder: "pay-1"}},
 	{Kind: statemachine.CommandBind, Subject: "pay", Number: uint64(time.Minute), Claim: statemachine.Claim{Key: "session-3", Request: "pay-2"}},
 	{Kind: statemachine.CommandUnbind, Number: 4, Claim: statemachine.Claim{Key: "session-3"}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-0", Request: "digest-0", Holder: "node-1", Life: 1 << 40}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-1", Request: "digest-1", Holder: "node-1", Life: 1 << 40}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Life: 7}},
-	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-3", Request: "digest-3", Holder: "node-2", Life: 7}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-0", Request: "digest-0", Holder: "node-1", Incarnation: 1 << 40}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-1", Request: "digest-1", Holder: "node-1", Incarnation: 1 << 40}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Incarnation: 7}},
+	{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: "key-3", Request: "digest-3", Holder: "node-2", Incarnation: 7}},
 	{Kind: statemachine.CommandExpireClaims, Number: 5},
-	{Kind: statemachine.CommandReleaseClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Life: 7}},
+	{Kind: statemachine.CommandReleaseClaim, Claim: statemachine.Claim{Key: "key-2", Request: "digest-2", Holder: "node-2", Incarnation: 7}},
 	{Kind: statemachine.CommandBarrier},
 }
 
@@ -82,7 +82,7 @@
 			{Name: "name", JSON: `"acme"`}, {Name: "version", JSON: `2`}, {Name: "hostnames", JSON: `["shop.example"]`}, {Name: "rate", JSON: `12.5`}, {Name: "burst", JSON: `50`},
 		}},
 	},
-	Evacuations: map[string]statemachine.Evacuation{"east-1": {Site: "east-1", Active: true, Rev: 4}, "west-1": {Site: "west-1", Rev: 6}},
+	Evacuations: map[string]statemachine.Evacuation{"east-1": {Zone: "east-1", Active: true, Revision: 4}, "west-1": {Zone: "west-1", Revision: 6}},
 	Documents: map[policy.Kind]policy.Document{
 		"drain-policy":     {Kind: "drain-policy", Version: 2, Body: Documents["drain-policy"], Rev: 8},
 		"day-plan":         {Kind: "day-plan", Version: 3, Body: Documents["day-plan"], Rev: 9},
@@ -96,10 +96,10 @@
 	},
 	Move: rpc.ScheduleStep{Version: 3, Count: 1, Instant: 1800000000, Rev: 17, Targets: []rpc.ScheduleTarget{{Host: "shop.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 750}, {Region: "west", Weight: 250}}}}},
 	Bindings: map[rpc.SessionID]statemachine.Binding{
-		"session-1": {Service: "pay", Server: "pay-2", Idle: 5 * time.Minute, Seq: 3},
-		"session-2": {Service: "pay", Server: "pay-1", Idle: 10 * time.Minute, Seq: 2},
+		"session-1": {Service: "pay", Endpoint: "pay-2", IdleTimeout: 5 * time.Minute, Sequence: 3},
+		"session-2": {Service: "pay", Endpoint: "pay-1", IdleTimeout: 10 * time.Minute, Sequence: 2},
 	},
-	Claims: []statemachine.Claim{{Key: "key-1", Request: "digest-1", Holder: "node-1", Life: 1 << 40}, {Key: "key-3", Request: "digest-3", Holder: "node-2", Life: 7}},
+	Claims: []statemachine.Claim{{Key: "key-1", Request: "digest-1", Holder: "node-1", Incarnation: 1 << 40}, {Key: "key-3", Request: "digest-3", Holder: "node-2", Incarnation: 7}},
 	Seqs:   []uint64{6, 8}, Seq: 8, Rev: 17,
 	Columns: map[config.Set][]string{
 		"limits":   {"version", "max_header_bytes", "idle_timeout"},
@@ -175,7 +175,7 @@
 		text := func(what string) string { return what + "-" + string(rune('a'+kind-1)) }
 		commands = append(commands, statemachine.Command{
 			Kind: kind, Body: []byte(text("body\x00\xff")), Subject: text("site"), Number: 1<<63 + uint64(kind),
-			Claim: statemachine.Claim{Key: text("key"), Request: text("request"), Holder: text("holder"), Life: 300 * uint64(kind)},
+			Claim: statemachine.Claim{Key: text("key"), Request: text("request"), Holder: text("holder"), Incarnation: 300 * uint64(kind)},
 		})
 	}
 	return commands
