--- a/internal/statemachine/binding.go
+++ b/internal/statemachine/bindings.go
@@ -8,12 +8,10 @@
 	"tinpin/internal/rpc"
 )
 
-// Binding is where a session is bound, as the cores agree. The first to bind
-// decides; a binding moves only for one who names the backend that it stands
-// on. Its number is new with every command that finds it, so that an unbinding
-// which was sent before counts for nothing.
-
-// Binding of one session.
+// Binding is the backend of a session. The first to bind decides; a binding moves
+// only for one who names the backend that it is bound to. Its sequence number is new
+// with every command that finds it, so that an unbinding which was sent before has
+// no effect.
 type Binding struct {
 	Service     rpc.ServiceName
 	Endpoint    rpc.EndpointID
@@ -21,7 +19,7 @@
 	Sequence    uint64
 }
 
-// BindCommand is the command of an ask.
+// BindCommand is the command of a node's request to bind a session.
 func BindCommand(bind rpc.SessionBinding) (command Command) {
 	return Command{
 		Kind: CommandBind, Subject: string(bind.Service), Number: uint64(bind.IdleTimeout),
@@ -35,7 +33,7 @@
 	return binding, bound
 }
 
-// EachBinding visits all, the one that was asked for first in the log first.
+// EachBinding visits all bindings, in the order of their last commands in the log.
 func (s *State) EachBinding(visit func(session rpc.SessionID, binding Binding)) {
 	sessions := make([]rpc.SessionID, 0, len(s.bindings))
 	for session := range s.bindings {
@@ -47,31 +45,30 @@
 	}
 }
 
-// bind carries a CommandBind out.
-func (s *State) bind(command Command) (result Result) {
+func (s *State) applyBind(command Command) (result Result) {
 	session, from := rpc.SessionID(command.Key), rpc.EndpointID(command.Holder)
-	standing, bound := s.bindings[session]
+	binding, bound := s.bindings[session]
 	switch {
-	case bound && from != "" && from == standing.Endpoint:
-		standing.Endpoint = rpc.EndpointID(command.Request)
-		result.Moved = from != standing.Endpoint
+	case bound && from != "" && from == binding.Endpoint:
+		binding.Endpoint = rpc.EndpointID(command.Request)
+		result.Moved = from != binding.Endpoint
 	case bound:
 	case len(s.bindings) >= affinity.MaxSessionsTotal:
-		return Result{Problem: "there are too many sessions"}
+		return rejected(ErrTooManySessions)
 	default:
-		standing = Binding{Service: rpc.ServiceName(command.Subject), Endpoint: rpc.EndpointID(command.Request)}
+		binding = Binding{Service: rpc.ServiceName(command.Subject), Endpoint: rpc.EndpointID(command.Request)}
 	}
-	s.seq++
-	standing.Sequence, standing.IdleTimeout = s.seq, time.Duration(command.Number)
-	s.bindings[session] = standing
-	result.Granted, result.Binding = true, standing
+	s.sequence++
+	binding.Sequence, binding.IdleTimeout = s.sequence, time.Duration(command.Number)
+	s.bindings[session] = binding
+	result.Granted, result.Binding = true, binding
 	return result
 }
 
-// unbind carries a CommandUnbind out.
-func (s *State) unbind(command Command) {
+func (s *State) applyUnbind(command Command) (result Result) {
 	session := rpc.SessionID(command.Key)
-	if standing, bound := s.bindings[session]; bound && standing.Sequence == command.Number {
+	if binding, bound := s.bindings[session]; bound && binding.Sequence == command.Number {
 		delete(s.bindings, session)
 	}
+	return granted()
 }
