--- a/internal/balancer/cost.go
+++ b/internal/balancer/cost.go
@@ -67,8 +67,8 @@
 	// Unhealthy is what the health checks say, Ejected what the outcomes of all
 	// nodes say, Unavailable what this node saw itself.
 	Unhealthy, Ejected, Unavailable bool
-	// TrialDue tells that a request may try the backend though it is ejected.
-	TrialDue bool
+	// CanaryDue tells that a request may try the backend though it is ejected.
+	CanaryDue bool
 	// WarmingUp backends take only what a lease allows; WarmUpSends counts what
 	// this node sent within the lease's second.
 	WarmingUp   bool
@@ -82,10 +82,10 @@
 // this node's own attempts agree.
 func (o *Observation) Excluded() bool { return o.Unhealthy && o.Unavailable }
 
-// MayTry tells that a backend has nothing against it but its ejection, and that a
+// TakesCanary tells that a backend has nothing against it but its ejection, and that a
 // trial is due.
-func (o *Observation) MayTry() bool {
-	return o.Ejected && !o.Unhealthy && !o.Unavailable && o.TrialDue
+func (o *Observation) TakesCanary() bool {
+	return o.Ejected && !o.Unhealthy && !o.Unavailable && o.CanaryDue
 }
 
 // CostMS is the latency to expect of a backend for the next request, in milliseconds.
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -38,8 +38,8 @@
 // NodesPerBackend is how many nodes use each backend of a service first that has
 // so many in the zone.
 func (s Subset) NodesPerBackend(backends int) (nodes int) {
-	least := (minSubsetSize*len(s.nodes) + max(1, backends) - 1) / max(1, backends)
-	return min(max(s.nodesPerBackend, least), len(s.nodes))
+	minNodes := (minSubsetSize*len(s.nodes) + max(1, backends) - 1) / max(1, backends)
+	return min(max(s.nodesPerBackend, minNodes), len(s.nodes))
 }
 
 // Contains reports whether self is among so many nodes that use the backend first.
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -64,8 +64,8 @@
 	stats     *ServiceStats
 	load      reportedLoad
 	// localZone is the zone of this node, for which a backend may be ejected alone.
-	localZone   string
-	nextTrialAt time.Duration
+	localZone    string
+	nextCanaryAt time.Duration
 	// failureScore is 0 to 1 as of failureScoreAt.
 	failureScore   float64
 	failureScoreAt time.Duration
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// trialProbability is how often an idempotent request tries a backend that is
+	// canaryProbability is how often an idempotent request tries a backend that is
 	// ejected, where there is one; each is tried at most once in trialInterval.
-	trialProbability = 0.1
-	trialInterval    = time.Second
+	canaryProbability = 0.1
+	canaryInterval    = time.Second
 	// minJitter and jitter spread the costs, so that nodes that know the same do
 	// not all choose the same backend.
 	minJitter = 0.85
@@ -63,8 +63,8 @@
 
 	best, fallback         *Backend
 	bestCost, fallbackCost float64
-	// trial is an ejected backend that this request may try.
-	trial *Backend
+	// canary is an ejected backend that this request may try.
+	canary *Backend
 	// anyUsable is set once there is a backend that could serve, if perhaps not now.
 	anyUsable bool
 }
@@ -95,9 +95,9 @@
 			c.consider(backend, false)
 		}
 	}
-	if c.trial != nil && rand.Float64() < trialProbability {
-		c.trial.noteTrial(c.now)
-		return c.trial, c.anyUsable
+	if c.canary != nil && rand.Float64() < canaryProbability {
+		c.canary.noteCanary(c.now)
+		return c.canary, c.anyUsable
 	}
 	return c.bestOrFallback()
 }
@@ -151,8 +151,8 @@
 		cost = balancer.WarmUpCostMS(cost)
 	}
 	cost = c.placed(cost, backend, preferred) * (minJitter + jitter*rand.Float64())
-	if preferred && c.criteria.Idempotent && observed.MayTry() {
-		c.trial = backend
+	if preferred && c.criteria.Idempotent && observed.TakesCanary() {
+		c.canary = backend
 	}
 	if observed.LastResort() {
 		c.rankFallback(backend, &observed, cost)
@@ -226,7 +226,7 @@
 	observed.Overdue = s.overdue(now, baseline)
 	observed.RecentFailures = s.recentFailures(now)
 	observed.Unhealthy, observed.Ejected, observed.Unavailable = s.health == rpc.Unhealthy, s.ejected, now < s.unavailableUntil
-	observed.TrialDue = now >= s.nextTrialAt
+	observed.CanaryDue = now >= s.nextCanaryAt
 	if observed.WarmingUp = now < s.warmUpUntil; observed.WarmingUp {
 		observed.WarmUpSends = s.warmUpSends.Sum(now)
 	}
@@ -234,10 +234,10 @@
 	return true
 }
 
-// noteTrial notes that an ejected backend gets a request.
-func (s *Backend) noteTrial(now time.Duration) {
+// noteCanary notes that an ejected backend gets a request.
+func (s *Backend) noteCanary(now time.Duration) {
 	s.mu.Lock()
-	s.nextTrialAt = now + trialInterval
+	s.nextCanaryAt = now + canaryInterval
 	s.mu.Unlock()
 }
 
