--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -1,8 +1,9 @@
+package simulation
+
 // Disk is the disk of one core: the real store over a file system in memory
 // that keeps only what was synced when power is lost, and then perhaps a part
 // of the record that was being written. Beside it stands what the disk must
 // hold, so that what is read back can be held against what was written.
-package simulation
 
 import (
 	"io"
@@ -19,10 +20,10 @@
 
 // Disk of one core.
 type Disk struct {
-	fs    *vfs.MemFS
-	store *raft.Store
-	id    raft.ID
-	plant Plant
+	fs          *vfs.MemFS
+	store       *raft.Store
+	id          raft.ID
+	injectedBug InjectedBug
 
 	// What must be on disk.
 	hard raft.HardState
@@ -31,8 +32,8 @@
 }
 
 // newDisk founds the disk of one core.
-func newDisk(id raft.ID, base raft.Snapshot, plant Plant) (disk *Disk, err error) {
-	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, plant: plant}
+func newDisk(id raft.ID, base raft.Snapshot, injectedBug InjectedBug) (disk *Disk, err error) {
+	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, injectedBug: injectedBug}
 	if err = disk.fs.MkdirAll(folder, 0o755); err != nil {
 		return nil, Class.Wrap(err)
 	}
@@ -63,7 +64,7 @@
 		return hard, base, log, Class.Wrap(err)
 	case id != d.id:
 		return hard, base, log, Class.New("the disk of %s gave back the id %q", d.id, id)
-	case hard != d.hard && d.plant != LoseVote:
+	case hard != d.hard && d.injectedBug != LoseVote:
 		return hard, base, log, Class.New("the disk of %s gave back term %d and vote %q for %d and %q", d.id, hard.Term, hard.Vote, d.hard.Term, d.hard.Vote)
 	case base.Index != d.base.Index || base.Term != d.base.Term:
 		return hard, base, log, Class.New("the disk of %s gave back a snapshot of %d for one of %d", d.id, base.Index, d.base.Index)
@@ -91,13 +92,13 @@
 
 // Write carries orders out.
 func (d *Disk) Write(writes []raft.Write) (err error) {
-	if d.plant == CutTail {
+	if d.injectedBug == CutTail {
 		if err = d.writeUncut(writes); err != nil {
 			return err
 		}
 	}
 	carried := writes
-	if d.plant == LoseVote {
+	if d.injectedBug == LoseVote {
 		carried = append([]raft.Write(nil), writes...)
 		for i := range carried {
 			carried[i].HardState = nil
@@ -170,7 +171,7 @@
 }
 
 // LosePower ends the machine; of the orders under way a part may be written.
-func (d *Disk) LosePower(under []raft.Write, luck *rand.Rand) (err error) {
+func (d *Disk) LosePower(under []raft.Write, rng *rand.Rand) (err error) {
 	if d.store == nil {
 		return nil
 	}
@@ -191,7 +192,7 @@
 	if name == "" {
 		return nil
 	}
-	return d.tear(name, torn, luck)
+	return d.tear(name, torn, rng)
 }
 
 func (d *Disk) newestLog() (name string, data []byte, err error) {
@@ -223,12 +224,12 @@
 
 // tear puts a part of what was not synced behind what was, short of the whole:
 // a record that lies whole on disk is one that was written.
-func (d *Disk) tear(name string, whole []byte, luck *rand.Rand) (err error) {
+func (d *Disk) tear(name string, complete []byte, rng *rand.Rand) (err error) {
 	kept, err := d.read(name)
-	if err != nil || len(kept) == 0 || len(whole) <= len(kept)+1 {
+	if err != nil || len(kept) == 0 || len(complete) <= len(kept)+1 {
 		return err
 	}
-	part := append(kept, whole[len(kept):len(kept)+1+luck.Intn(len(whole)-len(kept)-1)]...)
+	part := append(kept, complete[len(kept):len(kept)+1+rng.Intn(len(complete)-len(kept)-1)]...)
 	file, err := d.fs.Create(d.fs.PathJoin(folder, name))
 	if err != nil {
 		return Class.Wrap(err)
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -1,6 +1,7 @@
-// Hunt plays many seeds side by side and gathers what broke.
 package simulation
 
+// Hunt plays many seeds side by side and gathers what broke.
+
 import (
 	"cmp"
 	"fmt"
@@ -24,25 +25,25 @@
 
 // The largest hunt.
 const (
-	SeedsMost    = 10_000_000
-	ParallelMost = 256
-	LimitMost    = 24 * time.Hour
+	MaxSeeds    = 10_000_000
+	MaxParallel = 256
+	MaxLimit    = 24 * time.Hour
 )
 
 // Check names every size that cannot be played, in one message.
 func (r Range) Check() (err error) {
 	var faults []string
-	if r.Seeds < 1 || r.Seeds > SeedsMost {
-		faults = append(faults, fmt.Sprintf("seeds is %d and must be from 1 to %d", r.Seeds, SeedsMost))
+	if r.Seeds < 1 || r.Seeds > MaxSeeds {
+		faults = append(faults, fmt.Sprintf("seeds is %d and must be from 1 to %d", r.Seeds, MaxSeeds))
 	}
 	if r.From < 0 || r.From > 1<<53 {
 		faults = append(faults, fmt.Sprintf("from is %d and must be from 0 to %d", r.From, int64(1)<<53))
 	}
-	if r.Parallel < 1 || r.Parallel > ParallelMost {
-		faults = append(faults, fmt.Sprintf("parallel is %d and must be from 1 to %d", r.Parallel, ParallelMost))
+	if r.Parallel < 1 || r.Parallel > MaxParallel {
+		faults = append(faults, fmt.Sprintf("parallel is %d and must be from 1 to %d", r.Parallel, MaxParallel))
 	}
-	if r.Limit < time.Second || r.Limit > LimitMost {
-		faults = append(faults, fmt.Sprintf("limit is %s and must be from 1s to %s", r.Limit, LimitMost))
+	if r.Limit < time.Second || r.Limit > MaxLimit {
+		faults = append(faults, fmt.Sprintf("limit is %s and must be from 1s to %s", r.Limit, MaxLimit))
 	}
 	if len(faults) > 0 {
 		return Class.New("%s", strings.Join(faults, "; "))
@@ -55,7 +56,7 @@
 	Options   Options        `json:"options"`
 	Range     Range          `json:"range"`
 	Played    int            `json:"played"`
-	Broken    []Verdict      `json:"broken"`
+	Broken    []RunResult    `json:"broken"`
 	Checks    map[string]int `json:"checks"`
 	Steps     uint64         `json:"steps"`
 	Confirmed int            `json:"confirmed"`
@@ -67,8 +68,8 @@
 }
 
 // Hunt plays the seeds; after each it tells how far it is.
-func Hunt(options Options, seeds Range, told func(report Report)) (report Report) {
-	report = Report{Options: options, Range: seeds, Broken: []Verdict{}, Checks: map[string]int{}}
+func Hunt(options Options, seeds Range, observed func(report Report)) (report Report) {
+	report = Report{Options: options, Range: seeds, Broken: []RunResult{}, Checks: map[string]int{}}
 	begin := time.Now()
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -87,35 +88,35 @@
 		go func() {
 			defer workers.Done()
 			for seed, more := draw(); more; seed, more = draw() {
-				verdict := Play(seed, options)
+				result := Play(seed, options)
 				mu.Lock()
-				report.add(verdict)
+				report.add(result)
 				report.Took = time.Since(begin)
-				if seeds.First && verdict.Broken != "" {
+				if seeds.First && result.Failure != "" {
 					end = min(end, seed)
 				}
-				told(report)
+				observed(report)
 				mu.Unlock()
 			}
 		}()
 	}
 	workers.Wait()
 	report.Took = time.Since(begin)
-	slices.SortFunc(report.Broken, func(a, b Verdict) int { return cmp.Compare(a.Seed, b.Seed) })
+	slices.SortFunc(report.Broken, func(a, b RunResult) int { return cmp.Compare(a.Seed, b.Seed) })
 	return report
 }
 
-func (r *Report) add(verdict Verdict) {
+func (r *Report) add(result RunResult) {
 	r.Played++
-	r.Steps += verdict.Steps
-	r.Confirmed += verdict.Confirmed
-	r.Refused += verdict.Refused
-	r.Open += verdict.Open
-	r.Unchecked += verdict.Unchecked
-	r.Simulated += verdict.At
-	if verdict.Broken != "" {
-		r.Broken = append(r.Broken, verdict)
-		r.Checks[CheckOf(verdict.Broken)]++
+	r.Steps += result.Steps
+	r.Confirmed += result.Confirmed
+	r.Refused += result.Refused
+	r.Open += result.Open
+	r.Unchecked += result.Unchecked
+	r.Simulated += result.At
+	if result.Failure != "" {
+		r.Broken = append(r.Broken, result)
+		r.Checks[CheckOf(result.Failure)]++
 	}
 }
 
@@ -135,10 +136,10 @@
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "check\tseeds\tfirst seed\tat\twhat")
 	for _, check := range sortedKeys(r.Checks) {
-		for _, verdict := range r.Broken {
-			if CheckOf(verdict.Broken) == check {
-				what := strings.TrimPrefix(verdict.Broken, check+": ")
-				_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\n", check, r.Checks[check], verdict.Seed, verdict.At.Round(time.Millisecond), what)
+		for _, result := range r.Broken {
+			if CheckOf(result.Failure) == check {
+				what := strings.TrimPrefix(result.Failure, check+": ")
+				_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\n", check, r.Checks[check], result.Seed, result.At.Round(time.Millisecond), what)
 				break
 			}
 		}
@@ -149,22 +150,22 @@
 
 // Find tells how many seeds it takes until a planted fault is found.
 type Find struct {
-	Plant  Plant  `json:"plant"`
-	Found  bool   `json:"found"`
-	Seeds  int    `json:"seeds"`
-	Seed   int64  `json:"seed,omitempty"`
-	Broken string `json:"broken,omitempty"`
+	InjectedBug InjectedBug `json:"plant"`
+	Found       bool        `json:"found"`
+	Seeds       int         `json:"seeds"`
+	Seed        int64       `json:"seed,omitempty"`
+	Broken      string      `json:"broken,omitempty"`
 }
 
 // Seek plays seeds with a planted fault until one of them breaks.
-func Seek(plant Plant, options Options, seeds Range, told func(report Report)) (find Find) {
-	options.Plant = plant
+func Seek(bug InjectedBug, options Options, seeds Range, observed func(report Report)) (find Find) {
+	options.InjectedBug = bug
 	seeds.First = true
-	report := Hunt(options, seeds, told)
-	find = Find{Plant: plant, Seeds: report.Played}
+	report := Hunt(options, seeds, observed)
+	find = Find{InjectedBug: bug, Seeds: report.Played}
 	if len(report.Broken) > 0 {
 		first := report.Broken[0]
-		find.Found, find.Seed, find.Broken, find.Seeds = true, first.Seed, first.Broken, int(first.Seed-seeds.From)+1
+		find.Found, find.Seed, find.Broken, find.Seeds = true, first.Seed, first.Failure, int(first.Seed-seeds.From)+1
 	}
 	return find
 }
@@ -178,7 +179,7 @@
 		if find.Found {
 			found = "yes"
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", find.Plant, found, find.Seeds, find.Broken)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", find.InjectedBug, found, find.Seeds, find.Broken)
 	}
 	_ = table.Flush()
 }
