--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -44,7 +44,8 @@
 		t.Errorf("%d rows for %d events", rows, len(eventlog.Catalogue))
 	}
 	for event, entry := range eventlog.Catalogue {
-		row := regexp.MustCompile(fmt.Sprintf(`(?m)^\| %d \| %s \| [^|]*\| %s \|( [^|]+ \|){3}$`, event, regexp.QuoteMeta(entry.Text), entry.Level))
+		row := regexp.MustCompile(fmt.Sprintf(`(?m)^\| %d \| %s \| [^|]*\| %s \|( [^|]+ \|){3}$`,
+			event, regexp.QuoteMeta(entry.Text), entry.Level))
 		if !row.MatchString(text) {
 			t.Errorf("event %d %q at level %s is not in the catalogue", event, entry.Text, entry.Level)
 		}
@@ -82,7 +83,9 @@
 			t.Errorf("refused example %d was taken", i+1)
 		}
 	}
-	if items.RoutingTable().Find("shop.example", "/hello/x") == nil || items.RoutingTable().Find("shop.example", "/pay/x") != nil || items.RoutingTable().Tenant("shop.example") == nil {
+	table := items.RoutingTable()
+	if table.Find("shop.example", "/hello/x") == nil || table.Find("shop.example", "/pay/x") != nil ||
+		table.Tenant("shop.example") == nil {
 		t.Error("the examples do not leave what the page says")
 	}
 }
@@ -95,7 +98,8 @@
 		}
 	}
 	source := page(t, "internal/settings/parse.go")
-	fields := regexp.MustCompile(`r\.(?:requiredText|text|flag|table|number|duration|addresses|address|portRange)\("([a-z_.]+)"`).FindAllStringSubmatch(source, -1)
+	reads := `r\.(?:requiredText|text|flag|table|number|duration|addresses|address|portRange)\("([a-z_.]+)"`
+	fields := regexp.MustCompile(reads).FindAllStringSubmatch(source, -1)
 	if len(fields) < 40 {
 		t.Fatalf("only %d settings found in the source", len(fields))
 	}
@@ -204,7 +208,7 @@
 }
 
 // The totals of the capacity page are those of the points that are kept.
-func TestCapacityIsReckonedFromItsPoints(t *testing.T) {
+func TestCapacityIsComputedFromItsPoints(t *testing.T) {
 	sweeps, err := loadtest.Sweeps("../../docs/capacity")
 	if err != nil {
 		t.Fatal(err)
