--- a/cmd/tinpin-account/main.go
+++ b/cmd/tinpin-faulttest/main.go
@@ -1,4 +1,4 @@
-// The tinpin-account command sends rounds of requests through real daemons on
+// The tinpin-faulttest command sends rounds of requests through real daemons on
 // loopback to stand-ins for backends that are in trouble, and accounts for every
 // run and every answer by id. It ends by itself, with 1 on any mismatch.
 package main
@@ -17,9 +17,9 @@
 	"tinpin/internal/localcluster"
 )
 
-const usage = `tinpin-account accounts for every run and every answer, on loopback
+const usage = `tinpin-faulttest accounts for every run and every answer, on loopback
 
-  tinpin-account [-rounds N] [-for TIME] [-clients N] [-seed N] [-json]
+  tinpin-faulttest [-rounds N] [-for TIME] [-clients N] [-seed N] [-json]
 
 It ends after so many rounds (20000 if nothing is said) or that time (5m), whichever
 comes first; clients are four for each processor, 24 at most, the seed is 1. The stand-ins for
@@ -33,11 +33,11 @@
 
 func run(args []string, out, bad io.Writer) (code int) {
 	wrong := func(err error, code int) int {
-		_, _ = fmt.Fprintln(bad, "tinpin-account:", err)
+		_, _ = fmt.Fprintln(bad, "tinpin-faulttest:", err)
 		return code
 	}
 	options := faulttest.Usual
-	set := flag.NewFlagSet("tinpin-account", flag.ContinueOnError)
+	set := flag.NewFlagSet("tinpin-faulttest", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	set.IntVar(&options.Rounds, "rounds", options.Rounds, "")
 	set.DurationVar(&options.Time, "for", options.Time, "")
@@ -49,10 +49,10 @@
 			_, _ = io.WriteString(out, usage)
 			return 0
 		}
-		return wrong(fmt.Errorf("%w; see 'tinpin-account -help'", err), 2)
+		return wrong(fmt.Errorf("%w; see 'tinpin-faulttest -help'", err), 2)
 	}
 	if set.NArg() > 0 {
-		return wrong(fmt.Errorf("what is %q? see 'tinpin-account -help'", set.Arg(0)), 2)
+		return wrong(fmt.Errorf("what is %q? see 'tinpin-faulttest -help'", set.Arg(0)), 2)
 	}
 	if err := options.Check(); err != nil {
 		return wrong(err, 2)
--- a/cmd/tinpin-account/main_test.go
+++ b/cmd/tinpin-faulttest/main_test.go
@@ -11,7 +11,7 @@
 		code int
 		says string
 	}{
-		"-help":            {0, "tinpin-account accounts"},
+		"-help":            {0, "tinpin-faulttest accounts"},
 		"-rounds 0":        {2, "rounds: 0"},
 		"-rounds -5":       {2, "rounds: -5"},
 		"-rounds 99999999": {2, "rounds: 99999999"},
--- /dev/null
+++ b/cmd/tinpin-simulate/main.go
@@ -0,0 +1,258 @@
+// The tinpin-simulate command runs the control plane by seed in simulated time and
+// checks invariants; see docs/simulation.md.
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"tinpin/internal/simulation"
+)
+
+const usage = `tinpin-simulate runs the control plane of tinpin by seed, in simulated time, and checks it
+
+  tinpin-simulate [RANGE] [SIZE..] [-faults KIND,..]  run seeds, report which ones failed
+  tinpin-simulate [RANGE] [SIZE..] -inject NAME|all   inject a bug and report after how many seeds it is found
+  tinpin-simulate -replay FILE [-quiet]               replay a kept case, step by step
+  tinpin-simulate -list                               list the kinds of faults and the bugs that can be injected
+
+RANGE is -seeds and -from, with -parallel and -limit (of real time). SIZE is -length
+(of simulated time), -controllers, -losses, -operators, -edges, -gap (between faults)
+and -catch-up. A seed that fails is shortened and kept in the folder that -keep names;
+-json prints JSON instead of a table. Progress goes to the error output.
+
+Exit codes: 0 nothing failed (or every injected bug was found), 1 something failed (or
+an injected bug was not found), 2 the call cannot be carried out.
+
+`
+
+// maxCases is how many cases of one hunt are shortened and kept.
+const maxCases = 3
+
+func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
+
+// command is what the command line asks for.
+type command struct {
+	options simulation.Options
+	seeds   simulation.Range
+	kinds   string
+	inject  string
+	replay  string
+	keep    string
+	json    bool
+	list    bool
+	quiet   bool
+}
+
+// renamedFlags gives the present name of each flag that had another in earlier releases.
+var renamedFlags = map[string]string{"troubles": "faults", "plant": "inject", "cores": "controllers"}
+
+// parse reads the command line. Every value that cannot be used is named in one error.
+func parse(args []string, bad io.Writer) (call command, err error) {
+	call.options = simulation.DefaultOptions()
+	set := flag.NewFlagSet("tinpin-simulate", flag.ContinueOnError)
+	set.SetOutput(io.Discard)
+	set.IntVar(&call.seeds.Seeds, "seeds", 100, "how many seeds are run")
+	set.Int64Var(&call.seeds.From, "from", 1, "the first seed")
+	set.IntVar(&call.seeds.Parallel, "parallel", 2, "how many run in parallel")
+	set.DurationVar(&call.seeds.Limit, "limit", 10*time.Minute, "the real time after which no further seed is started")
+	set.DurationVar(&call.options.Length, "length", call.options.Length, "the simulated time during which faults occur")
+	set.IntVar(&call.options.Controllers, "controllers", call.options.Controllers, "how many controllers there are")
+	set.IntVar(&call.options.Losses, "losses", call.options.Losses, "how many lost controllers are tolerated")
+	set.IntVar(&call.options.Operators, "operators", call.options.Operators, "how many operators there are")
+	set.IntVar(&call.options.Edges, "edges", call.options.Edges, "how many edges there are")
+	set.DurationVar(&call.options.Gap, "gap", call.options.Gap, "the mean time between faults")
+	set.DurationVar(&call.options.CatchUp, "catch-up", call.options.CatchUp, "how long a controller counts as lost once it is back")
+	set.StringVar(&call.kinds, "faults", "all", "kinds of faults, or all, or none")
+	set.StringVar(&call.inject, "inject", "", "a bug to inject, or all of them")
+	set.StringVar(&call.replay, "replay", "", "a kept case to replay")
+	set.StringVar(&call.keep, "keep", "", "a folder for cases that failed; without it none is kept")
+	set.BoolVar(&call.json, "json", false, "print JSON")
+	set.BoolVar(&call.list, "list", false, "list kinds of faults and injectable bugs")
+	set.BoolVar(&call.quiet, "quiet", false, "print no progress and no steps")
+	var renamed error
+	for earlier, now := range renamedFlags {
+		set.BoolFunc(earlier, "renamed: use -"+now, func(string) error {
+			renamed = simulation.Class.New("-%s was renamed: use -%s", earlier, now)
+			return renamed
+		})
+	}
+	if err = set.Parse(args); err != nil {
+		if renamed != nil {
+			return call, renamed
+		}
+		if errors.Is(err, flag.ErrHelp) {
+			_, _ = fmt.Fprint(bad, usage)
+			set.SetOutput(bad)
+			set.PrintDefaults()
+		}
+		return call, err
+	}
+	if set.NArg() > 0 {
+		return call, simulation.Class.New("unexpected %q", set.Arg(0))
+	}
+	var problems []string
+	for _, check := range []func() error{
+		call.options.Check,
+		call.seeds.Check,
+		func() (kindErr error) {
+			call.options.Faults, kindErr = simulation.ParseFaultKinds(call.kinds)
+			return kindErr
+		},
+		func() error {
+			if call.inject != "" && call.inject != "all" && !simulation.InjectedBug(call.inject).Known() {
+				return simulation.Class.New("unknown bug to inject: %q", call.inject)
+			}
+			return nil
+		},
+	} {
+		if checkErr := check(); checkErr != nil {
+			problems = append(problems, strings.TrimPrefix(checkErr.Error(), "simulation: "))
+		}
+	}
+	if len(problems) > 0 {
+		return call, simulation.Class.New("%s", strings.Join(problems, "; "))
+	}
+	return call, nil
+}
+
+func run(args []string, out, bad io.Writer) (code int) {
+	call, err := parse(args, bad)
+	if errors.Is(err, flag.ErrHelp) {
+		return 0
+	}
+	if err == nil {
+		switch {
+		case call.list:
+			list(out)
+		case call.replay != "":
+			code, err = call.replayCase(out)
+		case call.inject != "":
+			code = call.seekBugs(out, bad)
+		default:
+			code, err = call.hunt(out, bad)
+		}
+	}
+	if err != nil {
+		_, _ = fmt.Fprintln(bad, "tinpin-simulate:", err)
+		return 2
+	}
+	return code
+}
+
+func list(out io.Writer) {
+	_, _ = fmt.Fprintln(out, "faults:")
+	for _, known := range simulation.FaultKindTexts {
+		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Kind, known.Text)
+	}
+	_, _ = fmt.Fprintln(out, "injectable bugs:")
+	for _, known := range simulation.InjectedBugTexts {
+		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Plant, known.Text)
+	}
+}
+
+// progress returns a function that prints how far a hunt has come, every five seconds at most.
+func (c command) progress(bad io.Writer, prefix string) (notify func(report simulation.Report)) {
+	last := time.Now()
+	return func(report simulation.Report) {
+		if c.quiet || time.Since(last) < 5*time.Second {
+			return
+		}
+		last = time.Now()
+		_, _ = fmt.Fprintln(bad, prefix+report.Line())
+	}
+}
+
+// hunt runs the seeds and keeps a shortened case of the first failure of each check.
+func (c command) hunt(out, bad io.Writer) (code int, err error) {
+	report := simulation.Hunt(c.options, c.seeds, c.progress(bad, ""))
+	if c.json {
+		err = printJSON(out, report)
+	} else {
+		report.Table(out)
+	}
+	if len(report.Broken) == 0 || err != nil {
+		return 0, err
+	}
+	if c.keep == "" {
+		return 1, nil
+	}
+	kept := map[string]bool{}
+	for _, result := range report.Broken {
+		check := simulation.CheckOf(result.Failure)
+		if kept[check] || len(kept) == maxCases {
+			continue
+		}
+		kept[check] = true
+		short := simulation.CaseOf(result, c.options).Shorten(time.Minute)
+		path := filepath.Join(c.keep, fmt.Sprintf("simulation-%d.json", result.Seed))
+		if err = short.Write(path); err != nil {
+			return 1, err
+		}
+		_, _ = fmt.Fprintf(bad, "seed %d is kept in %s, with %d of %d faults and %s: %s\n",
+			result.Seed, path, len(short.Faults), short.Drawn, short.Options.Length, short.Failure)
+	}
+	return 1, nil
+}
+
+// seekBugs injects each bug in turn and reports whether the seeds find it.
+func (c command) seekBugs(out, bad io.Writer) (code int) {
+	bugs := simulation.InjectedBugs()
+	if c.inject != "all" {
+		bugs = []simulation.InjectedBug{simulation.InjectedBug(c.inject)}
+	}
+	var finds []simulation.Find
+	for _, bug := range bugs {
+		find := simulation.Seek(bug, c.options, c.seeds, c.progress(bad, string(bug)+": "))
+		finds = append(finds, find)
+		if !find.Found {
+			code = 1
+		}
+	}
+	if c.json {
+		_ = printJSON(out, finds)
+		return code
+	}
+	simulation.FindTable(out, finds)
+	return code
+}
+
+// replayCase runs a kept case again.
+func (c command) replayCase(out io.Writer) (code int, err error) {
+	kept, err := simulation.ReadCase(c.replay)
+	if err != nil {
+		return 0, err
+	}
+	result := kept.Replay(func(line string) {
+		if !c.quiet && !c.json {
+			_, _ = fmt.Fprintln(out, line)
+		}
+	})
+	if c.json {
+		err = printJSON(out, result)
+	} else if result.Failure == "" {
+		_, _ = fmt.Fprintln(out, "nothing failed")
+	} else {
+		_, _ = fmt.Fprintf(out, "failed at %s: %s\n", result.At, result.Failure)
+	}
+	if result.Failure != "" {
+		code = 1
+	}
+	return code, err
+}
+
+func printJSON(out io.Writer, value any) (err error) {
+	data, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		return simulation.Class.Wrap(err)
+	}
+	_, err = fmt.Fprintln(out, string(data))
+	return simulation.Class.Wrap(err)
+}
--- a/internal/faulttest/backend.go
+++ b/internal/faulttest/backend.go
@@ -1,6 +1,7 @@
+package faulttest
+
 // A stand-in for a backend: it speaks the published protocol but for the troubles
 // that it draws, and notes each run in the ledger before it answers.
-package faulttest
 
 import (
 	"bufio"
--- a/internal/faulttest/client.go
+++ b/internal/faulttest/client.go
@@ -1,6 +1,7 @@
+package faulttest
+
 // A client sends its rounds over kept streams, tries again as clients do, and
 // notes what it was told.
-package faulttest
 
 import (
 	"bufio"
--- a/internal/faulttest/ledger.go
+++ b/internal/faulttest/ledger.go
@@ -1,6 +1,7 @@
+package faulttest
+
 // The ledger holds what happened to each request by its id: how often it ran, as
 // its backend knows, and what its client was told.
-package faulttest
 
 import (
 	"fmt"
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -1,4 +1,4 @@
-// Package account plays clients against real daemons on loopback whose backends
+// Package faulttest plays clients against real daemons on loopback whose backends
 // are stand-ins that reset, garble, delay, keep silent and double their answers,
 // and accounts for every run and every answer by id, at the stand-in and at the
 // client. What does not agree is a mismatch: a repeat of what may not be
@@ -13,8 +13,8 @@
 	"github.com/zeebo/errs"
 )
 
-// Class marks failures of the account itself.
-var Class = errs.Class("account")
+// Class marks failures of the test itself.
+var Class = errs.Class("faulttest")
 
 // Most that an account may be asked for.
 const (
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -1,6 +1,7 @@
+package faulttest
+
 // System is the daemons and the stand-ins; a play sends rounds through it and
 // balances its ledger once nothing is at work any more.
-package faulttest
 
 import (
 	"context"
@@ -53,7 +54,7 @@
 			system.Close()
 		}
 	}()
-	if system.folder, err = os.MkdirTemp("", "tinpin-account-"); err != nil {
+	if system.folder, err = os.MkdirTemp("", "tinpin-faulttest-"); err != nil {
 		return system, Class.Wrap(err)
 	}
 	var listed []*localcluster.Backend
--- a/internal/faulttest/trouble.go
+++ b/internal/faulttest/trouble.go
@@ -1,7 +1,8 @@
+package faulttest
+
 // Trouble is what a stand-in does with one request. Some of it can only be
 // brought about on a stream that has carried a request before, some only on a
 // fresh one; some answers without a run, some runs without an answer.
-package faulttest
 
 // Trouble of one request.
 type Trouble uint8
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -1,6 +1,7 @@
+package loadtest
+
 // Measure sets a system of one size up, lets it settle, measures it for a span
 // and takes it down.
-package loadtest
 
 import (
 	"context"
--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -1,6 +1,7 @@
+package loadtest
+
 // Path measures what the request path adds: the same requests one after the
 // other to a stand-in backend directly and through an edge, on loopback.
-package loadtest
 
 import (
 	"context"
--- a/internal/loadtest/point.go
+++ b/internal/loadtest/point.go
@@ -1,6 +1,7 @@
-// Point is what one measurement gave, Fit a straight line through several.
 package loadtest
 
+// Point is what one measurement gave, Fit a straight line through several.
+
 import "math"
 
 // Point of one size.
--- a/internal/loadtest/reckon.go
+++ b/internal/loadtest/reckon.go
@@ -1,8 +1,9 @@
+package loadtest
+
 // Reckon puts measured slopes together for a size that no machine here could
 // run: each figure is what it was at the usual size and, for each variable, its
 // slope times what the target has more. Products of two variables are left out,
 // which docs/CAPACITY.md says where they matter.
-package loadtest
 
 import (
 	"encoding/json"
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -1,4 +1,4 @@
-// Package strain measures what the control side costs at a size: real cores in
+// Package loadtest measures what the control side costs at a size: real cores in
 // processes of their own, and hollow nodes that speak the real inner protocol
 // by the real code without carrying traffic, many in a process. It talks to
 // loopback only, is bounded in time, processes and memory, and stops by itself.
@@ -14,7 +14,7 @@
 )
 
 // Class marks what cannot be measured.
-var Class = errs.Class("strain")
+var Class = errs.Class("loadtest")
 
 // Size is what is set up, and how many changes a second go on.
 type Size struct {
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -1,6 +1,7 @@
+package loadtest
+
 // System is what a measurement sets up: cores and hollow nodes as processes of
 // the same program, a stand-in for the platform's list, and an operator.
-package loadtest
 
 import (
 	"bufio"
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -1,7 +1,8 @@
+package loadtest
+
 // The words of the processes that a measurement starts: "core" runs one core,
 // "nodes" many hollow nodes. Each reads its task as one line, then words, and
 // ends with its input.
-package loadtest
 
 import (
 	"bufio"
--- a/internal/localcluster/stage.go
+++ b/internal/localcluster/stage.go
@@ -1,4 +1,4 @@
-// Package stage sets up a whole system of tinpin on loopback addresses, with
+// Package localcluster sets up a whole system of tinpin on loopback addresses, with
 // stand-ins for the platform and the backends, for a first look and for tests
 // from end to end. The daemons are the real ones; only what lies outside
 // tinpin is made up here, after the published protocol.
@@ -28,8 +28,8 @@
 	"tinpin/internal/settings"
 )
 
-// Class marks failures of the stage.
-var Class = errs.Class("stage")
+// Class marks failures to set up or reach the cluster.
+var Class = errs.Class("localcluster")
 
 // Backend is a stand-in for a backend.
 type Backend struct {
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Options say what is played, and which sizes are refused.
+// Options define one run; Check refuses sizes that cannot be run.
 
 import (
 	"strings"
@@ -9,8 +9,8 @@
 	"github.com/zeebo/errs"
 )
 
-// Class marks the errors of the trial.
-var Class = errs.Class("trial")
+// Class marks the errors of a simulation.
+var Class = errs.Class("simulation")
 
 // Options of one run.
 type Options struct {
@@ -25,7 +25,7 @@
 	InjectedBug InjectedBug   `json:"plant,omitempty"`
 }
 
-// DefaultOptions is what is played where nothing else is asked for.
+// DefaultOptions is used where nothing else is asked for.
 func DefaultOptions() (options Options) {
 	return Options{
 		Length: 30 * time.Second, Controllers: 3, Losses: 1, Operators: 4, Edges: 3, Gap: 1500 * time.Millisecond,
@@ -40,34 +40,34 @@
 	MaxCallers     = 64
 )
 
-// Check names every size that cannot be played, in one message.
+// Check names every size that cannot be run, in one message.
 func (o Options) Check() (err error) {
-	var faults []string
+	var problems []string
 	size := func(name string, number, low, high int) {
 		if number < low || number > high {
-			faults = append(faults, errs.New("%s is %d and must be from %d to %d", name, number, low, high).Error())
+			problems = append(problems, errs.New("%s is %d and must be from %d to %d", name, number, low, high).Error())
 		}
 	}
 	span := func(name string, span, low, high time.Duration) {
 		if span < low || span > high {
-			faults = append(faults, errs.New("%s is %s and must be from %s to %s", name, span, low, high).Error())
+			problems = append(problems, errs.New("%s is %s and must be from %s to %s", name, span, low, high).Error())
 		}
 	}
 	span("length", o.Length, time.Second, MaxLength)
-	size("cores", o.Controllers, 3, MaxControllers)
+	size("controllers", o.Controllers, 3, MaxControllers)
 	size("losses", o.Losses, 1, MaxControllers/2)
 	if o.Controllers >= 3 && o.Losses >= 1 && o.Controllers <= MaxControllers && o.Controllers < 2*o.Losses+1 {
-		faults = append(faults, errs.New("losses is %d, and %d cores cannot bear so many", o.Losses, o.Controllers).Error())
+		problems = append(problems, errs.New("losses is %d, and %d controllers cannot tolerate so many", o.Losses, o.Controllers).Error())
 	}
 	size("operators", o.Operators, 1, MaxCallers)
 	size("edges", o.Edges, 1, MaxCallers)
 	span("gap", o.Gap, 10*time.Millisecond, MaxLength)
 	span("catch-up", o.CatchUp, 100*time.Millisecond, MaxLength)
 	if o.InjectedBug != "" && !o.InjectedBug.Known() {
-		faults = append(faults, "unknown planted fault "+string(o.InjectedBug))
+		problems = append(problems, "unknown bug to inject "+string(o.InjectedBug))
 	}
-	if len(faults) > 0 {
-		return Class.New("%s", strings.Join(faults, "; "))
+	if len(problems) > 0 {
+		return Class.New("%s", strings.Join(problems, "; "))
 	}
 	return nil
 }
--- a/internal/simulation/options_test.go
+++ b/internal/simulation/options_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSizesThatCannotBePlayedAreEachNamed(t *testing.T) {
+func TestCheckNamesEveryInvalidSize(t *testing.T) {
 	if err := DefaultOptions().Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -15,7 +15,7 @@
 	if err == nil {
 		t.Fatal("taken")
 	}
-	for _, name := range []string{"length", "cores", "losses", "operators", "edges", "gap", "catch-up", "no such"} {
+	for _, name := range []string{"length", "controllers", "losses", "operators", "edges", "gap", "catch-up", "no such"} {
 		if !strings.Contains(err.Error(), name) {
 			t.Errorf("%s is not named in %q", name, err)
 		}
@@ -23,7 +23,7 @@
 	few := DefaultOptions()
 	few.Controllers, few.Losses = 4, 2
 	if few.Check() == nil {
-		t.Error("four cores were said to bear two losses")
+		t.Error("four controllers were said to tolerate two losses")
 	}
 	ranges := Range{Seeds: 0, From: -1, Parallel: MaxParallel + 1, Limit: -time.Second}
 	for _, name := range []string{"seeds", "from", "parallel", "limit"} {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestKindsAreRead(t *testing.T) {
+func TestParseFaultKinds(t *testing.T) {
 	kinds, err := ParseFaultKinds("cut, freeze,cut")
 	if err != nil || len(kinds) != 2 || kinds[0] != Cut || kinds[1] != Freeze {
 		t.Error(kinds, err)
