--- a/tools/lint/lint_test.go
+++ b/tools/lint/lint_test.go
@@ -109,3 +109,19 @@
 	}
 	expect(t, out, "staticcheck/compile:", "internal/bad/bad.go:4:")
 }
+
+func TestAnExceptionNeedsAReason(t *testing.T) {
+	root := newRepository(t)
+	const source = "// Package a ends the process.\npackage a\n\nimport \"os\"\n\n" +
+		"// End ends it.\nfunc End() {\n\t//revive:disable-next-line:deep-exit%s\n\tos.Exit(1)\n}\n"
+	writeFile(t, root, "internal/a/a.go", strings.ReplaceAll(source, "%s", " nothing is left to clean up"))
+	if out, err := lint(t, root); err != nil {
+		t.Errorf("an exception with a reason fails:\n%s", out)
+	}
+	writeFile(t, root, "internal/a/a.go", strings.ReplaceAll(source, "%s", ""))
+	out, err := lint(t, root)
+	if err == nil {
+		t.Error("an exception without a reason passes")
+	}
+	expect(t, out, "internal/a/a.go:8: revive/")
+}
