--- /dev/null
+++ b/internal/docs/glossary_test.go
@@ -0,0 +1,40 @@
+package docs
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+// Both tables of the glossary are in alphabetical order without repeats, and each of
+// their rows names what the code has.
+func TestGlossary(t *testing.T) {
+	index, text := declared(t), page(t, "docs/glossary.md")
+	for heading, least := range map[string]int{"From plain and earlier words": 100, "From terms": 50} {
+		table := section(t, text, heading)
+		entries := column(table, 0)
+		if len(entries) < least {
+			t.Errorf("%s: only %d rows", heading, len(entries))
+		}
+		for i := range entries {
+			entries[i] = strings.ToLower(entries[i])
+		}
+		if !slices.IsSorted(entries) {
+			t.Errorf("%s: not in alphabetical order", heading)
+		}
+		if len(slices.Compact(slices.Clone(entries))) != len(entries) {
+			t.Errorf("%s: a word stands twice", heading)
+		}
+		for i, cell := range column(table, 2) {
+			names := words(cell)
+			if len(names) == 0 {
+				t.Errorf("%s: %q names no code", heading, entries[i])
+			}
+			for _, name := range names {
+				if !index.names[name] && !index.packages[name] {
+					t.Errorf("%s: %q names %s, which does not exist", heading, entries[i], name)
+				}
+			}
+		}
+	}
+}
