--- a/internal/docs/glossary_test.go
+++ b/internal/docs/glossary_test.go
@@ -10,10 +10,10 @@
 // their rows names what the code has.
 func TestGlossary(t *testing.T) {
 	index, text := declared(t), page(t, "docs/glossary.md")
-	for heading, least := range map[string]int{"From plain and earlier words": 100, "From terms": 50} {
+	for heading, minRows := range map[string]int{"From plain and earlier words": 100, "From terms": 50} {
 		table := section(t, text, heading)
 		entries := column(table, 0)
-		if len(entries) < least {
+		if len(entries) < minRows {
 			t.Errorf("%s: only %d rows", heading, len(entries))
 		}
 		for i := range entries {
@@ -26,15 +26,21 @@
 			t.Errorf("%s: a word stands twice", heading)
 		}
 		for i, cell := range column(table, 2) {
-			names := words(cell)
-			if len(names) == 0 {
-				t.Errorf("%s: %q names no code", heading, entries[i])
-			}
-			for _, name := range names {
-				if !index.names[name] && !index.packages[name] {
-					t.Errorf("%s: %q names %s, which does not exist", heading, entries[i], name)
-				}
-			}
+			checkGlossaryCell(t, index, heading+", "+entries[i], cell)
+		}
+	}
+}
+
+// checkGlossaryCell fails unless a cell names something, and all that it names exists.
+func checkGlossaryCell(t *testing.T, index sourceIndex, where, cell string) {
+	t.Helper()
+	names := words(cell)
+	if len(names) == 0 {
+		t.Errorf("%s: names no code", where)
+	}
+	for _, name := range names {
+		if !index.names[name] && !index.packages[name] {
+			t.Errorf("%s: %s does not exist", where, name)
 		}
 	}
 }
