--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -2,32 +2,35 @@
 
 import (
 	"slices"
-	"sort"
+	"strings"
 
 	"github.com/valyala/fastjson"
 
 	"tinpin/internal/dedup"
 )
 
-// Two items of one version are the same if their parsed fields are, null standing
-// for absent.
+// Two items of one version have the same content if their parsed fields are equal; a
+// field that is null counts as absent.
 
-// key names the state of an item that a call brings.
-func (s *entry) key() (number dedup.Key) {
-	return dedup.Key{Kind: string(s.Set), Name: s.Name, Version: uint64(s.Version)}
+// itemKey is the key of the item in a Store.
+func (e *entry) itemKey() (key itemKey) { return itemKey{e.Set, e.Name} }
+
+// versionKey names the item with its version, for the table of superseded versions.
+func (e *entry) versionKey() (key dedup.Key) {
+	return dedup.Key{Kind: string(e.Set), Name: e.Name, Version: uint64(e.Version)}
 }
 
-// digest is that of the item's content, reckoned once.
-func (s *entry) digest() (digest dedup.Digest) {
-	if s.digested != nil {
-		return *s.digested
+// contentDigest is the digest of the item's content, computed once.
+func (e *entry) contentDigest() (digest dedup.Digest) {
+	if e.digest != nil {
+		return *e.digest
 	}
 	content := &dedup.ContentHash{}
-	if s.Dropped {
+	if e.Dropped {
 		content.AddText("dropped")
 	}
-	fields := slices.Clone(s.Fields)
-	sort.SliceStable(fields, func(i, j int) bool { return fields[i].Name < fields[j].Name })
+	fields := slices.Clone(e.Fields)
+	slices.SortStableFunc(fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
 	for _, field := range fields {
 		value, err := fastjson.Parse(field.JSON)
 		if err != nil || value.Type() == fastjson.TypeNull {
@@ -37,38 +40,52 @@
 		content.AddJSON(value)
 	}
 	digest = content.Digest()
-	s.digested = &digest
+	e.digest = &digest
 	return digest
 }
 
-// same tells whether two items of one version say the same.
-func (s *entry) same(other *entry) (same bool) {
-	return s.Dropped == other.Dropped && (slices.Equal(s.Fields, other.Fields) || s.digest() == other.digest())
+// sameContent tells whether two items of one version have the same content. Equal
+// fields need no digest.
+func (e *entry) sameContent(other *entry) (same bool) {
+	if e.Dropped != other.Dropped {
+		return false
+	}
+	return slices.Equal(e.Fields, other.Fields) || e.contentDigest() == other.contentDigest()
 }
 
-// checkVersions refuses a call that brings another content under a version that
-// holds, or that is remembered, or two contents under one.
-func (c *Store) checkVersions(parsed []*entry) (err error) {
-	brought := make(map[dedup.Key]*entry, len(parsed))
-	for _, item := range parsed {
-		number := item.key()
-		if other := brought[number]; other != nil && !other.same(item) {
+// checkVersions rejects other content under a version that is in force or is
+// remembered as superseded, and two contents of one version in the same update.
+func (s *Store) checkVersions(items []*entry) (err error) {
+	inUpdate := make(map[dedup.Key]*entry, len(items))
+	for _, item := range items {
+		key := item.versionKey()
+		if other := inUpdate[key]; other != nil && !other.sameContent(item) {
 			return ErrInvalid.New("the call brings two contents of %s under version %d", item.Path(), item.Version)
 		}
-		brought[number] = item
-		old := c.items[itemKey{item.Set, item.Name}]
-		if old == nil || old.Version < item.Version {
-			continue
-		}
-		if old.Version == item.Version {
-			if !old.same(item) {
-				return dedup.ErrConflict.New("%s stands under version %s with other content", item.Path(), old.Summary())
-			}
-			continue
+		inUpdate[key] = item
+		if err = s.checkConflict(item); err != nil {
+			return err
 		}
-		if content, known := c.Superseded.Lookup(number); known && content != item.digest() {
-			return dedup.ErrConflict.New("%s came under version %d with other content; version %s holds", item.Path(), item.Version, old.Summary())
+	}
+	return nil
+}
+
+// checkConflict compares an item with what was accepted under its version.
+func (s *Store) checkConflict(item *entry) (err error) {
+	old := s.items[item.itemKey()]
+	if old == nil || old.Version < item.Version {
+		return nil
+	}
+	if old.Version == item.Version {
+		if old.sameContent(item) {
+			return nil
 		}
+		return dedup.ErrConflict.New("%s stands under version %s with other content", item.Path(), old.Summary())
+	}
+	content, known := s.Superseded.Lookup(item.versionKey())
+	if known && content != item.contentDigest() {
+		return dedup.ErrConflict.New("%s came under version %d with other content; version %s holds",
+			item.Path(), item.Version, old.Summary())
 	}
 	return nil
 }
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -8,41 +8,43 @@
 	"github.com/valyala/fastjson"
 )
 
-// parse reads the fields of an item and checks what can be seen from it alone.
-func (s *entry) parse() (err error) {
-	f := &fields{values: map[string]*fastjson.Value{}, item: string(s.Set) + " " + s.Name}
-	for _, field := range s.Fields {
+// parse reads the fields of an item and checks those that concern no other item.
+func (e *entry) parse() (err error) {
+	f := &fields{values: map[string]*fastjson.Value{}, item: string(e.Set) + " " + e.Name}
+	for _, field := range e.Fields {
 		value, parseErr := fastjson.Parse(field.JSON)
 		if parseErr != nil {
 			return ErrInvalid.New("%s: field %s cannot be read", f.item, field.Name)
 		}
 		f.values[field.Name] = value
 	}
-	switch s.Set {
+	switch e.Set {
 	case Routes:
-		s.route = parseRoute(s.Name, f)
+		e.route = parseRoute(e.Name, f)
 	case Services:
-		s.service = parseService(s.Name, f)
+		e.service = parseService(e.Name, f)
 	case Tenants:
-		s.tenant = parseTenant(s.Name, f)
+		e.tenant = parseTenant(e.Name, f)
 	case Limits:
-		s.limits = parseLimits(f)
+		e.limits = parseLimits(f)
 	}
-	if len(f.problems) > 0 {
-		return ErrInvalid.New("%s: %s", f.item, strings.Join(f.problems, "; "))
+	if len(f.faults) > 0 {
+		return ErrInvalid.New("%s: %s", f.item, strings.Join(f.faults, "; "))
 	}
 	return nil
 }
 
-// fields reads typed values and gathers what is wrong.
+// fields reads typed values of one item and collects the faults, so that one error
+// names them all.
 type fields struct {
-	values   map[string]*fastjson.Value
-	item     string
-	problems []string
+	values map[string]*fastjson.Value
+	item   string
+	faults []string
 }
 
-func (f *fields) fail(field, why string) { f.problems = append(f.problems, field+" "+why) }
+func (f *fields) fail(field, why string) { f.faults = append(f.faults, field+" "+why) }
 
+// get gives the value of a field, nil where it is null or absent.
 func (f *fields) get(field string) (value *fastjson.Value) {
 	value = f.values[field]
 	if value != nil && value.Type() == fastjson.TypeNull {
@@ -51,10 +53,10 @@
 	return value
 }
 
-func (f *fields) text(field string, needed bool) (text string) {
+func (f *fields) text(field string, required bool) (text string) {
 	value := f.get(field)
 	if value == nil {
-		if needed {
+		if required {
 			f.fail(field, "is missing")
 		}
 		return ""
@@ -75,42 +77,42 @@
 		f.fail(field, "must be a list")
 		return nil
 	}
-	for _, entry := range value.GetArray() {
-		if entry.Type() != fastjson.TypeString {
+	for _, element := range value.GetArray() {
+		if element.Type() != fastjson.TypeString {
 			f.fail(field, "must be a list of texts")
 			return nil
 		}
-		texts = append(texts, string(entry.GetStringBytes()))
+		texts = append(texts, string(element.GetStringBytes()))
 	}
 	return texts
 }
 
-func (f *fields) number(field string, usual, low float64) (number float64) {
+func (f *fields) number(field string, fallback, minimum float64) (number float64) {
 	value := f.get(field)
 	if value == nil {
-		return usual
+		return fallback
 	}
 	number, err := value.Float64()
-	if err != nil || number < low || math.IsNaN(number) || math.IsInf(number, 0) {
+	if err != nil || number < minimum || math.IsNaN(number) || math.IsInf(number, 0) {
 		f.fail(field, "must be a number in its range")
-		return usual
+		return fallback
 	}
 	return number
 }
 
-func (f *fields) duration(field string, needed bool) (span time.Duration) {
-	text := f.text(field, needed)
+func (f *fields) duration(field string, required bool) (duration time.Duration) {
+	text := f.text(field, required)
 	if text == "" {
-		if needed && f.get(field) != nil {
+		if required && f.get(field) != nil {
 			f.fail(field, "must be a time")
 		}
 		return 0
 	}
-	span, err := time.ParseDuration(text)
-	if err != nil || span < 0 {
+	duration, err := time.ParseDuration(text)
+	if err != nil || duration < 0 {
 		f.fail(field, "must be a time such as 1500ms or 2.5s")
 	}
-	return span
+	return duration
 }
 
 func (f *fields) flag(field string) (set bool) {
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -6,13 +6,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// The typed forms of the items. Each checks its own fields; what needs a look at
-// other items is checked where an update is applied.
+// The typed forms of the items. Each parse function checks the fields of its item;
+// references to other items are checked where an update is applied.
 
-// RouteType says what may be done again with a request of a route.
+// RouteType tells whether requests of a route may be repeated.
 type RouteType string
 
-// The kinds of routes.
+// The types of routes. Keyed requests carry an operation key and run once.
 const (
 	Idempotent    RouteType = "idempotent"
 	Download      RouteType = "download"
@@ -23,7 +23,7 @@
 // Retryable tells that a request may run more than once.
 func (r RouteType) Retryable() bool { return r == Idempotent || r == Download }
 
-// Valid tells that it is one of the kinds.
+// Valid tells that it is one of the route types.
 func (r RouteType) Valid() bool { return r.Retryable() || r == NonIdempotent || r == Keyed }
 
 // Target is a service with its weight in a route's split.
@@ -68,10 +68,15 @@
 }
 
 // DefaultLimits hold until the operator has set any.
-var DefaultLimits = ClientLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
+var DefaultLimits = ClientLimits{
+	MaxHeaderBytes: 16 << 10,
+	MaxBodyBytes:   64 << 20,
+	HeaderTimeout:  5 * time.Second,
+	IdleTimeout:    30 * time.Second,
+}
 
-func parseRoute(called string, f *fields) (route *Route) {
-	route = &Route{Name: called}
+func parseRoute(name string, f *fields) (route *Route) {
+	route = &Route{Name: name}
 	route.Host = f.text("hostname", true)
 	route.Prefix = f.text("path_prefix", true)
 	if route.Prefix != "" && (route.Prefix[0] != '/' || route.Prefix[len(route.Prefix)-1] != '/') {
@@ -92,42 +97,55 @@
 		route.MaxAttempts = 1
 	}
 	route.AllowedRegions = f.texts("allowed_regions")
+	route.Targets = parseTargets(f)
+	return route
+}
+
+// parseTargets reads the split of a route over services or its only service; a split
+// that is not empty takes precedence.
+func parseTargets(f *fields) (targets []Target) {
 	service := f.text("service_name", false)
 	split := f.get("traffic_split")
 	switch {
-	case split != nil && split.Type() == fastjson.TypeArray && len(split.GetArray()) > 0:
-		sum := 0.0
-		for _, part := range split.GetArray() {
-			if part.Type() != fastjson.TypeObject || part.Get("service_name") == nil || part.Get("service_name").Type() != fastjson.TypeString {
-				f.fail("traffic_split", "has a part without a service")
-				continue
-			}
-			weight, err := 0.0, error(nil)
-			if part.Get("weight") != nil {
-				weight, err = part.Get("weight").Float64()
-			}
-			if err != nil || weight < 0 {
-				f.fail("traffic_split", "has a weight that is no number of 0 or more")
-				continue
-			}
-			sum += weight
-			route.Targets = append(route.Targets, Target{string(part.GetStringBytes("service_name")), weight})
-		}
-		if sum <= 0 {
-			f.fail("traffic_split", "has weights that sum to 0")
-		}
 	case split != nil && split.Type() != fastjson.TypeArray:
 		f.fail("traffic_split", "must be a list")
+		return nil
+	case split != nil && len(split.GetArray()) > 0:
+		return parseSplit(f, split.GetArray())
 	case service == "":
 		f.fail("service_name", "is missing")
-	default:
-		route.Targets = []Target{{service, 1}}
+		return nil
 	}
-	return route
+	return []Target{{service, 1}}
+}
+
+func parseSplit(f *fields, parts []*fastjson.Value) (targets []Target) {
+	sum := 0.0
+	for _, part := range parts {
+		service, isText := textOf(part.Get("service_name"))
+		if part.Type() != fastjson.TypeObject || !isText {
+			f.fail("traffic_split", "has a part without a service")
+			continue
+		}
+		weight, err := 0.0, error(nil)
+		if part.Get("weight") != nil {
+			weight, err = part.Get("weight").Float64()
+		}
+		if err != nil || weight < 0 {
+			f.fail("traffic_split", "has a weight that is no number of 0 or more")
+			continue
+		}
+		sum += weight
+		targets = append(targets, Target{service, weight})
+	}
+	if sum <= 0 {
+		f.fail("traffic_split", "has weights that sum to 0")
+	}
+	return targets
 }
 
-func parseService(called string, f *fields) (service *Service) {
-	service = &Service{Name: called}
+func parseService(name string, f *fields) (service *Service) {
+	service = &Service{Name: name}
 	service.HealthPath = f.text("health_check_path", false)
 	if service.HealthPath != "" && service.HealthPath[0] != '/' {
 		f.fail("health_check_path", "must begin with a slash")
@@ -148,8 +166,8 @@
 	return service
 }
 
-func parseTenant(called string, f *fields) (tenant *Tenant) {
-	tenant = &Tenant{Name: called}
+func parseTenant(name string, f *fields) (tenant *Tenant) {
+	tenant = &Tenant{Name: name}
 	tenant.Hosts = f.texts("hostnames")
 	if len(tenant.Hosts) == 0 {
 		f.fail("hostnames", "must name one host or more")
@@ -176,10 +194,10 @@
 }
 
 func parseLimits(f *fields) (limits *ClientLimits) {
-	usual := DefaultLimits
-	limits = &usual
-	limits.MaxHeaderBytes = int(f.number("max_header_bytes", float64(usual.MaxHeaderBytes), 1))
-	limits.MaxBodyBytes = int(f.number("max_body_bytes", float64(usual.MaxBodyBytes), 0))
+	defaults := DefaultLimits
+	limits = &defaults
+	limits.MaxHeaderBytes = int(f.number("max_header_bytes", float64(defaults.MaxHeaderBytes), 1))
+	limits.MaxBodyBytes = int(f.number("max_body_bytes", float64(defaults.MaxBodyBytes), 0))
 	if f.get("header_timeout") != nil {
 		limits.HeaderTimeout = f.duration("header_timeout", true)
 	}
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -5,80 +5,88 @@
 	"strings"
 )
 
-// A RoutingTable is built once a change and never written to afterwards, so requests
+// RoutingTable is one state of the configuration in the form that requests need. It
+// is built once for each change and never written to afterwards, so that requests
 // read it without a lock. Finding a route costs one look-up per segment of the path,
 // however many routes there are.
-
-// RoutingTable is one state of the configuration, read-only.
 type RoutingTable struct {
-	hosts         map[string]map[string]*Route
-	Services      map[string]*Service
-	tenants       map[string]*Tenant
+	Services   map[string]*Service
+	Limits     ClientLimits
+	RouteCount int
+
+	// routes are by lower-case host, then by prefix.
+	routes        map[string]map[string]*Route
+	tenantsByHost map[string]*Tenant
 	tenantsByName map[string]*Tenant
-	tenantList    []*Tenant
-	Limits        ClientLimits
-	RouteCount    int
+	// tenants are sorted by name.
+	tenants []*Tenant
 }
 
-// RoutingTable builds the reading of what is in force.
-func (c *Store) RoutingTable() (view *RoutingTable) {
-	view = &RoutingTable{hosts: map[string]map[string]*Route{}, Services: map[string]*Service{}, tenants: map[string]*Tenant{}, tenantsByName: map[string]*Tenant{}, Limits: DefaultLimits}
-	for _, item := range c.items {
+// RoutingTable builds the table of the configuration in force.
+func (s *Store) RoutingTable() (table *RoutingTable) {
+	table = &RoutingTable{
+		Services:      map[string]*Service{},
+		Limits:        DefaultLimits,
+		routes:        map[string]map[string]*Route{},
+		tenantsByHost: map[string]*Tenant{},
+		tenantsByName: map[string]*Tenant{},
+	}
+	for _, item := range s.items {
 		switch {
 		case item.Dropped:
 		case item.route != nil:
 			host := strings.ToLower(item.route.Host)
-			if view.hosts[host] == nil {
-				view.hosts[host] = map[string]*Route{}
+			if table.routes[host] == nil {
+				table.routes[host] = map[string]*Route{}
 			}
 			item.route.Version = item.Version
-			view.hosts[host][item.route.Prefix] = item.route
-			view.RouteCount++
+			table.routes[host][item.route.Prefix] = item.route
+			table.RouteCount++
 		case item.service != nil:
-			view.Services[item.Name] = item.service
+			table.Services[item.Name] = item.service
 		case item.tenant != nil:
-			view.tenantsByName[item.tenant.Name] = item.tenant
+			table.tenantsByName[item.tenant.Name] = item.tenant
 			for _, host := range item.tenant.Hosts {
-				view.tenants[strings.ToLower(host)] = item.tenant
+				table.tenantsByHost[strings.ToLower(host)] = item.tenant
 			}
 		case item.limits != nil:
-			view.Limits = *item.limits
+			table.Limits = *item.limits
 		}
 	}
-	for _, tenant := range view.tenantsByName {
-		view.tenantList = append(view.tenantList, tenant)
+	for _, tenant := range table.tenantsByName {
+		table.tenants = append(table.tenants, tenant)
 	}
-	slices.SortFunc(view.tenantList, func(one, other *Tenant) int { return strings.Compare(one.Name, other.Name) })
-	return view
+	slices.SortFunc(table.tenants, func(a, b *Tenant) int { return strings.Compare(a.Name, b.Name) })
+	return table
 }
 
-// NormalizeHost is a host without its port, in small letters.
+// NormalizeHost gives a host without its port, in lower case.
 func NormalizeHost(host string) string {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
+		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
 // Find gives the route with the longest prefix of the path.
-func (v *RoutingTable) Find(host, path string) (way *Route) {
-	ways := v.hosts[NormalizeHost(host)]
-	if ways == nil {
+func (t *RoutingTable) Find(host, path string) (route *Route) {
+	routes := t.routes[NormalizeHost(host)]
+	if routes == nil {
 		return nil
 	}
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if way = ways[path[:end+1]]; way != nil {
-			return way
+		if route = routes[path[:end+1]]; route != nil {
+			return route
 		}
 	}
 	return nil
 }
 
 // ServicesOf lists the services that a host's routes go to, each once.
-func (v *RoutingTable) ServicesOf(host string) (services []string) {
+func (t *RoutingTable) ServicesOf(host string) (services []string) {
 	seen := map[string]bool{}
-	for _, way := range v.hosts[NormalizeHost(host)] {
-		for _, target := range way.Targets {
+	for _, route := range t.routes[NormalizeHost(host)] {
+		for _, target := range route.Targets {
 			if !seen[target.Service] {
 				seen[target.Service] = true
 				services = append(services, target.Service)
@@ -89,31 +97,31 @@
 }
 
 // Tenant gives the tenant of a host, nil where none is set.
-func (v *RoutingTable) Tenant(host string) (tenant *Tenant) {
-	if len(v.tenants) == 0 {
+func (t *RoutingTable) Tenant(host string) (tenant *Tenant) {
+	if len(t.tenantsByHost) == 0 {
 		return nil
 	}
-	return v.tenants[NormalizeHost(host)]
+	return t.tenantsByHost[NormalizeHost(host)]
 }
 
 // Tenants lists each tenant once, by name; the list is not to be written to.
-func (v *RoutingTable) Tenants() (tenants []*Tenant) { return v.tenantList }
+func (t *RoutingTable) Tenants() (tenants []*Tenant) { return t.tenants }
 
 // TenantByName gives a tenant by its name, nil where there is none.
-func (v *RoutingTable) TenantByName(name string) (tenant *Tenant) { return v.tenantsByName[name] }
+func (t *RoutingTable) TenantByName(name string) (tenant *Tenant) { return t.tenantsByName[name] }
 
-// HomeRegions gives the regions that a host's keyed routes are bound to, none where it
-// has no such route or they are bound to different ones. Other routes do not
-// matter: they keep no answers and may be served from there as well.
-func (v *RoutingTable) HomeRegions(host string) (homes []string) {
-	for _, way := range v.hosts[NormalizeHost(host)] {
-		if way.Type != Keyed || len(way.AllowedRegions) == 0 {
+// HomeRegions gives the allowed regions of a host's keyed routes. It gives none where
+// the host has no such route or they differ in their regions. Other routes don't
+// count: they store no responses, so any region may serve them.
+func (t *RoutingTable) HomeRegions(host string) (homes []string) {
+	for _, route := range t.routes[NormalizeHost(host)] {
+		if route.Type != Keyed || len(route.AllowedRegions) == 0 {
 			continue
 		}
-		if homes != nil && !sameRegions(homes, way.AllowedRegions) {
+		if homes != nil && !sameRegions(homes, route.AllowedRegions) {
 			return nil
 		}
-		homes = way.AllowedRegions
+		homes = route.AllowedRegions
 	}
 	return homes
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -11,7 +11,8 @@
 package config
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -20,10 +21,10 @@
 	"tinpin/internal/dedup"
 )
 
-// ErrInvalid marks refused configurations.
+// ErrInvalid marks rejected configurations. Operators see the text of the class.
 var ErrInvalid = errs.Class("canon")
 
-// Set names one of the kinds of items.
+// Set names a kind of items.
 type Set string
 
 // The sets of items.
@@ -42,7 +43,9 @@
 // Field is one field of an item as it was sent.
 type Field struct{ Name, JSON string }
 
-// Item is one item as it stands, or the mark that it was dropped.
+// Item is one item as it is set, or the note that it was removed (Dropped). Rev is the
+// log index of its last change. The names of the fields are frozen: they are stored and
+// sent with gob.
 type Item struct {
 	Set     Set
 	Name    string
@@ -60,19 +63,19 @@
 	return string(i.Set) + "/" + i.Name
 }
 
-// Summary is the item's version, with a mark where it was dropped.
-func (i Item) Summary() (stamp string) {
-	stamp = strconv.FormatUint(uint64(i.Version), 10)
+// Summary is the item's version, with a note where it was removed.
+func (i Item) Summary() (summary string) {
+	summary = strconv.FormatUint(uint64(i.Version), 10)
 	if i.Dropped {
-		stamp += " dropped"
+		summary += " dropped"
 	}
-	return stamp
+	return summary
 }
 
 // Find looks an item up by its path.
-func (c *Store) Find(path string) (item Item, known bool) {
-	set, named, _ := strings.Cut(path, "/")
-	found := c.items[itemKey{Set(set), named}]
+func (s *Store) Find(path string) (item Item, known bool) {
+	set, name, _ := strings.Cut(path, "/")
+	found := s.items[itemKey{Set(set), name}]
 	if found == nil {
 		return item, false
 	}
@@ -84,48 +87,53 @@
 	name string
 }
 
+// entry is an item with its typed form: one of route, service, tenant and limits,
+// none where it was removed.
 type entry struct {
 	Item
-	route    *Route
-	service  *Service
-	tenant   *Tenant
-	limits   *ClientLimits
-	digested *dedup.Digest
+	route   *Route
+	service *Service
+	tenant  *Tenant
+	limits  *ClientLimits
+	// digest is that of the content, nil until it is needed.
+	digest *dedup.Digest
 }
 
-// Store is the whole configuration.
+// Store is the complete configuration.
 type Store struct {
-	items   map[itemKey]*entry
+	items map[itemKey]*entry
+	// columns are the names of fields in the order in which they first appeared.
 	columns map[Set][]string
-	// Superseded remembers what was confirmed under versions that hold no more.
+	// Superseded remembers the content that was accepted under earlier versions.
 	Superseded *dedup.Table
 }
 
-// MaxSuperseded is how many overtaken versions are remembered.
+// MaxSuperseded is how many superseded versions are remembered.
 const MaxSuperseded = 4096
 
-// New is an empty configuration.
-func New() (c *Store) {
-	return &Store{items: map[itemKey]*entry{}, columns: map[Set][]string{}, Superseded: dedup.New(MaxSuperseded)}
+// New gives an empty configuration.
+func New() (s *Store) {
+	return &Store{
+		items:      map[itemKey]*entry{},
+		columns:    map[Set][]string{},
+		Superseded: dedup.New(MaxSuperseded),
+	}
 }
 
-// Items lists every item and mark, in a fixed order.
-func (c *Store) Items() (items []Item) {
-	for _, item := range c.items {
+// Items lists every item, removed ones too, by set and name.
+func (s *Store) Items() (items []Item) {
+	for _, item := range s.items {
 		items = append(items, item.Item)
 	}
-	sort.Slice(items, func(i, j int) bool {
-		if items[i].Set != items[j].Set {
-			return items[i].Set < items[j].Set
-		}
-		return items[i].Name < items[j].Name
+	slices.SortFunc(items, func(a, b Item) int {
+		return cmp.Or(cmp.Compare(a.Set, b.Set), cmp.Compare(a.Name, b.Name))
 	})
 	return items
 }
 
-// Since lists what changed after the place rev of the log.
-func (c *Store) Since(rev uint64) (items []Item) {
-	for _, item := range c.items {
+// Since lists the items that changed after the log index rev, in no order.
+func (s *Store) Since(rev uint64) (items []Item) {
+	for _, item := range s.items {
 		if item.Rev > rev {
 			items = append(items, item.Item)
 		}
@@ -133,30 +141,30 @@
 	return items
 }
 
-// After lists what lies behind a place: items in the order of their places in
-// the log and then of their paths, no more of them than the room for their
-// bytes. Done tells that nothing is left out.
-func (c *Store) After(rev uint64, path string, room int) (items []Item, done bool) {
-	for _, item := range c.items {
+// After lists the items behind one item, given by its log index and path, in the order
+// of their log indices and then of their paths. It stops where their sizes exceed
+// maxBytes, but gives at least one; done tells that none is left out.
+func (s *Store) After(rev uint64, path string, maxBytes int) (items []Item, done bool) {
+	for _, item := range s.items {
 		if item.Rev > rev || item.Rev == rev && item.Path() > path {
 			items = append(items, item.Item)
 		}
 	}
-	sort.Slice(items, func(i, j int) bool {
-		if items[i].Rev != items[j].Rev {
-			return items[i].Rev < items[j].Rev
+	slices.SortFunc(items, func(a, b Item) int {
+		if order := cmp.Compare(a.Rev, b.Rev); order != 0 {
+			return order
 		}
-		return items[i].Path() < items[j].Path()
+		return cmp.Compare(a.Path(), b.Path())
 	})
 	for i, item := range items {
-		if room -= item.size(); room < 0 && i > 0 {
+		if maxBytes -= item.size(); maxBytes < 0 && i > 0 {
 			return items[:i], false
 		}
 	}
 	return items, true
 }
 
-// size is about how many bytes an item takes on the way.
+// size is about how many bytes an item takes in a message.
 func (i Item) size() (size int) {
 	size = 24 + len(i.Name)
 	for _, field := range i.Fields {
@@ -165,39 +173,41 @@
 	return size
 }
 
-// Exists tells whether an item is set and not dropped.
-func (c *Store) Exists(set Set, named string) (stands bool) {
-	found := c.items[itemKey{set, named}]
+// Exists tells whether an item is set and not removed.
+func (s *Store) Exists(set Set, name string) (exists bool) {
+	found := s.items[itemKey{set, name}]
 	return found != nil && !found.Dropped
 }
 
 // Empty tells that nothing was ever set.
-func (c *Store) Empty() bool { return len(c.items) == 0 }
+func (s *Store) Empty() bool { return len(s.items) == 0 }
 
-// Columns gives the names of fields in the order in which they became known.
-func (c *Store) Columns() (columns map[Set][]string) { return c.columns }
+// Columns gives the names of each set's fields in the order in which they first
+// appeared. The map must not be written to.
+func (s *Store) Columns() (columns map[Set][]string) { return s.columns }
 
-// SetColumns sets that order, as from a snapshot.
-func (c *Store) SetColumns(columns map[Set][]string) {
+// SetColumns sets that order, from a snapshot.
+func (s *Store) SetColumns(columns map[Set][]string) {
 	for set, names := range columns {
-		c.columns[set] = append([]string(nil), names...)
+		s.columns[set] = append([]string(nil), names...)
 	}
 }
 
-// Restore takes items that were checked before, as from a snapshot.
-func (c *Store) Restore(items []Item) (err error) {
+// Restore puts items that were checked before, from a snapshot.
+func (s *Store) Restore(items []Item) (err error) {
 	for _, item := range items {
-		if err = c.Put(item); err != nil {
+		if err = s.Put(item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Put takes one item that the controllers have agreed on, if it is newer.
-func (c *Store) Put(item Item) (err error) {
+// Put sets or removes one item that is committed, if its version is above the one in
+// force. References to other items are not checked.
+func (s *Store) Put(item Item) (err error) {
 	key := itemKey{item.Set, item.Name}
-	if old, known := c.items[key]; known && old.Version >= item.Version {
+	if old, known := s.items[key]; known && old.Version >= item.Version {
 		if old.Version == item.Version && old.Rev < item.Rev {
 			old.Rev = item.Rev
 		}
@@ -209,18 +219,15 @@
 			return err
 		}
 	}
-	c.items[key] = parsed
+	s.items[key] = parsed
 	for _, field := range item.Fields {
-		c.learnColumn(item.Set, field.Name)
+		s.addColumn(item.Set, field.Name)
 	}
 	return nil
 }
 
-func (c *Store) learnColumn(set Set, column string) {
-	for _, known := range c.columns[set] {
-		if known == column {
-			return
-		}
+func (s *Store) addColumn(set Set, column string) {
+	if !slices.Contains(s.columns[set], column) {
+		s.columns[set] = append(s.columns[set], column)
 	}
-	c.columns[set] = append(c.columns[set], column)
 }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"slices"
 	"unicode/utf8"
 
 	"github.com/valyala/fastjson"
@@ -13,101 +14,108 @@
 	items []Item
 }
 
-// ParseUpdate reads the body of a Config.Update whole, as it comes from an operator.
-func ParseUpdate(body []byte) (call Update, err error) {
-	// The parser bounds the depth, and takes more than JSON; the second look does not.
+// ParseUpdate reads the complete body of a Config.Update, as it comes from an operator.
+func ParseUpdate(body []byte) (update Update, err error) {
+	// ParseBytes limits the depth but accepts more than JSON; ValidateBytes does not.
 	v, err := fastjson.ParseBytes(body)
 	if err != nil || !utf8.Valid(body) || fastjson.ValidateBytes(body) != nil {
-		return call, ErrInvalid.New("the call is not JSON")
+		return update, ErrInvalid.New("the call is not JSON")
 	}
-	if key, twice := dedup.DuplicateKey(v); twice {
-		return call, ErrInvalid.New("an object of the call holds %q twice", key)
+	if key, duplicate := dedup.DuplicateKey(v); duplicate {
+		return update, ErrInvalid.New("an object of the call holds %q twice", key)
 	}
-	return parseUpdate(v)
+	return readUpdate(v)
 }
 
-func parseUpdate(v *fastjson.Value) (call Update, err error) {
-	if v.Type() != fastjson.TypeObject {
-		return call, ErrInvalid.New("the call must be an object")
-	}
-	add := func(item Item) (addErr error) {
-		call.items = append(call.items, item)
-		return nil
-	}
-	if err = readObject(v.Get("upserts"), "upserts", func(set Set, value *fastjson.Value) error {
-		if set == Limits {
-			item, limitErr := readRecord(set, value)
-			if limitErr != nil {
-				return limitErr
-			}
-			return add(item)
-		}
-		rows, rowsErr := readRows(set, value)
-		if rowsErr != nil {
-			return rowsErr
-		}
-		for _, item := range rows {
-			if rowsErr = add(item); rowsErr != nil {
-				return rowsErr
-			}
-		}
-		return nil
-	}); err != nil {
-		return call, err
+// Paths lists the paths of the items in an update.
+func (u Update) Paths() (paths []string) {
+	for _, item := range u.items {
+		paths = append(paths, item.Path())
 	}
-	err = readObject(v.Get("removals"), "removals", func(set Set, value *fastjson.Value) error {
-		if value.Type() != fastjson.TypeArray {
-			return ErrInvalid.New("removals of %s must be a list", set)
-		}
-		for _, entry := range value.GetArray() {
-			if entry.Type() != fastjson.TypeObject || entry.Get("name") == nil || entry.Get("name").Type() != fastjson.TypeString {
-				return ErrInvalid.New("a removal of %s lacks its name", set)
-			}
-			if named := string(entry.GetStringBytes("name")); (named == "") != (set == Limits) {
-				return ErrInvalid.New("a removal of %s names %q", set, named)
-			}
-			version, versionErr := readVersion(entry.Get("version"))
-			if versionErr != nil {
-				return versionErr
-			}
-			if addErr := add(Item{Set: set, Name: string(entry.GetStringBytes("name")), Version: version, Dropped: true}); addErr != nil {
-				return addErr
-			}
-		}
-		return nil
-	})
-	return call, err
+	return paths
 }
 
-// Paths names the items of a call.
-func (c Update) Paths() (paths []string) {
-	for _, item := range c.items {
-		paths = append(paths, item.Path())
+func readUpdate(v *fastjson.Value) (update Update, err error) {
+	if v.Type() != fastjson.TypeObject {
+		return update, ErrInvalid.New("the call must be an object")
 	}
-	return paths
+	upserts, err := readSets(v.Get("upserts"), "upserts", readUpserts)
+	if err != nil {
+		return update, err
+	}
+	removals, err := readSets(v.Get("removals"), "removals", readRemovals)
+	if err != nil {
+		return update, err
+	}
+	return Update{items: append(upserts, removals...)}, nil
 }
 
-func readObject(value *fastjson.Value, what string, each func(Set, *fastjson.Value) error) (err error) {
+// readSets reads an object whose keys are the names of sets; what names the object in
+// errors. Null counts as absent.
+func readSets(
+	value *fastjson.Value, what string, read func(Set, *fastjson.Value) ([]Item, error),
+) (items []Item, err error) {
 	if value == nil || value.Type() == fastjson.TypeNull {
-		return nil
+		return nil, nil
 	}
 	object, objectErr := value.Object()
 	if objectErr != nil {
-		return ErrInvalid.New("%s must be an object", what)
+		return nil, ErrInvalid.New("%s must be an object", what)
 	}
 	object.Visit(func(key []byte, inner *fastjson.Value) {
 		if err != nil || inner.Type() == fastjson.TypeNull {
 			return
 		}
-		for _, set := range sets {
-			if string(set) == string(key) {
-				err = each(set, inner)
-				return
-			}
+		set := Set(key)
+		if !slices.Contains(sets, set) {
+			err = ErrInvalid.New("%s holds an unknown set %q", what, key)
+			return
 		}
-		err = ErrInvalid.New("%s holds an unknown set %q", what, key)
+		var more []Item
+		more, err = read(set, inner)
+		items = append(items, more...)
 	})
-	return err
+	return items, err
+}
+
+// readUpserts reads the items to set of one set: one record of limits, or rows.
+func readUpserts(set Set, value *fastjson.Value) (items []Item, err error) {
+	if set != Limits {
+		return readRows(set, value)
+	}
+	item, err := readRecord(set, value)
+	return []Item{item}, err
+}
+
+// readRemovals reads the items to remove of one set.
+func readRemovals(set Set, value *fastjson.Value) (items []Item, err error) {
+	if value.Type() != fastjson.TypeArray {
+		return nil, ErrInvalid.New("removals of %s must be a list", set)
+	}
+	for _, removal := range value.GetArray() {
+		name, isText := textOf(removal.Get("name"))
+		if removal.Type() != fastjson.TypeObject || !isText {
+			return nil, ErrInvalid.New("a removal of %s lacks its name", set)
+		}
+		// There is one item of limits, which has no name.
+		if (name == "") != (set == Limits) {
+			return nil, ErrInvalid.New("a removal of %s names %q", set, name)
+		}
+		version, versionErr := readVersion(removal.Get("version"))
+		if versionErr != nil {
+			return nil, versionErr
+		}
+		items = append(items, Item{Set: set, Name: name, Version: version, Dropped: true})
+	}
+	return items, nil
+}
+
+// textOf gives the text of a value, if it is one.
+func textOf(value *fastjson.Value) (text string, isText bool) {
+	if value == nil || value.Type() != fastjson.TypeString {
+		return "", false
+	}
+	return string(value.GetStringBytes()), true
 }
 
 func readVersion(value *fastjson.Value) (version Version, err error) {
@@ -135,51 +143,68 @@
 }
 
 func readRows(set Set, value *fastjson.Value) (items []Item, err error) {
-	if value.Type() != fastjson.TypeObject {
+	columnNames, rowValues := value.Get("column_names"), value.Get("row_values")
+	if value.Type() != fastjson.TypeObject || !isList(columnNames) || !isList(rowValues) {
 		return nil, ErrInvalid.New("%s must hold column_names and row_values", set)
 	}
-	columnList, rowList := value.Get("column_names"), value.Get("row_values")
-	if columnList == nil || columnList.Type() != fastjson.TypeArray || rowList == nil || rowList.Type() != fastjson.TypeArray {
-		return nil, ErrInvalid.New("%s must hold column_names and row_values", set)
+	columns, err := readColumns(set, columnNames)
+	if err != nil {
+		return nil, err
 	}
-	var columns []string
-	taken := map[string]bool{}
-	for _, column := range columnList.GetArray() {
-		if column.Type() != fastjson.TypeString || taken[string(column.GetStringBytes())] {
+	for _, row := range rowValues.GetArray() {
+		item, rowErr := readRow(set, columns, row)
+		if rowErr != nil {
+			return nil, rowErr
+		}
+		items = append(items, item)
+	}
+	return items, nil
+}
+
+func isList(value *fastjson.Value) bool { return value != nil && value.Type() == fastjson.TypeArray }
+
+func readColumns(set Set, names *fastjson.Value) (columns []string, err error) {
+	seen := map[string]bool{}
+	for _, name := range names.GetArray() {
+		column, isText := textOf(name)
+		if !isText || seen[column] {
 			return nil, ErrInvalid.New("%s: column_names must be distinct texts", set)
 		}
-		taken[string(column.GetStringBytes())] = true
-		columns = append(columns, string(column.GetStringBytes()))
+		seen[column] = true
+		columns = append(columns, column)
+	}
+	return columns, nil
+}
+
+// readRow reads one item. Cells that are null are left out of its fields.
+func readRow(set Set, columns []string, row *fastjson.Value) (item Item, err error) {
+	cells, err := row.Array()
+	if err != nil || len(cells) != len(columns) {
+		return item, ErrInvalid.New("%s: a row does not fit its columns", set)
 	}
-	for _, row := range rowList.GetArray() {
-		cells, cellErr := row.Array()
-		if cellErr != nil || len(cells) != len(columns) {
-			return nil, ErrInvalid.New("%s: a row does not fit its columns", set)
+	item = Item{Set: set}
+	var version *fastjson.Value
+	for i, cell := range cells {
+		if cell.Type() == fastjson.TypeNull {
+			continue
 		}
-		item := Item{Set: set}
-		var version *fastjson.Value
-		for i, cell := range cells {
-			if cell.Type() == fastjson.TypeNull {
-				continue
-			}
-			if columns[i] == "version" {
-				version = cell
+		switch columns[i] {
+		case "version":
+			version = cell
+		case "name":
+			name, isText := textOf(cell)
+			if !isText {
+				return item, ErrInvalid.New("%s: a name must be a text", set)
 			}
-			if columns[i] == "name" {
-				if cell.Type() != fastjson.TypeString {
-					return nil, ErrInvalid.New("%s: a name must be a text", set)
-				}
-				item.Name = string(cell.GetStringBytes())
-			}
-			item.Fields = append(item.Fields, Field{columns[i], cell.String()})
-		}
-		if item.Name == "" {
-			return nil, ErrInvalid.New("%s: a row lacks its name", set)
+			item.Name = name
 		}
-		if item.Version, err = readVersion(version); err != nil {
-			return nil, ErrInvalid.New("%s %s: %v", set, item.Name, err)
-		}
-		items = append(items, item)
+		item.Fields = append(item.Fields, Field{columns[i], cell.String()})
 	}
-	return items, nil
+	if item.Name == "" {
+		return item, ErrInvalid.New("%s: a row lacks its name", set)
+	}
+	if item.Version, err = readVersion(version); err != nil {
+		return item, ErrInvalid.New("%s %s: %v", set, item.Name, err)
+	}
+	return item, nil
 }
