--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -1,6 +1,3 @@
-// Whatever is sent: a refused call changes nothing, the same call is confirmed
-// twice and takes effect once, replicas that apply the same calls, one of them
-// from a snapshot, describe the same, and what is described can be sent.
 package config
 
 import (
@@ -9,57 +6,68 @@
 	"tinpin/internal/dedup"
 )
 
-func copied(t *testing.T, c *Store) (again *Store) {
+// replicaOf restores a store from a snapshot of another.
+func replicaOf(t *testing.T, store *Store) (replica *Store) {
 	t.Helper()
-	again = New()
-	again.SetColumns(c.Columns())
-	if err := again.Restore(c.Items()); err != nil {
+	replica = New()
+	replica.SetColumns(store.Columns())
+	if err := replica.Restore(store.Items()); err != nil {
 		t.Fatal(err)
 	}
 	var err error
-	if again.Superseded, err = dedup.Restore(MaxSuperseded, c.Superseded.Snapshot()); err != nil {
+	if replica.Superseded, err = dedup.Restore(MaxSuperseded, store.Superseded.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	return again
+	return replica
 }
 
-func FuzzCalls(f *testing.F) {
+// Whatever is sent: a rejected update changes nothing; an accepted one is accepted
+// again and takes effect once; replicas that apply the same updates, one of them from
+// a snapshot, describe the same; and what is described can be sent.
+func FuzzUpdates(f *testing.F) {
 	for _, call := range []string{
-		firstCall, at("5"), at("0"), at("1.5"), at("18446744073709551615"), `{}`, `[]`, `{"upserts":null,"removals":{}}`,
-		route("r1", "a.example", "/nine/", "idempotent", "1s", "1s", "s1", "9"), route("r1", "a.example", "/x/", "idempotent", "1s", "1s", "s1", "7"),
-		`{"removals":{"routes":[{"name":"r1","version":12},{"name":"r2","version":12}],"services":[{"name":"s1","version":12}]}}`,
+		firstUpdate, serviceAt("5"), serviceAt("0"), serviceAt("1.5"), serviceAt("18446744073709551615"), `{}`, `[]`,
+		`{"upserts":null,"removals":{}}`,
+		route("r1", "a.example", "/nine/", "idempotent", "1s", "1s", "s1", "9"),
+		route("r1", "a.example", "/x/", "idempotent", "1s", "1s", "s1", "7"),
+		`{"removals":{"routes":[{"name":"r1","version":12},{"name":"r2","version":12}],` +
+			`"services":[{"name":"s1","version":12}]}}`,
 		`{"upserts":{"limits":{"version":9,"x":[1e5,{"a":null}]}},"removals":{"limits":[{"name":"","version":8}]}}`,
-		`{"upserts":{"tenants":{"column_names":["name","hostnames","rate","version"],"row_values":[["t1",["a.example"],5,1]]}}}`,
+		`{"upserts":{"tenants":{"column_names":["name","hostnames","rate","version"],` +
+			`"row_values":[["t1",["a.example"],5,1]]}}}`,
 	} {
-		f.Add([]byte(call), []byte(at("5")))
-		f.Add([]byte(at("5")), []byte(call))
+		f.Add([]byte(call), []byte(serviceAt("5")))
+		f.Add([]byte(serviceAt("5")), []byte(call))
 	}
 	f.Fuzz(func(t *testing.T, one, other []byte) {
-		c := set(t)
+		store := newStore(t)
 		for i, call := range [][]byte{one, other, one, other} {
-			replica := copied(t, c)
-			before, noted := string(c.EncodeUpserts()), c.Superseded.Len()
-			err := c.update(call, uint64(i+2))
-			after := string(c.EncodeUpserts())
-			if err != nil && (after != before || c.Superseded.Len() != noted) {
-				t.Fatalf("refused with %v, and changed", err)
+			replica := replicaOf(t, store)
+			before, remembered := string(store.EncodeUpserts()), store.Superseded.Len()
+			err := store.update(call, uint64(i+2))
+			after := string(store.EncodeUpserts())
+			if err != nil && (after != before || store.Superseded.Len() != remembered) {
+				t.Fatalf("rejected with %v, and changed", err)
 			}
-			// What was not let in never comes to a replica.
+			// An update that cannot be read is not proposed, so no replica gets it.
 			if _, readErr := ParseUpdate(call); readErr != nil {
 				continue
 			}
-			if replicaErr := replica.Apply(call, uint64(i+2)); (replicaErr == nil) != (err == nil) || string(replica.EncodeUpserts()) != after || string(replica.Superseded.Snapshot().Entries) != string(c.Superseded.Snapshot().Entries) {
-				t.Fatalf("replicas part: %v, %v", err, replicaErr)
+			replicaErr := replica.Apply(call, uint64(i+2))
+			sameRecord := string(replica.Superseded.Snapshot().Entries) == string(store.Superseded.Snapshot().Entries)
+			if (replicaErr == nil) != (err == nil) || string(replica.EncodeUpserts()) != after || !sameRecord {
+				t.Fatalf("replicas differ: %v, %v", err, replicaErr)
 			}
 			if err != nil {
 				continue
 			}
-			noted = c.Superseded.Len()
-			if err = c.update(call, uint64(i+20)); err != nil || string(c.EncodeUpserts()) != after || c.Superseded.Len() != noted {
+			remembered = store.Superseded.Len()
+			err = store.update(call, uint64(i+20))
+			if err != nil || string(store.EncodeUpserts()) != after || store.Superseded.Len() != remembered {
 				t.Fatalf("sent again: %v", err)
 			}
 			if err = New().Apply([]byte(`{"upserts":`+after+`}`), 1); err != nil {
-				t.Fatalf("what stands cannot be sent: %v", err)
+				t.Fatalf("the configuration in force cannot be sent: %v", err)
 			}
 		}
 	})
