--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"tinpin/internal/rpc/wire"
+	"tinpin/internal/testutil/wiretest"
 )
 
 // heartbeatOf and updateOf make messages with a number of rows.
@@ -110,7 +111,7 @@
 func TestTypeDescriptionsStaySmall(t *testing.T) {
 	now, before := 0, 0
 	for _, fixture := range wireFixtures {
-		now += len(gobBytes(t, fixture.value))
+		now += len(wiretest.EncodeGob(t, fixture.Value))
 		before += len(readFixture(t, fixture.path(".gob")))
 	}
 	if now > before {
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -24,6 +24,7 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/policy"
+	"tinpin/internal/testutil/wiretest"
 )
 
 // The parts of which requests and replies are made, with every field filled.
@@ -46,7 +47,7 @@
 
 // wireFixtures are the requests and replies of all calls between cores and nodes,
 // in the order of the calls, but for those that only cores make.
-var wireFixtures = []wireFixture{
+var wireFixtures = []wiretest.Fixture{
 	{"beat_request", HeartbeatRequest{
 		Node:       sentNode,
 		KnownState: KnownState{Term: 9, Revision: 1001, LogIndex: 44, LastItem: AfterAllItems, EndpointsComplete: true, LastEndpoint: "pay-9", ShardMapRevision: 12},
@@ -93,7 +94,7 @@
 	{"trace_reply", TraceResponse{Name: "core-1", Present: true, Summary: "5", LogIndex: 31, Entries: []TraceEntry{{Event: "applied", Summary: "5", LogIndex: 31, Age: 3 * time.Second}}}},
 }
 
-func TestSentValuesAreReadAsTheyWere(t *testing.T) { checkWire(t, wireFixtures) }
+func TestSentValuesAreReadAsTheyWere(t *testing.T) { wiretest.Check(t, wireFixtures) }
 
 // packedFixtures are rows that go packed within a reply to a beat.
 var packedFixtures = []struct {
@@ -135,14 +136,14 @@
 func TestCompressedRowsAreReadAsTheyWere(t *testing.T) {
 	for _, fixture := range packedFixtures {
 		path := filepath.Join("testdata", "packed", fixture.name+".bin")
-		if missing(path) {
+		if wiretest.Missing(path) {
 			data, err := fixture.pack()
 			if err != nil {
 				t.Fatal(err)
 			}
-			writeFixture(t, path, data)
+			wiretest.WriteFile(t, path, data)
 		}
-		got, err := fixture.unpack(readFixture(t, path))
+		got, err := fixture.unpack(wiretest.ReadFile(t, path))
 		if err != nil {
 			t.Fatal(fixture.name, err)
 		}
@@ -151,10 +152,10 @@
 		}
 	}
 	golden := filepath.Join("testdata", "packed", "backends.txt")
-	if missing(golden) {
-		writeFixture(t, golden, []byte(wireShape(t, reflect.TypeFor[chunkRows]())))
+	if wiretest.Missing(golden) {
+		wiretest.WriteFile(t, golden, []byte(wiretest.Shape(t, reflect.TypeFor[chunkRows]())))
 	}
-	if diff := cmp.Diff(string(readFixture(t, golden)), wireShape(t, reflect.TypeFor[chunkRows]())); diff != "" {
+	if diff := cmp.Diff(string(wiretest.ReadFile(t, golden)), wiretest.Shape(t, reflect.TypeFor[chunkRows]())); diff != "" {
 		t.Errorf("field names of the packed part of the list (-golden +now):\n%s", diff)
 	}
 }
@@ -167,10 +168,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if missing(path) {
-		writeFixture(t, path, append(now, '\n'))
+	if wiretest.Missing(path) {
+		wiretest.WriteFile(t, path, append(now, '\n'))
 	}
-	data := readFixture(t, path)
+	data := wiretest.ReadFile(t, path)
 	var got ScheduleStep
 	if err = json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
@@ -282,7 +283,7 @@
 	}
 	var want, wantServices []string
 	wantAnswered := map[string][]string{}
-	for _, line := range strings.Split(string(readFixture(t, filepath.Join("testdata", "methods.txt"))), "\n") {
+	for _, line := range strings.Split(string(wiretest.ReadFile(t, filepath.Join("testdata", "methods.txt"))), "\n") {
 		if name, _, found := strings.Cut(line, " "); found {
 			want = append(want, name)
 			service, method, _ := strings.Cut(name, ".")
--- a/internal/testutil/wiretest/wiretest.go
+++ b/internal/testutil/wiretest/wiretest.go
@@ -128,12 +128,12 @@
 				WriteFile(t, fixture.path(".gob"), MostFrequent(func() []byte { return EncodeGob(t, fixture.Value) }))
 			}
 			if Missing(fixture.path(".txt")) {
-				WriteFile(t, fixture.path(".txt"), []byte(wireShape(t, reflect.TypeOf(fixture.Value))))
+				WriteFile(t, fixture.path(".txt"), []byte(Shape(t, reflect.TypeOf(fixture.Value))))
 			}
 			if diff := cmp.Diff(fixture.Value, DecodeGob(t, ReadFile(t, fixture.path(".gob")), fixture.Value)); diff != "" {
 				t.Errorf("decoded value (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(string(ReadFile(t, fixture.path(".txt"))), wireShape(t, reflect.TypeOf(fixture.Value))); diff != "" {
+			if diff := cmp.Diff(string(ReadFile(t, fixture.path(".txt"))), Shape(t, reflect.TypeOf(fixture.Value))); diff != "" {
 				t.Errorf("field names on the wire (-golden +now):\n%s", diff)
 			}
 			filled, count := reflect.New(reflect.TypeOf(fixture.Value)).Elem(), 0
@@ -157,9 +157,9 @@
 	}
 }
 
-// wireShape writes the fields that gob sends of a type, one a line, those of an
+// Shape writes the fields that gob sends of a type, one a line, those of an
 // inner struct indented below it.
-func wireShape(t *testing.T, of reflect.Type) (shape string) {
+func Shape(t *testing.T, of reflect.Type) (shape string) {
 	t.Helper()
 	sent, err := wire.TypeOf(of)
 	if err != nil {
