--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/gob"
 	"fmt"
+	"path/filepath"
 	"reflect"
 	"testing"
 
@@ -112,7 +113,7 @@
 	now, before := 0, 0
 	for _, fixture := range wireFixtures {
 		now += len(wiretest.EncodeGob(t, fixture.Value))
-		before += len(readFixture(t, fixture.path(".gob")))
+		before += len(wiretest.ReadFile(t, filepath.Join("testdata", "wire", fixture.Name+".gob")))
 	}
 	if now > before {
 		t.Errorf("all messages with their types take %d bytes, %d before", now, before)
