--- /dev/null
+++ b/internal/faulttest/fault.go
@@ -0,0 +1,115 @@
+package faulttest
+
+// Trouble is what a stand-in does with one request. Some of it can only be
+// brought about on a stream that has carried a request before, some only on a
+// fresh one; some answers without a run, some runs without an answer.
+
+// Fault of one request.
+type Fault uint8
+
+// The troubles.
+const (
+	None Fault = iota
+	ResetBefore
+	ResetWithin
+	RefusedWithin
+	ResetAfter
+	ResetAfterRun
+	ClosedAfterRun
+	SilentNotRun
+	SilentRun
+	Late
+	Slow
+	Garbled
+	CutShort
+	ResetBehind
+	Duplicated
+	DuplicateBefore
+	WithoutIDBehind
+	WithoutID421Before
+	WithoutIDNotRunBefore
+	WithoutIDSuccessBefore
+	WithoutID421
+	UnknownIDBefore
+	LongerIDBefore
+	TwoIDs
+	TwoLengths
+	NoStatus
+	Interim
+	RunNotRun
+	Rejected
+	RejectedMisdirected
+	RejectedTwice
+	BackendError
+	BackendBusy
+	faultCount
+)
+
+// connectionState a trouble can be brought about.
+type connectionState uint8
+
+const (
+	anyConnection connectionState = iota
+	// onReused streams only, in the place of the answer that is awaited next.
+	onReused
+	onFresh
+	// onBody: only for a request with a body.
+	onBody
+)
+
+// faultSpec of bringing it about: how often among a thousand requests that it fits.
+type faultSpec struct {
+	name        string
+	perThousand int
+	where       connectionState
+}
+
+var faultSpecs = [faultCount]faultSpec{
+	None:                   {"none", 0, anyConnection},
+	ResetBefore:            {"reset before the request", 12, onReused},
+	ResetWithin:            {"reset within the request", 12, onBody},
+	RefusedWithin:          {"refused and reset within the request", 12, onBody},
+	ResetAfter:             {"reset after the request, not run", 8, anyConnection},
+	ResetAfterRun:          {"reset after the request, run", 16, anyConnection},
+	ClosedAfterRun:         {"closed after the request, run", 8, anyConnection},
+	SilentNotRun:           {"silent, not run", 1, anyConnection},
+	SilentRun:              {"silent, run", 1, anyConnection},
+	Late:                   {"late", 1, anyConnection},
+	Slow:                   {"slow", 10, anyConnection},
+	Garbled:                {"garbled", 8, anyConnection},
+	CutShort:               {"cut short", 8, anyConnection},
+	ResetBehind:            {"reset behind the answer", 8, anyConnection},
+	Duplicated:             {"answered twice", 12, anyConnection},
+	DuplicateBefore:        {"the last answer again, then its own", 15, onReused},
+	WithoutIDBehind:        {"421 without an id behind the answer", 12, anyConnection},
+	WithoutID421Before:     {"421 without an id, then its own", 15, onReused},
+	WithoutIDNotRunBefore:  {"not run without an id, then its own", 15, onReused},
+	WithoutIDSuccessBefore: {"a success without an id, then its own", 12, onReused},
+	WithoutID421:           {"421 without an id, not run", 20, onFresh},
+	UnknownIDBefore:        {"an unknown id's answer, then its own", 12, anyConnection},
+	LongerIDBefore:         {"an id of another length, then its own", 8, anyConnection},
+	TwoIDs:                 {"two ids", 8, anyConnection},
+	TwoLengths:             {"two lengths", 8, anyConnection},
+	NoStatus:               {"a status that is no number", 8, anyConnection},
+	Interim:                {"100, then its own", 8, anyConnection},
+	RunNotRun:              {"a success that says not run", 8, anyConnection},
+	Rejected:               {"turned away", 25, anyConnection},
+	RejectedMisdirected:    {"turned away by 421", 4, anyConnection},
+	RejectedTwice:          {"turned away twice", 12, anyConnection},
+	BackendError:           {"its own failure", 8, anyConnection},
+	BackendBusy:            {"503 without a word, run", 8, anyConnection},
+}
+
+// draw picks a trouble, with a number below a thousand, for a request.
+func draw(at int, reused, body bool) (fault Fault) {
+	for fault, spec := range faultSpecs {
+		fits := spec.where == anyConnection || spec.where == onReused && reused || spec.where == onFresh && !reused || spec.where == onBody && body
+		if !fits {
+			continue
+		}
+		if at -= spec.perThousand; at < 0 {
+			return Fault(fault)
+		}
+	}
+	return None
+}
