--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -1,4 +1,4 @@
 package proxy
 
 // DisableChecks has a daemon leave a check out.
-func (d *Daemon) DisableChecks(lapse DisabledChecks) { d.disabledChecks = lapse }
+func (d *Daemon) DisableChecks(checks DisabledChecks) { d.disabledChecks = checks }
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -27,7 +27,7 @@
 	// TargetLatency is the time within which the response is wanted, 0 where none is set.
 	TargetLatency time.Duration
 	Homes         []string
-	Tried         []rpc.EndpointID
+	Attempted     []rpc.EndpointID
 	// Idempotent tells that the request may run twice.
 	Idempotent bool
 	// PlanWeights are the schedule's weights, nil where there is none: regions that
@@ -42,8 +42,8 @@
 	Large bool
 }
 
-func (c *Criteria) wasTried(id rpc.EndpointID) bool {
-	for _, tried := range c.Tried {
+func (c *Criteria) wasAttempted(id rpc.EndpointID) bool {
+	for _, tried := range c.Attempted {
 		if tried == id {
 			return true
 		}
@@ -163,7 +163,7 @@
 
 // permitted reports whether a request may go to a backend at all.
 func (c *selection) permitted(backend *Backend) bool {
-	if c.snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(c.criteria.Homes, string(backend.Region)) || c.criteria.wasTried(backend.ID) {
+	if c.snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(c.criteria.Homes, string(backend.Region)) || c.criteria.wasAttempted(backend.ID) {
 		return false
 	}
 	policies := c.state.Policies
