--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,7 +14,7 @@
 	// choiceLifetime is how long the choice of a backend holds, with all that it was based on;
 	// a node that stood still longer chooses anew.
 	choiceLifetime = time.Second
-	// freshConnOnly as AttemptOptions.MaxIdle wants a new connection.
+	// freshConnOnly as AttemptOptions.MaxIdle excludes every connection that has carried a request.
 	freshConnOnly = -1
 )
 
@@ -24,7 +24,7 @@
 type Attempt struct {
 	Outcome  Outcome
 	Response message.Response
-	// Sent tells that the request has left, so that it counts as an arrival.
+	// Sent tells that bytes of the request have left this node, so that it counts as an arrival.
 	Sent bool
 }
 
@@ -82,7 +82,10 @@
 		return Attempt{Outcome: ConnectionFailed, Sent: true}
 	}
 	// A backend that resets the connection while the request is written may have answered before.
-	reader := responseReader{clock: clock, conn: conn, request: request, startedAt: startedAt, writeFailed: err != nil, disabledChecks: options.DisabledChecks}
+	reader := responseReader{
+		clock: clock, conn: conn, request: request, startedAt: startedAt, writeFailed: err != nil,
+		disabledChecks: options.DisabledChecks,
+	}
 	attempt = reader.readResponse()
 	if attempt.Response.BodyRest != nil {
 		attempt.Response.BodyRest = options.Bandwidth.Limit(attempt.Response.BodyRest)
@@ -94,9 +97,9 @@
 	return attempt
 }
 
-// stillAllowed tells, right before the sending, that the request may still go. The process may
-// have stood still since it looked, and no timer needs to have fired yet: so the clock is read
-// last.
+// stillAllowed tells, right before the request is written, that it may still be sent. The process
+// may have been suspended since the backend was chosen, and timers that have expired meanwhile may
+// not have fired yet; that is why the clock is read last.
 func (o AttemptOptions) stillAllowed(clock Clock, backend *Backend) bool {
 	if o.Permitted != nil && !o.Permitted(backend) {
 		return false
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -17,7 +17,7 @@
 	maxUnavailable = 4 * time.Second
 	// minOverdue is how long beyond its usual latency a backend may be silent before it is suspect.
 	minOverdue = 150 * time.Millisecond
-	// loadReportLifetime is how long what a backend told of its load counts, less with its age.
+	// loadReportLifetime is how long a backend's load report counts; its weight falls with its age.
 	loadReportLifetime = 1500 * time.Millisecond
 	// outcomeReportSpan is how long after a failure the outcomes of a backend are reported.
 	outcomeReportSpan = 4 * time.Second
@@ -29,14 +29,14 @@
 	latencyStep = 0.15
 )
 
-// Backend is one incarnation of a backend as this node deals with it: what the platform and the
-// state cache say of it, what was observed here, and the pool of connections to it. What is observed
-// here may only take a backend out for a while; it never brings one up against the cache. All times
-// are of the node's clock.
+// Backend is one incarnation of a backend as this node deals with it: what the endpoint list and the
+// state cache say of it, what was observed here, and the pool of connections to it. Observations of
+// this node may stop the use of a backend for a while; they never put one back into use that the state
+// cache holds to be unhealthy. All times are of the node's clock.
 type Backend struct {
 	rpc.Endpoint
 	Region rpc.RegionName
-	// listedSummary is the stamp of the endpoint as it was listed last.
+	// listedSummary is the summary of the endpoint list's last entry for this backend.
 	listedSummary string
 
 	mu sync.Mutex
@@ -46,10 +46,11 @@
 	// warmUpUntil is the end of the slow start, warmUpSends what was sent during it.
 	warmUpUntil time.Duration
 	warmUpSends *quota.Window
-	// unavailableUntil is the end of the time in which it is not used, unavailableSpan its length.
+	// The backend is not used before unavailableUntil; unavailableSpan is the length of that time.
 	unavailableUntil time.Duration
 	unavailableSpan  time.Duration
-	// inFlight counts attempts; busySince is when it was last 0, respondedAt when it was last heard.
+	// inFlight counts attempts; busySince is when it last rose from 0, respondedAt when the backend
+	// last responded.
 	inFlight    int
 	busySince   time.Duration
 	respondedAt time.Duration
@@ -63,18 +64,18 @@
 	latencyAt time.Duration
 	stats     *ServiceStats
 	load      reportedLoad
-	// localZone is the zone of this node, for which a backend may be ejected alone.
+	// localZone is the zone of this node; a backend may be ejected for the nodes of one zone only.
 	localZone    string
 	nextCanaryAt time.Duration
 	// failureScore is 0 to 1 as of failureScoreAt.
 	failureScore   float64
 	failureScoreAt time.Duration
-	// outcomes are counted until they are reported, good ones until reportUntil only.
+	// outcomes are counted until they are reported, successes until reportUntil only.
 	outcomes    rpc.OutcomeCount
 	reportUntil time.Duration
 }
 
-// reportedLoad is what a backend said it had to do, and what was sent to it since.
+// reportedLoad is how many requests a backend reported to have, and how many were sent to it since.
 type reportedLoad struct {
 	requests  int
 	sentSince int
@@ -135,8 +136,8 @@
 	}
 }
 
-// countOutcome notes an outcome for the sums of the backend's prober; good ones count only while there is
-// something to report. The caller holds the lock.
+// countOutcome counts an outcome for the node that probes the backend; successes count only while
+// the backend has failures to report or is ejected. The caller holds the lock.
 func (b *Backend) countOutcome(now time.Duration, good bool) {
 	b.stats.countOutcome(good)
 	if good {
@@ -150,8 +151,8 @@
 	b.stats.addReportable(b)
 }
 
-// takeOutcomes gives the outcomes to report of this backend, if it failed lately or is ejected; of a
-// healthy backend nothing is reported.
+// takeOutcomes returns the outcomes counted since it was last called. They are reported only for a
+// backend that failed within outcomeReportSpan or is ejected.
 func (b *Backend) takeOutcomes(now time.Duration) (counts rpc.OutcomeCount, report bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,7 +166,7 @@
 	return counts, counts.Succeeded+counts.Failed > 0
 }
 
-// recentFailures is how much failed here lately, 0 to 1. The caller holds the lock.
+// recentFailures is the failure score, 0 to 1, decayed to a time. The caller holds the lock.
 func (b *Backend) recentFailures(now time.Duration) (score float64) {
 	if b.failureScore == 0 {
 		return 0
@@ -173,9 +174,9 @@
 	return b.failureScore * math.Exp2(-float64(now-b.failureScoreAt)/float64(failureHalfLife))
 }
 
-// overdue tells that the backend has owed a response for longer than is usual and has sent none
-// meanwhile; it may be gone. Of a backend that has never responded, the usual latency is the given,
-// in milliseconds. The caller holds the lock.
+// overdue tells that the backend has had requests in flight for longer than its usual latency and
+// minOverdue without any response; it may be unreachable. defaultLatency, in milliseconds, stands for
+// the latency of a backend that has never responded. The caller holds the lock.
 func (b *Backend) overdue(now time.Duration, defaultLatency float64) bool {
 	if b.inFlight == 0 {
 		return false
@@ -191,7 +192,8 @@
 func (b *Backend) suspect(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now < b.unavailableUntil || now < b.warmUpUntil || b.overdue(now, b.stats.BaselineLatency(balancer.DefaultLatencyMS))
+	return now < b.unavailableUntil || now < b.warmUpUntil ||
+		b.overdue(now, b.stats.BaselineLatency(balancer.DefaultLatencyMS))
 }
 
 // isWarmingUp tells that the backend is in its slow start.
@@ -208,7 +210,7 @@
 	return b.Draining
 }
 
-// noResponseSince tells that nothing was heard from the backend since a time.
+// noResponseSince tells that the backend has responded to no request since a time.
 func (b *Backend) noResponseSince(moment time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -239,8 +241,8 @@
 	b.unavailableUntil = now + b.unavailableSpan
 }
 
-// setReplaced stops the use of the backend because another has its address; the endpoint list will
-// soon lack it.
+// setReplaced stops the use of the backend for maxUnavailable, because another instance answers at
+// its address; the endpoint list is expected to drop it within that time.
 func (b *Backend) setReplaced(now time.Duration) {
 	b.mu.Lock()
 	b.unavailableSpan, b.unavailableUntil = maxUnavailable, now+maxUnavailable
@@ -257,7 +259,9 @@
 	}
 	if state != nil {
 		b.health = state.Health
-		if b.ejected = state.EjectedFor == rpc.EjectedForAllZones || state.EjectedFor != "" && state.EjectedFor == b.localZone; b.ejected {
+		b.ejected = state.EjectedFor == rpc.EjectedForAllZones ||
+			state.EjectedFor != "" && state.EjectedFor == b.localZone
+		if b.ejected {
 			b.stats.addReportable(b)
 		}
 		b.warmUpUntil = 0
@@ -270,20 +274,21 @@
 	}
 }
 
-// observeLoad takes the load that the backend tells of itself.
+// observeLoad records the load that the backend reports of itself in a response.
 func (b *Backend) observeLoad(now time.Duration, text string) {
 	requests, valid := parseLoad(text)
 	if !valid {
 		return
 	}
 	b.mu.Lock()
-	// The request that was answered is still counted in what the backend tells.
+	// The backend still counts the request that this response answers.
 	b.load = reportedLoad{requests: max(0, requests-1), at: now}
 	b.mu.Unlock()
 }
 
-// queuedRequests estimates how many requests the backend has: what it told lately and what was sent
-// to it since, else what this node has there, times the nodes that use it. The caller holds the lock.
+// queuedRequests estimates how many requests the backend has: what it reported last plus what was
+// sent to it since, and with the age of the report more and more what this node has in flight there
+// times the nodes that use the backend. The caller holds the lock.
 func (b *Backend) queuedRequests(now time.Duration, nodes int) (requests float64, reported bool) {
 	own := float64(b.inFlight) * float64(nodes)
 	age := now - b.load.at
--- a/internal/proxy/bandwidth.go
+++ b/internal/proxy/bandwidth.go
@@ -14,9 +14,10 @@
 	bandwidthBurst = 24 << 10
 )
 
-// BandwidthLimiter keeps large responses from filling a thin link. What is streamed is read no faster
-// than a part of the link, so that small responses find their way between; the backend's own connection
-// holds the rest back. All large responses of a node share one limiter: a token bucket of bytes.
+// BandwidthLimiter keeps large responses from filling a slow link. Streamed bodies are read no faster
+// than bandwidthShare of the link, so that small responses are not delayed behind them; flow control of
+// the backend's connection holds the rest back. All streamed responses of a node share one limiter, a
+// token bucket of bytes.
 type BandwidthLimiter struct {
 	mu        sync.Mutex
 	rate      float64
@@ -42,8 +43,8 @@
 	return time.Duration(-l.available / l.rate * float64(time.Second))
 }
 
-// Limit gives a reader that keeps to the limit.
-func (l *BandwidthLimiter) Limit(from io.Reader) (reader io.Reader) {
+// Limit returns a reader that keeps to the limit; a nil limiter has none.
+func (l *BandwidthLimiter) Limit(from io.Reader) io.Reader {
 	if l == nil || l.rate <= 0 {
 		return from
 	}
--- a/internal/proxy/concurrency.go
+++ b/internal/proxy/concurrency.go
@@ -8,31 +8,42 @@
 )
 
 const (
-	windowSamples   = 20
-	slowShare       = 0.6
-	decreaseAbove   = 0.22
-	increaseBelow   = 0.12
-	minConcurrency  = 3
-	maxConcurrency  = 1 << 16
+	// windowSamples is how many responses one decision about the limit is based on.
+	windowSamples = 20
+	// slowShare is the part of the target latency beyond which a response counts as slow.
+	slowShare = 0.6
+	// The limit is decreased where more than decreaseAbove of the responses were slow, and increased
+	// where fewer than increaseBelow were.
+	decreaseAbove  = 0.22
+	increaseBelow  = 0.12
+	decreaseFactor = 0.85
+	increaseFactor = 1.1
+	// fullShare is the part of the limit that must have been in flight before it is increased.
+	fullShare      = 0.8
+	minConcurrency = 3
+	maxConcurrency = 1 << 16
+	// priorityReserve is the part of the limit that each step of priority leaves to higher ones, down
+	// to lowestPriority.
 	priorityReserve = 0.08
 	lowestPriority  = 3
 )
 
-// ConcurrencyLimiter bounds the requests that this node has in flight at one service, by what it
-// observes: when many responses come near or past their target latency, the backends' queues are full
-// of requests that will be late, and sending fewer serves more in time. It knows no capacity; it goes
-// down from what was in flight when responses turned slow and feels its way up again. Requests of lower
-// priority are rejected sooner.
+// ConcurrencyLimiter bounds the requests that this node has in flight at one service, by observed
+// latency: when many responses come near or past their target latency, the backends' queues are full of
+// requests that will be late, and sending fewer serves more in time. The capacity of the service is not
+// known; the limit decreases from what was in flight when responses became slow and increases again step
+// by step. Requests of lower priority are rejected sooner.
 type ConcurrencyLimiter struct {
-	mu          sync.Mutex
-	limit       float64
-	inFlight    int
+	mu       sync.Mutex
+	limit    float64
+	inFlight int
+	// peak is the largest inFlight of the present window, slow and total count its responses.
 	peak        int
 	slow, total int
 }
 
-// NewConcurrencyLimiter begins with the largest limit.
-func NewConcurrencyLimiter() (limiter *ConcurrencyLimiter) {
+// NewConcurrencyLimiter starts with the largest limit.
+func NewConcurrencyLimiter() *ConcurrencyLimiter {
 	return &ConcurrencyLimiter{limit: maxConcurrency}
 }
 
@@ -56,7 +67,7 @@
 	l.mu.Unlock()
 }
 
-// ObserveLatency takes how long one complete response took, and its target latency.
+// ObserveLatency records how long one complete response took, and its target latency.
 func (l *ConcurrencyLimiter) ObserveLatency(took, target time.Duration) {
 	if target <= 0 {
 		return
@@ -73,9 +84,9 @@
 	slowFraction := float64(l.slow) / float64(l.total)
 	switch {
 	case slowFraction > decreaseAbove:
-		l.limit = max(minConcurrency, min(l.limit, float64(l.peak))*0.85)
-	case slowFraction < increaseBelow && float64(l.peak) > 0.8*l.limit:
-		l.limit = min(maxConcurrency, l.limit*1.1+1)
+		l.limit = max(minConcurrency, min(l.limit, float64(l.peak))*decreaseFactor)
+	case slowFraction < increaseBelow && float64(l.peak) > fullShare*l.limit:
+		l.limit = min(maxConcurrency, l.limit*increaseFactor+1)
 	}
 	l.total, l.slow, l.peak = 0, 0, l.inFlight
 }
@@ -100,7 +111,7 @@
 	return limiter
 }
 
-// loads tells how many requests are in flight at each service.
+// loads returns how many requests are in flight at each service.
 func (l *concurrencyLimiters) loads() (loads []rpc.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/disabled_checks.go
+++ b/internal/proxy/disabled_checks.go
@@ -1,20 +1,20 @@
 package proxy
 
-// DisabledChecks is a set of checks of an attempt that are left out. No node leaves one out: mutation tests
-// do, and must find what comes of it.
+// DisabledChecks is a set of safety checks of an attempt that are skipped. In production the set is empty;
+// mutation tests disable one check at a time and must detect the effect.
 type DisabledChecks uint8
 
 // The checks that tests may leave out.
 const (
-	// TrustMissingID takes a response without an id for proof on any connection.
+	// TrustMissingID accepts a rejection without an id as proof on any connection, not only a fresh one.
 	TrustMissingID DisabledChecks = 1 << iota
-	// RetryAfterReset takes the reset of a connection that had been idle for proof that nothing has run.
+	// RetryAfterReset takes the reset of a connection that had been idle as proof that nothing has run.
 	RetryAfterReset
-	// AcceptAnyID takes the first response that comes, whatever its id.
+	// AcceptAnyID accepts the first response that arrives, whatever its id.
 	AcceptAnyID
-	// AcceptFirstID takes the first of two ids for the response's.
+	// AcceptFirstID accepts a response that carries two ids.
 	AcceptFirstID
-	// ReuseRejectingConn asks a backend again over the connection that it rejected on.
+	// ReuseRejectingConn retries at a backend over the connection on which it rejected the request.
 	ReuseRejectingConn
 )
 
--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -3,10 +3,9 @@
 import (
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
@@ -55,12 +54,15 @@
 // mayWaitForCapacity tells whether a request may look for capacity once more, so that a rejection
 // still lets the client retry in time.
 func (d *Daemon) mayWaitForCapacity(plan *Plan) bool {
-	return d.clock.Now()+capacityPollInterval < min(plan.StartedAt+plan.Route.LatencyTarget/capacityWaitDivisor, plan.Deadline)
+	waitEnd := min(plan.StartedAt+plan.Route.LatencyTarget/capacityWaitDivisor, plan.Deadline)
+	return d.clock.Now()+capacityPollInterval < waitEnd
 }
 
-// attemptOrServerError makes the attempts of a plan. Where a backend told of its own failure and
-// no other gave a response, that is the response.
-func (d *Daemon) attemptOrServerError(plan *Plan, limiter *ConcurrencyLimiter) (response message.Response, kind apierror.Kind) {
+// attemptOrServerError makes the attempts of a plan. Where none gave a better response, the last
+// server error of a backend is the response.
+func (d *Daemon) attemptOrServerError(
+	plan *Plan, limiter *ConcurrencyLimiter,
+) (response message.Response, kind apierror.Kind) {
 	response, kind = d.runAttempts(plan, limiter)
 	if kind != apierror.None && plan.LastServerError != nil {
 		return *plan.LastServerError, apierror.None
@@ -106,7 +108,7 @@
 			return response, kind
 		case StepRetry:
 			if plan.BoundBackend != "" {
-				// The same backend is asked again; it gets a moment.
+				// The retry goes to the same backend, which gets a moment to recover capacity.
 				time.Sleep(capacityPollInterval)
 			}
 		}
@@ -126,15 +128,16 @@
 	}
 }
 
-// allowRetry tells whether a plan may be sent once more, to a backend that answers as the service
-// usually does now.
+// allowRetry takes one retry from the budget, for a backend that is expected to answer with the
+// service's present mean latency.
 func (d *Daemon) allowRetry(now time.Duration, plan *Plan, backend *Backend) bool {
 	expected := time.Duration(backend.stats.MeanLatency() * float64(time.Millisecond))
 	return d.retryBudget.SpendRetry(now, now+expected, plan.Deadline, plan.Service)
 }
 
-// attemptOptions says how a plan's request may be sent. A request that may not run twice is lost
-// on a connection that its backend has closed, so its connection must not have been idle long.
+// attemptOptions says how a plan's request may be sent. A request that is not idempotent cannot be
+// retried after its backend turns out to have closed the connection, so its connection must not have
+// been idle long.
 func (d *Daemon) attemptOptions(plan *Plan, chosenAt time.Duration) (options AttemptOptions) {
 	options = AttemptOptions{
 		ChosenAt: chosenAt, Deadline: plan.Deadline, MaxIdle: defaultMaxIdle, Keyed: plan.Key != "",
@@ -142,21 +145,22 @@
 	}
 	if plan.BoundBackend != "" {
 		options.Permitted = func(backend *Backend) bool {
-			return !backend.isDraining() && d.warmUpLeased(backend) && d.state.Policies.KeepsSessions(d.clock.Now(), backend.ID, plan.Service)
+			return !backend.isDraining() && d.warmUpLeased(backend) &&
+				d.state.Policies.KeepsSessions(d.clock.Now(), backend.ID, plan.Service)
 		}
 	}
 	if !plan.Route.Type.Retryable() {
 		options.MaxIdle = d.settings.MaxIdleNonIdempotent
 	}
 	if plan.BoundBackend != "" && plan.wasAttempted(plan.BoundBackend) && !d.disabledChecks.has(ReuseRejectingConn) {
-		// The backend has had this id before: a second copy of its earlier response must not be
-		// taken for the response to this attempt.
+		// An earlier attempt at this backend had the same request id: a duplicate of its response must
+		// not be taken for the response to this attempt.
 		options.MaxIdle = freshConnOnly
 	}
 	return options
 }
 
-// criteria says what backend a plan's next attempt wants.
+// criteria says which backends a plan's next attempt may choose from.
 func (d *Daemon) criteria(plan *Plan, attempted []rpc.EndpointID) (criteria Criteria) {
 	criteria = Criteria{
 		Service: plan.Service, TargetLatency: plan.Route.LatencyTarget, Homes: plan.Route.AllowedRegions, Attempted: attempted,
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// hedgeTargetShare is the part of the target latency after which a silent backend is doubted.
+	// hedgeTargetShare is the part of the target latency after which a request may be hedged.
 	hedgeTargetShare = 0.55
-	// hedgeLatencyFactor is how many times the usual latency must have passed as well: a service
-	// that is pressed is only pressed more by asking twice.
+	// hedgeLatencyFactor is how many times the mean latency must have passed as well: hedged
+	// requests would only add to the load of a service that is slow because it is overloaded.
 	hedgeLatencyFactor = 2.2
 )
 
-// endedAttempt is an attempt that has ended, and with whom.
+// endedAttempt is an attempt that has ended, and its backend.
 type endedAttempt struct {
 	attempt Attempt
 	backend *Backend
 }
 
-// attemptWithHedge sends to one backend. Where the request is idempotent and the backend says
-// nothing for a good part of the target latency, neither to this request nor to any other, a
-// second backend is asked beside it and the first complete response is taken; the other is
-// discarded. Arrivals counts the attempts that were sent.
-func (d *Daemon) attemptWithHedge(plan *Plan, backend *Backend, chosenAt time.Duration, arrivals *int) (attempt Attempt, answering *Backend) {
+// attemptWithHedge sends to one backend. Where the request is idempotent and the backend has
+// responded to no request at all for hedgeDelay, a second backend is sent the same request and the
+// first complete response is taken; the other is discarded. arrivals counts the attempts that were
+// sent.
+func (d *Daemon) attemptWithHedge(
+	plan *Plan, backend *Backend, chosenAt time.Duration, arrivals *int,
+) (attempt Attempt, answering *Backend) {
 	wait := hedgeDelay(plan, backend)
 	if !plan.Route.Type.Retryable() || plan.AttemptsLeft < 2 || wait <= 0 || plan.BoundBackend != "" {
 		attempt = runAttempt(d.clock, backend, plan.Request, d.attemptOptions(plan, chosenAt))
@@ -64,20 +66,21 @@
 	}
 }
 
-// hedgeDelay is how long a backend may be silent before a second one is asked.
+// hedgeDelay is how long a backend may send no response before the request is hedged.
 func hedgeDelay(plan *Plan, backend *Backend) time.Duration {
-	return max(time.Duration(float64(plan.Route.LatencyTarget)*hedgeTargetShare), time.Duration(hedgeLatencyFactor*backend.stats.MeanLatency())*time.Millisecond)
+	targetShare := time.Duration(float64(plan.Route.LatencyTarget) * hedgeTargetShare)
+	return max(targetShare, time.Duration(hedgeLatencyFactor*backend.stats.MeanLatency())*time.Millisecond)
 }
 
-// startAttempt sends to a backend and brings the result on a channel.
+// startAttempt sends to a backend on a goroutine of its own, which sends the result on a channel.
 func (d *Daemon) startAttempt(plan *Plan, backend *Backend, chosenAt time.Duration, ended chan<- endedAttempt) {
 	go func() {
 		ended <- endedAttempt{runAttempt(d.clock, backend, plan.Request, d.attemptOptions(plan, chosenAt)), backend}
 	}()
 }
 
-// hedgeBackend is the second backend to ask, or nil while the first is not silent, no other can
-// be chosen or no retry is allowed.
+// hedgeBackend is the backend for the hedged request, or nil where the first has responded to some
+// request meanwhile, no other can be chosen or no retry is allowed.
 func (d *Daemon) hedgeBackend(plan *Plan, first *Backend, sentAt, now time.Duration) *Backend {
 	if !first.noResponseSince(sentAt) || now >= plan.Deadline {
 		return nil
@@ -90,7 +93,7 @@
 	return second
 }
 
-// discard takes a response that is not needed any more.
+// discard receives the attempt that lost and releases its connection.
 func discard(ended <-chan endedAttempt) {
 	if end := <-ended; end.attempt.Response.Finish != nil {
 		end.attempt.Response.Finish(false)
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -3,19 +3,18 @@
 import (
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
 	"tinpin/internal/healthcheck"
 	"tinpin/internal/idempotency"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
 const (
 	// claimTimeout is how long a request may wait for the claim of its key.
 	claimTimeout = 900 * time.Millisecond
-	// maxClaimRetries is how often a key is claimed again that its holder has given back.
+	// maxClaimRetries is how often a key is claimed again that its holder has released.
 	maxClaimRetries = 3
 )
 
@@ -24,8 +23,8 @@
 func (d *Daemon) executeKeyed(plan *Plan) message.Response {
 	request := plan.Request
 	if d.operations.Released(plan.Key, request.ID) {
-		// The release of this claim may still be under way, and would release a new one of the
-		// same name.
+		// The release of the earlier claim may still be on its way to the leader; it would release a
+		// new claim of the same key and request too.
 		return message.ErrorResponse(apierror.KeyOutcomeUnknown, request.ID)
 	}
 	operation, earlier := d.operations.Begin(plan.Key, request.ID)
@@ -59,19 +58,20 @@
 		claim := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.LatencyTarget/4, limit)
 		switch claim.Outcome {
 		case rpc.ClaimGranted:
-			// The claim is valid for its window from when it was asked for.
+			// The claim is valid for its window from when it was requested.
 			plan.Deadline = min(plan.Deadline, claimedAt+d.settings.Bounds.KeyWindow)
 			return response, true
 		case rpc.ClaimHeld:
 			reply := d.recallFromHolder(plan.Key, claim)
-			if reply.State == rpc.OperationReleased && retries < maxClaimRetries && d.clock.Now()+limit/2 < plan.Deadline {
+			released := reply.State == rpc.OperationReleased
+			if released && retries < maxClaimRetries && d.clock.Now()+limit/2 < plan.Deadline {
 				time.Sleep(d.recallPause)
 				continue
 			}
 			d.operations.Abandon(operation)
 			return d.replay(reply, request.ID), false
 		case rpc.ClaimUnknown:
-			// The claim may stand, but nothing will ever be sent under it.
+			// The leader may have granted the claim, but nothing will ever be sent under it.
 			d.releaseKey(plan, operation)
 		default:
 			d.operations.Abandon(operation)
@@ -80,7 +80,7 @@
 	}
 }
 
-// recallFromHolder asks the holder of a key, which may be this node, how the operation stands.
+// recallFromHolder asks the holder of a key, which may be this node, for the state of the operation.
 func (d *Daemon) recallFromHolder(key string, claim rpc.ClaimResult) (reply rpc.StoredResponse) {
 	if claim.Holder != rpc.NodeID(d.settings.Name) {
 		return d.leader.Recall(claim, key)
@@ -92,7 +92,7 @@
 	return reply
 }
 
-// releaseKey gives the claim of a plan's key back: the request has not run.
+// releaseKey releases the claim of a plan's key, because the request has not run.
 func (d *Daemon) releaseKey(plan *Plan, operation *idempotency.HeldOperation) {
 	d.operations.Release(operation)
 	d.leader.Release(rpc.KeyClaim{Key: plan.Key, Request: plan.Request.ID})
@@ -125,22 +125,25 @@
 	var address string
 	var bestRank uint64
 	for id, node := range snapshot.Nodes {
-		if !node.Ready || node.Stopping || absent[id] || !config.AllowsRegion(plan.Route.AllowedRegions, string(node.Region)) {
+		if !node.Ready || node.Stopping || absent[id] ||
+			!config.AllowsRegion(plan.Route.AllowedRegions, string(node.Region)) {
 			continue
 		}
 		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < bestRank {
 			address, bestRank = node.InternalAddress, rank
 		}
 	}
-	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: response.Status, Headers: response.Headers, Body: response.Body}
-	if address == "" || !d.leader.StoreAt(address, rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: stored}) {
+	store := rpc.StoreRequest{Key: plan.Key, Request: plan.Request.ID, Response: rpc.StoredResponse{
+		State: rpc.OperationCompleted, Status: response.Status, Headers: response.Headers, Body: response.Body,
+	}}
+	if address == "" || !d.leader.StoreAt(address, store) {
 		d.operations.SetLost(operation)
 		return
 	}
 	d.operations.SetMoved(operation, address)
 }
 
-// replay answers a repeat from what the operation's holder told.
+// replay answers a repeated request with the state of the operation at its holder.
 func (d *Daemon) replay(reply rpc.StoredResponse, requestID string) (response message.Response) {
 	switch reply.State {
 	case rpc.OperationRunning:
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -53,7 +53,7 @@
 }
 
 // outcomeTable is the one place that says what each outcome means. The protocol (Backends):
-// only Tinpin-Not-Executed says that a request did not run; after a reset, a close or silence
+// only Tinpin-Not-Executed says that a request did not run; after a reset, a close or a time-out
 // a request that was sent may have run.
 var outcomeTable = [...]outcomeTraits{
 	NotSent:          {name: "not sent", execution: notExecutedProven, health: signBad},
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -4,21 +4,20 @@
 	"slices"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/affinity"
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
 // maxConnectFailures is how many backends may fail to take a request before it is given up.
 const maxConnectFailures = 4
 
-// Plan is the way of one request through this node, made first as data and then executed. After
-// each attempt it says what comes next: another attempt, only where the request is idempotent or
-// proven not to have run; the response; or an error, which promises that nothing ran only if
-// that is so.
+// Plan is how one request is to be handled: newPlan makes it before anything is sent, execute makes
+// its attempts. After each attempt Next decides what follows: a retry, only where the request is
+// idempotent or proven not to have run; the response; or an error, which promises that nothing ran
+// only where that is proven.
 type Plan struct {
 	Route   *config.Route
 	Service rpc.ServiceName
@@ -29,7 +28,7 @@
 	StartedAt    time.Duration
 	Deadline     time.Duration
 	AttemptsLeft int
-	// Attempted are the backends of attempts that have ended.
+	// Attempted lists the backends of attempts that have ended.
 	Attempted []rpc.EndpointID
 	// MayHaveRun is set once an attempt ended without proof that nothing ran.
 	MayHaveRun bool
@@ -56,7 +55,7 @@
 	StepFail
 )
 
-// Next takes the outcome of an attempt and tells what comes next.
+// Next records the outcome of an attempt and decides what comes next.
 func (p *Plan) Next(now time.Duration, backend rpc.EndpointID, attempt Attempt) (step Step, kind apierror.Kind) {
 	if attempt.Sent {
 		p.AttemptsLeft--
@@ -70,7 +69,7 @@
 	}
 	switch attempt.Outcome {
 	case ServerError:
-		// The backend's own failure is its response, unless another may be asked.
+		// The server error is the response, unless another attempt is allowed.
 		if !p.Route.Type.Retryable() || p.AttemptsLeft <= 0 || now >= p.Deadline {
 			return StepRespond, apierror.None
 		}
@@ -95,8 +94,8 @@
 	return StepRetry, apierror.None
 }
 
-// errorKind is the given kind, a promise that nothing ran, where that is so, and else the kind
-// that says that the response was lost.
+// errorKind returns kind, which promises that nothing ran, unless the request may have run; then
+// it returns BackendFailed, which promises nothing.
 func (p *Plan) errorKind(kind apierror.Kind) apierror.Kind {
 	if p.MayHaveRun {
 		return apierror.BackendFailed
--- a/internal/proxy/planning.go
+++ b/internal/proxy/planning.go
@@ -6,18 +6,19 @@
 	"strings"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 )
 
-// defaultRouteTimeout is how long a request is held where its route sets no time.
+// defaultRouteTimeout is the timeout of a request whose route sets none.
 const defaultRouteTimeout = time.Minute
 
-// newPlan makes the plan of a request, or says why there is none. The tenant's limit comes first:
-// a request beyond it takes nothing.
-func (d *Daemon) newPlan(request *message.Request, deadline string) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
+// newPlan makes the plan of a request, or says why there is none. The tenant's limit is checked
+// before anything is recorded, so that a request beyond it has no other effect.
+func (d *Daemon) newPlan(
+	request *message.Request, deadline string,
+) (plan *Plan, kind apierror.Kind, retryAfter time.Duration) {
 	snapshot := d.state.Snapshot()
 	now := d.clock.Now()
 	route, kind := d.findRoute(snapshot, request)
@@ -53,7 +54,7 @@
 	return plan, apierror.None, 0
 }
 
-// findRoute gives the route of a request that may be handled at all.
+// findRoute returns the route of a request, or the error of one that cannot be handled now.
 func (d *Daemon) findRoute(snapshot *Snapshot, request *message.Request) (route *config.Route, kind apierror.Kind) {
 	if d.state.Policies.Isolated() {
 		return nil, apierror.Isolated
@@ -72,14 +73,15 @@
 	case request.ID == "":
 		return nil, apierror.BadRequest
 	case request.Pipelined && !route.Type.Retryable():
-		// The route has changed since the frontend looked.
+		// The frontend handles only idempotent requests ahead of earlier responses: the route has
+		// changed since it looked.
 		return nil, apierror.Overloaded
 	}
 	return route, apierror.None
 }
 
-// timeLeft is how long a request may take: what its route allows and its client waits. A client's
-// deadline that is no number is ignored.
+// timeLeft is how long a request may take: the smaller of its route's timeout and its client's
+// deadline in milliseconds. A deadline that is not a number is ignored.
 func timeLeft(route *config.Route, deadline string) (left time.Duration) {
 	left = route.Timeout
 	if left <= 0 {
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -11,7 +11,7 @@
 const (
 	// dialTimeout is the longest time for a connection to a backend to come up.
 	dialTimeout = 450 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged before a connection breaks.
+	// unackedTimeout is how long sent bytes may stay unacknowledged before a connection fails.
 	unackedTimeout = 800 * time.Millisecond
 	// readBufferBytes is the receive buffer of the kernel for a connection to a backend.
 	readBufferBytes = 16 << 10
@@ -25,14 +25,15 @@
 	raw     syscall.RawConn
 	reader  *lineReader
 	backend *Backend
-	// fresh tells that no request was ever sent on it.
+	// fresh tells that no request was sent on it before the present one.
 	fresh bool
-	// idleSince is when it was put back last, expiresAt when it may not be used any more.
+	// idleSince is when it was returned to the pool last, expiresAt when it may not be reused any more.
 	idleSince time.Duration
 	expiresAt time.Duration
 }
 
-// isQuiet tells that nothing has arrived and the other side has not closed.
+// isQuiet tells that no bytes have arrived and the backend has not closed the connection. It looks at
+// the socket without blocking and without consuming anything.
 func (c *Conn) isQuiet() (quiet bool) {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -46,8 +47,8 @@
 	return quiet && err == nil
 }
 
-// takeIdle gives an idle connection that can be used, newest first, or nil. One that has been idle
-// longer than maxIdle is left where it is.
+// takeIdle takes the most recently used idle connection that is still usable, or nil. One that has
+// been idle longer than maxIdle stays in the pool.
 func (b *Backend) takeIdle(now, maxIdle time.Duration) (conn *Conn) {
 	for {
 		b.mu.Lock()
@@ -91,7 +92,7 @@
 		b.mu.Unlock()
 		return nil, err
 	}
-	// What is not read yet is held back by the backend, not on this node's link.
+	// A small receive buffer leaves what is not read yet with the backend, off this node's link.
 	_ = netConn.(*net.TCPConn).SetReadBuffer(readBufferBytes)
 	raw, err := netConn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -116,7 +117,7 @@
 	b.mu.Unlock()
 }
 
-// untrackActive notes that a connection carries its request no more.
+// untrackActive ends what trackActive began.
 func (b *Backend) untrackActive(conn *Conn) {
 	b.mu.Lock()
 	delete(b.activeConns, conn)
@@ -135,7 +136,7 @@
 	}
 }
 
-// putIdle puts a connection back that is fit to be used again, for as long as the backend keeps it.
+// putIdle returns a reusable connection to the pool, for keepAlive at most.
 func (b *Backend) putIdle(now time.Duration, conn *Conn, keepAlive time.Duration) {
 	conn.idleSince, conn.expiresAt = now, now+min(keepAlive, b.stats.MaxIdle(now))
 	b.mu.Lock()
@@ -148,7 +149,8 @@
 	b.mu.Unlock()
 }
 
-// closeIdle closes the idle connections that have expired, or all of them for good.
+// closeIdle closes the idle connections that have expired. With all it closes every one, and the pool
+// takes none any more.
 func (b *Backend) closeIdle(now time.Duration, all bool) {
 	b.mu.Lock()
 	var expired []*Conn
--- a/internal/proxy/response_headers.go
+++ b/internal/proxy/response_headers.go
@@ -10,9 +10,9 @@
 const (
 	// defaultKeepAlive is how long a connection to a backend that names no time may stay idle.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is how much sooner than a backend says its connection is given up.
+	// keepAliveMargin is how much sooner than announced by a backend its connection expires here.
 	keepAliveMargin = 700 * time.Millisecond
-	// maxLoadNumber is the largest number that a backend's load is believed to hold.
+	// maxLoadNumber is the largest number that is accepted in a backend's load report.
 	maxLoadNumber = 1 << 20
 )
 
@@ -28,7 +28,7 @@
 	return keepAlive
 }
 
-// parseWarmUp reads how long a backend stays cold: a time with its unit, or a number of
+// parseWarmUp reads how long a backend is still warming up: a duration with its unit, or a number of
 // milliseconds.
 func parseWarmUp(text string) (left time.Duration, ok bool) {
 	if left, err := time.ParseDuration(text); err == nil {
@@ -40,8 +40,8 @@
 	return 0, false
 }
 
-// parseLoad reads what a backend tells of its load: the requests that run, those that wait,
-// and its slots. What does not parse, or is negative or absurd, is ignored.
+// parseLoad reads a backend's load report: the requests that run, those that wait, and its slots. One
+// that does not parse, or holds a negative or implausible number, is ignored.
 func parseLoad(text string) (requests int, ok bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
--- a/internal/proxy/response_reader.go
+++ b/internal/proxy/response_reader.go
@@ -8,9 +8,8 @@
 	"syscall"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
+	"tinpin/internal/message"
 )
 
 // maxSkippedResponses is how many interim responses, and how many responses to other requests,
@@ -26,7 +25,7 @@
 type responseOwner uint8
 
 const (
-	// ownerUnnamed: the response carries no id.
+	// ownerUnnamed: the response carries no request id.
 	ownerUnnamed responseOwner = iota
 	ownerThisRequest
 	ownerOtherRequest
@@ -47,16 +46,16 @@
 	return ownerOtherRequest
 }
 
-// notExecuted tells that a response says that its request was not run.
+// notExecuted tells that a response reports that its request was not run.
 func notExecuted(response *http.Response) bool {
 	return response.StatusCode >= 400 &&
 		(response.Header.Get(message.HeaderNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest)
 }
 
-// responseReader reads the response to one request. A response is taken only if it is complete,
-// carries the request's id and no other and, as a success, the backend's stamp; one that belongs
-// to another request is skipped. A response without an id that says that the request was not run
-// counts only on a fresh connection, where it cannot belong to an earlier request.
+// responseReader reads the response to one request. A response is accepted only if it is complete,
+// carries the request's id and no other and, if it is a success, the backend's signature; one that
+// belongs to another request is skipped. A response without an id that reports that the request was
+// not run counts only on a fresh connection, where it cannot belong to an earlier request.
 type responseReader struct {
 	clock     Clock
 	conn      *Conn
@@ -80,16 +79,16 @@
 	return owner
 }
 
-// nothingReceived tells that nothing has come on the connection since the request was written.
+// nothingReceived tells that no response has been read since the request was written.
 func (r *responseReader) nothingReceived() bool { return r.interim+r.skipped == 0 }
 
-// unnamedIsOurs tells that a response without an id can only be about this request: nothing else
-// was ever asked on the connection.
+// unnamedIsOurs tells that a response without an id can only belong to this request, because no
+// other was ever sent on the connection.
 func (r *responseReader) unnamedIsOurs() bool {
 	return r.conn.fresh && r.nothingReceived() || r.disabledChecks.has(TrustMissingID)
 }
 
-// readFailed is the attempt whose connection brings no further response.
+// readFailed closes the connection and ends the attempt after an error of reading.
 func (r *responseReader) readFailed(err error) Attempt {
 	r.conn.backend.closeConn(r.conn)
 	switch {
@@ -110,7 +109,8 @@
 	return Attempt{Outcome: outcome}
 }
 
-// releaseConn puts the connection back if it is in step and may be used again.
+// releaseConn returns the connection to the pool if it may be reused, and closes it otherwise. It may
+// be reused only while every request on it has had exactly one response and nothing is left unread.
 func (r *responseReader) releaseConn(response *http.Response, keepAlive time.Duration, complete bool) {
 	backend := r.conn.backend
 	inStep := complete && !r.writeFailed && r.skipped == 0 && r.conn.reader.Buffered() == 0
@@ -122,8 +122,8 @@
 	backend.closeConn(r.conn)
 }
 
-// readResponse reads up to the response to the request and puts the connection back if it may
-// be used again.
+// readResponse reads interim responses and responses to other requests up to the one to this request,
+// and releases the connection.
 func (r *responseReader) readResponse() Attempt {
 	for {
 		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: r.request.Method})
@@ -148,8 +148,8 @@
 	}
 }
 
-// takeFinal reads the body of a response that is not interim and tells what the response makes
-// of the attempt, or that it is to be skipped.
+// takeFinal reads the body of a final response. It returns the attempt that the response ends, or that
+// the response is to be skipped.
 func (r *responseReader) takeFinal(response *http.Response) (attempt Attempt, skip bool) {
 	owner := r.owner(response)
 	body, complete, rest := readBody(response, bufferLimit(r.request))
@@ -192,7 +192,10 @@
 	if response.StatusCode >= 500 {
 		outcome = ServerError
 	}
-	result := message.Response{Status: response.StatusCode, Headers: message.ReturnedHeaders(response.Header), Body: body, ContentLength: int64(len(body))}
+	result := message.Response{
+		Status: response.StatusCode, Headers: message.ReturnedHeaders(response.Header),
+		Body: body, ContentLength: int64(len(body)),
+	}
 	if r.request.Method == http.MethodHead {
 		result.NoBody = true
 		result.ContentLength = max(0, response.ContentLength)
@@ -210,7 +213,7 @@
 	return Attempt{Outcome: outcome, Response: result}
 }
 
-// observeHeaders takes what a backend tells of itself beside a response.
+// observeHeaders records what a backend reports of itself in the headers of a response.
 func (r *responseReader) observeHeaders(header http.Header) {
 	backend := r.conn.backend
 	if text := header.Get(message.HeaderColdRemaining); text != "" {
@@ -224,15 +227,15 @@
 }
 
 // contradictory tells that a response cannot be passed on: a success without the backend's
-// stamp or with the word that it was not run, or a status that promises that the request has
-// not run without that word.
+// signature, a success with Tinpin-Not-Executed, or a status that promises to the client that the
+// request has not run although the backend does not say so.
 func contradictory(response *http.Response) bool {
 	return response.StatusCode < 300 && response.Header.Get(message.HeaderResponseSignature) == "" ||
 		response.Header.Get(message.HeaderNotExecuted) != "" || apierror.PromisesNotRun(response.StatusCode)
 }
 
-// bufferLimit is how many bytes of a body are read before the response is passed on: one that is read
-// completely can still be replaced by another backend's.
+// bufferLimit is how many bytes of a body are read before the response is passed on. A response that
+// is buffered completely can still be replaced by that of a retry.
 func bufferLimit(request *message.Request) int64 {
 	if request.StreamBody {
 		return maxStreamedPrefix
@@ -240,9 +243,8 @@
 	return maxBufferedBody
 }
 
-// readBody reads a body completely where it is small; of a large one it gives the beginning and
-// a reader of the rest. A body that only the end of the connection ends cannot be told from one
-// cut short and is not taken.
+// readBody reads a small body completely; of a large one it returns the beginning and a reader of the
+// rest. A body that ends only with its connection cannot be told from a truncated one and is refused.
 func readBody(response *http.Response, limit int64) (body []byte, complete bool, rest io.Reader) {
 	if response.Body == http.NoBody || response.ContentLength == 0 {
 		return nil, true, nil
--- a/internal/proxy/service_stats.go
+++ b/internal/proxy/service_stats.go
@@ -8,8 +8,8 @@
 const (
 	// defaultMaxIdle is how long a connection may stay idle while none was found stale.
 	defaultMaxIdle = time.Minute
-	// A stale connection lowers the limit to maxIdleBackoff of the time it was idle, not below
-	// minMaxIdle, for maxIdleMemory.
+	// A stale connection lowers the limit to maxIdleBackoff of the time that it was idle, but not
+	// below minMaxIdle, until none was found stale for maxIdleMemory.
 	minMaxIdle     = 40 * time.Millisecond
 	maxIdleBackoff = 0.6
 	maxIdleMemory  = 6 * time.Second
@@ -18,21 +18,23 @@
 	warmUpSamples = 20
 	// baselineGrowth is the part by which the baseline latency may grow in a second.
 	baselineGrowth = 0.02
-	// baselineMargin makes up for the least of many means being too low by about the spread of a mean.
+	// baselineMargin corrects for the minimum of many moving averages being lower than their expected
+	// value, by about the spread of one average.
 	baselineMargin = 1.25
 )
 
-// ServiceStats is what a node knows of a service as a whole: how long its responses take, and how long
-// a connection may stay idle before its backends have been seen to close it without a word. A request
-// on such a connection is lost to a reset; so connections expire before that age, and the age is raised
-// again once none was found stale for a while.
+// ServiceStats holds what a node has observed of a service as a whole: how long its responses take, and
+// how long a connection may stay idle before its backends close it without notice. A request that is
+// sent on such a connection meets a reset; so connections expire before that age, and the limit is
+// lifted again once none was found stale for a while.
 type ServiceStats struct {
 	mu sync.Mutex
 	// good and bad count outcomes since they were reported.
 	good, bad uint32
 	// reportable are the backends whose outcomes may have to be reported.
 	reportable map[*Backend]bool
-	// meanLatency is a moving average in milliseconds, baselineLatency its least lately, as of baselineAt.
+	// meanLatency is a moving average in milliseconds, baselineLatency its recent minimum, as of
+	// baselineAt.
 	meanLatency     float64
 	baselineLatency float64
 	baselineAt      time.Duration
@@ -53,7 +55,7 @@
 	}
 }
 
-// addReportable notes that the outcomes of a backend may have to be reported.
+// addReportable adds a backend whose outcomes may have to be reported.
 func (s *ServiceStats) addReportable(backend *Backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,14 +75,14 @@
 	return backends
 }
 
-// removeReportable takes back markReportable.
+// removeReportable undoes addReportable.
 func (s *ServiceStats) removeReportable(backend *Backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.reportable, backend)
 }
 
-// takeCounts gives the counts since it was last called.
+// takeCounts returns the counts since it was last called.
 func (s *ServiceStats) takeCounts() (good, bad uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +91,7 @@
 	return good, bad
 }
 
-// ObserveLatency takes how long one complete response took.
+// ObserveLatency records how long one complete response took.
 func (s *ServiceStats) ObserveLatency(now, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +111,8 @@
 }
 
 // BaselineLatency is how many milliseconds a response took on average while the service was least
-// loaded lately, or the given while little is known. It is what may be expected of a backend that was
-// not asked for a while.
+// loaded lately, or defaultLatency during the first warmUpSamples. It is the expected latency of a
+// backend that was sent nothing for a while.
 func (s *ServiceStats) BaselineLatency(defaultLatency float64) (latency float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +129,7 @@
 	return s.meanLatency
 }
 
-// ObserveStaleConn takes how long a connection had been idle that its backend had closed.
+// ObserveStaleConn records how long a connection had been idle that its backend had closed.
 func (s *ServiceStats) ObserveStaleConn(now, idle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/tenant_limits.go
+++ b/internal/proxy/tenant_limits.go
@@ -30,7 +30,7 @@
 	mu           sync.Mutex
 	buckets      map[string]*quota.TokenBucket
 	wantedMoreAt time.Duration
-	// nextReported is the first idle tenant to report next.
+	// nextReported is the index of the first idle tenant to report next.
 	nextReported int
 }
 
@@ -86,9 +86,9 @@
 	}
 }
 
-// Demands reports the demand of tenants at this node: all that had requests lately, and of the others so
-// many in turn that a heartbeat stays small however many tenants there are. What an idle tenant holds
-// then is its guaranteed minimum.
+// Demands reports the demand of tenants at this node: all that had requests lately, and
+// maxIdleDemands of the others in turn, so that a heartbeat stays small however many tenants there are.
+// What an idle tenant is leased meanwhile is its guaranteed minimum.
 func (l *TenantLimits) Demands(tenants []*config.Tenant) (demands []rpc.RateDemand) {
 	l.mu.Lock()
 	from := l.nextReported
@@ -105,7 +105,9 @@
 		}
 		l.mu.Unlock()
 		if inTurn || rate > idleRate {
-			demands = append(demands, rpc.RateDemand{Name: tenant.Name, Rate: rate, Minimum: l.leasedPart(rpc.TenantMinimum, tenant.Name)})
+			demands = append(demands, rpc.RateDemand{
+				Name: tenant.Name, Rate: rate, Minimum: l.leasedPart(rpc.TenantMinimum, tenant.Name),
+			})
 		}
 	}
 	return demands
