--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -1,7 +1,8 @@
 package proxy
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"tinpin/internal/balancer"
 	"tinpin/internal/config"
@@ -72,7 +73,7 @@
 		services[backend.Service] = append(services[backend.Service], backend)
 	}
 	for _, backends := range services {
-		sort.Slice(backends, func(i, j int) bool { return backends[i].ID < backends[j].ID })
+		slices.SortFunc(backends, func(a, b *Backend) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return services
 }
