--- a/cmd/tinpin-simulate/main.go
+++ b/cmd/tinpin-simulate/main.go
@@ -154,7 +154,7 @@
 	}
 	_, _ = fmt.Fprintln(out, "injectable bugs:")
 	for _, known := range simulation.InjectedBugTexts {
-		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Plant, known.Text)
+		_, _ = fmt.Fprintf(out, "  %-14s %s\n", known.Bug, known.Text)
 	}
 }
 
--- a/internal/simulation/caller.go
+++ b/internal/simulation/caller.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	callLimit  = time.Second
-	orderLimit = 7 * time.Second
+	callTimeout    = time.Second
+	requestTimeout = 7 * time.Second
 )
 
 // Caller is one operator or edge.
 type Caller struct {
-	cluster *Cluster
-	number  int
-	rng     *rand.Rand
-	leader  *Controller
-	busy    int
+	cluster  *Cluster
+	number   int
+	rng      *rand.Rand
+	leader   *Controller
+	inFlight int
 }
 
 // reply is what comes back from a core: elsewhere it says who leads, if it knows.
@@ -31,17 +31,17 @@
 }
 
 // pick chooses the core that led when last heard, or any.
-func (c *Caller) pick(after *Controller) (core *Controller) {
+func (c *Caller) pick(after *Controller) (controller *Controller) {
 	if c.rng.Intn(3) > 0 && c.leader != nil && c.leader != after && c.leader.up {
 		return c.leader
 	}
-	cores := c.cluster.remaining()
-	return cores[c.rng.Intn(len(cores))]
+	controllers := c.cluster.remaining()
+	return controllers[c.rng.Intn(len(controllers))]
 }
 
 // attempt asks one core once.
-func (c *Caller) attempt(history *History, asked call, to *Controller, handle func(reply func(reply)), done func(reply reply, core *Controller)) {
-	op := history.begin(c.number, asked, c.cluster.events.now)
+func (c *Caller) attempt(history *History, requested call, to *Controller, handle func(reply func(reply)), done func(reply reply, controller *Controller)) {
+	op := history.begin(c.number, requested, c.cluster.events.now)
 	open := true
 	c.cluster.network.ask(to, func(back func(func())) {
 		handle(func(answer reply) {
@@ -60,7 +60,7 @@
 			})
 		})
 	})
-	c.cluster.events.After(callLimit, func() {
+	c.cluster.events.After(callTimeout, func() {
 		if open {
 			open = false
 			done(reply{}, to)
@@ -69,45 +69,45 @@
 }
 
 // askUntilAnswered asks until there is a clear answer or the time is up.
-func (c *Caller) askUntilAnswered(history *History, asked call, handle func(core *Controller, reply func(reply)), done func(observed observation)) {
-	until := c.cluster.events.now + orderLimit
+func (c *Caller) askUntilAnswered(history *History, requested call, handle func(controller *Controller, reply func(reply)), done func(observed observation)) {
+	until := c.cluster.events.now + requestTimeout
 	var try func(to *Controller)
 	follow := 0
 	try = func(to *Controller) {
-		c.attempt(history, asked, to, func(back func(reply)) { handle(to, back) }, func(answer reply, core *Controller) {
+		c.attempt(history, requested, to, func(back func(reply)) { handle(to, back) }, func(answer reply, controller *Controller) {
 			switch {
 			case answer.redirected && answer.leader != nil && follow < 2:
 				follow++
 				c.leader = answer.leader
 				try(answer.leader)
 			case answer.outcome.outcome != unknown:
-				c.leader = core
+				c.leader = controller
 				done(answer.outcome)
 			case c.cluster.events.now > until || c.cluster.ending:
 				done(observation{})
 			default:
-				if c.leader == core {
+				if c.leader == controller {
 					c.leader = nil
 				}
 				follow = 0
-				c.cluster.events.After(time.Duration(30+c.rng.Intn(300))*time.Millisecond, func() { try(c.pick(core)) })
+				c.cluster.events.After(time.Duration(30+c.rng.Intn(300))*time.Millisecond, func() { try(c.pick(controller)) })
 			}
 		})
 	}
 	try(c.pick(nil))
 }
 
-// order has a register changed, and now and then sends the same again later.
-func (c *Caller) order(o Request, again int) {
-	c.busy++
-	c.askUntilAnswered(o.history, o.call, func(core *Controller, back func(reply)) { core.handleRequest(o, back) }, func(answer observation) {
-		c.busy--
+// submit has a register changed, and now and then sends the same again later.
+func (c *Caller) submit(o Request, again int) {
+	c.inFlight++
+	c.askUntilAnswered(o.history, o.call, func(controller *Controller, back func(reply)) { controller.handleRequest(o, back) }, func(answer observation) {
+		c.inFlight--
 		c.cluster.count(answer)
 		if again > 0 && !c.cluster.ending && c.rng.Intn(3) == 0 {
 			c.cluster.events.After(time.Duration(c.rng.Intn(4000))*time.Millisecond, func() {
 				if !c.cluster.ending {
 					o.reworded = !o.reworded
-					c.order(o, again-1)
+					c.submit(o, again-1)
 				}
 			})
 		}
@@ -116,9 +116,9 @@
 
 // read reads a register through the leader.
 func (c *Caller) read(history *History, done func()) {
-	c.busy++
-	c.askUntilAnswered(history, call{verb: read}, func(core *Controller, back func(reply)) { core.handleRead(history, back) }, func(observation) {
-		c.busy--
+	c.inFlight++
+	c.askUntilAnswered(history, call{verb: read}, func(controller *Controller, back func(reply)) { controller.handleRead(history, back) }, func(observation) {
+		c.inFlight--
 		done()
 	})
 }
--- a/internal/simulation/case.go
+++ b/internal/simulation/case.go
@@ -104,7 +104,7 @@
 		return kept, Class.New("%s is not a case: %v", path, err)
 	}
 	for _, fault := range kept.Faults {
-		if kinds, kindErr := ParseFaultKinds(string(fault.Kind)); kindErr != nil || len(kinds) != 1 || fault.At < 0 || fault.Span < 0 || fault.Core < 0 {
+		if kinds, kindErr := ParseFaultKinds(string(fault.Kind)); kindErr != nil || len(kinds) != 1 || fault.At < 0 || fault.Span < 0 || fault.Controller < 0 {
 			return kept, Class.New("%s: the trouble %q at %s cannot be brought about", path, fault.Kind, fault.At)
 		}
 	}
@@ -112,6 +112,6 @@
 }
 
 // Replay plays the case again and tells each step.
-func (c Case) Replay(noted func(line string)) (result RunResult) {
-	return PlayWith(c.Seed, c.Options, c.Faults, noted)
+func (c Case) Replay(onEvent func(line string)) (result RunResult) {
+	return PlayWith(c.Seed, c.Options, c.Faults, onEvent)
 }
--- a/internal/simulation/case_test.go
+++ b/internal/simulation/case_test.go
@@ -15,7 +15,7 @@
 	return options
 }
 
-func TestSameSeedSameVerdict(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	for seed := int64(1); seed <= 4; seed++ {
 		first, second := Play(seed, small("")), Play(seed, small(""))
 		if diff := cmp.Diff(first, second); diff != "" {
@@ -25,7 +25,7 @@
 }
 
 // A case that broke is made shorter, kept, and breaks again when it is read back.
-func TestACaseIsShortenedAndReplays(t *testing.T) {
+func TestCaseIsShortenedAndReplays(t *testing.T) {
 	options := small(CommitWithoutQuorum)
 	options.Faults = []FaultKind{Cut, Storm, Freeze, Reset}
 	var result RunResult
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCasesThatCannotBePlayedAreRefused(t *testing.T) {
+func TestInvalidCasesAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "case.json")
 	for _, text := range []string{"", "[]", `{"options":{}}`, `{"options":{"length":1000000000,"cores":3,"losses":1,"operators":1,"edges":1,"gap":1000000000,"catch_up":4000000000},"troubles":[{"kind":"quake"}]}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -30,7 +30,7 @@
 	options           Options
 	events            EventQueue
 	rng               *rand.Rand
-	cores             []*Controller
+	controllers       []*Controller
 	network           *Network
 	invariants        *InvariantChecker
 	callers           int
@@ -53,8 +53,8 @@
 	unchecked int
 }
 
-func newCluster(seed int64, options Options, noted func(line string)) (w *Cluster) {
-	w = &Cluster{options: options, rng: rand.New(rand.NewSource(seed)), counts: map[outcome]int{}, onEvent: noted}
+func newCluster(seed int64, options Options, onEvent func(line string)) (w *Cluster) {
+	w = &Cluster{options: options, rng: rand.New(rand.NewSource(seed)), counts: map[outcome]int{}, onEvent: onEvent}
 	w.network, w.invariants = newNetwork(w, w.forkRNG()), newInvariantChecker(w)
 	var founders []raft.Member
 	for i := range options.Controllers {
@@ -69,7 +69,7 @@
 		if i < 3 {
 			id, base = raft.ID("founder-"+host), raft.Snapshot{Index: 1, Term: 1, Members: founders}
 		}
-		w.addCore(host, id, base).start()
+		w.addController(host, id, base).start()
 	}
 	w.document = w.newHistory(Versioned, "document/drain-policy")
 	for range 3 {
@@ -77,7 +77,7 @@
 	}
 	for range options.Operators {
 		operator := &Operator{w.newCaller()}
-		w.events.After(time.Duration(operator.rng.Intn(800))*time.Millisecond, operator.live)
+		w.events.After(time.Duration(operator.rng.Intn(800))*time.Millisecond, operator.run)
 	}
 	for range options.Edges {
 		edge := &Edge{Caller: w.newCaller()}
@@ -96,14 +96,14 @@
 	return host
 }
 
-func (w *Cluster) addCore(host string, id raft.ID, base raft.Snapshot) (core *Controller) {
+func (w *Cluster) addController(host string, id raft.ID, base raft.Snapshot) (controller *Controller) {
 	disk, err := newDisk(id, base, w.options.InjectedBug)
 	if err != nil {
 		w.fail("%v", err)
 	}
-	core = &Controller{cluster: w, host: host, member: raft.Member{ID: id, Inner: host}, disk: disk, rng: w.forkRNG()}
-	w.cores = append(w.cores, core)
-	return core
+	controller = &Controller{cluster: w, host: host, member: raft.Member{ID: id, Inner: host}, disk: disk, rng: w.forkRNG()}
+	w.controllers = append(w.controllers, controller)
+	return controller
 }
 
 func (w *Cluster) newCaller() (caller *Caller) {
@@ -186,19 +186,19 @@
 }
 
 // remaining lists the cores that have not gone for good.
-func (w *Cluster) remaining() (cores []*Controller) {
-	for _, core := range w.cores {
-		if !core.gone {
-			cores = append(cores, core)
+func (w *Cluster) remaining() (controllers []*Controller) {
+	for _, controller := range w.controllers {
+		if !controller.gone {
+			controllers = append(controllers, controller)
 		}
 	}
-	return cores
+	return controllers
 }
 
 func (w *Cluster) establishedLeader() (leader *Controller) {
-	for _, core := range w.cores {
-		if core.up && !core.frozen && core.raft.CommittedInTerm() && (leader == nil || core.raft.Term() > leader.raft.Term()) {
-			leader = core
+	for _, controller := range w.controllers {
+		if controller.up && !controller.frozen && controller.raft.CommittedInTerm() && (leader == nil || controller.raft.Term() > leader.raft.Term()) {
+			leader = controller
 		}
 	}
 	return leader
@@ -212,8 +212,8 @@
 
 // close puts the disks away.
 func (w *Cluster) close() {
-	for _, core := range w.cores {
-		_ = core.disk.Close()
+	for _, controller := range w.controllers {
+		_ = controller.disk.Close()
 	}
 }
 
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -137,18 +137,18 @@
 		c.cluster.fail("%s: %v", c.host, err)
 	}
 	c.queue, c.writing = nil, nil
-	for _, waiting := range c.proposals {
-		c.cluster.drop(waiting)
+	for _, pending := range c.proposals {
+		c.cluster.drop(pending)
 	}
 	c.proposals, c.pending = nil, map[raft.Index]pendingEntry{}
 }
 
-func (c *Controller) scheduleTick(life int) {
+func (c *Controller) scheduleTick(incarnation int) {
 	c.cluster.events.After(raft.TickInterval, func() {
-		if !c.up || c.incarnation != life {
+		if !c.up || c.incarnation != incarnation {
 			return
 		}
-		c.scheduleTick(life)
+		c.scheduleTick(incarnation)
 		if c.frozen {
 			c.deferredTick = true
 			return
@@ -180,10 +180,10 @@
 	if now < c.slowUntil {
 		c.busyUntil = max(c.busyUntil, now) + time.Duration(2+c.rng.Intn(24))*time.Millisecond
 	}
-	life := c.incarnation
+	incarnation := c.incarnation
 	c.cluster.events.After(c.busyUntil-now, func() {
 		switch {
-		case !c.up || c.incarnation != life:
+		case !c.up || c.incarnation != incarnation:
 		case c.frozen:
 			c.receive(run)
 		default:
@@ -202,23 +202,23 @@
 	}
 	c.frozen = false
 	c.lostAt = c.cluster.events.now
-	held := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
 	if c.rng.Intn(2) == 0 {
-		c.rng.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
+		c.rng.Shuffle(len(deferred), func(i, j int) { deferred[i], deferred[j] = deferred[j], deferred[i] })
 	}
 	tick := c.deferredTick && !c.tickDue
 	if tick && c.rng.Intn(4) == 0 {
 		tick = false
 		c.tick()
 	}
-	life := c.incarnation
-	for _, run := range held {
-		if c.up && c.incarnation == life {
+	incarnation := c.incarnation
+	for _, run := range deferred {
+		if c.up && c.incarnation == incarnation {
 			run()
 		}
 	}
-	if tick && c.up && c.incarnation == life {
+	if tick && c.up && c.incarnation == incarnation {
 		c.tick()
 	}
 }
@@ -272,7 +272,7 @@
 	w := c.cluster
 	c.lease.end(c)
 	for _, message := range out.Messages {
-		c.post(message)
+		c.send(message)
 	}
 	if len(out.Writes) > 0 {
 		c.queue = append(c.queue, out.Writes...)
@@ -282,7 +282,7 @@
 		case SendBeforeSync:
 			for _, write := range out.Writes {
 				for _, message := range write.AfterSync {
-					c.post(message)
+					c.send(message)
 				}
 			}
 		}
@@ -317,14 +317,14 @@
 // abandonPending leaves those without a clear answer whose entries another leader decides on.
 func (c *Controller) abandonPending() {
 	for _, index := range sortedKeys(c.pending) {
-		for _, waiting := range c.pending[index].proposals {
-			c.answer(waiting, Answer{Clear: c.cluster.options.InjectedBug == UnknownAsRejected, Result: statemachine.Result{Err: errors.New("not carried out")}})
+		for _, pending := range c.pending[index].proposals {
+			c.answer(pending, Answer{Clear: c.cluster.options.InjectedBug == UnknownAsRejected, Result: statemachine.Result{Err: errors.New("not carried out")}})
 		}
 	}
 	clear(c.pending)
 }
 
-func (c *Controller) answer(waiting proposal, answer Answer) { waiting.done(answer) }
+func (c *Controller) answer(pending proposal, answer Answer) { pending.done(answer) }
 
 func (c *Controller) apply(entry raft.Entry) {
 	w := c.cluster
@@ -336,18 +336,18 @@
 	}
 	results := make([]statemachine.Result, len(commands))
 	for i, command := range commands {
-		results[i] = w.options.InjectedBug.bend(c.state, command, c.state.Apply(uint64(entry.Index), command, w.events.now))
+		results[i] = w.options.InjectedBug.alterResult(c.state, command, c.state.Apply(uint64(entry.Index), command, w.events.now))
 	}
-	waiting, known := c.pending[entry.Index]
+	pending, known := c.pending[entry.Index]
 	if !known {
 		return
 	}
 	delete(c.pending, entry.Index)
-	for i := range waiting.proposals {
-		if waiting.term == entry.Term && i < len(results) {
-			c.answer(waiting.proposals[i], Answer{Result: results[i], Clear: true})
+	for i := range pending.proposals {
+		if pending.term == entry.Term && i < len(results) {
+			c.answer(pending.proposals[i], Answer{Result: results[i], Clear: true})
 		} else {
-			c.answer(waiting.proposals[i], Answer{})
+			c.answer(pending.proposals[i], Answer{})
 		}
 	}
 }
@@ -373,9 +373,9 @@
 }
 
 func (c *Controller) finishIn(span time.Duration) {
-	life := c.incarnation
+	incarnation := c.incarnation
 	c.cluster.events.After(span, func() {
-		if !c.up || c.incarnation != life {
+		if !c.up || c.incarnation != incarnation {
 			return
 		}
 		now := c.cluster.events.now
@@ -407,7 +407,7 @@
 	for _, write := range writes {
 		if c.cluster.options.InjectedBug != SendBeforeSync {
 			for _, message := range write.AfterSync {
-				c.post(message)
+				c.send(message)
 			}
 		}
 	}
@@ -415,14 +415,14 @@
 	c.propose()
 }
 
-func (c *Controller) post(message raft.Message) {
+func (c *Controller) send(message raft.Message) {
 	c.cluster.invariants.Sends(c, message)
 	c.cluster.network.post(c, message)
 }
 
 // submit asks for a command to be carried out.
 func (c *Controller) submit(command statemachine.Command, done func(answer Answer)) {
-	open, life := true, c.incarnation
+	open, incarnation := true, c.incarnation
 	once := func(answer Answer) {
 		if open {
 			open = false
@@ -431,7 +431,7 @@
 	}
 	c.proposals = append(c.proposals, proposal{command, c.cluster.events.now, once})
 	c.cluster.events.After(proposalTimeout, func() {
-		if c.up && c.incarnation == life {
+		if c.up && c.incarnation == incarnation {
 			c.receive(func() { once(Answer{}) })
 		}
 	})
@@ -442,12 +442,12 @@
 func (c *Controller) propose() {
 	for c.up && len(c.proposals) > 0 && (c.raft.Role() != raft.Leader || c.raft.AcceptsProposals() && len(c.pending) < maxPending) {
 		var batch []proposal
-		for _, waiting := range c.proposals {
-			if c.cluster.events.now-waiting.createdAt > staleProposalAge || c.raft.Role() != raft.Leader {
-				c.answer(waiting, Answer{})
+		for _, pending := range c.proposals {
+			if c.cluster.events.now-pending.createdAt > staleProposalAge || c.raft.Role() != raft.Leader {
+				c.answer(pending, Answer{})
 				continue
 			}
-			batch = append(batch, waiting)
+			batch = append(batch, pending)
 		}
 		c.proposals = nil
 		if len(batch) == 0 {
@@ -459,15 +459,15 @@
 		}
 		index, term, accepted, out := c.raft.Propose(statemachine.EncodeCommands(commands))
 		if !accepted {
-			for _, waiting := range batch {
-				c.answer(waiting, Answer{})
+			for _, pending := range batch {
+				c.answer(pending, Answer{})
 			}
 			return
 		}
 		c.pending[index] = pendingEntry{term, batch}
 		if c.cluster.options.InjectedBug == CommitWithoutQuorum {
-			for _, waiting := range batch {
-				c.answer(waiting, Answer{Clear: true, Result: statemachine.Result{Granted: true}})
+			for _, pending := range batch {
+				c.answer(pending, Answer{Clear: true, Result: statemachine.Result{Granted: true}})
 			}
 		}
 		c.perform(out)
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -11,7 +11,7 @@
 	return raft.Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
 }
 
-func founded(t *testing.T, bug InjectedBug) (disk *Disk) {
+func newTestDisk(t *testing.T, bug InjectedBug) (disk *Disk) {
 	t.Helper()
 	disk, err := newDisk("a", raft.Snapshot{Index: 1, Term: 1}, bug)
 	if err != nil {
@@ -23,9 +23,9 @@
 
 // An entry of an older term takes the place of two newer ones: the second must
 // be gone in the same write, and where the planted fault leaves it, it is found.
-func TestACutThatIsNotInItsWriteIsFound(t *testing.T) {
+func TestTruncationOutsideItsWriteIsFound(t *testing.T) {
 	for _, bug := range []InjectedBug{"", CutTail} {
-		disk := founded(t, bug)
+		disk := newTestDisk(t, bug)
 		if err := disk.Write([]raft.Write{{Entries: []raft.Entry{entryOf(2, 6), entryOf(3, 6)}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -37,9 +37,9 @@
 }
 
 // A write that power cut short is there whole or not at all, and all before it is.
-func TestATornWriteIsNotHalfThere(t *testing.T) {
+func TestTornWriteIsAtomic(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
-		disk := founded(t, "")
+		disk := newTestDisk(t, "")
 		if err := disk.Write([]raft.Write{{HardState: &raft.HardState{Term: 2, Vote: "b"}}, {Entries: []raft.Entry{entryOf(2, 2)}}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -25,7 +25,7 @@
 	}
 	e.cluster.events.After(time.Duration(60+e.rng.Intn(240))*time.Millisecond, e.run)
 	e.heartbeat()
-	if e.busy < 4 && e.rng.Intn(3) == 0 {
+	if e.inFlight < 4 && e.rng.Intn(3) == 0 {
 		e.claim()
 	}
 }
@@ -52,7 +52,7 @@
 			got = observed
 			back(answer)
 		})
-	}, func(answer reply, core *Controller) {
+	}, func(answer reply, controller *Controller) {
 		e.heartbeatOpen = false
 		for i, history := range histories {
 			if got.from == nil || answer.outcome.outcome != confirmed {
@@ -65,7 +65,7 @@
 		case answer.redirected:
 			e.leader = answer.leader
 		case answer.outcome.outcome == confirmed:
-			e.leader = core
+			e.leader = controller
 			e.follow(got)
 		default:
 			e.leader = nil
@@ -88,5 +88,5 @@
 func (e *Edge) claim() {
 	history := e.cluster.key()
 	e.cluster.requests++
-	e.order(Request{history: history, call: call{content: fmt.Sprintf("%d-%d", e.number, e.cluster.requests)}}, 1)
+	e.submit(Request{history: history, call: call{content: fmt.Sprintf("%d-%d", e.number, e.cluster.requests)}}, 1)
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -93,11 +93,11 @@
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	At   time.Duration `json:"at"`
-	Kind FaultKind     `json:"kind"`
-	Core int           `json:"core"`
-	Seed int64         `json:"luck"`
-	Span time.Duration `json:"span"`
+	At         time.Duration `json:"at"`
+	Kind       FaultKind     `json:"kind"`
+	Controller int           `json:"core"`
+	Seed       int64         `json:"luck"`
+	Span       time.Duration `json:"span"`
 }
 
 // drawFaults chooses the troubles of a run; now and then one comes right after another.
@@ -114,7 +114,7 @@
 			return faults
 		}
 		faults = append(faults, Fault{
-			At: at, Kind: options.Faults[rng.Intn(len(options.Faults))], Core: rng.Intn(64), Seed: rng.Int63n(1 << 40),
+			At: at, Kind: options.Faults[rng.Intn(len(options.Faults))], Controller: rng.Intn(64), Seed: rng.Int63n(1 << 40),
 			Span: time.Duration(50+rng.ExpFloat64()*900) * time.Millisecond,
 		})
 	}
--- a/internal/simulation/handlers.go
+++ b/internal/simulation/handlers.go
@@ -8,7 +8,7 @@
 // redirect says who leads, if this core knows.
 func (c *Controller) redirect() (answer reply) {
 	answer.redirected = true
-	for _, other := range c.cluster.cores {
+	for _, other := range c.cluster.controllers {
 		if other != c && c.raft.LeaderID() == other.member.ID {
 			answer.leader = other
 		}
@@ -33,7 +33,7 @@
 	case !c.mayServeReads():
 		back(reply{})
 	default:
-		back(reply{outcome: history.look(c.state)})
+		back(reply{outcome: history.observe(c.state)})
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	got := update{term: c.raft.Term(), revision: c.state.Revision, from: c}
 	for _, history := range histories {
-		got.observed = append(got.observed, history.look(c.state))
+		got.observed = append(got.observed, history.observe(c.state))
 	}
 	back(reply{outcome: observation{outcome: confirmed}}, got)
 }
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -60,7 +60,7 @@
 type operation struct {
 	client     int
 	call       call
-	told       observation
+	observed   observation
 	from, upto time.Duration
 }
 
@@ -93,7 +93,7 @@
 	if op.call.verb == set {
 		h.open--
 	}
-	op.told, op.upto = observed, now
+	op.observed, op.upto = observed, now
 }
 
 // forget takes back a call that nobody took up.
@@ -109,34 +109,34 @@
 	}
 }
 
-// standing is what holds in a register; taken lists what was taken under which version.
-type standing struct {
-	version uint64
-	content string
-	taken   string
+// registerState is what holds in a register; taken lists what was taken under which version.
+type registerState struct {
+	version  uint64
+	content  string
+	accepted string
 }
 
-func (s standing) under(version uint64) (content string, known bool) {
-	_, behind, known := strings.Cut(s.taken, stamp(version))
+func (s registerState) contentOf(version uint64) (content string, known bool) {
+	_, behind, known := strings.Cut(s.accepted, versionPrefix(version))
 	content, _, _ = strings.Cut(behind, ";")
 	return content, known
 }
 
-func stamp(version uint64) (text string) { return fmt.Sprintf(";%06d=", version) }
+func versionPrefix(version uint64) (text string) { return fmt.Sprintf(";%06d=", version) }
 
-// take keeps what was taken in the order of the versions, so that what holds is
+// accept keeps what was taken in the order of the versions, so that what holds is
 // the same however it came about.
-func (s standing) take(call call) (after standing) {
+func (s registerState) accept(call call) (after registerState) {
 	after = s
 	at := 0
-	for next := stamp(call.version); at < len(s.taken) && s.taken[at:min(len(s.taken), at+len(next))] < next; {
-		if step := strings.Index(s.taken[at+1:], ";"); step >= 0 {
+	for next := versionPrefix(call.version); at < len(s.accepted) && s.accepted[at:min(len(s.accepted), at+len(next))] < next; {
+		if step := strings.Index(s.accepted[at+1:], ";"); step >= 0 {
 			at += 1 + step
 		} else {
-			at = len(s.taken)
+			at = len(s.accepted)
 		}
 	}
-	after.taken = s.taken[:at] + stamp(call.version) + call.content + s.taken[at:]
+	after.accepted = s.accepted[:at] + versionPrefix(call.version) + call.content + s.accepted[at:]
 	if call.version > s.version {
 		after.version, after.content = call.version, call.content
 	}
@@ -144,7 +144,7 @@
 }
 
 // step carries one call out on what holds, and tells whether it may be answered so.
-func (h Shape) step(now standing, call call, observed observation) (right bool, after standing) {
+func (h Shape) step(now registerState, call call, observed observation) (right bool, after registerState) {
 	if call.verb == read {
 		return observed.outcome != confirmed || observed.version == now.version && observed.content == now.content, now
 	}
@@ -163,23 +163,23 @@
 		}
 		return observed.outcome == unknown || now.content == call.content, now
 	}
-	content, known := now.under(call.version)
+	content, known := now.contentOf(call.version)
 	switch {
 	case observed.outcome == refused:
 		return known && content != call.content || !known && call.version < now.version, now
 	case known:
 		return observed.outcome == unknown || content == call.content, now
 	case call.version > now.version || observed.outcome == confirmed:
-		return true, now.take(call)
+		return true, now.accept(call)
 	}
 	return true, now
 }
 
 func (h Shape) model() (model porcupine.Model) {
 	return porcupine.Model{
-		Init: func() any { return standing{} },
+		Init: func() any { return registerState{} },
 		Step: func(state, input, output any) (bool, any) {
-			right, after := h.step(state.(standing), input.(call), output.(observation))
+			right, after := h.step(state.(registerState), input.(call), output.(observation))
 			return right, after
 		},
 	}
@@ -190,11 +190,11 @@
 func (h *History) Check(limit time.Duration) (right, sure bool) {
 	var operations []porcupine.Operation
 	for _, op := range h.operations {
-		if op.call.verb == read && op.told.outcome != confirmed {
+		if op.call.verb == read && op.observed.outcome != confirmed {
 			continue
 		}
 		operations = append(operations, porcupine.Operation{
-			ClientId: op.client, Input: op.call, Output: op.told, Call: int64(op.from), Return: int64(op.upto),
+			ClientId: op.client, Input: op.call, Output: op.observed, Call: int64(op.from), Return: int64(op.upto),
 		})
 	}
 	switch porcupine.CheckOperationsTimeout(h.shape.model(), operations, limit) {
@@ -214,11 +214,11 @@
 			what = "read"
 		}
 		answer := "open"
-		switch op.told.outcome {
+		switch op.observed.outcome {
 		case confirmed:
 			answer = "confirmed"
 			if op.call.verb == read {
-				answer = fmt.Sprintf("%d is %q", op.told.version, op.told.content)
+				answer = fmt.Sprintf("%d is %q", op.observed.version, op.observed.content)
 			}
 		case refused:
 			answer = "refused"
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -6,7 +6,7 @@
 )
 
 // Histories that can and cannot be explained.
-func TestHistoriesAreExplained(t *testing.T) {
+func TestHistoryLinearizability(t *testing.T) {
 	set := func(version uint64, content string) call { return call{verb: set, version: version, content: content} }
 	yes, no, open := observation{outcome: confirmed}, observation{outcome: refused}, observation{}
 	seen := func(version uint64, content string) observation { return observation{confirmed, version, content} }
--- a/internal/simulation/inject.go
+++ b/internal/simulation/inject.go
@@ -16,7 +16,7 @@
 // maxLeaveTime is three quarters of the time that a core has to end.
 const maxLeaveTime = 3750 * time.Millisecond
 
-func (c *Controller) faulty() (troubled bool) {
+func (c *Controller) faulty() (isFaulty bool) {
 	now := c.cluster.events.now
 	return !c.up || c.leavingNow || c.frozen || now < c.slowUntil || now < c.stalledUntil || now < c.fullUntil || c.cluster.network.isPartitioned(c)
 }
@@ -29,18 +29,18 @@
 }
 
 func (w *Cluster) updateLosses() (lost int) {
-	now, troubled := w.events.now, 0
-	for _, core := range w.remaining() {
-		if core.faulty() {
-			troubled++
-			core.lostAt = now
+	now, faultyCount := w.events.now, 0
+	for _, controller := range w.remaining() {
+		if controller.faulty() {
+			faultyCount++
+			controller.lostAt = now
 		}
 	}
-	for _, core := range w.remaining() {
-		if core.lost() {
+	for _, controller := range w.remaining() {
+		if controller.lost() {
 			lost++
-			if troubled > w.options.Losses || now < w.network.lossyUntil {
-				core.lostAt = now
+			if faultyCount > w.options.Losses || now < w.network.lossyUntil {
+				controller.lostAt = now
 			}
 		}
 	}
@@ -52,9 +52,9 @@
 }
 
 // canLose tells whether this core may lose its disk now.
-func (w *Cluster) canLose(core *Controller) (bearable bool) {
+func (w *Cluster) canLose(controller *Controller) (allowed bool) {
 	lost := w.updateLosses()
-	if core.lost() {
+	if controller.lost() {
 		lost--
 	}
 	return lost < w.options.Losses
@@ -62,9 +62,9 @@
 
 // later carries something out for a core unless its process has changed meanwhile.
 func (c *Controller) later(span time.Duration, run func()) {
-	life := c.incarnation
+	incarnation := c.incarnation
 	c.cluster.events.After(span, func() {
-		if c.incarnation == life {
+		if c.incarnation == incarnation {
 			run()
 		}
 	})
@@ -102,25 +102,25 @@
 
 // inject brings one trouble about.
 func (w *Cluster) inject(fault Fault) {
-	cores := w.remaining()
-	core := cores[fault.Core%len(cores)]
+	controllers := w.remaining()
+	controller := controllers[fault.Controller%len(controllers)]
 	rng := rand.New(rand.NewSource(fault.Seed))
 	if leader := w.establishedLeader(); leader != nil && rng.Intn(3) == 0 {
-		core = leader
+		controller = leader
 	}
 	span := fault.Span
-	w.logEvent("trouble: %s of %s for %s", fault.Kind, core.host, span)
+	w.logEvent("trouble: %s of %s for %s", fault.Kind, controller.host, span)
 	switch fault.Kind {
 	case Freeze:
-		core.freeze()
-		core.later(span, core.resume)
+		controller.freeze()
+		controller.later(span, controller.resume)
 	case Slow:
-		core.slowUntil = w.events.now + span
+		controller.slowUntil = w.events.now + span
 	case Clock:
 		step := time.Duration(rng.Intn(7200)-3600) * time.Second
-		for all := rng.Intn(2) == 0; len(cores) > 0; cores = cores[1:] {
-			if all || cores[0] == core {
-				cores[0].wallClockOffset += step
+		for all := rng.Intn(2) == 0; len(controllers) > 0; controllers = controllers[1:] {
+			if all || controllers[0] == controller {
+				controllers[0].wallClockOffset += step
 			}
 		}
 	case Cut, OneWay:
@@ -129,100 +129,100 @@
 			in = rng.Intn(2) == 0
 			out = !in
 		}
-		for _, other := range cores {
-			if other != core && out {
-				w.network.partition(core, other, span)
+		for _, other := range controllers {
+			if other != controller && out {
+				w.network.partition(controller, other, span)
 			}
-			if other != core && in {
-				w.network.partition(other, core, span)
+			if other != controller && in {
+				w.network.partition(other, controller, span)
 			}
 		}
 	case Reset:
-		w.network.resets[core]++
+		w.network.resets[controller]++
 	case Lossy:
 		w.network.lossyUntil = w.events.now + span
 	case Answers:
 		w.network.dropAnswersUntil = w.events.now + span
 	case Kill, Power:
-		core.end(fault.Kind == Power)
-		core.restartAfter(span / 2)
+		controller.end(fault.Kind == Power)
+		controller.restartAfter(span / 2)
 	case PowerAll:
-		for _, each := range cores {
+		for _, each := range controllers {
 			each.end(true)
 			each.restartAfter(span/2 + time.Duration(rng.Intn(300))*time.Millisecond)
 		}
 	case Wipe:
-		if w.canLose(core) {
-			core.end(true)
-			core.wipe()
-			core.restartAfter(span / 2)
+		if w.canLose(controller) {
+			controller.end(true)
+			controller.wipe()
+			controller.restartAfter(span / 2)
 		}
 	case WipeRest:
-		w.wipeRest(core, rng, span)
+		w.wipeRest(controller, rng, span)
 	case Replace:
-		if w.canLose(core) {
-			core.end(true)
-			w.replace(core, span/2)
+		if w.canLose(controller) {
+			controller.end(true)
+			w.replace(controller, span/2)
 		}
 	case Supersede:
-		w.stopAndReplace(core, rng, span)
+		w.stopAndReplace(controller, rng, span)
 	case Flap:
-		w.flap(core, 2+rng.Intn(4), span)
+		w.flap(controller, 2+rng.Intn(4), span)
 	case Stall:
-		core.stalledUntil = w.events.now + span
+		controller.stalledUntil = w.events.now + span
 	case Full:
-		core.fullUntil = w.events.now + span
+		controller.fullUntil = w.events.now + span
 	case Storm:
 		w.requestBurstUntil = w.events.now + span + time.Second
 	}
 }
 
 // wipeRest is the closing fault: some lose their disks, all others lose power.
-func (w *Cluster) wipeRest(core *Controller, rng *rand.Rand, span time.Duration) {
+func (w *Cluster) wipeRest(controller *Controller, rng *rand.Rand, span time.Duration) {
 	if w.updateLosses() > 0 {
 		return
 	}
-	cores := w.remaining()
-	first := rng.Intn(len(cores))
-	for _, each := range cores {
+	controllers := w.remaining()
+	first := rng.Intn(len(controllers))
+	for _, each := range controllers {
 		each.end(true)
 		each.restartAfter(span/2 + time.Duration(rng.Intn(300))*time.Millisecond)
 	}
 	for i := range w.options.Losses {
-		cores[(first+i)%len(cores)].wipe()
+		controllers[(first+i)%len(controllers)].wipe()
 	}
 }
 
 // replace has a new core take the place of one that is gone for good.
-func (w *Cluster) replace(core *Controller, span time.Duration) {
-	core.gone = true
+func (w *Cluster) replace(controller *Controller, span time.Duration) {
+	controller.gone = true
 	w.startReplacement(span)
 }
 
-func (w *Cluster) startReplacement(span time.Duration) (core *Controller) {
+func (w *Cluster) startReplacement(span time.Duration) (controller *Controller) {
 	w.identities++
 	host := w.newHost()
-	core = w.addCore(host, raft.ID(fmt.Sprintf("%s-%d", host, w.identities)), raft.Snapshot{})
-	core.lostAt = w.events.now
-	core.restartAfter(span)
-	return core
+	controller = w.addController(host, raft.ID(fmt.Sprintf("%s-%d", host, w.identities)), raft.Snapshot{})
+	controller.lostAt = w.events.now
+	controller.restartAfter(span)
+	return controller
 }
 
 // stopAndReplace asks a core to stop, which leaves by agreement and ends; its
 // successor may be there before that or come after it.
-func (w *Cluster) stopAndReplace(core *Controller, rng *rand.Rand, span time.Duration) {
-	if !w.canLose(core) || !core.up || core.frozen || core.leavingNow {
+func (w *Cluster) stopAndReplace(controller *Controller, rng *rand.Rand, span time.Duration) {
+	if !w.canLose(controller) || !controller.up || controller.frozen || controller.leavingNow {
 		return
 	}
-	core.lostAt = w.events.now
+	controller.lostAt = w.events.now
 	var successor *Controller
 	if rng.Intn(2) == 0 {
 		successor = w.startReplacement(0)
 	}
-	core.leave(w.events.now+maxLeaveTime, func() {
-		core.end(false)
-		core.gone = true
-		w.logEvent("%s has gone", core.host)
+	controller.leave(w.events.now+maxLeaveTime, func() {
+		controller.end(false)
+		controller.gone = true
+		w.logEvent("%s has gone", controller.host)
 		if successor == nil {
 			successor = w.startReplacement(span / 4)
 		}
@@ -230,13 +230,13 @@
 	})
 }
 
-func (w *Cluster) flap(core *Controller, times int, span time.Duration) {
-	if times == 0 || core.gone || w.ending {
+func (w *Cluster) flap(controller *Controller, times int, span time.Duration) {
+	if times == 0 || controller.gone || w.ending {
 		return
 	}
-	core.end(false)
-	core.restartAfter(span / 3)
-	w.events.After(span, func() { w.flap(core, times-1, span) })
+	controller.end(false)
+	controller.restartAfter(span / 3)
+	w.events.After(span, func() { w.flap(controller, times-1, span) })
 }
 
 // heal ends all troubles.
@@ -244,9 +244,9 @@
 	w.logEvent("calm")
 	w.network.cut, w.network.delayed = map[link]int{}, map[link][]func(){}
 	w.network.lossyUntil, w.network.dropAnswersUntil, w.requestBurstUntil = 0, 0, 0
-	for _, core := range w.remaining() {
-		core.slowUntil, core.stalledUntil, core.fullUntil = 0, 0, 0
-		core.resume()
-		core.start()
+	for _, controller := range w.remaining() {
+		controller.slowUntil, controller.stalledUntil, controller.fullUntil = 0, 0, 0
+		controller.resume()
+		controller.start()
 	}
 }
--- a/internal/simulation/injectedbugs.go
+++ b/internal/simulation/injectedbugs.go
@@ -33,8 +33,8 @@
 
 // InjectedBugTexts says what each planted fault is.
 var InjectedBugTexts = []struct {
-	Plant InjectedBug
-	Text  string
+	Bug  InjectedBug
+	Text string
 }{
 	{CutTail, "what lay on disk behind a rewritten place of the log comes back"},
 	{LateSnapshot, "a snapshot that comes late, or again, drops the entries behind it"},
@@ -62,7 +62,7 @@
 // InjectedBugs lists the planted faults.
 func InjectedBugs() (bugs []InjectedBug) {
 	for _, known := range InjectedBugTexts {
-		bugs = append(bugs, known.Plant)
+		bugs = append(bugs, known.Bug)
 	}
 	return bugs
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -28,7 +28,7 @@
 
 // InvariantChecker of one run.
 type InvariantChecker struct {
-	world   *Cluster
+	cluster *Cluster
 	leaders map[raft.Term]raft.ID
 	votes   map[voteID]raft.ID
 	agreed  map[raft.Index]uint64
@@ -36,7 +36,7 @@
 }
 
 func newInvariantChecker(cluster *Cluster) (invariants *InvariantChecker) {
-	return &InvariantChecker{world: cluster, leaders: map[raft.Term]raft.ID{}, votes: map[voteID]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[entryID]entryRecord{}}
+	return &InvariantChecker{cluster: cluster, leaders: map[raft.Term]raft.ID{}, votes: map[voteID]raft.ID{}, agreed: map[raft.Index]uint64{}, logs: map[entryID]entryRecord{}}
 }
 
 func digestOf(entry raft.Entry) (digest uint64) {
@@ -58,11 +58,11 @@
 func (t *InvariantChecker) Leads(term raft.Term, id raft.ID) {
 	other, known := t.leaders[term]
 	if known && other != id {
-		t.world.fail("one leader a term: in term %d lead %s and %s", term, other, id)
+		t.cluster.fail("one leader a term: in term %d lead %s and %s", term, other, id)
 	}
 	if !known {
 		t.leaders[term] = id
-		t.world.logEvent("%s leads in term %d", id, term)
+		t.cluster.logEvent("%s leads in term %d", id, term)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (t *InvariantChecker) Applied(host string, entry raft.Entry) {
 	digest := digestOf(entry)
 	if other, known := t.agreed[entry.Index]; known && other != digest {
-		t.world.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
+		t.cluster.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
 	}
 	t.agreed[entry.Index] = digest
 }
@@ -78,7 +78,7 @@
 // Restored notes a state that a core takes from a snapshot.
 func (t *InvariantChecker) Restored(host string, snapshot raft.Snapshot) {
 	if _, known := t.agreed[snapshot.Index]; !known && snapshot.Index > 1 {
-		t.world.fail("only what is committed: %s takes a snapshot of %d, which nobody has applied", host, snapshot.Index)
+		t.cluster.fail("only what is committed: %s takes a snapshot of %d, which nobody has applied", host, snapshot.Index)
 	}
 }
 
@@ -112,9 +112,9 @@
 	known, seen := t.logs[at]
 	switch {
 	case seen && known.digest != digest:
-		t.world.fail("logs match: %s has another entry %d of term %d than those before it", host, entry.Index, entry.Term)
+		t.cluster.fail("logs match: %s has another entry %d of term %d than those before it", host, entry.Index, entry.Term)
 	case seen && known.before != 0 && before != 0 && known.before != before:
-		t.world.fail("logs match: before entry %d of term %d, %s has one of term %d and another core one of term %d", entry.Index, entry.Term, host, before, known.before)
+		t.cluster.fail("logs match: before entry %d of term %d, %s has one of term %d and another core one of term %d", entry.Index, entry.Term, host, before, known.before)
 	case before == 0:
 		before = known.before
 	}
@@ -122,31 +122,31 @@
 }
 
 // Sends looks at a message on its way out: what it says must be on disk.
-func (t *InvariantChecker) Sends(core *Controller, message raft.Message) {
+func (t *InvariantChecker) Sends(controller *Controller, message raft.Message) {
 	switch message.Kind {
 	case raft.MsgAppendResponse:
-		if message.Reject || message.Term != core.raft.Term() {
+		if message.Reject || message.Term != controller.raft.Term() {
 			return
 		}
-		if !core.disk.Holds(message.Index, core.raft.TermAt(message.Index)) {
-			t.world.fail("told once it is on disk: %s tells that it holds %d, its disk ends at %d", core.host, message.Index, core.disk.Last())
+		if !controller.disk.Holds(message.Index, controller.raft.TermAt(message.Index)) {
+			t.cluster.fail("told once it is on disk: %s tells that it holds %d, its disk ends at %d", controller.host, message.Index, controller.disk.Last())
 		}
 	case raft.MsgVoteResponse:
 		if !message.Reject {
-			t.vote(core, message.Term, message.To)
+			t.vote(controller, message.Term, message.To)
 		}
 	case raft.MsgVote:
-		t.vote(core, message.Term, core.member.ID)
+		t.vote(controller, message.Term, controller.member.ID)
 	}
 }
 
-func (t *InvariantChecker) vote(core *Controller, term raft.Term, chosen raft.ID) {
-	at := voteID{core.member.ID, term}
+func (t *InvariantChecker) vote(controller *Controller, term raft.Term, chosen raft.ID) {
+	at := voteID{controller.member.ID, term}
 	if other, known := t.votes[at]; known && other != chosen {
-		t.world.fail("one vote a term: %s votes for %s and for %s in term %d", core.member.ID, other, chosen, term)
+		t.cluster.fail("one vote a term: %s votes for %s and for %s in term %d", controller.member.ID, other, chosen, term)
 	}
 	t.votes[at] = chosen
-	if hard := core.disk.hard; hard.Term < term || hard.Term == term && hard.Vote != chosen {
-		t.world.fail("told once it is on disk: %s votes for %s in term %d, its disk has term %d and %q", core.member.ID, chosen, term, hard.Term, hard.Vote)
+	if hard := controller.disk.hard; hard.Term < term || hard.Term == term && hard.Vote != chosen {
+		t.cluster.fail("told once it is on disk: %s votes for %s in term %d, its disk has term %d and %q", controller.member.ID, chosen, term, hard.Term, hard.Vote)
 	}
 }
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -106,7 +106,7 @@
 }
 
 func (c *Controller) askToJoin() {
-	for _, other := range c.cluster.cores {
+	for _, other := range c.cluster.controllers {
 		if other != c {
 			member := c.member
 			c.cluster.network.call(c, other, func() { other.addJoining(member) })
@@ -133,17 +133,17 @@
 // leave has a core that was asked to stop resign and ask to be taken out, and
 // ends it once it may go or its time is up.
 func (c *Controller) leave(until time.Duration, gone func()) {
-	life := c.incarnation
+	incarnation := c.incarnation
 	ask := func(run func()) {
 		c.receive(func() {
-			if c.incarnation == life {
+			if c.incarnation == incarnation {
 				run()
 			}
 		})
 	}
 	ended := false
 	end := func() {
-		if !ended && c.incarnation == life {
+		if !ended && c.incarnation == incarnation {
 			ended = true
 			gone()
 		}
@@ -151,7 +151,7 @@
 	c.cluster.events.After(until-c.cluster.events.now, end)
 	var again func()
 	again = func() {
-		if ended || !c.up || c.incarnation != life {
+		if ended || !c.up || c.incarnation != incarnation {
 			return
 		}
 		c.cluster.events.After(leavePause, func() { ask(again) })
@@ -170,7 +170,7 @@
 		for _, other := range c.cluster.remaining() {
 			if other != c {
 				c.cluster.network.call(c, other, func() {
-					if other.partsWith(c.member.ID) {
+					if other.acknowledgeLeaving(c.member.ID) {
 						c.cluster.network.call(other, c, end)
 					}
 				})
@@ -180,8 +180,8 @@
 	ask(again)
 }
 
-// partsWith notes a core that is about to end, and tells whether it may go now.
-func (c *Controller) partsWith(id raft.ID) (now bool) {
+// acknowledgeLeaving notes a core that is about to end, and tells whether it may go now.
+func (c *Controller) acknowledgeLeaving(id raft.ID) (now bool) {
 	if !c.mayServeReads() || c.leavingNow {
 		return false
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -47,7 +47,7 @@
 	if n.rng.Intn(1000) < 2+10*lost {
 		return
 	}
-	for _, to := range n.cluster.cores {
+	for _, to := range n.cluster.controllers {
 		if to.disk.id != message.To {
 			continue
 		}
@@ -64,9 +64,9 @@
 // call carries something from one core to another.
 func (n *Network) call(from, to *Controller, run func()) {
 	path := link{from, to}
-	resets, life := n.resets[from]+n.resets[to], to.incarnation
+	resets, incarnation := n.resets[from]+n.resets[to], to.incarnation
 	deliver := func() {
-		if n.resets[from]+n.resets[to] == resets && to.incarnation == life {
+		if n.resets[from]+n.resets[to] == resets && to.incarnation == incarnation {
 			to.receive(run)
 		}
 	}
@@ -97,9 +97,9 @@
 }
 
 // isPartitioned tells whether a core cannot speak with another, one way or the other.
-func (n *Network) isPartitioned(core *Controller) (parted bool) {
-	for _, other := range n.cluster.cores {
-		if other != core && !other.gone && (n.cut[link{core, other}] > 0 || n.cut[link{other, core}] > 0) {
+func (n *Network) isPartitioned(controller *Controller) (parted bool) {
+	for _, other := range n.cluster.controllers {
+		if other != controller && !other.gone && (n.cut[link{controller, other}] > 0 || n.cut[link{other, controller}] > 0) {
 			return true
 		}
 	}
@@ -112,10 +112,10 @@
 	if !to.up {
 		return
 	}
-	resets, life := n.resets[to], to.incarnation
+	resets, incarnation := n.resets[to], to.incarnation
 	complete := func() bool { return n.resets[to] == resets }
 	n.cluster.events.After(n.delay(), func() {
-		if !complete() || to.incarnation != life {
+		if !complete() || to.incarnation != incarnation {
 			return
 		}
 		to.receive(func() {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -11,19 +11,19 @@
 // Operator is one operating part.
 type Operator struct{ *Caller }
 
-// live gives orders until the end, many at once in a storm.
-func (o *Operator) live() {
+// run gives orders until the end, many at once in a storm.
+func (o *Operator) run() {
 	w := o.cluster
 	if w.ending {
 		return
 	}
 	pause := time.Duration(20+o.rng.ExpFloat64()*350) * time.Millisecond
-	most := 3
+	limit := 3
 	if w.events.now < w.requestBurstUntil {
-		pause, most = time.Duration(2+o.rng.Intn(20))*time.Millisecond, 8
+		pause, limit = time.Duration(2+o.rng.Intn(20))*time.Millisecond, 8
 	}
-	w.events.After(pause, o.live)
-	if o.busy >= most {
+	w.events.After(pause, o.run)
+	if o.inFlight >= limit {
 		return
 	}
 	switch pick := o.rng.Intn(20); {
@@ -44,17 +44,17 @@
 		history.next++
 	}
 	o.cluster.requests++
-	asked := call{version: history.next, content: fmt.Sprint(1000 + o.cluster.requests)}
+	requested := call{version: history.next, content: fmt.Sprint(1000 + o.cluster.requests)}
 	if history == o.cluster.document && o.rng.Intn(6) == 0 {
-		asked.content = unwritten
+		requested.content = unwritten
 	}
-	o.order(Request{history: history, call: asked, reworded: o.rng.Intn(4) == 0}, 1)
+	o.submit(Request{history: history, call: requested, reworded: o.rng.Intn(4) == 0}, 1)
 }
 
 func (o *Operator) evacuate() {
-	asked := call{content: "active"}
+	requested := call{content: "active"}
 	if o.rng.Intn(2) == 0 {
-		asked.content = unwritten
+		requested.content = unwritten
 	}
-	o.order(Request{history: o.cluster.evacuatedZone(), call: asked}, 0)
+	o.submit(Request{history: o.cluster.evacuatedZone(), call: requested}, 0)
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -38,8 +38,8 @@
 }
 
 // PlayWith plays a seed with given troubles; each step that is noted is told.
-func PlayWith(seed int64, options Options, faults []Fault, noted func(line string)) (result RunResult) {
-	w := newCluster(seed, options, noted)
+func PlayWith(seed int64, options Options, faults []Fault, onEvent func(line string)) (result RunResult) {
+	w := newCluster(seed, options, onEvent)
 	defer w.close()
 	for _, fault := range faults {
 		w.events.After(fault.At, func() { w.inject(fault) })
@@ -62,37 +62,37 @@
 }
 
 // quiesce heals everything and waits until the core is at full strength.
-func (w *Cluster) quiesce() (took time.Duration) {
+func (w *Cluster) quiesce() (elapsed time.Duration) {
 	w.ending = true
 	w.heal()
 	quietSince := w.events.now
-	lacks := ""
+	lacking := ""
 	for w.events.now-quietSince < maxQuiesceWait && w.failure == "" {
 		w.run(w.events.now + 50*time.Millisecond)
-		if lacks = w.missing(); lacks == "" {
+		if lacking = w.missing(); lacking == "" {
 			break
 		}
 	}
-	took = w.events.now - quietSince
+	elapsed = w.events.now - quietSince
 	switch allowed := w.options.CatchUp + quiesceAllowance; {
 	case w.failure != "":
-	case lacks != "":
-		w.fail("full strength once calm: after %s %s", took, lacks)
-	case took > allowed:
-		w.fail("full strength once calm: it took %s, allowed are %s", took, allowed)
+	case lacking != "":
+		w.fail("full strength once calm: after %s %s", elapsed, lacking)
+	case elapsed > allowed:
+		w.fail("full strength once calm: it took %s, allowed are %s", elapsed, allowed)
 	}
-	return took
+	return elapsed
 }
 
 // missing tells what is missing to full strength.
-func (w *Cluster) missing() (lacks string) {
+func (w *Cluster) missing() (lacking string) {
 	leader := w.establishedLeader()
 	if leader == nil {
 		return "nobody leads"
 	}
-	voters, cores, ids := 0, w.remaining(), map[raft.ID]bool{}
-	for _, core := range cores {
-		ids[core.member.ID] = true
+	voters, controllers, ids := 0, w.remaining(), map[raft.ID]bool{}
+	for _, controller := range controllers {
+		ids[controller.member.ID] = true
 	}
 	for _, member := range leader.raft.Members() {
 		if member.Voter && !ids[member.ID] {
@@ -102,12 +102,12 @@
 			voters++
 		}
 	}
-	if wanted := min(raft.VotersForLosses(w.options.Losses), len(cores)); voters != wanted {
+	if wanted := min(raft.VotersForLosses(w.options.Losses), len(controllers)); voters != wanted {
 		return fmt.Sprintf("%d vote where %d should", voters, wanted)
 	}
-	for _, core := range cores {
-		if core != leader && !leader.raft.CaughtUp(core.member.ID) {
-			return core.host + " has not caught up"
+	for _, controller := range controllers {
+		if controller != leader && !leader.raft.CaughtUp(controller.member.ID) {
+			return controller.host + " has not caught up"
 		}
 	}
 	return ""
@@ -115,22 +115,22 @@
 
 // readAll reads every register through the leader, and holds all cores against it.
 func (w *Cluster) readAll() {
-	w.run(w.events.now + callLimit + proposalTimeout)
+	w.run(w.events.now + callTimeout + proposalTimeout)
 	reader, open := w.newCaller(), len(w.histories)
 	for _, history := range w.histories {
 		reader.read(history, func() { open-- })
 	}
-	w.run(w.events.now + orderLimit)
+	w.run(w.events.now + requestTimeout)
 	leader := w.establishedLeader()
 	switch {
 	case w.failure != "":
 	case open > 0 || leader == nil:
 		w.fail("answers once calm: %d of %d registers could not be read", open, len(w.histories))
 	default:
-		for _, core := range w.remaining() {
+		for _, controller := range w.remaining() {
 			for _, history := range w.histories {
-				if has, holds := history.look(core.state), history.look(leader.state); has != holds {
-					w.fail("one state: %s has %d %q of %s, the leader %d %q", core.host, has.version, has.content, history.name, holds.version, holds.content)
+				if has, holds := history.observe(controller.state), history.observe(leader.state); has != holds {
+					w.fail("one state: %s has %d %q of %s, the leader %d %q", controller.host, has.version, has.content, history.name, holds.version, holds.content)
 				}
 			}
 		}
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -59,8 +59,8 @@
 	return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"%sms","keyed":"deadline","least_share":0.5}],"lost_touch":"5s","cut_off":"stop"}`, call.version, call.content)
 }
 
-// look reads a register from the agreed state.
-func (h *History) look(state *statemachine.State) (seen observation) {
+// observe reads a register from the agreed state.
+func (h *History) observe(state *statemachine.State) (seen observation) {
 	seen.outcome = confirmed
 	sort, name := sortOf(h.name)
 	switch sort {
@@ -106,8 +106,8 @@
 	return observed
 }
 
-// bend is what a planted fault makes of the outcome of a command.
-func (p InjectedBug) bend(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
+// alterResult is what a planted fault makes of the outcome of a command.
+func (p InjectedBug) alterResult(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
 	switch {
 	case p == TwoContents && command.Kind == statemachine.CommandConfig:
 		result.Err = nil
--- a/internal/simulation/set_test.go
+++ b/internal/simulation/seeds_test.go
@@ -7,7 +7,7 @@
 )
 
 // Seeds that are played each time, over the shapes that a site can have.
-func TestFixedSet(t *testing.T) {
+func TestFixedSeeds(t *testing.T) {
 	for name, c := range map[string]struct {
 		cores, losses int
 		length        time.Duration
@@ -36,7 +36,7 @@
 }
 
 // Each planted fault is found, by the troubles that bring it out.
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedBugsAreFound(t *testing.T) {
 	type sought struct {
 		troubles []FaultKind
 		seeds    int
