--- a/cmd/tinpin-faulttest/main.go
+++ b/cmd/tinpin-faulttest/main.go
@@ -1,6 +1,6 @@
-// The tinpin-faulttest command sends rounds of requests through real daemons on
-// loopback to stand-ins for backends that are in trouble, and accounts for every
-// run and every answer by id. It ends by itself, with 1 on any mismatch.
+// The tinpin-faulttest command sends operations through real daemons on loopback to
+// stand-ins for backends that inject faults, and accounts for every run and every
+// response by id. It ends by itself, with 1 on any mismatch.
 package main
 
 import (
@@ -17,14 +17,14 @@
 	"tinpin/internal/localcluster"
 )
 
-const usage = `tinpin-faulttest accounts for every run and every answer, on loopback
+const usage = `tinpin-faulttest accounts for every run and every response, on loopback
 
   tinpin-faulttest [-rounds N] [-for TIME] [-clients N] [-seed N] [-json]
 
-It ends after so many rounds (20000 if nothing is said) or that time (5m), whichever
-comes first; clients are four for each processor, 24 at most, the seed is 1. The stand-ins for
-the backends reset, garble, delay, keep silent and double their answers at random by
-the seed; which request meets which trouble also depends on the machine's timing.
+A round is one operation with its attempts. It ends after that many rounds (default 20000)
+or that time (5m), whichever comes first; default are four clients for each processor, 24 at
+most, and seed 1. The stand-ins for the backends reset, garble, delay, time out and duplicate
+their responses at random by the seed; which request meets which fault also depends on timing.
 The table's columns from "repeats" on are mismatches, which must be 0. It ends with
 0 if all agree, 1 on a mismatch or if it could not be played, 2 on a wrong flag.
 `
--- a/internal/faulttest/backend.go
+++ b/internal/faulttest/backend.go
@@ -1,7 +1,7 @@
 package faulttest
 
-// A stand-in for a backend: it speaks the published protocol but for the troubles
-// that it draws, and notes each run in the ledger before it answers.
+// A backend is a stand-in that speaks the published protocol but for the faults that it
+// draws, and records each run in the request log before it responds.
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 )
 
 const (
-	// routeTimeout is the routes'; aim is theirs too.
+	// routeTimeout is the time-out of the routes.
 	routeTimeout = 250 * time.Millisecond
 	maxSlowness  = 50 * time.Millisecond
 	bodyBytes    = 3000
@@ -49,7 +49,7 @@
 	return b, nil
 }
 
-// start begins to note in a ledger and to draw troubles from a seed.
+// start begins to record in a log and to draw faults from a seed.
 func (b *backend) start(log *RequestLog, seed uint64) {
 	b.log.Store(log)
 	b.mu.Lock()
@@ -57,7 +57,7 @@
 	b.rng, b.faultsOff = rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), false
 }
 
-// quiesce ends the troubles and what waits.
+// quiesce ends the faults and closes all connections.
 func (b *backend) quiesce() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,7 +99,7 @@
 	return draw(b.rng.IntN(1000), reused, body), time.Duration(b.rng.Int64N(int64(maxSlowness)))
 }
 
-// reset ends a stream with a reset, whatever lies unread.
+// reset ends a connection with a TCP reset, whatever is unread.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -107,7 +107,7 @@
 	_ = conn.Close()
 }
 
-// backendConnection is one connection of a daemon's.
+// backendConnection is one connection of a proxy to the stand-in; previous is the response before.
 type backendConnection struct {
 	conn     net.Conn
 	in       *bufio.Reader
@@ -135,7 +135,7 @@
 	}
 }
 
-// handleRequest takes one request and tells whether the stream goes on.
+// handleRequest reads and answers one request and tells whether the connection stays open.
 func (b *backend) handleRequest(s *backendConnection) (keep bool) {
 	request, err := http.ReadRequest(s.in)
 	if err != nil {
@@ -248,12 +248,12 @@
 	return s.write(text)
 }
 
-func (s *backendConnection) write(text string) (said bool) {
+func (s *backendConnection) write(text string) (written bool) {
 	_, err := io.WriteString(s.conn, text)
 	return err == nil
 }
 
-// response of a stand-in: the body names the request that ran, as the stamp does.
+// response of a stand-in: the body names the request that ran, as the signature does.
 type response struct {
 	id, signature, headers string
 	status                 int
@@ -272,7 +272,7 @@
 	return text + body
 }
 
-// notRun says that the request was not run.
+// notRun is the response that says that the request was not run.
 func (a response) notRun(status int) (text string) {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", status, a.id)
 }
--- a/internal/faulttest/client.go
+++ b/internal/faulttest/client.go
@@ -1,7 +1,7 @@
 package faulttest
 
-// A client sends its rounds over kept streams, tries again as clients do, and
-// notes what it was told.
+// A client runs its operations over persistent connections, retries as clients do, and
+// records the outcome of each attempt.
 
 import (
 	"bufio"
@@ -24,19 +24,19 @@
 	maxRetryAfter = 300 * time.Millisecond
 )
 
-// client has a stream to each edge.
+// client has a connection to each proxy.
 type client struct {
 	log         *RequestLog
 	rng         *rand.Rand
 	connections []*clientConnection
 }
 
-// clientConnection is a client's stream to one edge.
+// clientConnection is a client's connection to one proxy.
 type clientConnection struct {
 	address string
 	conn    net.Conn
 	in      *bufio.Reader
-	// retryAfter is when the last answer asked to come back.
+	// retryAfter is the Retry-After of the last response.
 	retryAfter time.Duration
 }
 
@@ -92,7 +92,7 @@
 	return text + "\r\n" + strings.Repeat("x", r.body)
 }
 
-// runOperation plays one round.
+// runOperation runs one operation with its attempts.
 func (c *client) runOperation(number int) {
 	kind := [...]Kind{Idempotent, Idempotent, NonIdempotent, Keyed}[c.rng.IntN(4)]
 	if kind == Idempotent {
@@ -116,7 +116,7 @@
 	}
 }
 
-// sendToAll sends the same operation to two edges at once.
+// sendToAll sends the same operation to all proxies at once.
 func (c *client) sendToAll(number int, requests request) {
 	var sent sync.WaitGroup
 	for attempt, line := range c.connections {
@@ -131,7 +131,7 @@
 	sent.Wait()
 }
 
-// runIdempotent sends one request or several behind each other.
+// runIdempotent sends one request, or several pipelined.
 func (c *client) runIdempotent(number int) {
 	count := 1
 	if c.rng.IntN(8) == 0 {
@@ -147,8 +147,8 @@
 	c.exchange(c.connections[c.rng.IntN(len(c.connections))], false, requests...)
 }
 
-// exchange sends requests behind each other and notes what comes back; it gives
-// what the last was told. A client that goes away reads nothing.
+// exchange sends pipelined requests, records the outcome of each and returns that of the
+// last. A client that abandons them reads nothing.
 func (c *client) exchange(l *clientConnection, abandon bool, requests ...request) (outcome Outcome) {
 	var text strings.Builder
 	for _, each := range requests {
@@ -198,7 +198,7 @@
 	return response, string(data), Class.Wrap(err)
 }
 
-// classify tells what an answer says to the request.
+// classify gives the outcome of a response, and the attempt that was executed for it.
 func (r request) classify(response *http.Response, body string) (outcome Outcome, executedBy ID) {
 	if ids := response.Header["Tinpin-Request-Id"]; len(ids) != 1 || ids[0] != r.id.Text() {
 		return WrongResponse, 0
--- a/internal/faulttest/fault.go
+++ b/internal/faulttest/fault.go
@@ -1,13 +1,13 @@
 package faulttest
 
-// Trouble is what a stand-in does with one request. Some of it can only be
-// brought about on a stream that has carried a request before, some only on a
-// fresh one; some answers without a run, some runs without an answer.
+// A fault is what a stand-in does with one request. Some can only be injected on a connection
+// that has carried a request before, some only on a fresh one; some respond without a run,
+// some run without a response. The order of the faults is that in which seeds draw them.
 
 // Fault of one request.
 type Fault uint8
 
-// The troubles.
+// The faults.
 const (
 	None Fault = iota
 	ResetBefore
@@ -45,19 +45,19 @@
 	faultCount
 )
 
-// connectionState a trouble can be brought about.
+// connectionState says on which connections a fault can be injected.
 type connectionState uint8
 
 const (
 	anyConnection connectionState = iota
-	// onReused streams only, in the place of the answer that is awaited next.
+	// onReused: only on a connection that carried a request, before the awaited response.
 	onReused
 	onFresh
 	// onBody: only for a request with a body.
 	onBody
 )
 
-// faultSpec of bringing it about: how often among a thousand requests that it fits.
+// faultSpec says how often a fault is drawn among a thousand requests to which it applies.
 type faultSpec struct {
 	name        string
 	perThousand int
@@ -93,14 +93,14 @@
 	NoStatus:               {"a status that is no number", 8, anyConnection},
 	Interim:                {"100, then its own", 8, anyConnection},
 	RunNotRun:              {"a success that says not run", 8, anyConnection},
-	Rejected:               {"turned away", 25, anyConnection},
-	RejectedMisdirected:    {"turned away by 421", 4, anyConnection},
-	RejectedTwice:          {"turned away twice", 12, anyConnection},
-	BackendError:           {"its own failure", 8, anyConnection},
+	Rejected:               {"rejected", 25, anyConnection},
+	RejectedMisdirected:    {"rejected by 421", 4, anyConnection},
+	RejectedTwice:          {"rejected twice", 12, anyConnection},
+	BackendError:           {"backend failure", 8, anyConnection},
 	BackendBusy:            {"503 without a word, run", 8, anyConnection},
 }
 
-// draw picks a trouble, with a number below a thousand, for a request.
+// draw picks a fault for a request; at is a random number below a thousand.
 func draw(at int, reused, body bool) (fault Fault) {
 	for fault, spec := range faultSpecs {
 		fits := spec.where == anyConnection || spec.where == onReused && reused || spec.where == onFresh && !reused || spec.where == onBody && body
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -1,9 +1,10 @@
-// Package faulttest plays clients against real daemons on loopback whose backends
-// are stand-ins that reset, garble, delay, keep silent and double their answers,
-// and accounts for every run and every answer by id, at the stand-in and at the
-// client. What does not agree is a mismatch: a repeat of what may not be
-// repeated, a promise that was broken, an answer that is another's, a success
-// without a run, a try that ended without an answer.
+// Package faulttest runs clients against real daemons on loopback whose backends are
+// stand-ins that reset, garble, delay, time out and duplicate their responses, and records
+// every run and every response by id, at the stand-in and at the client. What does not agree
+// is a mismatch: a repeat of what is not idempotent, a run after "not run" was answered, a
+// response of another request, a success without a run, an attempt without a response. It
+// owns the stand-ins, the clients and the request log; the daemons are set up by
+// localcluster. A System may run one play at a time.
 package faulttest
 
 import (
@@ -16,14 +17,14 @@
 // Class marks failures of the test itself.
 var Class = errs.Class("faulttest")
 
-// Most that an account may be asked for.
+// The largest options that are accepted.
 const (
 	MaxRounds  = 5_000_000
 	MaxTime    = time.Hour
 	MaxClients = 256
 )
 
-// Options of one play. A round is one client's request with its tries.
+// Options of one play. A round is one client operation with its attempts.
 type Options struct {
 	Rounds  int
 	Time    time.Duration
@@ -31,7 +32,7 @@
 	Seed    uint64
 }
 
-// DefaultOptions is what is played where nothing is said.
+// DefaultOptions are used where nothing else is asked for.
 var DefaultOptions = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
 
 // Check names what is out of bounds.
--- a/internal/faulttest/requestlog.go
+++ b/internal/faulttest/requestlog.go
@@ -1,7 +1,7 @@
 package faulttest
 
-// The ledger holds what happened to each request by its id: how often it ran, as
-// its backend knows, and what its client was told.
+// The request log holds what happened to each request by its id: how often it ran, as its
+// backend recorded, and the outcome that its client observed.
 
 import (
 	"fmt"
@@ -21,10 +21,10 @@
 
 func (k Kind) String() string { return [...]string{"idempotent", "non_idempotent", "keyed"}[k] }
 
-// Outcome is what a client was told.
+// Outcome is what a client observed.
 type Outcome uint8
 
-// What a client may be told.
+// The outcomes.
 const (
 	// ClientGone: it did not wait for an answer.
 	ClientGone Outcome = iota
@@ -36,36 +36,36 @@
 	Unknown
 	// BackendFailure: the backend's own failure.
 	BackendFailure
-	// InProgress: the key's first request is still at work.
+	// InProgress: the key's first request is still running.
 	InProgress
-	// Lost: no whole answer, though the daemon lived.
+	// Lost: no complete response, though the daemon was running.
 	Lost
-	// WrongResponse: an answer that is another's.
+	// WrongResponse: the response of another request.
 	WrongResponse
 	// Unexpected: a status that no daemon should give here.
 	Unexpected
 )
 
-// ID names one try of a round; so many tries a round has at most.
+// ID names one attempt of an operation; the low attemptBits bits are the attempt.
 type ID uint64
 
 const attemptBits = 4
 
-// IDOf names a round's try.
+// IDOf is the id of an attempt of an operation.
 func IDOf(round, attempt int) (id ID) { return ID(round)<<attemptBits | ID(attempt) }
 
-// Round is the round of a try.
+// Round is the number of the operation.
 func (id ID) Round() (round int) { return int(id >> attemptBits) }
 
 // Text is the id on the wire.
 func (id ID) Text() (text string) { return fmt.Sprintf("%016x", uint64(id)) }
 
-// Attempt is what is known of one.
+// Attempt is what is known of one attempt.
 type Attempt struct {
 	kind    Kind
 	outcome Outcome
 	runs    uint16
-	// executedBy is the try whose run the client was answered with.
+	// executedBy is the attempt whose run the client got the response of.
 	executedBy ID
 }
 
@@ -75,7 +75,7 @@
 	executedBy ID
 }
 
-// RequestLog of one play.
+// RequestLog of one play. It is safe for concurrent use.
 type RequestLog struct {
 	shards [64]shard
 }
@@ -86,7 +86,7 @@
 	keys     map[int]*operation
 }
 
-// NewRequestLog knows of nothing.
+// NewRequestLog is empty.
 func NewRequestLog() (log *RequestLog) {
 	log = &RequestLog{}
 	for i := range log.shards {
@@ -95,21 +95,21 @@
 	return log
 }
 
-// lock gives a round's shard, which the caller unlocks.
+// lock returns the locked shard of an operation; the caller unlocks it.
 func (l *RequestLog) lock(round int) (s *shard) {
 	s = &l.shards[round%len(l.shards)]
 	s.mu.Lock()
 	return s
 }
 
-// RecordSend notes a try before it is sent.
+// RecordSend records an attempt before it is sent.
 func (l *RequestLog) RecordSend(id ID, kind Kind) {
 	s := l.lock(id.Round())
 	defer s.mu.Unlock()
 	s.attempts[id] = &Attempt{kind: kind}
 }
 
-// RecordRun notes that a backend runs a request, before it answers.
+// RecordRun records that a backend runs a request, before it responds.
 func (l *RequestLog) RecordRun(id ID) {
 	s := l.lock(id.Round())
 	defer s.mu.Unlock()
@@ -129,14 +129,14 @@
 	}
 }
 
-// RecordOutcome notes what a client was told, and by which run.
+// RecordOutcome records the outcome of an attempt, and which run it came from.
 func (l *RequestLog) RecordOutcome(id ID, outcome Outcome, executedBy ID) {
 	s := l.lock(id.Round())
 	defer s.mu.Unlock()
 	s.attempts[id].outcome, s.attempts[id].executedBy = outcome, executedBy
 }
 
-// KindSummary is the account of one kind.
+// KindSummary counts the attempts of one kind. The JSON names are those of kept journal entries.
 type KindSummary struct {
 	Kind           string `json:"kind"`
 	Attempts       int    `json:"tries"`
@@ -161,8 +161,8 @@
 	return l.Repeats + l.RanAfterNotRun + l.WrongResponse + l.WithoutRun + l.Lost + l.Unexpected
 }
 
-// Summarize goes through the whole ledger once nothing is at work any more; most is
-// how often what may be repeated may be sent for one try.
+// Summarize counts everything once nothing is in flight any more; maxSends is how often
+// an idempotent request may be sent for one attempt.
 func (l *RequestLog) Summarize(maxSends int) (lines [kindCount]KindSummary) {
 	for kind := range lines {
 		lines[kind].Kind = Kind(kind).String()
--- a/internal/faulttest/system.go
+++ b/internal/faulttest/system.go
@@ -1,7 +1,7 @@
 package faulttest
 
-// System is the daemons and the stand-ins; a play sends rounds through it and
-// balances its ledger once nothing is at work any more.
+// A System is the daemons and the stand-ins; a play runs operations through it and
+// summarizes its request log once nothing is in flight any more.
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 const (
 	startTimeout = time.Minute
-	// maxSends is how often a try may be sent at most.
+	// maxSends is the limit on how often an attempt is sent to backends.
 	maxSends      = 3
 	settleTimeout = 5 * time.Second
 	settlePause   = 10 * time.Millisecond
@@ -31,7 +31,7 @@
 	backends []*backend
 }
 
-// configurationCall is the configuration: a way of each kind.
+// configurationCall is the configuration: a route of each kind.
 func configurationCall() (text string) {
 	routes := ""
 	for kind := range kindCount {
@@ -41,7 +41,7 @@
 "routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","service_name","version"],"row_values":[` + routes[:len(routes)-1] + `]}}}`
 }
 
-// routeTimeouts of the routes: one with a claim waits for the cores' disks as well.
+// routeTimeouts of the routes: one with a claim waits for the controllers' disks as well.
 var routeTimeouts = [kindCount]time.Duration{Idempotent: routeTimeout, NonIdempotent: routeTimeout, Keyed: 4 * routeTimeout}
 
 var services = [...]string{"shelf", "till"}
@@ -102,7 +102,7 @@
 	Kinds      []KindSummary    `json:"lines"`
 	Faults     map[string]int64 `json:"troubles"`
 	Mismatches int              `json:"mismatches"`
-	// Unsettled tells that something was still at work when the ledger was closed.
+	// Unsettled tells that something was still in flight when the log was summarized.
 	Unsettled bool `json:"unsettled"`
 }
 
@@ -166,7 +166,7 @@
 }
 
 // settle waits until whatever a daemon might still send has come and nothing is
-// at work at the stand-ins.
+// in flight at the stand-ins.
 func (s *System) settle() (settled bool) {
 	for started := time.Now(); time.Since(started) < settleTimeout; time.Sleep(settlePause) {
 		busy := time.Since(started) < routeTimeouts[Keyed]
@@ -190,7 +190,7 @@
 // Table writes the report for reading.
 func (r Report) Table(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(table, "kind\ttries\truns\tserved\tpromised\tunknown\town failure\tat work\tgone\trepeats\tpromises broken\tanother's\twithout a run\tlost\tstrange\t")
+	_, _ = fmt.Fprintln(table, "kind\tattempts\truns\tserved\tnot run\tunknown\tbackend failure\tin progress\tgone\trepeats\trun after not run\twrong response\twithout a run\tlost\tunexpected\t")
 	for _, l := range r.Kinds {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Kind, l.Attempts, l.Runs, l.Served, l.NotRun, l.Unknown, l.BackendFailure, l.InProgress, l.ClientGone, l.Repeats, l.RanAfterNotRun, l.WrongResponse, l.WithoutRun, l.Lost, l.Unexpected)
 	}
@@ -203,6 +203,6 @@
 	_ = faultTable.Flush()
 	_, _ = fmt.Fprintf(out, "\nseed %d: %d of %d rounds by %d clients in %.1f s, %d mismatches\n", r.Seed, r.Rounds, r.Asked, r.Clients, r.Seconds, r.Mismatches)
 	if r.Unsettled {
-		_, _ = fmt.Fprintln(out, "something was still at work at the end: nothing is proven")
+		_, _ = fmt.Fprintln(out, "something was still in flight at the end: nothing is proven")
 	}
 }
--- a/internal/simulation/caller.go
+++ b/internal/simulation/caller.go
@@ -1,8 +1,8 @@
 package simulation
 
-// Caller asks cores as operators and edges do: it follows where it is sent,
-// goes on to another core where it hears nothing or nothing clear, and gives
-// an order up after a time. What it asked and was told is kept as history.
+// A caller asks controllers as operators and edges do: it follows redirects, goes on to
+// another controller where the answer times out or is unclear, and gives a request up
+// after requestTimeout. Each call and its answer are recorded in a history.
 
 import (
 	"math/rand"
@@ -23,14 +23,14 @@
 	inFlight int
 }
 
-// reply is what comes back from a core: elsewhere it says who leads, if it knows.
+// reply is what comes back from a controller: a redirect says who leads, if it knows.
 type reply struct {
 	outcome    observation
 	redirected bool
 	leader     *Controller
 }
 
-// pick chooses the core that led when last heard, or any.
+// pick chooses the controller that led when last heard, or any.
 func (c *Caller) pick(after *Controller) (controller *Controller) {
 	if c.rng.Intn(3) > 0 && c.leader != nil && c.leader != after && c.leader.up {
 		return c.leader
@@ -39,7 +39,7 @@
 	return controllers[c.rng.Intn(len(controllers))]
 }
 
-// attempt asks one core once.
+// attempt asks one controller once.
 func (c *Caller) attempt(history *History, requested call, to *Controller, handle func(reply func(reply)), done func(reply reply, controller *Controller)) {
 	op := history.begin(c.number, requested, c.cluster.events.now)
 	open := true
--- a/internal/simulation/case.go
+++ b/internal/simulation/case.go
@@ -1,7 +1,7 @@
 package simulation
 
-// Case is a run that broke, as it is kept in a file: it replays step by step,
-// and it is made shorter as far as it still breaks in the same check.
+// A case is a failing run as it is kept in a file: it replays step by step, and it is
+// shortened as far as it still fails in the same check.
 
 import (
 	"encoding/json"
@@ -34,7 +34,7 @@
 }
 
 // Shorten makes a case shorter as long as it breaks in the same check: it ends
-// soon after the break, has fewer callers, and only the troubles it takes.
+// soon after the break, has fewer callers, and only the faults it takes.
 func (c Case) Shorten(limit time.Duration) (short Case) {
 	short = c
 	begin := time.Now()
@@ -105,13 +105,13 @@
 	}
 	for _, fault := range kept.Faults {
 		if kinds, kindErr := ParseFaultKinds(string(fault.Kind)); kindErr != nil || len(kinds) != 1 || fault.At < 0 || fault.Span < 0 || fault.Controller < 0 {
-			return kept, Class.New("%s: the trouble %q at %s cannot be brought about", path, fault.Kind, fault.At)
+			return kept, Class.New("%s: the fault %q at %s cannot be injected", path, fault.Kind, fault.At)
 		}
 	}
 	return kept, kept.Options.Check()
 }
 
-// Replay plays the case again and tells each step.
+// Replay plays the case again and logs each step.
 func (c Case) Replay(onEvent func(line string)) (result RunResult) {
 	return PlayWith(c.Seed, c.Options, c.Faults, onEvent)
 }
--- a/internal/simulation/case_test.go
+++ b/internal/simulation/case_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A case that broke is made shorter, kept, and breaks again when it is read back.
+// A failing case is shortened, kept, and fails again when it is read back.
 func TestCaseIsShortenedAndReplays(t *testing.T) {
 	options := small(CommitWithoutQuorum)
 	options.Faults = []FaultKind{Cut, Storm, Freeze, Reset}
@@ -33,12 +33,12 @@
 		result = Play(seed, options)
 	}
 	if result.Failure == "" {
-		t.Fatal("no seed found the planted fault")
+		t.Fatal("no seed found the injected bug")
 	}
 	complete := CaseOf(result, options)
 	short := complete.Shorten(10 * time.Second)
 	if len(short.Faults) > len(complete.Faults) || short.Options.Length > complete.Options.Length || CheckOf(short.Failure) != CheckOf(complete.Failure) {
-		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(complete.Faults), complete.Options.Length, len(short.Faults), short.Options.Length, complete.Failure, short.Failure)
+		t.Fatalf("%d faults in %s became %d in %s, %q became %q", len(complete.Faults), complete.Options.Length, len(short.Faults), short.Options.Length, complete.Failure, short.Failure)
 	}
 	path := filepath.Join(t.TempDir(), "case.json")
 	if err := short.Write(path); err != nil {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,7 +1,10 @@
-// Package simulation plays the control side by seed in simulated time: the real
-// agreement, store, state and policy of members in several cores, with
-// operators and edges as callers, under troubles that the seed draws. World is
-// one such run with all that is in it.
+// Package simulation runs the control plane by seed in simulated time: the real raft,
+// storage, state machine and membership policy in several controllers, with operators
+// and edges as callers, under faults that the seed draws. It checks invariants at each
+// step and the linearizability of every history at the end. It owns the event queue, the
+// simulated disks and links, the faults and the injected bugs; it runs no daemon, opens no
+// port and reads no wall clock. A Cluster is one run and belongs to one goroutine; Hunt
+// and Seek run several seeds in parallel, each with a Cluster of its own.
 package simulation
 
 import (
@@ -17,11 +20,11 @@
 const (
 	maxOpenOperations = 6
 	maxWrites         = 26
-	// quiesceAllowance is how long a calm core may take beyond catch_up to be at full
-	// strength, calmMost how long it is waited for.
+	// quiesceAllowance is how long the cluster may take beyond catch_up to be at full
+	// strength once the faults are over, maxQuiesceWait how long the run waits for it.
 	quiesceAllowance = 2 * time.Second
 	maxQuiesceWait   = 30 * time.Second
-	// checkLimit is how long one history may be looked at.
+	// checkLimit is how long the check of one history may take, in real time.
 	checkLimit = 10 * time.Second
 )
 
@@ -87,7 +90,7 @@
 	return w
 }
 
-// forkRNG gives luck that does not depend on how others use theirs.
+// forkRNG returns a source of random numbers that does not depend on how others are used.
 func (w *Cluster) forkRNG() (rng *rand.Rand) { return rand.New(rand.NewSource(w.rng.Int63())) }
 
 func (w *Cluster) newHost() (host string) {
@@ -162,7 +165,7 @@
 
 func (w *Cluster) count(answer observation) { w.counts[answer.outcome]++ }
 
-// drop ends a wish whose process is gone; its caller hears nothing.
+// drop ends a proposal whose process is gone; its caller gets no answer.
 func (w *Cluster) drop(proposal) {}
 
 func (w *Cluster) logEvent(format string, args ...any) {
@@ -176,16 +179,16 @@
 	}
 }
 
-// fail notes the first thing that broke.
+// fail records the first failure.
 func (w *Cluster) fail(format string, args ...any) {
 	if w.failure != "" {
 		return
 	}
 	w.failure = fmt.Sprintf(format, args...)
-	w.logEvent("BROKEN: %s", w.failure)
+	w.logEvent("FAILED: %s", w.failure)
 }
 
-// remaining lists the cores that have not gone for good.
+// remaining lists the controllers that have not gone for good.
 func (w *Cluster) remaining() (controllers []*Controller) {
 	for _, controller := range w.controllers {
 		if !controller.gone {
@@ -204,13 +207,13 @@
 	return leader
 }
 
-// run plays on up to a time, or until something breaks.
+// run carries out events up to a time, or until a check fails.
 func (w *Cluster) run(until time.Duration) {
 	for w.failure == "" && w.events.Step(until) {
 	}
 }
 
-// close puts the disks away.
+// close closes the disks.
 func (w *Cluster) close() {
 	for _, controller := range w.controllers {
 		_ = controller.disk.Close()
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -1,9 +1,9 @@
 package simulation
 
-// Core drives one core as a node does, in simulated time: it ticks the
-// agreement, carries its messages, has its disk write, applies what is
-// committed to the real state, puts wishes together, cuts the log and keeps
-// house. While it is frozen what comes to it waits; its steady clock runs on.
+// A Controller drives one controller as package node does, in simulated time: it ticks
+// raft, sends its messages, has its disk write, applies committed entries to the real
+// state machine, batches proposals, compacts the log and reconciles membership. While it
+// is frozen, calls to it are deferred; its monotonic clock runs on.
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 	logTailEntries      = 20
 )
 
-// Answer is what became of a wish.
+// Answer is what became of a proposal.
 type Answer struct {
 	Result statemachine.Result
 	Clear  bool
@@ -46,7 +46,7 @@
 	at     int
 }
 
-// Controller is one machine of the core, with the process on it.
+// Controller is one machine, with the process on it.
 type Controller struct {
 	cluster *Cluster
 	host    string
@@ -81,7 +81,7 @@
 	wallClockOffset time.Duration
 	lease           Lease
 
-	// lostAt is when the core was last lost, in the sense of the losses borne.
+	// lostAt is when the controller was last lost, in the sense of the tolerated losses.
 	lostAt time.Duration
 }
 
@@ -233,7 +233,7 @@
 	c.propose()
 }
 
-// step takes a message from another core.
+// step takes a message from another controller.
 func (c *Controller) step(message raft.Message) {
 	if c.cluster.options.InjectedBug == LateSnapshot && c.dropBehind(message) {
 		return
@@ -242,7 +242,7 @@
 	c.propose()
 }
 
-// dropBehind is the planted fault of a late snapshot: the log is put away for it.
+// dropBehind is the injected bug of a late snapshot: the log is dropped for it.
 func (c *Controller) dropBehind(message raft.Message) (dropped bool) {
 	snapshot := message.Snapshot
 	if message.Kind != raft.MsgSnapshot || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
@@ -363,7 +363,7 @@
 	}
 }
 
-// write has the disk take up what waits, if it is idle.
+// write starts the next write of the queue, if the disk is idle.
 func (c *Controller) write() {
 	if len(c.writing) > 0 || len(c.queue) == 0 {
 		return
@@ -402,7 +402,7 @@
 	})
 }
 
-// report tells the agreement what is on disk, and sends what waited for it.
+// report tells raft what is on disk, and sends what waited for it.
 func (c *Controller) report(writes []raft.Write) {
 	for _, write := range writes {
 		if c.cluster.options.InjectedBug != SendBeforeSync {
@@ -438,7 +438,7 @@
 	c.propose()
 }
 
-// propose puts the wishes that wait together into the log.
+// propose batches the waiting proposals into one log entry.
 func (c *Controller) propose() {
 	for c.up && len(c.proposals) > 0 && (c.raft.Role() != raft.Leader || c.raft.AcceptsProposals() && len(c.pending) < maxPending) {
 		var batch []proposal
@@ -474,11 +474,11 @@
 	}
 }
 
-// isLeader tells whether this core may answer as the leader does.
+// isLeader tells whether this controller may answer as the leader does.
 func (c *Controller) isLeader() (leads bool) { return c.raft.CommittedInTerm() }
 
 // mayServeReads tells whether it may answer from its state at this moment.
 func (c *Controller) mayServeReads() (fresh bool) { return c.isLeader() && c.lease.covers(c) }
 
-// replica gives the agreement the steady time.
+// replica gives raft the simulated monotonic time.
 func (c *Controller) replica() (state *raft.Replica) { return c.raft.At(c.cluster.events.now) }
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -1,9 +1,9 @@
 package simulation
 
-// Disk is the disk of one core: the real store over a file system in memory
-// that keeps only what was synced when power is lost, and then perhaps a part
-// of the record that was being written. Beside it stands what the disk must
-// hold, so that what is read back can be held against what was written.
+// Disk is the disk of one controller: the real store over a file system in memory that
+// keeps only what was synced when power is lost, and then perhaps a part of the record that
+// was being written. Beside it stands what the disk must hold, so that what is read back can
+// be compared with what was written.
 
 import (
 	"io"
@@ -18,7 +18,7 @@
 
 const folder = "data"
 
-// Disk of one core.
+// Disk of one controller.
 type Disk struct {
 	fs          *vfs.MemFS
 	store       *raft.Store
@@ -31,7 +31,7 @@
 	log  []raft.Entry
 }
 
-// newDisk founds the disk of one core.
+// newDisk formats the disk of one controller.
 func newDisk(id raft.ID, base raft.Snapshot, injectedBug InjectedBug) (disk *Disk, err error) {
 	disk = &Disk{fs: vfs.NewStrictMem(), id: id, base: base, injectedBug: injectedBug}
 	if err = disk.fs.MkdirAll(folder, 0o755); err != nil {
@@ -79,10 +79,10 @@
 	return hard, base, log, nil
 }
 
-// Last is the last place that is on disk.
+// Last is the last index that is on disk.
 func (d *Disk) Last() (last raft.Index) { return d.base.Index + raft.Index(len(d.log)) }
 
-// Holds tells whether the place of that term is on disk.
+// Holds tells whether an entry of that index and term is on disk.
 func (d *Disk) Holds(index raft.Index, term raft.Term) (holds bool) {
 	if index <= d.base.Index {
 		return true
@@ -90,7 +90,7 @@
 	return index <= d.Last() && (term == 0 || d.log[index-d.base.Index-1].Term == term)
 }
 
-// Write carries orders out.
+// Write carries writes out.
 func (d *Disk) Write(writes []raft.Write) (err error) {
 	if d.injectedBug == CutTail {
 		if err = d.writeUncut(writes); err != nil {
@@ -129,7 +129,7 @@
 	return err
 }
 
-// writeUncut is the planted fault of a cut that is not in the write of what
+// writeUncut is the injected bug of a truncation that is not in the write of what
 // replaces the tail: for a moment the disk holds both.
 func (d *Disk) writeUncut(writes []raft.Write) (err error) {
 	for _, write := range writes {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// extend puts entries behind what is written, in place of what stood there.
+// extend writes entries after the log, replacing those of the same index and above.
 func (d *Disk) extend(entries []raft.Entry) {
 	first := entries[0].Index
 	if first <= d.base.Index {
@@ -170,7 +170,7 @@
 	return err
 }
 
-// LosePower ends the machine; of the orders under way a part may be written.
+// LosePower ends the machine; of the writes in flight a part may be on disk.
 func (d *Disk) LosePower(under []raft.Write, rng *rand.Rand) (err error) {
 	if d.store == nil {
 		return nil
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -22,7 +22,7 @@
 }
 
 // An entry of an older term takes the place of two newer ones: the second must
-// be gone in the same write, and where the planted fault leaves it, it is found.
+// be gone in the same write, and where the injected bug leaves it, it is found.
 func TestTruncationOutsideItsWriteIsFound(t *testing.T) {
 	for _, bug := range []InjectedBug{"", CutTail} {
 		disk := newTestDisk(t, bug)
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -1,7 +1,7 @@
 package simulation
 
-// Edge beats to the leader and follows its term and the place of its news,
-// which only go forward, and claims keys.
+// An edge sends heartbeats to the leader, follows its term and the index of its updates,
+// both of which only go forward, and claims keys.
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 	heartbeatOpen bool
 }
 
-// run beats and claims until the end.
+// run sends heartbeats and claims until the end.
 func (e *Edge) run() {
 	if e.cluster.ending {
 		return
@@ -30,8 +30,8 @@
 	}
 }
 
-// heartbeat asks for news of what is worked on, one beat at a time; now and then it
-// asks any core, as one does that has just started.
+// heartbeat asks for updates of the current registers, one at a time; now and then it
+// asks any controller, as an edge does that has just started.
 func (e *Edge) heartbeat() {
 	if e.heartbeatOpen {
 		return
@@ -73,13 +73,13 @@
 	})
 }
 
-// follow takes news of a leader unless its term is over.
+// follow takes an update of a leader unless its term is over.
 func (e *Edge) follow(got update) {
 	if got.term < e.term && e.cluster.options.InjectedBug != EdgeBack {
 		return
 	}
 	if got.term < e.term || got.revision < e.revision {
-		e.cluster.fail("epochs only forward: an edge at term %d and place %d takes term %d and place %d from %s", e.term, e.revision, got.term, got.revision, got.from.host)
+		e.cluster.fail("epochs only forward: an edge at term %d and index %d takes term %d and index %d from %s", e.term, e.revision, got.term, got.revision, got.from.host)
 	}
 	e.term, e.revision = got.term, got.revision
 }
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -1,7 +1,7 @@
 package simulation
 
-// Agenda is the simulated time: what is due, in the order of its time and, at
-// one time, in the order in which it was put there.
+// The event queue is the simulated time: events run in the order of their time and, at
+// one time, in the order in which they were added.
 
 import (
 	"container/heap"
@@ -42,13 +42,13 @@
 	due   eventHeap
 }
 
-// After puts something onto the agenda.
+// After adds an event.
 func (a *EventQueue) After(span time.Duration, run func()) {
 	a.seq++
 	heap.Push(&a.due, event{a.now + span, a.seq, run})
 }
 
-// Step carries out what is due next, up to a time, and tells whether there was any.
+// Step carries out the next event that is due up to a time, and tells whether there was one.
 func (a *EventQueue) Step(until time.Duration) (done bool) {
 	if len(a.due) == 0 || a.due[0].at > until {
 		a.now = until
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,8 +1,7 @@
 package simulation
 
-// Trouble is one thing that goes wrong at a time that the seed has chosen. All
-// of a run are drawn before it starts, so that a failing run can be made
-// shorter by leaving some of them out.
+// A fault happens at a time that the seed has chosen. All faults of a run are drawn before
+// it starts, so that a failing run can be shortened by leaving some of them out.
 
 import (
 	"math/rand"
@@ -11,10 +10,10 @@
 	"time"
 )
 
-// FaultKind of trouble.
+// FaultKind is what goes wrong.
 type FaultKind string
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
 	Freeze    FaultKind = "freeze"
 	Slow      FaultKind = "slow"
@@ -37,33 +36,33 @@
 	Storm     FaultKind = "storm"
 )
 
-// FaultKindTexts says what each kind of trouble is.
+// FaultKindTexts says what each kind of fault is.
 var FaultKindTexts = []struct {
 	Kind FaultKind
 	Text string
 }{
-	{Freeze, "a core stands still while the steady time runs on, its handlers often wake before its ticks"},
-	{Slow, "a core is late with everything"},
-	{Clock, "the wall clock of a core, or of all, steps; the steady clocks do not"},
-	{Cut, "a core is cut off from all other cores, but not from callers"},
-	{OneWay, "a core is not heard by the others, or does not hear them"},
-	{Reset, "all that is under way to and from a core is lost"},
-	{Lossy, "messages are lost, doubled and reordered"},
+	{Freeze, "a controller is frozen while the monotonic time runs on, its handlers often wake before its ticks"},
+	{Slow, "a controller is late with everything"},
+	{Clock, "the wall clock of a controller, or of all, steps; the monotonic clocks do not"},
+	{Cut, "a controller is partitioned from all other controllers, but not from callers"},
+	{OneWay, "a controller is not heard by the others, or does not hear them"},
+	{Reset, "all messages in flight to and from a controller is lost"},
+	{Lossy, "messages are lost, duplicated and reordered"},
 	{Answers, "answers to callers are lost"},
-	{Kill, "a core's process ends at once and is started again from its disk"},
-	{Power, "a core loses power, with a torn write, and starts again"},
-	{PowerAll, "all cores lose power at once"},
-	{Wipe, "a core loses its disk, within the losses that are borne"},
-	{WipeRest, "as many cores as are borne lose their disks while all others lose power"},
-	{Replace, "a core ends for good and a new one takes its place, within the losses that are borne"},
-	{Supersede, "a core is asked to stop and a new one takes its place"},
-	{Flap, "a core comes and goes several times"},
-	{Stall, "a core's disk stands still"},
-	{Full, "a core's disk refuses to write"},
+	{Kill, "a controller's process ends at once and is started again from its disk"},
+	{Power, "a controller loses power, with a torn write, and starts again"},
+	{PowerAll, "all controllers lose power at once"},
+	{Wipe, "a controller loses its disk, within the tolerated losses"},
+	{WipeRest, "as many controllers as are tolerated lose their disks while all others lose power"},
+	{Replace, "a controller ends for good and a new one takes its place, within the tolerated losses"},
+	{Supersede, "a controller is asked to stop and a new one takes its place"},
+	{Flap, "a controller comes and goes several times"},
+	{Stall, "a controller's disk stalls"},
+	{Full, "a controller's disk refuses to write"},
 	{Storm, "hundreds of changes come at once"},
 }
 
-// FaultKinds lists the kinds of trouble.
+// FaultKinds lists the kinds of faults.
 func FaultKinds() (kinds []FaultKind) {
 	for _, known := range FaultKindTexts {
 		kinds = append(kinds, known.Kind)
@@ -82,7 +81,7 @@
 	for _, name := range strings.Split(text, ",") {
 		kind := FaultKind(strings.TrimSpace(name))
 		if !slices.Contains(FaultKinds(), kind) {
-			return nil, Class.New("unknown kind of trouble %q", name)
+			return nil, Class.New("unknown kind of fault %q", name)
 		}
 		if !slices.Contains(kinds, kind) {
 			kinds = append(kinds, kind)
@@ -100,7 +99,7 @@
 	Span       time.Duration `json:"span"`
 }
 
-// drawFaults chooses the troubles of a run; now and then one comes right after another.
+// drawFaults chooses the faults of a run; now and then one comes right after another.
 func drawFaults(rng *rand.Rand, options Options) (faults []Fault) {
 	if len(options.Faults) == 0 {
 		return nil
--- a/internal/simulation/handlers.go
+++ b/internal/simulation/handlers.go
@@ -5,7 +5,7 @@
 
 import "tinpin/internal/raft"
 
-// redirect says who leads, if this core knows.
+// redirect says who leads, if this controller knows.
 func (c *Controller) redirect() (answer reply) {
 	answer.redirected = true
 	for _, other := range c.cluster.controllers {
@@ -16,7 +16,7 @@
 	return answer
 }
 
-// handleRequest has an order carried out.
+// handleRequest proposes the command of a request.
 func (c *Controller) handleRequest(o Request, back func(reply)) {
 	if !c.isLeader() {
 		back(c.redirect())
@@ -25,7 +25,7 @@
 	c.submit(o.command(), func(answer Answer) { back(reply{outcome: o.answerOf(answer)}) })
 }
 
-// handleRead reads a register, where contact proves that this core leads.
+// handleRead reads a register, where contact proves that this controller leads.
 func (c *Controller) handleRead(history *History, back func(reply)) {
 	switch {
 	case !c.isLeader():
@@ -37,7 +37,7 @@
 	}
 }
 
-// update is what a beat of an edge is answered with.
+// update answers the heartbeat of an edge.
 type update struct {
 	term     raft.Term
 	revision uint64
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -1,6 +1,6 @@
 package simulation
 
-// History is what callers asked and were told of one register: an item, a
+// A history is what callers asked and observed of one register: an item, a
 // document, an evacuation or a key. It must be explained by some order of the
 // calls, each carried out at one moment between its sending and its answer; a
 // call without a clear answer may have been carried out at any time since, or
@@ -33,7 +33,7 @@
 	read
 )
 
-// outcome of a call, as the caller was told.
+// outcome of a call, as the caller observed it.
 type outcome uint8
 
 const (
@@ -74,7 +74,7 @@
 	next       uint64
 }
 
-// begin notes a call; it is open until its answer is noted.
+// begin records a call; it is open until its answer is recorded.
 func (h *History) begin(client int, call call, now time.Duration) (op *operation) {
 	op = &operation{client: client, call: call, from: now, upto: math.MaxInt64}
 	h.operations = append(h.operations, op)
@@ -85,7 +85,7 @@
 	return op
 }
 
-// end notes the answer.
+// end records the answer.
 func (h *History) end(op *operation, observed observation, now time.Duration) {
 	if observed.outcome == unknown {
 		return
@@ -124,7 +124,7 @@
 
 func versionPrefix(version uint64) (text string) { return fmt.Sprintf(";%06d=", version) }
 
-// accept keeps what was taken in the order of the versions, so that what holds is
+// accept keeps what was accepted in the order of the versions, so that what holds is
 // the same however it came about.
 func (s registerState) accept(call call) (after registerState) {
 	after = s
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -67,7 +67,7 @@
 	Took      time.Duration  `json:"took"`
 }
 
-// Hunt plays the seeds; after each it tells how far it is.
+// Hunt runs the seeds and reports its progress after each.
 func Hunt(options Options, seeds Range, observed func(report Report)) (report Report) {
 	report = Report{Options: options, Range: seeds, Broken: []RunResult{}, Checks: map[string]int{}}
 	begin := time.Now()
@@ -125,13 +125,13 @@
 	return float64(r.Steps) / max(r.Took.Seconds(), 1e-9)
 }
 
-// Line tells the whole in one line.
+// Line summarizes the report in one line.
 func (r Report) Line() (line string) {
 	return fmt.Sprintf("%d seeds, %d broke, %s simulated in %s, %.0f steps a second; orders: %d confirmed, %d refused, %d open; %d histories unchecked",
 		r.Played, len(r.Broken), r.Simulated.Round(time.Second), r.Took.Round(time.Second), r.StepsPerSecond(), r.Confirmed, r.Refused, r.Open, r.Unchecked)
 }
 
-// Table writes what broke, check by check, with the first seeds of each.
+// Table writes what failed, check by check, with the first seed of each.
 func (r Report) Table(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "check\tseeds\tfirst seed\tat\twhat")
@@ -148,7 +148,7 @@
 	_, _ = fmt.Fprintln(out, r.Line())
 }
 
-// Find tells how many seeds it takes until a planted fault is found.
+// Find says how many seeds it takes until an injected bug is found.
 type Find struct {
 	InjectedBug InjectedBug `json:"plant"`
 	Found       bool        `json:"found"`
@@ -157,7 +157,7 @@
 	Broken      string      `json:"broken,omitempty"`
 }
 
-// Seek plays seeds with a planted fault until one of them breaks.
+// Seek runs seeds with an injected bug until one of them fails.
 func Seek(bug InjectedBug, options Options, seeds Range, observed func(report Report)) (find Find) {
 	options.InjectedBug = bug
 	seeds.First = true
@@ -170,10 +170,10 @@
 	return find
 }
 
-// FindTable writes after how many seeds planted faults were found.
+// FindTable writes after how many seeds the injected bugs were found.
 func FindTable(out io.Writer, finds []Find) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "planted\tfound\tseeds\tby")
+	_, _ = fmt.Fprintln(table, "bug\tfound\tseeds\tby")
 	for _, find := range finds {
 		found := "no"
 		if find.Found {
--- a/internal/simulation/inject.go
+++ b/internal/simulation/inject.go
@@ -1,9 +1,8 @@
 package simulation
 
-// Strike brings the troubles about, and keeps the account of what is lost: a
-// core counts as lost while it is down, frozen, slowed or cut off, and for
-// catch_up after it is back. Disks are lost only within the losses that are
-// borne; whatever keeps its disk may go at any time.
+// Faults are injected here, and the losses are counted: a controller counts as lost while
+// it is down, frozen, slowed or partitioned, and for catch_up after it is back. Disks are
+// lost only within the tolerated losses; a controller that keeps its disk may end at any time.
 
 import (
 	"fmt"
@@ -13,7 +12,7 @@
 	"tinpin/internal/raft"
 )
 
-// maxLeaveTime is three quarters of the time that a core has to end.
+// maxLeaveTime is three quarters of the time that a controller has to end.
 const maxLeaveTime = 3750 * time.Millisecond
 
 func (c *Controller) faulty() (isFaulty bool) {
@@ -21,7 +20,7 @@
 	return !c.up || c.leavingNow || c.frozen || now < c.slowUntil || now < c.stalledUntil || now < c.fullUntil || c.cluster.network.isPartitioned(c)
 }
 
-// watchLosses keeps the account; while more are in trouble than are borne, nobody's
+// watchLosses counts the losses; while more are faulty than are tolerated, nobody's
 // time to catch up runs.
 func (w *Cluster) watchLosses() {
 	w.events.After(50*time.Millisecond, w.watchLosses)
@@ -51,7 +50,7 @@
 	return c.cluster.events.now-c.lostAt < c.cluster.options.CatchUp
 }
 
-// canLose tells whether this core may lose its disk now.
+// canLose tells whether this controller may lose its disk now.
 func (w *Cluster) canLose(controller *Controller) (allowed bool) {
 	lost := w.updateLosses()
 	if controller.lost() {
@@ -60,7 +59,7 @@
 	return lost < w.options.Losses
 }
 
-// later carries something out for a core unless its process has changed meanwhile.
+// later runs something for a controller unless its process has changed meanwhile.
 func (c *Controller) later(span time.Duration, run func()) {
 	incarnation := c.incarnation
 	c.cluster.events.After(span, func() {
@@ -70,10 +69,10 @@
 	})
 }
 
-// restartAfter starts a core after a time.
+// restartAfter starts a controller after a time.
 func (c *Controller) restartAfter(span time.Duration) { c.cluster.events.After(span, c.start) }
 
-// wipe takes the disk of a core that is down.
+// wipe replaces the disk of a controller that is down by an empty one.
 func (c *Controller) wipe() {
 	w := c.cluster
 	_ = c.disk.Close()
@@ -90,7 +89,7 @@
 	c.disk, c.member.ID = disk, id
 }
 
-// bugInitialSnapshot is the planted fault's first snapshot, as if all started for the first time.
+// bugInitialSnapshot is the injected bug's first snapshot, as if all started for the first time.
 func (w *Cluster) bugInitialSnapshot() (base raft.Snapshot) {
 	base = raft.Snapshot{Index: 1, Term: 1}
 	for i := range 3 {
@@ -100,7 +99,7 @@
 	return base
 }
 
-// inject brings one trouble about.
+// inject carries out one fault.
 func (w *Cluster) inject(fault Fault) {
 	controllers := w.remaining()
 	controller := controllers[fault.Controller%len(controllers)]
@@ -109,7 +108,7 @@
 		controller = leader
 	}
 	span := fault.Span
-	w.logEvent("trouble: %s of %s for %s", fault.Kind, controller.host, span)
+	w.logEvent("fault: %s of %s for %s", fault.Kind, controller.host, span)
 	switch fault.Kind {
 	case Freeze:
 		controller.freeze()
@@ -193,7 +192,7 @@
 	}
 }
 
-// replace has a new core take the place of one that is gone for good.
+// replace has a new controller take the place of one that is gone for good.
 func (w *Cluster) replace(controller *Controller, span time.Duration) {
 	controller.gone = true
 	w.startReplacement(span)
@@ -208,7 +207,7 @@
 	return controller
 }
 
-// stopAndReplace asks a core to stop, which leaves by agreement and ends; its
+// stopAndReplace asks a controller to stop, which leaves the membership and ends; its
 // successor may be there before that or come after it.
 func (w *Cluster) stopAndReplace(controller *Controller, rng *rand.Rand, span time.Duration) {
 	if !w.canLose(controller) || !controller.up || controller.frozen || controller.leavingNow {
@@ -222,7 +221,7 @@
 	controller.leave(w.events.now+maxLeaveTime, func() {
 		controller.end(false)
 		controller.gone = true
-		w.logEvent("%s has gone", controller.host)
+		w.logEvent("%s is gone", controller.host)
 		if successor == nil {
 			successor = w.startReplacement(span / 4)
 		}
@@ -239,9 +238,9 @@
 	w.events.After(span, func() { w.flap(controller, times-1, span) })
 }
 
-// heal ends all troubles.
+// heal ends all faults.
 func (w *Cluster) heal() {
-	w.logEvent("calm")
+	w.logEvent("faults over")
 	w.network.cut, w.network.delayed = map[link]int{}, map[link][]func(){}
 	w.network.lossyUntil, w.network.dropAnswersUntil, w.requestBurstUntil = 0, 0, 0
 	for _, controller := range w.remaining() {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -1,8 +1,7 @@
 package simulation
 
-// Witness holds every core to what must be true at each step: one leader a
-// term, one vote a core and term, logs that match, one committed entry a
-// place, and nothing told as held that is not on disk.
+// The invariants hold at each step: one leader a term, one vote a controller and term, logs
+// that match, one committed entry an index, and nothing acknowledged that is not on disk.
 
 import (
 	"encoding/binary"
@@ -54,7 +53,7 @@
 	return hash.Sum64()
 }
 
-// Leads notes who leads a term.
+// Leads records who leads a term.
 func (t *InvariantChecker) Leads(term raft.Term, id raft.ID) {
 	other, known := t.leaders[term]
 	if known && other != id {
@@ -66,23 +65,23 @@
 	}
 }
 
-// Applied notes what a core takes as committed.
+// Applied records what a controller takes as committed.
 func (t *InvariantChecker) Applied(host string, entry raft.Entry) {
 	digest := digestOf(entry)
 	if other, known := t.agreed[entry.Index]; known && other != digest {
-		t.cluster.fail("one entry a place: %s applies another entry %d than those before it", host, entry.Index)
+		t.cluster.fail("one entry an index: %s applies another entry %d than those before it", host, entry.Index)
 	}
 	t.agreed[entry.Index] = digest
 }
 
-// Restored notes a state that a core takes from a snapshot.
+// Restored checks a state that a controller takes from a snapshot.
 func (t *InvariantChecker) Restored(host string, snapshot raft.Snapshot) {
 	if _, known := t.agreed[snapshot.Index]; !known && snapshot.Index > 1 {
 		t.cluster.fail("only what is committed: %s takes a snapshot of %d, which nobody has applied", host, snapshot.Index)
 	}
 }
 
-// Wrote notes the entries that a core has put on its disk.
+// Wrote records the entries that a controller has put on its disk.
 func (t *InvariantChecker) Wrote(host string, writes []raft.Write) {
 	for _, write := range writes {
 		for i, entry := range write.Entries {
@@ -95,7 +94,7 @@
 	}
 }
 
-// Loaded looks at the whole log that a core starts from.
+// Loaded checks the complete log that a controller starts from.
 func (t *InvariantChecker) Loaded(host string, base raft.Snapshot, log []raft.Entry) {
 	before := base.Term
 	for _, entry := range log {
@@ -104,7 +103,7 @@
 	}
 }
 
-// match holds a log to the matching property: a place and a term have one
+// match checks the log matching property: an index and a term have one
 // entry, and one entry before it.
 func (t *InvariantChecker) match(host string, entry raft.Entry, before raft.Term) {
 	at := entryID{entry.Index, entry.Term}
@@ -114,14 +113,14 @@
 	case seen && known.digest != digest:
 		t.cluster.fail("logs match: %s has another entry %d of term %d than those before it", host, entry.Index, entry.Term)
 	case seen && known.before != 0 && before != 0 && known.before != before:
-		t.cluster.fail("logs match: before entry %d of term %d, %s has one of term %d and another core one of term %d", entry.Index, entry.Term, host, before, known.before)
+		t.cluster.fail("logs match: before entry %d of term %d, %s has one of term %d and another controller one of term %d", entry.Index, entry.Term, host, before, known.before)
 	case before == 0:
 		before = known.before
 	}
 	t.logs[at] = entryRecord{digest, before}
 }
 
-// Sends looks at a message on its way out: what it says must be on disk.
+// Sends checks a message on its way out: what it says must be on disk.
 func (t *InvariantChecker) Sends(controller *Controller, message raft.Message) {
 	switch message.Kind {
 	case raft.MsgAppendResponse:
@@ -129,7 +128,7 @@
 			return
 		}
 		if !controller.disk.Holds(message.Index, controller.raft.TermAt(message.Index)) {
-			t.cluster.fail("told once it is on disk: %s tells that it holds %d, its disk ends at %d", controller.host, message.Index, controller.disk.Last())
+			t.cluster.fail("acknowledged once it is on disk: %s acknowledges %d, its disk ends at %d", controller.host, message.Index, controller.disk.Last())
 		}
 	case raft.MsgVoteResponse:
 		if !message.Reject {
@@ -147,6 +146,6 @@
 	}
 	t.votes[at] = chosen
 	if hard := controller.disk.hard; hard.Term < term || hard.Term == term && hard.Vote != chosen {
-		t.cluster.fail("told once it is on disk: %s votes for %s in term %d, its disk has term %d and %q", controller.member.ID, chosen, term, hard.Term, hard.Vote)
+		t.cluster.fail("acknowledged once it is on disk: %s votes for %s in term %d, its disk has term %d and %q", controller.member.ID, chosen, term, hard.Term, hard.Vote)
 	}
 }
--- a/internal/simulation/lease.go
+++ b/internal/simulation/lease.go
@@ -1,9 +1,8 @@
 package simulation
 
-// Lease is for how long a core's contact with a majority proves that it leads,
-// kept as a node keeps it: taken back before anything is sent that lets another
-// lead, renewed once all that is committed was applied, and looked at when an
-// answer is made.
+// A lease is how long a controller's contact with a majority proves that it leads, kept as
+// package node keeps it: withdrawn before anything is sent that lets another lead, renewed once
+// all that is committed was applied, and checked when an answer is made.
 
 import (
 	"time"
@@ -11,12 +10,12 @@
 	"tinpin/internal/raft"
 )
 
-// Lease of one core.
+// Lease of one controller.
 type Lease struct {
 	term  raft.Term
 	until time.Duration
 
-	// For the planted faults: the last round known, when that was, and the wall
+	// For the injected bugs: the last confirmed round of heartbeats, when that was, and the wall
 	// clock by then.
 	sent, received, wall time.Duration
 }
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -1,8 +1,8 @@
 package simulation
 
-// Keeping house in simulated time: the leader asks the real policy which
-// change of members is due; a core that is no member asks to become one, and
-// one that is asked to stop asks to be taken out.
+// Membership in simulated time: the leader asks the real policy which change of members is
+// due; a controller that is no member asks to join, and one that is asked to stop asks to be
+// removed.
 
 import (
 	"slices"
@@ -12,7 +12,7 @@
 )
 
 const (
-	// slowTicks is how long the planted slow strike-out waits.
+	// slowTicks is how long the injected slow removal of a voter waits.
 	slowTicks      = 320
 	reconcileTicks = 5
 	askTicks       = 10
@@ -93,7 +93,7 @@
 	}
 }
 
-// shrink is the planted fault of a voter struck out with nobody for its place.
+// shrink is the injected bug of a voter that is removed without a replacement.
 func (c *Controller) shrink(view raft.View, usual raft.Decision) (decision raft.Decision) {
 	for i, member := range view.Members {
 		if member.Voter && member.ID != view.Self && view.SinceHeard(member.ID) > 12 {
@@ -130,7 +130,7 @@
 	c.joining = slices.DeleteFunc(c.joining, func(j joiningController) bool { return j.member.ID == id })
 }
 
-// leave has a core that was asked to stop resign and ask to be taken out, and
+// leave has a controller that was asked to stop resign and ask to be removed, and
 // ends it once it may go or its time is up.
 func (c *Controller) leave(until time.Duration, gone func()) {
 	incarnation := c.incarnation
@@ -180,7 +180,7 @@
 	ask(again)
 }
 
-// acknowledgeLeaving notes a core that is about to end, and tells whether it may go now.
+// acknowledgeLeaving records a controller that is about to end, and tells whether it may go now.
 func (c *Controller) acknowledgeLeaving(id raft.ID) (now bool) {
 	if !c.mayServeReads() || c.leavingNow {
 		return false
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Network carries messages between cores and calls to them. Links are cut one
+// Network carries messages between controllers and calls to them. Links are cut one
 // way or both; what is under way through a cut may come late, once it heals.
 
 import (
@@ -61,7 +61,7 @@
 	}
 }
 
-// call carries something from one core to another.
+// call carries a call from one controller to another.
 func (n *Network) call(from, to *Controller, run func()) {
 	path := link{from, to}
 	resets, incarnation := n.resets[from]+n.resets[to], to.incarnation
@@ -96,7 +96,7 @@
 	})
 }
 
-// isPartitioned tells whether a core cannot speak with another, one way or the other.
+// isPartitioned tells whether a controller cannot reach another, one way or the other.
 func (n *Network) isPartitioned(controller *Controller) (parted bool) {
 	for _, other := range n.cluster.controllers {
 		if other != controller && !other.gone && (n.cut[link{controller, other}] > 0 || n.cut[link{other, controller}] > 0) {
@@ -106,7 +106,7 @@
 	return false
 }
 
-// ask carries a caller's call to a core, and its answer back. The caller hears
+// ask carries a caller's call to a controller, and its answer back. The caller hears
 // nothing where the call or the answer is lost; it gives up by itself.
 func (n *Network) ask(to *Controller, handle func(reply func(back func()))) {
 	if !to.up {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -1,7 +1,7 @@
 package simulation
 
 // Operator changes items, documents and evacuations, often at one time with
-// others and under one version, sends orders again, and reads back.
+// others and under one version, sends requests again, and reads back.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 // Operator is one operating part.
 type Operator struct{ *Caller }
 
-// run gives orders until the end, many at once in a storm.
+// run sends requests until the end, many at once in a storm.
 func (o *Operator) run() {
 	w := o.cluster
 	if w.ending {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,8 +1,8 @@
 package simulation
 
-// Play is one run from its start to its verdict: troubles and callers for the
-// length of the run, then calm, in which the core has to come back to full
-// strength; at last every register is read and every history explained.
+// Play is one run from its start to its result: faults and callers for the length of the run,
+// then quiescence, in which the cluster has to come back to full strength; at last every
+// register is read and every history checked.
 
 import (
 	"fmt"
@@ -27,17 +27,17 @@
 	Log []string `json:"-"`
 }
 
-// DrawFaults gives the troubles of a seed.
+// DrawFaults returns the faults of a seed.
 func DrawFaults(seed int64, options Options) (faults []Fault) {
 	return drawFaults(rand.New(rand.NewSource(seed^0x5eed)), options)
 }
 
-// Play plays a seed with the troubles that it draws.
+// Play runs a seed with the faults that it draws.
 func Play(seed int64, options Options) (result RunResult) {
 	return PlayWith(seed, options, DrawFaults(seed, options), nil)
 }
 
-// PlayWith plays a seed with given troubles; each step that is noted is told.
+// PlayWith runs a seed with given faults; onEvent, if any, gets each logged step.
 func PlayWith(seed int64, options Options, faults []Fault, onEvent func(line string)) (result RunResult) {
 	w := newCluster(seed, options, onEvent)
 	defer w.close()
@@ -61,7 +61,7 @@
 	}
 }
 
-// quiesce heals everything and waits until the core is at full strength.
+// quiesce ends all faults and waits until the cluster is at full strength.
 func (w *Cluster) quiesce() (elapsed time.Duration) {
 	w.ending = true
 	w.heal()
@@ -77,14 +77,14 @@
 	switch allowed := w.options.CatchUp + quiesceAllowance; {
 	case w.failure != "":
 	case lacking != "":
-		w.fail("full strength once calm: after %s %s", elapsed, lacking)
+		w.fail("full strength once quiesced: after %s %s", elapsed, lacking)
 	case elapsed > allowed:
-		w.fail("full strength once calm: it took %s, allowed are %s", elapsed, allowed)
+		w.fail("full strength once quiesced: it took %s, allowed are %s", elapsed, allowed)
 	}
 	return elapsed
 }
 
-// missing tells what is missing to full strength.
+// missing names what is missing to full strength.
 func (w *Cluster) missing() (lacking string) {
 	leader := w.establishedLeader()
 	if leader == nil {
@@ -113,7 +113,7 @@
 	return ""
 }
 
-// readAll reads every register through the leader, and holds all cores against it.
+// readAll reads every register through the leader, and compares all controllers with it.
 func (w *Cluster) readAll() {
 	w.run(w.events.now + callTimeout + proposalTimeout)
 	reader, open := w.newCaller(), len(w.histories)
@@ -125,7 +125,7 @@
 	switch {
 	case w.failure != "":
 	case open > 0 || leader == nil:
-		w.fail("answers once calm: %d of %d registers could not be read", open, len(w.histories))
+		w.fail("answers once quiesced: %d of %d registers could not be read", open, len(w.histories))
 	default:
 		for _, controller := range w.remaining() {
 			for _, history := range w.histories {
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -1,7 +1,7 @@
 package simulation
 
-// Order is what an operator wants done to one register, as the command that
-// brings it about in the real state, and how the register is read there.
+// A request is what an operator wants done to one register: the command for the real state
+// machine, and how the register is read there.
 
 import (
 	"errors"
@@ -59,7 +59,7 @@
 	return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"%sms","keyed":"deadline","least_share":0.5}],"lost_touch":"5s","cut_off":"stop"}`, call.version, call.content)
 }
 
-// observe reads a register from the agreed state.
+// observe reads a register from the replicated state.
 func (h *History) observe(state *statemachine.State) (seen observation) {
 	seen.outcome = confirmed
 	sort, name := sortOf(h.name)
@@ -92,7 +92,7 @@
 	return seen
 }
 
-// answerOf is what the caller of an order is told.
+// answerOf is what the caller of a request observes.
 func (o Request) answerOf(answer Answer) (observed observation) {
 	sort, _ := sortOf(o.history.name)
 	switch {
@@ -106,7 +106,7 @@
 	return observed
 }
 
-// alterResult is what a planted fault makes of the outcome of a command.
+// alterResult is what an injected bug makes of the result of a command.
 func (p InjectedBug) alterResult(state *statemachine.State, command statemachine.Command, result statemachine.Result) (bent statemachine.Result) {
 	switch {
 	case p == TwoContents && command.Kind == statemachine.CommandConfig:
--- a/internal/simulation/seeds_test.go
+++ b/internal/simulation/seeds_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Seeds that are played each time, over the shapes that a site can have.
+// Seeds that run each time, over the sizes that a cluster can have.
 func TestFixedSeeds(t *testing.T) {
 	for name, c := range map[string]struct {
 		cores, losses int
@@ -14,11 +14,11 @@
 		from          int64
 		seeds         int
 	}{
-		"three cores":   {3, 1, 10 * time.Second, 1, 24},
-		"four cores":    {4, 1, 10 * time.Second, 101, 8},
-		"five cores":    {5, 2, 8 * time.Second, 201, 8},
-		"seven cores":   {7, 3, 6 * time.Second, 301, 3},
-		"half a minute": {3, 1, 30 * time.Second, 401, 3},
+		"three controllers": {3, 1, 10 * time.Second, 1, 24},
+		"four controllers":  {4, 1, 10 * time.Second, 101, 8},
+		"five controllers":  {5, 2, 8 * time.Second, 201, 8},
+		"seven controllers": {7, 3, 6 * time.Second, 301, 3},
+		"half a minute":     {3, 1, 30 * time.Second, 401, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -35,7 +35,7 @@
 	}
 }
 
-// Each planted fault is found, by the troubles that bring it out.
+// Each injected bug is found, by the faults that bring it out.
 func TestInjectedBugsAreFound(t *testing.T) {
 	type sought struct {
 		troubles []FaultKind
