--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -4,10 +4,12 @@
 	"bytes"
 	"encoding/gob"
 	"fmt"
+	"path/filepath"
 	"reflect"
 	"testing"
 
 	"tinpin/internal/rpc/wire"
+	"tinpin/internal/testutil/wiretest"
 )
 
 // heartbeatOf and updateOf make messages with a number of rows.
@@ -110,8 +112,8 @@
 func TestTypeDescriptionsStaySmall(t *testing.T) {
 	now, before := 0, 0
 	for _, fixture := range wireFixtures {
-		now += len(gobBytes(t, fixture.value))
-		before += len(readFixture(t, fixture.path(".gob")))
+		now += len(wiretest.EncodeGob(t, fixture.Value))
+		before += len(wiretest.ReadFile(t, filepath.Join("testdata", "wire", fixture.Name+".gob")))
 	}
 	if now > before {
 		t.Errorf("all messages with their types take %d bytes, %d before", now, before)
--- a/internal/rpc/fixtures_test.go
+++ b/internal/rpc/fixtures_test.go
@@ -24,6 +24,7 @@
 
 	"tinpin/internal/config"
 	"tinpin/internal/policy"
+	"tinpin/internal/testutil/wiretest"
 )
 
 // The parts of which requests and replies are made, with every field filled.
@@ -46,8 +47,8 @@
 
 // wireFixtures are the requests and replies of all calls between cores and nodes,
 // in the order of the calls, but for those that only cores make.
-var wireFixtures = []wireFixture{
-	{"beat_request", HeartbeatRequest{
+var wireFixtures = []wiretest.Fixture{
+	{Name: "beat_request", Value: HeartbeatRequest{
 		Node:       sentNode,
 		KnownState: KnownState{Term: 9, Revision: 1001, LogIndex: 44, LastItem: AfterAllItems, EndpointsComplete: true, LastEndpoint: "pay-9", ShardMapRevision: 12},
 		KnownNodes: 300, MaxWait: 2 * time.Second,
@@ -56,7 +57,7 @@
 		Loads:         []Load{{Service: "pay", InFlight: 11}},
 		Outcomes:      []OutcomeCount{sentTally},
 	}},
-	{"beat_reply", Update{
+	{Name: "beat_reply", Value: Update{
 		IsLeader: true, LeaderAddress: "10.0.2.1:7100", Controllers: []Controller{{InternalAddress: "10.0.2.1:7100", ControlAddress: "10.0.2.1:7200"}},
 		Term: 9, Revision: 1002, Full: true, LogIndex: 45, LastItem: "routes/r1", CompressedItems: []byte{1, 0, 255}, Items: sentItems,
 		Evacuations: []Evacuation{{Zone: "east-1", Active: true, LogIndex: 21}, {Zone: "west-1", LogIndex: 23}},
@@ -73,27 +74,27 @@
 		ZoneOverflows: []ZoneOverflow{{Service: "pay", Permille: 125, Targets: []ZoneWeight{{Zone: "west-1", Weight: 1000}}}},
 		Outcomes:      []OutcomeCount{sentTally},
 	}},
-	{"lead_request", LeaderRequest{}},
-	{"lead_reply", LeaderResponse{IsLeader: true, Term: 9, Controllers: []Controller{{InternalAddress: "10.0.2.1:7100", ControlAddress: "10.0.2.1:7200"}}}},
-	{"claim_request", ClaimRequest{Holder: "node-1", Incarnation: 77, Claims: []KeyClaim{{Key: "key-1", Request: "digest-1"}}, Releases: []KeyClaim{{Key: "key-2", Request: "digest-2"}}, TimeLeft: 480 * time.Millisecond}},
-	{"claim_reply", ClaimResponse{IsLeader: true, Released: true, Results: []ClaimResult{{Outcome: ClaimHeld, Holder: "node-2", InternalAddress: "10.0.0.2:7000", Incarnation: 78, Request: "digest-1"}, {Outcome: ClaimRejected}}}},
-	{"bind_request", BindRequest{Bindings: []SessionBinding{{Session: "a1b2", Service: "pay", Endpoint: "pay-1", EndedEndpoint: "pay-0", IdleTimeout: 10 * time.Minute}}}},
-	{"bind_reply", BindResponse{IsLeader: true, Term: 9, Results: []BindResult{{Outcome: Bound, Endpoint: "pay-1"}, {Outcome: BindRejected}}}},
-	{"report_request", HealthReport{Node: "node-1", Term: 9, ShardMapRevision: 12, Service: "pay", Full: true, States: []EndpointState{sentState}}},
-	{"report_reply", HealthReportResponse{IsLeader: true, Accepted: true}},
-	{"orders_request", RetirementsRequest{From: "node-1"}},
-	{"orders_reply", RetirementsResponse{Retirements: []Retirement{sentRetired}}},
-	{"recall_request", StoredResponseRequest{Key: "key-1", Request: "digest-1", Incarnation: 77, Region: "east"}},
-	{"recall_reply", sentAnswer},
-	{"keep_request", StoreRequest{Key: "key-1", Request: "digest-1", Response: sentAnswer}},
-	{"keep_reply", StoreAcknowledgement{Stored: true}},
-	{"status_request", StatusRequest{}},
-	{"status_reply", StatusResponse{JSON: []byte(`{"role":"accord"}`)}},
-	{"trace_request", TraceRequest{Kind: "item", Name: "routes/r1"}},
-	{"trace_reply", TraceResponse{Name: "core-1", Present: true, Summary: "5", LogIndex: 31, Entries: []TraceEntry{{Event: "applied", Summary: "5", LogIndex: 31, Age: 3 * time.Second}}}},
+	{Name: "lead_request", Value: LeaderRequest{}},
+	{Name: "lead_reply", Value: LeaderResponse{IsLeader: true, Term: 9, Controllers: []Controller{{InternalAddress: "10.0.2.1:7100", ControlAddress: "10.0.2.1:7200"}}}},
+	{Name: "claim_request", Value: ClaimRequest{Holder: "node-1", Incarnation: 77, Claims: []KeyClaim{{Key: "key-1", Request: "digest-1"}}, Releases: []KeyClaim{{Key: "key-2", Request: "digest-2"}}, TimeLeft: 480 * time.Millisecond}},
+	{Name: "claim_reply", Value: ClaimResponse{IsLeader: true, Released: true, Results: []ClaimResult{{Outcome: ClaimHeld, Holder: "node-2", InternalAddress: "10.0.0.2:7000", Incarnation: 78, Request: "digest-1"}, {Outcome: ClaimRejected}}}},
+	{Name: "bind_request", Value: BindRequest{Bindings: []SessionBinding{{Session: "a1b2", Service: "pay", Endpoint: "pay-1", EndedEndpoint: "pay-0", IdleTimeout: 10 * time.Minute}}}},
+	{Name: "bind_reply", Value: BindResponse{IsLeader: true, Term: 9, Results: []BindResult{{Outcome: Bound, Endpoint: "pay-1"}, {Outcome: BindRejected}}}},
+	{Name: "report_request", Value: HealthReport{Node: "node-1", Term: 9, ShardMapRevision: 12, Service: "pay", Full: true, States: []EndpointState{sentState}}},
+	{Name: "report_reply", Value: HealthReportResponse{IsLeader: true, Accepted: true}},
+	{Name: "orders_request", Value: RetirementsRequest{From: "node-1"}},
+	{Name: "orders_reply", Value: RetirementsResponse{Retirements: []Retirement{sentRetired}}},
+	{Name: "recall_request", Value: StoredResponseRequest{Key: "key-1", Request: "digest-1", Incarnation: 77, Region: "east"}},
+	{Name: "recall_reply", Value: sentAnswer},
+	{Name: "keep_request", Value: StoreRequest{Key: "key-1", Request: "digest-1", Response: sentAnswer}},
+	{Name: "keep_reply", Value: StoreAcknowledgement{Stored: true}},
+	{Name: "status_request", Value: StatusRequest{}},
+	{Name: "status_reply", Value: StatusResponse{JSON: []byte(`{"role":"accord"}`)}},
+	{Name: "trace_request", Value: TraceRequest{Kind: "item", Name: "routes/r1"}},
+	{Name: "trace_reply", Value: TraceResponse{Name: "core-1", Present: true, Summary: "5", LogIndex: 31, Entries: []TraceEntry{{Event: "applied", Summary: "5", LogIndex: 31, Age: 3 * time.Second}}}},
 }
 
-func TestSentValuesAreReadAsTheyWere(t *testing.T) { checkWire(t, wireFixtures) }
+func TestSentValuesAreReadAsTheyWere(t *testing.T) { wiretest.Check(t, wireFixtures) }
 
 // packedFixtures are rows that go packed within a reply to a beat.
 var packedFixtures = []struct {
@@ -135,14 +136,14 @@
 func TestCompressedRowsAreReadAsTheyWere(t *testing.T) {
 	for _, fixture := range packedFixtures {
 		path := filepath.Join("testdata", "packed", fixture.name+".bin")
-		if missing(path) {
+		if wiretest.Missing(path) {
 			data, err := fixture.pack()
 			if err != nil {
 				t.Fatal(err)
 			}
-			writeFixture(t, path, data)
+			wiretest.WriteFile(t, path, data)
 		}
-		got, err := fixture.unpack(readFixture(t, path))
+		got, err := fixture.unpack(wiretest.ReadFile(t, path))
 		if err != nil {
 			t.Fatal(fixture.name, err)
 		}
@@ -151,10 +152,10 @@
 		}
 	}
 	golden := filepath.Join("testdata", "packed", "backends.txt")
-	if missing(golden) {
-		writeFixture(t, golden, []byte(wireShape(t, reflect.TypeFor[chunkRows]())))
+	if wiretest.Missing(golden) {
+		wiretest.WriteFile(t, golden, []byte(wiretest.Shape(t, reflect.TypeFor[chunkRows]())))
 	}
-	if diff := cmp.Diff(string(readFixture(t, golden)), wireShape(t, reflect.TypeFor[chunkRows]())); diff != "" {
+	if diff := cmp.Diff(string(wiretest.ReadFile(t, golden)), wiretest.Shape(t, reflect.TypeFor[chunkRows]())); diff != "" {
 		t.Errorf("field names of the packed part of the list (-golden +now):\n%s", diff)
 	}
 }
@@ -167,10 +168,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if missing(path) {
-		writeFixture(t, path, append(now, '\n'))
+	if wiretest.Missing(path) {
+		wiretest.WriteFile(t, path, append(now, '\n'))
 	}
-	data := readFixture(t, path)
+	data := wiretest.ReadFile(t, path)
 	var got ScheduleStep
 	if err = json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
@@ -282,7 +283,7 @@
 	}
 	var want, wantServices []string
 	wantAnswered := map[string][]string{}
-	for _, line := range strings.Split(string(readFixture(t, filepath.Join("testdata", "methods.txt"))), "\n") {
+	for _, line := range strings.Split(string(wiretest.ReadFile(t, filepath.Join("testdata", "methods.txt"))), "\n") {
 		if name, _, found := strings.Cut(line, " "); found {
 			want = append(want, name)
 			service, method, _ := strings.Cut(name, ".")
