--- a/cmd/tinpin-load/main.go
+++ b/cmd/tinpin-load/main.go
@@ -1,5 +1,5 @@
-// The tinpin-load command measures what the control side costs at sizes that are
-// given, with real cores and hollow nodes on loopback; see docs/CAPACITY.md.
+// The tinpin-load command measures what the control plane costs at given sizes, with
+// real controllers and stub nodes on loopback; see docs/CAPACITY.md.
 package main
 
 import (
@@ -17,16 +17,16 @@
 	"tinpin/internal/loadtest"
 )
 
-const usage = `tinpin-load measures the control side of tinpin on this machine
+const usage = `tinpin-load measures the control plane of tinpin on this machine
 
   tinpin-load [-span TIME] [-json] [SIZE..]                 one size
   tinpin-load [-span TIME] [-json] [SIZE..] -vary NAME=A,B,..  several, one variable changed
   tinpin-load [-json] -path REQUESTS                        what the request path adds
-  tinpin-load -reckon FOLDER                                slopes and totals of kept points
+  tinpin-load -reckon FOLDER                                slopes and totals from kept points
 
 SIZE is -nodes, -backends, -services, -routes, -tenants, and a second each -changes
 (of the configuration), -members (nodes that start anew), -claims (of keys) and
--reports (of health). What is not given is as usual. Real cores and hollow nodes run
+-reports (of health). What is not given has its default. Real controllers and stub nodes run
 as processes of this program; they talk to loopback only and end with it. It uses at
 most half of the memory that is free, and refuses a size that needs more.
 `
--- a/internal/loadtest/extrapolate.go
+++ b/internal/loadtest/extrapolate.go
@@ -1,9 +1,9 @@
 package loadtest
 
-// Reckon puts measured slopes together for a size that no machine here could
-// run: each figure is what it was at the usual size and, for each variable, its
-// slope times what the target has more. Products of two variables are left out,
-// which docs/CAPACITY.md says where they matter.
+// Extrapolation combines measured slopes for a size that no machine here could run: each
+// figure is what it was at the default size and, for each variable, its slope times what the
+// target has more. Products of two variables are left out; docs/CAPACITY.md says where they
+// matter.
 
 import (
 	"encoding/json"
@@ -41,13 +41,13 @@
 	return sweeps, nil
 }
 
-// Target is a size to reckon for.
+// Target is a size to extrapolate to.
 type Target struct {
 	Name string
 	Size Size
 }
 
-// Targets are the whole size to design for under one group of cores, as today,
+// Targets are the whole size to design for under one group of controllers, as today,
 // and one cell of eleven under the plan: its share of the nodes, and of backends,
 // services, routes and tenants twice its share, since hosts overlap; its share of
 // the changes, and no keyed claims.
@@ -64,7 +64,7 @@
 	Total  float64
 }
 
-// Extrapolate gives a figure for a target.
+// Extrapolate estimates a figure for a target.
 func Extrapolate(sweeps map[string]Sweep, figure string, target Size) (extrapolation Extrapolation) {
 	extrapolation = Extrapolation{Figure: figure, Parts: map[string]float64{}}
 	base := DefaultSize
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -1,7 +1,6 @@
 package loadtest
 
-// Measure sets a system of one size up, lets it settle, measures it for a span
-// and takes it down.
+// Measure sets up a system of one size, lets it settle, measures it for a span and stops it.
 
 import (
 	"context"
@@ -24,7 +23,7 @@
 	if err != nil {
 		return point, err
 	}
-	// What the start brought about dies down.
+	// Let the work of the start-up settle.
 	time.Sleep(time.Second)
 	if _, err = s.broadcast(ctx, "go"); err != nil {
 		return point, err
--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -1,7 +1,7 @@
 package loadtest
 
-// Path measures what the request path adds: the same requests one after the
-// other to a stand-in backend directly and through an edge, on loopback.
+// The path measurement is what a proxy adds to a request: the same requests one after the
+// other to a stand-in backend directly and through a proxy, on loopback.
 
 import (
 	"context"
--- a/internal/loadtest/point.go
+++ b/internal/loadtest/point.go
@@ -9,7 +9,7 @@
 	Variable string  `json:"variable"`
 	Size     Size    `json:"size"`
 	Seconds  float64 `json:"seconds"`
-	// Processor seconds a second of the leader, of the busiest other core, and of
+	// Processor seconds a second of the leader, of the busiest other controller, and of
 	// one node; memory in MB, of a node's process divided by its nodes.
 	LeaderCPU   float64 `json:"leader_cpu"`
 	FollowerCPU float64 `json:"follower_cpu"`
@@ -17,7 +17,7 @@
 	LeaderMB    float64 `json:"leader_mb"`
 	FollowerMB  float64 `json:"follower_mb"`
 	NodeMB      float64 `json:"node_mb"`
-	// Bytes a second of inner calls at the leader.
+	// Bytes a second of internal calls at the leader.
 	LeaderIn  float64 `json:"leader_in"`
 	LeaderOut float64 `json:"leader_out"`
 	// StartOut is what the leader sent until all nodes had all, for each node.
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -1,8 +1,8 @@
-// Package loadtest measures what the control side costs at a size: real cores in
-// processes of their own, and hollow nodes that speak the real inner protocol
-// by the real code without carrying traffic, many in a process. It talks to
-// loopback only, is bounded in time, processes and memory, and stops by itself.
-// This file is the size of one measurement and its bounds.
+// Package loadtest measures what the control plane costs at a size: real controllers in
+// processes of their own, and stub nodes that speak the real internal protocol by the real code
+// without carrying traffic, many in a process. It talks to loopback only, is bounded in time,
+// processes and memory, and stops by itself. Measure and MeasurePath are called by one
+// goroutine at a time; RunWorker is the main function of the processes they start.
 package loadtest
 
 import (
@@ -58,7 +58,7 @@
 	}[name]
 }
 
-// Memory reckons what a measurement needs, generously.
+// Memory estimates what a measurement needs, generously.
 func (s Size) Memory() (bytes int64) {
 	rows := int64(s.Backends + s.Services + s.Routes + s.Tenants)
 	return int64(s.Nodes)*(nodeBytes+rows*rowBytes) + 6*rows*rowBytes + int64(s.Claims)*75*800*3 + int64(s.processes()+4)*processBytes
@@ -66,7 +66,7 @@
 
 func (s Size) processes() (count int) { return (s.Nodes + nodesPerProcess - 1) / nodesPerProcess }
 
-// Check names every fault of a size before anything is started; room is the
+// Check names everything wrong with a size before anything is started; available is the
 // memory that may be used.
 func (s Size) Check(span time.Duration, available int64) (err error) {
 	var problems []string
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -1,7 +1,7 @@
 package loadtest
 
-// System is what a measurement sets up: cores and hollow nodes as processes of
-// the same program, a stand-in for the platform's list, and an operator.
+// A system is what a measurement sets up: controllers and stub nodes as processes of the same
+// program, a stand-in for the platform's endpoint list, and an operator.
 
 import (
 	"bufio"
@@ -40,7 +40,7 @@
 	out     *bufio.Scanner
 }
 
-// nodesTask is what a process of hollow nodes is given.
+// nodesTask is the task of a process of stub nodes.
 type nodesTask struct {
 	Settings settings.Settings `json:"props"`
 	First    int               `json:"first"`
@@ -260,7 +260,7 @@
 	return body
 }
 
-// change sends one route anew.
+// change sends one route under a new version.
 func (s *system) change(ctx context.Context) (err error) {
 	s.version++
 	body, _ := json.Marshal(map[string]any{"upserts": map[string]any{"routes": map[string]any{"column_names": routeColumns, "row_values": [][]any{routeRow(s.version%s.size.Routes, s.size.Services, s.version)}}}})
@@ -291,13 +291,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Class.New("no core took the operator's call")
+			return Class.New("no controller accepted the operator's call")
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// leader asks the cores how they stand and gives the one that leads.
+// leader asks the controllers for their status and returns the one that leads.
 func (s *system) leader() (at int, status controller.Status, err error) {
 	for i, config := range s.settings {
 		client := rpc.NewClient(config.ControllerInternalAddress())
@@ -312,5 +312,5 @@
 			return i, status, nil
 		}
 	}
-	return 0, status, Class.New("no core leads")
+	return 0, status, Class.New("no controller leads")
 }
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -1,8 +1,7 @@
 package loadtest
 
-// The words of the processes that a measurement starts: "core" runs one core,
-// "nodes" many hollow nodes. Each reads its task as one line, then words, and
-// ends with its input.
+// The commands of the processes that a measurement starts: "core" runs one controller, "nodes"
+// many stub nodes. Each reads its task as one line, then commands, and ends with its input.
 
 import (
 	"bufio"
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -1,7 +1,8 @@
-// Package localcluster sets up a whole system of tinpin on loopback addresses, with
-// stand-ins for the platform and the backends, for a first look and for tests
-// from end to end. The daemons are the real ones; only what lies outside
-// tinpin is made up here, after the published protocol.
+// Package localcluster starts a complete tinpin system on loopback addresses, with
+// stand-ins for the platform and the backends, for a first look and for end-to-end tests.
+// The daemons are the real ones; only what lies outside tinpin is a stand-in, written after
+// the published protocol. A Cluster is used by one goroutine, except that requests may be
+// sent and the counts of a Backend read from any.
 package localcluster
 
 import (
@@ -35,10 +36,10 @@
 type Backend struct {
 	ID, Service, Address, Zone string
 	Runs                       atomic.Int64
-	// WorkTime is how long it works on a request; Failing has it fail them all.
+	// WorkTime is how long a request takes, in nanoseconds; Failing makes all of them fail.
 	WorkTime atomic.Int64
 	Failing  atomic.Bool
-	// Server is closed with the stage.
+	// Server is closed with the cluster.
 	Server   io.Closer
 	mu       sync.Mutex
 	keys     map[string]int
@@ -46,34 +47,34 @@
 	arrivals map[string]int
 }
 
-// Zone is where everything on the stage is.
+// Zone is the zone of everything in the cluster.
 const Zone = "harbour"
 
-// CallerHeader names the session of a request on the stage.
+// CallerHeader names the session of a request.
 const CallerHeader = "X-Caller"
 
-// Callers tells how often each caller's requests ran.
+// Callers counts how often each caller's requests ran.
 func (b *Backend) Callers() (runs map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.callers)
 }
 
-// Arrivals tells how often each request came.
+// Arrivals counts how often each request arrived.
 func (b *Backend) Arrivals() (arrived map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.arrivals)
 }
 
-// Keys tells how often each operation key ran.
+// Keys counts how often each operation key ran.
 func (b *Backend) Keys() (runs map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.keys)
 }
 
-// ServeHTTP answers as the protocol has it.
+// ServeHTTP responds as the protocol says.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Tinpin-Instance-Id", b.ID)
 	if id := r.Header.Get("Tinpin-Request-Id"); id != "" {
@@ -107,7 +108,7 @@
 	_, _ = fmt.Fprintf(w, "%s %s ran on %s (%d bytes)\n", r.Method, r.URL.Path, b.ID, len(body))
 }
 
-// Cluster is a running system.
+// Cluster is a running system: controllers and proxies by name, their settings by number.
 type Cluster struct {
 	Controllers        map[string]*controller.Controller
 	Proxies            map[string]*proxy.Daemon
@@ -131,13 +132,13 @@
 	return server, nil
 }
 
-// Hosts gives the loopback addresses of one process's stage.
+// Hosts gives the loopback addresses of one process's cluster.
 func Hosts() (hosts func(n int) string) {
 	pid := os.Getpid()
 	return func(n int) string { return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, n) }
 }
 
-// Start sets up three cores, two edges and four backends of two services.
+// Start sets up three controllers, two proxies and four backends of two services.
 func Start(folder string, hosts func(n int) string) (cluster *Cluster, err error) {
 	backends, err := plainBackends(hosts)
 	if err != nil {
@@ -147,13 +148,13 @@
 }
 
 // StartWith sets up the same with backends that are served already, all of them
-// at the stage's one site.
+// in the cluster's one zone.
 func StartWith(folder string, hosts func(n int) string, backends []*Backend) (cluster *Cluster, err error) {
 	return start(folder, hosts, backends, true)
 }
 
 // StartGateway sets up the same without a directory: clients come by an address
-// of the platform, which asks the edges whether they are ready.
+// of the platform, which asks the proxies whether they are ready.
 func StartGateway(folder string, hosts func(n int) string) (cluster *Cluster, err error) {
 	backends, err := plainBackends(hosts)
 	if err != nil {
@@ -162,7 +163,7 @@
 	return start(folder, hosts, backends, false)
 }
 
-// plainBackends are four backends that work.
+// plainBackends starts four backends without faults.
 func plainBackends(hosts func(n int) string) (backends []*Backend, err error) {
 	for i, service := range []string{"hello", "hello", "ledger", "ledger"} {
 		backend := &Backend{ID: fmt.Sprint("i-", i+1), Service: service, Address: hosts(40+i) + ":18080", Zone: Zone, keys: map[string]int{}, callers: map[string]int{}, arrivals: map[string]int{}}
@@ -218,7 +219,7 @@
 	return cluster, nil
 }
 
-// AddProxy sets up one edge more.
+// AddProxy starts one more proxy.
 func (s *Cluster) AddProxy() (err error) {
 	config := s.proxySettings(len(s.ProxySettings) + 1)
 	edge, err := proxy.Start(config, eventlog.Discard())
@@ -255,7 +256,7 @@
 	s.draining[id] = true
 }
 
-// InternalAddresses lists the cores' inner addresses, as the tools want them.
+// InternalAddresses lists the controllers' internal addresses, as the tools expect them.
 func (s *Cluster) InternalAddresses() (addresses []string) {
 	for _, config := range s.ControllerSettings {
 		addresses = append(addresses, config.ControllerInternalAddress())
@@ -263,7 +264,7 @@
 	return addresses
 }
 
-// InitialConfiguration is a configuration to begin with.
+// InitialConfiguration is the configuration that tests begin with.
 const InitialConfiguration = `{"upserts":{
  "services":{"column_names":["name","health_check_path","max_connections","version"],
   "row_values":[["hello","/health",100,1],["ledger","/health",100,1]]},
@@ -271,7 +272,7 @@
   "row_values":[["r-hello","shop.example","/hello/","idempotent","2s","500ms",2,"hello",1],
                 ["r-pay","shop.example","/pay/","keyed","2s","500ms",2,"ledger",1]]}}}`
 
-// Operator sends a call to any core that takes it, as an operator would.
+// Operator sends a call to the controllers in turn until one accepts it, as an operator would.
 func (s *Cluster) Operator(ctx context.Context, method, path, body string) (status int, answer string, err error) {
 	for {
 		for _, config := range s.ControllerSettings {
@@ -305,7 +306,7 @@
 	}
 }
 
-// Until asks again and again until a condition holds.
+// Until polls until a condition holds or the context ends.
 func Until(ctx context.Context, holds func() bool) (err error) {
 	for !holds() {
 		if err = pause(ctx); err != nil {
@@ -317,12 +318,12 @@
 
 var requestCount atomic.Int64
 
-// Request sends one client request to an edge.
+// Request sends one client request to a proxy.
 func (s *Cluster) Request(ctx context.Context, edge int, method, path, key string) (status int, stamp, body string, err error) {
 	return sendRequest(ctx, s.ProxySettings[edge].FrontendAddress, method, path, key, "")
 }
 
-// RequestAs sends one client request of a caller to an edge's address.
+// RequestAs sends one client request of a caller to a proxy's address.
 func RequestAs(ctx context.Context, address, method, path, key, session string) (status int, err error) {
 	status, _, _, err = sendRequest(ctx, address, method, path, key, session)
 	return status, err
@@ -351,7 +352,7 @@
 	return response.StatusCode, response.Header.Get("Tinpin-Response-Signature"), string(data), Class.Wrap(err)
 }
 
-// StopProxy has an edge end as a SIGTERM would; done is closed when it has.
+// StopProxy stops a proxy as a SIGTERM would; done is closed once it has stopped.
 func (s *Cluster) StopProxy(name string) (done chan struct{}) {
 	done = make(chan struct{})
 	edge := s.Proxies[name]
@@ -363,7 +364,7 @@
 	return done
 }
 
-// IsReady tells what an edge answers the platform.
+// IsReady tells whether a proxy reports to the platform that it is ready.
 func (s *Cluster) IsReady(edge int) (ready bool) {
 	response, err := http.Get("http://" + s.ProxySettings[edge].ReadinessAddress + "/-/readiness")
 	if err != nil {
@@ -373,7 +374,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Ready waits until both edges serve.
+// Ready waits until all proxies are ready.
 func (s *Cluster) Ready(ctx context.Context) (err error) {
 	for edge := range s.ProxySettings {
 		if err = Until(ctx, func() bool { return s.IsReady(edge) }); err != nil {
@@ -383,13 +384,13 @@
 	return nil
 }
 
-// StopController ends one core, as a SIGTERM would.
+// StopController stops one controller, as a SIGTERM would.
 func (s *Cluster) StopController(name string) {
 	s.Controllers[name].Stop()
 	delete(s.Controllers, name)
 }
 
-// Close ends everything.
+// Close stops everything: proxies, controllers, platform, backends.
 func (s *Cluster) Close() {
 	var stopping sync.WaitGroup
 	for _, edge := range s.Proxies {
