--- a/internal/simulation/case_test.go
+++ b/internal/simulation/case_test.go
@@ -15,7 +15,7 @@
 	return options
 }
 
-func TestSameSeedSameVerdict(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	for seed := int64(1); seed <= 4; seed++ {
 		first, second := Play(seed, small("")), Play(seed, small(""))
 		if diff := cmp.Diff(first, second); diff != "" {
@@ -24,8 +24,8 @@
 	}
 }
 
-// A case that broke is made shorter, kept, and breaks again when it is read back.
-func TestACaseIsShortenedAndReplays(t *testing.T) {
+// A failing case is shortened, kept, and fails again when it is read back.
+func TestCaseIsShortenedAndReplays(t *testing.T) {
 	options := small(CommitWithoutQuorum)
 	options.Faults = []FaultKind{Cut, Storm, Freeze, Reset}
 	var result RunResult
@@ -33,12 +33,12 @@
 		result = Play(seed, options)
 	}
 	if result.Failure == "" {
-		t.Fatal("no seed found the planted fault")
+		t.Fatal("no seed found the injected bug")
 	}
 	complete := CaseOf(result, options)
 	short := complete.Shorten(10 * time.Second)
 	if len(short.Faults) > len(complete.Faults) || short.Options.Length > complete.Options.Length || CheckOf(short.Failure) != CheckOf(complete.Failure) {
-		t.Fatalf("%d troubles in %s became %d in %s, %q became %q", len(complete.Faults), complete.Options.Length, len(short.Faults), short.Options.Length, complete.Failure, short.Failure)
+		t.Fatalf("%d faults in %s became %d in %s, %q became %q", len(complete.Faults), complete.Options.Length, len(short.Faults), short.Options.Length, complete.Failure, short.Failure)
 	}
 	path := filepath.Join(t.TempDir(), "case.json")
 	if err := short.Write(path); err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCasesThatCannotBePlayedAreRefused(t *testing.T) {
+func TestInvalidCasesAreRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "case.json")
 	for _, text := range []string{"", "[]", `{"options":{}}`, `{"options":{"length":1000000000,"cores":3,"losses":1,"operators":1,"edges":1,"gap":1000000000,"catch_up":4000000000},"troubles":[{"kind":"quake"}]}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
