--- a/internal/dedup/content.go
+++ b/internal/dedup/content.go
@@ -4,20 +4,20 @@
 	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 
 	"github.com/valyala/fastjson"
 )
 
-// The digest of JSON is that of the parsed values: the order of keys, escapes in
-// texts, the forms of numbers, and whether a field is null or left out don't count.
-
-// Digest stands for a content, or for the number it came under.
+// Digest is the digest of a content or of the key it was accepted under. That of JSON
+// is computed from the parsed values: the order of keys, escapes in texts, the forms of
+// numbers, and whether a field is null or absent don't count. Digests are stored, so how
+// they are computed must not change.
 type Digest [8]byte
 
-// ContentHash gathers parsed values for one digest.
+// ContentHash collects the parsed values of one digest.
 type ContentHash struct{ text []byte }
 
 // AddText adds a text.
@@ -38,15 +38,15 @@
 		c.object(value.GetObject())
 	case fastjson.TypeArray:
 		c.text = append(c.text, '[')
-		for _, entry := range value.GetArray() {
-			c.AddJSON(entry)
+		for _, element := range value.GetArray() {
+			c.AddJSON(element)
 		}
 		c.text = append(c.text, ']')
 	case fastjson.TypeString:
 		c.AddText(string(value.GetStringBytes()))
 	case fastjson.TypeNumber:
 		c.text = append(c.text, 'n')
-		c.text = append(c.text, plainNumber(value.String())...)
+		c.text = append(c.text, canonicalNumber(value.String())...)
 		c.text = append(c.text, ';')
 	default:
 		c.text = append(c.text, value.String()...)
@@ -64,7 +64,7 @@
 			fields = append(fields, field{string(key), value})
 		}
 	})
-	sort.SliceStable(fields, func(i, j int) bool { return fields[i].name < fields[j].name })
+	slices.SortStableFunc(fields, func(a, b field) int { return strings.Compare(a.name, b.name) })
 	c.text = append(c.text, '{')
 	for _, field := range fields {
 		c.AddText(field.name)
@@ -73,14 +73,14 @@
 	c.text = append(c.text, '}')
 }
 
-// Digest closes the content.
+// Digest gives the digest of what was added.
 func (c *ContentHash) Digest() (digest Digest) {
 	sum := sha256.Sum256(c.text)
 	copy(digest[:], sum[:])
 	return digest
 }
 
-// DigestJSON is the digest of a text of JSON, of its bytes where it is none.
+// DigestJSON is the digest of a text of JSON, or of its bytes where it is not JSON.
 func DigestJSON(text []byte) (digest Digest) {
 	content := &ContentHash{}
 	if value, err := fastjson.ParseBytes(text); err == nil {
@@ -92,9 +92,9 @@
 	return content.Digest()
 }
 
-// plainNumber writes a number as its digits without zeros around them, and the
-// power of ten behind them.
-func plainNumber(text string) (plain string) {
+// canonicalNumber writes a number as its digits without leading and trailing zeros,
+// and the power of ten that follows them. An exponent beyond 32 bits leaves it as it is.
+func canonicalNumber(text string) (canonical string) {
 	mantissa, power, _ := strings.Cut(strings.ToLower(text), "e")
 	exponent := int64(0)
 	if power != "" {
@@ -107,23 +107,23 @@
 	if strings.HasPrefix(mantissa, "-") {
 		sign, mantissa = "-", mantissa[1:]
 	}
-	whole, part, _ := strings.Cut(mantissa, ".")
-	digits := strings.TrimLeft(whole+part, "0")
-	exponent -= int64(len(part))
-	short := strings.TrimRight(digits, "0")
-	if short == "" {
+	integer, fraction, _ := strings.Cut(mantissa, ".")
+	digits := strings.TrimLeft(integer+fraction, "0")
+	exponent -= int64(len(fraction))
+	significant := strings.TrimRight(digits, "0")
+	if significant == "" {
 		return "0"
 	}
-	exponent += int64(len(digits) - len(short))
-	return sign + short + "e" + strconv.FormatInt(exponent, 10)
+	exponent += int64(len(digits) - len(significant))
+	return sign + significant + "e" + strconv.FormatInt(exponent, 10)
 }
 
-// DuplicateKey names a key that an object in a value holds twice.
-func DuplicateKey(value *fastjson.Value) (key string, twice bool) {
+// DuplicateKey gives a key that an object in a value holds twice, if there is one.
+func DuplicateKey(value *fastjson.Value) (key string, duplicate bool) {
 	switch value.Type() {
 	case fastjson.TypeArray:
-		for _, entry := range value.GetArray() {
-			if key, twice = DuplicateKey(entry); twice {
+		for _, element := range value.GetArray() {
+			if key, duplicate = DuplicateKey(element); duplicate {
 				return key, true
 			}
 		}
@@ -131,15 +131,15 @@
 		object := value.GetObject()
 		var keys [][]byte
 		object.Visit(func(name []byte, inner *fastjson.Value) {
-			if !twice {
-				key, twice = DuplicateKey(inner)
+			if !duplicate {
+				key, duplicate = DuplicateKey(inner)
 			}
 			keys = append(keys, name)
 		})
-		if twice {
+		if duplicate {
 			return key, true
 		}
-		sort.Slice(keys, func(i, j int) bool { return bytes.Compare(keys[i], keys[j]) < 0 })
+		slices.SortFunc(keys, bytes.Compare)
 		for i := 1; i < len(keys); i++ {
 			if bytes.Equal(keys[i-1], keys[i]) {
 				return string(keys[i]), true
--- a/internal/dedup/table.go
+++ b/internal/dedup/table.go
@@ -1,103 +1,111 @@
 // Package dedup remembers which requests of operators were accepted: for the key of
 // each, a digest of its content. It is part of the replicated state, so that the
 // same request, sent again to any controller, is accepted again and another one
-// under its key is not. The table is bounded: the oldest go first, and are counted.
-// Whoever owns a Table guards it; the digests keep no state.
+// under its key is not. The table is bounded: the oldest entries are evicted first,
+// and counted. It does not know what the requests mean. Whoever owns a Table guards
+// it; the digests keep no state.
 package dedup
 
 import "github.com/zeebo/errs"
 
-// ErrCorrupt marks a record that cannot be read.
+// ErrCorrupt marks a stored table that cannot be read.
 var ErrCorrupt = errs.Class("record")
 
-// ErrConflict marks an order refused because another was taken under its number.
+// ErrConflict marks a request that was rejected because another one was accepted
+// under its key.
 var ErrConflict = errs.Class("conflict")
 
-// Key names an order: its kind, what it is about, and the version, 0 for
-// orders that have none.
+// Key names a request: its kind, what it concerns, and the version, 0 for requests
+// that have none.
 type Key struct {
 	Kind, Name string
 	Version    uint64
 }
 
-func (n Key) digest() (digest Digest) {
+// digest is part of stored tables.
+func (k Key) digest() (digest Digest) {
 	content := &ContentHash{}
-	content.AddText(n.Kind)
-	content.AddText(n.Name)
-	content.AddUint(n.Version)
+	content.AddText(k.Kind)
+	content.AddText(k.Name)
+	content.AddUint(k.Version)
 	return content.Digest()
 }
 
-type entry struct{ number, content Digest }
+// entry is the digests of an accepted request's key and content.
+type entry struct{ key, content Digest }
 
+// entryBytes is the size of a stored entry: its two digests.
 const entryBytes = 2 * len(Digest{})
 
-// Table holds the orders taken, the oldest first.
+// Table holds the accepted requests, the oldest first.
 type Table struct {
-	most    int
-	entries []entry
-	known   map[Digest]Digest
-	dropped uint64
+	maxEntries int
+	entries    []entry
+	contents   map[Digest]Digest
+	evicted    uint64
 }
 
-// New is an empty record of a bounded length.
-func New(most int) (record *Table) { return &Table{most: most, known: map[Digest]Digest{}} }
+// New gives an empty table for at most maxEntries requests.
+func New(maxEntries int) (table *Table) {
+	return &Table{maxEntries: maxEntries, contents: map[Digest]Digest{}}
+}
 
-// Remember keeps what came under a number; the first holds.
-func (r *Table) Remember(number Key, content Digest) { r.note(entry{number.digest(), content}) }
+// Remember notes the content that was accepted under a key; the first one stays.
+func (t *Table) Remember(key Key, content Digest) { t.add(entry{key.digest(), content}) }
 
-func (r *Table) note(next entry) {
-	if _, known := r.known[next.number]; known {
+func (t *Table) add(next entry) {
+	if _, known := t.contents[next.key]; known {
 		return
 	}
-	r.known[next.number] = next.content
-	r.entries = append(r.entries, next)
-	if len(r.entries) > r.most {
-		delete(r.known, r.entries[0].number)
-		r.entries = r.entries[1:]
-		r.dropped++
+	t.contents[next.key] = next.content
+	t.entries = append(t.entries, next)
+	if len(t.entries) > t.maxEntries {
+		delete(t.contents, t.entries[0].key)
+		t.entries = t.entries[1:]
+		t.evicted++
 	}
 }
 
-// Lookup gives what came under a number.
-func (r *Table) Lookup(number Key) (content Digest, known bool) {
-	content, known = r.known[number.digest()]
+// Lookup gives the content that was accepted under a key.
+func (t *Table) Lookup(key Key) (content Digest, known bool) {
+	content, known = t.contents[key.digest()]
 	return content, known
 }
 
-// Len counts the orders held.
-func (r *Table) Len() int { return len(r.entries) }
+// Len counts the requests held.
+func (t *Table) Len() int { return len(t.entries) }
 
-// Evicted counts the orders that went for want of room.
-func (r *Table) Evicted() uint64 { return r.dropped }
+// Evicted counts the requests that gave way to newer ones.
+func (t *Table) Evicted() uint64 { return t.evicted }
 
-// Snapshot is a record written out.
+// Snapshot is the stored form of a table: its entries, the oldest first, and the count
+// of evicted ones. The names of its fields are frozen, since gob stores them.
 type Snapshot struct {
 	Entries []byte
 	Dropped uint64
 }
 
-// Snapshot writes the record out.
-func (r *Table) Snapshot() (frozen Snapshot) {
-	frozen = Snapshot{Dropped: r.dropped, Entries: make([]byte, 0, len(r.entries)*entryBytes)}
-	for _, held := range r.entries {
-		frozen.Entries = append(append(frozen.Entries, held.number[:]...), held.content[:]...)
+// Snapshot gives the stored form of the table.
+func (t *Table) Snapshot() (stored Snapshot) {
+	stored = Snapshot{Dropped: t.evicted, Entries: make([]byte, 0, len(t.entries)*entryBytes)}
+	for _, held := range t.entries {
+		stored.Entries = append(append(stored.Entries, held.key[:]...), held.content[:]...)
 	}
-	return frozen
+	return stored
 }
 
-// Restore reads a record back.
-func Restore(most int, frozen Snapshot) (record *Table, err error) {
-	if len(frozen.Entries)%entryBytes != 0 {
-		return nil, ErrCorrupt.New("%d bytes are no whole number of orders", len(frozen.Entries))
+// Restore reads a stored table; of more than maxEntries the oldest are evicted.
+func Restore(maxEntries int, stored Snapshot) (table *Table, err error) {
+	if len(stored.Entries)%entryBytes != 0 {
+		return nil, ErrCorrupt.New("%d bytes are no whole number of orders", len(stored.Entries))
 	}
-	record = New(most)
-	for data := frozen.Entries; len(data) > 0; data = data[entryBytes:] {
+	table = New(maxEntries)
+	for data := stored.Entries; len(data) > 0; data = data[entryBytes:] {
 		var held entry
-		copy(held.number[:], data)
-		copy(held.content[:], data[len(held.number):])
-		record.note(held)
+		copy(held.key[:], data)
+		copy(held.content[:], data[len(held.key):])
+		table.add(held)
 	}
-	record.dropped += frozen.Dropped
-	return record, nil
+	table.evicted += stored.Dropped
+	return table, nil
 }
