--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -1,4 +1,3 @@
-// Documents under their versions, and texts that are not let in.
 package policy
 
 import (
@@ -8,10 +7,13 @@
 	"tinpin/internal/dedup"
 )
 
-func TestTextsThatAreNotLetIn(t *testing.T) {
-	for _, body := range []string{"", "{", `{"version":1}{}`, `{"version":1,"version":2}`, `{"rules":[{"a":1,"b":2,"a":1}]}`, "{\"a\":\"\xff\"}", `{"version":007}`, strings.Repeat("[", 1<<20)} {
+func TestMalformedBodiesAreRejected(t *testing.T) {
+	for _, body := range []string{
+		"", "{", `{"version":1}{}`, `{"version":1,"version":2}`, `{"rules":[{"a":1,"b":2,"a":1}]}`,
+		"{\"a\":\"\xff\"}", `{"version":007}`, strings.Repeat("[", 1<<20),
+	} {
 		if CheckSyntax([]byte(body)) == nil {
-			t.Errorf("let in: %.40s", body)
+			t.Errorf("accepted: %.40s", body)
 		}
 	}
 	if err := CheckSyntax([]byte(`{"version":1,"rules":[{"a":1},{"a":1}]}`)); err != nil {
@@ -20,21 +22,22 @@
 }
 
 func TestTheHighestVersionHolds(t *testing.T) {
-	standing := Document{Kind: DayPlan, Version: 5, Body: `{"version":5,"step":1}`}
+	inForce := Document{Kind: DayPlan, Version: 5, Body: `{"version":5,"step":1}`}
 	for _, c := range []struct {
 		next              Document
 		changed, conflict bool
-		refused           bool
+		rejected          bool
 	}{
-		{next: standing},
+		{next: inForce},
 		{next: Document{Version: 5, Body: ` {"step":1.0, "version":5, "x":null}`}},
-		{next: Document{Version: 5, Body: `{"version":5,"step":2}`}, conflict: true, refused: true},
-		{next: Document{Version: 5}, conflict: true, refused: true},
-		{next: Document{Version: 4, Body: `{"version":4}`}, refused: true},
+		{next: Document{Version: 5, Body: `{"version":5,"step":2}`}, conflict: true, rejected: true},
+		{next: Document{Version: 5}, conflict: true, rejected: true},
+		{next: Document{Version: 4, Body: `{"version":4}`}, rejected: true},
 		{next: Document{Version: 6}, changed: true},
 	} {
-		after, changed, err := standing.Next(c.next)
-		if changed != c.changed || (err != nil) != c.refused || dedup.ErrConflict.Has(err) != c.conflict || !changed && after.Version != standing.Version {
+		after, changed, err := inForce.Next(c.next)
+		if changed != c.changed || (err != nil) != c.rejected || dedup.ErrConflict.Has(err) != c.conflict ||
+			!changed && after.Version != inForce.Version {
 			t.Errorf("%+v: %v, %v", c.next, changed, err)
 		}
 	}
