--- a/internal/coordinator/schedule.go
+++ b/internal/coordinator/schedule.go
@@ -29,7 +29,7 @@
 func (s *scheduleState) load(state *statemachine.State) {
 	s.plan = nil
 	if document := state.Documents[policy.DayPlan]; document.Active() {
-		s.plan, _ = schedule.Read([]byte(document.Body))
+		s.plan, _ = schedule.Parse([]byte(document.Body))
 	}
 	s.step = state.ScheduleStep
 }
@@ -60,7 +60,7 @@
 
 // targetState is what a target of the plan has in each region.
 func (c *Coordinator) targetState(target schedule.Target) (state schedule.TargetState) {
-	state.Stock = map[rpc.RegionName]schedule.RegionCapacity{}
+	state.Capacity = map[rpc.RegionName]schedule.RegionCapacity{}
 	services := []rpc.ServiceName{target.Service}
 	if target.Host != "" {
 		services = nil
@@ -80,9 +80,9 @@
 	}
 	for zone := range c.evacuatedZones {
 		region := c.regionOf(zone)
-		stock := state.Stock[region]
+		stock := state.Capacity[region]
 		stock.Evacuated = stock.Usable == 0
-		state.Stock[region] = stock
+		state.Capacity[region] = stock
 	}
 	return state
 }
@@ -91,13 +91,13 @@
 func (c *Coordinator) addStock(service rpc.ServiceName, state *schedule.TargetState) {
 	c.eachBackend(service, func(endpoint rpc.Endpoint, useful bool) {
 		region := c.regionOf(endpoint.Zone)
-		stock := state.Stock[region]
+		stock := state.Capacity[region]
 		stock.Listed++
 		if useful && !c.evacuatedZones[endpoint.Zone] {
 			stock.Usable++
 			stock.Slots += max(1, endpoint.Slots)
 		}
-		state.Stock[region] = stock
+		state.Capacity[region] = stock
 	})
 }
 
@@ -108,7 +108,7 @@
 // ValidateSchedule tells whether a plan can be read and names only regions that
 // some zone is in.
 func (c *Coordinator) ValidateSchedule(body []byte) (err error) {
-	plan, err := schedule.Read(body)
+	plan, err := schedule.Parse(body)
 	if err != nil {
 		return err
 	}
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, body := range plans {
-		plan, err := schedule.Read([]byte(body))
+		plan, err := schedule.Parse([]byte(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, body := range examples(page(t, "docs/day-plan.md"), "refused") {
-		if _, err := schedule.Read([]byte(body)); err == nil {
+		if _, err := schedule.Parse([]byte(body)); err == nil {
 			t.Errorf("taken: %s", body)
 		}
 	}
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -71,7 +71,7 @@
 }
 
 func newDay(t *testing.T, seed int64, unsafe bool) *day {
-	plan, err := schedule.Read([]byte(dayPlan))
+	plan, err := schedule.Parse([]byte(dayPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 				stock[region] = schedule.RegionCapacity{Listed: 10}
 			}
 		}
-		return schedule.TargetState{Stock: stock, InFlight: 20}
+		return schedule.TargetState{Capacity: stock, InFlight: 20}
 	})
 	if move == nil {
 		return
@@ -310,7 +310,7 @@
 // A step waits while the region lacks room or is being emptied, and says so;
 // a clock that was set back commits nothing.
 func TestAStepWaits(t *testing.T) {
-	plan, _ := schedule.Read([]byte(dayPlan))
+	plan, _ := schedule.Parse([]byte(dayPlan))
 	stepper := &schedule.Stepper{}
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	wall := time.Date(2026, 5, 4, 15, 0, 0, 0, berlin)
@@ -321,14 +321,14 @@
 		"mid is being drained": {Slots: 40, Usable: 3, Listed: 10}, "mid has no backends": {},
 	} {
 		move, accounts := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.TargetState {
-			return schedule.TargetState{Stock: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": mid}, InFlight: 30}
+			return schedule.TargetState{Capacity: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": mid}, InFlight: 30}
 		})
 		if move != nil || len(accounts) != 1 || len(accounts[0].Waiting) < len(why) || accounts[0].Waiting[:len(why)] != why {
 			t.Errorf("%s: %+v %+v", why, move, accounts)
 		}
 	}
 	sound := func(schedule.Target) schedule.TargetState {
-		return schedule.TargetState{Stock: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": good}, InFlight: 20}
+		return schedule.TargetState{Capacity: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": good}, InFlight: 20}
 	}
 	move, _ := stepper.Step(0, wall, plan, agreed, sound)
 	if move == nil || move.Count != 8 || move.Targets[0].Weights[1].Weight != 250 {
--- a/internal/schedule/plan_test.go
+++ b/internal/schedule/plan_test.go
@@ -15,7 +15,7 @@
 
 func read(t *testing.T, body string) (plan *Plan) {
 	t.Helper()
-	plan, err := Read([]byte(body))
+	plan, err := Parse([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	if err == nil || !strings.Contains(err.Error(), `unknown region "west"`) {
 		t.Fatal(err)
 	}
-	_, err = Read([]byte(`{"version":0,"step":0,"every":"1ms","room":2,"targets":[
+	_, err = Parse([]byte(`{"version":0,"step":0,"every":"1ms","room":2,"targets":[
 	 {"time_zone":"Mars/Base","spans":[]},
 	 {"service":"s","time_zone":"UTC","spans":[{"from":"08:00","to":"08:00","weights":{"a":1},"ramp":"0s"},{"from":"09:00","to":"10:00","weights":{"a":0},"ramp":"2h"},{"from":"09:30","to":"11:00","weights":{"a":-1},"ramp":"0s"}]},
 	 {"service":"s","time_zone":"UTC","spans":[{"from":"23:00","to":"01:00","weights":{"a":1},"ramp":"0s"},{"from":"00:30","to":"02:00","weights":{"a":1},"ramp":"0s"}]}]}`))
--- a/internal/schedule/stepper.go
+++ b/internal/schedule/stepper.go
@@ -1,38 +1,33 @@
 package schedule
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"tinpin/internal/rpc"
 )
 
-// Stepper is the leader's side of the plan. Only it reads the time of day, and
-// only to say what the plan wants now; what is done is agreed, in steps whose
-// count and whose own time never go back. A clock that was set back, or a new
-// leader whose clock is behind, therefore commits nothing until it has caught
-// up; one that missed steps goes from what is agreed toward the present, by
-// the plan's pace. A step that would send more to a region waits while that
-// region lacks room or is being emptied, and says so.
-
-// RegionCapacity is what a region has of a target's backends.
+// RegionCapacity is the capacity that a region has for a target.
 type RegionCapacity struct {
-	// Slots are those of backends that may be sent new callers; Useful counts
-	// these backends and Listed all of the region.
+	// Slots are those of backends that may get new clients; Usable counts these
+	// backends and Listed all of the region.
 	Slots, Usable, Listed int
-	// Evacuated tells that sites of the region are being emptied.
+	// Evacuated tells that zones of the region are being evacuated.
 	Evacuated bool
 }
 
-// TargetState is a region as the leader sees it for one target.
+// TargetState is the load and capacity of one target as the leader knows them.
 type TargetState struct {
-	Stock map[rpc.RegionName]RegionCapacity
-	// InFlight is how many requests of the target are at work in all.
+	Capacity map[rpc.RegionName]RegionCapacity
+	// InFlight counts the requests of the target in all regions.
 	InFlight int
 }
 
-// TargetStatus is one target's standing, for operators.
+// TargetStatus is the state of one target for operators: its weights in force and
+// those that the plan wants now, and why the next step waits, if it does.
 type TargetStatus struct {
 	Target  string         `json:"target"`
 	Now     map[string]int `json:"now"`
@@ -40,89 +35,102 @@
 	Waiting string         `json:"waiting,omitempty"`
 }
 
-// Stepper paces the steps of one leadership.
+// Stepper is the leader's side of the plan, for one term. It alone reads the time of
+// day, and only to compute the weights that the plan wants now. What is done is agreed
+// in steps whose count and time never go back. A leader whose clock is behind the last
+// step, because it was set back or was never right, therefore proposes nothing until
+// it has caught up. After missed steps it goes from the agreed weights toward the wanted
+// ones at the rate of the plan. A step that would send more to a region waits while
+// that region lacks capacity or is being evacuated.
 type Stepper struct {
-	stepped time.Duration
-	any     bool
+	// committedAt is when the last step of this term was committed, on the steady
+	// clock; committed tells that there was one.
+	committedAt time.Duration
+	committed   bool
 }
 
-// Step says which move to commit next, nil for none, and how each target
-// stands. now is the steady clock, wall the time of day.
-func (s *Stepper) Step(now time.Duration, wall time.Time, plan *Plan, agreed rpc.ScheduleStep, state func(Target) TargetState) (next *rpc.ScheduleStep, accounts []TargetStatus) {
-	mine := agreed.Version == uint64(plan.Version)
+// Step gives the step to propose next, nil for none, and the status of each target.
+// now is the steady clock, wall the time of day.
+func (s *Stepper) Step(
+	now time.Duration, wall time.Time, plan *Plan, agreed rpc.ScheduleStep, state func(Target) TargetState,
+) (next *rpc.ScheduleStep, statuses []TargetStatus) {
+	samePlan := agreed.Version == uint64(plan.Version)
 	behind := agreed.Instant > wall.Unix()
-	paced := s.any && now-s.stepped < time.Duration(plan.StepInterval)
-	move := rpc.ScheduleStep{Version: uint64(plan.Version), Count: agreed.Count + 1, Instant: max(wall.Unix(), agreed.Instant)}
-	changed := !mine
+	paced := s.committed && now-s.committedAt < time.Duration(plan.StepInterval)
+	next = &rpc.ScheduleStep{
+		Version: uint64(plan.Version),
+		Count:   agreed.Count + 1,
+		Instant: max(wall.Unix(), agreed.Instant),
+	}
+	changed := !samePlan
 	for i := range plan.Targets {
 		target := plan.Targets[i]
-		held := current(agreed, target)
+		inForce := agreedWeights(agreed, target)
 		wanted := plan.Targets[i].Weights(wall)
 		if behind {
-			wanted = held
+			wanted = inForce
 		}
-		account := TargetStatus{Target: target.Name(), Now: plain(held), Wanted: plain(wanted)}
-		weights, _ := StepToward(held, wanted, int(plan.MaxStep*WeightSum))
-		if !weights.equal(held) {
-			if account.Waiting = s.waits(plan, held, weights, state(target)); account.Waiting != "" {
-				weights = held
-			} else if paced {
-				account.Waiting = "paced"
-				weights = held
-			} else {
+		status := TargetStatus{Target: target.Name(), Now: byName(inForce), Wanted: byName(wanted)}
+		weights, _ := StepToward(inForce, wanted, int(plan.MaxStep*WeightSum))
+		if !weights.equal(inForce) {
+			status.Waiting = waitReason(plan, inForce, weights, state(target))
+			if status.Waiting == "" && paced {
+				status.Waiting = "paced"
+			}
+			if status.Waiting == "" {
 				changed = true
+			} else {
+				weights = inForce
 			}
 		} else if behind {
-			account.Waiting = "this leader's clock is behind the last step"
+			status.Waiting = "this leader's clock is behind the last step"
 		}
-		accounts = append(accounts, account)
+		statuses = append(statuses, status)
 		if weights != nil {
-			move.Targets = append(move.Targets, rpc.ScheduleTarget{Host: target.Host, Service: target.Service, Weights: listed(weights)})
+			next.Targets = append(next.Targets, rpc.ScheduleTarget{
+				Host: target.Host, Service: target.Service, Weights: sortedWeights(weights),
+			})
 		}
 	}
-	if !changed || paced && mine {
-		return nil, accounts
+	if !changed || paced && samePlan {
+		return nil, statuses
 	}
-	return &move, accounts
+	return next, statuses
 }
 
-// Committed notes that a step was agreed.
-func (s *Stepper) Committed(now time.Duration) { s.stepped, s.any = now, true }
+// Committed notes that a step was committed.
+func (s *Stepper) Committed(now time.Duration) { s.committedAt, s.committed = now, true }
 
-// waits tells why a step has to wait, empty where it need not.
-func (s *Stepper) waits(plan *Plan, held, weights Weights, state TargetState) (why string) {
-	regions := make([]string, 0, len(weights))
-	for region := range weights {
-		regions = append(regions, string(region))
-	}
-	sort.Strings(regions)
-	for _, name := range regions {
-		region := rpc.RegionName(name)
-		if weights[region] <= held[region] {
+// waitReason tells operators why a step has to wait, empty where it need not.
+func waitReason(plan *Plan, inForce, weights Weights, state TargetState) (why string) {
+	for _, region := range slices.Sorted(maps.Keys(weights)) {
+		if weights[region] <= inForce[region] {
 			continue
 		}
-		stock := state.Stock[region]
+		capacity := state.Capacity[region]
 		switch {
-		case stock.Evacuated:
+		case capacity.Evacuated:
 			return fmt.Sprintf("%s is being evacuated", region)
-		case stock.Listed == 0:
+		case capacity.Listed == 0:
 			return fmt.Sprintf("%s has no backends", region)
-		case 2*stock.Usable < stock.Listed:
-			return fmt.Sprintf("%s is being drained or is down: %d of %d backends are of use", region, stock.Usable, stock.Listed)
+		case 2*capacity.Usable < capacity.Listed:
+			return fmt.Sprintf("%s is being drained or is down: %d of %d backends are of use",
+				region, capacity.Usable, capacity.Listed)
 		}
-		need := float64(state.InFlight) * float64(weights[region]) / WeightSum
-		if room := plan.MaxUtilization * float64(stock.Slots); need > room {
-			return fmt.Sprintf("%s lacks room: %.0f at work would meet %.0f slots", region, need, room)
+		needed := float64(state.InFlight) * float64(weights[region]) / WeightSum
+		if available := plan.MaxUtilization * float64(capacity.Slots); needed > available {
+			return fmt.Sprintf("%s lacks room: %.0f at work would meet %.0f slots", region, needed, available)
 		}
 	}
 	return ""
 }
 
-func current(agreed rpc.ScheduleStep, target Target) (weights Weights) {
-	for _, held := range agreed.Targets {
-		if held.Host == target.Host && held.Service == target.Service {
+// agreedWeights gives the weights of a target in an agreed step, nil for none.
+func agreedWeights(agreed rpc.ScheduleStep, target Target) (weights Weights) {
+	for _, candidate := range agreed.Targets {
+		if candidate.Host == target.Host && candidate.Service == target.Service {
 			weights = Weights{}
-			for _, part := range held.Weights {
+			for _, part := range candidate.Weights {
 				weights[part.Region] = part.Weight
 			}
 			return weights
@@ -131,24 +139,26 @@
 	return nil
 }
 
-func listed(weights Weights) (list []rpc.RegionWeight) {
+// sortedWeights lists weights by region.
+func sortedWeights(weights Weights) (list []rpc.RegionWeight) {
 	for region, weight := range weights {
 		list = append(list, rpc.RegionWeight{Region: region, Weight: weight})
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].Region < list[k].Region })
+	slices.SortFunc(list, func(a, b rpc.RegionWeight) int { return cmp.Compare(a.Region, b.Region) })
 	return list
 }
 
-func plain(weights Weights) (parts map[string]int) {
-	parts = map[string]int{}
+// byName gives weights as the status has them.
+func byName(weights Weights) (named map[string]int) {
+	named = map[string]int{}
 	for region, weight := range weights {
-		parts[string(region)] = weight
+		named[string(region)] = weight
 	}
-	return parts
+	return named
 }
 
-// Follows tells whether a step may follow what is agreed: of the plan that is
-// in force, with the next count, and not before the last one's own time.
-func Follows(agreed, next rpc.ScheduleStep, inForce uint64) bool {
-	return next.Version == inForce && next.Count == agreed.Count+1 && next.Instant >= agreed.Instant
+// Follows tells whether a step may follow the agreed one: it is of the plan in force,
+// has the next count, and its time is not before that of the agreed step.
+func Follows(agreed, next rpc.ScheduleStep, planVersion uint64) bool {
+	return next.Version == planVersion && next.Count == agreed.Count+1 && next.Instant >= agreed.Instant
 }
--- a/internal/statemachine/documents.go
+++ b/internal/statemachine/documents.go
@@ -54,7 +54,7 @@
 		}
 		document.Version, err = parsed.Version, parsed.CheckServices(known)
 	case policy.DayPlan:
-		plan, readErr := schedule.Read(body)
+		plan, readErr := schedule.Parse(body)
 		if readErr != nil {
 			return document, readErr
 		}
--- a/internal/statemachine/fixtures_test.go
+++ b/internal/statemachine/fixtures_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan, err := schedule.Read(text("day-plan"))
+	plan, err := schedule.Parse(text("day-plan"))
 	if err != nil {
 		t.Fatal(err)
 	}
