--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -1,7 +1,7 @@
 package simulation
 
-// Edge beats to the leader and follows its term and the place of its news,
-// which only go forward, and claims keys.
+// An edge sends heartbeats to the leader, follows its term and the index of its updates,
+// both of which only go forward, and claims keys.
 
 import (
 	"fmt"
@@ -18,20 +18,20 @@
 	heartbeatOpen bool
 }
 
-// run beats and claims until the end.
+// run sends heartbeats and claims until the end.
 func (e *Edge) run() {
 	if e.cluster.ending {
 		return
 	}
 	e.cluster.events.After(time.Duration(60+e.rng.Intn(240))*time.Millisecond, e.run)
 	e.heartbeat()
-	if e.busy < 4 && e.rng.Intn(3) == 0 {
+	if e.inFlight < 4 && e.rng.Intn(3) == 0 {
 		e.claim()
 	}
 }
 
-// heartbeat asks for news of what is worked on, one beat at a time; now and then it
-// asks any core, as one does that has just started.
+// heartbeat asks for updates of the current registers, one at a time; now and then it
+// asks any controller, as an edge does that has just started.
 func (e *Edge) heartbeat() {
 	if e.heartbeatOpen {
 		return
@@ -52,7 +52,7 @@
 			got = observed
 			back(answer)
 		})
-	}, func(answer reply, core *Controller) {
+	}, func(answer reply, controller *Controller) {
 		e.heartbeatOpen = false
 		for i, history := range histories {
 			if got.from == nil || answer.outcome.outcome != confirmed {
@@ -65,7 +65,7 @@
 		case answer.redirected:
 			e.leader = answer.leader
 		case answer.outcome.outcome == confirmed:
-			e.leader = core
+			e.leader = controller
 			e.follow(got)
 		default:
 			e.leader = nil
@@ -73,13 +73,13 @@
 	})
 }
 
-// follow takes news of a leader unless its term is over.
+// follow takes an update of a leader unless its term is over.
 func (e *Edge) follow(got update) {
 	if got.term < e.term && e.cluster.options.InjectedBug != EdgeBack {
 		return
 	}
 	if got.term < e.term || got.revision < e.revision {
-		e.cluster.fail("epochs only forward: an edge at term %d and place %d takes term %d and place %d from %s", e.term, e.revision, got.term, got.revision, got.from.host)
+		e.cluster.fail("epochs only forward: an edge at term %d and index %d takes term %d and index %d from %s", e.term, e.revision, got.term, got.revision, got.from.host)
 	}
 	e.term, e.revision = got.term, got.revision
 }
@@ -88,5 +88,5 @@
 func (e *Edge) claim() {
 	history := e.cluster.key()
 	e.cluster.requests++
-	e.order(Request{history: history, call: call{content: fmt.Sprintf("%d-%d", e.number, e.cluster.requests)}}, 1)
+	e.submit(Request{history: history, call: call{content: fmt.Sprintf("%d-%d", e.number, e.cluster.requests)}}, 1)
 }
