--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"net/http"
 	"os"
-	"sort"
+	"slices"
 	"time"
 
 	"tinpin/internal/localcluster"
@@ -24,7 +24,7 @@
 var percentiles = []float64{50, 90, 99}
 
 func percentilesOf(times []time.Duration) (at map[string]float64) {
-	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
+	slices.Sort(times)
 	at = map[string]float64{}
 	for _, percentile := range percentiles {
 		at[fmt.Sprintf("p%g", percentile)] = float64(times[min(len(times)-1, int(float64(len(times))*percentile/100))]) / float64(time.Millisecond)
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -69,10 +69,10 @@
 // Check names everything wrong with a size before anything is started; available is the
 // memory that may be used.
 func (s Size) Check(span time.Duration, available int64) (err error) {
-	var problems []string
+	var invalid []string
 	within := func(name string, value, low, high int) {
 		if value < low || value > high {
-			problems = append(problems, fmt.Sprintf("%s must be from %d to %d, not %d", name, low, high, value))
+			invalid = append(invalid, fmt.Sprintf("%s must be from %d to %d, not %d", name, low, high, value))
 		}
 	}
 	within("nodes", s.Nodes, 1, maxNodes)
@@ -84,13 +84,13 @@
 		within(name, *s.At(name), 0, maxRate)
 	}
 	if span < minSpan || span > maxSpan {
-		problems = append(problems, fmt.Sprintf("span must be from %s to %s, not %s", minSpan, maxSpan, span))
+		invalid = append(invalid, fmt.Sprintf("span must be from %s to %s, not %s", minSpan, maxSpan, span))
 	}
-	if len(problems) == 0 && s.Memory() > available {
-		problems = append(problems, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, available>>20))
+	if len(invalid) == 0 && s.Memory() > available {
+		invalid = append(invalid, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, available>>20))
 	}
-	if len(problems) > 0 {
-		return Class.New("%s", strings.Join(problems, "; "))
+	if len(invalid) > 0 {
+		return Class.New("%s", strings.Join(invalid, "; "))
 	}
 	return nil
 }
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -144,11 +144,11 @@
 	for i := 1; i <= controllerCount; i++ {
 		config := s.common(fmt.Sprint("core-", i), s.hosts(i), seeds)
 		config.ControlAddress, config.DataDirectory = seeds[i-1], filepath.Join(folder, config.Name)
-		controller, startErr := startWorker(program, "core", config)
+		process, startErr := startWorker(program, "core", config)
 		if startErr != nil {
 			return s, startErr
 		}
-		s.controllers, s.settings = append(s.controllers, controller), append(s.settings, config)
+		s.controllers, s.settings = append(s.controllers, process), append(s.settings, config)
 	}
 	if err = s.operator(ctx, s.initialConfiguration()); err != nil {
 		return s, err
@@ -204,8 +204,8 @@
 	for _, nodes := range s.nodes {
 		nodes.stop()
 	}
-	for _, controller := range s.controllers {
-		controller.stop()
+	for _, process := range s.controllers {
+		process.stop()
 	}
 	if s.platform != nil {
 		_ = s.platform.Close()
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -48,13 +48,13 @@
 	if err = readTask(lines, &config); err != nil {
 		return err
 	}
-	controller, err := controller.Start(config, eventlog.Discard())
+	process, err := controller.Start(config, eventlog.Discard())
 	if err != nil {
 		return err
 	}
 	for lines.Scan() {
 	}
-	controller.Stop()
+	process.Stop()
 	return nil
 }
 
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -319,7 +319,7 @@
 var requestCount atomic.Int64
 
 // Request sends one client request to a proxy.
-func (s *Cluster) Request(ctx context.Context, edge int, method, path, key string) (status int, stamp, body string, err error) {
+func (s *Cluster) Request(ctx context.Context, edge int, method, path, key string) (status int, signature, body string, err error) {
 	return sendRequest(ctx, s.ProxySettings[edge].FrontendAddress, method, path, key, "")
 }
 
@@ -329,7 +329,7 @@
 	return status, err
 }
 
-func sendRequest(ctx context.Context, address, method, path, key, session string) (status int, stamp, body string, err error) {
+func sendRequest(ctx context.Context, address, method, path, key, session string) (status int, signature, body string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
 		return 0, "", "", Class.Wrap(err)
--- a/internal/localcluster/cluster_test.go
+++ b/internal/localcluster/cluster_test.go
@@ -29,8 +29,8 @@
 		t.Fatal(err)
 	}
 	for edge := range 2 {
-		if status, stamp, body, askErr := cluster.Request(ctx, edge, "GET", "/hello/you", ""); askErr != nil || status != 200 || stamp == "" || !strings.Contains(body, "ran on") {
-			t.Fatal(status, stamp, body, askErr)
+		if status, signature, body, askErr := cluster.Request(ctx, edge, "GET", "/hello/you", ""); askErr != nil || status != 200 || signature == "" || !strings.Contains(body, "ran on") {
+			t.Fatal(status, signature, body, askErr)
 		}
 	}
 	_, first, body, err := cluster.Request(ctx, 0, "POST", "/pay/1", "k-1")
@@ -126,8 +126,8 @@
 	}
 	const keys, attempts = 150, 4
 	var mu sync.Mutex
-	stamps := map[string]map[string]bool{}
-	refusals := 0
+	signatures := map[string]map[string]bool{}
+	rejections := 0
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
 	for worker := range 10 {
@@ -139,15 +139,15 @@
 					close(stop)
 				}
 				key := fmt.Sprint("k-", n%keys)
-				status, stamp, _, askErr := cluster.Request(ctx, n%2, "POST", "/pay/x", key)
+				status, signature, _, askErr := cluster.Request(ctx, n%2, "POST", "/pay/x", key)
 				mu.Lock()
 				if askErr == nil && status == 200 {
-					if stamps[key] == nil {
-						stamps[key] = map[string]bool{}
+					if signatures[key] == nil {
+						signatures[key] = map[string]bool{}
 					}
-					stamps[key][stamp] = true
+					signatures[key][signature] = true
 				} else if status == 503 {
-					refusals++
+					rejections++
 				}
 				mu.Unlock()
 			}
@@ -168,12 +168,12 @@
 			t.Errorf("%s ran %d times", key, count)
 		}
 	}
-	for key, seen := range stamps {
+	for key, seen := range signatures {
 		if len(seen) > 1 {
 			t.Errorf("%s was answered with different stamps: %v", key, seen)
 		}
 	}
-	if len(stamps) < keys/2 {
-		t.Fatalf("only %d of %d keys were served (%d refusals)", len(stamps), keys, refusals)
+	if len(signatures) < keys/2 {
+		t.Fatalf("only %d of %d keys were served (%d refusals)", len(signatures), keys, rejections)
 	}
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -59,18 +59,18 @@
 func newCluster(seed int64, options Options, onEvent func(line string)) (w *Cluster) {
 	w = &Cluster{options: options, rng: rand.New(rand.NewSource(seed)), counts: map[outcome]int{}, onEvent: onEvent}
 	w.network, w.invariants = newNetwork(w, w.forkRNG()), newInvariantChecker(w)
-	var founders []raft.Member
+	var initialVoters []raft.Member
 	for i := range options.Controllers {
 		host := w.newHost()
 		if i < 3 {
-			founders = append(founders, raft.Member{ID: raft.ID("founder-" + host), Inner: host, Voter: true})
+			initialVoters = append(initialVoters, raft.Member{ID: raft.ID("founder-" + host), Inner: host, Voter: true})
 		}
 	}
 	for i := range options.Controllers {
 		host := fmt.Sprintf("core-%d", i)
 		id, base := raft.ID(host+"-0"), raft.Snapshot{}
 		if i < 3 {
-			id, base = raft.ID("founder-"+host), raft.Snapshot{Index: 1, Term: 1, Members: founders}
+			id, base = raft.ID("founder-"+host), raft.Snapshot{Index: 1, Term: 1, Members: initialVoters}
 		}
 		w.addController(host, id, base).start()
 	}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -12,8 +12,8 @@
 	seen := func(version uint64, content string) observation { return observation{confirmed, version, content} }
 	look := call{verb: read}
 	type line struct {
-		call call
-		told observation
+		call     call
+		observed observation
 	}
 	for name, c := range map[string]struct {
 		shape Shape
@@ -41,7 +41,7 @@
 		history := &History{shape: c.shape, name: name}
 		for i, line := range c.lines {
 			op := history.begin(i, line.call, time.Duration(2*i))
-			history.end(op, line.told, time.Duration(2*i+1))
+			history.end(op, line.observed, time.Duration(2*i+1))
 		}
 		if right, sure := history.Check(time.Minute); right != c.right || !sure {
 			t.Errorf("%s: explained %v, sure %v", name, right, sure)
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -42,32 +42,32 @@
 
 // Check names every size that cannot be run, in one message.
 func (o Options) Check() (err error) {
-	var problems []string
+	var invalid []string
 	size := func(name string, number, low, high int) {
 		if number < low || number > high {
-			problems = append(problems, errs.New("%s is %d and must be from %d to %d", name, number, low, high).Error())
+			invalid = append(invalid, errs.New("%s is %d and must be from %d to %d", name, number, low, high).Error())
 		}
 	}
 	span := func(name string, span, low, high time.Duration) {
 		if span < low || span > high {
-			problems = append(problems, errs.New("%s is %s and must be from %s to %s", name, span, low, high).Error())
+			invalid = append(invalid, errs.New("%s is %s and must be from %s to %s", name, span, low, high).Error())
 		}
 	}
 	span("length", o.Length, time.Second, MaxLength)
 	size("controllers", o.Controllers, 3, MaxControllers)
 	size("losses", o.Losses, 1, MaxControllers/2)
 	if o.Controllers >= 3 && o.Losses >= 1 && o.Controllers <= MaxControllers && o.Controllers < 2*o.Losses+1 {
-		problems = append(problems, errs.New("losses is %d, and %d controllers cannot tolerate so many", o.Losses, o.Controllers).Error())
+		invalid = append(invalid, errs.New("losses is %d, and %d controllers cannot tolerate so many", o.Losses, o.Controllers).Error())
 	}
 	size("operators", o.Operators, 1, MaxCallers)
 	size("edges", o.Edges, 1, MaxCallers)
 	span("gap", o.Gap, 10*time.Millisecond, MaxLength)
 	span("catch-up", o.CatchUp, 100*time.Millisecond, MaxLength)
 	if o.InjectedBug != "" && !o.InjectedBug.Known() {
-		problems = append(problems, "unknown bug to inject "+string(o.InjectedBug))
+		invalid = append(invalid, "unknown bug to inject "+string(o.InjectedBug))
 	}
-	if len(problems) > 0 {
-		return Class.New("%s", strings.Join(problems, "; "))
+	if len(invalid) > 0 {
+		return Class.New("%s", strings.Join(invalid, "; "))
 	}
 	return nil
 }
--- a/internal/simulation/seeds_test.go
+++ b/internal/simulation/seeds_test.go
@@ -38,9 +38,9 @@
 // Each injected bug is found, by the faults that bring it out.
 func TestInjectedBugsAreFound(t *testing.T) {
 	type sought struct {
-		troubles []FaultKind
-		seeds    int
-		from     int64
+		faults []FaultKind
+		seeds  int
+		from   int64
 	}
 	leases := []FaultKind{Freeze, Cut, OneWay, Storm}
 	bugs := map[InjectedBug]sought{
@@ -54,7 +54,7 @@
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			options := DefaultOptions()
-			options.Length, options.Gap, options.Faults = 10*time.Second, 400*time.Millisecond, how.troubles
+			options.Length, options.Gap, options.Faults = 10*time.Second, 400*time.Millisecond, how.faults
 			find := Seek(bug, options, Range{Seeds: how.seeds, From: how.from, Parallel: 1, Limit: time.Minute}, func(Report) {})
 			mu.Lock()
 			defer mu.Unlock()
