--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,71 +15,71 @@
 	"tinpin/internal/rpc"
 )
 
-// rested makes a daemon whose stream to its one backend has carried a request.
-func rested(t *testing.T, script func(n int, r seen, conn net.Conn) bool) (d *Daemon, backend *standIn) {
+// newIdleConnDaemon makes a daemon whose stream to its one backend has carried a request.
+func newIdleConnDaemon(t *testing.T, respond func(n int, r receivedRequest, conn net.Conn) bool) (d *Daemon, backend *fakeBackend) {
 	t.Helper()
-	backend = newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+	backend = newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		if n == 1 {
-			return good(n, r, conn)
+			return respondOK(n, r, conn)
 		}
-		return script(n, r, conn)
+		return respond(n, r, conn)
 	})
-	d = daemonOf(t, backend)
-	if verdict := d.Handle(request("GET", "/once/first", "first"), "2500"); verdict.Status != 200 {
-		t.Fatal(verdict.Status)
+	d = newTestDaemon(t, backend)
+	if response := d.Handle(newRequest("GET", "/once/first", "first"), "2500"); response.Status != 200 {
+		t.Fatal(response.Status)
 	}
 	return d, backend
 }
 
-func reset(conn net.Conn) {
+func resetConn(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
 // What comes on a stream before the request's own answer, or instead of it, must
 // neither be taken for it nor prove that it has not run.
-func TestWhatIsTakenForAnAnswer(t *testing.T) {
-	nameless := func(status int, lines string) string {
-		return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n%s\r\n", status, lines)
+func TestWhichResponsesAreAccepted(t *testing.T) {
+	unnamed := func(status int, headers string) string {
+		return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n%s\r\n", status, headers)
 	}
-	mine := answer(200, "ID", "body of ID")
+	own := responseText(200, "ID", "body of ID")
 	cases := map[string]struct {
 		text          string
 		fresh, rested int // the status of a request that may not be repeated
 		runs          int // on a fresh stream
 	}{
-		"421 without an id":            {nameless(421, ""), 200, 502, 2},
-		"not run without an id":        {nameless(503, message.HeaderNotExecuted+": 1\r\n"), 200, 502, 2},
-		"503 without a word":           {nameless(503, ""), 502, 502, 1},
-		"another's, 421 without an id": {answer(200, "other", "not yours") + nameless(421, ""), 502, 502, 1},
-		"1xx, 421 without an id":       {"HTTP/1.1 100 Continue\r\n\r\n" + nameless(421, ""), 502, 502, 1},
-		"421 without an id, then mine": {nameless(421, "") + mine, 200, 502, 2},
-		"its own 503 without a word":   {answer(503, "ID", "sorry"), 502, 502, 1},
-		"its own 429 without a word":   {answer(429, "ID", "sorry"), 502, 502, 1},
-		"its own 408 without a word":   {answer(408, "ID", "sorry"), 502, 502, 1},
-		"its own 504":                  {answer(504, "ID", "sorry"), 504, 504, 1},
-		"its own 404":                  {answer(404, "ID", "sorry"), 404, 404, 1},
-		"an empty id":                  {nameless(421, message.HeaderRequestID+":\r\n"), 200, 502, 2},
-		"two ids, mine first":          {answer(200, "ID", "body of ID", message.HeaderRequestID+": other"), 502, 502, 1},
-		"two ids, mine last":           {answer(200, "other", "body of ID", message.HeaderRequestID+": ID"), 502, 502, 1},
-		"two ids, not run":             {answer(503, "ID", "", message.HeaderRequestID+": other", message.HeaderNotExecuted+": 1"), 502, 502, 1},
-		"an id of another length":      {answer(200, "ID0", "body of ID") + mine, 200, 200, 1},
-		"only ids of another length":   {answer(200, "ID0", ""), 504, 504, 1},
-		"too many of others":           {strings.Repeat(answer(200, "other", "no"), 6) + mine, 502, 502, 1},
-		"two lengths":                  {answer(200, "ID", "body of ID", "Content-Length: 3"), 502, 502, 1},
-		"a length that is no number":   {strings.Replace(mine, "Length: 1", "Length: -1", 1), 502, 502, 1},
-		"a status that is no number":   {strings.Replace(mine, "200", "2x0", 1), 502, 502, 1},
-		"a status with a sign":         {strings.Replace(mine, "200", "+20", 1), 502, 502, 1},
-		"a status out of range":        {strings.Replace(mine, "200", "999", 1), 502, 502, 1},
-		"1xx, then mine":               {"HTTP/1.1 103 Early Hints\r\n\r\n" + mine, 200, 200, 1},
-		"1xx without end":              {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 6) + mine, 502, 502, 1},
-		"another protocol":             {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + mine, 502, 502, 1},
-		"a success that was not run":   {answer(200, "ID", "body of ID", message.HeaderNotExecuted+": 1"), 502, 502, 1},
-		"not run, cut short":           {strings.Replace(answer(503, "ID", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
-		"another's not run, cut short": {strings.Replace(answer(503, "other", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
+		"421 without an id":            {unnamed(421, ""), 200, 502, 2},
+		"not run without an id":        {unnamed(503, message.HeaderNotExecuted+": 1\r\n"), 200, 502, 2},
+		"503 without a word":           {unnamed(503, ""), 502, 502, 1},
+		"another's, 421 without an id": {responseText(200, "other", "not yours") + unnamed(421, ""), 502, 502, 1},
+		"1xx, 421 without an id":       {"HTTP/1.1 100 Continue\r\n\r\n" + unnamed(421, ""), 502, 502, 1},
+		"421 without an id, then mine": {unnamed(421, "") + own, 200, 502, 2},
+		"its own 503 without a word":   {responseText(503, "ID", "sorry"), 502, 502, 1},
+		"its own 429 without a word":   {responseText(429, "ID", "sorry"), 502, 502, 1},
+		"its own 408 without a word":   {responseText(408, "ID", "sorry"), 502, 502, 1},
+		"its own 504":                  {responseText(504, "ID", "sorry"), 504, 504, 1},
+		"its own 404":                  {responseText(404, "ID", "sorry"), 404, 404, 1},
+		"an empty id":                  {unnamed(421, message.HeaderRequestID+":\r\n"), 200, 502, 2},
+		"two ids, mine first":          {responseText(200, "ID", "body of ID", message.HeaderRequestID+": other"), 502, 502, 1},
+		"two ids, mine last":           {responseText(200, "other", "body of ID", message.HeaderRequestID+": ID"), 502, 502, 1},
+		"two ids, not run":             {responseText(503, "ID", "", message.HeaderRequestID+": other", message.HeaderNotExecuted+": 1"), 502, 502, 1},
+		"an id of another length":      {responseText(200, "ID0", "body of ID") + own, 200, 200, 1},
+		"only ids of another length":   {responseText(200, "ID0", ""), 504, 504, 1},
+		"too many of others":           {strings.Repeat(responseText(200, "other", "no"), 6) + own, 502, 502, 1},
+		"two lengths":                  {responseText(200, "ID", "body of ID", "Content-Length: 3"), 502, 502, 1},
+		"a length that is no number":   {strings.Replace(own, "Length: 1", "Length: -1", 1), 502, 502, 1},
+		"a status that is no number":   {strings.Replace(own, "200", "2x0", 1), 502, 502, 1},
+		"a status with a sign":         {strings.Replace(own, "200", "+20", 1), 502, 502, 1},
+		"a status out of range":        {strings.Replace(own, "200", "999", 1), 502, 502, 1},
+		"1xx, then mine":               {"HTTP/1.1 103 Early Hints\r\n\r\n" + own, 200, 200, 1},
+		"1xx without end":              {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 6) + own, 502, 502, 1},
+		"another protocol":             {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + own, 502, 502, 1},
+		"a success that was not run":   {responseText(200, "ID", "body of ID", message.HeaderNotExecuted+": 1"), 502, 502, 1},
+		"not run, cut short":           {strings.Replace(responseText(503, "ID", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
+		"another's not run, cut short": {strings.Replace(responseText(503, "other", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
 	}
 	for name, c := range cases {
-		bad := func(_ int, r seen, conn net.Conn) bool {
+		bad := func(_ int, r receivedRequest, conn net.Conn) bool {
 			_, _ = io.WriteString(conn, strings.ReplaceAll(c.text, "ID", r.ID))
 			return strings.HasPrefix(name, "only")
 		}
@@ -90,54 +90,54 @@
 			} else if c.rested == 200 {
 				wantRuns = c.runs
 			}
-			d, backend := rested(t, bad)
+			d, backend := newIdleConnDaemon(t, bad)
 			if isFresh {
 				d.state.backends["i-1"].closeIdle(d.clock.Now(), true)
 				d.state.backends["i-1"].closed = false
 			}
-			sound := newStandIn(t, "i-2", good)
-			server := rpc.Endpoint{ID: "i-2", Service: "s", Address: sound.listener.Addr().String(), Zone: "here", Slots: 4}
-			d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Endpoints: []rpc.EndpointChange{{Endpoint: server}}})
+			healthy := newFakeBackend(t, "i-2", respondOK)
+			endpoint := rpc.Endpoint{ID: "i-2", Service: "s", Address: healthy.listener.Addr().String(), Zone: "here", Slots: 4}
+			d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Endpoints: []rpc.EndpointChange{{Endpoint: endpoint}}})
 			d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
-			verdict := d.Handle(request("GET", "/once/q", "ab"), "300")
-			if runs := backend.count() - 1 + sound.count(); verdict.Status != want || runs != wantRuns {
-				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, verdict.Status, runs, want, wantRuns)
+			response := d.Handle(newRequest("GET", "/once/q", "ab"), "300")
+			if runs := backend.count() - 1 + healthy.count(); response.Status != want || runs != wantRuns {
+				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, response.Status, runs, want, wantRuns)
 			}
-			if verdict.Status == 200 && string(verdict.Body) != "body of ab" {
-				t.Errorf("%s, fresh %v: body %q", name, isFresh, verdict.Body)
+			if response.Status == 200 && string(response.Body) != "body of ab" {
+				t.Errorf("%s, fresh %v: body %q", name, isFresh, response.Body)
 			}
 		}
 	}
 }
 
 // A stream that ends is no proof, wherever in the request or its answer it ends.
-func TestAStreamThatEndsProvesNothing(t *testing.T) {
+func TestAClosedConnectionProvesNothing(t *testing.T) {
 	for name, c := range map[string]struct {
-		end    func(r seen, conn net.Conn)
+		end    func(r receivedRequest, conn net.Conn)
 		status int
 	}{
-		"reset, nothing said":  {func(_ seen, conn net.Conn) { reset(conn) }, 502},
-		"closed, nothing said": {func(_ seen, conn net.Conn) { _ = conn.Close() }, 502},
-		"reset behind the answer": {func(r seen, conn net.Conn) {
-			_, _ = io.WriteString(conn, answer(200, r.ID, "body of "+r.ID))
+		"reset, nothing said":  {func(_ receivedRequest, conn net.Conn) { resetConn(conn) }, 502},
+		"closed, nothing said": {func(_ receivedRequest, conn net.Conn) { _ = conn.Close() }, 502},
+		"reset behind the answer": {func(r receivedRequest, conn net.Conn) {
+			_, _ = io.WriteString(conn, responseText(200, r.ID, "body of "+r.ID))
 			_ = conn.Close()
 		}, 200},
-		"reset within the answer": {func(r seen, conn net.Conn) {
-			_, _ = io.WriteString(conn, answer(200, r.ID, "body of "+r.ID)[:30])
-			reset(conn)
+		"reset within the answer": {func(r receivedRequest, conn net.Conn) {
+			_, _ = io.WriteString(conn, responseText(200, r.ID, "body of "+r.ID)[:30])
+			resetConn(conn)
 		}, 502},
 	} {
-		for _, way := range []string{"/once/", "/safe/"} {
-			d, backend := rested(t, func(n int, r seen, conn net.Conn) bool {
+		for _, route := range []string{"/once/", "/safe/"} {
+			d, backend := newIdleConnDaemon(t, func(n int, r receivedRequest, conn net.Conn) bool {
 				if n == 2 {
 					c.end(r, conn)
 					return false
 				}
-				return good(n, r, conn)
+				return respondOK(n, r, conn)
 			})
-			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
-			if verdict.Status != c.status || backend.count() != 2 {
-				t.Errorf("%s on %s: status %d after %d arrivals", name, way, verdict.Status, backend.count())
+			response := d.Handle(newRequest("GET", route+"q", "ab"), "2500")
+			if response.Status != c.status || backend.count() != 2 {
+				t.Errorf("%s on %s: status %d after %d arrivals", name, route, response.Status, backend.count())
 			}
 		}
 	}
@@ -145,15 +145,15 @@
 
 // A backend that answers before it has read the whole request and resets the
 // stream is heard; what it did not say stays unknown.
-func TestAStreamResetWhileTheRequestIsWritten(t *testing.T) {
+func TestConnectionResetWhileTheRequestIsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		say    string
 		status int
 	}{
-		"turned away":   {answer(503, "up", "", message.HeaderNotExecuted+": 1"), 503},
+		"turned away":   {responseText(503, "up", "", message.HeaderNotExecuted+": 1"), 503},
 		"nothing":       {"", 502},
-		"another's":     {answer(503, "other", "", message.HeaderNotExecuted+": 1"), 502},
-		"its own error": {answer(500, "up", ""), 500},
+		"another's":     {responseText(503, "other", "", message.HeaderNotExecuted+": 1"), 502},
+		"its own error": {responseText(500, "up", ""), 500},
 	} {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -171,21 +171,21 @@
 				_ = conn.Close()
 			}
 		}()
-		d := daemonOf(t, &standIn{id: "i-1", listener: listener})
-		large := request("POST", "/once/q", "up")
+		d := newTestDaemon(t, &fakeBackend{id: "i-1", listener: listener})
+		large := newRequest("POST", "/once/q", "up")
 		large.HasBody, large.Body = true, make([]byte, 16<<20)
-		if verdict := d.Handle(large, "800"); verdict.Status != c.status {
-			t.Errorf("%s: status %d, want %d", name, verdict.Status, c.status)
+		if response := d.Handle(large, "800"); response.Status != c.status {
+			t.Errorf("%s: status %d, want %d", name, response.Status, c.status)
 		}
 		_ = listener.Close()
 	}
 }
 
 // What was looked at before a standstill is void after it: nothing leaves.
-func TestNothingLeavesOutsideItsSpan(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
-	server := d.state.backends["i-1"]
+func TestNothingIsSentAfterTheChoiceExpired(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
+	target := d.state.backends["i-1"]
 	now := d.clock.Now()
 	for name, c := range map[string]struct {
 		sending AttemptOptions
@@ -200,29 +200,29 @@
 		"retired":        {AttemptOptions{ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Backend) bool { return false }}, SendCancelled},
 		"over before it": {AttemptOptions{ChosenAt: now, Deadline: now}, NotSent},
 	} {
-		if round := runAttempt(d.clock, server, request("GET", "/once/q", "a"), c.sending); round.Outcome != c.outcome || round.Sent {
-			t.Errorf("%s: %+v", name, round)
+		if attempt := runAttempt(d.clock, target, newRequest("GET", "/once/q", "a"), c.sending); attempt.Outcome != c.outcome || attempt.Sent {
+			t.Errorf("%s: %+v", name, attempt)
 		}
 	}
-	if verdict := d.Handle(request("GET", "/once/q", "b"), "800"); verdict.Status != 200 || backend.count() != 1 {
-		t.Fatalf("status %d after %d arrivals", verdict.Status, backend.count())
+	if response := d.Handle(newRequest("GET", "/once/q", "b"), "800"); response.Status != 200 || backend.count() != 1 {
+		t.Fatalf("status %d after %d arrivals", response.Status, backend.count())
 	}
 }
 
 // A cold backend that was chosen under a lease gets nothing once that has run out.
-func TestALeaseThatHasRunOutIsNotUsed(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
-	server := d.state.backends["i-1"]
-	server.warmUpUntil = d.clock.Now() + time.Hour
-	way := d.state.Snapshot().View.Find("a.example", "/once/x")
+func TestAnExpiredLeaseIsNotUsed(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
+	target := d.state.backends["i-1"]
+	target.warmUpUntil = d.clock.Now() + time.Hour
+	route := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.EndpointID{"", "i-1"} {
-		for span, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
+		for duration, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
 			now := d.clock.Now()
-			d.state.Apply(now, &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3, Duration: span}}})
-			plan := &Plan{Route: way, Service: "s", Deadline: now + time.Second, BoundBackend: bound}
-			if round := runAttempt(d.clock, server, request("POST", "/once/x", "a"), d.attemptOptions(plan, now)); round.Outcome != outcome {
-				t.Errorf("bound to %q, a lease for %v: %+v", bound, span, round)
+			d.state.Apply(now, &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3, Duration: duration}}})
+			plan := &Plan{Route: route, Service: "s", Deadline: now + time.Second, BoundBackend: bound}
+			if attempt := runAttempt(d.clock, target, newRequest("POST", "/once/x", "a"), d.attemptOptions(plan, now)); attempt.Outcome != outcome {
+				t.Errorf("bound to %q, a lease for %v: %+v", bound, duration, attempt)
 			}
 		}
 	}
@@ -232,78 +232,78 @@
 }
 
 // A claim is worth its window from when it was asked for, and no longer.
-func TestAClaimThatHasRunOutIsNotUsed(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
+func TestAnExpiredClaimIsNotUsed(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
 	d.settings.Bounds.KeyWindow = time.Nanosecond
-	led(t, d, &standInForum{script: grant})
-	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
-		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	connectToLeader(t, d, &fakeCoordinator{script: grantClaim})
+	if response := d.Handle(newKeyedRequest("a", "k"), "2500"); response.Status != 503 || backend.count() != 0 {
+		t.Fatalf("status %d after %d runs", response.Status, backend.count())
 	}
 	if d.operations.Find("k", "a").State != rpc.OperationReleased {
 		t.Fatal("the key is not given back")
 	}
 	// The same request again must not run under the claim that is given back.
 	d.settings.Bounds.KeyWindow = time.Minute
-	if verdict := d.Handle(keyed("a", "k"), "2500"); verdict.Status != 503 || backend.count() != 0 {
-		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	if response := d.Handle(newKeyedRequest("a", "k"), "2500"); response.Status != 503 || backend.count() != 0 {
+		t.Fatalf("status %d after %d runs", response.Status, backend.count())
 	}
-	if verdict := d.Handle(keyed("b", "k"), "2500"); verdict.Status != 200 || backend.count() != 1 {
-		t.Fatalf("status %d after %d runs", verdict.Status, backend.count())
+	if response := d.Handle(newKeyedRequest("b", "k"), "2500"); response.Status != 200 || backend.count() != 1 {
+		t.Fatalf("status %d after %d runs", response.Status, backend.count())
 	}
 }
 
 // A backend that a session is bound to is asked again over a fresh stream: on the
 // old one a second copy of its refusal would prove the wrong thing.
-func TestARefusalThatComesTwice(t *testing.T) {
-	for lapse, want := range map[DisabledChecks]int{0: 2, ReuseRejectingConn: 3} {
-		var told sync.Map
-		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
-			no := answer(503, r.ID, "", message.HeaderNotExecuted+": 1")
-			if _, again := told.LoadOrStore(conn, true); n == 1 || again {
+func TestADuplicateRejectionProvesNothing(t *testing.T) {
+	for disabled, want := range map[DisabledChecks]int{0: 2, ReuseRejectingConn: 3} {
+		var rejected sync.Map
+		backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
+			rejection := responseText(503, r.ID, "", message.HeaderNotExecuted+": 1")
+			if _, again := rejected.LoadOrStore(conn, true); n == 1 || again {
 				// The second time it comes before the answer to a run.
-				_, err := io.WriteString(conn, no)
+				_, err := io.WriteString(conn, rejection)
 				if n == 1 {
 					return err == nil
 				}
 			}
-			return good(n, r, conn)
+			return respondOK(n, r, conn)
 		})
-		d := daemonOf(t, backend)
-		d.disabledChecks = lapse
+		d := newTestDaemon(t, backend)
+		d.disabledChecks = disabled
 		d.retryBudget.RecordRequest(d.clock.Now(), "s")
 		view := d.state.Snapshot().View
-		plan := &Plan{Route: view.Find("a.example", "/once/x"), Service: "s", Request: request("POST", "/once/x", "a"), Deadline: d.clock.Now() + 2*time.Second, AttemptsLeft: 3, BoundBackend: "i-1"}
+		plan := &Plan{Route: view.Find("a.example", "/once/x"), Service: "s", Request: newRequest("POST", "/once/x", "a"), Deadline: d.clock.Now() + 2*time.Second, AttemptsLeft: 3, BoundBackend: "i-1"}
 		if _, kind := d.runAttempts(plan, d.concurrency.forService("s")); kind != 0 || backend.count() != want {
-			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", lapse, kind, backend.count(), want)
+			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", disabled, kind, backend.count(), want)
 		}
 	}
 }
 
 // A stream that is reset between the look at it and the write takes nothing of the
 // request: that is proof, also where it may not be repeated.
-func TestAWriteThatTookNothingIsProof(t *testing.T) {
+func TestAFailedWriteOfNoBytesIsProof(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+	backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		conns <- conn
-		return good(n, r, conn)
+		return respondOK(n, r, conn)
 	})
-	d := daemonOf(t, backend)
-	server := d.state.backends["i-1"]
+	d := newTestDaemon(t, backend)
+	target := d.state.backends["i-1"]
 	now := d.clock.Now()
-	sending := AttemptOptions{ChosenAt: now, Deadline: now + time.Second, MaxIdle: time.Minute}
-	if round := runAttempt(d.clock, server, request("POST", "/once/1", "a"), sending); round.Outcome != Complete {
-		t.Fatalf("%+v", round)
+	options := AttemptOptions{ChosenAt: now, Deadline: now + time.Second, MaxIdle: time.Minute}
+	if attempt := runAttempt(d.clock, target, newRequest("POST", "/once/1", "a"), options); attempt.Outcome != Complete {
+		t.Fatalf("%+v", attempt)
 	}
-	sending.Permitted = func(server *Backend) bool {
-		reset(<-conns)
-		for stream := range server.activeConns {
-			for stream.isQuiet() {
+	options.Permitted = func(target *Backend) bool {
+		resetConn(<-conns)
+		for active := range target.activeConns {
+			for active.isQuiet() {
 			}
 		}
 		return true
 	}
-	if round := runAttempt(d.clock, server, request("POST", "/once/2", "b"), sending); round.Outcome != NotSent || round.Sent || backend.count() != 1 {
-		t.Fatalf("%+v after %d arrivals", round, backend.count())
+	if attempt := runAttempt(d.clock, target, newRequest("POST", "/once/2", "b"), options); attempt.Outcome != NotSent || attempt.Sent || backend.count() != 1 {
+		t.Fatalf("%+v after %d arrivals", attempt, backend.count())
 	}
 }
--- a/internal/proxy/bandwidth_test.go
+++ b/internal/proxy/bandwidth_test.go
@@ -9,18 +9,18 @@
 
 // Large answers together stay within their part of the link, however many
 // there are, and lose nothing on the way.
-func TestTheLaneKeepsToItsPart(t *testing.T) {
-	lane := NewBandwidthLimiter(NewClock(), 8) // a megabyte a second
+func TestBandwidthLimiterKeepsToItsShare(t *testing.T) {
+	limiter := NewBandwidthLimiter(NewClock(), 8) // a megabyte a second
 	now, taken := time.Second, 0
 	for taken < 4<<20 {
-		wait := lane.reserve(now, bandwidthChunk)
+		wait := limiter.reserve(now, bandwidthChunk)
 		taken += bandwidthChunk
 		now += wait
 	}
 	if rate := float64(taken) / (now - time.Second).Seconds(); rate > 1.02e6*bandwidthShare || rate < 0.95e6*bandwidthShare {
 		t.Errorf("%.0f bytes a second of a megabyte", rate)
 	}
-	if wait := lane.reserve(now+time.Second, bandwidthBurst); wait > 0 {
+	if wait := limiter.reserve(now+time.Second, bandwidthBurst); wait > 0 {
 		t.Errorf("a lane that rested makes wait %s", wait)
 	}
 	text := bytes.Repeat([]byte("large answer "), 3000)
--- a/internal/proxy/batcher_test.go
+++ b/internal/proxy/batcher_test.go
@@ -8,7 +8,7 @@
 )
 
 // Of a reply that has not an answer for each ask none is taken.
-func TestAReplyOfAnotherLengthAnswersNobody(t *testing.T) {
+func TestAReplyOfTheWrongLengthAnswersNobody(t *testing.T) {
 	for _, size := range []int{0, 1, 3} {
 		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []rpc.ClaimResult) {
 			for range size {
@@ -32,19 +32,19 @@
 
 // What nobody waits for any more is not sent, and a call tells how long the
 // longest is waited for.
-func TestWhatIsGivenUpIsNotSent(t *testing.T) {
+func TestExpiredRequestsAreNotSent(t *testing.T) {
 	var sent []int
-	var told time.Duration
-	batcher := NewBatcher(4, 1, 4, func(asks []int, left time.Duration) []int {
-		sent, told = append(sent, asks...), left
-		return asks
+	var remaining time.Duration
+	batcher := NewBatcher(4, 1, 4, func(requests []int, left time.Duration) []int {
+		sent, remaining = append(sent, requests...), left
+		return requests
 	})
 	batch := []pendingRequest[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}, {2, time.Now().Add(time.Hour), make(chan int, 1)}, {3, time.Now().Add(time.Minute), make(chan int, 1)}}
 	second := batch[1].reply
 	batcher.slots <- struct{}{}
 	batcher.sendBatch(batch)
-	if len(sent) != 2 || sent[0] != 2 || sent[1] != 3 || <-second != 2 || told <= 59*time.Minute || told > time.Hour {
-		t.Fatalf("sent %v, left %v", sent, told)
+	if len(sent) != 2 || sent[0] != 2 || sent[1] != 3 || <-second != 2 || remaining <= 59*time.Minute || remaining > time.Hour {
+		t.Fatalf("sent %v, left %v", sent, remaining)
 	}
 	sent = nil
 	batcher.slots <- struct{}{}
@@ -54,32 +54,32 @@
 	}
 }
 
-// shortForum leads and answers a batch with no rows.
-type shortForum struct{}
+// emptyCoordinator leads and answers a batch with no rows.
+type emptyCoordinator struct{}
 
-func (shortForum) Claim(ask rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
+func (emptyCoordinator) Claim(ask rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
 	reply.IsLeader = true
 	return nil
 }
 
-func (shortForum) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
+func (emptyCoordinator) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
 	reply.IsLeader = true
 	return nil
 }
 
 // A leader's reply without the row for a claim or a binding leaves its outcome open.
-func TestAShortReplyOfALeaderLeavesItOpen(t *testing.T) {
-	d := daemonOf(t)
-	inner := serveInner(t, map[string]any{"Forum": shortForum{}})
-	d.leader.leader.Store(&inner)
+func TestAShortReplyOfALeaderLeavesTheOutcomeUnknown(t *testing.T) {
+	d := newTestDaemon(t)
+	address := serveRPC(t, map[string]any{"Forum": emptyCoordinator{}})
+	d.leader.leader.Store(&address)
 	d.leader.lastHeard.Store(int64(d.clock.Now() + time.Hour))
 	go d.leader.RunClaims()
 	go d.leader.RunBinds()
 	t.Cleanup(func() { close(d.leader.Done) })
-	if found := d.leader.claimOnce(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); found.Outcome != rpc.ClaimUnknown {
-		t.Errorf("%+v", found)
+	if result := d.leader.claimOnce(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); result.Outcome != rpc.ClaimUnknown {
+		t.Errorf("%+v", result)
 	}
-	if found, taken, answered := d.leader.binds.Call(rpc.SessionBinding{Session: "s"}, time.Second); !taken || !answered || found.Outcome != rpc.BindUnknown {
-		t.Errorf("%+v", found)
+	if result, accepted, answered := d.leader.binds.Call(rpc.SessionBinding{Session: "s"}, time.Second); !accepted || !answered || result.Outcome != rpc.BindUnknown {
+		t.Errorf("%+v", result)
 	}
 }
--- a/internal/proxy/concurrency_test.go
+++ b/internal/proxy/concurrency_test.go
@@ -10,9 +10,9 @@
 
 // A service that can do ten requests at a time, each in 150 ms or so, is given
 // more than it can take: with the throttle most that are sent come in time.
-func TestThrottleKeepsAnswersInTime(t *testing.T) {
-	play := func(offered int, throttle *ConcurrencyLimiter) (inTime, late, refused int) {
-		luck := rand.New(rand.NewSource(1))
+func TestConcurrencyLimitKeepsResponsesInTime(t *testing.T) {
+	simulate := func(offered int, limiter *ConcurrencyLimiter) (inTime, late, rejected int) {
+		rng := rand.New(rand.NewSource(1))
 		var ends []time.Duration // when each of ten slots is free
 		ends = make([]time.Duration, 10)
 		type job struct{ end, took time.Duration }
@@ -24,9 +24,9 @@
 					kept = append(kept, j)
 					continue
 				}
-				if throttle != nil {
-					throttle.Release()
-					throttle.ObserveLatency(j.took, 600*time.Millisecond)
+				if limiter != nil {
+					limiter.Release()
+					limiter.ObserveLatency(j.took, 600*time.Millisecond)
 				}
 				if now > 10*time.Second {
 					if j.took <= 600*time.Millisecond {
@@ -37,11 +37,11 @@
 				}
 			}
 			jobs = kept
-			if luck.Intn(1000) >= offered {
+			if rng.Intn(1000) >= offered {
 				continue
 			}
-			if throttle != nil && !throttle.Acquire(luck.Intn(3)) {
-				refused++
+			if limiter != nil && !limiter.Acquire(rng.Intn(3)) {
+				rejected++
 				continue
 			}
 			first := 0
@@ -51,63 +51,63 @@
 				}
 			}
 			begin := max(ends[first], now)
-			ends[first] = begin + time.Duration(50+luck.Intn(200))*time.Millisecond
+			ends[first] = begin + time.Duration(50+rng.Intn(200))*time.Millisecond
 			jobs = append(jobs, job{ends[first], ends[first] - now})
 		}
-		return inTime, late, refused
+		return inTime, late, rejected
 	}
-	calm, calmLate, calmRefused := play(40, NewConcurrencyLimiter())
-	if calmRefused > 0 || calmLate > calm/50 {
-		t.Fatalf("within its capacity: %d in time, %d late, %d refused", calm, calmLate, calmRefused)
+	normal, normalLate, normalRejected := simulate(40, NewConcurrencyLimiter())
+	if normalRejected > 0 || normalLate > normal/50 {
+		t.Fatalf("within its capacity: %d in time, %d late, %d refused", normal, normalLate, normalRejected)
 	}
-	without, lateWithout, _ := play(100, nil)
-	with, lateWith, refused := play(100, NewConcurrencyLimiter())
-	t.Logf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, refused)
+	without, lateWithout, _ := simulate(100, nil)
+	with, lateWith, rejected := simulate(100, NewConcurrencyLimiter())
+	t.Logf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, rejected)
 	if with < 2*without || lateWith > with/4 {
-		t.Fatalf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, refused)
+		t.Fatalf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, rejected)
 	}
 }
 
-func TestThrottleTurnsLowerRanksAwayFirst(t *testing.T) {
-	throttle := NewConcurrencyLimiter()
-	throttle.limit = 10
-	for throttle.Acquire(2) {
+func TestConcurrencyLimitRejectsLowerPrioritiesFirst(t *testing.T) {
+	limiter := NewConcurrencyLimiter()
+	limiter.limit = 10
+	for limiter.Acquire(2) {
 	}
-	if throttle.inFlight >= 10 || !throttle.Acquire(0) {
-		t.Fatalf("at %d of 10 the highest rank finds no place", throttle.inFlight)
+	if limiter.inFlight >= 10 || !limiter.Acquire(0) {
+		t.Fatalf("at %d of 10 the highest rank finds no place", limiter.inFlight)
 	}
 }
 
 // Outcomes are told of backends that failed lately or are set aside, and a beat
 // looks at no others.
-func TestOnlyBackendsInTroubleAreTold(t *testing.T) {
-	d := daemonOf(t, newStandIn(t, "i-1", good), newStandIn(t, "i-2", good))
+func TestOutcomesAreReportedOfFailingBackendsOnly(t *testing.T) {
+	d := newTestDaemon(t, newFakeBackend(t, "i-1", respondOK), newFakeBackend(t, "i-2", respondOK))
 	now := d.clock.Now()
-	servers := d.state.Snapshot().Services["s"]
+	backends := d.state.Snapshot().Services["s"]
 	for n := 0; n < 5; n++ {
-		for _, server := range servers {
-			server.attemptStarted(now)
-			server.attemptEnded(now, time.Millisecond, Complete)
+		for _, backend := range backends {
+			backend.attemptStarted(now)
+			backend.attemptEnded(now, time.Millisecond, Complete)
 		}
 	}
-	if tallies := d.state.OutcomeCounts(); len(tallies) != 0 || len(servers[0].stats.reportableBackends()) != 0 {
-		t.Fatalf("%v", tallies)
+	if counts := d.state.OutcomeCounts(); len(counts) != 0 || len(backends[0].stats.reportableBackends()) != 0 {
+		t.Fatalf("%v", counts)
 	}
-	servers[0].attemptStarted(now)
-	servers[0].attemptEnded(now, time.Millisecond, ServerError)
-	servers[0].attemptStarted(now)
-	servers[0].attemptEnded(now, time.Millisecond, Complete)
-	tallies := d.state.OutcomeCounts()
-	if len(tallies) != 2 || tallies[0].Endpoint != "i-1" || tallies[0].Failed != 1 || tallies[0].Succeeded != 1 || tallies[1].Endpoint != "" || tallies[1].Succeeded != 11 || tallies[1].Failed != 1 {
-		t.Fatalf("%+v", tallies)
+	backends[0].attemptStarted(now)
+	backends[0].attemptEnded(now, time.Millisecond, ServerError)
+	backends[0].attemptStarted(now)
+	backends[0].attemptEnded(now, time.Millisecond, Complete)
+	counts := d.state.OutcomeCounts()
+	if len(counts) != 2 || counts[0].Endpoint != "i-1" || counts[0].Failed != 1 || counts[0].Succeeded != 1 || counts[1].Endpoint != "" || counts[1].Succeeded != 11 || counts[1].Failed != 1 {
+		t.Fatalf("%+v", counts)
 	}
-	if _, told := servers[0].takeOutcomes(now + outcomeReportSpan + time.Second); told || len(servers[0].stats.reportableBackends()) != 0 {
+	if _, report := backends[0].takeOutcomes(now + outcomeReportSpan + time.Second); report || len(backends[0].stats.reportableBackends()) != 0 {
 		t.Fatal("it is told for ever")
 	}
-	servers[1].update(now, nil, &rpc.EndpointState{Endpoint: "i-2", Health: rpc.Healthy, EjectedFor: rpc.EjectedForAllZones})
-	servers[1].attemptStarted(now)
-	servers[1].attemptEnded(now, time.Millisecond, Complete)
-	if tallies = d.state.OutcomeCounts(); len(tallies) != 2 || tallies[0].Endpoint != "i-2" || tallies[0].Succeeded != 1 {
-		t.Fatalf("%+v", tallies)
+	backends[1].update(now, nil, &rpc.EndpointState{Endpoint: "i-2", Health: rpc.Healthy, EjectedFor: rpc.EjectedForAllZones})
+	backends[1].attemptStarted(now)
+	backends[1].attemptEnded(now, time.Millisecond, Complete)
+	if counts = d.state.OutcomeCounts(); len(counts) != 2 || counts[0].Endpoint != "i-2" || counts[0].Succeeded != 1 {
+		t.Fatalf("%+v", counts)
 	}
 }
--- a/internal/proxy/account_test.go
+++ b/internal/proxy/disabled_checks_test.go
@@ -11,8 +11,8 @@
 	"tinpin/internal/proxy"
 )
 
-// opened is a system whose daemons leave nothing out, and a way to play it.
-func opened(t *testing.T, first int) (play func(lapse proxy.DisabledChecks) faulttest.Report) {
+// startFaultTest is a system whose daemons leave nothing out, and a way to play it.
+func startFaultTest(t *testing.T, first int) (play func(disabled proxy.DisabledChecks) faulttest.Report) {
 	t.Helper()
 	hosts := localcluster.Hosts()
 	system, err := faulttest.Open(func(n int) string { return hosts(first + n) })
@@ -21,9 +21,9 @@
 	}
 	t.Cleanup(system.Close)
 	options := faulttest.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
-	return func(lapse proxy.DisabledChecks) (report faulttest.Report) {
+	return func(disabled proxy.DisabledChecks) (report faulttest.Report) {
 		for _, edge := range system.Cluster.Proxies {
-			edge.DisableChecks(lapse)
+			edge.DisableChecks(disabled)
 		}
 		options.Seed++
 		if report, err = system.Play(context.Background(), options); err != nil {
@@ -34,8 +34,8 @@
 }
 
 // A short account of the daemons as they are agrees in everything.
-func TestTheAccountAgrees(t *testing.T) {
-	play := opened(t, 100)
+func TestFaultTestFindsNothing(t *testing.T) {
+	play := startFaultTest(t, 100)
 	if report := play(0); !report.Good() || report.Rounds != 300 {
 		var table strings.Builder
 		report.Table(&table)
@@ -44,11 +44,11 @@
 }
 
 // Each check that is left out is found by the account.
-func TestTheAccountFindsWhatIsPlanted(t *testing.T) {
-	play := opened(t, 170)
+func TestFaultTestFindsEachDisabledCheck(t *testing.T) {
+	play := startFaultTest(t, 170)
 	for name, c := range map[string]struct {
-		lapse proxy.DisabledChecks
-		found func(faulttest.KindSummary) int
+		disabled proxy.DisabledChecks
+		found    func(faulttest.KindSummary) int
 	}{
 		"a rested 421 without an id is proof": {proxy.TrustMissingID, func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }},
 		"a reset of a rested stream is proof": {proxy.RetryAfterReset, func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }},
@@ -57,7 +57,7 @@
 	} {
 		found, plays := 0, 0
 		for ; plays < 10 && found == 0; plays++ {
-			for _, line := range play(c.lapse).Kinds {
+			for _, line := range play(c.disabled).Kinds {
 				found += c.found(line)
 			}
 		}
--- a/internal/proxy/standin_test.go
+++ b/internal/proxy/fake_backend_test.go
@@ -20,27 +20,27 @@
 	"tinpin/internal/settings"
 )
 
-type seen struct {
+type receivedRequest struct {
 	ID, Target, Method, Path, Body, Key string
 	Header                              http.Header
 }
 
-type standIn struct {
-	id       string
-	listener net.Listener
-	script   func(n int, request seen, conn net.Conn) (keep bool)
-	mu       sync.Mutex
-	requests []seen
-	streams  int
+type fakeBackend struct {
+	id          string
+	listener    net.Listener
+	respond     func(n int, request receivedRequest, conn net.Conn) (keep bool)
+	mu          sync.Mutex
+	requests    []receivedRequest
+	connections int
 }
 
-func newStandIn(t testing.TB, id string, script func(n int, request seen, conn net.Conn) bool) (s *standIn) {
+func newFakeBackend(t testing.TB, id string, respond func(n int, request receivedRequest, conn net.Conn) bool) (s *fakeBackend) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = &standIn{id: id, listener: listener, script: script}
+	s = &fakeBackend{id: id, listener: listener, respond: respond}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -49,7 +49,7 @@
 				return
 			}
 			s.mu.Lock()
-			s.streams++
+			s.connections++
 			s.mu.Unlock()
 			go s.serve(conn)
 		}
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (s *standIn) serve(conn net.Conn) {
+func (s *fakeBackend) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
@@ -69,45 +69,45 @@
 		if err != nil {
 			return
 		}
-		got := seen{ID: request.Header.Get(message.HeaderRequestID), Target: request.Header.Get(message.HeaderTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(message.HeaderOperationKey), Header: request.Header}
+		got := receivedRequest{ID: request.Header.Get(message.HeaderRequestID), Target: request.Header.Get(message.HeaderTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(message.HeaderOperationKey), Header: request.Header}
 		s.mu.Lock()
 		s.requests = append(s.requests, got)
 		n := len(s.requests)
 		s.mu.Unlock()
-		if !s.script(n, got, conn) {
+		if !s.respond(n, got, conn) {
 			return
 		}
 	}
 }
 
-func (s *standIn) count() int {
+func (s *fakeBackend) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-func (s *standIn) last() seen {
+func (s *fakeBackend) last() receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests[len(s.requests)-1]
 }
 
-func answer(status int, id, body string, lines ...string) string {
+func responseText(status int, id, body string, headers ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, message.HeaderRequestID, id, message.HeaderResponseSignature, id, len(body))
-	for _, line := range lines {
+	for _, line := range headers {
 		text += line + "\r\n"
 	}
 	return text + "\r\n" + body
 }
 
-func good(_ int, request seen, conn net.Conn) bool {
-	_, err := io.WriteString(conn, answer(200, request.ID, "body of "+request.ID))
+func respondOK(_ int, request receivedRequest, conn net.Conn) bool {
+	_, err := io.WriteString(conn, responseText(200, request.ID, "body of "+request.ID))
 	return err == nil
 }
 
-// daemonOf makes a daemon that knows the stand-ins as backends of service s
+// newTestDaemon makes a daemon that knows the stand-ins as backends of service s
 // and has three ways: /safe/, /once/ and /key/.
-func daemonOf(t testing.TB, backends ...*standIn) (d *Daemon) {
+func newTestDaemon(t testing.TB, backends ...*fakeBackend) (d *Daemon) {
 	t.Helper()
 	p := settings.Settings{Name: "edge-1", Zone: "here", Region: "land", ZoneRegions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, MaxFileDescriptors: 1024, SendInterval: time.Second, HealthCheckInterval: time.Second, SubsetSize: 3, MaxIdleNonIdempotent: time.Minute, CPUShare: 1}
 	p.Bounds = settings.Bounds{RetryBudgetRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, MaxTTL: 5 * time.Second, GracePeriod: time.Second}
@@ -120,23 +120,23 @@
 	d.tenantLimits = NewTenantLimits(d.state.Leased, nil)
 	d.frontend = frontend.New(d.Handle, func() *config.RoutingTable { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
-	call := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
+	document := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
 		"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[["s","/health",100,1]]},
 		"limits":{"max_header_bytes":2000,"max_body_bytes":5000,"header_timeout":"1s","idle_timeout":"2s","version":1}}}`
-	if err := items.Apply([]byte(call), 1); err != nil {
+	if err := items.Apply([]byte(document), 1); err != nil {
 		t.Fatal(err)
 	}
-	news := &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, Items: items.Items(), EndpointChunk: &rpc.EndpointChunk{Complete: true}}
+	update := &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, Items: items.Items(), EndpointChunk: &rpc.EndpointChunk{Complete: true}}
 	for _, backend := range backends {
-		news.EndpointChunk.Endpoints = append(news.EndpointChunk.Endpoints, rpc.Endpoint{ID: rpc.EndpointID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Zone: "here", Slots: 4})
+		update.EndpointChunk.Endpoints = append(update.EndpointChunk.Endpoints, rpc.Endpoint{ID: rpc.EndpointID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Zone: "here", Slots: 4})
 	}
-	d.state.Apply(0, news)
+	d.state.Apply(0, update)
 	return d
 }
 
-// client opens a stream to the daemon's door.
-func client(t testing.TB, d *Daemon) (conn net.Conn, in *bufio.Reader) {
+// dialFrontend opens a stream to the daemon's door.
+func dialFrontend(t testing.TB, d *Daemon) (conn net.Conn, in *bufio.Reader) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -152,15 +152,15 @@
 	return conn, bufio.NewReader(conn)
 }
 
-func ask(method, path, id string, lines ...string) string {
+func requestText(method, path, id string, headers ...string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": " + id + "\r\n" + message.HeaderRequestDeadline + ": 2500\r\n"
-	for _, line := range lines {
+	for _, line := range headers {
 		text += line + "\r\n"
 	}
 	return text + "\r\n"
 }
 
-func receiveOne(t testing.TB, in *bufio.Reader, method string) (response *http.Response, body string, err error) {
+func readResponseFrom(t testing.TB, in *bufio.Reader, method string) (response *http.Response, body string, err error) {
 	t.Helper()
 	response, err = http.ReadResponse(in, &http.Request{Method: method})
 	if err != nil {
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -9,12 +9,12 @@
 
 // An answer to HEAD has no body, also when it is a refusal: the bytes would be
 // taken for the beginning of the next answer.
-func TestARefusedHeadSpoilsNothing(t *testing.T) {
-	d := daemonOf(t)
-	conn, in := client(t, d)
-	_, _ = io.WriteString(conn, ask("HEAD", "/safe/", "h1")+ask("GET", "/safe/", "g1"))
+func TestARejectedHeadRequestHasNoBody(t *testing.T) {
+	d := newTestDaemon(t)
+	conn, in := dialFrontend(t, d)
+	_, _ = io.WriteString(conn, requestText("HEAD", "/safe/", "h1")+requestText("GET", "/safe/", "g1"))
 	for _, method := range []string{"HEAD", "GET"} {
-		if response, _, err := receiveOne(t, in, method); err != nil || response.StatusCode != http.StatusServiceUnavailable {
+		if response, _, err := readResponseFrom(t, in, method); err != nil || response.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%s: %v %v", method, response, err)
 		}
 	}
@@ -22,14 +22,14 @@
 
 // What was taken up ahead of answers may count as not read: it must not run if it
 // may not be repeated, also when its way changed meanwhile.
-func TestNothingThatMayNotBeRepeatedRunsAhead(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
-	for way, status := range map[string]int{"/once/": 503, "/safe/": 200} {
-		ahead := request("GET", way+"x", "a")
-		ahead.Pipelined = true
-		if verdict := d.Handle(ahead, "2500"); verdict.Status != status {
-			t.Errorf("%s: status %d", way, verdict.Status)
+func TestNonIdempotentRequestsAreNotPipelined(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
+	for route, status := range map[string]int{"/once/": 503, "/safe/": 200} {
+		pipelined := newRequest("GET", route+"x", "a")
+		pipelined.Pipelined = true
+		if response := d.Handle(pipelined, "2500"); response.Status != status {
+			t.Errorf("%s: status %d", route, response.Status)
 		}
 	}
 	if backend.count() != 1 {
@@ -40,32 +40,32 @@
 // Where the daemon ends, or its client goes, with a request at work, the stream
 // ends with it: nothing is promised of what may have run, and what the backend
 // still says reaches nobody else.
-func TestAnEndWithARequestAtWorkPromisesNothing(t *testing.T) {
-	for _, clientGoes := range []bool{false, true} {
+func TestShutdownWithARequestInFlightPromisesNothing(t *testing.T) {
+	for _, clientCloses := range []bool{false, true} {
 		begun, gate := make(chan struct{}), make(chan struct{})
-		backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+		backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 			if n == 1 {
 				close(begun)
 				<-gate
 			}
-			return good(n, r, conn)
+			return respondOK(n, r, conn)
 		})
-		d := daemonOf(t, backend)
-		conn, in := client(t, d)
-		_, _ = io.WriteString(conn, ask("POST", "/once/1", "p1", "Content-Length: 0"))
+		d := newTestDaemon(t, backend)
+		conn, in := dialFrontend(t, d)
+		_, _ = io.WriteString(conn, requestText("POST", "/once/1", "p1", "Content-Length: 0"))
 		<-begun
-		if clientGoes {
+		if clientCloses {
 			_ = conn.Close()
 		} else {
 			d.frontend.StartDraining()
 			d.frontend.CloseConns()
-			if response, _, err := receiveOne(t, in, "POST"); err == nil {
+			if response, _, err := readResponseFrom(t, in, "POST"); err == nil {
 				t.Fatalf("told %d", response.StatusCode)
 			}
 		}
 		close(gate)
-		if verdict := d.Handle(request("POST", "/once/2", "p2"), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of p2" {
-			t.Fatalf("%d %q", verdict.Status, verdict.Body)
+		if response := d.Handle(newRequest("POST", "/once/2", "p2"), "2500"); response.Status != 200 || string(response.Body) != "body of p2" {
+			t.Fatalf("%d %q", response.Status, response.Body)
 		}
 		if backend.count() != 2 {
 			t.Fatalf("%d arrivals", backend.count())
--- a/internal/proxy/outcome_test.go
+++ b/internal/proxy/outcome_test.go
@@ -35,24 +35,24 @@
 	}
 	for _, r := range rows {
 		t.Run(r.outcome.String(), func(t *testing.T) {
-			for _, repeat := range []config.RouteType{config.Idempotent, config.NonIdempotent} {
-				plan := &Plan{Route: &config.Route{Type: repeat}, Deadline: time.Second, AttemptsLeft: 3}
+			for _, routeType := range []config.RouteType{config.Idempotent, config.NonIdempotent} {
+				plan := &Plan{Route: &config.Route{Type: routeType}, Deadline: time.Second, AttemptsLeft: 3}
 				step, kind := plan.Next(0, "b", Attempt{Outcome: r.outcome, Sent: r.outcome != NotSent && r.outcome != SendCancelled})
 				want, wantKind := r.idempotent, apierror.None
 				if r.outcome == TimedOut {
 					wantKind = apierror.DeadlineExceeded
 				}
-				if repeat == config.NonIdempotent {
+				if routeType == config.NonIdempotent {
 					want, wantKind = r.once, r.onceKind
 				}
 				if step != want || kind != wantKind || plan.MayHaveRun != r.mayHaveRun {
-					t.Errorf("%s: step %d, kind %d, may have run %v", repeat, step, kind, plan.MayHaveRun)
+					t.Errorf("%s: step %d, kind %d, may have run %v", routeType, step, kind, plan.MayHaveRun)
 				}
 				if plan.errorKind(apierror.Overloaded) == apierror.Overloaded == r.mayHaveRun {
-					t.Errorf("%s: an error promises %v", repeat, plan.errorKind(apierror.Overloaded))
+					t.Errorf("%s: an error promises %v", routeType, plan.errorKind(apierror.Overloaded))
 				}
 			}
-			d := daemonOf(t, newStandIn(t, "i-1", good))
+			d := newTestDaemon(t, newFakeBackend(t, "i-1", respondOK))
 			backend := d.state.Snapshot().Services["s"][0]
 			now := time.Hour
 			backend.attemptStarted(now)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,86 +14,86 @@
 	"tinpin/internal/rpc"
 )
 
-func request(method, target, id string) *message.Request {
+func newRequest(method, target, id string) *message.Request {
 	return &message.Request{Method: method, Target: target, Host: "a.example", ID: id, Headers: []message.HeaderField{{message.HeaderRequestID, id}}}
 }
 
 // What a backend in trouble does must never reach a client as a success, must
 // be tried again only where that is allowed, and must not spoil the next
 // request on the stream.
-func TestBackendsInTrouble(t *testing.T) {
-	first := func(bad string, keep bool) func(int, seen, net.Conn) bool {
-		return func(n int, r seen, conn net.Conn) bool {
+func TestFaultyBackends(t *testing.T) {
+	firstResponse := func(text string, keep bool) func(int, receivedRequest, net.Conn) bool {
+		return func(n int, r receivedRequest, conn net.Conn) bool {
 			if n > 1 {
-				return good(n, r, conn)
+				return respondOK(n, r, conn)
 			}
-			_, _ = io.WriteString(conn, strings.ReplaceAll(bad, "ID", r.ID))
+			_, _ = io.WriteString(conn, strings.ReplaceAll(text, "ID", r.ID))
 			return keep
 		}
 	}
 	cases := map[string]struct {
-		script     func(int, seen, net.Conn) bool
+		script     func(int, receivedRequest, net.Conn) bool
 		safe, once int
 		arrivals   int // of the request that may be repeated
 	}{
-		"closes without an answer": {first("", false), 200, 502, 2},
-		"garbage":                  {first("garbage\r\n\r\n", false), 200, 502, 2},
-		"cut short":                {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
-		"cut in chunks":            {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
-		"no end but the stream's":  {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\n\r\nwho knows", false), 200, 502, 2},
-		"no stamp":                 {first("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
-		"another's answer alone":   {first(answer(200, "other", "not yours"), false), 200, 502, 2},
-		"another's answer first":   {first(answer(200, "other", "not yours")+answer(200, "ID", "body of ID"), true), 200, 200, 1},
-		"turned away":              {first(answer(503, "ID", "", message.HeaderNotExecuted+": 1"), true), 200, 200, 2},
-		"another instance":         {first(answer(421, "ID", "", message.HeaderInstanceID+": x"), true), 200, 200, 2},
-		"its own failure":          {first(answer(500, "ID", "sorry"), true), 200, 500, 2},
+		"closes without an answer": {firstResponse("", false), 200, 502, 2},
+		"garbage":                  {firstResponse("garbage\r\n\r\n", false), 200, 502, 2},
+		"cut short":                {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
+		"cut in chunks":            {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
+		"no end but the stream's":  {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\n\r\nwho knows", false), 200, 502, 2},
+		"no stamp":                 {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
+		"another's answer alone":   {firstResponse(responseText(200, "other", "not yours"), false), 200, 502, 2},
+		"another's answer first":   {firstResponse(responseText(200, "other", "not yours")+responseText(200, "ID", "body of ID"), true), 200, 200, 1},
+		"turned away":              {firstResponse(responseText(503, "ID", "", message.HeaderNotExecuted+": 1"), true), 200, 200, 2},
+		"another instance":         {firstResponse(responseText(421, "ID", "", message.HeaderInstanceID+": x"), true), 200, 200, 2},
+		"its own failure":          {firstResponse(responseText(500, "ID", "sorry"), true), 200, 500, 2},
 	}
 	for name, c := range cases {
-		for _, way := range []string{"/safe/", "/once/"} {
-			troubled := newStandIn(t, "i-1", c.script)
-			sound := newStandIn(t, "i-2", good)
-			d := daemonOf(t, troubled, sound)
+		for _, route := range []string{"/safe/", "/once/"} {
+			faulty := newFakeBackend(t, "i-1", c.script)
+			healthy := newFakeBackend(t, "i-2", respondOK)
+			d := newTestDaemon(t, faulty, healthy)
 			d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
-			verdict := d.Handle(request("GET", way+"q", "ab"), "2500")
+			response := d.Handle(newRequest("GET", route+"q", "ab"), "2500")
 			want := c.safe
-			if way == "/once/" {
+			if route == "/once/" {
 				want = c.once
 			}
-			if verdict.Status != want {
-				t.Errorf("%s on %s: status %d, want %d", name, way, verdict.Status, want)
+			if response.Status != want {
+				t.Errorf("%s on %s: status %d, want %d", name, route, response.Status, want)
 			}
-			if verdict.Status == 200 && string(verdict.Body) != "body of ab" {
-				t.Errorf("%s on %s: body %q", name, way, verdict.Body)
+			if response.Status == 200 && string(response.Body) != "body of ab" {
+				t.Errorf("%s on %s: body %q", name, route, response.Body)
 			}
-			if arrivals := troubled.count() + sound.count(); way == "/safe/" && arrivals != c.arrivals {
-				t.Errorf("%s on %s: %d arrivals, want %d", name, way, arrivals, c.arrivals)
-			} else if way == "/once/" && want == 502 && arrivals != 1 {
-				t.Errorf("%s on %s: sent %d times though it may have run", name, way, arrivals)
+			if arrivals := faulty.count() + healthy.count(); route == "/safe/" && arrivals != c.arrivals {
+				t.Errorf("%s on %s: %d arrivals, want %d", name, route, arrivals, c.arrivals)
+			} else if route == "/once/" && want == 502 && arrivals != 1 {
+				t.Errorf("%s on %s: sent %d times though it may have run", name, route, arrivals)
 			}
 		}
 	}
 }
 
-func TestASurplusAnswerSpoilsNothing(t *testing.T) {
-	backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
-		_, err := io.WriteString(conn, answer(200, r.ID, "body of "+r.ID)+answer(200, r.ID, "again"))
+func TestASurplusResponseIsDiscarded(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
+		_, err := io.WriteString(conn, responseText(200, r.ID, "body of "+r.ID)+responseText(200, r.ID, "again"))
 		return err == nil
 	})
-	d := daemonOf(t, backend)
+	d := newTestDaemon(t, backend)
 	for _, id := range []string{"a", "b", "c"} {
-		if verdict := d.Handle(request("GET", "/once/q", id), "2500"); verdict.Status != 200 || string(verdict.Body) != "body of "+id {
-			t.Fatalf("%s: %d %q", id, verdict.Status, verdict.Body)
+		if response := d.Handle(newRequest("GET", "/once/q", id), "2500"); response.Status != 200 || string(response.Body) != "body of "+id {
+			t.Fatalf("%s: %d %q", id, response.Status, response.Body)
 		}
 	}
 }
 
-func TestRequestsGoOutAsTheyCame(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
-	conn, in := client(t, d)
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
+	conn, in := dialFrontend(t, d)
 	path := "/once/a%2Fb//c;d?x=%zz&y=1"
 	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+message.HeaderRequestID+": r1\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+message.HeaderTargetInstance+": forged\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
-	if response, body, err := receiveOne(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(message.HeaderResponseSignature) != "stamp-r1" {
+	if response, body, err := readResponseFrom(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(message.HeaderResponseSignature) != "stamp-r1" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
 	got := backend.last()
@@ -102,21 +102,21 @@
 	}
 }
 
-func TestPipelinedAnswersComeInOrder(t *testing.T) {
+func TestPipelinedResponsesComeInOrder(t *testing.T) {
 	gate := make(chan struct{})
-	backend := newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+	backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		if r.ID == "p1" {
 			<-gate
 		} else if r.ID == "p3" {
 			close(gate)
 		}
-		return good(n, r, conn)
+		return respondOK(n, r, conn)
 	})
-	d := daemonOf(t, backend)
-	conn, in := client(t, d)
-	_, _ = io.WriteString(conn, ask("GET", "/safe/1", "p1")+ask("GET", "/safe/2", "p2")+ask("GET", "/safe/3", "p3"))
+	d := newTestDaemon(t, backend)
+	conn, in := dialFrontend(t, d)
+	_, _ = io.WriteString(conn, requestText("GET", "/safe/1", "p1")+requestText("GET", "/safe/2", "p2")+requestText("GET", "/safe/3", "p3"))
 	for _, id := range []string{"p1", "p2", "p3"} {
-		if _, body, err := receiveOne(t, in, "GET"); err != nil || body != "body of "+id {
+		if _, body, err := readResponseFrom(t, in, "GET"); err != nil || body != "body of "+id {
 			t.Fatalf("%s: %q %v", id, body, err)
 		}
 	}
@@ -124,17 +124,17 @@
 
 // An answer that closes the stream tells that those behind it were not read,
 // so a request that may not be repeated must not have been taken up.
-func TestNothingRunsBehindAClosingAnswer(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
-	conn, in := client(t, d)
+func TestNothingRunsBehindAClosingResponse(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
+	conn, in := dialFrontend(t, d)
 	d.frontend.StartDraining()
-	_, _ = io.WriteString(conn, ask("GET", "/safe/1", "p1")+ask("POST", "/once/2", "p2", "Content-Length: 0"))
-	response, _, err := receiveOne(t, in, "GET")
+	_, _ = io.WriteString(conn, requestText("GET", "/safe/1", "p1")+requestText("POST", "/once/2", "p2", "Content-Length: 0"))
+	response, _, err := readResponseFrom(t, in, "GET")
 	if err != nil || !response.Close {
 		t.Fatalf("%v %v", response, err)
 	}
-	if _, _, err = receiveOne(t, in, "POST"); err == nil {
+	if _, _, err = readResponseFrom(t, in, "POST"); err == nil {
 		t.Fatal("an answer behind the closing one")
 	}
 	if backend.count() != 1 {
@@ -143,28 +143,28 @@
 }
 
 func TestBadInput(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
+	backend := newFakeBackend(t, "i-1", respondOK)
 	cases := map[string]struct {
 		text   string
 		status int
 	}{
-		"no way":          {ask("GET", "/nowhere/", "x"), 404},
-		"no key":          {ask("POST", "/key/", "x", "Content-Length: 0"), 400},
+		"no way":          {requestText("GET", "/nowhere/", "x"), 404},
+		"no key":          {requestText("POST", "/key/", "x", "Content-Length: 0"), 400},
 		"no id":           {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n\r\n", 400},
 		"no host":         {"GET /safe/ HTTP/1.1\r\n\r\n", 400},
 		"not HTTP":        {"hello there\r\n\r\n", 400},
-		"two lengths":     {ask("POST", "/once/", "x", "Content-Length: 3", "Content-Length: 4") + "abcd", 400},
-		"long head":       {ask("GET", "/safe/", "x", "X: "+strings.Repeat("y", 2500)), 431},
-		"long body":       {ask("POST", "/once/", "x", "Content-Length: 6000"), 413},
-		"long in chunks":  {ask("POST", "/once/", "x", "Transfer-Encoding: chunked") + "1388\r\n" + strings.Repeat("z", 5000) + "\r\n5\r\nabcde\r\n0\r\n\r\n", 413},
+		"two lengths":     {requestText("POST", "/once/", "x", "Content-Length: 3", "Content-Length: 4") + "abcd", 400},
+		"long head":       {requestText("GET", "/safe/", "x", "X: "+strings.Repeat("y", 2500)), 431},
+		"long body":       {requestText("POST", "/once/", "x", "Content-Length: 6000"), 413},
+		"long in chunks":  {requestText("POST", "/once/", "x", "Transfer-Encoding: chunked") + "1388\r\n" + strings.Repeat("z", 5000) + "\r\n5\r\nabcde\r\n0\r\n\r\n", 413},
 		"deadline is now": {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": x\r\n" + message.HeaderRequestDeadline + ": 0\r\n\r\n", 503},
-		"no quorum":       {ask("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 0"), 503},
+		"no quorum":       {requestText("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 0"), 503},
 	}
 	for name, c := range cases {
-		d := daemonOf(t, backend)
-		conn, in := client(t, d)
+		d := newTestDaemon(t, backend)
+		conn, in := dialFrontend(t, d)
 		_, _ = io.WriteString(conn, c.text)
-		response, _, err := receiveOne(t, in, "GET")
+		response, _, err := readResponseFrom(t, in, "GET")
 		if err != nil || response.StatusCode != c.status {
 			t.Errorf("%s: %v %v, want %d", name, response, err, c.status)
 		}
@@ -175,43 +175,43 @@
 }
 
 func TestHeadAndContinue(t *testing.T) {
-	d := daemonOf(t, newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+	d := newTestDaemon(t, newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		if r.Method == "HEAD" {
-			text := answer(200, r.ID, "0123456789")
+			text := responseText(200, r.ID, "0123456789")
 			_, err := io.WriteString(conn, text[:len(text)-10])
 			return err == nil
 		}
-		return good(n, r, conn)
+		return respondOK(n, r, conn)
 	}))
-	conn, in := client(t, d)
-	_, _ = io.WriteString(conn, ask("HEAD", "/safe/", "h1"))
-	if response, body, err := receiveOne(t, in, "HEAD"); err != nil || response.ContentLength != 10 || body != "" {
+	conn, in := dialFrontend(t, d)
+	_, _ = io.WriteString(conn, requestText("HEAD", "/safe/", "h1"))
+	if response, body, err := readResponseFrom(t, in, "HEAD"); err != nil || response.ContentLength != 10 || body != "" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
-	_, _ = io.WriteString(conn, ask("POST", "/once/", "c1", "Content-Length: 4", "Expect: 100-continue"))
-	if response, _, err := receiveOne(t, in, "POST"); err != nil || response.StatusCode != 100 {
+	_, _ = io.WriteString(conn, requestText("POST", "/once/", "c1", "Content-Length: 4", "Expect: 100-continue"))
+	if response, _, err := readResponseFrom(t, in, "POST"); err != nil || response.StatusCode != 100 {
 		t.Fatalf("%v %v", response, err)
 	}
 	_, _ = io.WriteString(conn, "body")
-	if response, body, err := receiveOne(t, in, "POST"); err != nil || body != "body of c1" {
+	if response, body, err := readResponseFrom(t, in, "POST"); err != nil || body != "body of c1" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
 }
 
-func TestLargeAnswersPassThroughOrBreakVisibly(t *testing.T) {
+func TestLargeResponsesAreCompleteOrAborted(t *testing.T) {
 	large := strings.Repeat("0123456789", 60000)
 	for _, cut := range []bool{false, true} {
-		d := daemonOf(t, newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
-			text := answer(200, r.ID, large)
+		d := newTestDaemon(t, newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
+			text := responseText(200, r.ID, large)
 			if cut {
 				text = text[:len(text)-1000]
 			}
 			_, _ = io.WriteString(conn, text)
 			return !cut
 		}))
-		conn, in := client(t, d)
-		_, _ = io.WriteString(conn, ask("GET", "/safe/", "l1"))
-		_, body, err := receiveOne(t, in, "GET")
+		conn, in := dialFrontend(t, d)
+		_, _ = io.WriteString(conn, requestText("GET", "/safe/", "l1"))
+		_, body, err := readResponseFrom(t, in, "GET")
 		if cut && err == nil {
 			t.Fatal("a large answer cut short looks complete")
 		}
@@ -224,11 +224,11 @@
 // A plan never promises that nothing ran once something may have, and sends
 // again only what is idempotent or proven not to have run.
 func TestPlanTable(t *testing.T) {
-	for _, repeat := range []config.RouteType{config.Idempotent, config.NonIdempotent, config.Keyed} {
+	for _, routeType := range []config.RouteType{config.Idempotent, config.NonIdempotent, config.Keyed} {
 		for first := NotSent; first <= TimedOut; first++ {
 			for second := NotSent; second <= TimedOut; second++ {
-				for rounds := 1; rounds <= 3; rounds++ {
-					plan := &Plan{Route: &config.Route{Type: repeat}, Deadline: time.Second, AttemptsLeft: rounds}
+				for attempts := 1; attempts <= 3; attempts++ {
+					plan := &Plan{Route: &config.Route{Type: routeType}, Deadline: time.Second, AttemptsLeft: attempts}
 					mayHaveRun, arrivals := false, 0
 					for i, outcome := range []Outcome{first, second, Rejected, Rejected, Rejected} {
 						sent := outcome != NotSent
@@ -237,20 +237,20 @@
 						}
 						mayHaveRun = mayHaveRun || outcome == ConnectionFailed || outcome == TimedOut
 						step, kind := plan.Next(0, "b", Attempt{Outcome: outcome, Sent: sent})
-						if step == StepRetry && mayHaveRun && repeat != config.Idempotent {
-							t.Fatalf("%s %d %d: sent again though it may have run", repeat, first, second)
+						if step == StepRetry && mayHaveRun && routeType != config.Idempotent {
+							t.Fatalf("%s %d %d: sent again though it may have run", routeType, first, second)
 						}
-						if step == StepRetry && arrivals >= rounds {
-							t.Fatalf("%s %d %d: more rounds than allowed", repeat, first, second)
+						if step == StepRetry && arrivals >= attempts {
+							t.Fatalf("%s %d %d: more rounds than allowed", routeType, first, second)
 						}
 						if step == StepFail && mayHaveRun != kind.Response().MayHaveRun {
-							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", repeat, first, second, mayHaveRun, kind.Response())
+							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", routeType, first, second, mayHaveRun, kind.Response())
 						}
 						if step != StepRetry {
 							break
 						}
 						if i == 4 {
-							t.Fatalf("%s %d %d: no end", repeat, first, second)
+							t.Fatalf("%s %d %d: no end", routeType, first, second)
 						}
 					}
 				}
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestPromisesStandOnlyBehindWhatHasNotRun(t *testing.T) {
+func TestOnlyStatusesOfUnexecutedRequestsPromise(t *testing.T) {
 	for kind := apierror.BadRequest; kind <= apierror.Isolated; kind++ {
 		answer := kind.Response()
 		promise := answer.Status == 408 || answer.Status == 421 || answer.Status == 429 || answer.Status == 503
@@ -269,13 +269,13 @@
 	}
 }
 
-func TestChooseKeepsToTheRules(t *testing.T) {
-	backends := []*standIn{newStandIn(t, "i-1", good), newStandIn(t, "i-2", good), newStandIn(t, "i-3", good)}
-	d := daemonOf(t, backends...)
-	pick := func(wanted Criteria) (id rpc.EndpointID) {
-		wanted.Service = "s"
-		if server, _ := d.state.chooseEndpoint(d.state.Snapshot(), wanted); server != nil {
-			id = server.ID
+func TestChooseEndpointRules(t *testing.T) {
+	backends := []*fakeBackend{newFakeBackend(t, "i-1", respondOK), newFakeBackend(t, "i-2", respondOK), newFakeBackend(t, "i-3", respondOK)}
+	d := newTestDaemon(t, backends...)
+	choose := func(criteria Criteria) (id rpc.EndpointID) {
+		criteria.Service = "s"
+		if backend, _ := d.state.chooseEndpoint(d.state.Snapshot(), criteria); backend != nil {
+			id = backend.ID
 		}
 		return id
 	}
@@ -284,43 +284,43 @@
 	one.Draining = true
 	two.warmUpUntil = now + time.Hour
 	for i := 0; i < 20; i++ {
-		if pick(Criteria{}) != "i-3" {
+		if choose(Criteria{}) != "i-3" {
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
 		}
 	}
-	if pick(Criteria{Attempted: []rpc.EndpointID{"i-3"}}) != "" {
+	if choose(Criteria{Attempted: []rpc.EndpointID{"i-3"}}) != "" {
 		t.Fatal("a backend was chosen twice")
 	}
-	if pick(Criteria{Homes: []string{"far"}}) != "" {
+	if choose(Criteria{Homes: []string{"far"}}) != "" {
 		t.Fatal("a backend outside the homes was chosen")
 	}
 	three.health = rpc.Unhealthy
-	if pick(Criteria{}) != "i-3" {
+	if choose(Criteria{}) != "i-3" {
 		t.Fatal("the only one is taken even if it is held to be down")
 	}
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Evacuations: []rpc.Evacuation{{Zone: "here", Active: true, LogIndex: 2}}})
-	if pick(Criteria{}) != "" {
+	if choose(Criteria{}) != "" {
 		t.Fatal("a backend of an evacuated site was chosen")
 	}
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 3, LogIndex: 3, Evacuations: []rpc.Evacuation{{Zone: "here", LogIndex: 3}}})
 	one.Draining = false
 	three.health = rpc.Healthy
-	if got := pick(Criteria{}); got == "" {
+	if got := choose(Criteria{}); got == "" {
 		t.Fatal("none after the evacuation was taken back")
 	}
 }
 
-func TestColdBackendsTakeNoMoreThanTheLease(t *testing.T) {
+func TestWarmingUpBackendsGetNoMoreThanTheLease(t *testing.T) {
 	var arrivals []time.Duration
 	clock := NewClock()
-	d := daemonOf(t, newStandIn(t, "i-1", func(n int, r seen, conn net.Conn) bool {
+	d := newTestDaemon(t, newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		arrivals = append(arrivals, clock.Now())
-		return good(n, r, conn)
+		return respondOK(n, r, conn)
 	}))
 	d.state.backends["i-1"].warmUpUntil = d.clock.Now() + time.Hour
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3.7, Duration: time.Minute}}})
 	for range 12 {
-		d.Handle(request("GET", "/safe/q", "c"), "2500")
+		d.Handle(newRequest("GET", "/safe/q", "c"), "2500")
 	}
 	if len(arrivals) < 3 {
 		t.Fatalf("only %d arrivals: the lease is not used", len(arrivals))
@@ -333,7 +333,7 @@
 	}
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	slack := 6.0
 	budget := NewRetryBudget(0.2, 10*time.Second, func() float64 { return slack })
 	for i := 0; i < 100; i++ {
@@ -358,19 +358,19 @@
 }
 
 // A request over its tenant's limit is refused before anything is taken.
-func TestOverLimitTakesNothing(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
+func TestARateLimitedRequestHasNoEffect(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
 	items := config.New()
 	call := `{"upserts":{"tenants":{"column_names":["name","hostnames","rate","burst","version"],"row_values":[["t",["a.example"],10,5,1]]}}}`
 	if err := items.Apply([]byte(call), 2); err != nil {
 		t.Fatal(err)
 	}
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Items: items.Items()})
-	conn, in := client(t, d)
-	_, _ = io.WriteString(conn, ask("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 4")+"body"+ask("GET", "/safe/", "y"))
+	conn, in := dialFrontend(t, d)
+	_, _ = io.WriteString(conn, requestText("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 4")+"body"+requestText("GET", "/safe/", "y"))
 	for range 2 {
-		response, _, err := receiveOne(t, in, "GET")
+		response, _, err := readResponseFrom(t, in, "GET")
 		if err != nil || response.StatusCode != 429 || response.Header.Get("Retry-After") == "" {
 			t.Fatalf("%v %v", response, err)
 		}
@@ -381,38 +381,38 @@
 }
 
 // Beats may cross: what was told earlier must not undo what was told later.
-func TestOvertakenNewsChangeNothing(t *testing.T) {
-	backend := newStandIn(t, "i-1", good)
-	d := daemonOf(t, backend)
-	server := d.state.backends["i-1"].Endpoint
-	server.Draining = true
-	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 3, Revision: 9, Endpoints: []rpc.EndpointChange{{Endpoint: server}}})
-	server.Draining = false
-	for _, old := range []rpc.Update{{Term: 3, Revision: 8}, {Term: 2, Revision: 50, Full: true}} {
-		old.IsLeader, old.Endpoints = true, []rpc.EndpointChange{{Endpoint: server}}
-		d.state.Apply(0, &old)
+func TestStaleUpdatesChangeNothing(t *testing.T) {
+	backend := newFakeBackend(t, "i-1", respondOK)
+	d := newTestDaemon(t, backend)
+	endpoint := d.state.backends["i-1"].Endpoint
+	endpoint.Draining = true
+	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 3, Revision: 9, Endpoints: []rpc.EndpointChange{{Endpoint: endpoint}}})
+	endpoint.Draining = false
+	for _, stale := range []rpc.Update{{Term: 3, Revision: 8}, {Term: 2, Revision: 50, Full: true}} {
+		stale.IsLeader, stale.Endpoints = true, []rpc.EndpointChange{{Endpoint: endpoint}}
+		d.state.Apply(0, &stale)
 		if !d.state.backends["i-1"].Draining {
-			t.Fatalf("news of term %d, epoch %d undid a later one", old.Term, old.Revision)
+			t.Fatalf("news of term %d, epoch %d undid a later one", stale.Term, stale.Revision)
 		}
 	}
 }
 
 // A backend that has gone dark after taking a request must not keep a request
 // that may be repeated, nor have one that may not sent again.
-func TestASilentBackendIsHedgedOnlyWhereAllowed(t *testing.T) {
+func TestHedgingOnlyOfIdempotentRequests(t *testing.T) {
 	gate := make(chan struct{})
 	defer close(gate)
-	for way, arrivals := range map[string]int{"/safe/": 1, "/once/": 0} {
-		dark := newStandIn(t, "i-1", func(int, seen, net.Conn) bool { <-gate; return false })
-		sound := newStandIn(t, "i-2", good)
-		d := daemonOf(t, dark, sound)
+	for route, arrivals := range map[string]int{"/safe/": 1, "/once/": 0} {
+		unresponsive := newFakeBackend(t, "i-1", func(int, receivedRequest, net.Conn) bool { <-gate; return false })
+		healthy := newFakeBackend(t, "i-2", respondOK)
+		d := newTestDaemon(t, unresponsive, healthy)
 		d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
-		verdict := d.Handle(request("GET", way+"q", "ab"), "800")
-		if way == "/safe/" && verdict.Status != 200 || way == "/once/" && verdict.Status != 504 {
-			t.Errorf("%s: status %d", way, verdict.Status)
+		response := d.Handle(newRequest("GET", route+"q", "ab"), "800")
+		if route == "/safe/" && response.Status != 200 || route == "/once/" && response.Status != 504 {
+			t.Errorf("%s: status %d", route, response.Status)
 		}
-		if sound.count() != arrivals {
-			t.Errorf("%s: %d arrivals at the second backend, want %d", way, sound.count(), arrivals)
+		if healthy.count() != arrivals {
+			t.Errorf("%s: %d arrivals at the second backend, want %d", route, healthy.count(), arrivals)
 		}
 	}
 }
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -10,18 +10,18 @@
 )
 
 func BenchmarkAnswer(b *testing.B) {
-	for _, way := range []string{"/safe/", "/once/"} {
-		b.Run(way[1:len(way)-1], func(b *testing.B) {
-			backend := newStandIn(b, "i-1", func(_ int, r seen, conn net.Conn) bool {
-				_, err := io.WriteString(conn, answer(200, r.ID, "body"))
+	for _, route := range []string{"/safe/", "/once/"} {
+		b.Run(route[1:len(route)-1], func(b *testing.B) {
+			backend := newFakeBackend(b, "i-1", func(_ int, r receivedRequest, conn net.Conn) bool {
+				_, err := io.WriteString(conn, responseText(200, r.ID, "body"))
 				return err == nil
 			})
-			d := daemonOf(b, backend)
-			asked := request("GET", way+"x", "a")
+			d := newTestDaemon(b, backend)
+			request := newRequest("GET", route+"x", "a")
 			b.ReportAllocs()
 			for b.Loop() {
-				if verdict := d.Handle(&message.Request{Method: asked.Method, Target: asked.Target, Host: asked.Host, ID: asked.ID, Headers: asked.Headers}, "2500"); verdict.Status != 200 {
-					b.Fatal(verdict.Status)
+				if response := d.Handle(&message.Request{Method: request.Method, Target: request.Target, Host: request.Host, ID: request.ID, Headers: request.Headers}, "2500"); response.Status != 200 {
+					b.Fatal(response.Status)
 				}
 			}
 		})
@@ -33,19 +33,19 @@
 func BenchmarkWholeRequest(b *testing.B) {
 	for _, route := range []string{"/safe/", "/once/"} {
 		b.Run(route[1:len(route)-1], func(b *testing.B) {
-			backend := newStandIn(b, "i-1", func(_ int, r seen, conn net.Conn) bool {
-				_, err := io.WriteString(conn, answer(200, r.ID, "body"))
+			backend := newFakeBackend(b, "i-1", func(_ int, r receivedRequest, conn net.Conn) bool {
+				_, err := io.WriteString(conn, responseText(200, r.ID, "body"))
 				return err == nil
 			})
-			conn, in := client(b, daemonOf(b, backend))
+			conn, in := dialFrontend(b, newTestDaemon(b, backend))
 			_ = conn.SetDeadline(time.Time{})
-			text := []byte(ask("GET", route+"x", "a"))
+			text := []byte(requestText("GET", route+"x", "a"))
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := conn.Write(text); err != nil {
 					b.Fatal(err)
 				}
-				if response, _, err := receiveOne(b, in, "GET"); err != nil || response.StatusCode != 200 {
+				if response, _, err := readResponseFrom(b, in, "GET"); err != nil || response.StatusCode != 200 {
 					b.Fatal(response, err)
 				}
 			}
--- a/internal/proxy/selection_bench_test.go
+++ b/internal/proxy/selection_bench_test.go
@@ -12,7 +12,7 @@
 // service: near alone, where the first few serve, and far, where all are
 // looked at because the request is to go to another zone.
 func BenchmarkChooseEndpoint(b *testing.B) {
-	d := daemonOf(b)
+	d := newTestDaemon(b)
 	var rows []rpc.Endpoint
 	for n := range 18 {
 		for _, zone := range []rpc.ZoneName{"here", "there", "beyond"} {
@@ -20,7 +20,7 @@
 		}
 	}
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 2, Revision: 2, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, EndpointChunk: &rpc.EndpointChunk{Complete: true, Endpoints: rows}})
-	scene := d.state.Snapshot()
+	snapshot := d.state.Snapshot()
 	near := Criteria{Service: "s", TargetLatency: 600 * time.Millisecond, Idempotent: true}
 	far := near
 	far.OverflowZone = "there"
@@ -31,7 +31,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if server, _ := d.state.chooseEndpoint(scene, c.wanted); server == nil {
+				if backend, _ := d.state.chooseEndpoint(snapshot, c.wanted); backend == nil {
 					b.Fatal("no backend was chosen")
 				}
 			}
--- a/internal/proxy/tenant_limits_test.go
+++ b/internal/proxy/tenant_limits_test.go
@@ -11,26 +11,26 @@
 
 // With more tenants than a beat may tell of, all come round in turn, and those
 // that are asked for are told of with each beat.
-func TestDemandsOfManyTenantsComeInTurn(t *testing.T) {
+func TestDemandsOfManyTenantsAreReportedInTurn(t *testing.T) {
 	var tenants []*config.Tenant
 	for n := 0; n < 4*maxIdleDemands; n++ {
 		tenants = append(tenants, &config.Tenant{Name: fmt.Sprintf("t-%04d", n), Rate: 100, Burst: 100})
 	}
 	limits := NewTenantLimits(func(kind rpc.LeaseKind, tenant string) float64 { return 0.5 }, nil)
 	busy := tenants[7]
-	told := map[string]int{}
-	for beat := 0; beat < 4; beat++ {
-		limits.Admit(time.Duration(beat)*time.Millisecond, busy)
+	reported := map[string]int{}
+	for heartbeat := 0; heartbeat < 4; heartbeat++ {
+		limits.Admit(time.Duration(heartbeat)*time.Millisecond, busy)
 		demands := limits.Demands(tenants)
 		if len(demands) > maxIdleDemands+1 {
 			t.Fatalf("%d demands in one beat", len(demands))
 		}
 		for _, demand := range demands {
-			told[demand.Name]++
+			reported[demand.Name]++
 		}
 	}
-	if len(told) != len(tenants) || told[busy.Name] != 4 {
-		t.Fatalf("%d of %d tenants were told of, the busy one %d times in four beats", len(told), len(tenants), told[busy.Name])
+	if len(reported) != len(tenants) || reported[busy.Name] != 4 {
+		t.Fatalf("%d of %d tenants were told of, the busy one %d times in four beats", len(reported), len(tenants), reported[busy.Name])
 	}
 	if few := limits.Demands(tenants[:10]); len(few) != 10 {
 		t.Fatalf("%d of ten", len(few))
