--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -76,7 +76,8 @@
 	NoLeader:        {Status: 503, Text: "operation keys cannot be claimed now", RetryAfterMS: 200},
 	KeyInUse:        {Status: 409, Text: "this operation is at work", RetryAfterMS: 100},
 	KeyOutcomeUnknown: {
-		Status: 503, Text: "an earlier try of this operation has no known outcome; this one was not sent", RetryAfterMS: 500,
+		Status: 503, Text: "an earlier try of this operation has no known outcome; this one was not sent",
+		RetryAfterMS: 500,
 	},
 	RateLimited:        {Status: 429, Text: "over the tenant's limit", RetryAfterMS: 200},
 	DeadlineTooShort:   {Status: 503, Text: "the deadline leaves no time"},
