--- a/internal/statemachine/bindings.go
+++ b/internal/statemachine/bindings.go
@@ -1,17 +1,19 @@
 package statemachine
 
 import (
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"tinpin/internal/affinity"
 	"tinpin/internal/rpc"
 )
 
-// Binding is the backend of a session. The first to bind decides; a binding moves
-// only for one who names the backend that it is bound to. Its sequence number is new
-// with every command that finds it, so that an unbinding which was sent before has
-// no effect.
+// Binding is the backend of a session. The first command to bind a session decides; a
+// later one moves the binding only if it names the backend that the session is bound
+// to. Every bind command gives a new sequence number, so that an unbind command which
+// was proposed before it has no effect.
 type Binding struct {
 	Service     rpc.ServiceName
 	Endpoint    rpc.EndpointID
@@ -35,11 +37,9 @@
 
 // EachBinding visits all bindings, in the order of their last commands in the log.
 func (s *State) EachBinding(visit func(session rpc.SessionID, binding Binding)) {
-	sessions := make([]rpc.SessionID, 0, len(s.bindings))
-	for session := range s.bindings {
-		sessions = append(sessions, session)
-	}
-	sort.Slice(sessions, func(i, j int) bool { return s.bindings[sessions[i]].Sequence < s.bindings[sessions[j]].Sequence })
+	sessions := slices.SortedFunc(maps.Keys(s.bindings), func(a, b rpc.SessionID) int {
+		return cmp.Compare(s.bindings[a].Sequence, s.bindings[b].Sequence)
+	})
 	for _, session := range sessions {
 		visit(session, s.bindings[session])
 	}
--- a/internal/statemachine/claims.go
+++ b/internal/statemachine/claims.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Claim says which node holds an operation key and for which request. Incarnation
+// Claim tells which node holds an operation key and for which request. Incarnation
 // is the start of the node that claimed it.
 type Claim struct {
 	Key         string
@@ -43,9 +43,9 @@
 	return found.Claim, true
 }
 
-// applyClaim grants a key to the first request alone, however often that asks.
+// applyClaim grants a key to the first claim of it, and to that one again.
 func (s *State) applyClaim(command Command, now time.Duration) (result Result) {
-	if held, taken := s.claims.byKey[command.Key]; taken {
+	if held, known := s.claims.byKey[command.Key]; known {
 		return Result{Held: held.Claim, Granted: held.Claim == command.Claim}
 	}
 	s.sequence++
@@ -54,7 +54,7 @@
 }
 
 func (s *State) applyReleaseClaim(command Command) (result Result) {
-	if held, taken := s.claims.byKey[command.Key]; taken && held.Claim == command.Claim {
+	if held, known := s.claims.byKey[command.Key]; known && held.Claim == command.Claim {
 		delete(s.claims.byKey, command.Key)
 	}
 	return granted()
@@ -72,7 +72,8 @@
 	return granted()
 }
 
-// ExpiredClaims gives the sequence number up to which claims are older than window.
+// ExpiredClaims gives the sequence number up to which claims are older than window,
+// 0 for none.
 func (s *State) ExpiredClaims(now, window time.Duration) (upTo uint64) {
 	for _, claim := range s.claims.order {
 		if now-claim.appliedAt <= window {
--- a/internal/statemachine/command_encoding.go
+++ b/internal/statemachine/command_encoding.go
@@ -11,9 +11,9 @@
 // ErrMalformed marks the data of a log entry that cannot be read as commands.
 var ErrMalformed = errs.Class("malformed log entry")
 
-// A batch of commands is the data of one log entry: lengths as varints, texts as
-// they are. The encoding is small because every claimed key passes through it on
-// every controller.
+// A batch of commands is the data of one log entry: numbers and lengths as varints,
+// texts as they are. The encoding is small because every claimed key passes through it
+// on every controller. Stored logs have this form, so that it must not change.
 
 // EncodeCommands writes commands.
 func EncodeCommands(commands []Command) (data []byte) {
@@ -31,7 +31,7 @@
 	return data
 }
 
-// DecodeCommands reads what Inscribe wrote.
+// DecodeCommands reads what EncodeCommands wrote.
 func DecodeCommands(data []byte) (commands []Command, err error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/statemachine/documents.go
+++ b/internal/statemachine/documents.go
@@ -13,9 +13,9 @@
 	"tinpin/internal/schedule"
 )
 
-// CheckDocument tells what would come of a document, or of its withdrawal where it
-// has no body: what is in force after it, whether it was accepted before, or why it
-// is rejected.
+// CheckDocument checks a document, or its withdrawal where it has no body, without
+// applying it. It gives the document that would be in force, and whether the same one
+// was accepted before; the error is why it is rejected.
 func (s *State) CheckDocument(next policy.Document) (after policy.Document, accepted bool, err error) {
 	if next.Body != "" {
 		var head struct{ Version policy.Version }
@@ -31,7 +31,8 @@
 		if content == next.Digest() {
 			return current, true, nil
 		}
-		return after, false, dedup.ErrConflict.New("version %d of %s is not above %s: it came with other content", next.Version, next.Kind, current.Summary())
+		return after, false, dedup.ErrConflict.New("version %d of %s is not above %s: it came with other content",
+			next.Version, next.Kind, current.Summary())
 	}
 	if next.Body != "" {
 		if next, err = ParseDocument(next.Kind, []byte(next.Body), s.Config); err != nil {
@@ -48,29 +49,27 @@
 	document = policy.Document{Kind: kind, Body: string(body)}
 	switch kind {
 	case policy.DrainPolicy:
-		parsed, readErr := drain.Parse(body)
-		if readErr != nil {
-			return document, readErr
+		var parsed *drain.Policy
+		if parsed, err = drain.Parse(body); err == nil {
+			document.Version, err = parsed.Version, parsed.CheckServices(known)
 		}
-		document.Version, err = parsed.Version, parsed.CheckServices(known)
 	case policy.DayPlan:
-		plan, readErr := schedule.Parse(body)
-		if readErr != nil {
-			return document, readErr
+		var parsed *schedule.Plan
+		if parsed, err = schedule.Parse(body); err == nil {
+			// Which regions exist is not part of the replicated state.
+			anyRegion := func(rpc.RegionName) bool { return true }
+			document.Version, err = parsed.Version, parsed.Check(known, anyRegion)
 		}
-		document.Version, err = plan.Version, plan.Check(known, func(rpc.RegionName) bool { return true })
 	case policy.SessionAffinity:
-		parsed, readErr := affinity.Parse(body)
-		if readErr != nil {
-			return document, readErr
+		var parsed *affinity.Policy
+		if parsed, err = affinity.Parse(body); err == nil {
+			document.Version, err = parsed.Version, parsed.CheckServices(known)
 		}
-		document.Version, err = parsed.Version, parsed.CheckServices(known)
 	case policy.RetryLimit:
-		limit, readErr := retry.Parse(body)
-		if readErr != nil {
-			return document, readErr
+		var parsed *retry.Policy
+		if parsed, err = retry.Parse(body); err == nil {
+			document.Version, err = parsed.Version, parsed.CheckServices(known)
 		}
-		document.Version, err = limit.Version, limit.CheckServices(known)
 	default:
 		err = policy.ErrInvalid.New("unknown kind of document %q", kind)
 	}
@@ -80,7 +79,11 @@
 // applyDocument sets or withdraws a document. The version before is remembered as
 // accepted.
 func (s *State) applyDocument(index uint64, command Command) (result Result) {
-	next := policy.Document{Kind: policy.Kind(command.Subject), Version: policy.Version(command.Number), Body: string(command.Body)}
+	next := policy.Document{
+		Kind:    policy.Kind(command.Subject),
+		Version: policy.Version(command.Number),
+		Body:    string(command.Body),
+	}
 	after, accepted, err := s.CheckDocument(next)
 	if err != nil {
 		return rejected(err)
--- a/internal/statemachine/retirements.go
+++ b/internal/statemachine/retirements.go
@@ -27,7 +27,9 @@
 	active := known && !retirement.Gone
 	switch {
 	case command.Kind == CommandRetire && !active:
-		retirement = rpc.Retirement{Server: id, Service: rpc.ServiceName(command.Body), By: command.Holder, Announced: index}
+		retirement = rpc.Retirement{
+			Server: id, Service: rpc.ServiceName(command.Body), By: command.Holder, Announced: index,
+		}
 	case command.Kind == CommandStopRetired && active && retirement.Stopped == 0:
 		retirement.Stopped = index
 	case command.Kind == CommandCancelRetire && active:
--- a/internal/statemachine/schedule.go
+++ b/internal/statemachine/schedule.go
@@ -8,11 +8,12 @@
 	"tinpin/internal/schedule"
 )
 
-// applyScheduleStep takes a step of the plan in force that follows the last one.
+// applyScheduleStep applies a step of the plan in force that follows the last one.
 func (s *State) applyScheduleStep(index uint64, command Command) (result Result) {
 	var next rpc.ScheduleStep
 	plan := s.Documents[policy.DayPlan]
-	if json.Unmarshal(command.Body, &next) != nil || !schedule.Follows(s.ScheduleStep, next, uint64(plan.Version)) || !plan.Active() {
+	if json.Unmarshal(command.Body, &next) != nil || !plan.Active() ||
+		!schedule.Follows(s.ScheduleStep, next, uint64(plan.Version)) {
 		return rejected(ErrStepOutOfOrder)
 	}
 	next.Rev = index
--- a/internal/statemachine/snapshot_format.go
+++ b/internal/statemachine/snapshot_format.go
@@ -25,7 +25,7 @@
 // are stored as they are, and are frozen where they are defined.
 type (
 	snapshotFormat struct {
-		Canon       []config.Item
+		Canon       []config.Item //words:frozen stored in snapshots
 		Evacuations map[string]storedEvacuation
 		Documents   map[policy.Kind]policy.Document
 		Retired     map[rpc.EndpointID]rpc.Retirement
@@ -37,11 +37,11 @@
 		Seq, Rev uint64
 		// What follows is absent in snapshots of older versions.
 		Columns   map[config.Set][]string
-		Overtaken dedup.Snapshot
+		Overtaken dedup.Snapshot //words:frozen stored in snapshots
 		Orders    dedup.Snapshot
 	}
 	storedEvacuation struct {
-		Site   string
+		Site   string //words:frozen stored in snapshots
 		Active bool
 		Rev    uint64
 	}
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -9,7 +9,7 @@
 	"tinpin/internal/rpc"
 )
 
-// State is the agreed state. Revision is the log index of the last change that
+// State is the replicated state. Revision is the log index of the last change that
 // nodes and operators see; claims and bindings don't count.
 type State struct {
 	Config       *config.Store
@@ -25,7 +25,7 @@
 	sequence uint64
 }
 
-// NewState is empty.
+// NewState gives an empty state.
 func NewState() (state *State) {
 	return &State{
 		Config:      config.New(),
@@ -38,8 +38,8 @@
 	}
 }
 
-// Apply carries out one command that is committed at a log index; now is the steady
-// clock of this controller. A kind that is not known changes nothing, as a barrier.
+// Apply applies one command that is committed at a log index; now is the steady
+// clock of this controller. A kind that is not known changes nothing, like a barrier.
 func (s *State) Apply(index uint64, command Command, now time.Duration) (result Result) {
 	accepted, err := s.AcceptedByName(command)
 	if err != nil {
