--- a/internal/statemachine/accepted_test.go
+++ b/internal/statemachine/accepted_test.go
@@ -16,15 +16,16 @@
 	"tinpin/internal/rpc"
 )
 
-// Orders that keep their word: played by two operators with random numbers and
-// contents, lost answers, repeats long after, and snapshots in between, one
-// number has one content, what was confirmed is confirmed again, and takes
-// effect once.
-
 const services = `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["pay",1],["desk",1]]}}}`
 
 func drainPolicyCommand(version int, service, notice string) (command Command) {
-	return Command{Kind: CommandDocument, Subject: string(policy.DrainPolicy), Body: fmt.Appendf(nil, `{"version":%d,"rules":[{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice)}
+	return Command{
+		Kind:    CommandDocument,
+		Subject: string(policy.DrainPolicy),
+		Body: fmt.Appendf(nil, `{"version":%d,"rules":[`+
+			`{"service":%q,"notice":%q,"finish":"5s","keyed":"deadline","least_share":0.5}`+
+			`],"lost_touch":"2s","cut_off":"stop"}`, version, service, notice),
+	}
 }
 
 func withdrawal(version int) (command Command) {
@@ -57,23 +58,26 @@
 		{"five", drainPolicyCommand(5, "desk", "1s"), yes, 5},
 		{"another operator's six", drainPolicyCommand(6, "pay", "1s"), yes, 6},
 		{"five again", drainPolicyCommand(5, "desk", "1s"), yes, 6},
-		{"five, written otherwise", Command{Kind: CommandDocument, Subject: string(policy.DrainPolicy), Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1"))}, yes, 6},
+		{"five, written otherwise", Command{
+			Kind: CommandDocument, Subject: string(policy.DrainPolicy),
+			Body: bytes.ReplaceAll(drainPolicyCommand(5, "desk", "1s").Body, []byte("0.5"), []byte("5.0e-1")),
+		}, yes, 6},
 		{"five, other content", drainPolicyCommand(5, "desk", "2s"), conflict, 6},
 		{"six, other content", drainPolicyCommand(6, "pay", "2s"), conflict, 6},
-		{"older, never taken", drainPolicyCommand(3, "pay", "1s"), no, 6},
+		{"older, never accepted", drainPolicyCommand(3, "pay", "1s"), no, 6},
 		{"six, withdrawn", withdrawal(6), conflict, 6},
 		{"withdrawn", withdrawal(7), yes, 7},
 		{"withdrawn again", withdrawal(7), yes, 7},
 		{"seven, set", drainPolicyCommand(7, "pay", "1s"), conflict, 7},
 		{"eight", drainPolicyCommand(8, "pay", "1s"), yes, 8},
 		{"seven withdrawn again", withdrawal(7), yes, 8},
-		{"the service goes", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"desk","version":2}]}}`)}, yes, 8},
+		{"a service is removed", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"desk","version":2}]}}`)}, yes, 8},
 		{"five once more", drainPolicyCommand(5, "desk", "1s"), yes, 8},
-		{"and the other one, of the document that stands", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"pay","version":2}]}}`)}, yes, 8},
+		{"the service of the document in force is removed", Command{Kind: CommandConfig, Body: []byte(`{"removals":{"services":[{"name":"pay","version":2}]}}`)}, yes, 8},
 		{"eight again", drainPolicyCommand(8, "pay", "1s"), yes, 8},
-		{"back", Command{Kind: CommandConfig, Body: bytes.ReplaceAll([]byte(services), []byte(",1]"), []byte(",3]"))}, yes, 8},
+		{"services set again", Command{Kind: CommandConfig, Body: bytes.ReplaceAll([]byte(services), []byte(",1]"), []byte(",3]"))}, yes, 8},
 		{"negative", drainPolicyCommand(-1, "pay", "1s"), no, 8},
-		{"nought", drainPolicyCommand(0, "pay", "1s"), no, 8},
+		{"zero", drainPolicyCommand(0, "pay", "1s"), no, 8},
 	}
 	for i, step := range steps {
 		before := state.Revision
@@ -86,10 +90,10 @@
 			got = conflict
 		}
 		if got != step.want || state.Documents[policy.DrainPolicy].Version != step.version {
-			t.Errorf("%s: %s %q, version %d stands", step.name, got, result.Err, state.Documents[policy.DrainPolicy].Version)
+			t.Errorf("%s: %s %q, version %d in force", step.name, got, result.Err, state.Documents[policy.DrainPolicy].Version)
 		}
 		if got != yes && state.Revision != before {
-			t.Errorf("%s: refused and changed something", step.name)
+			t.Errorf("%s: rejected and changed something", step.name)
 		}
 		state = restored(t, state)
 	}
@@ -102,8 +106,8 @@
 		return Command{Kind: kind, Subject: string(id), Body: []byte("pay"), Claim: Claim{Holder: by}}
 	}
 	for i, step := range []struct {
-		command       Command
-		stands, taken bool
+		command          Command
+		active, accepted bool
 	}{
 		{at(CommandCancelRetire, ""), false, false},
 		{at(CommandRetire, drain.ByPlatform), true, false},
@@ -115,48 +119,50 @@
 			t.Errorf("step %d: %s", i, result.Err)
 		}
 		state = restored(t, state)
-		if stands, taken := state.RetirementStatus(id); stands != step.stands || taken != step.taken {
-			t.Errorf("step %d: stands %v, taken %v", i, stands, taken)
+		if active, accepted := state.RetirementStatus(id); active != step.active || accepted != step.accepted {
+			t.Errorf("step %d: active %v, accepted %v", i, active, accepted)
 		}
 	}
 }
 
 func TestANamedRequestTakesEffectOnce(t *testing.T) {
 	state := NewState()
-	order := func(kind CommandKind, site, name string) Command {
-		return Command{Kind: kind, Subject: site, Body: []byte("pay"), Claim: Claim{Holder: drain.ByOperator, Key: name}}
+	request := func(kind CommandKind, subject, name string) Command {
+		return Command{Kind: kind, Subject: subject, Body: []byte("pay"), Claim: Claim{Holder: drain.ByOperator, Key: name}}
 	}
 	for i, step := range []struct {
-		command           Command
-		conflict          bool
-		evacuated, stands bool
+		command            Command
+		conflict           bool
+		evacuated, retired bool
 	}{
-		{command: order(CommandStartEvacuation, "z", "a"), evacuated: true},
-		{command: order(CommandEndEvacuation, "z", "b")},
-		{command: order(CommandStartEvacuation, "z", "a")},
-		{command: order(CommandStartEvacuation, "z", "b"), conflict: true},
-		{command: order(CommandStartEvacuation, "y", "a"), conflict: true},
-		{command: order(CommandStartEvacuation, "z", ""), evacuated: true},
-		{command: order(CommandEndEvacuation, "z", "b"), evacuated: true},
-		{command: order(CommandRetire, "i-1", "c"), evacuated: true, stands: true},
-		{command: order(CommandCancelRetire, "i-1", "d"), evacuated: true},
-		{command: order(CommandRetire, "i-1", "c"), evacuated: true},
-		{command: order(CommandRetire, "i-1", "e"), evacuated: true, stands: true},
-		{command: order(CommandCancelRetire, "i-1", "d"), evacuated: true, stands: true},
+		{command: request(CommandStartEvacuation, "z", "a"), evacuated: true},
+		{command: request(CommandEndEvacuation, "z", "b")},
+		{command: request(CommandStartEvacuation, "z", "a")},
+		{command: request(CommandStartEvacuation, "z", "b"), conflict: true},
+		{command: request(CommandStartEvacuation, "y", "a"), conflict: true},
+		{command: request(CommandStartEvacuation, "z", ""), evacuated: true},
+		{command: request(CommandEndEvacuation, "z", "b"), evacuated: true},
+		{command: request(CommandRetire, "i-1", "c"), evacuated: true, retired: true},
+		{command: request(CommandCancelRetire, "i-1", "d"), evacuated: true},
+		{command: request(CommandRetire, "i-1", "c"), evacuated: true},
+		{command: request(CommandRetire, "i-1", "e"), evacuated: true, retired: true},
+		{command: request(CommandCancelRetire, "i-1", "d"), evacuated: true, retired: true},
 	} {
 		result := state.Apply(uint64(i+1), step.command, 0)
 		state = restored(t, state)
-		stands, _ := state.RetirementStatus("i-1")
-		if result.Conflict() != step.conflict || (result.Err != nil) != step.conflict || state.Evacuations["z"].Active != step.evacuated || stands != step.stands {
-			t.Errorf("step %d: %+v, evacuated %v, retired %v", i, result, state.Evacuations["z"].Active, stands)
+		retired, _ := state.RetirementStatus("i-1")
+		evacuated := state.Evacuations["z"].Active
+		if result.Conflict() != step.conflict || (result.Err != nil) != step.conflict ||
+			evacuated != step.evacuated || retired != step.retired {
+			t.Errorf("step %d: %+v, evacuated %v, retired %v", i, result, evacuated, retired)
 		}
 	}
 }
 
-// A snapshot as versions without the record wrote it.
+// A snapshot of a version that did not remember accepted requests is read.
 func TestASnapshotWithoutAcceptedRequestsIsRead(t *testing.T) {
 	type older struct {
-		Canon       []config.Item
+		Canon       []config.Item //words:frozen stored in snapshots
 		Evacuations map[string]storedEvacuation
 		Documents   map[policy.Kind]policy.Document
 		Seq, Rev    uint64
@@ -172,122 +178,135 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, command := range []Command{drainPolicyCommand(5, "pay", "1s"), drainPolicyCommand(6, "desk", "1s"), drainPolicyCommand(5, "pay", "1s"), {Kind: CommandConfig, Body: []byte(services)}} {
+	for i, command := range []Command{
+		drainPolicyCommand(5, "pay", "1s"),
+		drainPolicyCommand(6, "desk", "1s"),
+		drainPolicyCommand(5, "pay", "1s"),
+		{Kind: CommandConfig, Body: []byte(services)},
+	} {
 		if result := state.Apply(uint64(i+3), command, 0); result.Err != nil {
-			t.Errorf("order %d: %s", i, result.Err)
+			t.Errorf("request %d: %s", i, result.Err)
 		}
 	}
 	if !state.Apply(9, drainPolicyCommand(5, "pay", "2s"), 0).Conflict() {
-		t.Error("other content under the version that stood was taken")
+		t.Error("other content under the version in force was accepted")
 	}
 }
 
-// sent is one order of the model, and what is known of it.
-type sent struct {
-	command   Command
-	numbers   []dedup.Key
-	contents  []string
-	confirmed bool
-	effects   int
+// sentRequest is one request of the model, and what is known of it.
+type sentRequest struct {
+	command  Command
+	keys     []dedup.Key
+	contents []string
+	accepted bool
+	effects  int
 }
 
-// operators draws orders that often share their numbers.
-type operators struct{ luck *rand.Rand }
+// operators draws requests that often share their keys.
+type operators struct{ rng *rand.Rand }
 
-func (o operators) order() (next *sent) {
-	version, pick := 1+o.luck.Intn(12), o.luck.Intn(3)
-	switch o.luck.Intn(6) {
+func (o operators) request() (next *sentRequest) {
+	version, pick := 1+o.rng.Intn(12), o.rng.Intn(3)
+	switch o.rng.Intn(6) {
 	case 0:
-		next = &sent{command: drainPolicyCommand(version, []string{"pay", "desk"}[pick%2], fmt.Sprint(pick, "s"))}
+		next = &sentRequest{command: drainPolicyCommand(version, []string{"pay", "desk"}[pick%2], fmt.Sprint(pick, "s"))}
 	case 1:
-		next = &sent{command: withdrawal(version)}
+		next = &sentRequest{command: withdrawal(version)}
 	case 2:
-		kind, name := []CommandKind{CommandStartEvacuation, CommandEndEvacuation}[pick%2], fmt.Sprint("name ", o.luck.Intn(40))
-		return &sent{
+		kind := []CommandKind{CommandStartEvacuation, CommandEndEvacuation}[pick%2]
+		name := fmt.Sprint("name ", o.rng.Intn(40))
+		return &sentRequest{
 			command: Command{Kind: kind, Subject: "z", Claim: Claim{Key: name}},
-			numbers: []dedup.Key{{Kind: "order", Name: name}}, contents: []string{fmt.Sprint(kind)},
+			keys:    []dedup.Key{{Kind: "order", Name: name}}, contents: []string{fmt.Sprint(kind)},
 		}
 	default:
-		item, other := o.luck.Intn(3), o.luck.Intn(3)
-		next = &sent{command: Command{Kind: CommandConfig, Body: o.call(item, other, version, pick)}}
+		item, other := o.rng.Intn(3), o.rng.Intn(3)
+		next = &sentRequest{command: Command{Kind: CommandConfig, Body: o.update(item, other, version, pick)}}
 		for _, named := range []int{item, other} {
-			next.numbers = append(next.numbers, dedup.Key{Kind: "services", Name: fmt.Sprint("s", named), Version: uint64(version)})
+			key := dedup.Key{Kind: "services", Name: fmt.Sprint("s", named), Version: uint64(version)}
+			next.keys = append(next.keys, key)
 			next.contents = append(next.contents, fmt.Sprint(pick))
 		}
 		return next
 	}
-	next.numbers = []dedup.Key{{Kind: "document", Version: uint64(version)}}
+	next.keys = []dedup.Key{{Kind: "document", Version: uint64(version)}}
 	next.contents = []string{string(next.command.Body)}
 	return next
 }
 
-func (o operators) call(item, other, version, pick int) (body []byte) {
+func (o operators) update(item, other, version, pick int) (body []byte) {
 	if pick == 2 {
-		return fmt.Appendf(nil, `{"removals":{"services":[{"name":"s%d","version":%d},{"name":"s%d","version":%d}]}}`, item, version, other, version)
+		return fmt.Appendf(nil, `{"removals":{"services":[{"name":"s%d","version":%d},{"name":"s%d","version":%d}]}}`,
+			item, version, other, version)
 	}
-	if o.luck.Intn(2) == 0 {
-		return fmt.Appendf(nil, `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["s%d",%d,%d],["s%d",%d,%d]]}}}`, item, pick, version, other, pick, version)
+	if o.rng.Intn(2) == 0 {
+		return fmt.Appendf(nil, `{"upserts":{"services":{"column_names":["name","max_connections","version"],`+
+			`"row_values":[["s%d",%d,%d],["s%d",%d,%d]]}}}`, item, pick, version, other, pick, version)
 	}
-	return fmt.Appendf(nil, `{"upserts":{"services":{"column_names":["version","protocol","max_connections","name"],"row_values":[[%d,null,%d.0,"s%d"],[%d,null,%d.0,"s%d"]]}}}`, version, pick, item, version, pick, other)
+	return fmt.Appendf(nil, `{"upserts":{"services":{"column_names":["version","protocol","max_connections","name"],`+
+		`"row_values":[[%d,null,%d.0,"s%d"],[%d,null,%d.0,"s%d"]]}}}`, version, pick, item, version, pick, other)
 }
 
-// stands is all that orders have brought about.
-func stands(state *State) (text string) {
+// effects describes all that the requests have changed.
+func effects(state *State) (text string) {
 	document := state.Documents[policy.DrainPolicy]
 	return fmt.Sprint(state.Config.Items(), document.Summary(), document.Body, state.Evacuations["z"].Active)
 }
 
+// Two operators send requests with random versions and contents; some are lost, some
+// repeated much later, with snapshots in between. One key has one content, and what
+// was accepted is accepted again and takes effect once.
 func TestRequestsOfTwoOperatorsAreConsistent(t *testing.T) {
 	for seed := int64(1); seed <= 40; seed++ {
-		luck := rand.New(rand.NewSource(seed))
+		rng := rand.New(rand.NewSource(seed))
 		state, log := NewState(), [][]byte{}
 		commit := func(command Command) (result Result) {
 			log = append(log, EncodeCommands([]Command{command}))
 			return state.Apply(uint64(len(log)), command, 0)
 		}
 		commit(Command{Kind: CommandConfig, Body: []byte(services)})
-		confirmed, orders, held := map[dedup.Key]string{}, []*sent{}, 0
+		contentOf, requests, accepted := map[dedup.Key]string{}, []*sentRequest{}, 0
 		for step := 0; step < 400; step++ {
-			var now *sent
-			if luck.Intn(3) > 0 || len(orders) == 0 {
-				now = operators{luck}.order()
-				orders = append(orders, now)
+			var now *sentRequest
+			if rng.Intn(3) > 0 || len(requests) == 0 {
+				now = operators{rng}.request()
+				requests = append(requests, now)
 			} else {
-				now = orders[luck.Intn(len(orders))]
+				now = requests[rng.Intn(len(requests))]
 			}
-			if luck.Intn(6) == 0 {
-				continue // lost on its way
+			if rng.Intn(6) == 0 {
+				continue // lost in transit
 			}
-			before := stands(state)
+			before := effects(state)
 			result := commit(now.command)
-			changed := stands(state) != before
+			changed := effects(state) != before
 			if changed {
 				now.effects++
 			}
-			if now.confirmed && result.Err != nil {
-				t.Fatalf("seed %d step %d: confirmed before, now %s", seed, step, result.Err)
+			if now.accepted && result.Err != nil {
+				t.Fatalf("seed %d step %d: accepted before, now %s", seed, step, result.Err)
 			}
 			if result.Err != nil && changed || now.effects > 1 {
 				t.Fatalf("seed %d step %d: %d effects, %q", seed, step, now.effects, result.Err)
 			}
 			if result.Err == nil {
-				now.confirmed = true
-				for i, number := range now.numbers {
-					if content, known := confirmed[number]; known && content != now.contents[i] {
-						t.Fatalf("seed %d step %d: %v confirmed with %s and with %s", seed, step, number, content, now.contents[i])
+				now.accepted = true
+				for i, key := range now.keys {
+					if content, known := contentOf[key]; known && content != now.contents[i] {
+						t.Fatalf("seed %d step %d: %v accepted with %s and with %s", seed, step, key, content, now.contents[i])
 					}
-					confirmed[number] = now.contents[i]
+					contentOf[key] = now.contents[i]
 				}
-				held++
+				accepted++
 			}
-			if luck.Intn(20) == 0 {
+			if rng.Intn(20) == 0 {
 				state = restored(t, state)
 			}
 		}
-		if held < 50 {
-			t.Fatalf("seed %d: only %d orders confirmed", seed, held)
+		if accepted < 50 {
+			t.Fatalf("seed %d: only %d requests accepted", seed, accepted)
 		}
-		// A core that replays the log from its start comes to the same state.
+		// A controller that replays the log from its start comes to the same state.
 		again := NewState()
 		for i, entry := range log {
 			commands, err := DecodeCommands(entry)
@@ -299,7 +318,9 @@
 		if diff := cmp.Diff(string(again.Config.EncodeUpserts()), string(state.Config.EncodeUpserts())); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
-		for _, pair := range [][2]*dedup.Table{{again.Accepted, state.Accepted}, {again.Config.Superseded, state.Config.Superseded}} {
+		for _, pair := range [][2]*dedup.Table{
+			{again.Accepted, state.Accepted}, {again.Config.Superseded, state.Config.Superseded},
+		} {
 			if diff := cmp.Diff(pair[0].Snapshot(), pair[1].Snapshot()); diff != "" {
 				t.Fatalf("seed %d: %s", seed, diff)
 			}
--- a/internal/statemachine/documents_fuzz_test.go
+++ b/internal/statemachine/documents_fuzz_test.go
@@ -7,9 +7,8 @@
 	"tinpin/internal/policy"
 )
 
-// Whatever comes as a document: a refused one changes nothing, and one that was
-// taken is confirmed again behind another and a snapshot, and changes nothing.
-
+// Whatever is sent as a document: a rejected one changes nothing, and an accepted one is
+// accepted again after another one and a snapshot, and changes nothing.
 func FuzzDocuments(f *testing.F) {
 	f.Add(uint8(0), drainPolicyCommand(5, "pay", "1s").Body)
 	f.Add(uint8(0), []byte(`{"Version":5,"version":6,"rules":[{"service":"*","notice":"1s","finish":"5s","keyed":"deadline","least_share":0}],"lost_touch":"2s","cut_off":"stop"}`))
@@ -20,15 +19,15 @@
 		kind := policy.Kinds[int(pick)%len(policy.Kinds)]
 		state := NewState()
 		state.Apply(1, Command{Kind: CommandConfig, Body: []byte(services)}, 0)
-		stands := func() (text string) { return fmt.Sprint(state.Documents[kind].Summary(), state.Documents[kind].Body) }
+		inForce := func() (text string) { return fmt.Sprint(state.Documents[kind].Summary(), state.Documents[kind].Body) }
 		command := Command{Kind: CommandDocument, Subject: string(kind), Body: body}
-		before := stands()
+		before := inForce()
 		if len(body) == 0 {
 			return
 		}
 		if result := state.Apply(2, command, 0); result.Err != nil {
-			if stands() != before {
-				t.Fatalf("refused with %s, and changed", result.Err)
+			if inForce() != before {
+				t.Fatalf("rejected with %s, and changed", result.Err)
 			}
 			return
 		}
@@ -37,8 +36,8 @@
 			state.Apply(3, Command{Kind: CommandDocument, Subject: string(kind), Number: version + 1}, 0)
 		}
 		state = restored(t, state)
-		after := stands()
-		if result := state.Apply(4, command, 0); result.Err != nil || stands() != after {
+		after := inForce()
+		if result := state.Apply(4, command, 0); result.Err != nil || inForce() != after {
 			t.Fatalf("version %d sent again: %q", version, result.Err)
 		}
 	})
