--- a/internal/config/content_test.go
+++ b/internal/config/content_test.go
@@ -45,8 +45,10 @@
 		{name: "one valid and one conflicting item", conflict: true, call: both(newRoute,
 			route("r1", "a.example", "/x/", "keyed", "1s", "1s", "s1", "7"))},
 		{name: "twice in one call, same", call: both(serviceAt("6"), serviceAt("6"))},
-		{name: "twice in one call, other", rejected: true,
-			call: both(serviceAt("7"), strings.Replace(serviceAt("7"), "100", "99", 1))},
+		{
+			name: "twice in one call, other", rejected: true,
+			call: both(serviceAt("7"), strings.Replace(serviceAt("7"), "100", "99", 1)),
+		},
 		{name: "set and dropped in one call under one version", rejected: true, call: strings.Replace(serviceAt("7"),
 			`}}}`, `}},"removals":{"services":[{"name":"s9","version":7}]}}`, 1)},
 		{name: "set and dropped under different ones", call: strings.Replace(serviceAt("8"),
--- a/internal/schedule/day_test.go
+++ b/internal/schedule/day_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand"
+	"strings"
 	"testing"
 	"time"
 
@@ -16,13 +17,12 @@
 	"tinpin/internal/statemachine"
 )
 
-// A whole day rolls over three regions in simulated time, over midnight and
-// over the change to summer time. The agreed state, the stepper, the
-// directory's answers and the daemons' books of keys are the real ones; cores'
-// clocks differ, leaders, daemons and whole regions are lost at steps, and
-// clients repeat their taps across each step, often in another region. Every
-// tap is one run, and callers are served by a region that is awake whenever
-// one can serve.
+// A day passes over three regions in simulated time, over midnight and over the change
+// to summer time. The replicated state, the stepper, the answers of the directory and
+// the nodes' stores of operations are the real ones. The clocks of controllers differ;
+// leaders, nodes and regions fail at steps; and clients repeat their requests across
+// each step, often in another region. Every request must run once, and a region with
+// weight must serve it whenever one can.
 
 const dayPlan = `{"version":1,"step":0.25,"every":"20s","room":0.9,"targets":[{"host":"book.example","time_zone":"Europe/Berlin","spans":[
  {"from":"06:00","to":"14:00","weights":{"east":1},"ramp":"20m"},
@@ -31,43 +31,45 @@
 
 var regions = []rpc.RegionName{"east", "mid", "west"}
 
-type dayEdge struct {
+// dayNode is one node: its operations are lost where it restarts, and it follows the
+// steps with a delay.
+type dayNode struct {
 	rpc.Node
-	life    uint64
-	book    *idempotency.Store
-	weights schedule.Weights
-	count   uint64
-	downTil time.Duration
+	incarnation uint64
+	operations  *idempotency.Store
+	weights     schedule.Weights
+	count       uint64
+	downUntil   time.Duration
 }
 
-type dayTap struct {
-	key    string
-	region rpc.RegionName
-	due    time.Duration
-	tries  int
+type dayRequest struct {
+	key      string
+	region   rpc.RegionName
+	due      time.Duration
+	attempts int
 }
 
 type day struct {
-	t       *testing.T
-	luck    *rand.Rand
-	now     time.Duration
-	start   time.Time
-	rev     uint64
-	state   *statemachine.State
-	plan    *schedule.Plan
-	stepper *schedule.Stepper
-	clocks  []time.Duration
-	leader  int
-	noLead  time.Duration
-	edges   []*dayEdge
-	darkTil map[rpc.RegionName]time.Duration
-	taps    []dayTap
-	runs    map[string]int
-	asked   int
-	served  int
-	asleep  int
-	moves   int
-	unsafe  bool // a planted fault: repeats elsewhere run again
+	t               *testing.T
+	rng             *rand.Rand
+	now             time.Duration
+	start           time.Time
+	rev             uint64
+	state           *statemachine.State
+	plan            *schedule.Plan
+	stepper         *schedule.Stepper
+	clocks          []time.Duration
+	leader          int
+	noLead          time.Duration
+	nodes           []*dayNode
+	regionDownUntil map[rpc.RegionName]time.Duration
+	requests        []dayRequest
+	runs            map[string]int
+	asked           int
+	served          int
+	misrouted       int
+	steps           int
+	unsafe          bool // an injected bug: repeats at another node run again
 }
 
 func newDay(t *testing.T, seed int64, unsafe bool) *day {
@@ -76,8 +78,11 @@
 		t.Fatal(err)
 	}
 	d := &day{
-		t: t, luck: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC), state: statemachine.NewState(), plan: plan, stepper: &schedule.Stepper{},
-		clocks: []time.Duration{-90 * time.Second, 0, 45 * time.Second}, darkTil: map[rpc.RegionName]time.Duration{}, runs: map[string]int{}, unsafe: unsafe,
+		t: t, rng: rand.New(rand.NewSource(seed)), start: time.Date(2026, 3, 28, 19, 0, 0, 0, time.UTC),
+		state: statemachine.NewState(), plan: plan, stepper: &schedule.Stepper{},
+		clocks:          []time.Duration{-90 * time.Second, 0, 45 * time.Second},
+		regionDownUntil: map[rpc.RegionName]time.Duration{},
+		runs:            map[string]int{}, unsafe: unsafe,
 	}
 	items := config.New()
 	if err = items.Apply([]byte(`{"upserts":{"services":{"column_names":["name","version"],"row_values":[["book",1]]}}}`), 1); err != nil {
@@ -90,9 +95,11 @@
 	for _, region := range regions {
 		for i := range 2 {
 			id := rpc.NodeID(fmt.Sprint(region, "-", i))
-			edge := &dayEdge{Node: rpc.Node{ID: id, Region: region, Zone: rpc.ZoneName(region), FrontendAddress: string(id), Ready: true}, life: 1}
-			edge.book = idempotency.NewStore(time.Hour, 1<<24, func() time.Duration { return d.now })
-			d.edges = append(d.edges, edge)
+			node := &dayNode{incarnation: 1, Node: rpc.Node{
+				ID: id, Region: region, Zone: rpc.ZoneName(region), FrontendAddress: string(id), Ready: true,
+			}}
+			node.operations = idempotency.NewStore(time.Hour, 1<<24, func() time.Duration { return d.now })
+			d.nodes = append(d.nodes, node)
 		}
 	}
 	return d
@@ -103,7 +110,7 @@
 	before := d.state.ScheduleStep
 	result = d.state.Apply(d.rev, command, d.now)
 	if after := d.state.ScheduleStep; after.Rev != before.Rev {
-		d.moves++
+		d.steps++
 		if after.Count != before.Count+1 || after.Instant < before.Instant {
 			d.t.Fatalf("step %d of %d follows step %d of %d", after.Count, after.Instant, before.Count, before.Instant)
 		}
@@ -111,15 +118,15 @@
 	return result
 }
 
-func (d *day) up(region rpc.RegionName) bool { return d.now >= d.darkTil[region] }
+func (d *day) up(region rpc.RegionName) bool { return d.now >= d.regionDownUntil[region] }
 
-// lead is one turn of the leader.
+// lead is one step of the leader's loop.
 func (d *day) lead() {
 	if d.now < d.noLead {
 		return
 	}
 	wall := d.start.Add(d.now + d.clocks[d.leader])
-	move, _ := d.stepper.Step(d.now, wall, d.plan, d.state.ScheduleStep, func(schedule.Target) schedule.TargetState {
+	next, _ := d.stepper.Step(d.now, wall, d.plan, d.state.ScheduleStep, func(schedule.Target) schedule.TargetState {
 		stock := map[rpc.RegionName]schedule.RegionCapacity{}
 		for _, region := range regions {
 			stock[region] = schedule.RegionCapacity{Slots: 40, Usable: 10, Listed: 10}
@@ -129,48 +136,48 @@
 		}
 		return schedule.TargetState{Capacity: stock, InFlight: 20}
 	})
-	if move == nil {
+	if next == nil {
 		return
 	}
-	body, _ := json.Marshal(move)
+	body, _ := json.Marshal(next)
 	if d.apply(statemachine.Command{Kind: statemachine.CommandScheduleStep, Body: body}).Err == nil {
 		d.stepper.Committed(d.now)
 	}
-	// Something is often lost just at a step.
-	switch d.luck.Intn(8) {
+	// Often something fails just at a step.
+	switch d.rng.Intn(8) {
 	case 0:
 		d.leader, d.stepper = (d.leader+1)%len(d.clocks), &schedule.Stepper{}
 		d.noLead = d.now + time.Minute
 	case 1:
-		edge := d.edges[d.luck.Intn(len(d.edges))]
-		edge.life++
-		edge.book = idempotency.NewStore(time.Hour, 1<<24, func() time.Duration { return d.now })
-		edge.downTil, edge.count, edge.weights = d.now+20*time.Second, 0, nil
+		node := d.nodes[d.rng.Intn(len(d.nodes))]
+		node.incarnation++
+		node.operations = idempotency.NewStore(time.Hour, 1<<24, func() time.Duration { return d.now })
+		node.downUntil, node.count, node.weights = d.now+20*time.Second, 0, nil
 	case 2:
-		d.darkTil[regions[d.luck.Intn(len(regions))]] = d.now + 10*time.Minute
+		d.regionDownUntil[regions[d.rng.Intn(len(regions))]] = d.now + 10*time.Minute
 	}
 }
 
 func (d *day) follow() {
-	for _, edge := range d.edges {
-		if edge.count == d.state.ScheduleStep.Count || d.luck.Intn(3) == 0 {
+	for _, node := range d.nodes {
+		if node.count == d.state.ScheduleStep.Count || d.rng.Intn(3) == 0 {
 			continue
 		}
-		edge.count, edge.weights = d.state.ScheduleStep.Count, schedule.Weights{}
+		node.count, node.weights = d.state.ScheduleStep.Count, schedule.Weights{}
 		for _, target := range d.state.ScheduleStep.Targets {
 			for _, part := range target.Weights {
-				edge.weights[part.Region] = part.Weight
+				node.weights[part.Region] = part.Weight
 			}
 		}
 	}
 }
 
-func (d *day) resolve(region rpc.RegionName) (edge *dayEdge) {
-	fellows, absent := map[rpc.NodeID]rpc.Node{}, map[rpc.NodeID]bool{}
-	var asked *dayEdge
-	for _, candidate := range d.edges {
-		fellows[candidate.ID] = candidate.Node
-		absent[candidate.ID] = d.now < candidate.downTil
+func (d *day) resolve(region rpc.RegionName) (node *dayNode) {
+	nodes, absent := map[rpc.NodeID]rpc.Node{}, map[rpc.NodeID]bool{}
+	var asked *dayNode
+	for _, candidate := range d.nodes {
+		nodes[candidate.ID] = candidate.Node
+		absent[candidate.ID] = d.now < candidate.downUntil
 		if candidate.Region == region && !absent[candidate.ID] {
 			asked = candidate
 		}
@@ -178,9 +185,11 @@
 	if asked == nil {
 		return nil
 	}
-	addresses := directory.Answer(directory.Query{Nodes: fellows, Absent: absent, Weights: asked.weights, Region: string(region), Zone: string(region)})
-	front := addresses[d.luck.Intn(len(addresses))]
-	for _, candidate := range d.edges {
+	addresses := directory.Answer(directory.Query{
+		Nodes: nodes, Absent: absent, Weights: asked.weights, Region: string(region), Zone: string(region),
+	})
+	front := addresses[d.rng.Intn(len(addresses))]
+	for _, candidate := range d.nodes {
 		if candidate.FrontendAddress == front {
 			return candidate
 		}
@@ -188,11 +197,11 @@
 	return nil
 }
 
-// serve picks the region of the backend as a daemon does: awake ones first.
-func (d *day) serve(edge *dayEdge) (region rpc.RegionName) {
-	for _, awake := range []bool{true, false} {
-		for _, candidate := range append([]rpc.RegionName{edge.Region}, regions...) {
-			if d.up(candidate) && (edge.weights == nil || !awake || edge.weights[candidate] > 0) {
+// serve chooses the region of the backend as a node does: those with weight first.
+func (d *day) serve(node *dayNode) (region rpc.RegionName) {
+	for _, weighted := range []bool{true, false} {
+		for _, candidate := range append([]rpc.RegionName{node.Region}, regions...) {
+			if d.up(candidate) && (node.weights == nil || !weighted || node.weights[candidate] > 0) {
 				return candidate
 			}
 		}
@@ -200,85 +209,86 @@
 	return ""
 }
 
-func (d *day) try(tap dayTap) (served bool) {
-	edge := d.resolve(tap.region)
-	if edge == nil {
+func (d *day) try(request dayRequest) (served bool) {
+	node := d.resolve(request.region)
+	if node == nil {
 		return false
 	}
-	request := fmt.Sprint(tap.key, ".", tap.tries)
-	op, old := edge.book.Begin(tap.key, request)
+	digest := fmt.Sprint(request.key, ".", request.attempts)
+	op, old := node.operations.Begin(request.key, digest)
 	if old != nil {
 		return old.Response().State == rpc.OperationCompleted
 	}
-	claim := statemachine.Claim{Key: tap.key, Request: request, Holder: string(edge.ID), Incarnation: edge.life}
+	claim := statemachine.Claim{Key: request.key, Request: digest, Holder: string(node.ID), Incarnation: node.incarnation}
 	result := d.apply(statemachine.Command{Kind: statemachine.CommandClaim, Claim: claim})
 	if !result.Granted && !d.unsafe {
-		edge.book.Abandon(op)
-		for _, holder := range d.edges {
-			if string(holder.ID) == result.Held.Holder && holder.life == result.Held.Incarnation {
-				return holder.book.Find(tap.key, result.Held.Request).State == rpc.OperationCompleted
+		node.operations.Abandon(op)
+		for _, holder := range d.nodes {
+			if string(holder.ID) == result.Held.Holder && holder.incarnation == result.Held.Incarnation {
+				return holder.operations.Find(request.key, result.Held.Request).State == rpc.OperationCompleted
 			}
 		}
 		return false
 	}
-	region := d.serve(edge)
+	region := d.serve(node)
 	if region == "" {
-		edge.book.Release(op)
+		node.operations.Release(op)
 		d.apply(statemachine.Command{Kind: statemachine.CommandReleaseClaim, Claim: claim})
 		return false
 	}
-	d.runs[tap.key]++
-	if edge.weights != nil && edge.weights[region] == 0 {
+	d.runs[request.key]++
+	if node.weights != nil && node.weights[region] == 0 {
 		for _, other := range regions {
-			if edge.weights[other] > 0 && d.up(other) {
-				d.asleep++
+			if node.weights[other] > 0 && d.up(other) {
+				d.misrouted++
 			}
 		}
 	}
-	if d.luck.Intn(12) == 0 {
-		edge.book.SetLost(op)
+	if d.rng.Intn(12) == 0 {
+		node.operations.SetLost(op)
 		return false
 	}
-	edge.book.Complete(op, 200, nil, []byte(request))
+	node.operations.Complete(op, 200, nil, []byte(digest))
 	return true
 }
 
 func (d *day) play(length time.Duration) {
-	const turn = 10 * time.Second
-	for n := 0; d.now < length; d.now += turn {
+	const tick = 10 * time.Second
+	for n := 0; d.now < length; d.now += tick {
 		d.lead()
 		d.follow()
 		for range 2 {
 			n++
-			d.taps = append(d.taps, dayTap{key: fmt.Sprint("tap-", n), region: regions[d.luck.Intn(len(regions))], due: d.now})
+			region := regions[d.rng.Intn(len(regions))]
+			d.requests = append(d.requests, dayRequest{key: fmt.Sprint("request-", n), region: region, due: d.now})
 			d.asked++
 		}
-		later := d.taps[:0]
-		for _, tap := range d.taps {
-			if tap.due > d.now {
-				later = append(later, tap)
+		later := d.requests[:0]
+		for _, request := range d.requests {
+			if request.due > d.now {
+				later = append(later, request)
 				continue
 			}
-			served := d.try(tap)
-			if served && tap.tries < 100 {
+			served := d.try(request)
+			if served && request.attempts < 100 {
 				d.served++
 			}
 			// Repeats after a failure, and sometimes after a good answer, from
 			// another region too.
-			if tap.tries++; tap.tries < 4 && (!served || d.luck.Intn(3) == 0) {
+			if request.attempts++; request.attempts < 4 && (!served || d.rng.Intn(3) == 0) {
 				if served {
 					d.served--
 				}
-				tap.region = regions[d.luck.Intn(len(regions))]
-				tap.due = d.now + time.Duration(d.luck.Intn(40))*time.Second
-				later = append(later, tap)
+				request.region = regions[d.rng.Intn(len(regions))]
+				request.due = d.now + time.Duration(d.rng.Intn(40))*time.Second
+				later = append(later, request)
 			}
 		}
-		d.taps = later
+		d.requests = later
 	}
 }
 
-func TestAWholeDayRollsOverThreeRegions(t *testing.T) {
+func TestADayOverThreeRegions(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		d := newDay(t, seed, false)
 		d.play(31 * time.Hour)
@@ -287,16 +297,17 @@
 				t.Fatalf("seed %d: %s ran %d times", seed, key, runs)
 			}
 		}
-		if d.asleep > 0 {
-			t.Fatalf("seed %d: %d taps were served by a region asleep though one was awake", seed, d.asleep)
+		if d.misrouted > 0 {
+			t.Fatalf("seed %d: %d requests were served by a region without weight though one with weight was up",
+				seed, d.misrouted)
 		}
-		if d.moves < 12 || d.served < d.asked*85/100 {
-			t.Fatalf("seed %d: %d steps, %d of %d served", seed, d.moves, d.served, d.asked)
+		if d.steps < 12 || d.served < d.asked*85/100 {
+			t.Fatalf("seed %d: %d steps, %d of %d served", seed, d.steps, d.served, d.asked)
 		}
 	}
 }
 
-func TestTheDayFindsAPlantedFault(t *testing.T) {
+func TestTheDayFindsAnInjectedBug(t *testing.T) {
 	d := newDay(t, 1, true)
 	d.play(6 * time.Hour)
 	for _, runs := range d.runs {
@@ -307,38 +318,46 @@
 	t.Fatal("repeats that run again were not noticed")
 }
 
-// A step waits while the region lacks room or is being emptied, and says so;
-// a clock that was set back commits nothing.
+// A step waits while the region lacks capacity or is being evacuated, and reports why;
+// a clock that was set back proposes nothing.
 func TestAStepWaits(t *testing.T) {
 	plan, _ := schedule.Parse([]byte(dayPlan))
 	stepper := &schedule.Stepper{}
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	wall := time.Date(2026, 5, 4, 15, 0, 0, 0, berlin)
-	agreed := rpc.ScheduleStep{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []rpc.ScheduleTarget{{Host: "book.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}}}}
+	agreed := rpc.ScheduleStep{Version: 1, Count: 7, Instant: wall.Add(-time.Hour).Unix(), Targets: []rpc.ScheduleTarget{
+		{Host: "book.example", Weights: []rpc.RegionWeight{{Region: "east", Weight: 1000}}},
+	}}
 	good := schedule.RegionCapacity{Slots: 40, Usable: 10, Listed: 10}
 	for why, mid := range map[string]schedule.RegionCapacity{
-		"mid lacks room": {Slots: 5, Usable: 10, Listed: 10}, "mid is being evacuated": {Evacuated: true, Listed: 10},
-		"mid is being drained": {Slots: 40, Usable: 3, Listed: 10}, "mid has no backends": {},
+		"mid lacks room":         {Slots: 5, Usable: 10, Listed: 10},
+		"mid is being evacuated": {Evacuated: true, Listed: 10},
+		"mid is being drained":   {Slots: 40, Usable: 3, Listed: 10},
+		"mid has no backends":    {},
 	} {
-		move, accounts := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.TargetState {
-			return schedule.TargetState{Capacity: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": mid}, InFlight: 30}
+		next, statuses := stepper.Step(0, wall, plan, agreed, func(schedule.Target) schedule.TargetState {
+			capacity := map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": mid}
+			return schedule.TargetState{Capacity: capacity, InFlight: 30}
 		})
-		if move != nil || len(accounts) != 1 || len(accounts[0].Waiting) < len(why) || accounts[0].Waiting[:len(why)] != why {
-			t.Errorf("%s: %+v %+v", why, move, accounts)
+		if next != nil || len(statuses) != 1 || !strings.HasPrefix(statuses[0].Waiting, why) {
+			t.Errorf("%s: %+v %+v", why, next, statuses)
 		}
 	}
 	sound := func(schedule.Target) schedule.TargetState {
-		return schedule.TargetState{Capacity: map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": good}, InFlight: 20}
+		capacity := map[rpc.RegionName]schedule.RegionCapacity{"east": good, "mid": good}
+		return schedule.TargetState{Capacity: capacity, InFlight: 20}
 	}
-	move, _ := stepper.Step(0, wall, plan, agreed, sound)
-	if move == nil || move.Count != 8 || move.Targets[0].Weights[1].Weight != 250 {
-		t.Fatalf("%+v", move)
+	next, _ := stepper.Step(0, wall, plan, agreed, sound)
+	if next == nil || next.Count != 8 || next.Targets[0].Weights[1].Weight != 250 {
+		t.Fatalf("%+v", next)
 	}
 	stepper.Committed(0)
-	if again, accounts := stepper.Step(5*time.Second, wall, plan, *move, sound); again != nil || accounts[0].Waiting != "paced" {
-		t.Fatalf("%+v %+v", again, accounts)
+	again, statuses := stepper.Step(5*time.Second, wall, plan, *next, sound)
+	if again != nil || statuses[0].Waiting != "paced" {
+		t.Fatalf("%+v %+v", again, statuses)
 	}
-	if back, accounts := stepper.Step(time.Hour, wall.Add(-5*time.Hour), plan, *move, sound); back != nil || accounts[0].Waiting == "" {
-		t.Fatalf("a clock set back made a step: %+v %+v", back, accounts)
+	back, statuses := stepper.Step(time.Hour, wall.Add(-5*time.Hour), plan, *next, sound)
+	if back != nil || statuses[0].Waiting == "" {
+		t.Fatalf("a clock set back made a step: %+v %+v", back, statuses)
 	}
 }
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -199,7 +199,8 @@
 		for k, span := range target.Spans {
 			for _, region := range slices.Sorted(maps.Keys(span.Weights)) {
 				if !knownRegion(region) {
-					faults.Add(fmt.Sprintf("%s.spans.%d.weights", path, k), fmt.Sprintf("names unknown region %q", region))
+					spanPath := fmt.Sprintf("%s.spans.%d", path, k)
+					faults.Add(spanPath+".weights", fmt.Sprintf("names unknown region %q", region))
 				}
 			}
 		}
--- a/internal/schedule/plan_test.go
+++ b/internal/schedule/plan_test.go
@@ -13,7 +13,7 @@
  {"from":"14:00","to":"22:00","weights":{"mid":1},"ramp":"30m"},
  {"from":"22:00","to":"06:00","weights":{"west":3,"mid":1},"ramp":"0s"}]}]}`
 
-func read(t *testing.T, body string) (plan *Plan) {
+func parsePlan(t *testing.T, body string) (plan *Plan) {
 	t.Helper()
 	plan, err := Parse([]byte(body))
 	if err != nil {
@@ -23,7 +23,7 @@
 }
 
 func TestPlanNamesEachFault(t *testing.T) {
-	plan := read(t, threeRegions)
+	plan := parsePlan(t, threeRegions)
 	err := plan.Check(func(string) bool { return true }, func(region rpc.RegionName) bool { return region != "west" })
 	if err == nil || !strings.Contains(err.Error(), `unknown region "west"`) {
 		t.Fatal(err)
@@ -35,7 +35,11 @@
 	if err == nil || strings.Contains(err.Error(), "\n") {
 		t.Fatal(err)
 	}
-	for _, fault := range []string{"version ", "step ", "every ", "room ", "targets.0 must name", `"Mars/Base" is no known`, "targets.0.spans", "targets.1.spans.0 is empty", "spans.1.ramp is longer", "spans.1.weights sum to 0", "spans.2 overlaps span 1", "no number of 0 or more", "targets.2 names service s again", "targets.2.spans.1 overlaps span 0"} {
+	for _, fault := range []string{
+		"version ", "step ", "every ", "room ", "targets.0 must name", `"Mars/Base" is no known`, "targets.0.spans",
+		"targets.1.spans.0 is empty", "spans.1.ramp is longer", "spans.1.weights sum to 0", "spans.2 overlaps span 1",
+		"no number of 0 or more", "targets.2 names service s again", "targets.2.spans.1 overlaps span 0",
+	} {
 		if !strings.Contains(err.Error(), fault) {
 			t.Errorf("%q is not named in %q", fault, err)
 		}
@@ -43,7 +47,7 @@
 }
 
 func TestWeightsOverADay(t *testing.T) {
-	plan := read(t, threeRegions)
+	plan := parsePlan(t, threeRegions)
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	at := func(day, hour, minute int) Weights {
 		return plan.Targets[0].Weights(time.Date(2026, 3, day, hour, minute, 0, 0, berlin))
@@ -53,25 +57,35 @@
 		region            rpc.RegionName
 		weight            int
 	}{
-		{10, 6, 0, "east", 0}, {10, 6, 15, "east", 500}, {10, 6, 15, "west", 375}, {10, 7, 0, "east", 1000}, {10, 14, 0, "east", 1000}, {10, 14, 15, "mid", 500},
-		{10, 23, 0, "west", 750}, {11, 0, 30, "west", 750}, {11, 5, 59, "mid", 250},
+		{10, 6, 0, "east", 0},
+		{10, 6, 15, "east", 500},
+		{10, 6, 15, "west", 375},
+		{10, 7, 0, "east", 1000},
+		{10, 14, 0, "east", 1000},
+		{10, 14, 15, "mid", 500},
+		{10, 23, 0, "west", 750},
+		{11, 0, 30, "west", 750},
+		{11, 5, 59, "mid", 250},
 		// Summer time begins on the 29th, at 2:00.
-		{29, 1, 59, "west", 750}, {29, 3, 1, "west", 750}, {29, 6, 15, "east", 500},
+		{29, 1, 59, "west", 750},
+		{29, 3, 1, "west", 750},
+		{29, 6, 15, "east", 500},
 	} {
 		if got := at(c.day, c.hour, c.minute)[c.region]; got != c.weight {
 			t.Errorf("%d. %02d:%02d %s: %d, want %d", c.day, c.hour, c.minute, c.region, got, c.weight)
 		}
 	}
 	// A gap in the day has no weights; neither has a span that is over.
-	gap := read(t, `{"version":1,"step":1,"every":"1s","room":1,"targets":[{"service":"s","time_zone":"UTC","spans":[{"from":"08:00","to":"09:00","weights":{"a":1},"ramp":"0s"}]}]}`)
-	if gap.Targets[0].Weights(time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)) != nil || gap.Targets[0].Weights(time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)) == nil {
+	gap := parsePlan(t, `{"version":1,"step":1,"every":"1s","room":1,"targets":[{"service":"s","time_zone":"UTC","spans":[{"from":"08:00","to":"09:00","weights":{"a":1},"ramp":"0s"}]}]}`)
+	if gap.Targets[0].Weights(time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)) != nil ||
+		gap.Targets[0].Weights(time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)) == nil {
 		t.Error("a gap must leave the weights open")
 	}
 }
 
 // Where an hour comes twice, a span that has begun does not begin again.
 func TestTheHourThatComesTwice(t *testing.T) {
-	plan := read(t, `{"version":1,"step":1,"every":"1s","room":1,"targets":[{"service":"s","time_zone":"Europe/Berlin","spans":[
+	plan := parsePlan(t, `{"version":1,"step":1,"every":"1s","room":1,"targets":[{"service":"s","time_zone":"Europe/Berlin","spans":[
 	 {"from":"00:00","to":"02:30","weights":{"a":1},"ramp":"0s"},{"from":"02:30","to":"24:00","weights":{"b":1},"ramp":"0s"}]}]}`)
 	// Summer time ends on 2026-10-25 at 3:00, which becomes 2:00.
 	begun := false
--- a/internal/testutil/storedstate/storedstate.go
+++ b/internal/testutil/storedstate/storedstate.go
@@ -70,8 +70,14 @@
 	Canon: []config.Item{
 		{Set: "limits", Version: 3, Rev: 2, Fields: []config.Field{{Name: "version", JSON: `3`}, {Name: "max_header_bytes", JSON: `8192`}, {Name: "idle_timeout", JSON: `"20s"`}}},
 		{Set: "routes", Name: "r1", Version: 3, Rev: 3, Fields: []config.Field{
-			{Name: "name", JSON: `"r1"`}, {Name: "version", JSON: `3`}, {Name: "hostname", JSON: `"shop.example"`}, {Name: "path_prefix", JSON: `"/"`}, {Name: "route_type", JSON: `"download"`},
-			{Name: "timeout", JSON: `"3s"`}, {Name: "traffic_split", JSON: `[{"service_name":"pay","weight":3},{"service_name":"book","weight":1}]`}, {Name: "priority", JSON: `2`},
+			{Name: "name", JSON: `"r1"`},
+			{Name: "version", JSON: `3`},
+			{Name: "hostname", JSON: `"shop.example"`},
+			{Name: "path_prefix", JSON: `"/"`},
+			{Name: "route_type", JSON: `"download"`},
+			{Name: "timeout", JSON: `"3s"`},
+			{Name: "traffic_split", JSON: `[{"service_name":"pay","weight":3},{"service_name":"book","weight":1}]`},
+			{Name: "priority", JSON: `2`},
 		}},
 		{Set: "routes", Name: "r2", Version: 2, Rev: 3, Dropped: true},
 		{Set: "services", Name: "book", Version: 4, Rev: 2, Fields: []config.Field{{Name: "name", JSON: `"book"`}, {Name: "version", JSON: `4`}}},
