--- a/internal/simulation/inject.go
+++ b/internal/simulation/inject.go
@@ -116,26 +116,9 @@
 	case Slow:
 		controller.slowUntil = w.events.now + span
 	case Clock:
-		step := time.Duration(rng.Intn(7200)-3600) * time.Second
-		for all := rng.Intn(2) == 0; len(controllers) > 0; controllers = controllers[1:] {
-			if all || controllers[0] == controller {
-				controllers[0].wallClockOffset += step
-			}
-		}
+		stepClocks(controllers, controller, rng)
 	case Cut, OneWay:
-		in, out := true, true
-		if fault.Kind == OneWay {
-			in = rng.Intn(2) == 0
-			out = !in
-		}
-		for _, other := range controllers {
-			if other != controller && out {
-				w.network.partition(controller, other, span)
-			}
-			if other != controller && in {
-				w.network.partition(other, controller, span)
-			}
-		}
+		w.cutOff(controllers, controller, fault, rng)
 	case Reset:
 		w.network.resets[controller]++
 	case Lossy:
@@ -176,6 +159,33 @@
 	}
 }
 
+// stepClocks moves the wall clock of one controller, or of all.
+func stepClocks(controllers []*Controller, controller *Controller, rng *rand.Rand) {
+	step := time.Duration(rng.Intn(7200)-3600) * time.Second
+	for all := rng.Intn(2) == 0; len(controllers) > 0; controllers = controllers[1:] {
+		if all || controllers[0] == controller {
+			controllers[0].wallClockOffset += step
+		}
+	}
+}
+
+// cutOff partitions a controller from all others, for OneWay in one direction only.
+func (w *Cluster) cutOff(controllers []*Controller, controller *Controller, fault Fault, rng *rand.Rand) {
+	in, out := true, true
+	if fault.Kind == OneWay {
+		in = rng.Intn(2) == 0
+		out = !in
+	}
+	for _, other := range controllers {
+		if other != controller && out {
+			w.network.partition(controller, other, fault.Span)
+		}
+		if other != controller && in {
+			w.network.partition(other, controller, fault.Span)
+		}
+	}
+}
+
 // wipeRest is the closing fault: some lose their disks, all others lose power.
 func (w *Cluster) wipeRest(controller *Controller, rng *rand.Rand, span time.Duration) {
 	if w.updateLosses() > 0 {
