--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,8 +15,8 @@
 	"tinpin/internal/rpc"
 )
 
-// newIdleConnDaemon makes a daemon whose stream to its one backend has carried a request.
-func newIdleConnDaemon(t *testing.T, respond func(n int, r receivedRequest, conn net.Conn) bool) (d *Daemon, backend *fakeBackend) {
+// newIdleConnDaemon makes a node whose connection to its one backend has carried a request.
+func newIdleConnDaemon(t *testing.T, respond responder) (d *Daemon, backend *fakeBackend) {
 	t.Helper()
 	backend = newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		if n == 1 {
@@ -36,17 +36,20 @@
 	_ = conn.Close()
 }
 
-// What comes on a stream before the request's own answer, or instead of it, must
-// neither be taken for it nor prove that it has not run.
+// Responses that arrive on a connection before the request's own, or instead of it, must neither be
+// accepted as its response nor prove that it has not run.
 func TestWhichResponsesAreAccepted(t *testing.T) {
 	unnamed := func(status int, headers string) string {
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n%s\r\n", status, headers)
 	}
+	cutShort := func(text string) string { return strings.Replace(text, "Length: 0", "Length: 9", 1) }
 	own := responseText(200, "ID", "body of ID")
+	ownID, otherID := message.HeaderRequestID+": ID", message.HeaderRequestID+": other"
+	notRun := message.HeaderNotExecuted + ": 1"
 	cases := map[string]struct {
-		text          string
-		fresh, rested int // the status of a request that may not be repeated
-		runs          int // on a fresh stream
+		text        string
+		fresh, idle int // the status of a request that is not idempotent
+		runs        int // on a fresh connection
 	}{
 		"421 without an id":            {unnamed(421, ""), 200, 502, 2},
 		"not run without an id":        {unnamed(503, message.HeaderNotExecuted+": 1\r\n"), 200, 502, 2},
@@ -60,9 +63,9 @@
 		"its own 504":                  {responseText(504, "ID", "sorry"), 504, 504, 1},
 		"its own 404":                  {responseText(404, "ID", "sorry"), 404, 404, 1},
 		"an empty id":                  {unnamed(421, message.HeaderRequestID+":\r\n"), 200, 502, 2},
-		"two ids, mine first":          {responseText(200, "ID", "body of ID", message.HeaderRequestID+": other"), 502, 502, 1},
-		"two ids, mine last":           {responseText(200, "other", "body of ID", message.HeaderRequestID+": ID"), 502, 502, 1},
-		"two ids, not run":             {responseText(503, "ID", "", message.HeaderRequestID+": other", message.HeaderNotExecuted+": 1"), 502, 502, 1},
+		"two ids, mine first":          {responseText(200, "ID", "body of ID", otherID), 502, 502, 1},
+		"two ids, mine last":           {responseText(200, "other", "body of ID", ownID), 502, 502, 1},
+		"two ids, not run":             {responseText(503, "ID", "", otherID, notRun), 502, 502, 1},
 		"an id of another length":      {responseText(200, "ID0", "body of ID") + own, 200, 200, 1},
 		"only ids of another length":   {responseText(200, "ID0", ""), 504, 504, 1},
 		"too many of others":           {strings.Repeat(responseText(200, "other", "no"), 6) + own, 502, 502, 1},
@@ -74,9 +77,9 @@
 		"1xx, then mine":               {"HTTP/1.1 103 Early Hints\r\n\r\n" + own, 200, 200, 1},
 		"1xx without end":              {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 6) + own, 502, 502, 1},
 		"another protocol":             {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + own, 502, 502, 1},
-		"a success that was not run":   {responseText(200, "ID", "body of ID", message.HeaderNotExecuted+": 1"), 502, 502, 1},
-		"not run, cut short":           {strings.Replace(responseText(503, "ID", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 200, 200, 2},
-		"another's not run, cut short": {strings.Replace(responseText(503, "other", "", message.HeaderNotExecuted+": 1"), "Length: 0", "Length: 9", 1), 502, 502, 1},
+		"a success that was not run":   {responseText(200, "ID", "body of ID", notRun), 502, 502, 1},
+		"not run, cut short":           {cutShort(responseText(503, "ID", "", notRun)), 200, 200, 2},
+		"another's not run, cut short": {cutShort(responseText(503, "other", "", notRun)), 502, 502, 1},
 	}
 	for name, c := range cases {
 		bad := func(_ int, r receivedRequest, conn net.Conn) bool {
@@ -84,10 +87,10 @@
 			return strings.HasPrefix(name, "only")
 		}
 		for _, isFresh := range []bool{true, false} {
-			want, wantRuns := c.rested, 1
+			want, wantRuns := c.idle, 1
 			if isFresh {
 				want, wantRuns = c.fresh, c.runs
-			} else if c.rested == 200 {
+			} else if c.idle == 200 {
 				wantRuns = c.runs
 			}
 			d, backend := newIdleConnDaemon(t, bad)
@@ -96,12 +99,15 @@
 				d.state.backends["i-1"].closed = false
 			}
 			healthy := newFakeBackend(t, "i-2", respondOK)
-			endpoint := rpc.Endpoint{ID: "i-2", Service: "s", Address: healthy.listener.Addr().String(), Zone: "here", Slots: 4}
-			d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Endpoints: []rpc.EndpointChange{{Endpoint: endpoint}}})
+			endpoint := healthy.endpoint()
+			d.state.Apply(0, &rpc.Update{
+				IsLeader: true, Term: 1, Revision: 2, Endpoints: []rpc.EndpointChange{{Endpoint: endpoint}},
+			})
 			d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
 			response := d.Handle(newRequest("GET", "/once/q", "ab"), "300")
 			if runs := backend.count() - 1 + healthy.count(); response.Status != want || runs != wantRuns {
-				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d", name, isFresh, response.Status, runs, want, wantRuns)
+				t.Errorf("%s, fresh %v: status %d after %d arrivals, want %d after %d",
+					name, isFresh, response.Status, runs, want, wantRuns)
 			}
 			if response.Status == 200 && string(response.Body) != "body of ab" {
 				t.Errorf("%s, fresh %v: body %q", name, isFresh, response.Body)
@@ -110,7 +116,7 @@
 	}
 }
 
-// A stream that ends is no proof, wherever in the request or its answer it ends.
+// A closed or reset connection proves nothing, wherever in the request or its response it ends.
 func TestAClosedConnectionProvesNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		end    func(r receivedRequest, conn net.Conn)
@@ -143,14 +149,14 @@
 	}
 }
 
-// A backend that answers before it has read the whole request and resets the
-// stream is heard; what it did not say stays unknown.
+// The response of a backend that answers before it has read the complete request, and then resets the
+// connection, is accepted; without a response the outcome stays unknown.
 func TestConnectionResetWhileTheRequestIsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		say    string
+		text   string
 		status int
 	}{
-		"turned away":   {responseText(503, "up", "", message.HeaderNotExecuted+": 1"), 503},
+		"rejected":      {responseText(503, "up", "", message.HeaderNotExecuted+": 1"), 503},
 		"nothing":       {"", 502},
 		"another's":     {responseText(503, "other", "", message.HeaderNotExecuted+": 1"), 502},
 		"its own error": {responseText(500, "up", ""), 500},
@@ -166,8 +172,8 @@
 					return
 				}
 				_, _ = bufio.NewReader(conn).ReadString('\n')
-				_, _ = io.WriteString(conn, c.say)
-				// Unread bytes make this a reset.
+				_, _ = io.WriteString(conn, c.text)
+				// Closing with unread bytes resets the connection.
 				_ = conn.Close()
 			}
 		}()
@@ -181,26 +187,33 @@
 	}
 }
 
-// What was looked at before a standstill is void after it: nothing leaves.
+// A choice made before the process was suspended has expired afterwards: nothing is sent.
 func TestNothingIsSentAfterTheChoiceExpired(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
 	target := d.state.backends["i-1"]
 	now := d.clock.Now()
 	for name, c := range map[string]struct {
-		sending AttemptOptions
+		options AttemptOptions
 		outcome Outcome
 	}{
-		"chosen long ago": {AttemptOptions{ChosenAt: now - choiceLifetime - time.Hour, Deadline: now + time.Hour}, SendCancelled},
-		"over while it was looked at": {AttemptOptions{ChosenAt: now, Deadline: now + 50*time.Millisecond, Permitted: func(*Backend) bool {
-			for d.clock.Now() < now+50*time.Millisecond {
-			}
-			return true
-		}}, SendCancelled},
-		"retired":        {AttemptOptions{ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Backend) bool { return false }}, SendCancelled},
-		"over before it": {AttemptOptions{ChosenAt: now, Deadline: now}, NotSent},
+		"chosen long ago": {
+			AttemptOptions{ChosenAt: now - choiceLifetime - time.Hour, Deadline: now + time.Hour}, SendCancelled,
+		},
+		"deadline passes while permission is checked": {AttemptOptions{
+			ChosenAt: now, Deadline: now + 50*time.Millisecond, Permitted: func(*Backend) bool {
+				for d.clock.Now() < now+50*time.Millisecond {
+				}
+				return true
+			},
+		}, SendCancelled},
+		"not permitted": {AttemptOptions{
+			ChosenAt: now, Deadline: now + time.Hour, Permitted: func(*Backend) bool { return false },
+		}, SendCancelled},
+		"deadline has passed": {AttemptOptions{ChosenAt: now, Deadline: now}, NotSent},
 	} {
-		if attempt := runAttempt(d.clock, target, newRequest("GET", "/once/q", "a"), c.sending); attempt.Outcome != c.outcome || attempt.Sent {
+		attempt := runAttempt(d.clock, target, newRequest("GET", "/once/q", "a"), c.options)
+		if attempt.Outcome != c.outcome || attempt.Sent {
 			t.Errorf("%s: %+v", name, attempt)
 		}
 	}
@@ -209,7 +222,7 @@
 	}
 }
 
-// A cold backend that was chosen under a lease gets nothing once that has run out.
+// A backend in slow start that was chosen under a lease gets nothing once the lease has expired.
 func TestAnExpiredLeaseIsNotUsed(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
@@ -217,11 +230,15 @@
 	target.warmUpUntil = d.clock.Now() + time.Hour
 	route := d.state.Snapshot().View.Find("a.example", "/once/x")
 	for _, bound := range []rpc.EndpointID{"", "i-1"} {
-		for duration, outcome := range map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete} {
+		outcomes := map[time.Duration]Outcome{time.Nanosecond: SendCancelled, time.Minute: Complete}
+		for duration, outcome := range outcomes {
 			now := d.clock.Now()
-			d.state.Apply(now, &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3, Duration: duration}}})
+			d.state.Apply(now, &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Leases: []rpc.Lease{
+				{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3, Duration: duration},
+			}})
 			plan := &Plan{Route: route, Service: "s", Deadline: now + time.Second, BoundBackend: bound}
-			if attempt := runAttempt(d.clock, target, newRequest("POST", "/once/x", "a"), d.attemptOptions(plan, now)); attempt.Outcome != outcome {
+			attempt := runAttempt(d.clock, target, newRequest("POST", "/once/x", "a"), d.attemptOptions(plan, now))
+			if attempt.Outcome != outcome {
 				t.Errorf("bound to %q, a lease for %v: %+v", bound, duration, attempt)
 			}
 		}
@@ -231,7 +248,7 @@
 	}
 }
 
-// A claim is worth its window from when it was asked for, and no longer.
+// A claim is valid for its window from when it was requested, and no longer.
 func TestAnExpiredClaimIsNotUsed(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
@@ -243,7 +260,7 @@
 	if d.operations.Find("k", "a").State != rpc.OperationReleased {
 		t.Fatal("the key is not given back")
 	}
-	// The same request again must not run under the claim that is given back.
+	// The same request must not run under the claim that is being released.
 	d.settings.Bounds.KeyWindow = time.Minute
 	if response := d.Handle(newKeyedRequest("a", "k"), "2500"); response.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", response.Status, backend.count())
@@ -253,15 +270,15 @@
 	}
 }
 
-// A backend that a session is bound to is asked again over a fresh stream: on the
-// old one a second copy of its refusal would prove the wrong thing.
+// A retry at the backend that a session is bound to uses a fresh connection: on the old one a duplicate
+// of the first rejection would be taken as proof about the second attempt.
 func TestADuplicateRejectionProvesNothing(t *testing.T) {
 	for disabled, want := range map[DisabledChecks]int{0: 2, ReuseRejectingConn: 3} {
 		var rejected sync.Map
 		backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 			rejection := responseText(503, r.ID, "", message.HeaderNotExecuted+": 1")
 			if _, again := rejected.LoadOrStore(conn, true); n == 1 || again {
-				// The second time it comes before the answer to a run.
+				// The duplicate arrives before the response to the second attempt.
 				_, err := io.WriteString(conn, rejection)
 				if n == 1 {
 					return err == nil
@@ -273,15 +290,18 @@
 		d.disabledChecks = disabled
 		d.retryBudget.RecordRequest(d.clock.Now(), "s")
 		view := d.state.Snapshot().View
-		plan := &Plan{Route: view.Find("a.example", "/once/x"), Service: "s", Request: newRequest("POST", "/once/x", "a"), Deadline: d.clock.Now() + 2*time.Second, AttemptsLeft: 3, BoundBackend: "i-1"}
+		plan := &Plan{
+			Route: view.Find("a.example", "/once/x"), Service: "s", Request: newRequest("POST", "/once/x", "a"),
+			Deadline: d.clock.Now() + 2*time.Second, AttemptsLeft: 3, BoundBackend: "i-1",
+		}
 		if _, kind := d.runAttempts(plan, d.concurrency.forService("s")); kind != 0 || backend.count() != want {
-			t.Errorf("lapse %d: kind %d after %d arrivals, want %d", disabled, kind, backend.count(), want)
+			t.Errorf("disabled checks %d: kind %d after %d arrivals, want %d", disabled, kind, backend.count(), want)
 		}
 	}
 }
 
-// A stream that is reset between the look at it and the write takes nothing of the
-// request: that is proof, also where it may not be repeated.
+// A write to a connection that was reset after it was checked takes no bytes of the request. That
+// proves that the request has not run, also for one that is not idempotent.
 func TestAFailedWriteOfNoBytesIsProof(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
@@ -292,7 +312,8 @@
 	target := d.state.backends["i-1"]
 	now := d.clock.Now()
 	options := AttemptOptions{ChosenAt: now, Deadline: now + time.Second, MaxIdle: time.Minute}
-	if attempt := runAttempt(d.clock, target, newRequest("POST", "/once/1", "a"), options); attempt.Outcome != Complete {
+	attempt := runAttempt(d.clock, target, newRequest("POST", "/once/1", "a"), options)
+	if attempt.Outcome != Complete {
 		t.Fatalf("%+v", attempt)
 	}
 	options.Permitted = func(target *Backend) bool {
@@ -303,7 +324,8 @@
 		}
 		return true
 	}
-	if attempt := runAttempt(d.clock, target, newRequest("POST", "/once/2", "b"), options); attempt.Outcome != NotSent || attempt.Sent || backend.count() != 1 {
+	attempt = runAttempt(d.clock, target, newRequest("POST", "/once/2", "b"), options)
+	if attempt.Outcome != NotSent || attempt.Sent || backend.count() != 1 {
 		t.Fatalf("%+v after %d arrivals", attempt, backend.count())
 	}
 }
--- a/internal/proxy/bandwidth_test.go
+++ b/internal/proxy/bandwidth_test.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// Large answers together stay within their part of the link, however many
-// there are, and lose nothing on the way.
+// Large responses together stay within their share of the link, and no byte of them is lost.
 func TestBandwidthLimiterKeepsToItsShare(t *testing.T) {
 	limiter := NewBandwidthLimiter(NewClock(), 8) // a megabyte a second
 	now, taken := time.Second, 0
@@ -17,11 +16,12 @@
 		taken += bandwidthChunk
 		now += wait
 	}
-	if rate := float64(taken) / (now - time.Second).Seconds(); rate > 1.02e6*bandwidthShare || rate < 0.95e6*bandwidthShare {
+	rate := float64(taken) / (now - time.Second).Seconds()
+	if rate > 1.02e6*bandwidthShare || rate < 0.95e6*bandwidthShare {
 		t.Errorf("%.0f bytes a second of a megabyte", rate)
 	}
 	if wait := limiter.reserve(now+time.Second, bandwidthBurst); wait > 0 {
-		t.Errorf("a lane that rested makes wait %s", wait)
+		t.Errorf("an idle limiter delays by %s", wait)
 	}
 	text := bytes.Repeat([]byte("large answer "), 3000)
 	got, err := io.ReadAll(NewBandwidthLimiter(NewClock(), 800).Limit(bytes.NewReader(text)))
@@ -29,6 +29,6 @@
 		t.Errorf("%d of %d bytes, %v", len(got), len(text), err)
 	}
 	if (*BandwidthLimiter)(nil).Limit(nil) != nil {
-		t.Error("without a lane the answer is read as it is")
+		t.Error("without a limiter the response is read unchanged")
 	}
 }
--- a/internal/proxy/batcher_test.go
+++ b/internal/proxy/batcher_test.go
@@ -7,10 +7,10 @@
 	"tinpin/internal/rpc"
 )
 
-// Of a reply that has not an answer for each ask none is taken.
+// A reply without exactly one result for each request answers none of them.
 func TestAReplyOfTheWrongLengthAnswersNobody(t *testing.T) {
 	for _, size := range []int{0, 1, 3} {
-		batcher := NewBatcher(4, 1, 4, func(asks []int, _ time.Duration) (replies []rpc.ClaimResult) {
+		batcher := NewBatcher(4, 1, 4, func(_ []int, _ time.Duration) (replies []rpc.ClaimResult) {
 			for range size {
 				replies = append(replies, rpc.ClaimResult{Outcome: rpc.ClaimGranted})
 			}
@@ -30,8 +30,7 @@
 	}
 }
 
-// What nobody waits for any more is not sent, and a call tells how long the
-// longest is waited for.
+// Requests whose deadline has passed are not sent, and a call gets the longest remaining time of its batch.
 func TestExpiredRequestsAreNotSent(t *testing.T) {
 	var sent []int
 	var remaining time.Duration
@@ -39,11 +38,16 @@
 		sent, remaining = append(sent, requests...), left
 		return requests
 	})
-	batch := []pendingRequest[int, int]{{1, time.Now().Add(-time.Second), make(chan int, 1)}, {2, time.Now().Add(time.Hour), make(chan int, 1)}, {3, time.Now().Add(time.Minute), make(chan int, 1)}}
+	batch := []pendingRequest[int, int]{
+		{1, time.Now().Add(-time.Second), make(chan int, 1)},
+		{2, time.Now().Add(time.Hour), make(chan int, 1)},
+		{3, time.Now().Add(time.Minute), make(chan int, 1)},
+	}
 	second := batch[1].reply
 	batcher.slots <- struct{}{}
 	batcher.sendBatch(batch)
-	if len(sent) != 2 || sent[0] != 2 || sent[1] != 3 || <-second != 2 || remaining <= 59*time.Minute || remaining > time.Hour {
+	if len(sent) != 2 || sent[0] != 2 || sent[1] != 3 || <-second != 2 ||
+		remaining <= 59*time.Minute || remaining > time.Hour {
 		t.Fatalf("sent %v, left %v", sent, remaining)
 	}
 	sent = nil
@@ -54,20 +58,20 @@
 	}
 }
 
-// emptyCoordinator leads and answers a batch with no rows.
+// emptyCoordinator is a leader whose replies have no results.
 type emptyCoordinator struct{}
 
-func (emptyCoordinator) Claim(ask rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
+func (emptyCoordinator) Claim(_ rpc.ClaimRequest, reply *rpc.ClaimResponse) (err error) {
 	reply.IsLeader = true
 	return nil
 }
 
-func (emptyCoordinator) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
+func (emptyCoordinator) Bind(_ rpc.BindRequest, reply *rpc.BindResponse) (err error) {
 	reply.IsLeader = true
 	return nil
 }
 
-// A leader's reply without the row for a claim or a binding leaves its outcome open.
+// A leader's reply without a result for a claim or a binding leaves its outcome unknown.
 func TestAShortReplyOfALeaderLeavesTheOutcomeUnknown(t *testing.T) {
 	d := newTestDaemon(t)
 	address := serveRPC(t, map[string]any{"Forum": emptyCoordinator{}})
@@ -76,10 +80,12 @@
 	go d.leader.RunClaims()
 	go d.leader.RunBinds()
 	t.Cleanup(func() { close(d.leader.Done) })
-	if result := d.leader.claimOnce(rpc.KeyClaim{Key: "k", Request: "a"}, time.Second); result.Outcome != rpc.ClaimUnknown {
+	claim := rpc.KeyClaim{Key: "k", Request: "a"}
+	if result := d.leader.claimOnce(claim, time.Second); result.Outcome != rpc.ClaimUnknown {
 		t.Errorf("%+v", result)
 	}
-	if result, accepted, answered := d.leader.binds.Call(rpc.SessionBinding{Session: "s"}, time.Second); !accepted || !answered || result.Outcome != rpc.BindUnknown {
+	result, accepted, answered := d.leader.binds.Call(rpc.SessionBinding{Session: "s"}, time.Second)
+	if !accepted || !answered || result.Outcome != rpc.BindUnknown {
 		t.Errorf("%+v", result)
 	}
 }
--- a/internal/proxy/cluster_state_test.go
+++ b/internal/proxy/cluster_state_test.go
@@ -7,12 +7,14 @@
 	"tinpin/internal/rpc"
 )
 
-// An older leader's answer that comes late lends nothing, and neither does one of
-// the same leader that a later one has overtaken.
+// A late update of an older leader grants no leases, and neither does an update of the same leader that
+// arrives after a later one.
 func TestStaleUpdatesGrantNoLeases(t *testing.T) {
 	d := newTestDaemon(t)
 	update := func(term rpc.Term, revision rpc.Revision, amount float64) *rpc.Update {
-		return &rpc.Update{IsLeader: true, Term: term, Revision: revision, Leases: []rpc.Lease{{Kind: rpc.RetrySlack, Amount: amount, Duration: time.Minute}}}
+		return &rpc.Update{IsLeader: true, Term: term, Revision: revision, Leases: []rpc.Lease{
+			{Kind: rpc.RetrySlack, Amount: amount, Duration: time.Minute},
+		}}
 	}
 	for _, step := range []struct {
 		term   rpc.Term
@@ -20,7 +22,14 @@
 		amount float64
 		led    bool
 		share  float64
-	}{{3, 9, 5, true, 5}, {2, 50, 8, false, 5}, {3, 8, 7, true, 5}, {3, 9, 6, true, 6}, {4, 1, 2, true, 2}, {3, 10, 9, false, 2}} {
+	}{
+		{3, 9, 5, true, 5},
+		{2, 50, 8, false, 5},
+		{3, 8, 7, true, 5},
+		{3, 9, 6, true, 6},
+		{4, 1, 2, true, 2},
+		{3, 10, 9, false, 2},
+	} {
 		if applied := d.state.Apply(d.clock.Now(), update(step.term, step.epoch, step.amount)); applied != step.led {
 			t.Errorf("%+v: led %v", step, applied)
 		}
@@ -28,14 +37,14 @@
 			t.Errorf("%+v: share %g", step, leased)
 		}
 	}
-	// A lease runs from when it was asked for, however late its answer is.
+	// A lease runs from when it was requested, however late the update arrives.
 	d.state.Apply(d.clock.Now()-time.Minute, update(5, 1, 4))
 	if leased := d.state.Leased(rpc.RetrySlack, ""); leased != 0 {
 		t.Errorf("a lease that was asked for a minute ago: share %g", leased)
 	}
 }
 
-// A leader of an older term does not become the one that is asked again.
+// A leader of an older term does not replace the known leader.
 func TestALeaderOfAnOlderTermIsIgnored(t *testing.T) {
 	d := newTestDaemon(t)
 	if !d.leader.noteLeader("new:1", 4) || d.leader.noteLeader("old:1", 3) || *d.leader.leader.Load() != "new:1" {
@@ -46,22 +55,23 @@
 	}
 }
 
-// termCoordinator binds in the name of a term.
+// termCoordinator is the leader of a given term and binds sessions.
 type termCoordinator struct{ term rpc.Term }
 
-func (f *termCoordinator) Bind(ask rpc.BindRequest, reply *rpc.BindResponse) (err error) {
+func (f *termCoordinator) Bind(_ rpc.BindRequest, reply *rpc.BindResponse) (err error) {
 	reply.IsLeader, reply.Term, reply.Results = true, f.term, []rpc.BindResult{{Outcome: rpc.Bound, Endpoint: "i-1"}}
 	return nil
 }
 
-// What an older leader says of a session is no answer any more.
+// The reply of a leader of an older term does not bind a session.
 func TestABindingOfAnOlderTermIsIgnored(t *testing.T) {
 	d := newTestDaemon(t)
 	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 6, Revision: 1})
 	for term, wantResults := range map[rpc.Term]int{5: 0, 6: 1, 7: 1} {
 		address := serveRPC(t, map[string]any{"Forum": &termCoordinator{term}})
 		d.leader.leader.Store(&address)
-		if results := d.leader.sendBinds([]rpc.SessionBinding{{Session: "x"}}, claimCallTimeout); len(results) != wantResults {
+		results := d.leader.sendBinds([]rpc.SessionBinding{{Session: "x"}}, claimCallTimeout)
+		if len(results) != wantResults {
 			t.Errorf("term %d: %+v", term, results)
 		}
 	}
--- a/internal/proxy/concurrency_test.go
+++ b/internal/proxy/concurrency_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"math/rand"
 	"testing"
 	"time"
@@ -8,13 +9,12 @@
 	"tinpin/internal/rpc"
 )
 
-// A service that can do ten requests at a time, each in 150 ms or so, is given
-// more than it can take: with the throttle most that are sent come in time.
+// A simulated service handles ten requests at a time in some 150 ms each, and is offered more than that:
+// with the limiter most of the admitted requests are answered in time.
 func TestConcurrencyLimitKeepsResponsesInTime(t *testing.T) {
 	simulate := func(offered int, limiter *ConcurrencyLimiter) (inTime, late, rejected int) {
 		rng := rand.New(rand.NewSource(1))
-		var ends []time.Duration // when each of ten slots is free
-		ends = make([]time.Duration, 10)
+		ends := make([]time.Duration, 10) // when each of ten slots is free
 		type job struct{ end, took time.Duration }
 		var jobs []job
 		for now := time.Duration(0); now < 60*time.Second; now += time.Millisecond {
@@ -58,13 +58,15 @@
 	}
 	normal, normalLate, normalRejected := simulate(40, NewConcurrencyLimiter())
 	if normalRejected > 0 || normalLate > normal/50 {
-		t.Fatalf("within its capacity: %d in time, %d late, %d refused", normal, normalLate, normalRejected)
+		t.Fatalf("within its capacity: %d in time, %d late, %d rejected", normal, normalLate, normalRejected)
 	}
 	without, lateWithout, _ := simulate(100, nil)
 	with, lateWith, rejected := simulate(100, NewConcurrencyLimiter())
-	t.Logf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, rejected)
+	result := fmt.Sprintf("overload without: %d in time, %d late; with: %d in time, %d late, %d rejected",
+		without, lateWithout, with, lateWith, rejected)
+	t.Log(result)
 	if with < 2*without || lateWith > with/4 {
-		t.Fatalf("overload without: %d in time, %d late; with: %d in time, %d late, %d refused", without, lateWithout, with, lateWith, rejected)
+		t.Fatal(result)
 	}
 }
 
@@ -74,12 +76,12 @@
 	for limiter.Acquire(2) {
 	}
 	if limiter.inFlight >= 10 || !limiter.Acquire(0) {
-		t.Fatalf("at %d of 10 the highest rank finds no place", limiter.inFlight)
+		t.Fatalf("at %d of 10 a request of the highest priority is rejected", limiter.inFlight)
 	}
 }
 
-// Outcomes are told of backends that failed lately or are set aside, and a beat
-// looks at no others.
+// Outcomes are reported only of backends that failed lately or are ejected, and a heartbeat looks at no
+// others.
 func TestOutcomesAreReportedOfFailingBackendsOnly(t *testing.T) {
 	d := newTestDaemon(t, newFakeBackend(t, "i-1", respondOK), newFakeBackend(t, "i-2", respondOK))
 	now := d.clock.Now()
@@ -98,13 +100,17 @@
 	backends[0].attemptStarted(now)
 	backends[0].attemptEnded(now, time.Millisecond, Complete)
 	counts := d.state.OutcomeCounts()
-	if len(counts) != 2 || counts[0].Endpoint != "i-1" || counts[0].Failed != 1 || counts[0].Succeeded != 1 || counts[1].Endpoint != "" || counts[1].Succeeded != 11 || counts[1].Failed != 1 {
+	if len(counts) != 2 || counts[0].Endpoint != "i-1" || counts[0].Failed != 1 || counts[0].Succeeded != 1 ||
+		counts[1].Endpoint != "" || counts[1].Succeeded != 11 || counts[1].Failed != 1 {
 		t.Fatalf("%+v", counts)
 	}
-	if _, report := backends[0].takeOutcomes(now + outcomeReportSpan + time.Second); report || len(backends[0].stats.reportableBackends()) != 0 {
-		t.Fatal("it is told for ever")
+	_, report := backends[0].takeOutcomes(now + outcomeReportSpan + time.Second)
+	if report || len(backends[0].stats.reportableBackends()) != 0 {
+		t.Fatal("outcomes are still reported after the report span")
 	}
-	backends[1].update(now, nil, &rpc.EndpointState{Endpoint: "i-2", Health: rpc.Healthy, EjectedFor: rpc.EjectedForAllZones})
+	backends[1].update(now, nil, &rpc.EndpointState{
+		Endpoint: "i-2", Health: rpc.Healthy, EjectedFor: rpc.EjectedForAllZones,
+	})
 	backends[1].attemptStarted(now)
 	backends[1].attemptEnded(now, time.Millisecond, Complete)
 	if counts = d.state.OutcomeCounts(); len(counts) != 2 || counts[0].Endpoint != "i-2" || counts[0].Succeeded != 1 {
--- a/internal/proxy/disabled_checks_test.go
+++ b/internal/proxy/disabled_checks_test.go
@@ -11,7 +11,7 @@
 	"tinpin/internal/proxy"
 )
 
-// startFaultTest is a system whose daemons leave nothing out, and a way to play it.
+// startFaultTest starts a system for fault tests, and returns a function that runs one with the given checks disabled.
 func startFaultTest(t *testing.T, first int) (play func(disabled proxy.DisabledChecks) faulttest.Report) {
 	t.Helper()
 	hosts := localcluster.Hosts()
@@ -33,7 +33,7 @@
 	}
 }
 
-// A short account of the daemons as they are agrees in everything.
+// A short fault test of nodes with all checks finds no violation.
 func TestFaultTestFindsNothing(t *testing.T) {
 	play := startFaultTest(t, 100)
 	if report := play(0); !report.Good() || report.Rounds != 300 {
@@ -43,17 +43,19 @@
 	}
 }
 
-// Each check that is left out is found by the account.
+// The fault test detects each disabled check.
 func TestFaultTestFindsEachDisabledCheck(t *testing.T) {
 	play := startFaultTest(t, 170)
+	ranTwiceOrAfterNotRun := func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }
+	wrongResponse := func(l faulttest.KindSummary) int { return l.WrongResponse }
 	for name, c := range map[string]struct {
 		disabled proxy.DisabledChecks
 		found    func(faulttest.KindSummary) int
 	}{
-		"a rested 421 without an id is proof": {proxy.TrustMissingID, func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }},
-		"a reset of a rested stream is proof": {proxy.RetryAfterReset, func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }},
-		"a surplus answer is taken":           {proxy.AcceptAnyID, func(l faulttest.KindSummary) int { return l.WrongResponse }},
-		"the first of two ids counts":         {proxy.AcceptFirstID, func(l faulttest.KindSummary) int { return l.WrongResponse }},
+		"a 421 without an id on an idle connection is proof": {proxy.TrustMissingID, ranTwiceOrAfterNotRun},
+		"a reset of an idle connection is proof":             {proxy.RetryAfterReset, ranTwiceOrAfterNotRun},
+		"a surplus response is accepted":                     {proxy.AcceptAnyID, wrongResponse},
+		"the first of two ids is accepted":                   {proxy.AcceptFirstID, wrongResponse},
 	} {
 		found, plays := 0, 0
 		for ; plays < 10 && found == 0; plays++ {
--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -163,7 +163,8 @@
 // criteria says which backends a plan's next attempt may choose from.
 func (d *Daemon) criteria(plan *Plan, attempted []rpc.EndpointID) (criteria Criteria) {
 	criteria = Criteria{
-		Service: plan.Service, TargetLatency: plan.Route.LatencyTarget, Homes: plan.Route.AllowedRegions, Attempted: attempted,
+		Service: plan.Service, TargetLatency: plan.Route.LatencyTarget,
+		Homes: plan.Route.AllowedRegions, Attempted: attempted,
 		Idempotent: plan.Route.Type.Retryable(), Large: plan.Route.Type == config.Download,
 		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
 	}
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -1,4 +1,4 @@
 package proxy
 
-// DisableChecks has a daemon leave a check out.
+// DisableChecks has a node skip checks.
 func (d *Daemon) DisableChecks(checks DisabledChecks) { d.disabledChecks = checks }
--- a/internal/proxy/fake_backend_test.go
+++ b/internal/proxy/fake_backend_test.go
@@ -20,27 +20,32 @@
 	"tinpin/internal/settings"
 )
 
+// receivedRequest is a request as a fake backend got it.
 type receivedRequest struct {
 	ID, Target, Method, Path, Body, Key string
 	Header                              http.Header
 }
 
+// responder answers the nth request of a fake backend; keep tells whether the connection stays open.
+type responder func(n int, request receivedRequest, conn net.Conn) (keep bool)
+
+// fakeBackend is a backend on loopback.
 type fakeBackend struct {
 	id          string
 	listener    net.Listener
-	respond     func(n int, request receivedRequest, conn net.Conn) (keep bool)
+	respond     responder
 	mu          sync.Mutex
 	requests    []receivedRequest
 	connections int
 }
 
-func newFakeBackend(t testing.TB, id string, respond func(n int, request receivedRequest, conn net.Conn) bool) (s *fakeBackend) {
+func newFakeBackend(t testing.TB, id string, respond responder) *fakeBackend {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = &fakeBackend{id: id, listener: listener, respond: respond}
+	s := &fakeBackend{id: id, listener: listener, respond: respond}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -57,6 +62,13 @@
 	return s
 }
 
+// endpoint is the backend's entry in the endpoint list.
+func (s *fakeBackend) endpoint() rpc.Endpoint {
+	return rpc.Endpoint{
+		ID: rpc.EndpointID(s.id), Service: "s", Address: s.listener.Addr().String(), Zone: "here", Slots: 4,
+	}
+}
+
 func (s *fakeBackend) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
@@ -69,7 +81,11 @@
 		if err != nil {
 			return
 		}
-		got := receivedRequest{ID: request.Header.Get(message.HeaderRequestID), Target: request.Header.Get(message.HeaderTargetInstance), Method: request.Method, Path: request.RequestURI, Body: string(body), Key: request.Header.Get(message.HeaderOperationKey), Header: request.Header}
+		got := receivedRequest{
+			ID: request.Header.Get(message.HeaderRequestID), Target: request.Header.Get(message.HeaderTargetInstance),
+			Method: request.Method, Path: request.RequestURI, Body: string(body),
+			Key: request.Header.Get(message.HeaderOperationKey), Header: request.Header,
+		}
 		s.mu.Lock()
 		s.requests = append(s.requests, got)
 		n := len(s.requests)
@@ -93,7 +109,8 @@
 }
 
 func responseText(status int, id, body string, headers ...string) string {
-	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n", status, message.HeaderRequestID, id, message.HeaderResponseSignature, id, len(body))
+	text := fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: stamp-%s\r\nContent-Length: %d\r\n",
+		status, message.HeaderRequestID, id, message.HeaderResponseSignature, id, len(body))
 	for _, line := range headers {
 		text += line + "\r\n"
 	}
@@ -105,12 +122,19 @@
 	return err == nil
 }
 
-// newTestDaemon makes a daemon that knows the stand-ins as backends of service s
-// and has three ways: /safe/, /once/ and /key/.
+// newTestDaemon makes a node that has the fake backends in its endpoint list, as backends of service s,
+// and three routes: /safe/ is idempotent, /once/ is not, /key/ is keyed.
 func newTestDaemon(t testing.TB, backends ...*fakeBackend) (d *Daemon) {
 	t.Helper()
-	p := settings.Settings{Name: "edge-1", Zone: "here", Region: "land", ZoneRegions: map[string]string{"here": "land", "there": "far"}, MemoryMB: 64, MaxFileDescriptors: 1024, SendInterval: time.Second, HealthCheckInterval: time.Second, SubsetSize: 3, MaxIdleNonIdempotent: time.Minute, CPUShare: 1}
-	p.Bounds = settings.Bounds{RetryBudgetRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute, MaxTTL: 5 * time.Second, GracePeriod: time.Second}
+	p := settings.Settings{
+		Name: "edge-1", Zone: "here", Region: "land", ZoneRegions: map[string]string{"here": "land", "there": "far"},
+		MemoryMB: 64, MaxFileDescriptors: 1024, CPUShare: 1, SubsetSize: 3,
+		SendInterval: time.Second, HealthCheckInterval: time.Second, MaxIdleNonIdempotent: time.Minute,
+	}
+	p.Bounds = settings.Bounds{
+		RetryBudgetRatio: 100, RetryWindow: 10 * time.Second, KeyWindow: time.Minute,
+		MaxTTL: 5 * time.Second, GracePeriod: time.Second,
+	}
 	clock := NewClock()
 	d = &Daemon{settings: p, log: eventlog.Discard(), clock: clock, incarnation: 1}
 	d.state = NewClusterState(p, d.log, clock)
@@ -120,22 +144,31 @@
 	d.tenantLimits = NewTenantLimits(d.state.Leased, nil)
 	d.frontend = frontend.New(d.Handle, func() *config.RoutingTable { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
-	document := `{"upserts":{"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version","service_name"],"row_values":[
-		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
-		"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[["s","/health",100,1]]},
-		"limits":{"max_header_bytes":2000,"max_body_bytes":5000,"header_timeout":"1s","idle_timeout":"2s","version":1}}}`
+	document := `{"upserts":{"routes":{
+		"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version",
+		"service_name"],"row_values":[
+		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],
+		["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],
+		["r3","a.example","/key/","keyed","900ms","600ms",3,1,"s"]]},
+		"services":{"column_names":["name","health_check_path","max_connections","version"],
+			"row_values":[["s","/health",100,1]]},
+		"limits":{"max_header_bytes":2000,"max_body_bytes":5000,
+			"header_timeout":"1s","idle_timeout":"2s","version":1}}}`
 	if err := items.Apply([]byte(document), 1); err != nil {
 		t.Fatal(err)
 	}
-	update := &rpc.Update{IsLeader: true, Term: 1, Revision: 1, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, Items: items.Items(), EndpointChunk: &rpc.EndpointChunk{Complete: true}}
+	update := &rpc.Update{
+		IsLeader: true, Term: 1, Revision: 1, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems,
+		Items: items.Items(), EndpointChunk: &rpc.EndpointChunk{Complete: true},
+	}
 	for _, backend := range backends {
-		update.EndpointChunk.Endpoints = append(update.EndpointChunk.Endpoints, rpc.Endpoint{ID: rpc.EndpointID(backend.id), Service: "s", Address: backend.listener.Addr().String(), Zone: "here", Slots: 4})
+		update.EndpointChunk.Endpoints = append(update.EndpointChunk.Endpoints, backend.endpoint())
 	}
 	d.state.Apply(0, update)
 	return d
 }
 
-// dialFrontend opens a stream to the daemon's door.
+// dialFrontend opens a client connection to the node.
 func dialFrontend(t testing.TB, d *Daemon) (conn net.Conn, in *bufio.Reader) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -153,7 +186,8 @@
 }
 
 func requestText(method, path, id string, headers ...string) string {
-	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": " + id + "\r\n" + message.HeaderRequestDeadline + ": 2500\r\n"
+	text := method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": " + id + "\r\n" +
+		message.HeaderRequestDeadline + ": 2500\r\n"
 	for _, line := range headers {
 		text += line + "\r\n"
 	}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -7,21 +7,22 @@
 	"testing"
 )
 
-// An answer to HEAD has no body, also when it is a refusal: the bytes would be
-// taken for the beginning of the next answer.
+// A response to HEAD has no body, also when it is an error: the client would take the bytes for the
+// beginning of the next response.
 func TestARejectedHeadRequestHasNoBody(t *testing.T) {
 	d := newTestDaemon(t)
 	conn, in := dialFrontend(t, d)
 	_, _ = io.WriteString(conn, requestText("HEAD", "/safe/", "h1")+requestText("GET", "/safe/", "g1"))
 	for _, method := range []string{"HEAD", "GET"} {
-		if response, _, err := readResponseFrom(t, in, method); err != nil || response.StatusCode != http.StatusServiceUnavailable {
+		response, _, err := readResponseFrom(t, in, method)
+		if err != nil || response.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%s: %v %v", method, response, err)
 		}
 	}
 }
 
-// What was taken up ahead of answers may count as not read: it must not run if it
-// may not be repeated, also when its way changed meanwhile.
+// A client may take a pipelined request for unread: it must not run unless it is idempotent, also when its
+// route has changed since it was read.
 func TestNonIdempotentRequestsAreNotPipelined(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
@@ -37,9 +38,9 @@
 	}
 }
 
-// Where the daemon ends, or its client goes, with a request at work, the stream
-// ends with it: nothing is promised of what may have run, and what the backend
-// still says reaches nobody else.
+// Where the node shuts down, or the client closes its connection, with a request in flight, the client's
+// connection ends without a response: nothing is promised about a request that may have run, and the
+// backend's late response reaches no other request.
 func TestShutdownWithARequestInFlightPromisesNothing(t *testing.T) {
 	for _, clientCloses := range []bool{false, true} {
 		begun, gate := make(chan struct{}), make(chan struct{})
@@ -60,11 +61,12 @@
 			d.frontend.StartDraining()
 			d.frontend.CloseConns()
 			if response, _, err := readResponseFrom(t, in, "POST"); err == nil {
-				t.Fatalf("told %d", response.StatusCode)
+				t.Fatalf("answered with status %d", response.StatusCode)
 			}
 		}
 		close(gate)
-		if response := d.Handle(newRequest("POST", "/once/2", "p2"), "2500"); response.Status != 200 || string(response.Body) != "body of p2" {
+		response := d.Handle(newRequest("POST", "/once/2", "p2"), "2500")
+		if response.Status != 200 || string(response.Body) != "body of p2" {
 			t.Fatalf("%d %q", response.Status, response.Body)
 		}
 		if backend.count() != 2 {
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -15,7 +15,7 @@
 	"tinpin/internal/rpc"
 )
 
-// fakeCoordinator answers claims by a script, and as a fellow that holds keys.
+// fakeCoordinator answers claims by a script, as the leader does, and recalls, as a node that holds keys.
 type fakeCoordinator struct {
 	mu       sync.Mutex
 	claims   int
@@ -47,7 +47,7 @@
 
 var ports atomic.Int32
 
-// serveRPC answers inner calls on an address of its own.
+// serveRPC serves the receivers on an address of its own.
 func serveRPC(t *testing.T, receivers map[string]any) (address string) {
 	t.Helper()
 	address = fmt.Sprintf("127.%d.%d.1:%d", 128+os.Getpid()>>8&63, os.Getpid()&255, 20000+ports.Add(1))
@@ -59,7 +59,7 @@
 	return address
 }
 
-// connectToLeader ties a daemon to a stand-in for the leader.
+// connectToLeader makes a fake coordinator the leader that a node knows.
 func connectToLeader(t *testing.T, d *Daemon, coordinator *fakeCoordinator) (address string) {
 	t.Helper()
 	address = serveRPC(t, map[string]any{"Forum": coordinator, "Fellow": coordinator})
@@ -92,14 +92,15 @@
 		t.Fatalf("%d %d %q, %d runs", first.Status, repeated.Status, repeated.Body, backend.count())
 	}
 	for _, field := range repeated.Headers {
-		if field[0] == message.HeaderRequestID && field[1] != "b" || field[0] == message.HeaderResponseSignature && field[1] != "stamp-a" {
+		if field[0] == message.HeaderRequestID && field[1] != "b" ||
+			field[0] == message.HeaderResponseSignature && field[1] != "stamp-a" {
 			t.Fatalf("the repeat carries %v", field)
 		}
 	}
 }
 
-// An outcome that is not known frees a key only where the service keeps its
-// own record of keys; one that is proven not to have run always does.
+// A key whose request may have run is released only where the service deduplicates by itself; one whose
+// request is proven not to have run always is.
 func TestStateOfAKeyAfterAFailedAttempt(t *testing.T) {
 	closing := func(int, receivedRequest, net.Conn) bool { return false }
 	rejecting := func(_ int, r receivedRequest, conn net.Conn) bool {
@@ -107,34 +108,38 @@
 		return err == nil
 	}
 	for name, c := range map[string]struct {
-		script   func(int, receivedRequest, net.Conn) bool
-		dedupes  bool
-		status   int
-		standing rpc.OperationState
+		respond      responder
+		deduplicates bool
+		status       int
+		state        rpc.OperationState
 	}{
-		"broken":             {closing, false, 502, rpc.OperationLost},
-		"broken, own record": {closing, true, 502, rpc.OperationReleased},
-		"turned away":        {rejecting, false, 503, rpc.OperationReleased},
+		"connection closed":               {closing, false, 502, rpc.OperationLost},
+		"connection closed, deduplicated": {closing, true, 502, rpc.OperationReleased},
+		"rejected":                        {rejecting, false, 503, rpc.OperationReleased},
 	} {
-		backend := newFakeBackend(t, "i-1", c.script)
+		backend := newFakeBackend(t, "i-1", c.respond)
 		d := newTestDaemon(t, backend)
 		connectToLeader(t, d, &fakeCoordinator{script: grantClaim})
-		d.state.Snapshot().View.Services["s"].SelfDeduplicates = c.dedupes
+		d.state.Snapshot().View.Services["s"].SelfDeduplicates = c.deduplicates
 		if response := d.Handle(newKeyedRequest("a", "k"), "2500"); response.Status != c.status {
 			t.Errorf("%s: status %d", name, response.Status)
 		}
-		if state := d.operations.Find("k", "a").State; state != c.standing {
-			t.Errorf("%s: standing %d, want %d", name, state, c.standing)
+		if state := d.operations.Find("k", "a").State; state != c.state {
+			t.Errorf("%s: state %d, want %d", name, state, c.state)
 		}
 		runs := backend.count()
-		if response := d.Handle(newKeyedRequest("b", "k"), "2500"); c.standing == rpc.OperationLost && (response.Status != 503 || backend.count() != runs) {
+		response := d.Handle(newKeyedRequest("b", "k"), "2500")
+		if c.state == rpc.OperationLost && (response.Status != 503 || backend.count() != runs) {
 			t.Errorf("%s: a repeat got %d after %d runs", name, response.Status, backend.count())
 		}
 	}
 }
 
 func TestAKeyHeldByAnotherNode(t *testing.T) {
-	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: 200, Headers: [][2]string{{message.HeaderResponseSignature, "first"}}, Body: []byte("first body")}
+	stored := rpc.StoredResponse{
+		State: rpc.OperationCompleted, Status: 200, Body: []byte("first body"),
+		Headers: [][2]string{{message.HeaderResponseSignature, "first"}},
+	}
 	for name, c := range map[string]struct {
 		recall func(int) rpc.StoredResponse
 		status int
@@ -153,7 +158,9 @@
 			if name == "freed" && n > 1 {
 				return rpc.ClaimResult{Outcome: rpc.ClaimGranted}
 			}
-			return rpc.ClaimResult{Outcome: rpc.ClaimHeld, Holder: "edge-2", InternalAddress: address, Incarnation: 7, Request: "z"}
+			return rpc.ClaimResult{
+				Outcome: rpc.ClaimHeld, Holder: "edge-2", InternalAddress: address, Incarnation: 7, Request: "z",
+			}
 		}
 		response := d.Handle(newKeyedRequest("a", "k"), "2500")
 		if response.Status != c.status || backend.count() != c.runs {
@@ -165,18 +172,20 @@
 	}
 }
 
-// A claim without a clear outcome may stand. Nothing is sent under it, the
-// promise of a 503 is kept, and the key is given back.
+// A claim of unknown outcome may have been granted. Nothing is sent under it, as the 503 promises, and the
+// key is released.
 func TestAClaimOfUnknownOutcomeIsReleased(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
-	coordinator := &fakeCoordinator{script: func(int, rpc.KeyClaim) rpc.ClaimResult { return rpc.ClaimResult{Outcome: rpc.ClaimUnknown} }}
+	coordinator := &fakeCoordinator{script: func(int, rpc.KeyClaim) rpc.ClaimResult {
+		return rpc.ClaimResult{Outcome: rpc.ClaimUnknown}
+	}}
 	connectToLeader(t, d, coordinator)
 	if response := d.Handle(newKeyedRequest("a", "k"), "300"); response.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", response.Status, backend.count())
 	}
 	if d.operations.Find("k", "a").State != rpc.OperationReleased {
-		t.Fatal("a fellow that asks must be told that the key is free")
+		t.Fatal("a peer that asks must learn that the key is released")
 	}
 	for released := false; !released; {
 		_ = d.leader.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
@@ -184,19 +193,19 @@
 		released = len(coordinator.released) > 0 && coordinator.released[0] == rpc.KeyClaim{Key: "k", Request: "a"}
 		coordinator.mu.Unlock()
 	}
-	// Once, not with every claim that follows.
+	// It is released once, not again with every later claim.
 	for range 5 {
 		_ = d.leader.Claim(rpc.KeyClaim{Key: "other", Request: "x"}, 0, 30*time.Millisecond)
 	}
 	coordinator.mu.Lock()
 	defer coordinator.mu.Unlock()
 	if len(coordinator.released) != 1 {
-		t.Fatalf("the key was given back %d times", len(coordinator.released))
+		t.Fatalf("the key was released %d times", len(coordinator.released))
 	}
 }
 
-// A claim may be carried out behind the word that gave it back; whoever meets
-// it asks its holder, who then gives it back again.
+// A claim may be applied after the release that was meant to undo it. A node that finds it asks its holder,
+// which then releases it again.
 func TestAReleasedClaimThatStillExistsIsReleasedAgain(t *testing.T) {
 	d := newTestDaemon(t, newFakeBackend(t, "i-1", respondOK))
 	coordinator := &fakeCoordinator{script: grantClaim}
@@ -204,7 +213,8 @@
 	operation, _ := d.operations.Begin("k", "a")
 	d.operations.Release(operation)
 	var reply rpc.StoredResponse
-	if err := (&PeerService{d}).Recall(rpc.StoredResponseRequest{Key: "k", Request: "a", Incarnation: d.incarnation}, &reply); err != nil || reply.State != rpc.OperationReleased {
+	recall := rpc.StoredResponseRequest{Key: "k", Request: "a", Incarnation: d.incarnation}
+	if err := (&PeerService{d}).Recall(recall, &reply); err != nil || reply.State != rpc.OperationReleased {
 		t.Fatal(reply, err)
 	}
 	for released := false; !released; {
@@ -215,7 +225,7 @@
 	}
 }
 
-// A request that is given up is told so at once, not near its deadline.
+// A request that cannot succeed is answered at once, not near its deadline.
 func TestFinalErrorsAreReturnedAtOnce(t *testing.T) {
 	closing := func(int, receivedRequest, net.Conn) bool { return false }
 	for name, c := range map[string]struct {
@@ -228,7 +238,7 @@
 		"broken":          {newRequest("POST", "/once/x", "a"), true, false, 502},
 		"broken, keyed":   {newKeyedRequest("a", "k"), true, true, 502},
 		"no leader":       {newKeyedRequest("a", "k"), true, false, 503},
-		"no way":          {newRequest("GET", "/else/x", "a"), true, false, 404},
+		"no route":        {newRequest("GET", "/else/x", "a"), true, false, 404},
 		"none that works": {newRequest("GET", "/safe/x", "a"), true, false, 502},
 	} {
 		var backends []*fakeBackend
@@ -241,15 +251,15 @@
 		}
 		startedAt := d.clock.Now()
 		response := d.Handle(c.request, "2500")
-		// The way's timeout is 900 ms and its aim 600 ms.
+		// The route's timeout is 900 ms and its target latency 600 ms.
 		if took := d.clock.Now() - startedAt; response.Status != c.status || took > 600*time.Millisecond {
 			t.Errorf("%s: status %d after %v", name, response.Status, took)
 		}
 	}
 }
 
-// What an earlier life of a daemon held is unknown to the next, whatever it has
-// under the same name, and is never run again.
+// An operation that an earlier incarnation of a node held is unknown to the next, whatever that holds under
+// the same key, and is never run again.
 func TestAClaimOfAnEarlierIncarnationIsUnknown(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
@@ -260,14 +270,19 @@
 	if response := d.Handle(newKeyedRequest("a", "k"), "800"); response.Status != 503 || backend.count() != 0 {
 		t.Fatalf("status %d after %d runs", response.Status, backend.count())
 	}
-	for _, end := range []func(operation *idempotency.HeldOperation){func(*idempotency.HeldOperation) {}, d.operations.Release, func(operation *idempotency.HeldOperation) { d.operations.Complete(operation, 200, nil, nil) }} {
+	for _, end := range []func(operation *idempotency.HeldOperation){
+		func(*idempotency.HeldOperation) {},
+		d.operations.Release,
+		func(operation *idempotency.HeldOperation) { d.operations.Complete(operation, 200, nil, nil) },
+	} {
 		operation, _ := d.operations.Begin("other", "z")
 		if operation == nil {
 			break
 		}
 		end(operation)
 		var reply rpc.StoredResponse
-		if err := (&PeerService{d}).Recall(rpc.StoredResponseRequest{Key: "other", Request: "z", Incarnation: d.incarnation + 1}, &reply); err != nil || reply.State != rpc.OperationLost {
+		recall := rpc.StoredResponseRequest{Key: "other", Request: "z", Incarnation: d.incarnation + 1}
+		if err := (&PeerService{d}).Recall(recall, &reply); err != nil || reply.State != rpc.OperationLost {
 			t.Fatal(reply, err)
 		}
 		d.operations.Release(operation)
--- a/internal/proxy/outcome_test.go
+++ b/internal/proxy/outcome_test.go
@@ -8,8 +8,8 @@
 	"tinpin/internal/config"
 )
 
-// TestOutcomeTable takes every outcome to a plan and to a backend: what it proves decides
-// whether the plan may go on and what an error may promise; what it says of the backend decides
+// TestOutcomeTable applies every outcome to a plan and to a backend: what it proves about execution decides
+// whether the plan may retry and what an error may promise; what it says of the backend's health decides
 // what is counted.
 func TestOutcomeTable(t *testing.T) {
 	type row struct {
@@ -37,7 +37,8 @@
 		t.Run(r.outcome.String(), func(t *testing.T) {
 			for _, routeType := range []config.RouteType{config.Idempotent, config.NonIdempotent} {
 				plan := &Plan{Route: &config.Route{Type: routeType}, Deadline: time.Second, AttemptsLeft: 3}
-				step, kind := plan.Next(0, "b", Attempt{Outcome: r.outcome, Sent: r.outcome != NotSent && r.outcome != SendCancelled})
+				sent := r.outcome != NotSent && r.outcome != SendCancelled
+				step, kind := plan.Next(0, "b", Attempt{Outcome: r.outcome, Sent: sent})
 				want, wantKind := r.idempotent, apierror.None
 				if r.outcome == TimedOut {
 					wantKind = apierror.DeadlineExceeded
@@ -57,7 +58,8 @@
 			now := time.Hour
 			backend.attemptStarted(now)
 			backend.attemptEnded(now, time.Millisecond, r.outcome)
-			if good, bad := backend.stats.takeCounts(); good != r.good || bad != r.bad || backend.respondedAt == now != r.responded {
+			good, bad := backend.stats.takeCounts()
+			if good != r.good || bad != r.bad || backend.respondedAt == now != r.responded {
 				t.Errorf("counted %d good, %d bad, responded at %v", good, bad, backend.respondedAt)
 			}
 		})
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,12 +15,14 @@
 )
 
 func newRequest(method, target, id string) *message.Request {
-	return &message.Request{Method: method, Target: target, Host: "a.example", ID: id, Headers: []message.HeaderField{{message.HeaderRequestID, id}}}
+	return &message.Request{
+		Method: method, Target: target, Host: "a.example", ID: id,
+		Headers: []message.HeaderField{{message.HeaderRequestID, id}},
+	}
 }
 
-// What a backend in trouble does must never reach a client as a success, must
-// be tried again only where that is allowed, and must not spoil the next
-// request on the stream.
+// A fault of a backend must never reach a client as a success, is followed by a retry only where that is
+// allowed, and must not affect the next request on the connection.
 func TestFaultyBackends(t *testing.T) {
 	firstResponse := func(text string, keep bool) func(int, receivedRequest, net.Conn) bool {
 		return func(n int, r receivedRequest, conn net.Conn) bool {
@@ -31,26 +33,32 @@
 			return keep
 		}
 	}
+	head := "HTTP/1.1 200 OK\r\n" + message.HeaderRequestID + ": ID\r\n"
+	signedHead := head + message.HeaderResponseSignature + ": s\r\n"
+	cutChunk := "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
+	rejection := responseText(503, "ID", "", message.HeaderNotExecuted+": 1")
+	otherInstance := responseText(421, "ID", "", message.HeaderInstanceID+": x")
+	others := responseText(200, "other", "not yours")
 	cases := map[string]struct {
-		script     func(int, receivedRequest, net.Conn) bool
+		respond    responder
 		safe, once int
-		arrivals   int // of the request that may be repeated
+		arrivals   int // of the idempotent request
 	}{
 		"closes without an answer": {firstResponse("", false), 200, 502, 2},
 		"garbage":                  {firstResponse("garbage\r\n\r\n", false), 200, 502, 2},
-		"cut short":                {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nContent-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
-		"cut in chunks":            {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false), 200, 502, 2},
-		"no end but the stream's":  {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\n"+message.HeaderResponseSignature+": s\r\n\r\nwho knows", false), 200, 502, 2},
-		"no stamp":                 {firstResponse("HTTP/1.1 200 OK\r\n"+message.HeaderRequestID+": ID\r\nContent-Length: 2\r\n\r\nok", true), 200, 502, 2},
-		"another's answer alone":   {firstResponse(responseText(200, "other", "not yours"), false), 200, 502, 2},
-		"another's answer first":   {firstResponse(responseText(200, "other", "not yours")+responseText(200, "ID", "body of ID"), true), 200, 200, 1},
-		"turned away":              {firstResponse(responseText(503, "ID", "", message.HeaderNotExecuted+": 1"), true), 200, 200, 2},
-		"another instance":         {firstResponse(responseText(421, "ID", "", message.HeaderInstanceID+": x"), true), 200, 200, 2},
+		"cut short":                {firstResponse(signedHead+"Content-Length: 50\r\n\r\nhalf", false), 200, 502, 2},
+		"cut in chunks":            {firstResponse(signedHead+cutChunk, false), 200, 502, 2},
+		"ended by the connection":  {firstResponse(signedHead+"\r\nwho knows", false), 200, 502, 2},
+		"no signature":             {firstResponse(head+"Content-Length: 2\r\n\r\nok", true), 200, 502, 2},
+		"another's response only":  {firstResponse(responseText(200, "other", "not yours"), false), 200, 502, 2},
+		"another's response first": {firstResponse(others+responseText(200, "ID", "body of ID"), true), 200, 200, 1},
+		"rejected":                 {firstResponse(rejection, true), 200, 200, 2},
+		"another instance":         {firstResponse(otherInstance, true), 200, 200, 2},
 		"its own failure":          {firstResponse(responseText(500, "ID", "sorry"), true), 200, 500, 2},
 	}
 	for name, c := range cases {
 		for _, route := range []string{"/safe/", "/once/"} {
-			faulty := newFakeBackend(t, "i-1", c.script)
+			faulty := newFakeBackend(t, "i-1", c.respond)
 			healthy := newFakeBackend(t, "i-2", respondOK)
 			d := newTestDaemon(t, faulty, healthy)
 			d.state.backends["i-2"].latency, d.state.backends["i-2"].latencyAt = 1e6, 1
@@ -75,13 +83,14 @@
 }
 
 func TestASurplusResponseIsDiscarded(t *testing.T) {
-	backend := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
+	backend := newFakeBackend(t, "i-1", func(_ int, r receivedRequest, conn net.Conn) bool {
 		_, err := io.WriteString(conn, responseText(200, r.ID, "body of "+r.ID)+responseText(200, r.ID, "again"))
 		return err == nil
 	})
 	d := newTestDaemon(t, backend)
 	for _, id := range []string{"a", "b", "c"} {
-		if response := d.Handle(newRequest("GET", "/once/q", id), "2500"); response.Status != 200 || string(response.Body) != "body of "+id {
+		response := d.Handle(newRequest("GET", "/once/q", id), "2500")
+		if response.Status != 200 || string(response.Body) != "body of "+id {
 			t.Fatalf("%s: %d %q", id, response.Status, response.Body)
 		}
 	}
@@ -92,12 +101,17 @@
 	d := newTestDaemon(t, backend)
 	conn, in := dialFrontend(t, d)
 	path := "/once/a%2Fb//c;d?x=%zz&y=1"
-	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+message.HeaderRequestID+": r1\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+message.HeaderTargetInstance+": forged\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
-	if response, body, err := readResponseFrom(t, in, "PUT"); err != nil || response.StatusCode != 200 || body != "body of r1" || response.Header.Get(message.HeaderResponseSignature) != "stamp-r1" {
+	_, _ = io.WriteString(conn, "PUT "+path+" HTTP/1.1\r\nHost: a.example\r\n"+message.HeaderRequestID+": r1\r\n"+
+		"X-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\n"+message.HeaderTargetInstance+": forged\r\n"+
+		"Transfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n")
+	response, body, err := readResponseFrom(t, in, "PUT")
+	if err != nil || response.StatusCode != 200 || body != "body of r1" ||
+		response.Header.Get(message.HeaderResponseSignature) != "stamp-r1" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
 	got := backend.last()
-	if got.Method != "PUT" || got.Path != path || got.Body != "four" || got.Target != "i-1" || got.Header.Get("X-Own") != "1" || got.Header.Get("X-Hop") != "" {
+	if got.Method != "PUT" || got.Path != path || got.Body != "four" || got.Target != "i-1" ||
+		got.Header.Get("X-Own") != "1" || got.Header.Get("X-Hop") != "" {
 		t.Fatalf("the backend got %+v", got)
 	}
 }
@@ -114,7 +128,8 @@
 	})
 	d := newTestDaemon(t, backend)
 	conn, in := dialFrontend(t, d)
-	_, _ = io.WriteString(conn, requestText("GET", "/safe/1", "p1")+requestText("GET", "/safe/2", "p2")+requestText("GET", "/safe/3", "p3"))
+	_, _ = io.WriteString(conn, requestText("GET", "/safe/1", "p1")+requestText("GET", "/safe/2", "p2")+
+		requestText("GET", "/safe/3", "p3"))
 	for _, id := range []string{"p1", "p2", "p3"} {
 		if _, body, err := readResponseFrom(t, in, "GET"); err != nil || body != "body of "+id {
 			t.Fatalf("%s: %q %v", id, body, err)
@@ -122,20 +137,21 @@
 	}
 }
 
-// An answer that closes the stream tells that those behind it were not read,
-// so a request that may not be repeated must not have been taken up.
+// A response that closes the connection tells the client that the requests behind it were not read, so one
+// that is not idempotent must not have been handled.
 func TestNothingRunsBehindAClosingResponse(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
 	conn, in := dialFrontend(t, d)
 	d.frontend.StartDraining()
-	_, _ = io.WriteString(conn, requestText("GET", "/safe/1", "p1")+requestText("POST", "/once/2", "p2", "Content-Length: 0"))
+	_, _ = io.WriteString(conn, requestText("GET", "/safe/1", "p1")+
+		requestText("POST", "/once/2", "p2", "Content-Length: 0"))
 	response, _, err := readResponseFrom(t, in, "GET")
 	if err != nil || !response.Close {
 		t.Fatalf("%v %v", response, err)
 	}
 	if _, _, err = readResponseFrom(t, in, "POST"); err == nil {
-		t.Fatal("an answer behind the closing one")
+		t.Fatal("a response behind the closing one")
 	}
 	if backend.count() != 1 {
 		t.Fatalf("%d requests ran", backend.count())
@@ -144,11 +160,13 @@
 
 func TestBadInput(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
+	key := message.HeaderOperationKey + ": k"
+	longChunks := "1388\r\n" + strings.Repeat("z", 5000) + "\r\n5\r\nabcde\r\n0\r\n\r\n"
 	cases := map[string]struct {
 		text   string
 		status int
 	}{
-		"no way":          {requestText("GET", "/nowhere/", "x"), 404},
+		"no route":        {requestText("GET", "/nowhere/", "x"), 404},
 		"no key":          {requestText("POST", "/key/", "x", "Content-Length: 0"), 400},
 		"no id":           {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n\r\n", 400},
 		"no host":         {"GET /safe/ HTTP/1.1\r\n\r\n", 400},
@@ -156,9 +174,9 @@
 		"two lengths":     {requestText("POST", "/once/", "x", "Content-Length: 3", "Content-Length: 4") + "abcd", 400},
 		"long head":       {requestText("GET", "/safe/", "x", "X: "+strings.Repeat("y", 2500)), 431},
 		"long body":       {requestText("POST", "/once/", "x", "Content-Length: 6000"), 413},
-		"long in chunks":  {requestText("POST", "/once/", "x", "Transfer-Encoding: chunked") + "1388\r\n" + strings.Repeat("z", 5000) + "\r\n5\r\nabcde\r\n0\r\n\r\n", 413},
-		"deadline is now": {"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n" + message.HeaderRequestID + ": x\r\n" + message.HeaderRequestDeadline + ": 0\r\n\r\n", 503},
-		"no quorum":       {requestText("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 0"), 503},
+		"long in chunks":  {requestText("POST", "/once/", "x", "Transfer-Encoding: chunked") + longChunks, 413},
+		"deadline is now": {strings.Replace(requestText("GET", "/safe/", "x"), ": 2500", ": 0", 1), 503},
+		"no quorum":       {requestText("POST", "/key/", "x", key, "Content-Length: 0"), 503},
 	}
 	for name, c := range cases {
 		d := newTestDaemon(t, backend)
@@ -185,7 +203,8 @@
 	}))
 	conn, in := dialFrontend(t, d)
 	_, _ = io.WriteString(conn, requestText("HEAD", "/safe/", "h1"))
-	if response, body, err := readResponseFrom(t, in, "HEAD"); err != nil || response.ContentLength != 10 || body != "" {
+	response, body, err := readResponseFrom(t, in, "HEAD")
+	if err != nil || response.ContentLength != 10 || body != "" {
 		t.Fatalf("%v %q %v", response, body, err)
 	}
 	_, _ = io.WriteString(conn, requestText("POST", "/once/", "c1", "Content-Length: 4", "Expect: 100-continue"))
@@ -201,7 +220,7 @@
 func TestLargeResponsesAreCompleteOrAborted(t *testing.T) {
 	large := strings.Repeat("0123456789", 60000)
 	for _, cut := range []bool{false, true} {
-		d := newTestDaemon(t, newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
+		d := newTestDaemon(t, newFakeBackend(t, "i-1", func(_ int, r receivedRequest, conn net.Conn) bool {
 			text := responseText(200, r.ID, large)
 			if cut {
 				text = text[:len(text)-1000]
@@ -221,8 +240,8 @@
 	}
 }
 
-// A plan never promises that nothing ran once something may have, and sends
-// again only what is idempotent or proven not to have run.
+// A plan never promises that nothing ran once something may have, and retries only a request that is
+// idempotent or proven not to have run.
 func TestPlanTable(t *testing.T) {
 	for _, routeType := range []config.RouteType{config.Idempotent, config.NonIdempotent, config.Keyed} {
 		for first := NotSent; first <= TimedOut; first++ {
@@ -238,13 +257,14 @@
 						mayHaveRun = mayHaveRun || outcome == ConnectionFailed || outcome == TimedOut
 						step, kind := plan.Next(0, "b", Attempt{Outcome: outcome, Sent: sent})
 						if step == StepRetry && mayHaveRun && routeType != config.Idempotent {
-							t.Fatalf("%s %d %d: sent again though it may have run", routeType, first, second)
+							t.Fatalf("%s %d %d: retried though it may have run", routeType, first, second)
 						}
 						if step == StepRetry && arrivals >= attempts {
-							t.Fatalf("%s %d %d: more rounds than allowed", routeType, first, second)
+							t.Fatalf("%s %d %d: more attempts than allowed", routeType, first, second)
 						}
 						if step == StepFail && mayHaveRun != kind.Response().MayHaveRun {
-							t.Fatalf("%s %d %d: may have run: %v, but the answer is %v", routeType, first, second, mayHaveRun, kind.Response())
+							t.Fatalf("%s %d %d: may have run: %v, but the response is %v",
+								routeType, first, second, mayHaveRun, kind.Response())
 						}
 						if step != StepRetry {
 							break
@@ -270,7 +290,10 @@
 }
 
 func TestChooseEndpointRules(t *testing.T) {
-	backends := []*fakeBackend{newFakeBackend(t, "i-1", respondOK), newFakeBackend(t, "i-2", respondOK), newFakeBackend(t, "i-3", respondOK)}
+	var backends []*fakeBackend
+	for _, id := range []string{"i-1", "i-2", "i-3"} {
+		backends = append(backends, newFakeBackend(t, id, respondOK))
+	}
 	d := newTestDaemon(t, backends...)
 	choose := func(criteria Criteria) (id rpc.EndpointID) {
 		criteria.Service = "s"
@@ -285,28 +308,34 @@
 	two.warmUpUntil = now + time.Hour
 	for i := 0; i < 20; i++ {
 		if choose(Criteria{}) != "i-3" {
-			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
+			t.Fatal("a draining backend, or one in slow start without a lease, was chosen")
 		}
 	}
 	if choose(Criteria{Attempted: []rpc.EndpointID{"i-3"}}) != "" {
 		t.Fatal("a backend was chosen twice")
 	}
 	if choose(Criteria{Homes: []string{"far"}}) != "" {
-		t.Fatal("a backend outside the homes was chosen")
+		t.Fatal("a backend outside the allowed regions was chosen")
 	}
 	three.health = rpc.Unhealthy
 	if choose(Criteria{}) != "i-3" {
-		t.Fatal("the only one is taken even if it is held to be down")
+		t.Fatal("the only backend is chosen even if it is unhealthy")
 	}
-	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Evacuations: []rpc.Evacuation{{Zone: "here", Active: true, LogIndex: 2}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{
+		IsLeader: true, Term: 1, Revision: 2, LogIndex: 2,
+		Evacuations: []rpc.Evacuation{{Zone: "here", Active: true, LogIndex: 2}},
+	})
 	if choose(Criteria{}) != "" {
-		t.Fatal("a backend of an evacuated site was chosen")
+		t.Fatal("a backend of an evacuated zone was chosen")
 	}
-	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 3, LogIndex: 3, Evacuations: []rpc.Evacuation{{Zone: "here", LogIndex: 3}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{
+		IsLeader: true, Term: 1, Revision: 3, LogIndex: 3,
+		Evacuations: []rpc.Evacuation{{Zone: "here", LogIndex: 3}},
+	})
 	one.Draining = false
 	three.health = rpc.Healthy
 	if got := choose(Criteria{}); got == "" {
-		t.Fatal("none after the evacuation was taken back")
+		t.Fatal("no backend is chosen after the evacuation has ended")
 	}
 }
 
@@ -318,7 +347,9 @@
 		return respondOK(n, r, conn)
 	}))
 	d.state.backends["i-1"].warmUpUntil = d.clock.Now() + time.Hour
-	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Leases: []rpc.Lease{{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3.7, Duration: time.Minute}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, Leases: []rpc.Lease{
+		{Kind: rpc.WarmupRate, Key: "i-1", Amount: 3.7, Duration: time.Minute},
+	}})
 	for range 12 {
 		d.Handle(newRequest("GET", "/safe/q", "c"), "2500")
 	}
@@ -326,7 +357,7 @@
 		t.Fatalf("only %d arrivals: the lease is not used", len(arrivals))
 	}
 	for i := 3; i < len(arrivals); i++ {
-		// The sender counts from before the sending, so arrivals may lie closer.
+		// The limit counts from before the request is sent, so arrivals may lie closer together.
 		if arrivals[i]-arrivals[i-3] < 800*time.Millisecond {
 			t.Fatalf("4 arrivals within %v, the lease was for 3 a second", arrivals[i]-arrivals[i-3])
 		}
@@ -348,7 +379,7 @@
 	if spent < 10 || float64(spent) > 0.2*100+slack {
 		t.Fatalf("%d extra arrivals for 100 requests", spent)
 	}
-	if budget.Spend(2*time.Second, "other") != true || budget.Spend(30*time.Second, "s") != true {
+	if !budget.Spend(2*time.Second, "other") || !budget.Spend(30*time.Second, "s") {
 		t.Fatal("services are apart, and the window slides")
 	}
 	slack = 0
@@ -357,18 +388,21 @@
 	}
 }
 
-// A request over its tenant's limit is refused before anything is taken.
+// A request beyond its tenant's limit is rejected before it has any effect.
 func TestARateLimitedRequestHasNoEffect(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
 	items := config.New()
-	call := `{"upserts":{"tenants":{"column_names":["name","hostnames","rate","burst","version"],"row_values":[["t",["a.example"],10,5,1]]}}}`
-	if err := items.Apply([]byte(call), 2); err != nil {
+	document := `{"upserts":{"tenants":{"column_names":["name","hostnames","rate","burst","version"],
+		"row_values":[["t",["a.example"],10,5,1]]}}}`
+	if err := items.Apply([]byte(document), 2); err != nil {
 		t.Fatal(err)
 	}
 	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 2, LogIndex: 2, Items: items.Items()})
 	conn, in := dialFrontend(t, d)
-	_, _ = io.WriteString(conn, requestText("POST", "/key/", "x", message.HeaderOperationKey+": k", "Content-Length: 4")+"body"+requestText("GET", "/safe/", "y"))
+	key := message.HeaderOperationKey + ": k"
+	_, _ = io.WriteString(conn, requestText("POST", "/key/", "x", key, "Content-Length: 4")+"body"+
+		requestText("GET", "/safe/", "y"))
 	for range 2 {
 		response, _, err := readResponseFrom(t, in, "GET")
 		if err != nil || response.StatusCode != 429 || response.Header.Get("Retry-After") == "" {
@@ -376,29 +410,30 @@
 		}
 	}
 	if reply := d.operations.Find("t/k", "x"); reply.State != rpc.OperationLost || backend.count() != 0 {
-		t.Fatal("a refused request left something behind")
+		t.Fatal("a rejected request had an effect")
 	}
 }
 
-// Beats may cross: what was told earlier must not undo what was told later.
+// Heartbeats may overtake each other: an earlier update must not undo a later one.
 func TestStaleUpdatesChangeNothing(t *testing.T) {
 	backend := newFakeBackend(t, "i-1", respondOK)
 	d := newTestDaemon(t, backend)
 	endpoint := d.state.backends["i-1"].Endpoint
 	endpoint.Draining = true
-	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 3, Revision: 9, Endpoints: []rpc.EndpointChange{{Endpoint: endpoint}}})
+	changes := []rpc.EndpointChange{{Endpoint: endpoint}}
+	d.state.Apply(0, &rpc.Update{IsLeader: true, Term: 3, Revision: 9, Endpoints: changes})
 	endpoint.Draining = false
 	for _, stale := range []rpc.Update{{Term: 3, Revision: 8}, {Term: 2, Revision: 50, Full: true}} {
 		stale.IsLeader, stale.Endpoints = true, []rpc.EndpointChange{{Endpoint: endpoint}}
 		d.state.Apply(0, &stale)
 		if !d.state.backends["i-1"].Draining {
-			t.Fatalf("news of term %d, epoch %d undid a later one", stale.Term, stale.Revision)
+			t.Fatalf("an update of term %d, revision %d undid a later one", stale.Term, stale.Revision)
 		}
 	}
 }
 
-// A backend that has gone dark after taking a request must not keep a request
-// that may be repeated, nor have one that may not sent again.
+// A backend that does not respond after it took a request must not delay an idempotent request beyond the
+// hedge, and one that is not idempotent must not be sent again.
 func TestHedgingOnlyOfIdempotentRequests(t *testing.T) {
 	gate := make(chan struct{})
 	defer close(gate)
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -20,7 +20,11 @@
 			request := newRequest("GET", route+"x", "a")
 			b.ReportAllocs()
 			for b.Loop() {
-				if response := d.Handle(&message.Request{Method: request.Method, Target: request.Target, Host: request.Host, ID: request.ID, Headers: request.Headers}, "2500"); response.Status != 200 {
+				response := d.Handle(&message.Request{
+					Method: request.Method, Target: request.Target, Host: request.Host, ID: request.ID,
+					Headers: request.Headers,
+				}, "2500")
+				if response.Status != 200 {
 					b.Fatal(response.Status)
 				}
 			}
@@ -29,7 +33,7 @@
 }
 
 // BenchmarkWholeRequest sends requests over one client connection, so that reading, planning, the
-// exchange with the backend and the writing of the answer are all counted.
+// exchange with the backend and writing the response are all counted.
 func BenchmarkWholeRequest(b *testing.B) {
 	for _, route := range []string{"/safe/", "/once/"} {
 		b.Run(route[1:len(route)-1], func(b *testing.B) {
--- a/internal/proxy/selection_bench_test.go
+++ b/internal/proxy/selection_bench_test.go
@@ -16,10 +16,14 @@
 	var rows []rpc.Endpoint
 	for n := range 18 {
 		for _, zone := range []rpc.ZoneName{"here", "there", "beyond"} {
-			rows = append(rows, rpc.Endpoint{ID: rpc.EndpointID(fmt.Sprintf("%s-%d", zone, n)), Service: "s", Address: "x:1", Zone: zone, Slots: 6})
+			id := rpc.EndpointID(fmt.Sprintf("%s-%d", zone, n))
+			rows = append(rows, rpc.Endpoint{ID: id, Service: "s", Address: "x:1", Zone: zone, Slots: 6})
 		}
 	}
-	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 2, Revision: 2, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems, EndpointChunk: &rpc.EndpointChunk{Complete: true, Endpoints: rows}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{
+		IsLeader: true, Term: 2, Revision: 2, Full: true, LogIndex: 1, LastItem: rpc.AfterAllItems,
+		EndpointChunk: &rpc.EndpointChunk{Complete: true, Endpoints: rows},
+	})
 	snapshot := d.state.Snapshot()
 	near := Criteria{Service: "s", TargetLatency: 600 * time.Millisecond, Idempotent: true}
 	far := near
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -32,22 +32,26 @@
 	}
 	for _, bind := range ask.Bindings {
 		f.bindings++
-		standing, known := f.endpoints[bind.Session]
-		if !known || bind.EndedEndpoint != "" && bind.EndedEndpoint == standing {
-			standing = bind.Endpoint
-			f.endpoints[bind.Session] = standing
+		endpoint, known := f.endpoints[bind.Session]
+		if !known || bind.EndedEndpoint != "" && bind.EndedEndpoint == endpoint {
+			endpoint = bind.Endpoint
+			f.endpoints[bind.Session] = endpoint
 		}
-		reply.Results = append(reply.Results, rpc.BindResult{Outcome: rpc.Bound, Endpoint: standing})
+		reply.Results = append(reply.Results, rpc.BindResult{Outcome: rpc.Bound, Endpoint: endpoint})
 	}
 	return nil
 }
 
 // setDocument sets a document at a node.
 func setDocument(d *Daemon, rev uint64, kind policy.Kind, body string) {
-	d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: rpc.Revision(rev), LogIndex: rev, LastItem: rpc.AfterAllItems, Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}}})
+	d.state.Apply(d.clock.Now(), &rpc.Update{
+		IsLeader: true, Term: 1, Revision: rpc.Revision(rev), LogIndex: rev, LastItem: rpc.AfterAllItems,
+		Documents: []policy.Document{{Kind: kind, Version: policy.Version(rev), Body: body, Rev: rev}},
+	})
 }
 
-const affinityByCaller = `{"version":2,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
+const affinityByCaller = `{"version":2,"rules":[
+	{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":100}]}`
 
 func newCallerRequest(method, path, id, caller string) (r *message.Request) {
 	r = newRequest(method, path, id)
@@ -55,7 +59,7 @@
 	return r
 }
 
-// newTestNodes makes nodes with one leader that each see the backends in their own way.
+// newTestNodes makes nodes with one leader, each with a list of backends of its own.
 func newTestNodes(t *testing.T, coordinator *bindingCoordinator, views ...[]*fakeBackend) (nodes []*Daemon) {
 	t.Helper()
 	coordinator.script = grantClaim
@@ -75,8 +79,8 @@
 	return nodes
 }
 
-// Two nodes with different views of the backends and of the members keep each
-// caller on one backend, and a backend that ends moves only its own sessions.
+// Two nodes with different lists of backends and of nodes keep each caller on one backend, and a backend
+// that is removed moves only its own sessions.
 func TestASessionStaysOnItsBackendAtEveryNode(t *testing.T) {
 	var backends []*fakeBackend
 	for i := 1; i <= 4; i++ {
@@ -84,7 +88,10 @@
 	}
 	coordinator := &bindingCoordinator{}
 	nodes := newTestNodes(t, coordinator, backends, []*fakeBackend{backends[3], backends[2], backends[1], backends[0]})
-	nodes[1].state.Apply(nodes[1].clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 3, LogIndex: 2, LastItem: rpc.AfterAllItems, Nodes: []rpc.NodeChange{{Node: rpc.Node{ID: "edge-9", Zone: "here", Ready: true}}}})
+	nodes[1].state.Apply(nodes[1].clock.Now(), &rpc.Update{
+		IsLeader: true, Term: 1, Revision: 3, LogIndex: 2, LastItem: rpc.AfterAllItems,
+		Nodes: []rpc.NodeChange{{Node: rpc.Node{ID: "edge-9", Zone: "here", Ready: true}}},
+	})
 	backendOf := map[string]string{}
 	run := 0
 	send := func(caller string, n int) (status int, server string) {
@@ -120,17 +127,22 @@
 	if coordinator.bindings > 2*12 {
 		t.Errorf("%d asks for 12 sessions at two nodes", coordinator.bindings)
 	}
-	// One leaves: its sessions move, once, and the others stay.
+	// One is removed: its sessions move, once, and the others stay.
 	removed := backendOf["caller-0"]
 	for _, d := range nodes {
-		d.state.Apply(d.clock.Now(), &rpc.Update{IsLeader: true, Term: 1, Revision: 4, LogIndex: 2, LastItem: rpc.AfterAllItems, Endpoints: []rpc.EndpointChange{{Endpoint: rpc.Endpoint{ID: rpc.EndpointID(removed), Service: "s"}, Removed: true}}})
+		endpoint := rpc.Endpoint{ID: rpc.EndpointID(removed), Service: "s"}
+		d.state.Apply(d.clock.Now(), &rpc.Update{
+			IsLeader: true, Term: 1, Revision: 4, LogIndex: 2, LastItem: rpc.AfterAllItems,
+			Endpoints: []rpc.EndpointChange{{Endpoint: endpoint, Removed: true}},
+		})
 	}
 	for step := 0; step < 4; step++ {
 		for c := 0; c < 12; c++ {
 			caller := fmt.Sprint("caller-", c)
 			status, server := send(caller, (step+c)%2)
 			if status != 200 || server == removed || backendOf[caller] != removed && backendOf[caller] != server {
-				t.Fatalf("step %d of %s: %d on %q, it was on %q, %q ended", step, caller, status, server, backendOf[caller], removed)
+				t.Fatalf("step %d of %s: %d on %q, it was on %q, %q was removed",
+					step, caller, status, server, backendOf[caller], removed)
 			}
 			backendOf[caller] = server
 		}
@@ -152,7 +164,7 @@
 		}
 	}
 	if retryAfter == "" {
-		t.Fatal("the refusal does not say when to come back")
+		t.Fatal("the rejection does not say when to retry")
 	}
 	keyed := newCallerRequest("POST", "/key/x", "b", "anna")
 	keyed.Headers = append(keyed.Headers, message.HeaderField{message.HeaderOperationKey, "k"})
@@ -160,23 +172,24 @@
 		t.Fatalf("keyed: %d, %d runs", response.Status, backend.count())
 	}
 	if state := d.operations.Find("k", "b").State; state != rpc.OperationReleased {
-		t.Fatalf("the key of an operation that was not sent stands at %d", state)
+		t.Fatalf("the key of an operation that was not sent is in state %d", state)
 	}
-	setDocument(d, 3, policy.SessionAffinity, `{"version":3,"rules":[{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
+	setDocument(d, 3, policy.SessionAffinity, `{"version":3,"rules":[
+		{"service":"s","from":"header","name":"X-Caller","idle":"1m","alone":"serve","most":100}]}`)
 	if response = d.Handle(newCallerRequest("GET", "/safe/x", "c", "anna"), "2500"); response.Status != 200 {
-		t.Fatalf("under \"serve\" what may be repeated gets %d", response.Status)
+		t.Fatalf("under \"serve\" an idempotent request gets %d", response.Status)
 	}
 	if response = d.Handle(newCallerRequest("POST", "/once/x", "d", "anna"), "2500"); response.Status != 503 {
-		t.Fatalf("under \"serve\" what may run once gets %d", response.Status)
+		t.Fatalf("under \"serve\" one that is not idempotent gets %d", response.Status)
 	}
 	r := newCallerRequest("GET", "/safe/x", "e", "anna")
 	r.Headers = append(r.Headers, message.HeaderField{"X-Caller", "ben"})
 	if response = d.Handle(r, "2500"); response.Status != 200 || d.state.Policies.Sessions.Status().Repeated != 1 {
-		t.Fatalf("a name that is there twice: %d, %+v", response.Status, d.state.Policies.Sessions.Status())
+		t.Fatalf("a session header that occurs twice: %d, %+v", response.Status, d.state.Policies.Sessions.Status())
 	}
 }
 
-// A backend that turns a session's request away is asked again, and no other.
+// A session's request that its backend rejects is retried there, and at no other backend.
 func TestABusyBackendKeepsItsSessions(t *testing.T) {
 	busy := newFakeBackend(t, "i-1", func(n int, r receivedRequest, conn net.Conn) bool {
 		text := responseText(200, r.ID, "body of "+r.ID)
@@ -204,8 +217,8 @@
 	}
 }
 
-// Under a written limit of nothing, what fails is not sent again; the limit can
-// only tighten the deployment's own.
+// Under an operator's limit of zero a failed request is not retried; the limit can only tighten the one of
+// the deployment.
 func TestOperatorsRetryLimitBoundsTheBudget(t *testing.T) {
 	failing := func(_ int, r receivedRequest, conn net.Conn) bool {
 		_, err := io.WriteString(conn, responseText(500, r.ID, "no"))
@@ -232,10 +245,12 @@
 	if free := arrivals(""); free < 20 {
 		t.Fatalf("without a limit %d arrivals of 10 requests that fail", free)
 	}
-	if none := arrivals(`{"version":2,"rules":[{"service":"s","ratio":0,"least_per_s":0,"window":"10s"}]}`); none != 10 {
+	none := arrivals(`{"version":2,"rules":[{"service":"s","ratio":0,"least_per_s":0,"window":"10s"}]}`)
+	if none != 10 {
 		t.Fatalf("under a limit of none %d arrivals of 10 requests", none)
 	}
-	if some := arrivals(`{"version":2,"rules":[{"service":"*","ratio":0.2,"least_per_s":0,"window":"10s"}]}`); some < 11 || some > 12 {
+	some := arrivals(`{"version":2,"rules":[{"service":"*","ratio":0.2,"least_per_s":0,"window":"10s"}]}`)
+	if some < 11 || some > 12 {
 		t.Fatalf("under a limit of a fifth %d arrivals of 10 requests", some)
 	}
 }
