--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -59,6 +59,8 @@
 func (h *Handler) Coordinator() (coordinator *Coordinator) { return h.coordinator.Load() }
 
 // Beat answers a heartbeat.
+//
+//words:frozen nodes call the method by this name
 func (h *Handler) Beat(request rpc.HeartbeatRequest, update *rpc.Update) (err error) {
 	if coordinator := h.coordinator.Load(); coordinator != nil {
 		if err = coordinator.Heartbeat(request, update); err != nil {
@@ -135,7 +137,8 @@
 	commands = make([]statemachine.Command, 0, len(request.Releases)+len(request.Claims))
 	add := func(kind statemachine.CommandKind, claim rpc.KeyClaim) {
 		commands = append(commands, statemachine.Command{Kind: kind, Claim: statemachine.Claim{
-			Key: claim.Key, Request: claim.Request, Holder: string(request.Holder), Incarnation: uint64(request.Incarnation),
+			Key: claim.Key, Request: claim.Request,
+			Holder: string(request.Holder), Incarnation: uint64(request.Incarnation),
 		}})
 	}
 	for _, release := range request.Releases {
--- a/internal/coordinator/handler_test.go
+++ b/internal/coordinator/handler_test.go
@@ -21,7 +21,7 @@
 	return term == 7 && !f.lost.Load()
 }
 
-// A handler out of contact says of nothing that it is the leader's word.
+// A handler out of contact answers no call as the leader.
 func TestHandlerOutOfContactDoesNotLead(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		leadership := &fakeLeadership{}
@@ -31,28 +31,61 @@
 		c.node, c.endpoints.Complete = &raft.Node{}, true
 		handler.SetCoordinator(c)
 
-		var update rpc.Update
-		request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Ready: true}, KnownState: rpc.KnownState{LastItem: rpc.AfterAllItems}}
-		if err := handler.Beat(request, &update); err != nil || update.IsLeader == lost || lost && (update.Term != 0 || update.ShardMap != nil || len(update.Leases) > 0 || len(update.Nodes) > 0) {
-			t.Errorf("lost %v: news %+v, %v", lost, update, err)
-		}
-		var lead rpc.LeaderResponse
-		if err := handler.Lead(rpc.LeaderRequest{}, &lead); err != nil || lead.IsLeader == lost || lost && lead.Term != 0 {
-			t.Errorf("lost %v: lead %+v, %v", lost, lead, err)
-		}
-		var report rpc.HealthReportResponse
-		if err := handler.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true}, &report); err != nil || report.IsLeader == lost || lost && report.Accepted {
-			t.Errorf("lost %v: report %+v, %v", lost, report, err)
-		}
-		var bind rpc.BindResponse
-		if err := handler.Bind(rpc.BindRequest{Bindings: []rpc.SessionBinding{{Session: "x"}}}, &bind); err != nil || bind.IsLeader == lost || lost && len(bind.Results) > 0 {
-			t.Errorf("lost %v: bind %+v, %v", lost, bind, err)
-		}
-		// A claim that is not taken is a clear no: it is in no log.
-		var claim rpc.ClaimResponse
-		if err := handler.Claim(rpc.ClaimRequest{Holder: "e", Claims: []rpc.KeyClaim{{Key: "k", Request: "r"}}}, &claim); err != nil || claim.IsLeader == lost || lost && len(claim.Results) > 0 {
-			t.Errorf("lost %v: claim %+v, %v", lost, claim, err)
-		}
+		checkHeartbeatAnswer(t, handler, lost)
+		checkLeadAnswer(t, handler, lost)
+		checkReportAnswer(t, handler, lost)
+		checkBindAnswer(t, handler, lost)
+		checkClaimAnswer(t, handler, lost)
+	}
+}
+
+func checkHeartbeatAnswer(t *testing.T, handler *Handler, lost bool) {
+	t.Helper()
+	var update rpc.Update
+	request := rpc.HeartbeatRequest{
+		Node: rpc.Node{ID: "e", Ready: true}, KnownState: rpc.KnownState{LastItem: rpc.AfterAllItems},
+	}
+	err := handler.Beat(request, &update)
+	leads := update.Term != 0 || update.ShardMap != nil || len(update.Leases) > 0 || len(update.Nodes) > 0
+	if err != nil || update.IsLeader == lost || lost && leads {
+		t.Errorf("lost %v: update %+v, %v", lost, update, err)
+	}
+}
+
+func checkLeadAnswer(t *testing.T, handler *Handler, lost bool) {
+	t.Helper()
+	var lead rpc.LeaderResponse
+	err := handler.Lead(rpc.LeaderRequest{}, &lead)
+	if err != nil || lead.IsLeader == lost || lost && lead.Term != 0 {
+		t.Errorf("lost %v: lead %+v, %v", lost, lead, err)
+	}
+}
+
+func checkReportAnswer(t *testing.T, handler *Handler, lost bool) {
+	t.Helper()
+	var report rpc.HealthReportResponse
+	err := handler.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true}, &report)
+	if err != nil || report.IsLeader == lost || lost && report.Accepted {
+		t.Errorf("lost %v: report %+v, %v", lost, report, err)
+	}
+}
+
+func checkBindAnswer(t *testing.T, handler *Handler, lost bool) {
+	t.Helper()
+	var bind rpc.BindResponse
+	err := handler.Bind(rpc.BindRequest{Bindings: []rpc.SessionBinding{{Session: "x"}}}, &bind)
+	if err != nil || bind.IsLeader == lost || lost && len(bind.Results) > 0 {
+		t.Errorf("lost %v: bind %+v, %v", lost, bind, err)
+	}
+}
+
+// A claim that is not taken is a clear no: it is in no log.
+func checkClaimAnswer(t *testing.T, handler *Handler, lost bool) {
+	t.Helper()
+	var claim rpc.ClaimResponse
+	err := handler.Claim(rpc.ClaimRequest{Holder: "e", Claims: []rpc.KeyClaim{{Key: "k", Request: "r"}}}, &claim)
+	if err != nil || claim.IsLeader == lost || lost && len(claim.Results) > 0 {
+		t.Errorf("lost %v: claim %+v, %v", lost, claim, err)
 	}
 }
 
@@ -64,7 +97,8 @@
 	c.node, c.endpoints.Complete = &raft.Node{}, true
 	handler.SetCoordinator(c)
 	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", InternalAddress: "e:1", Ready: true}, MaxWait: time.Minute}
-	request.Term, request.Revision, request.LastItem, request.EndpointsComplete = 7, c.revisions.Current()+8, rpc.AfterAllItems, true
+	request.Term, request.Revision = 7, c.revisions.Current()+8
+	request.LastItem, request.EndpointsComplete = rpc.AfterAllItems, true
 	done := make(chan rpc.Update)
 	go func() {
 		var update rpc.Update
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -209,7 +209,8 @@
 			eventlog.KeySession, string(bind.Session), eventlog.KeyService, string(bind.Service),
 			eventlog.KeyFrom, string(bind.EndedEndpoint), eventlog.KeyTo, string(binding.Endpoint),
 			eventlog.KeyReason, reason)
-		c.history.Record(history.Session, string(bind.Session), "moved", string(binding.Endpoint), binding.Sequence, false)
+		c.history.Record(
+			history.Session, string(bind.Session), "moved", string(binding.Endpoint), binding.Sequence, false)
 	}
 	return rpc.BindResult{Outcome: rpc.Bound, Endpoint: binding.Endpoint}
 }
--- a/internal/coordinator/shardmap_test.go
+++ b/internal/coordinator/shardmap_test.go
@@ -34,11 +34,14 @@
 			c.nodes.addShardMap(known, &update)
 			if update.ShardMap != nil {
 				at.m = *update.ShardMap
-			} else if delta := update.ShardMapDelta; delta != nil && delta.BaseRevision <= at.m.Revision && delta.Revision > at.m.Revision {
+			} else if delta := update.ShardMapDelta; delta != nil && delta.BaseRevision <= at.m.Revision &&
+				delta.Revision > at.m.Revision {
 				at.m = at.m.Apply(*delta)
 			}
 			at.seen.ShardMapRevision = at.m.Revision
-			if len(c.nodes.shardMap.Members)+len(at.m.Members) > 0 && !reflect.DeepEqual(at.m.Members, c.nodes.shardMap.Members) || at.m.Revision != c.nodes.shardMap.Revision {
+			if len(c.nodes.shardMap.Members)+len(at.m.Members) > 0 &&
+				!reflect.DeepEqual(at.m.Members, c.nodes.shardMap.Members) ||
+				at.m.Revision != c.nodes.shardMap.Revision {
 				t.Fatalf("step %d: sent %v, it is %v", step, at.m, c.nodes.shardMap)
 			}
 			if rng.Intn(2) == 0 {
@@ -52,13 +55,18 @@
 func TestManyNodesAreSentCompressed(t *testing.T) {
 	c := newTestCoordinator()
 	for n := 0; n < 300; n++ {
-		c.nodes.registry.Heartbeat(0, rpc.Node{ID: rpc.NodeID(fmt.Sprintf("edge-somewhere-%d", n)), Zone: "somewhere", Region: "there", FrontendAddress: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250), InternalAddress: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250), Ready: true})
+		c.nodes.registry.Heartbeat(0, rpc.Node{
+			ID: rpc.NodeID(fmt.Sprintf("edge-somewhere-%d", n)), Zone: "somewhere", Region: "there", Ready: true,
+			FrontendAddress: fmt.Sprintf("10.1.%d.%d:8161", n/250, n%250),
+			InternalAddress: fmt.Sprintf("10.1.%d.%d:7721", n/250, n%250),
+		})
 	}
 	var update, again rpc.Update
 	c.addNodes(0, &update)
 	c.addNodes(0, &again)
 	rows, err := rpc.Decompress[rpc.NodeChange](update.CompressedNodes)
-	if err != nil || len(rows) != 300 || len(update.Nodes) != 0 || &again.CompressedNodes[0] != &update.CompressedNodes[0] {
+	if err != nil || len(rows) != 300 || len(update.Nodes) != 0 ||
+		&again.CompressedNodes[0] != &update.CompressedNodes[0] {
 		t.Fatal(len(rows), err)
 	}
 	if each := len(update.CompressedNodes) / 300; each > 40 {
@@ -70,7 +78,9 @@
 // noticed, and short lists are read as often as ever.
 func TestLongListsAreReadLessOften(t *testing.T) {
 	pause := 45 * time.Millisecond
-	for pages, want := range map[int]time.Duration{1: 700 * time.Millisecond, 7: 700 * time.Millisecond, 12: 1080 * time.Millisecond} {
+	for pages, want := range map[int]time.Duration{
+		1: 700 * time.Millisecond, 7: 700 * time.Millisecond, 12: 1080 * time.Millisecond,
+	} {
 		if got := listInterval(700*time.Millisecond, pause, pages); got != want {
 			t.Errorf("%d pages are read every %s", pages, got)
 		}
@@ -88,7 +98,10 @@
 	for _, complete := range []bool{false, true} {
 		c.mergeEndpoints(walk, complete)
 	}
-	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e"}, KnownState: rpc.KnownState{Term: 6, LastItem: rpc.AfterAllItems, LastEndpoint: "i-100"}}
+	request := rpc.HeartbeatRequest{
+		Node:       rpc.Node{ID: "e"},
+		KnownState: rpc.KnownState{Term: 6, LastItem: rpc.AfterAllItems, LastEndpoint: "i-100"},
+	}
 	if from := c.nextEndpointPage(c.now(), request).After; from != "" {
 		t.Errorf("another leader's node is sent what follows %s", from)
 	}
--- a/internal/coordinator/update_test.go
+++ b/internal/coordinator/update_test.go
@@ -16,8 +16,8 @@
 	"tinpin/internal/statemachine"
 )
 
-// newTestCoordinator is a coordinator of term 7 without loops: what it is told in
-// the test is all there is.
+// newTestCoordinator is a coordinator of term 7 without loops: it knows only
+// what the test gives it.
 func newTestCoordinator() (c *Coordinator) {
 	c = newCoordinator(settings.Settings{}, eventlog.Discard(), 7)
 	c.history = history.New(eventlog.Discard())
@@ -27,6 +27,25 @@
 	return c
 }
 
+// nextPart gives the update with the next part of the list, decompressed.
+func nextPart(t *testing.T, c *Coordinator, request rpc.HeartbeatRequest, parts int) (update rpc.Update) {
+	t.Helper()
+	if !c.updateDue(request) || parts > 3 {
+		t.Fatalf("after %d parts: due %v", parts, c.updateDue(request))
+	}
+	c.fillUpdate(request, &update)
+	if update.EndpointChunk == nil {
+		t.Fatalf("part %d is missing", parts)
+	}
+	// A page is made once for all nodes that are as far, so it is decompressed in a copy.
+	part := *update.EndpointChunk
+	if err := part.Decompress(); err != nil || len(part.Endpoints) > pageRows {
+		t.Fatalf("part %d has %d rows: %v", parts, len(part.Endpoints), err)
+	}
+	update.EndpointChunk = &part
+	return update
+}
+
 // A node that finds a new leader before its list is complete must get all of the
 // list once it is, in pages that a narrow link can take, and beside them what
 // changes meanwhile.
@@ -36,7 +55,8 @@
 		return rpc.Endpoint{ID: rpc.EndpointID(id), Service: "s", Address: "x:1"}
 	}
 	c.mergeEndpoints([]rpc.Endpoint{endpoint("a"), endpoint("b")}, false)
-	if c.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true, States: []rpc.EndpointState{{Endpoint: "a", Health: rpc.Healthy}}}) {
+	healthy := []rpc.EndpointState{{Endpoint: "a", Health: rpc.Healthy}}
+	if c.Report(rpc.HealthReport{Node: "e", Service: "s", Full: true, States: healthy}) {
 		t.Fatal("a report was taken before the list is complete, and would not be sent again")
 	}
 	request := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Ready: true}}
@@ -56,27 +76,15 @@
 	known := map[rpc.EndpointID]bool{}
 	request.Term, request.Revision = first.Term, first.Revision
 	for parts := 0; !request.EndpointsComplete; parts++ {
-		if !c.updateDue(request) || parts > 3 {
-			t.Fatalf("after %d parts: due %v", parts, c.updateDue(request))
-		}
-		var update rpc.Update
-		c.fillUpdate(request, &update)
-		if update.EndpointChunk == nil {
-			t.Fatalf("part %d is missing", parts)
-		}
-		// A page is made once for all nodes that are as far, so it is unpacked in a copy.
-		part := *update.EndpointChunk
-		if err := part.Decompress(); err != nil || len(part.Endpoints) > pageRows {
-			t.Fatalf("part %d has %d rows: %v", parts, len(part.Endpoints), err)
-		}
-		update.EndpointChunk = &part
+		update := nextPart(t, c, request, parts)
 		for _, row := range update.EndpointChunk.Endpoints {
 			known[row.ID] = true
 		}
 		for _, row := range update.Endpoints {
 			known[row.ID] = !row.Removed
 		}
-		request.Revision, request.LastEndpoint, request.EndpointsComplete = update.Revision, update.EndpointChunk.Last, update.EndpointChunk.Complete
+		request.Revision = update.Revision
+		request.LastEndpoint, request.EndpointsComplete = update.EndpointChunk.Last, update.EndpointChunk.Complete
 		if parts == 0 {
 			// One more that sorts before what was sent, and one that goes.
 			c.mergeEndpoints([]rpc.Endpoint{endpoint("aa")}, false)
@@ -102,7 +110,9 @@
 	for i := range rows {
 		rows[i] = fmt.Sprintf(`["r-%d","h.example","/p%d/","idempotent","1s","s",%d]`, i, i, i+1)
 	}
-	call := `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["s",1]]},"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","service_name","version"],"row_values":[` + strings.Join(rows, ",") + `]}}}`
+	call := `{"upserts":{"services":{"column_names":["name","version"],"row_values":[["s",1]]},` +
+		`"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","service_name","version"],` +
+		`"row_values":[` + strings.Join(rows, ",") + `]}}}`
 	if err := items.Apply([]byte(call), 5); err != nil {
 		t.Fatal(err)
 	}
@@ -117,14 +127,7 @@
 		var update rpc.Update
 		c.addItems(state, position, &update)
 		size := 0
-		items := update.Items
-		if update.CompressedItems != nil {
-			var err error
-			if items, err = rpc.DecompressItems(update.CompressedItems); err != nil {
-				t.Fatal(err)
-			}
-		}
-		for _, item := range items {
+		for _, item := range itemsOf(t, update) {
 			if known[item.Path()] {
 				t.Fatalf("%s is sent twice", item.Path())
 			}
@@ -147,13 +150,27 @@
 	}
 }
 
+// itemsOf gives the items of an update, decompressed where they are compressed.
+func itemsOf(t *testing.T, update rpc.Update) (items []config.Item) {
+	t.Helper()
+	if update.CompressedItems == nil {
+		return update.Items
+	}
+	items, err := rpc.DecompressItems(update.CompressedItems)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return items
+}
+
 // Before anything was configured there is nothing to send, and sending it must
 // not end the leader.
 func TestEmptyConfigurationSendsNoItems(t *testing.T) {
 	c := newTestCoordinator()
 	var update rpc.Update
 	c.addItems(statemachine.NewState(), rpc.KnownState{}, &update)
-	if update.LogIndex != 0 || update.LastItem != rpc.AfterAllItems || len(update.Items) != 0 || update.CompressedItems != nil {
+	if update.LogIndex != 0 || update.LastItem != rpc.AfterAllItems || len(update.Items) != 0 ||
+		update.CompressedItems != nil {
 		t.Fatalf("%+v", update)
 	}
 }
--- a/internal/coordinator/validate_test.go
+++ b/internal/coordinator/validate_test.go
@@ -13,17 +13,19 @@
 
 var longName = strings.Repeat("x", 300)
 
-func TestMalformedHeartbeatsAreRejectedAndChangeNothing(t *testing.T) {
-	good := rpc.HeartbeatRequest{Node: rpc.Node{ID: "e", Zone: "z", Ready: true}, KnownState: rpc.KnownState{Term: 7, LastItem: rpc.AfterAllItems, EndpointsComplete: true}}
-	for name, spoil := range map[string]func(request *rpc.HeartbeatRequest){
-		"no name":         func(request *rpc.HeartbeatRequest) { request.ID = "" },
-		"long name":       func(request *rpc.HeartbeatRequest) { request.ID = rpc.NodeID(longName) },
-		"long address":    func(request *rpc.HeartbeatRequest) { request.FrontendAddress = longName },
-		"negative hold":   func(request *rpc.HeartbeatRequest) { request.MaxWait = -time.Second },
-		"endless hold":    func(request *rpc.HeartbeatRequest) { request.MaxWait = time.Hour },
-		"negative nodes":  func(request *rpc.HeartbeatRequest) { request.KnownNodes = -1 },
-		"absurd nodes":    func(request *rpc.HeartbeatRequest) { request.KnownNodes = math.MaxInt },
-		"negative demand": func(request *rpc.HeartbeatRequest) { request.TenantDemands = []rpc.RateDemand{{Name: "t", Rate: -1}} },
+// malformedHeartbeats are, by what is wrong, changes that make a good heartbeat invalid.
+func malformedHeartbeats() (corruptions map[string]func(request *rpc.HeartbeatRequest)) {
+	return map[string]func(request *rpc.HeartbeatRequest){
+		"no name":        func(request *rpc.HeartbeatRequest) { request.ID = "" },
+		"long name":      func(request *rpc.HeartbeatRequest) { request.ID = rpc.NodeID(longName) },
+		"long address":   func(request *rpc.HeartbeatRequest) { request.FrontendAddress = longName },
+		"negative hold":  func(request *rpc.HeartbeatRequest) { request.MaxWait = -time.Second },
+		"endless hold":   func(request *rpc.HeartbeatRequest) { request.MaxWait = time.Hour },
+		"negative nodes": func(request *rpc.HeartbeatRequest) { request.KnownNodes = -1 },
+		"absurd nodes":   func(request *rpc.HeartbeatRequest) { request.KnownNodes = math.MaxInt },
+		"negative demand": func(request *rpc.HeartbeatRequest) {
+			request.TenantDemands = []rpc.RateDemand{{Name: "t", Rate: -1}}
+		},
 		"no number": func(request *rpc.HeartbeatRequest) {
 			request.TenantDemands = []rpc.RateDemand{{Name: "t", Rate: math.NaN()}}
 		},
@@ -36,27 +38,47 @@
 		"negative floor": func(request *rpc.HeartbeatRequest) {
 			request.RetryDemands = []rpc.RateDemand{{Name: "s", Minimum: -0.1}}
 		},
-		"absurd retries": func(request *rpc.HeartbeatRequest) { request.RetryDemands = []rpc.RateDemand{{Name: "s", Rate: 1e12}} },
-		"negative load":  func(request *rpc.HeartbeatRequest) { request.Loads = []rpc.Load{{Service: "s", InFlight: -5}} },
-		"absurd load":    func(request *rpc.HeartbeatRequest) { request.Loads = []rpc.Load{{Service: "s", InFlight: math.MaxInt}} },
+		"absurd retries": func(request *rpc.HeartbeatRequest) {
+			request.RetryDemands = []rpc.RateDemand{{Name: "s", Rate: 1e12}}
+		},
+		"negative load": func(request *rpc.HeartbeatRequest) {
+			request.Loads = []rpc.Load{{Service: "s", InFlight: -5}}
+		},
+		"absurd load": func(request *rpc.HeartbeatRequest) {
+			request.Loads = []rpc.Load{{Service: "s", InFlight: math.MaxInt}}
+		},
 		"absurd outcomes": func(request *rpc.HeartbeatRequest) {
 			request.Outcomes = []rpc.OutcomeCount{{Service: "s", Failed: math.MaxUint32}}
 		},
 		"long service": func(request *rpc.HeartbeatRequest) {
 			request.Outcomes = []rpc.OutcomeCount{{Service: rpc.ServiceName(longName)}}
 		},
-		"too many demands":   func(request *rpc.HeartbeatRequest) { request.TenantDemands = make([]rpc.RateDemand, maxDemands+1) },
-		"long tenant demand": func(request *rpc.HeartbeatRequest) { request.TenantDemands = []rpc.RateDemand{{Name: longName}} },
-	} {
+		"too many demands": func(request *rpc.HeartbeatRequest) {
+			request.TenantDemands = make([]rpc.RateDemand, maxDemands+1)
+		},
+		"long tenant demand": func(request *rpc.HeartbeatRequest) {
+			request.TenantDemands = []rpc.RateDemand{{Name: longName}}
+		},
+	}
+}
+
+func TestMalformedHeartbeatsAreRejectedAndChangeNothing(t *testing.T) {
+	good := rpc.HeartbeatRequest{
+		Node:       rpc.Node{ID: "e", Zone: "z", Ready: true},
+		KnownState: rpc.KnownState{Term: 7, LastItem: rpc.AfterAllItems, EndpointsComplete: true},
+	}
+	for name, corrupt := range malformedHeartbeats() {
 		c := newTestCoordinator()
 		request := good
-		spoil(&request)
+		corrupt(&request)
 		revision := c.revisions.Current()
 		var update rpc.Update
 		if err := c.Heartbeat(request, &update); !errors.As(err, new(*InvalidCallError)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if c.nodes.registry.Count() != 0 || c.revisions.Current() != revision || len(c.outcomes.pendingByOwner) != 0 || len(c.followers.byNode) != 0 || !reflect.DeepEqual(update, rpc.Update{}) {
+		if c.nodes.registry.Count() != 0 || c.revisions.Current() != revision || len(c.outcomes.pendingByOwner) != 0 ||
+			len(c.followers.byNode) != 0 ||
+			!reflect.DeepEqual(update, rpc.Update{}) {
 			t.Errorf("%s has changed something", name)
 		}
 	}
@@ -69,9 +91,14 @@
 
 func TestMalformedReportsAreRejectedAndChangeNothing(t *testing.T) {
 	report := func() rpc.HealthReport {
-		return rpc.HealthReport{Node: "e", Term: 7, Service: "s", States: []rpc.EndpointState{{Endpoint: "a", Health: rpc.Healthy}}}
+		return rpc.HealthReport{
+			Node:    "e",
+			Term:    7,
+			Service: "s",
+			States:  []rpc.EndpointState{{Endpoint: "a", Health: rpc.Healthy}},
+		}
 	}
-	for name, spoil := range map[string]func(request *rpc.HealthReport){
+	for name, corrupt := range map[string]func(request *rpc.HealthReport){
 		"no name":            func(request *rpc.HealthReport) { request.Node = "" },
 		"later term":         func(request *rpc.HealthReport) { request.Term = 8 },
 		"map never sent":     func(request *rpc.HealthReport) { request.ShardMapRevision = 99 },
@@ -86,7 +113,7 @@
 			c.mergeEndpoints([]rpc.Endpoint{{ID: "a", Service: "s", Address: "x:1"}}, complete)
 		}
 		request := report()
-		spoil(&request)
+		corrupt(&request)
 		revision := c.revisions.Current()
 		if c.Report(request) || c.revisions.Current() != revision {
 			t.Errorf("%s was taken", name)
