--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -18,6 +18,7 @@
 	"tinpin/internal/httpapi"
 	"tinpin/internal/policy"
 	"tinpin/internal/raft"
+	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
 
@@ -30,12 +31,16 @@
 // the test's own.
 func startSingle(t *testing.T) (c *Controller, leadership *fakeLeadership) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprint(w, `{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","0ms","one",3]]},"next_page_token":null}`)
+		fmt.Fprint(w, `{"instances":{"column_names":["service_name","address","zone","state","cold_remaining",`+
+			`"instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","0ms","one",3]]},`+
+			`"next_page_token":null}`)
 	}))
 	t.Cleanup(platform.Close)
 	p := settings.Settings{
-		Name: "core", Address: "127.0.0.1", ControlAddress: "127.0.0.1:1", InternalPortLow: 2, Seeds: []string{"127.0.0.1:1"}, DataDirectory: t.TempDir(), FirstStart: true,
-		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000, EndpointListInterval: time.Second, HealthCheckInterval: time.Second, SendInterval: time.Second,
+		Name: "core", Address: "127.0.0.1", ControlAddress: "127.0.0.1:1", InternalPortLow: 2,
+		Seeds: []string{"127.0.0.1:1"}, DataDirectory: t.TempDir(), FirstStart: true,
+		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000,
+		EndpointListInterval: time.Second, HealthCheckInterval: time.Second, SendInterval: time.Second,
 	}
 	node, err := raft.OpenNode(p, eventlog.Discard())
 	if err != nil {
@@ -43,7 +48,13 @@
 	}
 	leadership = &fakeLeadership{}
 	// Calls get an outcome however slow this machine is.
-	c = &Controller{settings: p, log: eventlog.Discard(), node: node, proposalTimeout: time.Minute, nodeCalls: coordinator.NewHandler(node, leadership)}
+	c = &Controller{
+		settings:        p,
+		log:             eventlog.Discard(),
+		node:            node,
+		proposalTimeout: time.Minute,
+		nodeCalls:       coordinator.NewHandler(node, leadership),
+	}
 	led := make(chan bool, 1)
 	node.OnLeadership = func(leads bool, term raft.Term) {
 		if !leads {
@@ -83,23 +94,29 @@
 		return func() error { return c.setDocument(none, policy.DrainPolicy, []byte(body), check) }
 	}
 	drainPolicy := func(version int) string {
-		return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version)
+		return fmt.Sprintf(`{"version":%d,"rules":[{"service":"*","notice":"1s","finish":"10s","keyed":"deadline",`+
+			`"least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version)
 	}
 	if err := set(drainPolicy(4), false)(); err != nil {
 		t.Fatal(err)
 	}
+	retire := func(id rpc.EndpointID) func() error {
+		return func() error { _, err := c.retireBackend(none, id, false, ""); return err }
+	}
+	show := func() error { _, err := c.showDocument(none, policy.DrainPolicy); return err }
+	const rejected = apierror.RequestRejected
 	for name, call := range map[string]struct {
 		do   func() error
 		with apierror.Kind
 	}{
 		"describe":        {func() error { _, err := c.describeConfig(none); return err }, apierror.None},
-		"show":            {func() error { _, err := c.showDocument(none, policy.DrainPolicy); return err }, apierror.None},
+		"show":            {show, apierror.None},
 		"a good check":    {set(drainPolicy(9), true), apierror.None},
 		"an old version":  {set(drainPolicy(3), false), apierror.RequestRejected},
 		"no document":     {set(`{}`, false), apierror.RequestRejected},
-		"a bad check":     {set(`{}`, true), apierror.RequestRejected},
-		"the last of all": {func() error { _, err := c.retireBackend(none, "one", false, ""); return err }, apierror.RequestRejected},
-		"an unknown one":  {func() error { _, err := c.retireBackend(none, "two", false, ""); return err }, apierror.RequestRejected},
+		"a bad check":     {set(`{}`, true), rejected},
+		"the last of all": {retire("one"), rejected},
+		"an unknown one":  {retire("two"), rejected},
 	} {
 		for lost, want := range map[bool]apierror.Kind{false: call.with, true: apierror.OutcomeUnknown} {
 			leadership.lost.Store(lost)
--- a/internal/controller/documents_test.go
+++ b/internal/controller/documents_test.go
@@ -66,7 +66,12 @@
 		kind     apierror.Kind
 		conflict bool
 		status   int
-	}{{apierror.InvalidConfig, false, 400}, {apierror.RequestRejected, false, 422}, {apierror.InvalidConfig, true, 409}, {apierror.RequestRejected, true, 409}} {
+	}{
+		{apierror.InvalidConfig, false, 400},
+		{apierror.RequestRejected, false, 422},
+		{apierror.InvalidConfig, true, 409},
+		{apierror.RequestRejected, true, 409},
+	} {
 		err := errors.New("no")
 		if c.conflict {
 			err = dedup.ErrConflict.New("no")
@@ -81,7 +86,8 @@
 	c, _ := startSingle(t)
 	none := context.Background()
 	drainPolicy := func(version int, notice string) []byte {
-		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline","least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
+		return fmt.Appendf(nil, `{"version":%d,"rules":[{"service":"*","notice":%q,"finish":"10s","keyed":"deadline",`+
+			`"least_share":0.5}],"lost_touch":"3s","cut_off":"stop"}`, version, notice)
 	}
 	set := func(version int, notice string) func() error {
 		return func() error { return c.setDocument(none, policy.DrainPolicy, drainPolicy(version, notice), false) }
@@ -92,7 +98,8 @@
 	update := func(body string) func() error {
 		return func() error { return c.updateConfig(none, []byte(body)) }
 	}
-	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],"row_values":[["pay",%s,4]]}}}`
+	services := `{"upserts":{"services":{"column_names":["name","max_connections","version"],` +
+		`"row_values":[["pay",%s,4]]}}}`
 	config := func(limit string) func() error { return update(fmt.Sprintf(services, limit)) }
 	for i, step := range []struct {
 		send   func() error
@@ -141,7 +148,10 @@
 		if err := sure(t, retire(id, false)); statusOf(t, err) != 422 {
 			t.Fatalf("%s, never taken: %v", id, err)
 		}
-		if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Subject: string(id), Body: []byte("s"), Claim: statemachine.Claim{Holder: drain.ByOperator}})); err != nil {
+		if err := sure(t, put(c, statemachine.Command{
+			Kind: statemachine.CommandRetire, Subject: string(id), Body: []byte("s"),
+			Claim: statemachine.Claim{Holder: drain.ByOperator},
+		})); err != nil {
 			t.Fatal(err)
 		}
 		if err := sure(t, retire(id, false)); err != nil {
@@ -178,8 +188,15 @@
 		name   string
 		status int
 		active bool
-	}{{true, "a", 200, true}, {false, "b", 200, false}, {true, "a", 200, false}, {true, "b", 409, false}, {true, "", 200, true}} {
-		if status := statusOf(t, sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })); status != step.status {
+	}{
+		{true, "a", 200, true},
+		{false, "b", 200, false},
+		{true, "a", 200, false},
+		{true, "b", 409, false},
+		{true, "", 200, true},
+	} {
+		err := sure(t, func() error { return c.evacuate(none, "zone", step.start, step.name) })
+		if status := statusOf(t, err); status != step.status {
 			t.Errorf("step %d: %d", i, status)
 		}
 		c.node.ReadState(func(state *statemachine.State) {
@@ -188,7 +205,9 @@
 			}
 		})
 	}
-	if err := sure(t, put(c, statemachine.Command{Kind: statemachine.CommandRetire, Subject: "two", Claim: statemachine.Claim{Holder: drain.ByOperator, Key: "r"}})); err != nil {
+	if err := sure(t, put(c, statemachine.Command{
+		Kind: statemachine.CommandRetire, Subject: "two", Claim: statemachine.Claim{Holder: drain.ByOperator, Key: "r"},
+	})); err != nil {
 		t.Fatal(err)
 	}
 	phase := ""
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -38,7 +38,7 @@
 	return &httpapi.Error{Kind: kind, Text: result.Err.Error()}
 }
 
-// reject logs a rejection as the caller is told it.
+// reject logs a rejection with the text that the caller gets.
 func (c *Controller) reject(subject string, answer *httpapi.Error) (err error) {
 	c.log.Emit(eventlog.OperatorRequestRejected, eventlog.KeyKind, subject,
 		eventlog.KeyStatus, answer.Kind.Response().Status, eventlog.KeyReason, answer.Error())
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -60,6 +60,8 @@
 type StatusHandler struct{ controller *Controller }
 
 // Tell gives the status.
+//
+//words:frozen the name of the method on the wire
 func (h *StatusHandler) Tell(_ rpc.StatusRequest, reply *rpc.StatusResponse) (err error) {
 	reply.JSON, err = json.Marshal(h.controller.status())
 	return err
