--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -11,7 +11,7 @@
 	"tinpin/internal/apierror"
 )
 
-// Error is a failed call with what the caller is told of it.
+// Error is a failed call with what the caller is sent.
 type Error struct {
 	Kind apierror.Kind
 	// Text stands in place of the kind's own.
@@ -27,7 +27,7 @@
 	return e.Kind.Response().Text
 }
 
-// errNotServed is that of a call which this daemon has no handler for.
+// errNotServed is that of a call which this program has no handler for.
 var errNotServed = &Error{Kind: apierror.NoRoute, Text: "this daemon does not answer that"}
 
 // asError classifies any error of a handler or of the generated server. Of one
--- a/internal/httpapi/operations.go
+++ b/internal/httpapi/operations.go
@@ -12,7 +12,7 @@
 	"tinpin/internal/rpc"
 )
 
-// Handlers are the calls that a daemon answers; those left nil it does not.
+// Handlers are the calls that a program (controller or node) answers; those left nil it does not.
 type Handlers struct {
 	UpdateConfig   func(ctx context.Context, body []byte) error
 	DescribeConfig func(ctx context.Context) ([]byte, error)
@@ -27,10 +27,12 @@
 	ShowDocument     func(ctx context.Context, kind policy.Kind) ([]byte, error)
 	// RetireBackend retires a backend or, with restore, takes that back. It gives
 	// the phase reached; requestName may be empty.
-	RetireBackend func(ctx context.Context, backend rpc.EndpointID, restore bool, requestName string) (phase string, err error)
+	RetireBackend func(
+		ctx context.Context, backend rpc.EndpointID, restore bool, requestName string,
+	) (phase string, err error)
 }
 
-// api implements the generated server's interface with a daemon's handlers. The
+// api implements the generated server's interface with a program's handlers. The
 // names of its methods are those of the operations in the API's description.
 type api struct{ handlers Handlers }
 
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -70,9 +70,10 @@
 	if err != nil {
 		return nil, err
 	}
-	server = &http.Server{
-		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+	answering := &http.Server{
+		Handler: handler, MaxHeaderBytes: maxHeaderBytes,
+		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 	}
-	go func() { _ = server.Serve(listener) }()
-	return server, nil
+	go func() { _ = answering.Serve(listener) }()
+	return answering, nil
 }
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -17,6 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	typed := &Error{Kind: apierror.InvalidConfig, Text: "no such field"}
+	redirect := &Error{Kind: apierror.NotLeader, Location: "http://x"}
 	for name, c := range map[string]struct {
 		path, body string
 		failure    error
@@ -24,8 +26,8 @@
 		text       string
 	}{
 		"acknowledged": {"/-/Config.Update", "{}", nil, 200, "acknowledged"},
-		"typed":        {"/-/Config.Update", "{}", &Error{Kind: apierror.InvalidConfig, Text: "no such field"}, 400, "no such field"},
-		"redirect":     {"/-/Config.Update", "{}", &Error{Kind: apierror.NotLeader, Location: "http://x"}, 307, "ask the leader"},
+		"typed":        {"/-/Config.Update", "{}", typed, 400, "no such field"},
+		"redirect":     {"/-/Config.Update", "{}", redirect, 307, "ask the leader"},
 		"unknown":      {"/-/Config.Update", "{}", errors.New("odd"), 503, "odd"},
 		"not JSON":     {"/-/Config.Update", "{", nil, 400, "error_message"},
 		"not served":   {"/-/Evacuations.Start/a", "", nil, 404, "this daemon does not answer that"},
