--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -31,7 +31,7 @@
 				w.WriteHeader(status)
 				_, _ = w.Write([]byte(`{"status":"acknowledged","error_message":"version 5 stands"}`))
 			}))
-			defer server.Close()
+			t.Cleanup(server.Close)
 			client.Addresses = append(client.Addresses, strings.TrimPrefix(server.URL, "http://"))
 		}
 		var out bytes.Buffer
@@ -39,14 +39,15 @@
 		if slices.ContainsFunc(names, func(name string) bool { return name != "" }) {
 			t.Errorf("a request with a version got the names %q", names)
 		}
-		if good != c.good || good != strings.Contains(out.String(), "acknowledged") || !good && !strings.Contains(err.Error(), c.text) {
+		if good != c.good || good != strings.Contains(out.String(), "acknowledged") ||
+			!good && !strings.Contains(err.Error(), c.text) {
 			t.Errorf("%v: %v, %q, %v", c.statuses, good, out.String(), err)
 		}
 	}
 }
 
 // A request without a version has one name at each address that is tried, and the
-// operator is told it where no answer is clear.
+// operator is shown it where the outcome is unknown.
 func TestRequestWithoutAVersionHasOneName(t *testing.T) {
 	for _, given := range []string{"", "mine&1"} {
 		var names []string
@@ -54,7 +55,7 @@
 			names = append(names, r.URL.Query().Get("order"))
 			w.WriteHeader(503)
 		}))
-		defer server.Close()
+		t.Cleanup(server.Close)
 		address := strings.TrimPrefix(server.URL, "http://")
 		client := &Client{Addresses: []string{address, address}, RequestName: given}
 		for _, verb := range []string{"retire", "restore"} {
--- a/internal/statusjson/statusjson_test.go
+++ b/internal/statusjson/statusjson_test.go
@@ -4,7 +4,9 @@
 
 func TestEarlierNamesAreRead(t *testing.T) {
 	earlier := map[string]string{"site": "zone"}
-	for text, want := range map[string]string{`{"site":"a"}`: "a", `{"zone":"b"}`: "b", `{"site":"a","zone":"b"}`: "b", `{}`: ""} {
+	for text, want := range map[string]string{
+		`{"site":"a"}`: "a", `{"zone":"b"}`: "b", `{"site":"a","zone":"b"}`: "b", `{}`: "",
+	} {
 		var got struct {
 			Zone string `json:"zone"`
 		}
