--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -1,9 +1,10 @@
-// Package faulttest plays clients against real daemons on loopback whose backends
-// are stand-ins that reset, garble, delay, keep silent and double their answers,
-// and accounts for every run and every answer by id, at the stand-in and at the
-// client. What does not agree is a mismatch: a repeat of what may not be
-// repeated, a promise that was broken, an answer that is another's, a success
-// without a run, a try that ended without an answer.
+// Package faulttest runs clients against real daemons on loopback whose backends are
+// stand-ins that reset, garble, delay, time out and duplicate their responses, and records
+// every run and every response by id, at the stand-in and at the client. What does not agree
+// is a mismatch: a repeat of what is not idempotent, a run after "not run" was answered, a
+// response of another request, a success without a run, an attempt without a response. It
+// owns the stand-ins, the clients and the request log; the daemons are set up by
+// localcluster. A System may run one play at a time.
 package faulttest
 
 import (
@@ -16,14 +17,14 @@
 // Class marks failures of the test itself.
 var Class = errs.Class("faulttest")
 
-// Most that an account may be asked for.
+// The largest options that are accepted.
 const (
-	RoundsMost  = 5_000_000
-	TimeMost    = time.Hour
-	ClientsMost = 256
+	MaxRounds  = 5_000_000
+	MaxTime    = time.Hour
+	MaxClients = 256
 )
 
-// Options of one play. A round is one client's request with its tries.
+// Options of one play. A round is one client operation with its attempts.
 type Options struct {
 	Rounds  int
 	Time    time.Duration
@@ -31,18 +32,18 @@
 	Seed    uint64
 }
 
-// Usual is what is played where nothing is said.
-var Usual = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
+// DefaultOptions are used where nothing else is asked for.
+var DefaultOptions = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
 
 // Check names what is out of bounds.
 func (o Options) Check() (err error) {
 	switch {
-	case o.Rounds < 1 || o.Rounds > RoundsMost:
-		return Class.New("rounds: %d is not within 1 and %d", o.Rounds, RoundsMost)
-	case o.Time <= 0 || o.Time > TimeMost:
-		return Class.New("for: %v is not above 0 and up to %v", o.Time, TimeMost)
-	case o.Clients < 1 || o.Clients > ClientsMost:
-		return Class.New("clients: %d is not within 1 and %d", o.Clients, ClientsMost)
+	case o.Rounds < 1 || o.Rounds > MaxRounds:
+		return Class.New("rounds: %d is not within 1 and %d", o.Rounds, MaxRounds)
+	case o.Time <= 0 || o.Time > MaxTime:
+		return Class.New("for: %v is not above 0 and up to %v", o.Time, MaxTime)
+	case o.Clients < 1 || o.Clients > MaxClients:
+		return Class.New("clients: %d is not within 1 and %d", o.Clients, MaxClients)
 	case o.Seed == 0:
 		return Class.New("seed: 0 is no seed")
 	}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -1,9 +1,9 @@
 package simulation
 
-// Core drives one core as a node does, in simulated time: it ticks the
-// agreement, carries its messages, has its disk write, applies what is
-// committed to the real state, puts wishes together, cuts the log and keeps
-// house. While it is frozen what comes to it waits; its steady clock runs on.
+// A Controller drives one controller as package node does, in simulated time: it ticks
+// raft, sends its messages, has its disk write, applies committed entries to the real
+// state machine, batches proposals, compacts the log and reconciles membership. While it
+// is frozen, calls to it are deferred; its monotonic clock runs on.
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 	logTailEntries      = 20
 )
 
-// Answer is what became of a wish.
+// Answer is what became of a proposal.
 type Answer struct {
 	Result statemachine.Result
 	Clear  bool
@@ -46,7 +46,7 @@
 	at     int
 }
 
-// Controller is one machine of the core, with the process on it.
+// Controller is one machine, with the process on it.
 type Controller struct {
 	cluster *Cluster
 	host    string
@@ -81,7 +81,7 @@
 	wallClockOffset time.Duration
 	lease           Lease
 
-	// lostAt is when the core was last lost, in the sense of the losses borne.
+	// lostAt is when the controller was last lost, in the sense of the tolerated losses.
 	lostAt time.Duration
 }
 
@@ -137,18 +137,18 @@
 		c.cluster.fail("%s: %v", c.host, err)
 	}
 	c.queue, c.writing = nil, nil
-	for _, waiting := range c.proposals {
-		c.cluster.drop(waiting)
+	for _, pending := range c.proposals {
+		c.cluster.drop(pending)
 	}
 	c.proposals, c.pending = nil, map[raft.Index]pendingEntry{}
 }
 
-func (c *Controller) scheduleTick(life int) {
+func (c *Controller) scheduleTick(incarnation int) {
 	c.cluster.events.After(raft.TickInterval, func() {
-		if !c.up || c.incarnation != life {
+		if !c.up || c.incarnation != incarnation {
 			return
 		}
-		c.scheduleTick(life)
+		c.scheduleTick(incarnation)
 		if c.frozen {
 			c.deferredTick = true
 			return
@@ -180,10 +180,10 @@
 	if now < c.slowUntil {
 		c.busyUntil = max(c.busyUntil, now) + time.Duration(2+c.rng.Intn(24))*time.Millisecond
 	}
-	life := c.incarnation
+	incarnation := c.incarnation
 	c.cluster.events.After(c.busyUntil-now, func() {
 		switch {
-		case !c.up || c.incarnation != life:
+		case !c.up || c.incarnation != incarnation:
 		case c.frozen:
 			c.receive(run)
 		default:
@@ -202,23 +202,23 @@
 	}
 	c.frozen = false
 	c.lostAt = c.cluster.events.now
-	held := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
 	if c.rng.Intn(2) == 0 {
-		c.rng.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
+		c.rng.Shuffle(len(deferred), func(i, j int) { deferred[i], deferred[j] = deferred[j], deferred[i] })
 	}
 	tick := c.deferredTick && !c.tickDue
 	if tick && c.rng.Intn(4) == 0 {
 		tick = false
 		c.tick()
 	}
-	life := c.incarnation
-	for _, run := range held {
-		if c.up && c.incarnation == life {
+	incarnation := c.incarnation
+	for _, run := range deferred {
+		if c.up && c.incarnation == incarnation {
 			run()
 		}
 	}
-	if tick && c.up && c.incarnation == life {
+	if tick && c.up && c.incarnation == incarnation {
 		c.tick()
 	}
 }
@@ -233,7 +233,7 @@
 	c.propose()
 }
 
-// step takes a message from another core.
+// step takes a message from another controller.
 func (c *Controller) step(message raft.Message) {
 	if c.cluster.options.InjectedBug == LateSnapshot && c.dropBehind(message) {
 		return
@@ -242,7 +242,7 @@
 	c.propose()
 }
 
-// dropBehind is the planted fault of a late snapshot: the log is put away for it.
+// dropBehind is the injected bug of a late snapshot: the log is dropped for it.
 func (c *Controller) dropBehind(message raft.Message) (dropped bool) {
 	snapshot := message.Snapshot
 	if message.Kind != raft.MsgSnapshot || snapshot == nil || message.Term < c.raft.Term() || message.To != c.member.ID ||
@@ -272,7 +272,7 @@
 	w := c.cluster
 	c.lease.end(c)
 	for _, message := range out.Messages {
-		c.post(message)
+		c.send(message)
 	}
 	if len(out.Writes) > 0 {
 		c.queue = append(c.queue, out.Writes...)
@@ -282,7 +282,7 @@
 		case SendBeforeSync:
 			for _, write := range out.Writes {
 				for _, message := range write.AfterSync {
-					c.post(message)
+					c.send(message)
 				}
 			}
 		}
@@ -317,14 +317,14 @@
 // abandonPending leaves those without a clear answer whose entries another leader decides on.
 func (c *Controller) abandonPending() {
 	for _, index := range sortedKeys(c.pending) {
-		for _, waiting := range c.pending[index].proposals {
-			c.answer(waiting, Answer{Clear: c.cluster.options.InjectedBug == UnknownAsRejected, Result: statemachine.Result{Err: errors.New("not carried out")}})
+		for _, pending := range c.pending[index].proposals {
+			c.answer(pending, Answer{Clear: c.cluster.options.InjectedBug == UnknownAsRejected, Result: statemachine.Result{Err: errors.New("not carried out")}})
 		}
 	}
 	clear(c.pending)
 }
 
-func (c *Controller) answer(waiting proposal, answer Answer) { waiting.done(answer) }
+func (c *Controller) answer(pending proposal, answer Answer) { pending.done(answer) }
 
 func (c *Controller) apply(entry raft.Entry) {
 	w := c.cluster
@@ -336,18 +336,18 @@
 	}
 	results := make([]statemachine.Result, len(commands))
 	for i, command := range commands {
-		results[i] = w.options.InjectedBug.bend(c.state, command, c.state.Apply(uint64(entry.Index), command, w.events.now))
+		results[i] = w.options.InjectedBug.alterResult(c.state, command, c.state.Apply(uint64(entry.Index), command, w.events.now))
 	}
-	waiting, known := c.pending[entry.Index]
+	pending, known := c.pending[entry.Index]
 	if !known {
 		return
 	}
 	delete(c.pending, entry.Index)
-	for i := range waiting.proposals {
-		if waiting.term == entry.Term && i < len(results) {
-			c.answer(waiting.proposals[i], Answer{Result: results[i], Clear: true})
+	for i := range pending.proposals {
+		if pending.term == entry.Term && i < len(results) {
+			c.answer(pending.proposals[i], Answer{Result: results[i], Clear: true})
 		} else {
-			c.answer(waiting.proposals[i], Answer{})
+			c.answer(pending.proposals[i], Answer{})
 		}
 	}
 }
@@ -363,7 +363,7 @@
 	}
 }
 
-// write has the disk take up what waits, if it is idle.
+// write starts the next write of the queue, if the disk is idle.
 func (c *Controller) write() {
 	if len(c.writing) > 0 || len(c.queue) == 0 {
 		return
@@ -373,9 +373,9 @@
 }
 
 func (c *Controller) finishIn(span time.Duration) {
-	life := c.incarnation
+	incarnation := c.incarnation
 	c.cluster.events.After(span, func() {
-		if !c.up || c.incarnation != life {
+		if !c.up || c.incarnation != incarnation {
 			return
 		}
 		now := c.cluster.events.now
@@ -402,12 +402,12 @@
 	})
 }
 
-// report tells the agreement what is on disk, and sends what waited for it.
+// report tells raft what is on disk, and sends what waited for it.
 func (c *Controller) report(writes []raft.Write) {
 	for _, write := range writes {
 		if c.cluster.options.InjectedBug != SendBeforeSync {
 			for _, message := range write.AfterSync {
-				c.post(message)
+				c.send(message)
 			}
 		}
 	}
@@ -415,14 +415,14 @@
 	c.propose()
 }
 
-func (c *Controller) post(message raft.Message) {
+func (c *Controller) send(message raft.Message) {
 	c.cluster.invariants.Sends(c, message)
 	c.cluster.network.post(c, message)
 }
 
 // submit asks for a command to be carried out.
 func (c *Controller) submit(command statemachine.Command, done func(answer Answer)) {
-	open, life := true, c.incarnation
+	open, incarnation := true, c.incarnation
 	once := func(answer Answer) {
 		if open {
 			open = false
@@ -431,23 +431,23 @@
 	}
 	c.proposals = append(c.proposals, proposal{command, c.cluster.events.now, once})
 	c.cluster.events.After(proposalTimeout, func() {
-		if c.up && c.incarnation == life {
+		if c.up && c.incarnation == incarnation {
 			c.receive(func() { once(Answer{}) })
 		}
 	})
 	c.propose()
 }
 
-// propose puts the wishes that wait together into the log.
+// propose batches the waiting proposals into one log entry.
 func (c *Controller) propose() {
 	for c.up && len(c.proposals) > 0 && (c.raft.Role() != raft.Leader || c.raft.AcceptsProposals() && len(c.pending) < maxPending) {
 		var batch []proposal
-		for _, waiting := range c.proposals {
-			if c.cluster.events.now-waiting.createdAt > staleProposalAge || c.raft.Role() != raft.Leader {
-				c.answer(waiting, Answer{})
+		for _, pending := range c.proposals {
+			if c.cluster.events.now-pending.createdAt > staleProposalAge || c.raft.Role() != raft.Leader {
+				c.answer(pending, Answer{})
 				continue
 			}
-			batch = append(batch, waiting)
+			batch = append(batch, pending)
 		}
 		c.proposals = nil
 		if len(batch) == 0 {
@@ -459,26 +459,26 @@
 		}
 		index, term, accepted, out := c.raft.Propose(statemachine.EncodeCommands(commands))
 		if !accepted {
-			for _, waiting := range batch {
-				c.answer(waiting, Answer{})
+			for _, pending := range batch {
+				c.answer(pending, Answer{})
 			}
 			return
 		}
 		c.pending[index] = pendingEntry{term, batch}
 		if c.cluster.options.InjectedBug == CommitWithoutQuorum {
-			for _, waiting := range batch {
-				c.answer(waiting, Answer{Clear: true, Result: statemachine.Result{Granted: true}})
+			for _, pending := range batch {
+				c.answer(pending, Answer{Clear: true, Result: statemachine.Result{Granted: true}})
 			}
 		}
 		c.perform(out)
 	}
 }
 
-// isLeader tells whether this core may answer as the leader does.
+// isLeader tells whether this controller may answer as the leader does.
 func (c *Controller) isLeader() (leads bool) { return c.raft.CommittedInTerm() }
 
 // mayServeReads tells whether it may answer from its state at this moment.
 func (c *Controller) mayServeReads() (fresh bool) { return c.isLeader() && c.lease.covers(c) }
 
-// replica gives the agreement the steady time.
+// replica gives raft the simulated monotonic time.
 func (c *Controller) replica() (state *raft.Replica) { return c.raft.At(c.cluster.events.now) }
--- a/internal/simulation/handlers.go
+++ b/internal/simulation/handlers.go
@@ -5,10 +5,10 @@
 
 import "tinpin/internal/raft"
 
-// redirect says who leads, if this core knows.
+// redirect says who leads, if this controller knows.
 func (c *Controller) redirect() (answer reply) {
 	answer.redirected = true
-	for _, other := range c.cluster.cores {
+	for _, other := range c.cluster.controllers {
 		if other != c && c.raft.LeaderID() == other.member.ID {
 			answer.leader = other
 		}
@@ -16,7 +16,7 @@
 	return answer
 }
 
-// handleRequest has an order carried out.
+// handleRequest proposes the command of a request.
 func (c *Controller) handleRequest(o Request, back func(reply)) {
 	if !c.isLeader() {
 		back(c.redirect())
@@ -25,7 +25,7 @@
 	c.submit(o.command(), func(answer Answer) { back(reply{outcome: o.answerOf(answer)}) })
 }
 
-// handleRead reads a register, where contact proves that this core leads.
+// handleRead reads a register, where contact proves that this controller leads.
 func (c *Controller) handleRead(history *History, back func(reply)) {
 	switch {
 	case !c.isLeader():
@@ -33,11 +33,11 @@
 	case !c.mayServeReads():
 		back(reply{})
 	default:
-		back(reply{outcome: history.look(c.state)})
+		back(reply{outcome: history.observe(c.state)})
 	}
 }
 
-// update is what a beat of an edge is answered with.
+// update answers the heartbeat of an edge.
 type update struct {
 	term     raft.Term
 	revision uint64
@@ -53,7 +53,7 @@
 	}
 	got := update{term: c.raft.Term(), revision: c.state.Revision, from: c}
 	for _, history := range histories {
-		got.observed = append(got.observed, history.look(c.state))
+		got.observed = append(got.observed, history.observe(c.state))
 	}
 	back(reply{outcome: observation{outcome: confirmed}}, got)
 }
