--- a/internal/docs/glossary_test.go
+++ b/internal/docs/glossary_test.go
@@ -1,6 +1,7 @@
 package docs
 
 import (
+	"regexp"
 	"slices"
 	"strings"
 	"testing"
@@ -44,3 +45,23 @@
 		}
 	}
 }
+
+// Every word that the linter refuses has a row in the glossary, at least in one of its forms.
+func TestGlossaryHasTheWithdrawnWords(t *testing.T) {
+	known := map[string]bool{}
+	for _, entry := range column(section(t, page(t, "docs/glossary.md"), "From plain and earlier words"), 0) {
+		for _, word := range regexp.MustCompile(`[A-Za-z]+`).FindAllString(entry, -1) {
+			known[strings.ToLower(word)] = true
+		}
+	}
+	rule := regexp.MustCompile(`(?m)^(?:refuse|package) (.*?)->`)
+	rules := rule.FindAllStringSubmatch(page(t, "tools/lint-words.txt"), -1)
+	if len(rules) < 80 {
+		t.Fatalf("only %d rules found", len(rules))
+	}
+	for _, found := range rules {
+		if !slices.ContainsFunc(strings.Fields(found[1]), func(word string) bool { return known[word] }) {
+			t.Errorf("no row for %s", found[1])
+		}
+	}
+}
