--- a/internal/raft/catchup_test.go
+++ b/internal/raft/catchup_test.go
@@ -16,7 +16,7 @@
 }
 
 func (l *thinLink) put(message Message) {
-	if pathOf(message).bulk {
+	if message.IsBulk() {
 		if len(l.bulk) < 512 {
 			l.bulk = append(l.bulk, message)
 		}
@@ -34,7 +34,7 @@
 		return message, false
 	}
 	if l.left == 0 {
-		l.left = (l.bulk[0].size() + thinTick - 1) / thinTick
+		l.left = (l.bulk[0].Size() + thinTick - 1) / thinTick
 	}
 	if l.left--; l.left > 0 {
 		return message, false
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -47,12 +47,12 @@
 		for ; s.settledLeader() == nil && took < 200; took++ {
 			s.run(1)
 		}
-		if took > 3*electionTicks {
+		if took > 3*ElectionTicks {
 			t.Errorf("seed %d: %d ticks", seed, took)
 		}
 		total += took
 	}
-	if mean := float64(total) / 60; mean > 2*electionTicks {
+	if mean := float64(total) / 60; mean > 2*ElectionTicks {
 		t.Errorf("%.1f ticks in the mean", mean)
 	} else {
 		t.Logf("%.1f ticks in the mean", mean)
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -12,8 +12,8 @@
 	// was held up gives two ticks at once, and the clocks of two machines may go
 	// at a slightly different pace.
 	leaseMarginTicks = 3
-	// leaderHintElections is for how many elections a leader that is not heard is named.
-	leaderHintElections = 2
+	// LeaderHintElections is for how many elections a leader that is not heard is named.
+	LeaderHintElections = 2
 )
 
 // heartbeatState numbers the rounds of heartbeats by which a lease is proven.
@@ -46,6 +46,9 @@
 	return r
 }
 
+// LeaderHeardAt is the steady time at which a leader was heard last.
+func (r *Replica) LeaderHeardAt() time.Duration { return r.leaderHeardAt }
+
 func (r *Replica) startHeartbeatRound() {
 	r.heartbeatRound++
 	r.roundSentAt[r.heartbeatRound%recordedRounds] = r.now
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -79,9 +79,9 @@
 func (m *contactModel) at() time.Duration { return time.Duration(m.now) * time.Millisecond }
 
 func (m *contactModel) start(core *contactCore) {
-	core.raft = New(core.id, Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
+	core.raft = New(core.id, Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(m.luck.Int63())), core.hard, m.base, append([]Entry(nil), core.log...))
 	if m.fault.forgets {
-		core.raft.leaderSilentTicks, core.raft.timeoutTicks = electionTicks, 2
+		core.raft.leaderSilentTicks, core.raft.timeoutTicks = ElectionTicks, 2
 	}
 	core.up, core.queue, core.inbox, core.ticked, core.held, core.slow, core.lease = true, nil, nil, false, 0, 0, lease{}
 	core.tick = m.now + 25
@@ -126,9 +126,9 @@
 	if known {
 		span := core.raft.timing.LeaseTicks()
 		if m.fault.long {
-			span = electionTicks
+			span = ElectionTicks
 		}
-		core.lease = lease{term: core.raft.Term(), until: sent + time.Duration(span)*tickInterval}
+		core.lease = lease{term: core.raft.Term(), until: sent + time.Duration(span)*TickInterval}
 	}
 }
 
@@ -381,7 +381,7 @@
 // A calm group answers all the time, and a leader that is cut off, either way,
 // stops within the lease and before another answers.
 func TestALeaderThatIsCutOffStopsAnswering(t *testing.T) {
-	span := int(Timing{heartbeatTicks, electionTicks}.LeaseTicks() * 25)
+	span := int(Timing{HeartbeatTicks, ElectionTicks}.LeaseTicks() * 25)
 	for name, ways := range map[string][2]bool{"both ways": {true, true}, "hears nothing": {true, false}, "says nothing": {false, true}} {
 		longest, gap, gaps := 0, 0, 0
 		for seed := int64(1); seed <= 200; seed++ {
@@ -438,7 +438,7 @@
 func TestARoundIsHeardBeforeTheDisk(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}}
 	base := Snapshot{Index: 1, Term: 1, Members: members}
-	raft := New("b", Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{Term: 2}, base, nil)
+	raft := New("b", Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(1)), HardState{Term: 2}, base, nil)
 	entry := Message{Kind: MsgAppend, From: "a", To: "b", Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 2, Index: 2}}, Round: 9}
 	out := raft.Step(entry)
 	if len(out.Messages) != 1 || out.Messages[0].Kind != MsgHeartbeatResponse || out.Messages[0].Round != 9 || out.Messages[0].Index != 0 {
@@ -456,7 +456,7 @@
 // Contact is with the voters alone, the leader among them only if it votes.
 func TestContactCountsVoters(t *testing.T) {
 	members := []Member{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}, {ID: "l"}}
-	raft := &Replica{id: "a", timing: Timing{heartbeatTicks, electionTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
+	raft := &Replica{id: "a", timing: Timing{HeartbeatTicks, ElectionTicks}, role: Leader, members: members, peers: map[ID]*progress{"b": {}, "c": {}, "l": {}}}
 	for round := range 5 {
 		raft.At(time.Duration(round) * time.Second).startHeartbeatRound()
 	}
@@ -507,7 +507,7 @@
 	if _, _, _, leader, _ := n.Status(); leader.ID != "a" {
 		t.Fatalf("named %+v", leader)
 	}
-	n.leaderHeardAt -= leaderHintElections * electionTicks * tickInterval
+	n.leaderHeardAt -= LeaderHintElections * ElectionTicks * TickInterval
 	if _, _, _, leader, _ := n.Status(); leader.ID != "" {
 		t.Fatalf("named %+v", leader)
 	}
@@ -538,7 +538,7 @@
 	if n.HoldsLease(term, 0) {
 		t.Fatal("after a freeze it answers before it ticks")
 	}
-	for range heartbeatTicks {
+	for range HeartbeatTicks {
 		n.handleOutput(n.raft.At(n.Now()).Tick())
 	}
 	if n.HoldsLease(term, 0) {
--- a/internal/raft/log_test.go
+++ b/internal/raft/log_test.go
@@ -26,7 +26,7 @@
 	for _, each := range log {
 		b.disk.log[each.Index] = each
 	}
-	b.raft = New(id, Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), hard, base, log)
+	b.raft = New(id, Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(1)), hard, base, log)
 	return b
 }
 
@@ -246,7 +246,7 @@
 
 // round lets the leader's next beat come.
 func (b *bench) round() {
-	for i := 0; i < heartbeatTicks; i++ {
+	for i := 0; i < HeartbeatTicks; i++ {
 		b.take(b.raft.Tick())
 		b.syncAll()
 	}
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -97,7 +97,7 @@
 	s.lose(lost)
 	s.run(40)
 	s.add("core-4")
-	s.run(int(simCatchUp/tickInterval) + distance)
+	s.run(int(simCatchUp/TickInterval) + distance)
 	s.lose(last)
 	s.run(20)
 	s.start(last)
@@ -135,7 +135,7 @@
 		s.run(40)
 		s.add("core-5")
 		s.add("core-6")
-		s.run(int(simCatchUp/tickInterval) + 8)
+		s.run(int(simCatchUp/TickInterval) + 8)
 		for n := range 2 {
 			host := s.order[(int(seed)+2+n)%5]
 			s.lose(host)
@@ -180,7 +180,7 @@
 				}
 				s.run(1)
 			}
-			took := time.Duration(s.now-started) * tickInterval
+			took := time.Duration(s.now-started) * TickInterval
 			if longest = max(longest, took); took > catchUp/2 || s.broken != "" {
 				t.Errorf("catch_up %v, seed %d: %v to vote %s", catchUp, seed, took, s.broken)
 			}
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -87,8 +87,14 @@
 	return m.Kind == MsgAppend || m.Kind == MsgSnapshot || m.Kind == MsgSnapshotChunk
 }
 
-// size is about the bytes that a message takes on its way.
-func (m *Message) size() (size int) {
+// IsBulk tells whether a message carries entries or a part of a snapshot, which may take
+// long on a thin link.
+func (m *Message) IsBulk() bool {
+	return len(m.Entries) > 0 || m.Chunk != nil || m.Snapshot != nil
+}
+
+// Size is about the bytes that a message takes on its way.
+func (m *Message) Size() (size int) {
 	size = entryOverhead
 	for i := range m.Entries {
 		size += len(m.Entries[i].Data) + entryOverhead
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -19,9 +19,6 @@
 )
 
 const (
-	tickInterval      = 25 * time.Millisecond
-	heartbeatTicks    = 2
-	electionTicks     = 9
 	maxInFlight       = 3
 	proposalTimeout   = 700 * time.Millisecond
 	peerDialTimeout   = 120 * time.Millisecond
@@ -91,7 +88,7 @@
 	if err = os.MkdirAll(p.DataDirectory, 0o755); err != nil {
 		return nil, Class.Wrap(err)
 	}
-	store, err := OpenStore(p.DataDirectory, roomFor(p.DataDirectory, log))
+	store, err := OpenStore(p.DataDirectory, RoomFor(p.DataDirectory, log))
 	if err != nil {
 		log.Emit(eventlog.RecordCorrupt, eventlog.KeyError, err.Error())
 		return nil, err
@@ -123,7 +120,7 @@
 	var seed [8]byte
 	_, _ = crand.Read(seed[:])
 	luck := rand.New(rand.NewSource(int64(seed[0]) | int64(seed[1])<<8 | int64(seed[2])<<16 | int64(seed[3])<<24))
-	node.raft = New(id, Timing{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks}, luck, hard, base, entries)
+	node.raft = New(id, Timing{HeartbeatTicks: HeartbeatTicks, ElectionTicks: ElectionTicks}, luck, hard, base, entries)
 	node.replayEnd = node.raft.LastIndex()
 	node.publishStatus()
 	return node, nil
@@ -176,7 +173,7 @@
 func (n *Node) Status() (leads, settled bool, term Term, leader Member, members []Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	if n.role == Leader || n.Now()-n.leaderHeardAt < leaderHintElections*electionTicks*tickInterval {
+	if n.role == Leader || n.Now()-n.leaderHeardAt < LeaderHintElections*ElectionTicks*TickInterval {
 		leader, _ = FindMember(n.members, n.leader)
 	}
 	return n.role == Leader, n.committedInTerm, n.term, leader, n.members
@@ -198,7 +195,7 @@
 // policy needs belong to its goroutine alone; others reach them through calls.
 func (n *Node) eventLoop() {
 	defer n.goroutines.Done()
-	ticker := time.NewTicker(tickInterval)
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
 		var wishes <-chan proposal
@@ -367,7 +364,7 @@
 	n.mu.Lock()
 	before := n.role == Leader && n.committedInTerm
 	was := n.term
-	n.role, n.leader, n.term, n.committedInTerm, n.leaderHeardAt = role, leader, term, settled, n.raft.leaderHeardAt
+	n.role, n.leader, n.term, n.committedInTerm, n.leaderHeardAt = role, leader, term, settled, n.raft.LeaderHeardAt()
 	members := n.raft.Members()
 	if len(members) != len(n.members) || len(members) > 0 && &members[0] != &n.members[0] {
 		n.members = members
--- a/internal/raft/node_lease.go
+++ b/internal/raft/node_lease.go
@@ -25,7 +25,7 @@
 	if !known {
 		return n.raft.Term(), 0
 	}
-	return n.raft.Term(), sent + time.Duration(n.raft.timing.LeaseTicks())*tickInterval
+	return n.raft.Term(), sent + time.Duration(n.raft.Timing().LeaseTicks())*TickInterval
 }
 
 // revokeLease takes back what does not hold any more; it comes before anything is
--- a/internal/raft/node_leave.go
+++ b/internal/raft/node_leave.go
@@ -100,13 +100,13 @@
 		if !near || now.Sub(heard) >= grace/3 || now.Sub(reached) >= resignWait || !now.Before(end) {
 			break
 		}
-		time.Sleep(tickInterval)
+		time.Sleep(TickInterval)
 		n.prepareLeave()
 	}
 	// What was handed to the couriers may go out, and another may take over.
 	time.Sleep(resignSpan)
-	for waited := resignSpan; waited < resignWait && n.leads(); waited += tickInterval {
-		time.Sleep(tickInterval)
+	for waited := resignSpan; waited < resignWait && n.leads(); waited += TickInterval {
+		time.Sleep(TickInterval)
 	}
 }
 
--- a/internal/raft/node_membership.go
+++ b/internal/raft/node_membership.go
@@ -25,7 +25,7 @@
 	reconcileTicks        = 5
 	joinRetryTicks        = 10
 	joinerExpiryTicks     = 10 * joinRetryTicks
-	leavingExpiryTicks    = 2 * electionTicks
+	leavingExpiryTicks    = 2 * ElectionTicks
 	joinRejectionLogTicks = 400
 	maxRejectedJoiners    = 64
 )
@@ -120,7 +120,7 @@
 func (n *Node) reconcileMembers() {
 	if n.raft.Role() != Leader {
 		_, member := FindMember(n.raft.Members(), n.self.ID)
-		if !n.departing && (!member || n.ticks-n.leaderSeenTick > 2*electionTicks) && n.ticks%joinRetryTicks == 0 {
+		if !n.departing && (!member || n.ticks-n.leaderSeenTick > 2*ElectionTicks) && n.ticks%joinRetryTicks == 0 {
 			n.requestJoin()
 		}
 		return
--- a/internal/raft/node_membership_test.go
+++ b/internal/raft/node_membership_test.go
@@ -10,7 +10,7 @@
 
 // housed is a core's house without its listeners, disk and duties.
 func housed(members []Member) (n *Node) {
-	raft := New(members[0].ID, Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
+	raft := New(members[0].ID, Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(1)), HardState{}, Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
 		log: eventlog.Discard(), raft: raft, self: members[0], policy: NewPolicy(1, 0, 0),
 		joiners: map[ID]joiner{}, leaving: map[ID]int{}, rejectedJoiners: map[ID]int{},
@@ -95,7 +95,7 @@
 	answer := func(out Output) {
 		issued += len(out.Writes)
 	}
-	for range 4 * electionTicks {
+	for range 4 * ElectionTicks {
 		answer(r.Tick())
 		if r.role == Candidate {
 			break
--- a/internal/raft/node_proposals_test.go
+++ b/internal/raft/node_proposals_test.go
@@ -21,8 +21,8 @@
 		log: eventlog.Discard(), startedAt: time.Now(), proposals: make(chan proposal, 2), writes: make(chan []Write, 64), stop: make(chan struct{}), peerAddresses: map[ID]string{},
 		senders: map[sendPath]*peerSender{}, pending: map[Index]pendingEntry{}, state: statemachine.NewState(), History: history.New(eventlog.Discard()), OnChange: func() {}, OnLeadership: func(bool, Term) {},
 	}
-	n.raft = New("a", Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
-	for range 2 * electionTicks {
+	n.raft = New("a", Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(1)), HardState{}, base, nil)
+	for range 2 * ElectionTicks {
 		n.handleOutput(n.raft.Tick())
 		n.handleOutput(n.raft.Step(Message{Kind: MsgPreVoteResponse, From: "b", To: "a", Term: n.raft.Term() + 1}))
 		n.handleOutput(n.raft.Step(Message{Kind: MsgVoteResponse, From: "b", To: "a", Term: n.raft.Term()}))
--- a/internal/raft/node_sender.go
+++ b/internal/raft/node_sender.go
@@ -22,7 +22,7 @@
 }
 
 func pathOf(message Message) sendPath {
-	return sendPath{message.To, len(message.Entries) > 0 || message.Chunk != nil || message.Snapshot != nil}
+	return sendPath{message.To, message.IsBulk()}
 }
 
 // peerSender carries messages to one core.
@@ -39,7 +39,7 @@
 
 // callTimeout is how long a call of some bytes may take.
 func callTimeout(bytes int) (limit time.Duration) {
-	return minCallTimeout + time.Duration(bytes)*time.Second/slowLinkBytesPerSecond
+	return minCallTimeout + time.Duration(bytes)*time.Second/SlowLinkBytesPerSecond
 }
 
 func (n *Node) send(message Message) {
@@ -67,17 +67,17 @@
 
 // nextBatch adds messages that wait, up to what one call may carry.
 func (s *peerSender) nextBatch(first Message) (messages []Message, next *Message, size int, open bool) {
-	messages, size = []Message{first}, first.size()
+	messages, size = []Message{first}, first.Size()
 	for len(messages) < 64 {
 		select {
 		case message, more := <-s.queue:
 			if !more {
 				return nil, nil, 0, false
 			}
-			if size+message.size() > maxCallBytes {
+			if size+message.Size() > maxCallBytes {
 				return messages, &message, size, true
 			}
-			messages, size = append(messages, message), size+message.size()
+			messages, size = append(messages, message), size+message.Size()
 		default:
 			return messages, nil, size, true
 		}
@@ -121,7 +121,7 @@
 
 // reportLost tells the agreement that entries or a part did not arrive.
 func (n *Node) reportLost(message Message) {
-	if !pathOf(message).bulk {
+	if !message.IsBulk() {
 		return
 	}
 	select {
--- a/internal/raft/policy.go
+++ b/internal/raft/policy.go
@@ -74,7 +74,7 @@
 // election could look like a loss.
 func NewPolicy(losses, zones int, catchUp time.Duration) (membership *Policy) {
 	wanted := VotersForLosses(losses)
-	silence := max(int(catchUp/4/tickInterval), 3*electionTicks)
+	silence := max(int(catchUp/4/TickInterval), 3*ElectionTicks)
 	return &Policy{
 		Voters: wanted, SpreadZones: zones > 0, VoterTimeout: silence, LearnerTimeout: 16 * silence, MaxLearners: 4 * wanted,
 		failures: map[ID]int{}, heardSince: map[ID]int{},
@@ -218,7 +218,7 @@
 		if i == at || other.Inner != member.Inner || roll.SinceHeard(other.ID) >= silence {
 			continue
 		}
-		if i > at && silence > electionTicks || silence > m.VoterTimeout {
+		if i > at && silence > ElectionTicks || silence > m.VoterTimeout {
 			return true
 		}
 	}
--- a/internal/raft/policy_test.go
+++ b/internal/raft/policy_test.go
@@ -117,7 +117,7 @@
 	for _, c := range []struct {
 		catchUp time.Duration
 		silence int
-	}{{4 * time.Second, 40}, {6 * time.Second, 60}, {40 * time.Second, 400}, {0, 3 * electionTicks}, {time.Second, 3 * electionTicks}} {
+	}{{4 * time.Second, 40}, {6 * time.Second, 60}, {40 * time.Second, 400}, {0, 3 * ElectionTicks}, {time.Second, 3 * ElectionTicks}} {
 		if silence := NewPolicy(1, 0, c.catchUp).VoterTimeout; silence != c.silence {
 			t.Errorf("catch_up %v: silence of %d ticks, want %d", c.catchUp, silence, c.silence)
 		}
@@ -129,7 +129,7 @@
 func TestNewerLifeEndsTheOlder(t *testing.T) {
 	members := group(3, 1)
 	members[3].Inner = "c"
-	silence := map[ID]int{"c": electionTicks}
+	silence := map[ID]int{"c": ElectionTicks}
 	roll := rollOf(members, "", "", "")
 	roll.SinceHeard = func(id ID) int { return silence[id] }
 	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
@@ -146,7 +146,7 @@
 	}
 	members = append(group(3, 2), Member{ID: "f", Inner: "d"})
 	roll = rollOf(members, "", "", "ef")
-	roll.SinceHeard = func(id ID) int { return map[ID]int{"d": electionTicks + 1}[id] }
+	roll.SinceHeard = func(id ID) int { return map[ID]int{"d": ElectionTicks + 1}[id] }
 	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != Remove || decision.Member.ID != "d" {
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -86,6 +86,9 @@
 // Role is what this replica is in its group now.
 func (r *Replica) Role() Role { return r.role }
 
+// Timing is the timing that this replica was made with.
+func (r *Replica) Timing() Timing { return r.timing }
+
 // LeaderID is the leader of the term, empty where none is known.
 func (r *Replica) LeaderID() ID { return r.leader }
 
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -13,9 +13,9 @@
 	// comes in the meantime goes together in the next append.
 	maxInflightBytes   = 64 << 10
 	maxInflightAppends = 16
-	// slowLinkBytesPerSecond is the speed, in bytes a second, at which nothing is yet thought
+	// SlowLinkBytesPerSecond is the speed, in bytes a second, at which nothing is yet thought
 	// lost.
-	slowLinkBytesPerSecond = 50_000
+	SlowLinkBytesPerSecond = 50_000
 )
 
 // appendEntry puts an entry behind the leader's log and sends it on.
@@ -69,8 +69,8 @@
 		Entries: r.entriesFrom(p.next, maxAppendBytes), Round: r.heartbeatRound,
 	}
 	r.send(m)
-	p.inflight = append(p.inflight, inflightAppend{m.Index + Index(len(m.Entries)), m.size()})
-	p.inflightBytes += m.size()
+	p.inflight = append(p.inflight, inflightAppend{m.Index + Index(len(m.Entries)), m.Size()})
+	p.inflightBytes += m.Size()
 	if p.pipelined {
 		p.next += Index(len(m.Entries))
 	}
@@ -99,7 +99,7 @@
 	if p.outgoing != nil {
 		flight, messages = p.outgoing.inflightChunks*int(r.chunkBytes), p.outgoing.inflightChunks
 	}
-	if p.stalledTicks > r.timing.ElectionTicks+messages+flight*int(time.Second/tickInterval)/slowLinkBytesPerSecond {
+	if p.stalledTicks > r.timing.ElectionTicks+messages+flight*int(time.Second/TickInterval)/SlowLinkBytesPerSecond {
 		r.restartReplication(id, p)
 	}
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -120,9 +120,9 @@
 	sent := func() (entries int, bytes int) {
 		for _, m := range leader.told {
 			if m.Kind == MsgAppend && m.To == "b" && len(m.Entries) > 0 {
-				entries, bytes = entries+len(m.Entries), bytes+m.size()
-				if m.size() > maxAppendBytes+2*entryOverhead+1000 {
-					t.Errorf("an append of %d bytes", m.size())
+				entries, bytes = entries+len(m.Entries), bytes+m.Size()
+				if m.Size() > maxAppendBytes+2*entryOverhead+1000 {
+					t.Errorf("an append of %d bytes", m.Size())
 				}
 			}
 		}
@@ -137,7 +137,7 @@
 	if entries, bytes := sent(); entries != maxInflightAppends || bytes > maxInflightBytes+maxAppendBytes {
 		t.Fatalf("%d entries of %d bytes are under way", entries, bytes)
 	}
-	for i := 0; i < electionTicks+maxInflightAppends; i++ {
+	for i := 0; i < ElectionTicks+maxInflightAppends; i++ {
 		leader.take(leader.raft.Tick())
 		beat(11)
 	}
--- a/internal/raft/room.go
+++ b/internal/raft/room.go
@@ -51,9 +51,9 @@
 	return errors.Join(err, file.Close(), fs.Remove(name))
 }
 
-// roomFor is the file system of a daemon. A daemon that ends while its disk is
+// RoomFor is the file system of a controller. A controller that ends while its disk is
 // full leaves the write where it waits.
-func roomFor(folder string, log *eventlog.Logger) (fs vfs.FS) {
+func RoomFor(folder string, log *eventlog.Logger) (fs vfs.FS) {
 	return Room{
 		Folder: folder, Full: func(waits bool) { log.Emit(eventlog.DiskFull, "paused", waits) }, Pause: func() { time.Sleep(roomPause) },
 	}.On(vfs.Default)
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *sim) clock() time.Duration { return time.Duration(s.now) * tickInterval }
+func (s *sim) clock() time.Duration { return time.Duration(s.now) * TickInterval }
 
 func (s *sim) start(host string) {
 	core := s.cores[host]
@@ -146,7 +146,7 @@
 		log, term = append(log, entry), entry.Term
 	}
 	core.member.ID = disk.id
-	core.raft = New(disk.id, Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
+	core.raft = New(disk.id, Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
 	// Short, so that snapshots are needed often.
 	core.raft.logTail, core.raft.chunkBytes = LogTail{Entries: 20, Bytes: 1 << 12}, 200
 	if s.shape != nil {
@@ -380,7 +380,7 @@
 		if core.raft.LeaderID() != "" {
 			core.heardAt = core.ticks
 		}
-		if _, member := FindMember(core.raft.Members(), core.disk.id); !s.mute && (!member || core.ticks-core.heardAt > 2*electionTicks) {
+		if _, member := FindMember(core.raft.Members(), core.disk.id); !s.mute && (!member || core.ticks-core.heardAt > 2*ElectionTicks) {
 			for _, other := range s.order {
 				leader := s.cores[other]
 				if leader.up && leader.raft.Role() == Leader && !s.cut[[2]string{host, other}] {
@@ -473,7 +473,7 @@
 		}
 		here := leader.member.Inner
 		silence, _ := leader.raft.SinceHeard(core.disk.id)
-		if member.Voter && (s.cut[[2]string{here, host}] || s.cut[[2]string{host, here}] || silence >= electionTicks) {
+		if member.Voter && (s.cut[[2]string{here, host}] || s.cut[[2]string{host, here}] || silence >= ElectionTicks) {
 			return false
 		}
 	}
--- a/internal/raft/startup_test.go
+++ b/internal/raft/startup_test.go
@@ -13,7 +13,7 @@
 	if learner {
 		members = append(members, Member{ID: "d"})
 	}
-	r = New("a", Timing{heartbeatTicks, electionTicks}, rand.New(rand.NewSource(1)), HardState{Term: 5}, Snapshot{Index: 9, Term: 5, Members: members}, nil)
+	r = New("a", Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(1)), HardState{Term: 5}, Snapshot{Index: 9, Term: 5, Members: members}, nil)
 	r.At(0)
 	for r.role != Candidate {
 		r.At(asked).Tick()
