--- a/cmd/tinpin-faulttest/main.go
+++ b/cmd/tinpin-faulttest/main.go
@@ -36,7 +36,7 @@
 		_, _ = fmt.Fprintln(bad, "tinpin-faulttest:", err)
 		return code
 	}
-	options := faulttest.Usual
+	options := faulttest.DefaultOptions
 	set := flag.NewFlagSet("tinpin-faulttest", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	set.IntVar(&options.Rounds, "rounds", options.Rounds, "")
--- a/cmd/tinpin-load/main.go
+++ b/cmd/tinpin-load/main.go
@@ -47,14 +47,14 @@
 		return 2
 	}
 	if len(args) == 1 {
-		if known, err := loadtest.Work(args[0], in, out); known {
+		if known, err := loadtest.RunWorker(args[0], in, out); known {
 			if err != nil {
 				return wrong(err)
 			}
 			return 0
 		}
 	}
-	size := loadtest.Usual
+	size := loadtest.DefaultSize
 	set := flag.NewFlagSet("tinpin-load", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	for _, name := range loadtest.Names {
@@ -195,7 +195,7 @@
 		for _, name := range loadtest.Names {
 			_, _ = fmt.Fprintf(table, "%d\t", *p.Size.At(name))
 		}
-		_, _ = fmt.Fprintf(table, "%.4f\t%.1f\t%.4f\t%.1f\t%.6f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n", p.LeaderCPU, p.LeaderMB, p.FollowerCPU, p.FollowerMB, p.NodeCPU, p.NodeMB, p.LeaderIn, p.LeaderOut, p.StartOut, p.ChangeMS, p.Done)
+		_, _ = fmt.Fprintf(table, "%.4f\t%.1f\t%.4f\t%.1f\t%.6f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n", p.LeaderCPU, p.LeaderMB, p.FollowerCPU, p.FollowerMB, p.NodeCPU, p.NodeMB, p.LeaderIn, p.LeaderOut, p.StartOut, p.ChangeMS, p.EventRate)
 	}
 	for _, figure := range loadtest.Figures {
 		if fit, known := told.Fits[figure.Name]; known {
--- a/cmd/tinpin-local/main.go
+++ b/cmd/tinpin-local/main.go
@@ -39,14 +39,14 @@
 	}
 	defer system.Close()
 	fmt.Println("3 accord and 2 passage daemons started")
-	if _, _, err = system.Operator(ctx, "POST", "/-/Config.Update", localcluster.FirstCall); err != nil {
+	if _, _, err = system.Operator(ctx, "POST", "/-/Config.Update", localcluster.InitialConfiguration); err != nil {
 		return err
 	}
 	fmt.Println("configuration acknowledged")
 	if err = system.Ready(ctx); err != nil {
 		return err
 	}
-	status, stamp, body, err := system.Ask(ctx, 0, "GET", "/hello/world", "")
+	status, stamp, body, err := system.Request(ctx, 0, "GET", "/hello/world", "")
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	if !stay {
 		return nil
 	}
-	fmt.Printf("\nfront       http://%s (Host: shop.example, a Tinpin-Request-Id each)\noperator    http://%s\ntools       target/tinpin status -at %s\n", system.EdgeProps[0].FrontendAddress, system.CoreProps[0].ControlAddress, strings.Join(system.Inner(), ","))
+	fmt.Printf("\nfront       http://%s (Host: shop.example, a Tinpin-Request-Id each)\noperator    http://%s\ntools       target/tinpin status -at %s\n", system.ProxySettings[0].FrontendAddress, system.ControllerSettings[0].ControlAddress, strings.Join(system.InternalAddresses(), ","))
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
 	<-interrupted
--- a/internal/faulttest/backend.go
+++ b/internal/faulttest/backend.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// timeout is the routes'; aim is theirs too.
-	timeout   = 250 * time.Millisecond
-	slowMost  = 50 * time.Millisecond
-	bodyBytes = 3000
+	// routeTimeout is the routes'; aim is theirs too.
+	routeTimeout = 250 * time.Millisecond
+	maxSlowness  = 50 * time.Millisecond
+	bodyBytes    = 3000
 )
 
 // backend is a stand-in.
 type backend struct {
 	id       string
 	listener net.Listener
-	ledger   atomic.Pointer[Ledger]
-	atWork   atomic.Int64
-	done     [troubles]atomic.Int64
+	log      atomic.Pointer[RequestLog]
+	inFlight atomic.Int64
+	faults   [faultCount]atomic.Int64
 
-	mu    sync.Mutex
-	luck  *rand.Rand
-	calm  bool
-	conns map[net.Conn]bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	faultsOff   bool
+	connections map[net.Conn]bool
 }
 
-// open starts a stand-in on an address.
-func open(id, address string) (b *backend, err error) {
-	b = &backend{id: id, luck: rand.New(rand.NewPCG(1, 1)), calm: true, conns: map[net.Conn]bool{}}
+// startBackend starts a stand-in on an address.
+func startBackend(id, address string) (b *backend, err error) {
+	b = &backend{id: id, rng: rand.New(rand.NewPCG(1, 1)), faultsOff: true, connections: map[net.Conn]bool{}}
 	if b.listener, err = net.Listen("tcp4", address); err != nil {
 		return nil, Class.Wrap(err)
 	}
@@ -49,20 +49,20 @@
 	return b, nil
 }
 
-// play begins to note in a ledger and to draw troubles from a seed.
-func (b *backend) play(ledger *Ledger, seed uint64) {
-	b.ledger.Store(ledger)
+// start begins to note in a ledger and to draw troubles from a seed.
+func (b *backend) start(log *RequestLog, seed uint64) {
+	b.log.Store(log)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.luck, b.calm = rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), false
+	b.rng, b.faultsOff = rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), false
 }
 
-// rest ends the troubles and what waits.
-func (b *backend) rest() {
+// quiesce ends the troubles and what waits.
+func (b *backend) quiesce() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.calm = true
-	for conn := range b.conns {
+	b.faultsOff = true
+	for conn := range b.connections {
 		_ = conn.Close()
 	}
 }
@@ -70,7 +70,7 @@
 // Close ends the stand-in.
 func (b *backend) Close() (err error) {
 	err = b.listener.Close()
-	b.rest()
+	b.quiesce()
 	return err
 }
 
@@ -84,59 +84,59 @@
 			continue
 		}
 		b.mu.Lock()
-		b.conns[conn] = true
+		b.connections[conn] = true
 		b.mu.Unlock()
 		go b.serve(conn)
 	}
 }
 
-func (b *backend) draw(rested, body bool) (trouble Trouble, span time.Duration) {
+func (b *backend) draw(reused, body bool) (fault Fault, span time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.calm {
+	if b.faultsOff {
 		return None, 0
 	}
-	return draw(b.luck.IntN(1000), rested, body), time.Duration(b.luck.Int64N(int64(slowMost)))
+	return draw(b.rng.IntN(1000), reused, body), time.Duration(b.rng.Int64N(int64(maxSlowness)))
 }
 
 // reset ends a stream with a reset, whatever lies unread.
 func reset(conn net.Conn) {
-	if stream, ok := conn.(*net.TCPConn); ok {
-		_ = stream.SetLinger(0)
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-// stream is one connection of a daemon's.
-type stream struct {
-	conn net.Conn
-	in   *bufio.Reader
-	last string
+// backendConnection is one connection of a daemon's.
+type backendConnection struct {
+	conn     net.Conn
+	in       *bufio.Reader
+	previous string
 }
 
 func (b *backend) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
 		b.mu.Lock()
-		delete(b.conns, conn)
+		delete(b.connections, conn)
 		b.mu.Unlock()
 	}()
-	s := &stream{conn: conn, in: bufio.NewReader(conn)}
+	s := &backendConnection{conn: conn, in: bufio.NewReader(conn)}
 	for {
 		if _, err := s.in.Peek(1); err != nil {
 			return
 		}
-		b.atWork.Add(1)
-		keep := b.one(s)
-		b.atWork.Add(-1)
+		b.inFlight.Add(1)
+		keep := b.handleRequest(s)
+		b.inFlight.Add(-1)
 		if !keep {
 			return
 		}
 	}
 }
 
-// one takes one request and tells whether the stream goes on.
-func (b *backend) one(s *stream) (keep bool) {
+// handleRequest takes one request and tells whether the stream goes on.
+func (b *backend) handleRequest(s *backendConnection) (keep bool) {
 	request, err := http.ReadRequest(s.in)
 	if err != nil {
 		return false
@@ -150,46 +150,46 @@
 	if err != nil {
 		return false
 	}
-	a := answer{id: id, head: request.Method == http.MethodHead, stamp: "s." + id}
+	a := response{id: id, head: request.Method == http.MethodHead, signature: "s." + id}
 	if target := request.Header.Get("Tinpin-Target-Instance"); target != b.id {
-		return s.say(a.refuse(421))
+		return s.write(a.notRun(421))
 	}
-	trouble, span := b.draw(s.last != "", request.ContentLength > 0)
-	b.done[trouble].Add(1)
-	switch trouble {
+	fault, span := b.draw(s.previous != "", request.ContentLength > 0)
+	b.faults[fault].Add(1)
+	switch fault {
 	case ResetBefore, ResetWithin:
 		reset(s.conn)
 		return false
 	case RefusedWithin:
-		s.say(a.refuse(503))
+		s.write(a.notRun(503))
 		return false
 	}
 	if _, err = io.Copy(io.Discard, request.Body); err != nil {
 		return false
 	}
-	run := func() { b.ledger.Load().Run(ID(number)) }
-	switch trouble {
+	run := func() { b.log.Load().RecordRun(ID(number)) }
+	switch fault {
 	case ResetAfter:
 		reset(s.conn)
 		return false
-	case SilentUnrun:
+	case SilentNotRun:
 		_, _ = s.in.Peek(1)
 		return false
-	case Nameless421:
-		s.say(nameless(421, ""))
+	case WithoutID421:
+		s.write(responseWithoutID(421, ""))
 		return false
-	case Turned:
-		return s.say(a.refuse(503))
-	case TurnedElsewhere:
-		return s.say(a.refuse(421))
-	case TurnedTwice:
-		return s.say(a.refuse(503) + a.refuse(503))
+	case Rejected:
+		return s.write(a.notRun(503))
+	case RejectedMisdirected:
+		return s.write(a.notRun(421))
+	case RejectedTwice:
+		return s.write(a.notRun(503) + a.notRun(503))
 	}
 	run()
-	whole := a.text()
-	before := s.last
-	s.last = whole
-	switch trouble {
+	text := a.text()
+	before := s.previous
+	s.previous = text
+	switch fault {
 	case ResetAfterRun:
 		reset(s.conn)
 		return false
@@ -199,84 +199,84 @@
 		_, _ = s.in.Peek(1)
 		return false
 	case Late:
-		time.Sleep(timeout + span)
+		time.Sleep(routeTimeout + span)
 	case Slow:
 		time.Sleep(span)
 	case Garbled:
-		s.say("\x00\x01 no answer at all \r\n\r\n")
+		s.write("\x00\x01 no answer at all \r\n\r\n")
 		return false
 	case CutShort:
-		s.say(whole[:len(whole)-20])
+		s.write(text[:len(text)-20])
 		return false
 	case ResetBehind:
-		s.say(whole)
+		s.write(text)
 		reset(s.conn)
 		return false
-	case Doubled:
-		whole += whole
-	case DoubledBefore:
-		whole = before + whole
-	case NamelessBehind:
-		whole += nameless(421, "")
-	case Nameless421Before:
-		whole = nameless(421, "") + whole
-	case NamelessNotRunBefore:
-		whole = nameless(503, "Tinpin-Not-Executed: 1\r\n") + whole
-	case NamelessSuccessBefore:
-		whole = nameless(200, "Tinpin-Response-Signature: s.0\r\n") + whole
-	case AnothersBefore:
-		whole = answer{id: "ffffffffffffffff", stamp: "s.ffffffffffffffff"}.text() + whole
+	case Duplicated:
+		text += text
+	case DuplicateBefore:
+		text = before + text
+	case WithoutIDBehind:
+		text += responseWithoutID(421, "")
+	case WithoutID421Before:
+		text = responseWithoutID(421, "") + text
+	case WithoutIDNotRunBefore:
+		text = responseWithoutID(503, "Tinpin-Not-Executed: 1\r\n") + text
+	case WithoutIDSuccessBefore:
+		text = responseWithoutID(200, "Tinpin-Response-Signature: s.0\r\n") + text
+	case UnknownIDBefore:
+		text = response{id: "ffffffffffffffff", signature: "s.ffffffffffffffff"}.text() + text
 	case LongerIDBefore:
-		whole = answer{id: id + "0", stamp: "s." + id + "0"}.text() + whole
+		text = response{id: id + "0", signature: "s." + id + "0"}.text() + text
 	case TwoIDs:
-		a.lines = "Tinpin-Request-Id: ffffffffffffffff\r\n"
-		whole = a.text()
+		a.headers = "Tinpin-Request-Id: ffffffffffffffff\r\n"
+		text = a.text()
 	case TwoLengths:
-		a.lines = "Content-Length: 7\r\n"
-		whole = a.text()
+		a.headers = "Content-Length: 7\r\n"
+		text = a.text()
 	case NoStatus:
-		whole = strings.Replace(whole, "200", "2OO", 1)
+		text = strings.Replace(text, "200", "2OO", 1)
 	case Interim:
-		whole = "HTTP/1.1 100 Continue\r\n\r\n" + whole
+		text = "HTTP/1.1 100 Continue\r\n\r\n" + text
 	case RunNotRun:
-		a.lines = "Tinpin-Not-Executed: 1\r\n"
-		whole = a.text()
-	case OwnError, OwnBusy:
-		a.status = map[Trouble]int{OwnError: 500, OwnBusy: 503}[trouble]
-		whole = a.text()
+		a.headers = "Tinpin-Not-Executed: 1\r\n"
+		text = a.text()
+	case BackendError, BackendBusy:
+		a.status = map[Fault]int{BackendError: 500, BackendBusy: 503}[fault]
+		text = a.text()
 	}
-	return s.say(whole)
+	return s.write(text)
 }
 
-func (s *stream) say(text string) (said bool) {
+func (s *backendConnection) write(text string) (said bool) {
 	_, err := io.WriteString(s.conn, text)
 	return err == nil
 }
 
-// answer of a stand-in: the body names the request that ran, as the stamp does.
-type answer struct {
-	id, stamp, lines string
-	status           int
-	head             bool
+// response of a stand-in: the body names the request that ran, as the stamp does.
+type response struct {
+	id, signature, headers string
+	status                 int
+	head                   bool
 }
 
-func (a answer) text() (text string) {
+func (a response) text() (text string) {
 	if a.status == 0 {
 		a.status = 200
 	}
 	body := "answer to " + a.id
-	text = fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Response-Signature: %s\r\n%sContent-Length: %d\r\n\r\n", a.status, a.id, a.stamp, a.lines, len(body))
+	text = fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Response-Signature: %s\r\n%sContent-Length: %d\r\n\r\n", a.status, a.id, a.signature, a.headers, len(body))
 	if a.head {
 		return text
 	}
 	return text + body
 }
 
-// refuse says that the request was not run.
-func (a answer) refuse(status int) (text string) {
+// notRun says that the request was not run.
+func (a response) notRun(status int) (text string) {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", status, a.id)
 }
 
-func nameless(status int, lines string) (text string) {
+func responseWithoutID(status int, lines string) (text string) {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", status, lines)
 }
--- a/internal/faulttest/client.go
+++ b/internal/faulttest/client.go
@@ -17,48 +17,48 @@
 )
 
 const (
-	clientPatience = 5 * time.Second
-	host           = "account.example"
-	triesMost      = 3
-	pipelined      = 3
-	backMost       = 300 * time.Millisecond
+	clientTimeout = 5 * time.Second
+	host          = "account.example"
+	maxAttempts   = 3
+	pipelineDepth = 3
+	maxRetryAfter = 300 * time.Millisecond
 )
 
 // client has a stream to each edge.
 type client struct {
-	ledger *Ledger
-	luck   *rand.Rand
-	lines  []*line
+	log         *RequestLog
+	rng         *rand.Rand
+	connections []*clientConnection
 }
 
-// line is a client's stream to one edge.
-type line struct {
-	front string
-	conn  net.Conn
-	in    *bufio.Reader
-	// back is when the last answer asked to come back.
-	back time.Duration
+// clientConnection is a client's stream to one edge.
+type clientConnection struct {
+	address string
+	conn    net.Conn
+	in      *bufio.Reader
+	// retryAfter is when the last answer asked to come back.
+	retryAfter time.Duration
 }
 
-func newClient(ledger *Ledger, seed uint64, fronts []string) (c *client) {
-	c = &client{ledger: ledger, luck: rand.New(rand.NewPCG(seed, ^seed))}
-	for _, front := range fronts {
-		c.lines = append(c.lines, &line{front: front})
+func newClient(log *RequestLog, seed uint64, addresses []string) (c *client) {
+	c = &client{log: log, rng: rand.New(rand.NewPCG(seed, ^seed))}
+	for _, address := range addresses {
+		c.connections = append(c.connections, &clientConnection{address: address})
 	}
 	return c
 }
 
 func (c *client) close() {
-	for _, line := range c.lines {
+	for _, line := range c.connections {
 		line.close()
 	}
 }
 
-func (l *line) open() (err error) {
+func (l *clientConnection) open() (err error) {
 	if l.conn != nil {
 		return nil
 	}
-	if l.conn, err = net.DialTimeout("tcp4", l.front, time.Second); err != nil {
+	if l.conn, err = net.DialTimeout("tcp4", l.address, time.Second); err != nil {
 		l.conn = nil
 		return Class.Wrap(err)
 	}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (l *line) close() {
+func (l *clientConnection) close() {
 	if l.conn != nil {
 		_ = l.conn.Close()
 		l.conn = nil
@@ -92,36 +92,36 @@
 	return text + "\r\n" + strings.Repeat("x", r.body)
 }
 
-// round plays one round.
-func (c *client) round(number int) {
-	kind := [...]Kind{Repeatable, Repeatable, Once, Keyed}[c.luck.IntN(4)]
-	if kind == Repeatable {
-		c.repeatable(number)
+// runOperation plays one round.
+func (c *client) runOperation(number int) {
+	kind := [...]Kind{Idempotent, Idempotent, NonIdempotent, Keyed}[c.rng.IntN(4)]
+	if kind == Idempotent {
+		c.runIdempotent(number)
 		return
 	}
-	asked := request{kind: kind, method: http.MethodPost, body: bodyBytes * c.luck.IntN(2)}
-	if kind == Keyed && c.luck.IntN(8) == 0 {
-		c.both(number, asked)
+	requests := request{kind: kind, method: http.MethodPost, body: bodyBytes * c.rng.IntN(2)}
+	if kind == Keyed && c.rng.IntN(8) == 0 {
+		c.sendToAll(number, requests)
 		return
 	}
-	for try := range triesMost {
-		asked.id = IDOf(number, try)
-		line := c.lines[c.luck.IntN(len(c.lines))]
-		told := c.exchange(line, c.luck.IntN(100) == 0, asked)
-		again := told == Promised || kind == Keyed && (told != Served && told != Gone || c.luck.IntN(5) == 0)
+	for attempt := range maxAttempts {
+		requests.id = IDOf(number, attempt)
+		line := c.connections[c.rng.IntN(len(c.connections))]
+		outcome := c.exchange(line, c.rng.IntN(100) == 0, requests)
+		again := outcome == NotRun || kind == Keyed && (outcome != Served && outcome != ClientGone || c.rng.IntN(5) == 0)
 		if !again {
 			return
 		}
-		time.Sleep(min(line.back, backMost))
+		time.Sleep(min(line.retryAfter, maxRetryAfter))
 	}
 }
 
-// both sends the same operation to two edges at once.
-func (c *client) both(number int, asked request) {
+// sendToAll sends the same operation to two edges at once.
+func (c *client) sendToAll(number int, requests request) {
 	var sent sync.WaitGroup
-	for try, line := range c.lines {
-		each := asked
-		each.id = IDOf(number, try)
+	for attempt, line := range c.connections {
+		each := requests
+		each.id = IDOf(number, attempt)
 		sent.Add(1)
 		go func() {
 			defer sent.Done()
@@ -131,62 +131,62 @@
 	sent.Wait()
 }
 
-// repeatable sends one request or several behind each other.
-func (c *client) repeatable(number int) {
+// runIdempotent sends one request or several behind each other.
+func (c *client) runIdempotent(number int) {
 	count := 1
-	if c.luck.IntN(8) == 0 {
-		count = pipelined
-	}
-	asked := make([]request, count)
-	for i := range asked {
-		asked[i] = request{id: IDOf(number, i), kind: Repeatable, method: http.MethodGet}
-		if c.luck.IntN(16) == 0 {
-			asked[i].method = http.MethodHead
+	if c.rng.IntN(8) == 0 {
+		count = pipelineDepth
+	}
+	requests := make([]request, count)
+	for i := range requests {
+		requests[i] = request{id: IDOf(number, i), kind: Idempotent, method: http.MethodGet}
+		if c.rng.IntN(16) == 0 {
+			requests[i].method = http.MethodHead
 		}
 	}
-	c.exchange(c.lines[c.luck.IntN(len(c.lines))], false, asked...)
+	c.exchange(c.connections[c.rng.IntN(len(c.connections))], false, requests...)
 }
 
 // exchange sends requests behind each other and notes what comes back; it gives
 // what the last was told. A client that goes away reads nothing.
-func (c *client) exchange(l *line, away bool, asked ...request) (told Told) {
+func (c *client) exchange(l *clientConnection, abandon bool, requests ...request) (outcome Outcome) {
 	var text strings.Builder
-	for _, each := range asked {
-		c.ledger.Send(each.id, each.kind)
+	for _, each := range requests {
+		c.log.RecordSend(each.id, each.kind)
 		text.WriteString(each.text())
 	}
 	if l.open() != nil {
-		return Gone
+		return ClientGone
 	}
-	_ = l.conn.SetDeadline(time.Now().Add(clientPatience))
+	_ = l.conn.SetDeadline(time.Now().Add(clientTimeout))
 	_, err := io.WriteString(l.conn, text.String())
-	if away {
+	if abandon {
 		l.close()
-		return Gone
+		return ClientGone
 	}
-	for _, each := range asked {
+	for _, each := range requests {
 		var response *http.Response
 		var body string
 		if err == nil {
 			response, body, err = each.read(l.in)
 		}
 		if err != nil {
-			c.ledger.Tell(each.id, Lost, 0)
+			c.log.RecordOutcome(each.id, Lost, 0)
 			l.close()
 			return Lost
 		}
-		var ran ID
-		told, ran = each.judge(response, body)
-		c.ledger.Tell(each.id, told, ran)
+		var executedBy ID
+		outcome, executedBy = each.classify(response, body)
+		c.log.RecordOutcome(each.id, outcome, executedBy)
 		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-		l.back = time.Duration(seconds * float64(time.Second))
-		if response.Close || told == Crossed {
+		l.retryAfter = time.Duration(seconds * float64(time.Second))
+		if response.Close || outcome == WrongResponse {
 			// What is behind counts as not read.
 			l.close()
-			return told
+			return outcome
 		}
 	}
-	return told
+	return outcome
 }
 
 // read reads the answer to a request.
@@ -198,30 +198,30 @@
 	return response, string(data), Class.Wrap(err)
 }
 
-// judge tells what an answer says to the request.
-func (r request) judge(response *http.Response, body string) (told Told, ran ID) {
+// classify tells what an answer says to the request.
+func (r request) classify(response *http.Response, body string) (outcome Outcome, executedBy ID) {
 	if ids := response.Header["Tinpin-Request-Id"]; len(ids) != 1 || ids[0] != r.id.Text() {
-		return Crossed, 0
+		return WrongResponse, 0
 	}
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusInternalServerError:
-		stamp := response.Header.Get("Tinpin-Response-Signature")
-		number, err := strconv.ParseUint(strings.TrimPrefix(stamp, "s."), 16, 64)
-		ran = ID(number)
-		mine := err == nil && (ran == r.id || r.kind == Keyed && ran.Round() == r.id.Round())
-		if !mine || r.method != http.MethodHead && body != "answer to "+ran.Text() {
-			return Crossed, 0
+		signature := response.Header.Get("Tinpin-Response-Signature")
+		number, err := strconv.ParseUint(strings.TrimPrefix(signature, "s."), 16, 64)
+		executedBy = ID(number)
+		mine := err == nil && (executedBy == r.id || r.kind == Keyed && executedBy.Round() == r.id.Round())
+		if !mine || r.method != http.MethodHead && body != "answer to "+executedBy.Text() {
+			return WrongResponse, 0
 		}
 		if response.StatusCode == http.StatusOK {
-			return Served, ran
+			return Served, executedBy
 		}
-		return OwnFailure, ran
+		return BackendFailure, executedBy
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return Promised, 0
+		return NotRun, 0
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 		return Unknown, 0
 	case http.StatusConflict:
-		return AtWork, 0
+		return InProgress, 0
 	}
-	return Strange, 0
+	return Unexpected, 0
 }
--- a/internal/faulttest/ledger.go
+++ b/internal/faulttest/ledger.go
@@ -13,165 +13,165 @@
 
 // The kinds.
 const (
-	Repeatable Kind = iota
-	Once
+	Idempotent Kind = iota
+	NonIdempotent
 	Keyed
-	kinds
+	kindCount
 )
 
 func (k Kind) String() string { return [...]string{"idempotent", "non_idempotent", "keyed"}[k] }
 
-// Told is what a client was told.
-type Told uint8
+// Outcome is what a client was told.
+type Outcome uint8
 
 // What a client may be told.
 const (
-	// Gone: it did not wait for an answer.
-	Gone Told = iota
+	// ClientGone: it did not wait for an answer.
+	ClientGone Outcome = iota
 	// Served: a success.
 	Served
-	// Promised: the request has not run and never will.
-	Promised
+	// NotRun: the request has not run and never will.
+	NotRun
 	// Unknown: it may have run.
 	Unknown
-	// OwnFailure: the backend's own failure.
-	OwnFailure
-	// AtWork: the key's first request is still at work.
-	AtWork
+	// BackendFailure: the backend's own failure.
+	BackendFailure
+	// InProgress: the key's first request is still at work.
+	InProgress
 	// Lost: no whole answer, though the daemon lived.
 	Lost
-	// Crossed: an answer that is another's.
-	Crossed
-	// Strange: a status that no daemon should give here.
-	Strange
+	// WrongResponse: an answer that is another's.
+	WrongResponse
+	// Unexpected: a status that no daemon should give here.
+	Unexpected
 )
 
 // ID names one try of a round; so many tries a round has at most.
 type ID uint64
 
-const triesBits = 4
+const attemptBits = 4
 
 // IDOf names a round's try.
-func IDOf(round, try int) (id ID) { return ID(round)<<triesBits | ID(try) }
+func IDOf(round, attempt int) (id ID) { return ID(round)<<attemptBits | ID(attempt) }
 
 // Round is the round of a try.
-func (id ID) Round() (round int) { return int(id >> triesBits) }
+func (id ID) Round() (round int) { return int(id >> attemptBits) }
 
 // Text is the id on the wire.
 func (id ID) Text() (text string) { return fmt.Sprintf("%016x", uint64(id)) }
 
-// Try is what is known of one.
-type Try struct {
-	kind Kind
-	told Told
-	runs uint16
-	// ran is the try whose run the client was answered with.
-	ran ID
+// Attempt is what is known of one.
+type Attempt struct {
+	kind    Kind
+	outcome Outcome
+	runs    uint16
+	// executedBy is the try whose run the client was answered with.
+	executedBy ID
 }
 
 // operation is what is known of a key.
 type operation struct {
-	runs uint16
-	ran  ID
+	runs       uint16
+	executedBy ID
 }
 
-// Ledger of one play.
-type Ledger struct {
+// RequestLog of one play.
+type RequestLog struct {
 	shards [64]shard
 }
 
 type shard struct {
-	mu    sync.Mutex
-	tries map[ID]*Try
-	keys  map[int]*operation
+	mu       sync.Mutex
+	attempts map[ID]*Attempt
+	keys     map[int]*operation
 }
 
-// NewLedger knows of nothing.
-func NewLedger() (ledger *Ledger) {
-	ledger = &Ledger{}
-	for i := range ledger.shards {
-		ledger.shards[i].tries, ledger.shards[i].keys = map[ID]*Try{}, map[int]*operation{}
+// NewRequestLog knows of nothing.
+func NewRequestLog() (log *RequestLog) {
+	log = &RequestLog{}
+	for i := range log.shards {
+		log.shards[i].attempts, log.shards[i].keys = map[ID]*Attempt{}, map[int]*operation{}
 	}
-	return ledger
+	return log
 }
 
 // lock gives a round's shard, which the caller unlocks.
-func (l *Ledger) lock(round int) (s *shard) {
+func (l *RequestLog) lock(round int) (s *shard) {
 	s = &l.shards[round%len(l.shards)]
 	s.mu.Lock()
 	return s
 }
 
-// Send notes a try before it is sent.
-func (l *Ledger) Send(id ID, kind Kind) {
+// RecordSend notes a try before it is sent.
+func (l *RequestLog) RecordSend(id ID, kind Kind) {
 	s := l.lock(id.Round())
 	defer s.mu.Unlock()
-	s.tries[id] = &Try{kind: kind}
+	s.attempts[id] = &Attempt{kind: kind}
 }
 
-// Run notes that a backend runs a request, before it answers.
-func (l *Ledger) Run(id ID) {
+// RecordRun notes that a backend runs a request, before it answers.
+func (l *RequestLog) RecordRun(id ID) {
 	s := l.lock(id.Round())
 	defer s.mu.Unlock()
-	try := s.tries[id]
-	if try == nil {
+	attempt := s.attempts[id]
+	if attempt == nil {
 		// A request that nobody sent is found as a run without a kind.
-		try = &Try{told: Strange}
-		s.tries[id] = try
+		attempt = &Attempt{outcome: Unexpected}
+		s.attempts[id] = attempt
 	}
-	try.runs++
-	if try.kind == Keyed {
+	attempt.runs++
+	if attempt.kind == Keyed {
 		if s.keys[id.Round()] == nil {
 			s.keys[id.Round()] = &operation{}
 		}
 		s.keys[id.Round()].runs++
-		s.keys[id.Round()].ran = id
+		s.keys[id.Round()].executedBy = id
 	}
 }
 
-// Tell notes what a client was told, and by which run.
-func (l *Ledger) Tell(id ID, told Told, ran ID) {
+// RecordOutcome notes what a client was told, and by which run.
+func (l *RequestLog) RecordOutcome(id ID, outcome Outcome, executedBy ID) {
 	s := l.lock(id.Round())
 	defer s.mu.Unlock()
-	s.tries[id].told, s.tries[id].ran = told, ran
+	s.attempts[id].outcome, s.attempts[id].executedBy = outcome, executedBy
 }
 
-// Line is the account of one kind.
-type Line struct {
-	Kind       string `json:"kind"`
-	Tries      int    `json:"tries"`
-	Runs       int    `json:"runs"`
-	Served     int    `json:"served"`
-	Promised   int    `json:"promised"`
-	Unknown    int    `json:"unknown"`
-	OwnFailure int    `json:"own_failure"`
-	AtWork     int    `json:"at_work"`
-	Gone       int    `json:"gone"`
+// KindSummary is the account of one kind.
+type KindSummary struct {
+	Kind           string `json:"kind"`
+	Attempts       int    `json:"tries"`
+	Runs           int    `json:"runs"`
+	Served         int    `json:"served"`
+	NotRun         int    `json:"promised"`
+	Unknown        int    `json:"unknown"`
+	BackendFailure int    `json:"own_failure"`
+	InProgress     int    `json:"at_work"`
+	ClientGone     int    `json:"gone"`
 	// What follows are mismatches.
-	Repeats  int `json:"repeats"`
-	Promises int `json:"promises_broken"`
-	Crossed  int `json:"answers_of_another"`
-	Unrun    int `json:"answers_without_a_run"`
-	Lost     int `json:"lost"`
-	Strange  int `json:"strange"`
+	Repeats        int `json:"repeats"`
+	RanAfterNotRun int `json:"promises_broken"`
+	WrongResponse  int `json:"answers_of_another"`
+	WithoutRun     int `json:"answers_without_a_run"`
+	Lost           int `json:"lost"`
+	Unexpected     int `json:"strange"`
 }
 
 // Mismatches of the line.
-func (l Line) Mismatches() (count int) {
-	return l.Repeats + l.Promises + l.Crossed + l.Unrun + l.Lost + l.Strange
+func (l KindSummary) Mismatches() (count int) {
+	return l.Repeats + l.RanAfterNotRun + l.WrongResponse + l.WithoutRun + l.Lost + l.Unexpected
 }
 
-// Balance goes through the whole ledger once nothing is at work any more; most is
+// Summarize goes through the whole ledger once nothing is at work any more; most is
 // how often what may be repeated may be sent for one try.
-func (l *Ledger) Balance(most int) (lines [kinds]Line) {
+func (l *RequestLog) Summarize(maxSends int) (lines [kindCount]KindSummary) {
 	for kind := range lines {
 		lines[kind].Kind = Kind(kind).String()
 	}
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
-		for id, try := range s.tries {
-			lines[try.kind].add(id, *try, s.keys[id.Round()], most)
+		for id, attempt := range s.attempts {
+			lines[attempt.kind].add(id, *attempt, s.keys[id.Round()], maxSends)
 		}
 		for _, operation := range s.keys {
 			lines[Keyed].Repeats += max(0, int(operation.runs)-1)
@@ -181,46 +181,46 @@
 	return lines
 }
 
-func (l *Line) add(id ID, try Try, key *operation, most int) {
-	l.Tries++
-	l.Runs += int(try.runs)
-	switch try.kind {
-	case Repeatable:
-		l.Repeats += max(0, int(try.runs)-most)
-	case Once:
-		l.Repeats += max(0, int(try.runs)-1)
+func (l *KindSummary) add(id ID, attempt Attempt, key *operation, maxSends int) {
+	l.Attempts++
+	l.Runs += int(attempt.runs)
+	switch attempt.kind {
+	case Idempotent:
+		l.Repeats += max(0, int(attempt.runs)-maxSends)
+	case NonIdempotent:
+		l.Repeats += max(0, int(attempt.runs)-1)
 	}
-	answered := try.runs > 0
-	if try.kind == Keyed {
-		answered = key != nil && key.ran == try.ran
+	answered := attempt.runs > 0
+	if attempt.kind == Keyed {
+		answered = key != nil && key.executedBy == attempt.executedBy
 	}
-	switch try.told {
-	case Gone:
-		l.Gone++
+	switch attempt.outcome {
+	case ClientGone:
+		l.ClientGone++
 	case Served:
 		l.Served++
-		l.Unrun += one(!answered)
-	case OwnFailure:
-		l.OwnFailure++
-		l.Unrun += one(!answered)
-	case Promised:
-		l.Promised++
-		l.Promises += one(try.runs > 0)
+		l.WithoutRun += countIf(!answered)
+	case BackendFailure:
+		l.BackendFailure++
+		l.WithoutRun += countIf(!answered)
+	case NotRun:
+		l.NotRun++
+		l.RanAfterNotRun += countIf(attempt.runs > 0)
 	case Unknown:
 		l.Unknown++
-	case AtWork:
-		l.AtWork++
-		l.Strange += one(try.kind != Keyed)
+	case InProgress:
+		l.InProgress++
+		l.Unexpected += countIf(attempt.kind != Keyed)
 	case Lost:
 		l.Lost++
-	case Crossed:
-		l.Crossed++
-	case Strange:
-		l.Strange++
+	case WrongResponse:
+		l.WrongResponse++
+	case Unexpected:
+		l.Unexpected++
 	}
 }
 
-func one(holds bool) (count int) {
+func countIf(holds bool) (count int) {
 	if holds {
 		return 1
 	}
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -18,9 +18,9 @@
 
 // Most that an account may be asked for.
 const (
-	RoundsMost  = 5_000_000
-	TimeMost    = time.Hour
-	ClientsMost = 256
+	MaxRounds  = 5_000_000
+	MaxTime    = time.Hour
+	MaxClients = 256
 )
 
 // Options of one play. A round is one client's request with its tries.
@@ -31,18 +31,18 @@
 	Seed    uint64
 }
 
-// Usual is what is played where nothing is said.
-var Usual = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
+// DefaultOptions is what is played where nothing is said.
+var DefaultOptions = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
 
 // Check names what is out of bounds.
 func (o Options) Check() (err error) {
 	switch {
-	case o.Rounds < 1 || o.Rounds > RoundsMost:
-		return Class.New("rounds: %d is not within 1 and %d", o.Rounds, RoundsMost)
-	case o.Time <= 0 || o.Time > TimeMost:
-		return Class.New("for: %v is not above 0 and up to %v", o.Time, TimeMost)
-	case o.Clients < 1 || o.Clients > ClientsMost:
-		return Class.New("clients: %d is not within 1 and %d", o.Clients, ClientsMost)
+	case o.Rounds < 1 || o.Rounds > MaxRounds:
+		return Class.New("rounds: %d is not within 1 and %d", o.Rounds, MaxRounds)
+	case o.Time <= 0 || o.Time > MaxTime:
+		return Class.New("for: %v is not above 0 and up to %v", o.Time, MaxTime)
+	case o.Clients < 1 || o.Clients > MaxClients:
+		return Class.New("clients: %d is not within 1 and %d", o.Clients, MaxClients)
 	case o.Seed == 0:
 		return Class.New("seed: 0 is no seed")
 	}
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	startPatience = time.Minute
-	// attempts is how often a try may be sent at most.
-	attempts   = 3
-	quietMost  = 5 * time.Second
-	quietPause = 10 * time.Millisecond
+	startTimeout = time.Minute
+	// maxSends is how often a try may be sent at most.
+	maxSends      = 3
+	settleTimeout = 5 * time.Second
+	settlePause   = 10 * time.Millisecond
 )
 
 // System on loopback.
 type System struct {
-	Stage    *localcluster.Stage
+	Cluster  *localcluster.Cluster
 	folder   string
 	backends []*backend
 }
 
-// call is the configuration: a way of each kind.
-func call() (text string) {
+// configurationCall is the configuration: a way of each kind.
+func configurationCall() (text string) {
 	routes := ""
-	for kind := range kinds {
-		routes += fmt.Sprintf(`["r-%d","%s","/%s/","%s","%v","%v",%d,"%s",1],`, kind, host, kind, kind, timeouts[kind], timeouts[kind]/3, attempts, services[kind%2])
+	for kind := range kindCount {
+		routes += fmt.Sprintf(`["r-%d","%s","/%s/","%s","%v","%v",%d,"%s",1],`, kind, host, kind, kind, routeTimeouts[kind], routeTimeouts[kind]/3, maxSends, services[kind%2])
 	}
 	return `{"upserts":{"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[["` + services[0] + `","/health",200,1],["` + services[1] + `","/health",200,1]]},
 "routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","service_name","version"],"row_values":[` + routes[:len(routes)-1] + `]}}}`
 }
 
-// timeouts of the routes: one with a claim waits for the cores' disks as well.
-var timeouts = [kinds]time.Duration{Repeatable: timeout, Once: timeout, Keyed: 4 * timeout}
+// routeTimeouts of the routes: one with a claim waits for the cores' disks as well.
+var routeTimeouts = [kindCount]time.Duration{Idempotent: routeTimeout, NonIdempotent: routeTimeout, Keyed: 4 * routeTimeout}
 
 var services = [...]string{"shelf", "till"}
 
@@ -59,32 +59,32 @@
 	}
 	var listed []*localcluster.Backend
 	for n := range 6 {
-		b, openErr := open(fmt.Sprint("i-", n+1), hosts(40+n)+":18080")
+		b, openErr := startBackend(fmt.Sprint("i-", n+1), hosts(40+n)+":18080")
 		if openErr != nil {
 			return system, openErr
 		}
 		system.backends = append(system.backends, b)
-		listed = append(listed, &localcluster.Backend{ID: b.id, Service: services[n%2], Address: b.listener.Addr().String(), Site: localcluster.Site, Server: b})
+		listed = append(listed, &localcluster.Backend{ID: b.id, Service: services[n%2], Address: b.listener.Addr().String(), Zone: localcluster.Zone, Server: b})
 	}
-	if system.Stage, err = localcluster.StartWith(system.folder, hosts, listed); err != nil {
+	if system.Cluster, err = localcluster.StartWith(system.folder, hosts, listed); err != nil {
 		return system, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), startPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	status, answer, err := system.Stage.Operator(ctx, "POST", "/-/Config.Update", call())
+	status, answer, err := system.Cluster.Operator(ctx, "POST", "/-/Config.Update", configurationCall())
 	if err == nil && status != 200 {
 		err = Class.New("the configuration got %d: %s", status, answer)
 	}
 	if err != nil {
 		return system, err
 	}
-	return system, system.Stage.Ready(ctx)
+	return system, system.Cluster.Ready(ctx)
 }
 
 // Close ends everything.
 func (s *System) Close() {
-	if s.Stage != nil {
-		s.Stage.Close()
+	if s.Cluster != nil {
+		s.Cluster.Close()
 	}
 	for _, b := range s.backends {
 		_ = b.Close()
@@ -99,8 +99,8 @@
 	Rounds     int              `json:"rounds"`
 	Asked      int              `json:"rounds_asked"`
 	Seconds    float64          `json:"seconds"`
-	Lines      []Line           `json:"lines"`
-	Troubles   map[string]int64 `json:"troubles"`
+	Kinds      []KindSummary    `json:"lines"`
+	Faults     map[string]int64 `json:"troubles"`
 	Mismatches int              `json:"mismatches"`
 	// Unsettled tells that something was still at work when the ledger was closed.
 	Unsettled bool `json:"unsettled"`
@@ -113,23 +113,23 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, options.Time)
 	defer cancel()
-	ledger := NewLedger()
-	before := s.troubles()
+	log := NewRequestLog()
+	before := s.faultCounts()
 	for n, b := range s.backends {
-		b.play(ledger, options.Seed<<8+uint64(n))
+		b.start(log, options.Seed<<8+uint64(n))
 	}
-	var fronts []string
-	for _, p := range s.Stage.EdgeProps {
-		fronts = append(fronts, p.FrontendAddress)
+	var addresses []string
+	for _, p := range s.Cluster.ProxySettings {
+		addresses = append(addresses, p.FrontendAddress)
 	}
-	begun := time.Now()
+	started := time.Now()
 	var next, played atomic.Int64
 	var clients sync.WaitGroup
 	for n := range options.Clients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			c := newClient(ledger, options.Seed<<16+uint64(n), fronts)
+			c := newClient(log, options.Seed<<16+uint64(n), addresses)
 			defer c.close()
 			for ctx.Err() == nil {
 				number := int(next.Add(1))
@@ -137,29 +137,29 @@
 					return
 				}
 				// Keys are new in each play.
-				c.round(int(options.Seed&0xffff)<<32 + number)
+				c.runOperation(int(options.Seed&0xffff)<<32 + number)
 				played.Add(1)
 			}
 		}()
 	}
 	clients.Wait()
-	report = Report{Seed: options.Seed, Clients: options.Clients, Rounds: int(played.Load()), Asked: options.Rounds, Seconds: time.Since(begun).Seconds(), Unsettled: !s.settle(), Troubles: map[string]int64{}}
-	for _, line := range ledger.Balance(attempts) {
-		report.Lines = append(report.Lines, line)
+	report = Report{Seed: options.Seed, Clients: options.Clients, Rounds: int(played.Load()), Asked: options.Rounds, Seconds: time.Since(started).Seconds(), Unsettled: !s.settle(), Faults: map[string]int64{}}
+	for _, line := range log.Summarize(maxSends) {
+		report.Kinds = append(report.Kinds, line)
 		report.Mismatches += line.Mismatches()
 	}
-	for trouble, count := range s.troubles() {
-		if count -= before[trouble]; count > 0 {
-			report.Troubles[ways[trouble].name] = count
+	for fault, count := range s.faultCounts() {
+		if count -= before[fault]; count > 0 {
+			report.Faults[faultSpecs[fault].name] = count
 		}
 	}
 	return report, nil
 }
 
-func (s *System) troubles() (done [troubles]int64) {
+func (s *System) faultCounts() (done [faultCount]int64) {
 	for _, b := range s.backends {
-		for trouble := range done {
-			done[trouble] += b.done[trouble].Load()
+		for fault := range done {
+			done[fault] += b.faults[fault].Load()
 		}
 	}
 	return done
@@ -168,10 +168,10 @@
 // settle waits until whatever a daemon might still send has come and nothing is
 // at work at the stand-ins.
 func (s *System) settle() (settled bool) {
-	for begun := time.Now(); time.Since(begun) < quietMost; time.Sleep(quietPause) {
-		busy := time.Since(begun) < timeouts[Keyed]
+	for started := time.Now(); time.Since(started) < settleTimeout; time.Sleep(settlePause) {
+		busy := time.Since(started) < routeTimeouts[Keyed]
 		for _, b := range s.backends {
-			busy = busy || b.atWork.Load() > 0
+			busy = busy || b.inFlight.Load() > 0
 		}
 		if !busy {
 			settled = true
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, b := range s.backends {
-		b.rest()
+		b.quiesce()
 	}
 	return settled
 }
@@ -191,16 +191,16 @@
 func (r Report) Table(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "kind\ttries\truns\tserved\tpromised\tunknown\town failure\tat work\tgone\trepeats\tpromises broken\tanother's\twithout a run\tlost\tstrange\t")
-	for _, l := range r.Lines {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Kind, l.Tries, l.Runs, l.Served, l.Promised, l.Unknown, l.OwnFailure, l.AtWork, l.Gone, l.Repeats, l.Promises, l.Crossed, l.Unrun, l.Lost, l.Strange)
+	for _, l := range r.Kinds {
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Kind, l.Attempts, l.Runs, l.Served, l.NotRun, l.Unknown, l.BackendFailure, l.InProgress, l.ClientGone, l.Repeats, l.RanAfterNotRun, l.WrongResponse, l.WithoutRun, l.Lost, l.Unexpected)
 	}
 	_ = table.Flush()
 	_, _ = fmt.Fprintln(out)
-	troubled := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for trouble, way := range ways {
-		_, _ = fmt.Fprintf(troubled, "%s\t%d\n", map[bool]string{true: "answered as it should be", false: way.name}[Trouble(trouble) == None], r.Troubles[way.name])
+	faultTable := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	for fault, spec := range faultSpecs {
+		_, _ = fmt.Fprintf(faultTable, "%s\t%d\n", map[bool]string{true: "answered as it should be", false: spec.name}[Fault(fault) == None], r.Faults[spec.name])
 	}
-	_ = troubled.Flush()
+	_ = faultTable.Flush()
 	_, _ = fmt.Fprintf(out, "\nseed %d: %d of %d rounds by %d clients in %.1f s, %d mismatches\n", r.Seed, r.Rounds, r.Asked, r.Clients, r.Seconds, r.Mismatches)
 	if r.Unsettled {
 		_, _ = fmt.Fprintln(out, "something was still at work at the end: nothing is proven")
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -17,7 +17,7 @@
 		return point, Class.Wrap(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	ctx, cancel := context.WithTimeout(context.Background(), settleMost+span)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout+span)
 	defer cancel()
 	s, err := setUp(ctx, program, folder, size)
 	defer s.close()
@@ -26,7 +26,7 @@
 	}
 	// What the start brought about dies down.
 	time.Sleep(time.Second)
-	if _, err = s.await(ctx, "go"); err != nil {
+	if _, err = s.broadcast(ctx, "go"); err != nil {
 		return point, err
 	}
 	stop := make(chan struct{})
@@ -38,35 +38,35 @@
 		return point, err
 	}
 	startOut := float64(before.BytesOut) / float64(size.Nodes)
-	doneBefore, err := s.await(ctx, "done")
+	doneBefore, err := s.broadcast(ctx, "done")
 	if err != nil {
 		return point, err
 	}
-	begun := time.Now()
-	cores, nodes := usedBy(s.cores), usedBy(s.nodes)
+	started := time.Now()
+	controllers, nodes := usageOf(s.controllers), usageOf(s.nodes)
 	time.Sleep(span)
-	point = Point{Size: size, StartOut: startOut, Seconds: time.Since(begun).Seconds()}
-	coresAfter, nodesAfter := usedBy(s.cores), usedBy(s.nodes)
-	for i := range cores {
-		cpu := (coresAfter[i].seconds - cores[i].seconds) / point.Seconds
+	point = Point{Size: size, StartOut: startOut, Seconds: time.Since(started).Seconds()}
+	controllersAfter, nodesAfter := usageOf(s.controllers), usageOf(s.nodes)
+	for i := range controllers {
+		cpu := (controllersAfter[i].seconds - controllers[i].seconds) / point.Seconds
 		if i == at {
-			point.LeaderCPU, point.LeaderMB = cpu, coresAfter[i].mb
+			point.LeaderCPU, point.LeaderMB = cpu, controllersAfter[i].mb
 		} else {
-			point.FollowerCPU, point.FollowerMB = max(point.FollowerCPU, cpu), max(point.FollowerMB, coresAfter[i].mb)
+			point.FollowerCPU, point.FollowerMB = max(point.FollowerCPU, cpu), max(point.FollowerMB, controllersAfter[i].mb)
 		}
 	}
 	for i := range nodes {
 		point.NodeCPU += (nodesAfter[i].seconds - nodes[i].seconds) / point.Seconds / float64(size.Nodes)
 		point.NodeMB += nodesAfter[i].mb / float64(size.Nodes)
 	}
-	doneAfter, err := s.await(ctx, "done")
+	doneAfter, err := s.broadcast(ctx, "done")
 	if err != nil {
 		return point, err
 	}
 	close(stop)
-	point.Done = (doneAfter - doneBefore) / point.Seconds
+	point.EventRate = (doneAfter - doneBefore) / point.Seconds
 	if changes := <-changed; size.Changes > 0 {
-		point.Done += float64(changes) / (point.Seconds + 1)
+		point.EventRate += float64(changes) / (point.Seconds + 1)
 	}
 	atNow, after, err := s.leader()
 	if err != nil {
@@ -77,16 +77,16 @@
 	}
 	point.LeaderIn = float64(after.BytesIn-before.BytesIn) / point.Seconds
 	point.LeaderOut = float64(after.BytesOut-before.BytesOut) / point.Seconds
-	point.ChangeMS, err = s.delay(ctx)
+	point.ChangeMS, err = s.changeDelay(ctx)
 	return point, err
 }
 
-type use struct{ seconds, mb float64 }
+type usage struct{ seconds, mb float64 }
 
-func usedBy(workers []*worker) (uses []use) {
+func usageOf(workers []*worker) (uses []usage) {
 	for _, w := range workers {
-		seconds, mb := w.used()
-		uses = append(uses, use{seconds, mb})
+		seconds, mb := w.usage()
+		uses = append(uses, usage{seconds, mb})
 	}
 	return uses
 }
@@ -96,9 +96,9 @@
 	if s.size.Changes == 0 {
 		return 0
 	}
-	begun := time.Now()
+	started := time.Now()
 	for {
-		due := begun.Add(time.Duration(float64(count+1) / float64(s.size.Changes) * float64(time.Second)))
+		due := started.Add(time.Duration(float64(count+1) / float64(s.size.Changes) * float64(time.Second)))
 		select {
 		case <-stop:
 			return count
@@ -113,18 +113,18 @@
 	}
 }
 
-// delay measures from the acknowledgement of a change until every node has it.
-func (s *system) delay(ctx context.Context) (ms float64, err error) {
+// changeDelay measures from the acknowledgement of a change until every node has it.
+func (s *system) changeDelay(ctx context.Context) (ms float64, err error) {
 	if err = s.change(ctx); err != nil {
 		return 0, err
 	}
-	begun := time.Now()
-	_, account, err := s.leader()
+	started := time.Now()
+	_, status, err := s.leader()
 	if err != nil {
 		return 0, err
 	}
-	if _, err = s.await(ctx, "rev "+strconv.FormatUint(account.Revision, 10)); err != nil {
+	if _, err = s.broadcast(ctx, "rev "+strconv.FormatUint(status.Revision, 10)); err != nil {
 		return 0, err
 	}
-	return float64(time.Since(begun)) / float64(time.Millisecond), nil
+	return float64(time.Since(started)) / float64(time.Millisecond), nil
 }
--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -42,34 +42,34 @@
 		return point, Class.Wrap(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	ctx, cancel := context.WithTimeout(context.Background(), settleMost)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	system, err := localcluster.Start(folder, localcluster.Hosts())
 	if err != nil {
 		return point, Class.Wrap(err)
 	}
 	defer system.Close()
-	if _, _, err = system.Operator(ctx, http.MethodPost, "/-/Config.Update", localcluster.FirstCall); err != nil {
+	if _, _, err = system.Operator(ctx, http.MethodPost, "/-/Config.Update", localcluster.InitialConfiguration); err != nil {
 		return point, Class.Wrap(err)
 	}
 	if err = system.Ready(ctx); err != nil {
 		return point, Class.Wrap(err)
 	}
 	point.Requests = requests
-	for way, front := range map[string]string{"direct": system.Backends[0].Address, "through": system.EdgeProps[0].FrontendAddress} {
+	for route, address := range map[string]string{"direct": system.Backends[0].Address, "through": system.ProxySettings[0].FrontendAddress} {
 		var times []time.Duration
 		for n := 0; n < requests+requests/10+1; n++ {
-			begun := time.Now()
-			status, askErr := localcluster.AskAs(ctx, front, http.MethodGet, "/hello/x", "", "")
+			started := time.Now()
+			status, askErr := localcluster.RequestAs(ctx, address, http.MethodGet, "/hello/x", "", "")
 			if askErr != nil || status != http.StatusOK {
-				return point, Class.New("%s: %d %v", way, status, askErr)
+				return point, Class.New("%s: %d %v", route, status, askErr)
 			}
 			// The first tenth warms both up.
 			if n > requests/10 {
-				times = append(times, time.Since(begun))
+				times = append(times, time.Since(started))
 			}
 		}
-		if way == "direct" {
+		if route == "direct" {
 			point.Direct = percentilesOf(times)
 		} else {
 			point.Through = percentilesOf(times)
--- a/internal/loadtest/point.go
+++ b/internal/loadtest/point.go
@@ -24,8 +24,8 @@
 	StartOut float64 `json:"start_out"`
 	// ChangeMS is from the acknowledgement of a change until every node has it.
 	ChangeMS float64 `json:"change_ms"`
-	// Done is how many of the rates' events were carried out a second.
-	Done float64 `json:"done"`
+	// EventRate is how many of the rates' events were carried out a second.
+	EventRate float64 `json:"done"`
 }
 
 // Fit is y = Base + Slope x, with the largest distance of a point from it.
--- a/internal/loadtest/reckon.go
+++ b/internal/loadtest/reckon.go
@@ -56,27 +56,27 @@
 	{"one cell of 11", Size{Nodes: 1_273, Backends: 20_000, Services: 436, Routes: 20_000, Tenants: 63_636, Changes: 1, Members: 1, Claims: 0, Reports: 1}},
 }
 
-// Reckoned is one figure of a target.
-type Reckoned struct {
+// Extrapolation is one figure of a target.
+type Extrapolation struct {
 	Figure string
 	Base   float64
 	Parts  map[string]float64
 	Total  float64
 }
 
-// Reckon gives a figure for a target.
-func Reckon(sweeps map[string]Sweep, figure string, target Size) (reckoned Reckoned) {
-	reckoned = Reckoned{Figure: figure, Parts: map[string]float64{}}
-	usual := Usual
+// Extrapolate gives a figure for a target.
+func Extrapolate(sweeps map[string]Sweep, figure string, target Size) (extrapolation Extrapolation) {
+	extrapolation = Extrapolation{Figure: figure, Parts: map[string]float64{}}
+	base := DefaultSize
 	fit := sweeps["nodes"].Fits[figure]
-	reckoned.Base = fit.Base + fit.Slope*float64(usual.Nodes)
-	reckoned.Total = reckoned.Base
+	extrapolation.Base = fit.Base + fit.Slope*float64(base.Nodes)
+	extrapolation.Total = extrapolation.Base
 	for _, name := range Names {
-		part := sweeps[name].Fits[figure].Slope * float64(*target.At(name)-*usual.At(name))
-		reckoned.Parts[name] = part
-		reckoned.Total += part
+		part := sweeps[name].Fits[figure].Slope * float64(*target.At(name)-*base.At(name))
+		extrapolation.Parts[name] = part
+		extrapolation.Total += part
 	}
-	return reckoned
+	return extrapolation
 }
 
 // Table is the page's: slopes with their residuals and largest run, then totals.
@@ -104,12 +104,12 @@
 		line(append([]string{"figure", "usual size"}, append(append([]string{}, Names...), "total")...)...)
 		line(strings.Split("---"+strings.Repeat("|---", len(Names)+2), "|")...)
 		for _, figure := range Figures {
-			reckoned := Reckon(sweeps, figure.Name, target.Size)
-			row := []string{figure.Name, fmt.Sprintf("%.3g", reckoned.Base)}
+			extrapolation := Extrapolate(sweeps, figure.Name, target.Size)
+			row := []string{figure.Name, fmt.Sprintf("%.3g", extrapolation.Base)}
 			for _, name := range Names {
-				row = append(row, fmt.Sprintf("%.3g", reckoned.Parts[name]))
+				row = append(row, fmt.Sprintf("%.3g", extrapolation.Parts[name]))
 			}
-			line(append(row, fmt.Sprintf("%.4g", reckoned.Total))...)
+			line(append(row, fmt.Sprintf("%.4g", extrapolation.Total))...)
 		}
 	}
 	return out.String()
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -31,20 +31,20 @@
 	Reports int `json:"reports"`
 }
 
-// Usual is the size from which one variable at a time is changed.
-var Usual = Size{Nodes: 100, Backends: 300, Services: 4, Routes: 20}
+// DefaultSize is the size from which one variable at a time is changed.
+var DefaultSize = Size{Nodes: 100, Backends: 300, Services: 4, Routes: 20}
 
 // Bounds of one measurement.
 const (
-	nodesMost    = 4000
-	perProcess   = 400
-	rowsMost     = 60_000
-	rateMost     = 20_000
-	spanMost     = time.Minute
-	spanLeast    = time.Second
-	rowBytes     = 2500
-	nodeBytes    = 400 << 10
-	processBytes = 60 << 20
+	maxNodes        = 4000
+	nodesPerProcess = 400
+	maxRows         = 60_000
+	maxRate         = 20_000
+	maxSpan         = time.Minute
+	minSpan         = time.Second
+	rowBytes        = 2500
+	nodeBytes       = 400 << 10
+	processBytes    = 60 << 20
 )
 
 // Names lists the variables in the order of their columns.
@@ -64,33 +64,33 @@
 	return int64(s.Nodes)*(nodeBytes+rows*rowBytes) + 6*rows*rowBytes + int64(s.Claims)*75*800*3 + int64(s.processes()+4)*processBytes
 }
 
-func (s Size) processes() (count int) { return (s.Nodes + perProcess - 1) / perProcess }
+func (s Size) processes() (count int) { return (s.Nodes + nodesPerProcess - 1) / nodesPerProcess }
 
 // Check names every fault of a size before anything is started; room is the
 // memory that may be used.
-func (s Size) Check(span time.Duration, room int64) (err error) {
-	var faults []string
-	within := func(name string, value, least, most int) {
-		if value < least || value > most {
-			faults = append(faults, fmt.Sprintf("%s must be from %d to %d, not %d", name, least, most, value))
+func (s Size) Check(span time.Duration, available int64) (err error) {
+	var problems []string
+	within := func(name string, value, low, high int) {
+		if value < low || value > high {
+			problems = append(problems, fmt.Sprintf("%s must be from %d to %d, not %d", name, low, high, value))
 		}
 	}
-	within("nodes", s.Nodes, 1, nodesMost)
-	within("backends", s.Backends, 1, rowsMost)
-	within("services", s.Services, 1, rowsMost)
-	within("routes", s.Routes, 1, rowsMost)
-	within("tenants", s.Tenants, 0, rowsMost)
+	within("nodes", s.Nodes, 1, maxNodes)
+	within("backends", s.Backends, 1, maxRows)
+	within("services", s.Services, 1, maxRows)
+	within("routes", s.Routes, 1, maxRows)
+	within("tenants", s.Tenants, 0, maxRows)
 	for _, name := range []string{"changes", "members", "claims", "reports"} {
-		within(name, *s.At(name), 0, rateMost)
+		within(name, *s.At(name), 0, maxRate)
 	}
-	if span < spanLeast || span > spanMost {
-		faults = append(faults, fmt.Sprintf("span must be from %s to %s, not %s", spanLeast, spanMost, span))
+	if span < minSpan || span > maxSpan {
+		problems = append(problems, fmt.Sprintf("span must be from %s to %s, not %s", minSpan, maxSpan, span))
 	}
-	if len(faults) == 0 && s.Memory() > room {
-		faults = append(faults, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, room>>20))
+	if len(problems) == 0 && s.Memory() > available {
+		problems = append(problems, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, available>>20))
 	}
-	if len(faults) > 0 {
-		return Class.New("%s", strings.Join(faults, "; "))
+	if len(problems) > 0 {
+		return Class.New("%s", strings.Join(problems, "; "))
 	}
 	return nil
 }
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -25,12 +25,12 @@
 )
 
 const (
-	coreCount   = 3
-	settleMost  = 90 * time.Second
-	pageRows    = 1000
-	controlPort = 18266
-	listPort    = 18269
-	innerLow    = 17820
+	controllerCount = 3
+	settleTimeout   = 90 * time.Second
+	rowsPerPage     = 1000
+	controlPort     = 18266
+	listPort        = 18269
+	internalPortLow = 17820
 )
 
 // worker is one process of the measurement.
@@ -42,31 +42,31 @@
 
 // nodesTask is what a process of hollow nodes is given.
 type nodesTask struct {
-	Props   settings.Settings `json:"props"`
-	First   int               `json:"first"`
-	Count   int               `json:"count"`
-	Size    Size              `json:"size"`
-	Members float64           `json:"members"`
-	Claims  float64           `json:"claims"`
-	Reports float64           `json:"reports"`
+	Settings settings.Settings `json:"props"`
+	First    int               `json:"first"`
+	Count    int               `json:"count"`
+	Size     Size              `json:"size"`
+	Members  float64           `json:"members"`
+	Claims   float64           `json:"claims"`
+	Reports  float64           `json:"reports"`
 }
 
 type system struct {
-	size     Size
-	hosts    func(n int) string
-	cores    []*worker
-	props    []settings.Settings
-	nodes    []*worker
-	platform *http.Server
-	version  int
+	size        Size
+	hosts       func(n int) string
+	controllers []*worker
+	settings    []settings.Settings
+	nodes       []*worker
+	platform    *http.Server
+	version     int
 }
 
-func start(program, word string, task any) (w *worker, err error) {
+func startWorker(program, command string, task any) (w *worker, err error) {
 	text, err := json.Marshal(task)
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	w = &worker{command: exec.Command(program, word)}
+	w = &worker{command: exec.Command(program, command)}
 	w.command.Stderr = os.Stderr
 	if w.in, err = w.command.StdinPipe(); err != nil {
 		return nil, Class.Wrap(err)
@@ -83,8 +83,8 @@
 	return w, Class.Wrap(err)
 }
 
-// end closes the worker's input, by which it ends, and waits for it.
-func (w *worker) end() {
+// stop closes the worker's input, by which it ends, and waits for it.
+func (w *worker) stop() {
 	_ = w.in.Close()
 	done := make(chan struct{})
 	go func() { _ = w.command.Wait(); close(done) }()
@@ -96,12 +96,12 @@
 	}
 }
 
-// used gives the processor seconds of a worker so far, and its memory in MB.
-func (w *worker) used() (seconds, mb float64) {
-	return used(w.command.Process.Pid)
+// usage gives the processor seconds of a worker so far, and its memory in MB.
+func (w *worker) usage() (seconds, mb float64) {
+	return resourceUsage(w.command.Process.Pid)
 }
 
-func used(pid int) (seconds, mb float64) {
+func resourceUsage(pid int) (seconds, mb float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
@@ -117,15 +117,15 @@
 }
 
 // common are the settings of every daemon.
-func (s *system) common(name, address string, seeds []string) (p settings.Settings) {
-	p = settings.Settings{
+func (s *system) common(name, address string, seeds []string) (config settings.Settings) {
+	config = settings.Settings{
 		Name: name, Address: address, Zone: "z0", Region: "r0", ZoneRegions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}, FirstStart: true,
-		InternalPortLow: innerLow, InternalPortHigh: innerLow + 15, Seeds: seeds, MemoryMB: 4096, MaxFileDescriptors: 8192,
+		InternalPortLow: internalPortLow, InternalPortHigh: internalPortLow + 15, Seeds: seeds, MemoryMB: 4096, MaxFileDescriptors: 8192,
 		PlatformAddress: net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)), PlatformRate: 44, SubsetSize: 3, MaxIdleNonIdempotent: 250 * time.Millisecond, CPUShare: 1,
 		SendInterval: 4 * time.Second, HealthCheckInterval: time.Second, EndpointListInterval: 700 * time.Millisecond, ToleratedMachineLosses: 1,
 	}
-	p.Bounds = settings.Bounds{GracePeriod: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 600, MaxTTL: 5 * time.Second}
-	return p
+	config.Bounds = settings.Bounds{GracePeriod: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 600, MaxTTL: 5 * time.Second}
+	return config
 }
 
 func setUp(ctx context.Context, program, folder string, size Size) (s *system, err error) {
@@ -135,46 +135,46 @@
 	if err != nil {
 		return s, Class.Wrap(err)
 	}
-	s.platform = &http.Server{Handler: http.HandlerFunc(s.list)}
+	s.platform = &http.Server{Handler: http.HandlerFunc(s.serveEndpointList)}
 	go func() { _ = s.platform.Serve(listener) }()
 	var seeds []string
-	for i := 1; i <= coreCount; i++ {
+	for i := 1; i <= controllerCount; i++ {
 		seeds = append(seeds, net.JoinHostPort(s.hosts(i), strconv.Itoa(controlPort)))
 	}
-	for i := 1; i <= coreCount; i++ {
-		p := s.common(fmt.Sprint("core-", i), s.hosts(i), seeds)
-		p.ControlAddress, p.DataDirectory = seeds[i-1], filepath.Join(folder, p.Name)
-		core, startErr := start(program, "core", p)
+	for i := 1; i <= controllerCount; i++ {
+		config := s.common(fmt.Sprint("core-", i), s.hosts(i), seeds)
+		config.ControlAddress, config.DataDirectory = seeds[i-1], filepath.Join(folder, config.Name)
+		controller, startErr := startWorker(program, "core", config)
 		if startErr != nil {
 			return s, startErr
 		}
-		s.cores, s.props = append(s.cores, core), append(s.props, p)
+		s.controllers, s.settings = append(s.controllers, controller), append(s.settings, config)
 	}
-	if err = s.operator(ctx, s.firstCall()); err != nil {
+	if err = s.operator(ctx, s.initialConfiguration()); err != nil {
 		return s, err
 	}
 	count := size.processes()
 	for i := 0; i < count; i++ {
 		first, last := i*size.Nodes/count, (i+1)*size.Nodes/count
 		task := nodesTask{
-			Props: s.common("node", s.hosts(100), seeds), First: first, Count: last - first, Size: size,
+			Settings: s.common("node", s.hosts(100), seeds), First: first, Count: last - first, Size: size,
 			Members: float64(size.Members) / float64(count), Claims: float64(size.Claims) / float64(count), Reports: float64(size.Reports) / float64(count),
 		}
-		nodes, startErr := start(program, "nodes", task)
+		nodes, startErr := startWorker(program, "nodes", task)
 		if startErr != nil {
 			return s, startErr
 		}
 		s.nodes = append(s.nodes, nodes)
 	}
-	_, err = s.await(ctx, "listed")
+	_, err = s.broadcast(ctx, "listed")
 	return s, err
 }
 
-// await has every process of nodes do something, waits for all, and sums their
+// broadcast has every process of nodes do something, waits for all, and sums their
 // answers.
-func (s *system) await(ctx context.Context, word string) (sum float64, err error) {
+func (s *system) broadcast(ctx context.Context, command string) (sum float64, err error) {
 	for _, nodes := range s.nodes {
-		if _, err = fmt.Fprintln(nodes.in, word); err != nil {
+		if _, err = fmt.Fprintln(nodes.in, command); err != nil {
 			return 0, Class.Wrap(err)
 		}
 	}
@@ -202,10 +202,10 @@
 
 func (s *system) close() {
 	for _, nodes := range s.nodes {
-		nodes.end()
+		nodes.stop()
 	}
-	for _, core := range s.cores {
-		core.end()
+	for _, controller := range s.controllers {
+		controller.stop()
 	}
 	if s.platform != nil {
 		_ = s.platform.Close()
@@ -215,16 +215,16 @@
 func serviceName(n int) string { return fmt.Sprint("s", n) }
 func backendName(n int) string { return fmt.Sprintf("i-%06d", n) }
 
-// list is the stand-in for the platform.
-func (s *system) list(w http.ResponseWriter, r *http.Request) {
+// serveEndpointList is the stand-in for the platform.
+func (s *system) serveEndpointList(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.Atoi(r.URL.Query().Get("page_token"))
 	rows := [][]any{}
-	for n := from; n < min(from+pageRows, s.size.Backends); n++ {
+	for n := from; n < min(from+rowsPerPage, s.size.Backends); n++ {
 		rows = append(rows, []any{backendName(n), serviceName(n % s.size.Services), fmt.Sprintf("10.%d.%d.%d:8080", n>>16&255, n>>8&255, n&255), fmt.Sprint("z", n%3), "ready", 4, "0ms", "v1"})
 	}
 	var next any
-	if from+pageRows < s.size.Backends {
-		next = strconv.Itoa(from + pageRows)
+	if from+rowsPerPage < s.size.Backends {
+		next = strconv.Itoa(from + rowsPerPage)
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{
 		"instances":       map[string]any{"column_names": []string{"instance_id", "service_name", "address", "zone", "state", "capacity_slots", "cold_remaining", "version"}, "row_values": rows},
@@ -238,7 +238,7 @@
 
 var routeColumns = []string{"name", "hostname", "path_prefix", "route_type", "timeout", "target_latency", "max_attempts", "service_name", "version"}
 
-func (s *system) firstCall() (body []byte) {
+func (s *system) initialConfiguration() (body []byte) {
 	services, routes, tenants := [][]any{}, [][]any{}, [][]any{}
 	for n := 0; n < s.size.Services; n++ {
 		services = append(services, []any{serviceName(n), "/health", 100, 1})
@@ -270,8 +270,8 @@
 // operator sends a call until it is acknowledged.
 func (s *system) operator(ctx context.Context, body []byte) (err error) {
 	for {
-		for _, p := range s.props {
-			request, requestErr := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.ControlAddress+"/-/Config.Update", bytes.NewReader(body))
+		for _, config := range s.settings {
+			request, requestErr := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+config.ControlAddress+"/-/Config.Update", bytes.NewReader(body))
 			if requestErr != nil {
 				return Class.Wrap(requestErr)
 			}
@@ -298,19 +298,19 @@
 }
 
 // leader asks the cores how they stand and gives the one that leads.
-func (s *system) leader() (at int, account controller.Status, err error) {
-	for i, p := range s.props {
-		caller := rpc.NewClient(p.ControllerInternalAddress())
+func (s *system) leader() (at int, status controller.Status, err error) {
+	for i, config := range s.settings {
+		client := rpc.NewClient(config.ControllerInternalAddress())
 		var reply rpc.StatusResponse
-		callErr := caller.Call(rpc.MethodStatus, rpc.StatusRequest{}, &reply, 5*time.Second)
-		caller.Close()
+		callErr := client.Call(rpc.MethodStatus, rpc.StatusRequest{}, &reply, 5*time.Second)
+		client.Close()
 		if callErr != nil {
 			continue
 		}
-		var told controller.Status
-		if json.Unmarshal(reply.JSON, &told) == nil && told.IsLeader && told.Settled {
-			return i, told, nil
+		var status controller.Status
+		if json.Unmarshal(reply.JSON, &status) == nil && status.IsLeader && status.Settled {
+			return i, status, nil
 		}
 	}
-	return 0, account, Class.New("no core leads")
+	return 0, status, Class.New("no core leads")
 }
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -24,53 +24,53 @@
 
 const pollPause = 2 * time.Millisecond
 
-// Work does what a process is for; known tells that there is such a word.
-func Work(word string, in io.Reader, out io.Writer) (known bool, err error) {
+// RunWorker does what a process is for; known tells that there is such a word.
+func RunWorker(command string, in io.Reader, out io.Writer) (known bool, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
-	switch word {
+	switch command {
 	case "core":
-		return true, workCore(lines)
+		return true, runController(lines)
 	case "nodes":
-		return true, workNodes(lines, out)
+		return true, runNodes(lines, out)
 	}
 	return false, nil
 }
 
-func task(lines *bufio.Scanner, into any) (err error) {
+func readTask(lines *bufio.Scanner, into any) (err error) {
 	if !lines.Scan() {
 		return Class.New("no task was given")
 	}
 	return Class.Wrap(json.Unmarshal(lines.Bytes(), into))
 }
 
-func workCore(lines *bufio.Scanner) (err error) {
-	var p settings.Settings
-	if err = task(lines, &p); err != nil {
+func runController(lines *bufio.Scanner) (err error) {
+	var config settings.Settings
+	if err = readTask(lines, &config); err != nil {
 		return err
 	}
-	core, err := controller.Start(p, eventlog.Discard())
+	controller, err := controller.Start(config, eventlog.Discard())
 	if err != nil {
 		return err
 	}
 	for lines.Scan() {
 	}
-	core.Stop()
+	controller.Stop()
 	return nil
 }
 
-func workNodes(lines *bufio.Scanner, out io.Writer) (err error) {
+func runNodes(lines *bufio.Scanner, out io.Writer) (err error) {
 	var t nodesTask
-	if err = task(lines, &t); err != nil {
+	if err = readTask(lines, &t); err != nil {
 		return err
 	}
 	nodes := make([]atomic.Pointer[proxy.StubNode], t.Count)
 	begin := func(i int) {
-		p := t.Props
-		p.Name = fmt.Sprintf("node-%05d", t.First+i)
-		p.Zone = fmt.Sprint("z", (t.First+i)%3)
-		p.Region = p.ZoneRegions[p.Zone]
-		nodes[i].Store(proxy.StartStubNode(p, rpc.Incarnation(rand.Uint64())))
+		config := t.Settings
+		config.Name = fmt.Sprintf("node-%05d", t.First+i)
+		config.Zone = fmt.Sprint("z", (t.First+i)%3)
+		config.Region = config.ZoneRegions[config.Zone]
+		nodes[i].Store(proxy.StartStubNode(config, rpc.Incarnation(rand.Uint64())))
 	}
 	for i := range nodes {
 		begin(i)
@@ -88,21 +88,21 @@
 		}
 		ticker := time.NewTicker(10 * time.Millisecond)
 		defer ticker.Stop()
-		begun, n := time.Now(), 0
+		started, n := time.Now(), 0
 		for {
 			select {
 			case <-ended:
 				return
 			case <-ticker.C:
 			}
-			for owed := int(rate * time.Since(begun).Seconds()); n < owed; n++ {
+			for owed := int(rate * time.Since(started).Seconds()); n < owed; n++ {
 				do(n)
 			}
 		}
 	}
 	for lines.Scan() {
-		word, value, _ := strings.Cut(lines.Text(), " ")
-		switch word {
+		command, value, _ := strings.Cut(lines.Text(), " ")
+		switch command {
 		case "listed":
 			for i := range nodes {
 				for !nodes[i].Load().Known().EndpointsComplete {
@@ -138,13 +138,13 @@
 			_, _ = fmt.Fprintln(out, done.Load())
 		case "rev":
 			rev, _ := strconv.ParseUint(value, 10, 64)
-			begun := time.Now()
+			started := time.Now()
 			for i := range nodes {
 				for nodes[i].Load().Known().LogIndex < rev {
 					time.Sleep(pollPause)
 				}
 			}
-			_, _ = fmt.Fprintln(out, float64(time.Since(begun))/float64(time.Millisecond))
+			_, _ = fmt.Fprintln(out, float64(time.Since(started))/float64(time.Millisecond))
 		}
 	}
 	return nil
--- a/internal/localcluster/members_test.go
+++ b/internal/localcluster/members_test.go
@@ -13,9 +13,9 @@
 )
 
 // membersOf gives the members as the leader has them, by inner address.
-func membersOf(stage *Stage) (members map[string]raft.Member, voters int) {
+func membersOf(cluster *Cluster) (members map[string]raft.Member, voters int) {
 	members = map[string]raft.Member{}
-	fleet, err := diagnostics.Inspect(stage.Inner())
+	fleet, err := diagnostics.Inspect(cluster.InternalAddresses())
 	if err != nil || fleet.Leader() == nil {
 		return members, 0
 	}
@@ -28,18 +28,18 @@
 	return members, voters
 }
 
-// slow is a time of grace in which a loaded machine, too, comes to agree.
-const slow = 24 * time.Second
+// agreementTimeout is a time of grace in which a loaded machine, too, comes to agree.
+const agreementTimeout = 24 * time.Second
 
-// startCore starts a core by its settings, new or with its disk.
+// startController starts a core by its settings, new or with its disk.
 // A disk that was slow to close is still held by this process for a moment.
-func startCore(ctx context.Context, t *testing.T, stage *Stage, n int) {
+func startController(ctx context.Context, t *testing.T, cluster *Cluster, n int) {
 	t.Helper()
-	p := stage.CoreProps[n]
-	p.FirstStart, p.Bounds.GracePeriod, p.Bounds.CatchUp = false, slow, slow
+	config := cluster.ControllerSettings[n]
+	config.FirstStart, config.Bounds.GracePeriod, config.Bounds.CatchUp = false, agreementTimeout, agreementTimeout
 	var err error
 	if untilErr := Until(ctx, func() bool {
-		stage.Cores[p.Name], err = controller.Start(p, eventlog.Discard())
+		cluster.Controllers[config.Name], err = controller.Start(config, eventlog.Discard())
 		return err == nil
 	}); untilErr != nil {
 		t.Fatal(err)
@@ -50,50 +50,50 @@
 // its end is over, three others vote and it is no member; started again with
 // its disk it is a learner under its old id. Where nobody is to spare a stop
 // changes nothing.
-func TestCoresLeaveByAgreement(t *testing.T) {
+func TestControllersLeaveByAgreement(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 120*time.Second)
 	defer cancel()
 	hosts, folder := Hosts(), t.TempDir()
-	stage, err := Start(folder, hosts)
+	cluster, err := Start(folder, hosts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stage.Close()
-	if _, _, err = stage.Operator(ctx, "POST", "/-/Config.Update", FirstCall); err != nil {
+	defer cluster.Close()
+	if _, _, err = cluster.Operator(ctx, "POST", "/-/Config.Update", InitialConfiguration); err != nil {
 		t.Fatal(err)
 	}
 	stop := func(n int) {
-		began := time.Now()
-		stage.StopCore(stage.CoreProps[n].Name)
-		took := time.Since(began)
-		t.Logf("core %d ended in %v", n, took.Round(time.Millisecond))
-		if took > slow {
-			t.Errorf("core %d took %v to end", n, took)
+		started := time.Now()
+		cluster.StopController(cluster.ControllerSettings[n].Name)
+		elapsed := time.Since(started)
+		t.Logf("core %d ended in %v", n, elapsed.Round(time.Millisecond))
+		if elapsed > agreementTimeout {
+			t.Errorf("core %d took %v to end", n, elapsed)
 		}
 	}
-	for n := range stage.CoreProps {
+	for n := range cluster.ControllerSettings {
 		stop(n)
-		if err = Until(ctx, func() bool { members, voters := membersOf(stage); return len(members) == 3 && voters == 3 }); err != nil {
+		if err = Until(ctx, func() bool { members, voters := membersOf(cluster); return len(members) == 3 && voters == 3 }); err != nil {
 			t.Fatal("a plain stop changed who votes")
 		}
-		startCore(ctx, t, stage, n)
+		startController(ctx, t, cluster, n)
 		if err = Until(ctx, func() bool {
-			fleet, lookErr := diagnostics.Inspect(stage.Inner())
+			fleet, lookErr := diagnostics.Inspect(cluster.InternalAddresses())
 			return lookErr == nil && fleet.Leader() != nil && len(fleet.Controllers) == 3
 		}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p := stage.CoreProps[0]
-	p.Name, p.Address, p.FirstStart = "core-4", hosts(4), false
-	p.ControlAddress, p.DataDirectory = hosts(4)+":18166", filepath.Join(folder, "core-4")
-	stage.CoreProps = append(stage.CoreProps, p)
-	startCore(ctx, t, stage, 3)
-	for n := range stage.CoreProps {
-		inner := stage.CoreProps[n].ControllerInternalAddress()
+	config := cluster.ControllerSettings[0]
+	config.Name, config.Address, config.FirstStart = "core-4", hosts(4), false
+	config.ControlAddress, config.DataDirectory = hosts(4)+":18166", filepath.Join(folder, "core-4")
+	cluster.ControllerSettings = append(cluster.ControllerSettings, config)
+	startController(ctx, t, cluster, 3)
+	for n := range cluster.ControllerSettings {
+		inner := cluster.ControllerSettings[n].ControllerInternalAddress()
 		var before raft.Member
 		if err = Until(ctx, func() bool {
-			members, voters := membersOf(stage)
+			members, voters := membersOf(cluster)
 			before = members[inner]
 			return len(members) == 4 && voters == 3
 		}); err != nil {
@@ -102,21 +102,21 @@
 		stop(n)
 		var members map[string]raft.Member
 		var voters int
-		if err = Until(ctx, func() bool { members, voters = membersOf(stage); return len(members) > 0 }); err != nil {
+		if err = Until(ctx, func() bool { members, voters = membersOf(cluster); return len(members) > 0 }); err != nil {
 			t.Fatalf("no leader after core %d has left", n)
 		}
 		if _, stays := members[inner]; before.Voter && stays || voters != 3 {
 			t.Errorf("core %d, a voter %v, has left %d voters of %v", n, before.Voter, voters, members)
 		}
-		startCore(ctx, t, stage, n)
+		startController(ctx, t, cluster, n)
 		if err = Until(ctx, func() bool {
-			members, _ = membersOf(stage)
+			members, _ = membersOf(cluster)
 			return members[inner].ID == before.ID && !members[inner].Voter
 		}); err != nil && before.Voter {
 			t.Fatalf("core %d did not come back as a learner under its id", n)
 		}
 	}
-	if _, _, err = stage.Operator(ctx, "GET", "/-/Config.Describe", ""); err != nil {
+	if _, _, err = cluster.Operator(ctx, "GET", "/-/Config.Describe", ""); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/localcluster/orders_test.go
+++ b/internal/localcluster/orders_test.go
@@ -15,7 +15,7 @@
 	"tinpin/internal/diagnostics"
 )
 
-func paper(t *testing.T, body string) (path string) {
+func writeDocument(t *testing.T, body string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "order.json")
 	if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
@@ -27,32 +27,32 @@
 // A backend is retired from a whole system while keyed clients press both
 // edges and the leader is stopped in between: once the order is acknowledged no
 // new caller reaches it, and every operation ran once or was refused.
-func TestRetiringUnderPressure(t *testing.T) {
+func TestRetirementUnderLoad(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	stage, err := Start(t.TempDir(), Hosts())
+	cluster, err := Start(t.TempDir(), Hosts())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stage.Close()
-	if _, _, err = stage.Operator(ctx, "POST", "/-/Config.Update", FirstCall); err != nil {
+	defer cluster.Close()
+	if _, _, err = cluster.Operator(ctx, "POST", "/-/Config.Update", InitialConfiguration); err != nil {
 		t.Fatal(err)
 	}
-	if err = stage.Ready(ctx); err != nil {
+	if err = cluster.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	desk := &adminclient.Client{Wait: 30 * time.Second}
-	for _, p := range stage.CoreProps {
-		desk.Addresses = append(desk.Addresses, p.ControlAddress)
+	client := &adminclient.Client{Wait: 30 * time.Second}
+	for _, config := range cluster.ControllerSettings {
+		client.Addresses = append(client.Addresses, config.ControlAddress)
 	}
 	var out bytes.Buffer
-	carry := func(subject, verb string, words ...string) (said string, err error) {
+	runCommand := func(subject, verb string, words ...string) (output string, err error) {
 		// Each call is made twice: the same again changes nothing. A moment without a
 		// leader may lie before either.
 		for range 2 {
 			if untilErr := Until(ctx, func() bool {
 				out.Reset()
-				_, err = desk.Run(ctx, &out, subject, verb, words)
+				_, err = client.Run(ctx, &out, subject, verb, words)
 				return err == nil || strings.Contains(err.Error(), "refused")
 			}); untilErr != nil {
 				return out.String(), untilErr
@@ -60,33 +60,33 @@
 		}
 		return out.String(), err
 	}
-	if _, err = carry("drain", "check", paper(t, `{"version":1,"rules":[{"service":"nobody","notice":"0s","finish":"5s","keyed":"deadline","least_share":0}],"lost_touch":"2s","cut_off":"stop"}`)); err == nil || !strings.Contains(err.Error(), `unknown service "nobody"`) {
+	if _, err = runCommand("drain", "check", writeDocument(t, `{"version":1,"rules":[{"service":"nobody","notice":"0s","finish":"5s","keyed":"deadline","least_share":0}],"lost_touch":"2s","cut_off":"stop"}`)); err == nil || !strings.Contains(err.Error(), `unknown service "nobody"`) {
 		t.Fatal(err)
 	}
-	if _, err = carry("drain", "set", paper(t, `{"version":3,"rules":[{"service":"*","notice":"100ms","finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`)); err != nil {
+	if _, err = runCommand("drain", "set", writeDocument(t, `{"version":3,"rules":[{"service":"*","notice":"100ms","finish":"5s","keyed":"deadline","least_share":0.5}],"lost_touch":"2s","cut_off":"stop"}`)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = carry("drain", "retire", "i-99"); err == nil || !strings.Contains(err.Error(), "not on the platform's list") {
+	if _, err = runCommand("drain", "retire", "i-99"); err == nil || !strings.Contains(err.Error(), "not on the platform's list") {
 		t.Fatal(err)
 	}
-	for _, backend := range stage.Backends {
-		backend.Work.Store(int64(15 * time.Millisecond))
+	for _, backend := range cluster.Backends {
+		backend.WorkTime.Store(int64(15 * time.Millisecond))
 	}
-	stopPress := make(chan struct{})
-	var press sync.WaitGroup
+	stopLoad := make(chan struct{})
+	var load sync.WaitGroup
 	statuses := make([]map[int]int, 6)
 	for client := range statuses {
 		statuses[client] = map[int]int{}
-		press.Add(1)
+		load.Add(1)
 		go func() {
-			defer press.Done()
+			defer load.Done()
 			for n := 0; ; n++ {
 				select {
-				case <-stopPress:
+				case <-stopLoad:
 					return
 				default:
 				}
-				status, _, _, askErr := stage.Ask(ctx, client%2, "POST", "/pay/x", fmt.Sprintf("press-%d-%d", client, n))
+				status, _, _, askErr := cluster.Request(ctx, client%2, "POST", "/pay/x", fmt.Sprintf("press-%d-%d", client, n))
 				if askErr != nil {
 					status = -1
 				}
@@ -94,36 +94,36 @@
 			}
 		}()
 	}
-	retired := stage.Backends[2]
+	retired := cluster.Backends[2]
 	if err = Until(ctx, func() bool { return retired.Runs.Load() > 5 }); err != nil {
 		t.Fatal("nothing reaches the backend")
 	}
 	var fleet *diagnostics.Fleet
-	if fleet, err = diagnostics.Inspect(stage.Inner()); err != nil {
+	if fleet, err = diagnostics.Inspect(cluster.InternalAddresses()); err != nil {
 		t.Fatal(err)
 	}
 	leader := fleet.Leader().Name
 	done := make(chan error, 1)
 	go func() {
-		_, retireErr := carry("drain", "retire", retired.ID)
+		_, retireErr := runCommand("drain", "retire", retired.ID)
 		done <- retireErr
 	}()
-	stage.StopCore(leader)
+	cluster.StopController(leader)
 	if err = <-done; err != nil || !strings.Contains(out.String(), "together") {
 		t.Fatal(err, out.String())
 	}
 	// What was at work may still end; nothing new may begin.
 	before := retired.Runs.Load()
-	beside := stage.Backends[3].Runs.Load()
-	if err = Until(ctx, func() bool { return stage.Backends[3].Runs.Load() > beside+40 }); err != nil {
+	beside := cluster.Backends[3].Runs.Load()
+	if err = Until(ctx, func() bool { return cluster.Backends[3].Runs.Load() > beside+40 }); err != nil {
 		t.Fatal("the other backend gets nothing")
 	}
 	if after := retired.Runs.Load(); after > before {
 		t.Fatalf("%d new callers reached the retired backend", after-before)
 	}
-	close(stopPress)
-	press.Wait()
-	for _, backend := range stage.Backends {
+	close(stopLoad)
+	load.Wait()
+	for _, backend := range cluster.Backends {
 		for key, runs := range backend.Keys() {
 			if runs != 1 {
 				t.Errorf("%s ran %d times", key, runs)
@@ -137,79 +137,79 @@
 			}
 		}
 	}
-	if _, err = carry("drain", "retire", "i-4"); err == nil || !strings.Contains(err.Error(), "the last of service") {
+	if _, err = runCommand("drain", "retire", "i-4"); err == nil || !strings.Contains(err.Error(), "the last of service") {
 		t.Fatal(err)
 	}
-	if said, showErr := carry("drain", "show"); showErr != nil || !strings.Contains(said, "i-3") || !strings.Contains(said, "version 3") {
-		t.Fatal(said, showErr)
+	if output, showErr := runCommand("drain", "show"); showErr != nil || !strings.Contains(output, "i-3") || !strings.Contains(output, "version 3") {
+		t.Fatal(output, showErr)
 	}
-	if fleet, err = diagnostics.Inspect(stage.Inner()); err != nil {
+	if fleet, err = diagnostics.Inspect(cluster.InternalAddresses()); err != nil {
 		t.Fatal(err)
 	}
 	out.Reset()
 	if _, err = fleet.Trace(&out, "retirement", "i-3"); err != nil || !strings.Contains(out.String(), "edge-2") || !strings.Contains(out.String(), "stopped") {
 		t.Fatal(err, out.String())
 	}
-	if _, err = carry("drain", "restore", "i-3"); err != nil {
+	if _, err = runCommand("drain", "restore", "i-3"); err != nil {
 		t.Fatal(err)
 	}
 	if err = Until(ctx, func() bool {
-		_, _, _, _ = stage.Ask(ctx, 0, "POST", "/pay/y", fmt.Sprint("back-", time.Now().UnixNano()))
+		_, _, _, _ = cluster.Request(ctx, 0, "POST", "/pay/y", fmt.Sprint("back-", time.Now().UnixNano()))
 		return retired.Runs.Load() > before
 	}); err != nil {
 		t.Fatal("the backend that was taken back gets nothing")
 	}
 	plan := `{"version":%d,"step":1,"every":"1s","room":1,"targets":[{"host":"shop.example","time_zone":"UTC","spans":[{"from":"00:00","to":"12:00","weights":{"%s":1},"ramp":"0s"},{"from":"12:00","to":"24:00","weights":{"coast":1},"ramp":"0s"}]}]}`
-	if _, err = carry("plan", "set", paper(t, fmt.Sprintf(plan, 1, "moon"))); err == nil || !strings.Contains(err.Error(), `unknown region "moon"`) {
+	if _, err = runCommand("plan", "set", writeDocument(t, fmt.Sprintf(plan, 1, "moon"))); err == nil || !strings.Contains(err.Error(), `unknown region "moon"`) {
 		t.Fatal(err)
 	}
-	if _, err = carry("plan", "set", paper(t, fmt.Sprintf(plan, 2, "coast"))); err != nil {
+	if _, err = runCommand("plan", "set", writeDocument(t, fmt.Sprintf(plan, 2, "coast"))); err != nil {
 		t.Fatal(err)
 	}
-	if err = Until(ctx, func() bool { said, _ := carry("plan", "show"); return strings.Contains(said, "coast:1000") }); err != nil {
+	if err = Until(ctx, func() bool { output, _ := runCommand("plan", "show"); return strings.Contains(output, "coast:1000") }); err != nil {
 		t.Fatal(out.String())
 	}
-	if _, err = carry("plan", "set", paper(t, fmt.Sprintf(plan, 1, "coast"))); err == nil || !strings.Contains(err.Error(), "version 1 is not above 2") {
+	if _, err = runCommand("plan", "set", writeDocument(t, fmt.Sprintf(plan, 1, "coast"))); err == nil || !strings.Contains(err.Error(), "version 1 is not above 2") {
 		t.Fatal(err)
 	}
-	if _, err = carry("plan", "withdraw", "3"); err != nil {
+	if _, err = runCommand("plan", "withdraw", "3"); err != nil {
 		t.Fatal(err)
 	}
-	if status, _, _, askErr := stage.Ask(ctx, 1, "GET", "/hello/you", ""); askErr != nil || status != 200 {
+	if status, _, _, askErr := cluster.Request(ctx, 1, "GET", "/hello/you", ""); askErr != nil || status != 200 {
 		t.Fatal(status, askErr)
 	}
 }
 
 // The gateway on loopback: no directory, true readiness, and after the order
 // to stop requests are still served while the platform has not noticed.
-func TestGatewayOnLoopback(t *testing.T) {
+func TestGatewayOnLocalCluster(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	stage, err := StartGateway(t.TempDir(), Hosts())
+	cluster, err := StartGateway(t.TempDir(), Hosts())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stage.Close()
-	if stage.IsReady(0) {
+	defer cluster.Close()
+	if cluster.IsReady(0) {
 		t.Fatal("ready before there is a configuration")
 	}
-	call := strings.Replace(FirstCall, `["r-pay"`, `["r-file","shop.example","/file/","download","2s","500ms",2,"hello",1],["r-pay"`, 1)
-	if status, answer, callErr := stage.Operator(ctx, "POST", "/-/Config.Update", call); callErr != nil || status != 200 {
+	call := strings.Replace(InitialConfiguration, `["r-pay"`, `["r-file","shop.example","/file/","download","2s","500ms",2,"hello",1],["r-pay"`, 1)
+	if status, answer, callErr := cluster.Operator(ctx, "POST", "/-/Config.Update", call); callErr != nil || status != 200 {
 		t.Fatal(status, answer, callErr)
 	}
-	if err = stage.Ready(ctx); err != nil {
+	if err = cluster.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range []string{"/hello/you", "/file/one"} {
-		if status, _, _, askErr := stage.Ask(ctx, 1, "GET", path, ""); askErr != nil || status != 200 {
+		if status, _, _, askErr := cluster.Request(ctx, 1, "GET", path, ""); askErr != nil || status != 200 {
 			t.Fatal(path, status, askErr)
 		}
 	}
-	done := stage.StopEdge("edge-1")
-	if err = Until(ctx, func() bool { return !stage.IsReady(0) }); err != nil {
+	done := cluster.StopProxy("edge-1")
+	if err = Until(ctx, func() bool { return !cluster.IsReady(0) }); err != nil {
 		t.Fatal("still ready after the order to stop")
 	}
-	if status, _, _, askErr := stage.Ask(ctx, 0, "GET", "/hello/late", ""); askErr != nil || status != 200 {
+	if status, _, _, askErr := cluster.Request(ctx, 0, "GET", "/hello/late", ""); askErr != nil || status != 200 {
 		t.Fatal("a client that the platform still sends here was turned away", status, askErr)
 	}
 	select {
@@ -217,7 +217,7 @@
 	case <-ctx.Done():
 		t.Fatal("the daemon does not end")
 	}
-	if status, _, _, askErr := stage.Ask(ctx, 1, "GET", "/hello/you", ""); askErr != nil || status != 200 {
+	if status, _, _, askErr := cluster.Request(ctx, 1, "GET", "/hello/you", ""); askErr != nil || status != 200 {
 		t.Fatal(status, askErr)
 	}
 }
--- a/internal/localcluster/sessions_test.go
+++ b/internal/localcluster/sessions_test.go
@@ -13,76 +13,76 @@
 	"tinpin/internal/diagnostics"
 )
 
-// set has a whole system and the operator's desk ready for a test.
-func set(t *testing.T) (ctx context.Context, stage *Stage, carry func(subject, verb string, words ...string) (said string, err error)) {
+// startWithOperator has a whole system and the operator's desk ready for a test.
+func startWithOperator(t *testing.T) (ctx context.Context, cluster *Cluster, runCommand func(subject, verb string, words ...string) (output string, err error)) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	t.Cleanup(cancel)
-	stage, err := Start(t.TempDir(), Hosts())
+	cluster, err := Start(t.TempDir(), Hosts())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(stage.Close)
-	if _, _, err = stage.Operator(ctx, "POST", "/-/Config.Update", FirstCall); err != nil {
+	t.Cleanup(cluster.Close)
+	if _, _, err = cluster.Operator(ctx, "POST", "/-/Config.Update", InitialConfiguration); err != nil {
 		t.Fatal(err)
 	}
-	if err = stage.Ready(ctx); err != nil {
+	if err = cluster.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	desk := &adminclient.Client{}
-	for _, p := range stage.CoreProps {
-		desk.Addresses = append(desk.Addresses, p.ControlAddress)
+	client := &adminclient.Client{}
+	for _, config := range cluster.ControllerSettings {
+		client.Addresses = append(client.Addresses, config.ControlAddress)
 	}
-	return ctx, stage, func(subject, verb string, words ...string) (said string, err error) {
+	return ctx, cluster, func(subject, verb string, words ...string) (output string, err error) {
 		var out bytes.Buffer
 		_ = Until(ctx, func() bool {
 			out.Reset()
-			_, err = desk.Run(ctx, &out, subject, verb, words)
+			_, err = client.Run(ctx, &out, subject, verb, words)
 			return err == nil || strings.Contains(err.Error(), "refused")
 		})
 		return out.String(), err
 	}
 }
 
-// clients are callers partway through their sessions at the edges that run.
-type clients struct {
-	mu     sync.Mutex
-	fronts []string
-	ends   sync.WaitGroup
-	stop   chan struct{}
-	seen   map[int]int
+// sessionClients are callers partway through their sessions at the edges that run.
+type sessionClients struct {
+	mu        sync.Mutex
+	addresses []string
+	running   sync.WaitGroup
+	stop      chan struct{}
+	statuses  map[int]int
 }
 
-func (c *clients) use(fronts ...string) {
+func (c *sessionClients) use(fronts ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fronts = fronts
+	c.addresses = fronts
 }
 
-func (c *clients) front(n int) (front string) {
+func (c *sessionClients) address(n int) (address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fronts[n%len(c.fronts)]
+	return c.addresses[n%len(c.addresses)]
 }
 
-func (c *clients) start(ctx context.Context, count int) {
-	c.stop, c.seen = make(chan struct{}), map[int]int{}
-	for caller := 0; caller < count; caller++ {
-		c.ends.Add(1)
+func (c *sessionClients) start(ctx context.Context, count int) {
+	c.stop, c.statuses = make(chan struct{}), map[int]int{}
+	for session := 0; session < count; session++ {
+		c.running.Add(1)
 		go func() {
-			defer c.ends.Done()
+			defer c.running.Done()
 			for step := 0; ; step++ {
 				select {
 				case <-c.stop:
 					return
 				default:
 				}
-				status, err := AskAs(ctx, c.front(caller+step), "POST", "/pay/x", fmt.Sprintf("k-%d-%d", caller, step), fmt.Sprint("caller-", caller))
+				status, err := RequestAs(ctx, c.address(session+step), "POST", "/pay/x", fmt.Sprintf("k-%d-%d", session, step), fmt.Sprint("caller-", session))
 				if err != nil {
 					status = -1
 				}
 				c.mu.Lock()
-				c.seen[status]++
+				c.statuses[status]++
 				c.mu.Unlock()
 			}
 		}()
@@ -92,90 +92,90 @@
 // A busy morning on a whole system: edges are added and stopped and the leader
 // is stopped, while callers are partway through their sessions.
 func TestSessionsStayWhileNodesComeAndGo(t *testing.T) {
-	ctx, stage, carry := set(t)
+	ctx, cluster, runCommand := startWithOperator(t)
 	policy := `{"version":%d,"rules":[{"service":"%s","from":"header","name":"X-Caller","idle":"1m","alone":"refuse","most":%d}]}`
-	if _, err := carry("affinity", "check", paper(t, fmt.Sprintf(policy, 1, "nobody", 100))); err == nil || !strings.Contains(err.Error(), `unknown service "nobody"`) {
+	if _, err := runCommand("affinity", "check", writeDocument(t, fmt.Sprintf(policy, 1, "nobody", 100))); err == nil || !strings.Contains(err.Error(), `unknown service "nobody"`) {
 		t.Fatal(err)
 	}
-	if _, err := carry("affinity", "set", paper(t, fmt.Sprintf(policy, 1, "ledger", 100))); err != nil {
+	if _, err := runCommand("affinity", "set", writeDocument(t, fmt.Sprintf(policy, 1, "ledger", 100))); err != nil {
 		t.Fatal(err)
 	}
-	if err := Until(ctx, func() bool { return follows(t, stage, "session-affinity") }); err != nil {
+	if err := Until(ctx, func() bool { return followedByAll(t, cluster, "session-affinity") }); err != nil {
 		t.Fatal("not every daemon has the policy")
 	}
-	for _, backend := range stage.Backends {
-		backend.Work.Store(int64(5 * time.Millisecond))
+	for _, backend := range cluster.Backends {
+		backend.WorkTime.Store(int64(5 * time.Millisecond))
 	}
-	press := &clients{}
-	press.use(stage.EdgeProps[0].FrontendAddress, stage.EdgeProps[1].FrontendAddress)
-	press.start(ctx, 12)
+	load := &sessionClients{}
+	load.use(cluster.ProxySettings[0].FrontendAddress, cluster.ProxySettings[1].FrontendAddress)
+	load.start(ctx, 12)
 	more := func(by int64) {
 		t.Helper()
-		runs := func() int64 { return stage.Backends[2].Runs.Load() + stage.Backends[3].Runs.Load() }
+		runs := func() int64 { return cluster.Backends[2].Runs.Load() + cluster.Backends[3].Runs.Load() }
 		before := runs()
 		if err := Until(ctx, func() bool { return runs() > before+by }); err != nil {
 			t.Fatal("the callers come no further")
 		}
 	}
 	more(60)
-	if err := stage.AddEdge(); err != nil {
+	if err := cluster.AddProxy(); err != nil {
 		t.Fatal(err)
 	}
-	if err := Until(ctx, func() bool { return stage.IsReady(2) }); err != nil {
+	if err := Until(ctx, func() bool { return cluster.IsReady(2) }); err != nil {
 		t.Fatal(err)
 	}
-	press.use(stage.EdgeProps[0].FrontendAddress, stage.EdgeProps[1].FrontendAddress, stage.EdgeProps[2].FrontendAddress)
+	load.use(cluster.ProxySettings[0].FrontendAddress, cluster.ProxySettings[1].FrontendAddress, cluster.ProxySettings[2].FrontendAddress)
 	more(60)
-	fleet, err := diagnostics.Inspect(stage.Inner())
+	fleet, err := diagnostics.Inspect(cluster.InternalAddresses())
 	if err != nil {
 		t.Fatal(err)
 	}
-	press.use(stage.EdgeProps[1].FrontendAddress, stage.EdgeProps[2].FrontendAddress)
-	stopped := stage.StopEdge("edge-1")
+	load.use(cluster.ProxySettings[1].FrontendAddress, cluster.ProxySettings[2].FrontendAddress)
+	stopped := cluster.StopProxy("edge-1")
 	more(60)
-	stage.StopCore(fleet.Leader().Name)
+	cluster.StopController(fleet.Leader().Name)
 	more(60)
 	<-stopped
-	close(press.stop)
-	press.ends.Wait()
-	where := map[string]string{}
-	for _, backend := range stage.Backends {
+	close(load.stop)
+	load.running.Wait()
+	backendOf := map[string]string{}
+	for _, backend := range cluster.Backends {
 		for key, runs := range backend.Keys() {
 			if runs != 1 {
 				t.Errorf("%s ran %d times", key, runs)
 			}
 		}
-		for caller := range backend.Callers() {
-			if where[caller] != "" {
-				t.Errorf("%s was on %s and on %s", caller, where[caller], backend.ID)
+		for session := range backend.Callers() {
+			if backendOf[session] != "" {
+				t.Errorf("%s was on %s and on %s", session, backendOf[session], backend.ID)
 			}
-			where[caller] = backend.ID
+			backendOf[session] = backend.ID
 		}
 	}
-	if len(where) != 12 {
-		t.Errorf("%d of 12 callers were served", len(where))
+	if len(backendOf) != 12 {
+		t.Errorf("%d of 12 callers were served", len(backendOf))
 	}
-	for status := range press.seen {
+	for status := range load.statuses {
 		if status != 200 && status != 503 && status != -1 {
-			t.Errorf("answers: %v", press.seen)
+			t.Errorf("answers: %v", load.statuses)
 		}
 	}
-	if press.seen[200] < 200 {
-		t.Errorf("answers: %v", press.seen)
+	if load.statuses[200] < 200 {
+		t.Errorf("answers: %v", load.statuses)
 	}
-	said, err := carry("affinity", "show")
-	if err != nil || !strings.Contains(said, "12 of 100 sessions") {
-		t.Error(said, err)
+	output, err := runCommand("affinity", "show")
+	if err != nil || !strings.Contains(output, "12 of 100 sessions") {
+		t.Error(output, err)
 	}
-	if _, err = carry("affinity", "withdraw", "2"); err != nil {
+	if _, err = runCommand("affinity", "withdraw", "2"); err != nil {
 		t.Error(err)
 	}
 }
 
-// follows tells that every daemon has the document that the leader has.
-func follows(t *testing.T, stage *Stage, document string) (all bool) {
+// followedByAll tells that every daemon has the document that the leader has.
+func followedByAll(t *testing.T, cluster *Cluster, document string) (all bool) {
 	t.Helper()
-	fleet, err := diagnostics.Inspect(stage.Inner())
+	fleet, err := diagnostics.Inspect(cluster.InternalAddresses())
 	if err != nil {
 		return false
 	}
@@ -186,32 +186,32 @@
 
 // A service that fails under full load gets no more retries than the written
 // limit, counted at its backends; after it recovers, new calls go through.
-func TestTheWrittenLimitOnAWholeSystem(t *testing.T) {
-	ctx, stage, carry := set(t)
-	if _, err := carry("retry", "set", paper(t, `{"version":1,"rules":[{"service":"hello","ratio":0.05,"least_per_s":0,"window":"10s"}]}`)); err != nil {
+func TestRetryLimitOnLocalCluster(t *testing.T) {
+	ctx, cluster, runCommand := startWithOperator(t)
+	if _, err := runCommand("retry", "set", writeDocument(t, `{"version":1,"rules":[{"service":"hello","ratio":0.05,"least_per_s":0,"window":"10s"}]}`)); err != nil {
 		t.Fatal(err)
 	}
-	if err := Until(ctx, func() bool { return follows(t, stage, "retry-limit") }); err != nil {
+	if err := Until(ctx, func() bool { return followedByAll(t, cluster, "retry-limit") }); err != nil {
 		t.Fatal("not every daemon has the limit")
 	}
-	for _, backend := range stage.Backends {
-		backend.Work.Store(int64(3 * time.Millisecond))
+	for _, backend := range cluster.Backends {
+		backend.WorkTime.Store(int64(3 * time.Millisecond))
 		backend.Failing.Store(true)
 	}
-	var press sync.WaitGroup
+	var load sync.WaitGroup
 	for client := 0; client < 8; client++ {
-		press.Add(1)
+		load.Add(1)
 		go func() {
-			defer press.Done()
+			defer load.Done()
 			for n := 0; n < 60; n++ {
-				_, _ = AskAs(ctx, stage.EdgeProps[client%2].FrontendAddress, "GET", "/hello/x", "", "")
+				_, _ = RequestAs(ctx, cluster.ProxySettings[client%2].FrontendAddress, "GET", "/hello/x", "", "")
 			}
 		}()
 	}
-	press.Wait()
+	load.Wait()
 	requests, arrivals := map[string]bool{}, 0
-	for _, backend := range stage.Backends[:2] {
-		for id, count := range backend.Arrived() {
+	for _, backend := range cluster.Backends[:2] {
+		for id, count := range backend.Arrivals() {
 			requests[id] = true
 			arrivals += count
 		}
@@ -219,21 +219,21 @@
 	if extra := float64(arrivals - len(requests)); extra > 0.05*float64(len(requests)) || len(requests) < 100 {
 		t.Errorf("%d requests arrived, %.0f arrivals beyond the first", len(requests), extra)
 	}
-	for _, backend := range stage.Backends {
+	for _, backend := range cluster.Backends {
 		backend.Failing.Store(false)
 	}
-	begun := time.Now()
+	started := time.Now()
 	if err := Until(ctx, func() bool {
-		status, _, _, err := stage.Ask(ctx, 0, "GET", "/hello/y", "")
+		status, _, _, err := cluster.Request(ctx, 0, "GET", "/hello/y", "")
 		return err == nil && status == 200
-	}); err != nil || time.Since(begun) > 5*time.Second {
-		t.Errorf("new calls go through after %s: %v", time.Since(begun), err)
+	}); err != nil || time.Since(started) > 5*time.Second {
+		t.Errorf("new calls go through after %s: %v", time.Since(started), err)
 	}
-	said, err := carry("retry", "show")
-	if err != nil || !strings.Contains(said, "hello") || !strings.Contains(said, "2 of 2 follow") || !strings.Contains(said, "holds") {
-		t.Error(said, err)
+	output, err := runCommand("retry", "show")
+	if err != nil || !strings.Contains(output, "hello") || !strings.Contains(output, "2 of 2 follow") || !strings.Contains(output, "holds") {
+		t.Error(output, err)
 	}
-	if _, err = carry("retry", "set", paper(t, `{"version":1,"rules":[{"service":"hello","ratio":0.5,"least_per_s":0,"window":"10s"}]}`)); err == nil || !strings.Contains(err.Error(), "version 1 is not above 1") {
+	if _, err = runCommand("retry", "set", writeDocument(t, `{"version":1,"rules":[{"service":"hello","ratio":0.5,"least_per_s":0,"window":"10s"}]}`)); err == nil || !strings.Contains(err.Error(), "version 1 is not above 1") {
 		t.Error(err)
 	}
 }
--- a/internal/localcluster/stage.go
+++ b/internal/localcluster/stage.go
@@ -33,21 +33,21 @@
 
 // Backend is a stand-in for a backend.
 type Backend struct {
-	ID, Service, Address, Site string
+	ID, Service, Address, Zone string
 	Runs                       atomic.Int64
-	// Work is how long it works on a request; Failing has it fail them all.
-	Work    atomic.Int64
-	Failing atomic.Bool
+	// WorkTime is how long it works on a request; Failing has it fail them all.
+	WorkTime atomic.Int64
+	Failing  atomic.Bool
 	// Server is closed with the stage.
-	Server  io.Closer
-	mu      sync.Mutex
-	keys    map[string]int
-	callers map[string]int
-	arrived map[string]int
+	Server   io.Closer
+	mu       sync.Mutex
+	keys     map[string]int
+	callers  map[string]int
+	arrivals map[string]int
 }
 
-// Site is where everything on the stage is.
-const Site = "harbour"
+// Zone is where everything on the stage is.
+const Zone = "harbour"
 
 // CallerHeader names the session of a request on the stage.
 const CallerHeader = "X-Caller"
@@ -59,11 +59,11 @@
 	return maps.Clone(b.callers)
 }
 
-// Arrived tells how often each request came.
-func (b *Backend) Arrived() (arrived map[string]int) {
+// Arrivals tells how often each request came.
+func (b *Backend) Arrivals() (arrived map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maps.Clone(b.arrived)
+	return maps.Clone(b.arrivals)
 }
 
 // Keys tells how often each operation key ran.
@@ -90,15 +90,15 @@
 	body, _ := io.ReadAll(r.Body)
 	run := b.Runs.Add(1)
 	b.mu.Lock()
-	b.arrived[r.Header.Get("Tinpin-Request-Id")]++
+	b.arrivals[r.Header.Get("Tinpin-Request-Id")]++
 	if key := r.Header.Get("Tinpin-Operation-Key"); key != "" {
 		b.keys[key]++
 	}
-	if caller := r.Header.Get(CallerHeader); caller != "" {
-		b.callers[caller]++
+	if session := r.Header.Get(CallerHeader); session != "" {
+		b.callers[session]++
 	}
 	b.mu.Unlock()
-	time.Sleep(time.Duration(b.Work.Load()))
+	time.Sleep(time.Duration(b.WorkTime.Load()))
 	if b.Failing.Load() {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -107,18 +107,18 @@
 	_, _ = fmt.Fprintf(w, "%s %s ran on %s (%d bytes)\n", r.Method, r.URL.Path, b.ID, len(body))
 }
 
-// Stage is a running system.
-type Stage struct {
-	Cores     map[string]*controller.Controller
-	Edges     map[string]*proxy.Daemon
-	Backends  []*Backend
-	CoreProps []settings.Settings
-	EdgeProps []settings.Settings
-	hosts     func(n int) string
-	edge      func(n int) settings.Settings
-	platform  *http.Server
-	mu        sync.Mutex
-	draining  map[string]bool
+// Cluster is a running system.
+type Cluster struct {
+	Controllers        map[string]*controller.Controller
+	Proxies            map[string]*proxy.Daemon
+	Backends           []*Backend
+	ControllerSettings []settings.Settings
+	ProxySettings      []settings.Settings
+	hosts              func(n int) string
+	proxySettings      func(n int) settings.Settings
+	platform           *http.Server
+	mu                 sync.Mutex
+	draining           map[string]bool
 }
 
 func serve(address string, handler http.Handler) (server *http.Server, err error) {
@@ -138,7 +138,7 @@
 }
 
 // Start sets up three cores, two edges and four backends of two services.
-func Start(folder string, hosts func(n int) string) (stage *Stage, err error) {
+func Start(folder string, hosts func(n int) string) (cluster *Cluster, err error) {
 	backends, err := plainBackends(hosts)
 	if err != nil {
 		return nil, err
@@ -148,13 +148,13 @@
 
 // StartWith sets up the same with backends that are served already, all of them
 // at the stage's one site.
-func StartWith(folder string, hosts func(n int) string, backends []*Backend) (stage *Stage, err error) {
+func StartWith(folder string, hosts func(n int) string, backends []*Backend) (cluster *Cluster, err error) {
 	return start(folder, hosts, backends, true)
 }
 
 // StartGateway sets up the same without a directory: clients come by an address
 // of the platform, which asks the edges whether they are ready.
-func StartGateway(folder string, hosts func(n int) string) (stage *Stage, err error) {
+func StartGateway(folder string, hosts func(n int) string) (cluster *Cluster, err error) {
 	backends, err := plainBackends(hosts)
 	if err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 // plainBackends are four backends that work.
 func plainBackends(hosts func(n int) string) (backends []*Backend, err error) {
 	for i, service := range []string{"hello", "hello", "ledger", "ledger"} {
-		backend := &Backend{ID: fmt.Sprint("i-", i+1), Service: service, Address: hosts(40+i) + ":18080", Site: Site, keys: map[string]int{}, callers: map[string]int{}, arrived: map[string]int{}}
+		backend := &Backend{ID: fmt.Sprint("i-", i+1), Service: service, Address: hosts(40+i) + ":18080", Zone: Zone, keys: map[string]int{}, callers: map[string]int{}, arrivals: map[string]int{}}
 		if backend.Server, err = serve(backend.Address, backend); err != nil {
 			return nil, err
 		}
@@ -174,64 +174,64 @@
 	return backends, nil
 }
 
-func start(folder string, hosts func(n int) string, backends []*Backend, directory bool) (stage *Stage, err error) {
-	stage = &Stage{Cores: map[string]*controller.Controller{}, Edges: map[string]*proxy.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
+func start(folder string, hosts func(n int) string, backends []*Backend, directory bool) (cluster *Cluster, err error) {
+	cluster = &Cluster{Controllers: map[string]*controller.Controller{}, Proxies: map[string]*proxy.Daemon{}, Backends: backends, hosts: hosts, draining: map[string]bool{}}
 	platform := hosts(30) + ":18169"
-	if stage.platform, err = serve(platform, http.HandlerFunc(stage.list)); err != nil {
+	if cluster.platform, err = serve(platform, http.HandlerFunc(cluster.serveEndpointList)); err != nil {
 		return nil, err
 	}
 	var seeds []string
 	for i := 1; i <= 3; i++ {
 		seeds = append(seeds, hosts(i)+":18166")
 	}
-	common := func(name string, n int) (p settings.Settings) {
-		p = settings.Settings{
-			Name: name, Address: hosts(n), Zone: Site, Region: "coast", ZoneRegions: map[string]string{Site: "coast"}, FirstStart: true,
+	common := func(name string, n int) (config settings.Settings) {
+		config = settings.Settings{
+			Name: name, Address: hosts(n), Zone: Zone, Region: "coast", ZoneRegions: map[string]string{Zone: "coast"}, FirstStart: true,
 			InternalPortLow: 17720, InternalPortHigh: 17735, Seeds: seeds, MemoryMB: 256, MaxFileDescriptors: 1024, PlatformAddress: platform, PlatformRate: 100,
 			SubsetSize: 3, MaxIdleNonIdempotent: 250 * time.Millisecond, CPUShare: 1,
 			SendInterval: time.Second, HealthCheckInterval: 500 * time.Millisecond, EndpointListInterval: 200 * time.Millisecond,
 		}
-		p.Bounds = settings.Bounds{GracePeriod: 2 * time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 20, MaxTTL: 5 * time.Second}
-		return p
+		config.Bounds = settings.Bounds{GracePeriod: 2 * time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 20, MaxTTL: 5 * time.Second}
+		return config
 	}
 	for i := 1; i <= 3; i++ {
-		p := common(fmt.Sprint("core-", i), i)
-		p.ControlAddress, p.DataDirectory = hosts(i)+":18166", filepath.Join(folder, p.Name)
-		stage.CoreProps = append(stage.CoreProps, p)
-		if stage.Cores[p.Name], err = controller.Start(p, eventlog.Discard()); err != nil {
+		config := common(fmt.Sprint("core-", i), i)
+		config.ControlAddress, config.DataDirectory = hosts(i)+":18166", filepath.Join(folder, config.Name)
+		cluster.ControllerSettings = append(cluster.ControllerSettings, config)
+		if cluster.Controllers[config.Name], err = controller.Start(config, eventlog.Discard()); err != nil {
 			return nil, err
 		}
 	}
-	stage.edge = func(n int) (p settings.Settings) {
-		p = common(fmt.Sprint("edge-", n), 20+n)
-		p.FrontendAddress, p.ReadinessAddress = p.Address+":18161", p.Address+":18167"
+	cluster.proxySettings = func(n int) (config settings.Settings) {
+		config = common(fmt.Sprint("edge-", n), 20+n)
+		config.FrontendAddress, config.ReadinessAddress = config.Address+":18161", config.Address+":18167"
 		if directory {
-			p.DirectoryAddress = p.Address + ":18164"
+			config.DirectoryAddress = config.Address + ":18164"
 		}
-		return p
+		return config
 	}
 	for i := 1; i <= 2; i++ {
-		if err = stage.AddEdge(); err != nil {
+		if err = cluster.AddProxy(); err != nil {
 			return nil, err
 		}
 	}
-	return stage, nil
+	return cluster, nil
 }
 
-// AddEdge sets up one edge more.
-func (s *Stage) AddEdge() (err error) {
-	p := s.edge(len(s.EdgeProps) + 1)
-	edge, err := proxy.Start(p, eventlog.Discard())
+// AddProxy sets up one edge more.
+func (s *Cluster) AddProxy() (err error) {
+	config := s.proxySettings(len(s.ProxySettings) + 1)
+	edge, err := proxy.Start(config, eventlog.Discard())
 	if err != nil {
 		return err
 	}
-	s.EdgeProps = append(s.EdgeProps, p)
-	s.Edges[p.Name] = edge
+	s.ProxySettings = append(s.ProxySettings, config)
+	s.Proxies[config.Name] = edge
 	return nil
 }
 
-// list is the stand-in for the platform.
-func (s *Stage) list(w http.ResponseWriter, _ *http.Request) {
+// serveEndpointList is the stand-in for the platform.
+func (s *Cluster) serveEndpointList(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rows := [][]any{}
@@ -240,7 +240,7 @@
 		if s.draining[backend.ID] {
 			state = "draining"
 		}
-		rows = append(rows, []any{backend.ID, backend.Service, backend.Address, backend.Site, state, 8, "0ms", "v1"})
+		rows = append(rows, []any{backend.ID, backend.Service, backend.Address, backend.Zone, state, 8, "0ms", "v1"})
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{
 		"instances":       map[string]any{"column_names": []string{"instance_id", "service_name", "address", "zone", "state", "capacity_slots", "cold_remaining", "version"}, "row_values": rows},
@@ -249,22 +249,22 @@
 }
 
 // Drain has the platform list a backend as draining.
-func (s *Stage) Drain(id string) {
+func (s *Cluster) Drain(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining[id] = true
 }
 
-// Inner lists the cores' inner addresses, as the tools want them.
-func (s *Stage) Inner() (inners []string) {
-	for _, p := range s.CoreProps {
-		inners = append(inners, p.ControllerInternalAddress())
+// InternalAddresses lists the cores' inner addresses, as the tools want them.
+func (s *Cluster) InternalAddresses() (addresses []string) {
+	for _, config := range s.ControllerSettings {
+		addresses = append(addresses, config.ControllerInternalAddress())
 	}
-	return inners
+	return addresses
 }
 
-// FirstCall is a configuration to begin with.
-const FirstCall = `{"upserts":{
+// InitialConfiguration is a configuration to begin with.
+const InitialConfiguration = `{"upserts":{
  "services":{"column_names":["name","health_check_path","max_connections","version"],
   "row_values":[["hello","/health",100,1],["ledger","/health",100,1]]},
  "routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","service_name","version"],
@@ -272,10 +272,10 @@
                 ["r-pay","shop.example","/pay/","keyed","2s","500ms",2,"ledger",1]]}}}`
 
 // Operator sends a call to any core that takes it, as an operator would.
-func (s *Stage) Operator(ctx context.Context, method, path, body string) (status int, answer string, err error) {
+func (s *Cluster) Operator(ctx context.Context, method, path, body string) (status int, answer string, err error) {
 	for {
-		for _, p := range s.CoreProps {
-			request, requestErr := http.NewRequestWithContext(ctx, method, "http://"+p.ControlAddress+path, bytes.NewReader([]byte(body)))
+		for _, config := range s.ControllerSettings {
+			request, requestErr := http.NewRequestWithContext(ctx, method, "http://"+config.ControlAddress+path, bytes.NewReader([]byte(body)))
 			if requestErr != nil {
 				return 0, "", Class.Wrap(requestErr)
 			}
@@ -290,13 +290,13 @@
 				return response.StatusCode, string(data), nil
 			}
 		}
-		if err = rest(ctx); err != nil {
+		if err = pause(ctx); err != nil {
 			return 0, "", err
 		}
 	}
 }
 
-func rest(ctx context.Context) (err error) {
+func pause(ctx context.Context) (err error) {
 	select {
 	case <-ctx.Done():
 		return Class.Wrap(ctx.Err())
@@ -308,39 +308,39 @@
 // Until asks again and again until a condition holds.
 func Until(ctx context.Context, holds func() bool) (err error) {
 	for !holds() {
-		if err = rest(ctx); err != nil {
+		if err = pause(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
-// Ask sends one client request to an edge.
-func (s *Stage) Ask(ctx context.Context, edge int, method, path, key string) (status int, stamp, body string, err error) {
-	return ask(ctx, s.EdgeProps[edge].FrontendAddress, method, path, key, "")
+// Request sends one client request to an edge.
+func (s *Cluster) Request(ctx context.Context, edge int, method, path, key string) (status int, stamp, body string, err error) {
+	return sendRequest(ctx, s.ProxySettings[edge].FrontendAddress, method, path, key, "")
 }
 
-// AskAs sends one client request of a caller to an edge's address.
-func AskAs(ctx context.Context, front, method, path, key, caller string) (status int, err error) {
-	status, _, _, err = ask(ctx, front, method, path, key, caller)
+// RequestAs sends one client request of a caller to an edge's address.
+func RequestAs(ctx context.Context, address, method, path, key, session string) (status int, err error) {
+	status, _, _, err = sendRequest(ctx, address, method, path, key, session)
 	return status, err
 }
 
-func ask(ctx context.Context, front, method, path, key, caller string) (status int, stamp, body string, err error) {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+front+path, nil)
+func sendRequest(ctx context.Context, address, method, path, key, session string) (status int, stamp, body string, err error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
 		return 0, "", "", Class.Wrap(err)
 	}
 	request.Host = "shop.example"
-	request.Header.Set("Tinpin-Request-Id", "q-"+strconv.FormatInt(requests.Add(1), 10))
+	request.Header.Set("Tinpin-Request-Id", "q-"+strconv.FormatInt(requestCount.Add(1), 10))
 	request.Header.Set("Tinpin-Request-Deadline", "2000")
 	if key != "" {
 		request.Header.Set("Tinpin-Operation-Key", key)
 	}
-	if caller != "" {
-		request.Header.Set(CallerHeader, caller)
+	if session != "" {
+		request.Header.Set(CallerHeader, session)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -351,11 +351,11 @@
 	return response.StatusCode, response.Header.Get("Tinpin-Response-Signature"), string(data), Class.Wrap(err)
 }
 
-// StopEdge has an edge end as a SIGTERM would; done is closed when it has.
-func (s *Stage) StopEdge(name string) (done chan struct{}) {
+// StopProxy has an edge end as a SIGTERM would; done is closed when it has.
+func (s *Cluster) StopProxy(name string) (done chan struct{}) {
 	done = make(chan struct{})
-	edge := s.Edges[name]
-	delete(s.Edges, name)
+	edge := s.Proxies[name]
+	delete(s.Proxies, name)
 	go func() {
 		edge.Stop()
 		close(done)
@@ -364,8 +364,8 @@
 }
 
 // IsReady tells what an edge answers the platform.
-func (s *Stage) IsReady(edge int) (ready bool) {
-	response, err := http.Get("http://" + s.EdgeProps[edge].ReadinessAddress + "/-/readiness")
+func (s *Cluster) IsReady(edge int) (ready bool) {
+	response, err := http.Get("http://" + s.ProxySettings[edge].ReadinessAddress + "/-/readiness")
 	if err != nil {
 		return false
 	}
@@ -374,8 +374,8 @@
 }
 
 // Ready waits until both edges serve.
-func (s *Stage) Ready(ctx context.Context) (err error) {
-	for edge := range s.EdgeProps {
+func (s *Cluster) Ready(ctx context.Context) (err error) {
+	for edge := range s.ProxySettings {
 		if err = Until(ctx, func() bool { return s.IsReady(edge) }); err != nil {
 			return err
 		}
@@ -383,22 +383,22 @@
 	return nil
 }
 
-// StopCore ends one core, as a SIGTERM would.
-func (s *Stage) StopCore(name string) {
-	s.Cores[name].Stop()
-	delete(s.Cores, name)
+// StopController ends one core, as a SIGTERM would.
+func (s *Cluster) StopController(name string) {
+	s.Controllers[name].Stop()
+	delete(s.Controllers, name)
 }
 
 // Close ends everything.
-func (s *Stage) Close() {
-	var ends sync.WaitGroup
-	for _, edge := range s.Edges {
-		ends.Add(1)
-		go func() { defer ends.Done(); edge.Stop() }()
+func (s *Cluster) Close() {
+	var stopping sync.WaitGroup
+	for _, edge := range s.Proxies {
+		stopping.Add(1)
+		go func() { defer stopping.Done(); edge.Stop() }()
 	}
-	ends.Wait()
-	for name := range s.Cores {
-		s.StopCore(name)
+	stopping.Wait()
+	for name := range s.Controllers {
+		s.StopController(name)
 	}
 	_ = s.platform.Close()
 	for _, backend := range s.Backends {
--- a/internal/localcluster/stage_test.go
+++ b/internal/localcluster/stage_test.go
@@ -14,43 +14,43 @@
 
 // The whole system on loopback: founding, configuration, requests, keys,
 // draining, the tools, and the loss of a leader.
-func TestWholeSystem(t *testing.T) {
+func TestLocalCluster(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	stage, err := Start(t.TempDir(), Hosts())
+	cluster, err := Start(t.TempDir(), Hosts())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stage.Close()
-	if status, answer, callErr := stage.Operator(ctx, "POST", "/-/Config.Update", FirstCall); callErr != nil || status != 200 {
+	defer cluster.Close()
+	if status, answer, callErr := cluster.Operator(ctx, "POST", "/-/Config.Update", InitialConfiguration); callErr != nil || status != 200 {
 		t.Fatal(status, answer, callErr)
 	}
-	if err = stage.Ready(ctx); err != nil {
+	if err = cluster.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
 	for edge := range 2 {
-		if status, stamp, body, askErr := stage.Ask(ctx, edge, "GET", "/hello/you", ""); askErr != nil || status != 200 || stamp == "" || !strings.Contains(body, "ran on") {
+		if status, stamp, body, askErr := cluster.Request(ctx, edge, "GET", "/hello/you", ""); askErr != nil || status != 200 || stamp == "" || !strings.Contains(body, "ran on") {
 			t.Fatal(status, stamp, body, askErr)
 		}
 	}
-	_, first, body, err := stage.Ask(ctx, 0, "POST", "/pay/1", "k-1")
+	_, first, body, err := cluster.Request(ctx, 0, "POST", "/pay/1", "k-1")
 	if err != nil || first == "" {
 		t.Fatal(body, err)
 	}
 	// The repeat comes in at the other daemon and must not run again.
-	if _, again, body, askErr := stage.Ask(ctx, 1, "POST", "/pay/1", "k-1"); askErr != nil || again != first {
+	if _, again, body, askErr := cluster.Request(ctx, 1, "POST", "/pay/1", "k-1"); askErr != nil || again != first {
 		t.Fatalf("a repeat got %q %q, the first %q: %v", again, body, first, askErr)
 	}
-	if status, _, _ := stage.Operator(ctx, "POST", "/-/Config.Update", `{"upserts":`); status != 400 {
+	if status, _, _ := cluster.Operator(ctx, "POST", "/-/Config.Update", `{"upserts":`); status != 400 {
 		t.Fatalf("a call cut short got %d", status)
 	}
-	stage.Drain("i-1")
+	cluster.Drain("i-1")
 	err = Until(ctx, func() bool {
-		before := stage.Backends[0].Runs.Load()
+		before := cluster.Backends[0].Runs.Load()
 		for i := range 12 {
-			_, _, _, _ = stage.Ask(ctx, i%2, "GET", "/hello/you", "")
+			_, _, _, _ = cluster.Request(ctx, i%2, "GET", "/hello/you", "")
 		}
-		return stage.Backends[0].Runs.Load() == before
+		return cluster.Backends[0].Runs.Load() == before
 	})
 	if err != nil {
 		t.Fatal("the draining backend is still used")
@@ -58,13 +58,13 @@
 
 	var out bytes.Buffer
 	var fleet *diagnostics.Fleet
-	look := func() {
-		if fleet, err = diagnostics.Inspect(stage.Inner()); err != nil {
+	inspect := func() {
+		if fleet, err = diagnostics.Inspect(cluster.InternalAddresses()); err != nil {
 			t.Fatal(err)
 		}
 		out.Reset()
 	}
-	if err = Until(ctx, func() bool { look(); good, _ := fleet.Status(&out, false); return good && len(fleet.Nodes) == 2 }); err != nil {
+	if err = Until(ctx, func() bool { inspect(); good, _ := fleet.Status(&out, false); return good && len(fleet.Nodes) == 2 }); err != nil {
 		t.Fatal(out.String())
 	}
 	for _, want := range []string{"core-1", "edge-2", "hello", "ledger", "retry slack"} {
@@ -82,19 +82,19 @@
 		t.Error("an unknown item was traced")
 	}
 
-	stage.StopCore(fleet.Leader().Name)
-	if status, _, callErr := stage.Operator(ctx, "POST", "/-/Evacuations.Start/elsewhere", ""); callErr != nil || status != 200 {
+	cluster.StopController(fleet.Leader().Name)
+	if status, _, callErr := cluster.Operator(ctx, "POST", "/-/Evacuations.Start/elsewhere", ""); callErr != nil || status != 200 {
 		t.Fatal(status, callErr)
 	}
-	_, described, err := stage.Operator(ctx, "GET", "/-/Config.Describe", "")
+	_, described, err := cluster.Operator(ctx, "GET", "/-/Config.Describe", "")
 	if err != nil || !strings.Contains(described, "r-pay") {
 		t.Fatalf("after the leader's end: %q %v", described, err)
 	}
-	if err = Until(ctx, func() bool { _, again, _, _ := stage.Ask(ctx, 0, "POST", "/pay/1", "k-1"); return again == first }); err != nil {
+	if err = Until(ctx, func() bool { _, again, _, _ := cluster.Request(ctx, 0, "POST", "/pay/1", "k-1"); return again == first }); err != nil {
 		t.Fatal("the key is forgotten")
 	}
 	if err = Until(ctx, func() bool {
-		look()
+		inspect()
 		good, traceErr := fleet.Trace(&out, "evacuation", "elsewhere")
 		return traceErr == nil && !good && strings.Contains(out.String(), "unreachable") && !strings.Contains(out.String(), "lacks")
 	}); err != nil {
@@ -105,41 +105,41 @@
 // Clients send each key several times, to both edges at once, while the
 // leader is stopped and a backend drains: no key runs twice, and a success is
 // always the first run's.
-func TestKeysRunOnceThroughTheLossOfALeader(t *testing.T) {
+func TestKeysRunOnceThroughLossOfLeader(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	hosts := Hosts()
-	stage, err := Start(t.TempDir(), func(n int) string { return hosts(100 + n) })
+	cluster, err := Start(t.TempDir(), func(n int) string { return hosts(100 + n) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stage.Close()
-	if status, answer, callErr := stage.Operator(ctx, "POST", "/-/Config.Update", FirstCall); callErr != nil || status != 200 {
+	defer cluster.Close()
+	if status, answer, callErr := cluster.Operator(ctx, "POST", "/-/Config.Update", InitialConfiguration); callErr != nil || status != 200 {
 		t.Fatal(status, answer, callErr)
 	}
-	if err = stage.Ready(ctx); err != nil {
+	if err = cluster.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := diagnostics.Inspect(stage.Inner())
+	fleet, err := diagnostics.Inspect(cluster.InternalAddresses())
 	if err != nil || fleet.Leader() == nil {
 		t.Fatal("no leader", err)
 	}
-	const keys, tries = 150, 4
+	const keys, attempts = 150, 4
 	var mu sync.Mutex
 	stamps := map[string]map[string]bool{}
-	promises := 0
+	refusals := 0
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
 	for worker := range 10 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			for n := worker; n < keys*tries; n += 10 {
-				if n == keys*tries/3 {
+			for n := worker; n < keys*attempts; n += 10 {
+				if n == keys*attempts/3 {
 					close(stop)
 				}
 				key := fmt.Sprint("k-", n%keys)
-				status, stamp, _, askErr := stage.Ask(ctx, n%2, "POST", "/pay/x", key)
+				status, stamp, _, askErr := cluster.Request(ctx, n%2, "POST", "/pay/x", key)
 				mu.Lock()
 				if askErr == nil && status == 200 {
 					if stamps[key] == nil {
@@ -147,18 +147,18 @@
 					}
 					stamps[key][stamp] = true
 				} else if status == 503 {
-					promises++
+					refusals++
 				}
 				mu.Unlock()
 			}
 		}()
 	}
 	<-stop
-	stage.Drain("i-3")
-	stage.StopCore(fleet.Leader().Name)
+	cluster.Drain("i-3")
+	cluster.StopController(fleet.Leader().Name)
 	clients.Wait()
 	runs := map[string]int{}
-	for _, backend := range stage.Backends {
+	for _, backend := range cluster.Backends {
 		for key, count := range backend.Keys() {
 			runs[key] += count
 		}
@@ -174,6 +174,6 @@
 		}
 	}
 	if len(stamps) < keys/2 {
-		t.Fatalf("only %d of %d keys were served (%d refusals)", len(stamps), keys, promises)
+		t.Fatalf("only %d of %d keys were served (%d refusals)", len(stamps), keys, refusals)
 	}
 }
--- a/internal/proxy/account_test.go
+++ b/internal/proxy/account_test.go
@@ -22,7 +22,7 @@
 	t.Cleanup(system.Close)
 	options := faulttest.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
 	return func(lapse proxy.DisabledChecks) (report faulttest.Report) {
-		for _, edge := range system.Stage.Edges {
+		for _, edge := range system.Cluster.Proxies {
 			edge.DisableChecks(lapse)
 		}
 		options.Seed++
@@ -48,16 +48,16 @@
 	play := opened(t, 170)
 	for name, c := range map[string]struct {
 		lapse proxy.DisabledChecks
-		found func(faulttest.Line) int
+		found func(faulttest.KindSummary) int
 	}{
-		"a rested 421 without an id is proof": {proxy.TrustMissingID, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
-		"a reset of a rested stream is proof": {proxy.RetryAfterReset, func(l faulttest.Line) int { return l.Repeats + l.Promises }},
-		"a surplus answer is taken":           {proxy.AcceptAnyID, func(l faulttest.Line) int { return l.Crossed }},
-		"the first of two ids counts":         {proxy.AcceptFirstID, func(l faulttest.Line) int { return l.Crossed }},
+		"a rested 421 without an id is proof": {proxy.TrustMissingID, func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }},
+		"a reset of a rested stream is proof": {proxy.RetryAfterReset, func(l faulttest.KindSummary) int { return l.Repeats + l.RanAfterNotRun }},
+		"a surplus answer is taken":           {proxy.AcceptAnyID, func(l faulttest.KindSummary) int { return l.WrongResponse }},
+		"the first of two ids counts":         {proxy.AcceptFirstID, func(l faulttest.KindSummary) int { return l.WrongResponse }},
 	} {
 		found, plays := 0, 0
 		for ; plays < 10 && found == 0; plays++ {
-			for _, line := range play(c.lapse).Lines {
+			for _, line := range play(c.lapse).Kinds {
 				found += c.found(line)
 			}
 		}
