--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -62,8 +62,8 @@
 		backend.putIdle(now, conn, defaultKeepAlive)
 		return Attempt{Outcome: NotSent}
 	}
-	backend.markActive(conn, options.Keyed)
-	defer backend.unmarkActive(conn)
+	backend.trackActive(conn, options.Keyed)
+	defer backend.untrackActive(conn)
 	data := request.Encode(options.Deadline-now, backend.ID)
 	_ = conn.netConn.SetDeadline(time.Now().Add(options.Deadline - now))
 	if !options.stillAllowed(clock, backend) {
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -36,8 +36,8 @@
 type Backend struct {
 	rpc.Endpoint
 	Region rpc.RegionName
-	// lastStamp is the stamp of the endpoint as it was listed last.
-	lastStamp string
+	// listedSummary is the stamp of the endpoint as it was listed last.
+	listedSummary string
 
 	mu sync.Mutex
 	// health and ejected are what the state cache says.
@@ -76,7 +76,7 @@
 
 // reportedLoad is what a backend said it had to do, and what was sent to it since.
 type reportedLoad struct {
-	jobs      int
+	requests  int
 	sentSince int
 	at        time.Duration
 }
@@ -127,7 +127,7 @@
 		b.stats.ObserveLatency(now, took)
 	case StaleConnection:
 	case NotSent, ConnectionFailed:
-		b.markUnavailable(now)
+		b.setUnavailable(now)
 	case Rejected:
 		b.observeLatency(now, b.latency*1.5+20)
 	case TimedOut:
@@ -147,7 +147,7 @@
 	}
 	b.outcomes.Failed++
 	b.reportUntil = now + outcomeReportSpan
-	b.stats.markReportable(b)
+	b.stats.addReportable(b)
 }
 
 // takeOutcomes gives the outcomes to report of this backend, if it failed lately or is ejected; of a
@@ -159,14 +159,14 @@
 	b.outcomes = rpc.OutcomeCount{}
 	counts.Endpoint, counts.Service = b.ID, b.Service
 	if !b.ejected && now >= b.reportUntil || b.closed {
-		b.stats.clearReportable(b)
+		b.stats.removeReportable(b)
 		return counts, false
 	}
 	return counts, counts.Succeeded+counts.Failed > 0
 }
 
 // recentFailures is how much failed here lately, 0 to 1. The caller holds the lock.
-func (b *Backend) recentFailures(now time.Duration) (bad float64) {
+func (b *Backend) recentFailures(now time.Duration) (score float64) {
 	if b.failureScore == 0 {
 		return 0
 	}
@@ -176,13 +176,13 @@
 // overdue tells that the backend has owed a response for longer than is usual and has sent none
 // meanwhile; it may be gone. Of a backend that has never responded, the usual latency is the given,
 // in milliseconds. The caller holds the lock.
-func (b *Backend) overdue(now time.Duration, unknown float64) bool {
+func (b *Backend) overdue(now time.Duration, defaultLatency float64) bool {
 	if b.inFlight == 0 {
 		return false
 	}
 	usual := b.latency
 	if b.latencyAt == 0 {
-		usual = unknown
+		usual = defaultLatency
 	}
 	return now-max(b.busySince, b.respondedAt) > minOverdue+time.Duration(usual*float64(time.Millisecond))
 }
@@ -208,8 +208,8 @@
 	return b.Draining
 }
 
-// silentSince tells that nothing was heard from the backend since a time.
-func (b *Backend) silentSince(moment time.Duration) bool {
+// noResponseSince tells that nothing was heard from the backend since a time.
+func (b *Backend) noResponseSince(moment time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.respondedAt < moment
@@ -225,9 +225,9 @@
 	b.latencyAt = now
 }
 
-// markUnavailable stops the use of the backend for a time, longer with each failure in a row. The
+// setUnavailable stops the use of the backend for a time, longer with each failure in a row. The
 // caller holds the lock.
-func (b *Backend) markUnavailable(now time.Duration) {
+func (b *Backend) setUnavailable(now time.Duration) {
 	if b.unavailableUntil > now {
 		return
 	}
@@ -239,9 +239,9 @@
 	b.unavailableUntil = now + b.unavailableSpan
 }
 
-// markReplaced stops the use of the backend because another has its address; the endpoint list will
+// setReplaced stops the use of the backend because another has its address; the endpoint list will
 // soon lack it.
-func (b *Backend) markReplaced(now time.Duration) {
+func (b *Backend) setReplaced(now time.Duration) {
 	b.mu.Lock()
 	b.unavailableSpan, b.unavailableUntil = maxUnavailable, now+maxUnavailable
 	b.mu.Unlock()
@@ -258,7 +258,7 @@
 	if state != nil {
 		b.health = state.Health
 		if b.ejected = state.EjectedFor == rpc.EjectedForAllZones || state.EjectedFor != "" && state.EjectedFor == b.localZone; b.ejected {
-			b.stats.markReportable(b)
+			b.stats.addReportable(b)
 		}
 		b.warmUpUntil = 0
 		if state.WarmupRemaining > 0 {
@@ -272,26 +272,26 @@
 
 // observeLoad takes the load that the backend tells of itself.
 func (b *Backend) observeLoad(now time.Duration, text string) {
-	jobs, told := parseLoad(text)
-	if !told {
+	requests, valid := parseLoad(text)
+	if !valid {
 		return
 	}
 	b.mu.Lock()
 	// The request that was answered is still counted in what the backend tells.
-	b.load = reportedLoad{jobs: max(0, jobs-1), at: now}
+	b.load = reportedLoad{requests: max(0, requests-1), at: now}
 	b.mu.Unlock()
 }
 
 // queuedRequests estimates how many requests the backend has: what it told lately and what was sent
 // to it since, else what this node has there, times the nodes that use it. The caller holds the lock.
-func (b *Backend) queuedRequests(now time.Duration, nodes int) (jobs float64, reported bool) {
+func (b *Backend) queuedRequests(now time.Duration, nodes int) (requests float64, reported bool) {
 	own := float64(b.inFlight) * float64(nodes)
 	age := now - b.load.at
 	if b.load.at == 0 || age >= loadReportLifetime {
 		return own, false
 	}
-	part := float64(age) / float64(loadReportLifetime)
-	return max(float64(b.inFlight), float64(b.load.jobs+b.load.sentSince)*(1-part)+own*part), true
+	elapsed := float64(age) / float64(loadReportLifetime)
+	return max(float64(b.inFlight), float64(b.load.requests+b.load.sentSince)*(1-elapsed)+own*elapsed), true
 }
 
 // startWarmUp begins a slow start, or prolongs it.
--- a/internal/proxy/concurrency.go
+++ b/internal/proxy/concurrency.go
@@ -70,11 +70,11 @@
 	if l.total < windowSamples {
 		return
 	}
-	slowPart := float64(l.slow) / float64(l.total)
+	slowFraction := float64(l.slow) / float64(l.total)
 	switch {
-	case slowPart > decreaseAbove:
+	case slowFraction > decreaseAbove:
 		l.limit = max(minConcurrency, min(l.limit, float64(l.peak))*0.85)
-	case slowPart < increaseBelow && float64(l.peak) > 0.8*l.limit:
+	case slowFraction < increaseBelow && float64(l.peak) > 0.8*l.limit:
 		l.limit = min(maxConcurrency, l.limit*1.1+1)
 	}
 	l.total, l.slow, l.peak = 0, 0, l.inFlight
@@ -101,14 +101,14 @@
 }
 
 // loads tells how many requests are in flight at each service.
-func (l *concurrencyLimiters) loads() (burdens []rpc.Load) {
+func (l *concurrencyLimiters) loads() (loads []rpc.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for service, limiter := range l.byService {
 		limiter.mu.Lock()
-		atWork := limiter.inFlight
+		inFlight := limiter.inFlight
 		limiter.mu.Unlock()
-		burdens = append(burdens, rpc.Load{Service: rpc.ServiceName(service), InFlight: atWork})
+		loads = append(loads, rpc.Load{Service: rpc.ServiceName(service), InFlight: inFlight})
 	}
-	return burdens
+	return loads
 }
--- a/internal/proxy/execute.go
+++ b/internal/proxy/execute.go
@@ -76,7 +76,7 @@
 		if now >= plan.Deadline {
 			return response, plan.errorKind(apierror.DeadlineTooShort)
 		}
-		backend, anyUsable := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, plan.Tried))
+		backend, anyUsable := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, plan.Attempted))
 		if backend == nil {
 			if !anyUsable {
 				return response, plan.errorKind(apierror.NoBackend)
@@ -115,14 +115,14 @@
 
 // observe records what became of an attempt that began at a time with the retry limit and the
 // service's concurrency limit.
-func (d *Daemon) observe(plan *Plan, limiter *ConcurrencyLimiter, began time.Duration, attempt *Attempt) {
+func (d *Daemon) observe(plan *Plan, limiter *ConcurrencyLimiter, startedAt time.Duration, attempt *Attempt) {
 	if attempt.Sent {
 		ended := d.clock.Now()
-		inTime := plan.Route.LatencyTarget <= 0 || ended-began <= plan.Route.LatencyTarget
+		inTime := plan.Route.LatencyTarget <= 0 || ended-startedAt <= plan.Route.LatencyTarget
 		d.retryBudget.RecordOutcome(ended, plan.Service, attempt.Outcome == Complete && inTime)
 	}
 	if attempt.Outcome == Complete {
-		limiter.ObserveLatency(d.clock.Now()-began, plan.Route.LatencyTarget)
+		limiter.ObserveLatency(d.clock.Now()-startedAt, plan.Route.LatencyTarget)
 	}
 }
 
@@ -148,7 +148,7 @@
 	if !plan.Route.Type.Retryable() {
 		options.MaxIdle = d.settings.MaxIdleNonIdempotent
 	}
-	if plan.BoundBackend != "" && plan.wasTried(plan.BoundBackend) && !d.disabledChecks.has(ReuseRejectingConn) {
+	if plan.BoundBackend != "" && plan.wasAttempted(plan.BoundBackend) && !d.disabledChecks.has(ReuseRejectingConn) {
 		// The backend has had this id before: a second copy of its earlier response must not be
 		// taken for the response to this attempt.
 		options.MaxIdle = freshConnOnly
@@ -157,14 +157,14 @@
 }
 
 // criteria says what backend a plan's next attempt wants.
-func (d *Daemon) criteria(plan *Plan, tried []rpc.EndpointID) (criteria Criteria) {
+func (d *Daemon) criteria(plan *Plan, attempted []rpc.EndpointID) (criteria Criteria) {
 	criteria = Criteria{
-		Service: plan.Service, TargetLatency: plan.Route.LatencyTarget, Homes: plan.Route.AllowedRegions, Tried: tried,
+		Service: plan.Service, TargetLatency: plan.Route.LatencyTarget, Homes: plan.Route.AllowedRegions, Attempted: attempted,
 		Idempotent: plan.Route.Type.Retryable(), Large: plan.Route.Type == config.Download,
 		PlanWeights: d.state.Policies.PlanWeights(plan.Request.Host, plan.Service),
 	}
 	if plan.BoundBackend != "" {
-		criteria.Bound, criteria.Tried, criteria.PlanWeights = plan.BoundBackend, nil, nil
+		criteria.Bound, criteria.Attempted, criteria.PlanWeights = plan.BoundBackend, nil, nil
 		return criteria
 	}
 	if !criteria.Large {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -79,11 +79,11 @@
 // hedgeBackend is the second backend to ask, or nil while the first is not silent, no other can
 // be chosen or no retry is allowed.
 func (d *Daemon) hedgeBackend(plan *Plan, first *Backend, sentAt, now time.Duration) *Backend {
-	if !first.silentSince(sentAt) || now >= plan.Deadline {
+	if !first.noResponseSince(sentAt) || now >= plan.Deadline {
 		return nil
 	}
-	tried := append([]rpc.EndpointID{first.ID}, plan.Tried...)
-	second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, tried))
+	attempted := append([]rpc.EndpointID{first.ID}, plan.Attempted...)
+	second, _ := d.state.chooseEndpoint(d.state.Snapshot(), d.criteria(plan, attempted))
 	if second == nil || !d.allowRetry(now, plan, second) {
 		return nil
 	}
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -56,14 +56,14 @@
 		claimedAt := d.clock.Now()
 		// A new leader may be there in a moment; the wait for one stays inside the time in which a
 		// rejection still lets the client retry in time.
-		found := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.LatencyTarget/4, limit)
-		switch found.Outcome {
+		claim := d.leader.Claim(rpc.KeyClaim{Key: plan.Key, Request: request.ID}, plan.Route.LatencyTarget/4, limit)
+		switch claim.Outcome {
 		case rpc.ClaimGranted:
 			// The claim is valid for its window from when it was asked for.
 			plan.Deadline = min(plan.Deadline, claimedAt+d.settings.Bounds.KeyWindow)
 			return response, true
 		case rpc.ClaimHeld:
-			reply := d.recallFromHolder(plan.Key, found)
+			reply := d.recallFromHolder(plan.Key, claim)
 			if reply.State == rpc.OperationReleased && retries < maxClaimRetries && d.clock.Now()+limit/2 < plan.Deadline {
 				time.Sleep(d.recallPause)
 				continue
@@ -81,13 +81,13 @@
 }
 
 // recallFromHolder asks the holder of a key, which may be this node, how the operation stands.
-func (d *Daemon) recallFromHolder(key string, found rpc.ClaimResult) (reply rpc.StoredResponse) {
-	if found.Holder != rpc.NodeID(d.settings.Name) {
-		return d.leader.Recall(found, key)
+func (d *Daemon) recallFromHolder(key string, claim rpc.ClaimResult) (reply rpc.StoredResponse) {
+	if claim.Holder != rpc.NodeID(d.settings.Name) {
+		return d.leader.Recall(claim, key)
 	}
-	if found.Incarnation == d.incarnation && d.operations.Released(key, found.Request) {
+	if claim.Incarnation == d.incarnation && d.operations.Released(key, claim.Request) {
 		reply.State = rpc.OperationReleased
-		d.leader.Release(rpc.KeyClaim{Key: key, Request: found.Request})
+		d.leader.Release(rpc.KeyClaim{Key: key, Request: claim.Request})
 	}
 	return reply
 }
@@ -108,11 +108,11 @@
 // storeResponse keeps the response of an operation for repeats. Only the allowed regions of a
 // route may store its responses; elsewhere a node there stores it.
 func (d *Daemon) storeResponse(operation *idempotency.HeldOperation, plan *Plan, response message.Response) {
-	homes := plan.Route.AllowedRegions
+	regions := plan.Route.AllowedRegions
 	switch {
 	case response.BodyRest != nil:
 		d.operations.SetLost(operation)
-	case config.AllowsRegion(homes, d.settings.Region):
+	case config.AllowsRegion(regions, d.settings.Region):
 		d.operations.Complete(operation, response.Status, response.Headers, response.Body)
 	default:
 		go d.storeOnPeer(operation, plan, response)
@@ -123,13 +123,13 @@
 func (d *Daemon) storeOnPeer(operation *idempotency.HeldOperation, plan *Plan, response message.Response) {
 	snapshot, absent := d.state.Snapshot(), d.state.AbsentNodes()
 	var address string
-	var best uint64
+	var bestRank uint64
 	for id, node := range snapshot.Nodes {
 		if !node.Ready || node.Stopping || absent[id] || !config.AllowsRegion(plan.Route.AllowedRegions, string(node.Region)) {
 			continue
 		}
-		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < best {
-			address, best = node.InternalAddress, rank
+		if rank := healthcheck.Rank(string(id), plan.Key); address == "" || rank < bestRank {
+			address, bestRank = node.InternalAddress, rank
 		}
 	}
 	stored := rpc.StoredResponse{State: rpc.OperationCompleted, Status: response.Status, Headers: response.Headers, Body: response.Body}
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -29,8 +29,8 @@
 	StartedAt    time.Duration
 	Deadline     time.Duration
 	AttemptsLeft int
-	// Tried are the backends of attempts that have ended.
-	Tried []rpc.EndpointID
+	// Attempted are the backends of attempts that have ended.
+	Attempted []rpc.EndpointID
 	// MayHaveRun is set once an attempt ended without proof that nothing ran.
 	MayHaveRun bool
 	// LastServerError is the last response in which a backend told of its own failure.
@@ -43,8 +43,8 @@
 	BoundBackend rpc.EndpointID
 }
 
-// wasTried tells that an attempt at a backend has ended.
-func (p *Plan) wasTried(id rpc.EndpointID) bool { return slices.Contains(p.Tried, id) }
+// wasAttempted tells that an attempt at a backend has ended.
+func (p *Plan) wasAttempted(id rpc.EndpointID) bool { return slices.Contains(p.Attempted, id) }
 
 // Step is what a plan does next.
 type Step uint8
@@ -61,7 +61,7 @@
 	if attempt.Sent {
 		p.AttemptsLeft--
 	}
-	p.Tried = append(p.Tried, backend)
+	p.Attempted = append(p.Attempted, backend)
 	if attempt.Outcome == Complete {
 		return StepRespond, apierror.None
 	}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -109,15 +109,15 @@
 	b.mu.Unlock()
 }
 
-// markActive notes that a connection carries a request, until unmarkActive.
-func (b *Backend) markActive(conn *Conn, keyed bool) {
+// trackActive notes that a connection carries a request, until unmarkActive.
+func (b *Backend) trackActive(conn *Conn, keyed bool) {
 	b.mu.Lock()
 	b.activeConns[conn] = keyed
 	b.mu.Unlock()
 }
 
-// unmarkActive notes that a connection carries its request no more.
-func (b *Backend) unmarkActive(conn *Conn) {
+// untrackActive notes that a connection carries its request no more.
+func (b *Backend) untrackActive(conn *Conn) {
 	b.mu.Lock()
 	delete(b.activeConns, conn)
 	b.mu.Unlock()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -288,7 +288,7 @@
 			t.Fatal("a draining backend, or a cold one without a lease, was chosen")
 		}
 	}
-	if pick(Criteria{Tried: []rpc.EndpointID{"i-3"}}) != "" {
+	if pick(Criteria{Attempted: []rpc.EndpointID{"i-3"}}) != "" {
 		t.Fatal("a backend was chosen twice")
 	}
 	if pick(Criteria{Homes: []string{"far"}}) != "" {
--- a/internal/proxy/response_headers.go
+++ b/internal/proxy/response_headers.go
@@ -42,7 +42,7 @@
 
 // parseLoad reads what a backend tells of its load: the requests that run, those that wait,
 // and its slots. What does not parse, or is negative or absurd, is ignored.
-func parseLoad(text string) (jobs int, ok bool) {
+func parseLoad(text string) (requests int, ok bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
 		return 0, false
@@ -53,8 +53,8 @@
 			return 0, false
 		}
 		if i < 2 {
-			jobs += number
+			requests += number
 		}
 	}
-	return jobs, true
+	return requests, true
 }
--- a/internal/proxy/response_reader.go
+++ b/internal/proxy/response_reader.go
@@ -166,7 +166,7 @@
 		return attempt, true
 	case owner == ownerUnnamed && complete && notExecuted(response) && r.unnamedIsOurs():
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			r.conn.backend.markReplaced(r.clock.Now())
+			r.conn.backend.setReplaced(r.clock.Now())
 		}
 		return r.end(Rejected), false
 	}
@@ -180,7 +180,7 @@
 	keepAlive := keepAliveOf(response)
 	if notExecuted(response) {
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			backend.markReplaced(r.clock.Now())
+			backend.setReplaced(r.clock.Now())
 		}
 		r.releaseConn(response, keepAlive, complete)
 		return Attempt{Outcome: Rejected}
--- a/internal/proxy/retry_budget.go
+++ b/internal/proxy/retry_budget.go
@@ -32,13 +32,13 @@
 	return &RetryBudget{ratio: ratio, window: max(window, time.Millisecond), slack: slack, windows: map[rpc.ServiceName]*retryWindows{}}
 }
 
-func (b *RetryBudget) serviceWindows(service rpc.ServiceName) (found *retryWindows) {
-	found = b.windows[service]
-	if found == nil {
-		found = &retryWindows{quota.NewWindow(b.window), quota.NewWindow(b.window)}
-		b.windows[service] = found
+func (b *RetryBudget) serviceWindows(service rpc.ServiceName) (windows *retryWindows) {
+	windows = b.windows[service]
+	if windows == nil {
+		windows = &retryWindows{quota.NewWindow(b.window), quota.NewWindow(b.window)}
+		b.windows[service] = windows
 	}
-	return found
+	return windows
 }
 
 // RecordRequest counts a request for a service.
@@ -53,18 +53,18 @@
 
 // Spend takes one attempt beyond the first, if the budget allows it.
 func (b *RetryBudget) Spend(now time.Duration, service rpc.ServiceName) (granted bool) {
-	return b.spend(now, service, func() bool { return true })
+	return b.spendIf(now, service, func() bool { return true })
 }
 
 // SpendRetry is Spend under the operator's limit too, for an attempt that would be answered at a time and
 // must be by its deadline.
-func (b *RetryBudget) SpendRetry(now, answered, deadline time.Duration, service rpc.ServiceName) (granted bool) {
-	return b.spend(now, service, func() bool {
-		return b.operatorLimit == nil || b.operatorLimit.AllowRetry(now, answered, deadline, service) == retry.Allowed
+func (b *RetryBudget) SpendRetry(now, expectedAt, deadline time.Duration, service rpc.ServiceName) (granted bool) {
+	return b.spendIf(now, service, func() bool {
+		return b.operatorLimit == nil || b.operatorLimit.AllowRetry(now, expectedAt, deadline, service) == retry.Allowed
 	})
 }
 
-func (b *RetryBudget) spend(now time.Duration, service rpc.ServiceName, allowed func() bool) (granted bool) {
+func (b *RetryBudget) spendIf(now time.Duration, service rpc.ServiceName, allowed func() bool) (granted bool) {
 	slack := b.slack()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -27,7 +27,7 @@
 	// TargetLatency is the time within which the response is wanted, 0 where none is set.
 	TargetLatency time.Duration
 	Homes         []string
-	Tried         []rpc.EndpointID
+	Attempted     []rpc.EndpointID
 	// Idempotent tells that the request may run twice.
 	Idempotent bool
 	// PlanWeights are the schedule's weights, nil where there is none: regions that
@@ -42,8 +42,8 @@
 	Large bool
 }
 
-func (c *Criteria) wasTried(id rpc.EndpointID) bool {
-	for _, tried := range c.Tried {
+func (c *Criteria) wasAttempted(id rpc.EndpointID) bool {
+	for _, tried := range c.Attempted {
 		if tried == id {
 			return true
 		}
@@ -163,7 +163,7 @@
 
 // permitted reports whether a request may go to a backend at all.
 func (c *selection) permitted(backend *Backend) bool {
-	if c.snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(c.criteria.Homes, string(backend.Region)) || c.criteria.wasTried(backend.ID) {
+	if c.snapshot.Evacuated[backend.Zone] || !config.AllowsRegion(c.criteria.Homes, string(backend.Region)) || c.criteria.wasAttempted(backend.ID) {
 		return false
 	}
 	policies := c.state.Policies
@@ -210,35 +210,35 @@
 
 // observe fills in what is known of a backend that so many nodes share; false where
 // it is draining.
-func (s *Backend) observe(now time.Duration, nodes int, baseline float64, observed *balancer.Observation) (known bool) {
-	s.mu.Lock()
-	if s.Draining {
-		s.mu.Unlock()
+func (b *Backend) observe(now time.Duration, nodes int, baseline float64, observed *balancer.Observation) (known bool) {
+	b.mu.Lock()
+	if b.Draining {
+		b.mu.Unlock()
 		return false
 	}
-	observed.Slots, observed.InFlight = max(1, s.Slots), s.inFlight
-	observed.LatencyMS = balancer.CurrentLatencyMS(s.latency, baseline, s.latencyAt != 0, now-s.latencyAt)
-	queued, reported := s.queuedRequests(now, nodes)
+	observed.Slots, observed.InFlight = max(1, b.Slots), b.inFlight
+	observed.LatencyMS = balancer.CurrentLatencyMS(b.latency, baseline, b.latencyAt != 0, now-b.latencyAt)
+	queued, reported := b.queuedRequests(now, nodes)
 	observed.Queue = queued / float64(observed.Slots)
 	if !reported {
-		observed.Queue = min(observed.Queue, float64(s.inFlight))
+		observed.Queue = min(observed.Queue, float64(b.inFlight))
 	}
-	observed.Overdue = s.overdue(now, baseline)
-	observed.RecentFailures = s.recentFailures(now)
-	observed.Unhealthy, observed.Ejected, observed.Unavailable = s.health == rpc.Unhealthy, s.ejected, now < s.unavailableUntil
-	observed.CanaryDue = now >= s.nextCanaryAt
-	if observed.WarmingUp = now < s.warmUpUntil; observed.WarmingUp {
-		observed.WarmUpSends = s.warmUpSends.Sum(now)
+	observed.Overdue = b.overdue(now, baseline)
+	observed.RecentFailures = b.recentFailures(now)
+	observed.Unhealthy, observed.Ejected, observed.Unavailable = b.health == rpc.Unhealthy, b.ejected, now < b.unavailableUntil
+	observed.CanaryDue = now >= b.nextCanaryAt
+	if observed.WarmingUp = now < b.warmUpUntil; observed.WarmingUp {
+		observed.WarmUpSends = b.warmUpSends.Sum(now)
 	}
-	s.mu.Unlock()
+	b.mu.Unlock()
 	return true
 }
 
 // noteCanary notes that an ejected backend gets a request.
-func (s *Backend) noteCanary(now time.Duration) {
-	s.mu.Lock()
-	s.nextCanaryAt = now + canaryInterval
-	s.mu.Unlock()
+func (b *Backend) noteCanary(now time.Duration) {
+	b.mu.Lock()
+	b.nextCanaryAt = now + canaryInterval
+	b.mu.Unlock()
 }
 
 // pickTarget picks a route's service by weight, with a number from 0 to 1.
--- a/internal/proxy/service_stats.go
+++ b/internal/proxy/service_stats.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// markReportable notes that the outcomes of a backend may have to be reported.
-func (s *ServiceStats) markReportable(backend *Backend) {
+// addReportable notes that the outcomes of a backend may have to be reported.
+func (s *ServiceStats) addReportable(backend *Backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reportable == nil {
@@ -73,8 +73,8 @@
 	return backends
 }
 
-// clearReportable takes back markReportable.
-func (s *ServiceStats) clearReportable(backend *Backend) {
+// removeReportable takes back markReportable.
+func (s *ServiceStats) removeReportable(backend *Backend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.reportable, backend)
@@ -93,17 +93,17 @@
 func (s *ServiceStats) ObserveLatency(now, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spent := float64(took) / float64(time.Millisecond)
+	milliseconds := float64(took) / float64(time.Millisecond)
 	if s.meanLatency == 0 {
-		s.meanLatency, s.baselineLatency, s.baselineAt = spent, spent, now
+		s.meanLatency, s.baselineLatency, s.baselineAt = milliseconds, milliseconds, now
 		return
 	}
 	if s.samples++; s.samples < warmUpSamples {
-		s.meanLatency += (spent - s.meanLatency) / float64(s.samples+1)
+		s.meanLatency += (milliseconds - s.meanLatency) / float64(s.samples+1)
 		s.baselineLatency, s.baselineAt = s.meanLatency, now
 		return
 	}
-	s.meanLatency += (spent - s.meanLatency) * latencyWeight
+	s.meanLatency += (milliseconds - s.meanLatency) * latencyWeight
 	s.baselineLatency = min(s.meanLatency, s.baselineLatency*(1+baselineGrowth*(now-s.baselineAt).Seconds()))
 	s.baselineAt = now
 }
@@ -111,35 +111,35 @@
 // BaselineLatency is how many milliseconds a response took on average while the service was least
 // loaded lately, or the given while little is known. It is what may be expected of a backend that was
 // not asked for a while.
-func (s *ServiceStats) BaselineLatency(unknown float64) (calm float64) {
+func (s *ServiceStats) BaselineLatency(defaultLatency float64) (latency float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.samples < warmUpSamples {
-		return unknown
+		return defaultLatency
 	}
 	return min(s.meanLatency, s.baselineLatency*baselineMargin)
 }
 
 // MeanLatency is how many milliseconds a response takes now.
-func (s *ServiceStats) MeanLatency() (usual float64) {
+func (s *ServiceStats) MeanLatency() (latency float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.meanLatency
 }
 
 // ObserveStaleConn takes how long a connection had been idle that its backend had closed.
-func (s *ServiceStats) ObserveStaleConn(now, rested time.Duration) {
+func (s *ServiceStats) ObserveStaleConn(now, idle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rest := max(minMaxIdle, time.Duration(float64(rested)*maxIdleBackoff))
-	if now >= s.maxIdleUntil || rest < s.maxIdle {
-		s.maxIdle = rest
+	limit := max(minMaxIdle, time.Duration(float64(idle)*maxIdleBackoff))
+	if now >= s.maxIdleUntil || limit < s.maxIdle {
+		s.maxIdle = limit
 	}
 	s.maxIdleUntil = now + maxIdleMemory
 }
 
 // MaxIdle is how long a connection may stay idle now.
-func (s *ServiceStats) MaxIdle(now time.Duration) (rest time.Duration) {
+func (s *ServiceStats) MaxIdle(now time.Duration) (limit time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.maxIdle == 0 || now >= s.maxIdleUntil {
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -197,10 +197,10 @@
 }
 
 // healthyAndWarm tells that a backend may be begun with.
-func (s *Backend) healthyAndWarm(now time.Duration) (well bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.health != rpc.Unhealthy && now >= s.warmUpUntil && now >= s.unavailableUntil && !s.ejected
+func (b *Backend) healthyAndWarm(now time.Duration) (usable bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.health != rpc.Unhealthy && now >= b.warmUpUntil && now >= b.unavailableUntil && !b.ejected
 }
 
 // affinityInput is the part of a request that may name its session.
--- a/internal/proxy/update.go
+++ b/internal/proxy/update.go
@@ -264,8 +264,8 @@
 		if backend == nil {
 			backend = s.addBackend(now, change)
 		}
-		if summary := change.Summary(); backend.lastStamp != summary {
-			backend.lastStamp = summary
+		if summary := change.Summary(); backend.listedSummary != summary {
+			backend.listedSummary = summary
 			s.History.Record(history.Backend, string(change.ID), "applied", summary, 0, unlogged)
 		}
 		backend.update(now, &change.Endpoint, nil)
