--- a/internal/rpc/replay_test.go
+++ b/internal/rpc/replay_test.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"tinpin/internal/testutil/wiretest"
 )
 
 // recordedCall is one call of a connection as it was recorded between a client and
@@ -31,15 +33,15 @@
 	t.Helper()
 	values := map[string]any{}
 	for _, fixture := range wireFixtures {
-		values[fixture.name] = fixture.value
+		values[fixture.Name] = fixture.Value
 	}
 	names := map[string][]string{}
-	for _, line := range strings.Split(string(readFixture(t, filepath.Join("testdata", "methods.txt"))), "\n") {
+	for _, line := range strings.Split(string(wiretest.ReadFile(t, filepath.Join("testdata", "methods.txt"))), "\n") {
 		if parts := strings.Fields(line); len(parts) == 3 {
 			names[parts[0]] = parts[1:]
 		}
 	}
-	for _, line := range strings.Split(strings.TrimSpace(string(readFixture(t, filepath.Join("testdata", "connection.txt")))), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(string(wiretest.ReadFile(t, filepath.Join("testdata", "connection.txt")))), "\n") {
 		var call recordedCall
 		var sent, received string
 		if _, err := fmt.Sscan(line, &call.method, &sent, &received); err != nil {
