--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -1,14 +1,14 @@
 package loadtest
 
-// Path measures what the request path adds: the same requests one after the
-// other to a stand-in backend directly and through an edge, on loopback.
+// The path measurement is what a proxy adds to a request: the same requests one after the
+// other to a stand-in backend directly and through a proxy, on loopback.
 
 import (
 	"context"
 	"fmt"
 	"net/http"
 	"os"
-	"sort"
+	"slices"
 	"time"
 
 	"tinpin/internal/localcluster"
@@ -24,7 +24,7 @@
 var percentiles = []float64{50, 90, 99}
 
 func percentilesOf(times []time.Duration) (at map[string]float64) {
-	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
+	slices.Sort(times)
 	at = map[string]float64{}
 	for _, percentile := range percentiles {
 		at[fmt.Sprintf("p%g", percentile)] = float64(times[min(len(times)-1, int(float64(len(times))*percentile/100))]) / float64(time.Millisecond)
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -1,8 +1,8 @@
-// Package loadtest measures what the control side costs at a size: real cores in
-// processes of their own, and hollow nodes that speak the real inner protocol
-// by the real code without carrying traffic, many in a process. It talks to
-// loopback only, is bounded in time, processes and memory, and stops by itself.
-// This file is the size of one measurement and its bounds.
+// Package loadtest measures what the control plane costs at a size: real controllers in
+// processes of their own, and stub nodes that speak the real internal protocol by the real code
+// without carrying traffic, many in a process. It talks to loopback only, is bounded in time,
+// processes and memory, and stops by itself. Measure and MeasurePath are called by one
+// goroutine at a time; RunWorker is the main function of the processes they start.
 package loadtest
 
 import (
@@ -58,7 +58,7 @@
 	}[name]
 }
 
-// Memory reckons what a measurement needs, generously.
+// Memory estimates what a measurement needs, generously.
 func (s Size) Memory() (bytes int64) {
 	rows := int64(s.Backends + s.Services + s.Routes + s.Tenants)
 	return int64(s.Nodes)*(nodeBytes+rows*rowBytes) + 6*rows*rowBytes + int64(s.Claims)*75*800*3 + int64(s.processes()+4)*processBytes
@@ -66,13 +66,13 @@
 
 func (s Size) processes() (count int) { return (s.Nodes + nodesPerProcess - 1) / nodesPerProcess }
 
-// Check names every fault of a size before anything is started; room is the
+// Check names everything wrong with a size before anything is started; available is the
 // memory that may be used.
 func (s Size) Check(span time.Duration, available int64) (err error) {
-	var problems []string
+	var invalid []string
 	within := func(name string, value, low, high int) {
 		if value < low || value > high {
-			problems = append(problems, fmt.Sprintf("%s must be from %d to %d, not %d", name, low, high, value))
+			invalid = append(invalid, fmt.Sprintf("%s must be from %d to %d, not %d", name, low, high, value))
 		}
 	}
 	within("nodes", s.Nodes, 1, maxNodes)
@@ -84,13 +84,13 @@
 		within(name, *s.At(name), 0, maxRate)
 	}
 	if span < minSpan || span > maxSpan {
-		problems = append(problems, fmt.Sprintf("span must be from %s to %s, not %s", minSpan, maxSpan, span))
+		invalid = append(invalid, fmt.Sprintf("span must be from %s to %s, not %s", minSpan, maxSpan, span))
 	}
-	if len(problems) == 0 && s.Memory() > available {
-		problems = append(problems, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, available>>20))
+	if len(invalid) == 0 && s.Memory() > available {
+		invalid = append(invalid, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, available>>20))
 	}
-	if len(problems) > 0 {
-		return Class.New("%s", strings.Join(problems, "; "))
+	if len(invalid) > 0 {
+		return Class.New("%s", strings.Join(invalid, "; "))
 	}
 	return nil
 }
