--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -11,10 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 )
 
 // clientConn is one connection of a client.
--- a/internal/frontend/request_body.go
+++ b/internal/frontend/request_body.go
@@ -6,10 +6,9 @@
 	"strings"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 )
 
 // readRequest makes the request that is forwarded from its head, and reads its body.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -7,9 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"tinpin/internal/message"
-
 	"tinpin/internal/rpc"
 )
 
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -1,10 +1,3 @@
-// Package proxy is one node of the data plane: it takes requests in, sends them to
-// backends, probes the backends that the shard map gives it, answers name queries and
-// keeps its tie to the leading controller. It owns the connections of clients and to
-// backends and the node's copy of the cluster's state; what is pure arithmetic lives in
-// packages of its own (balancer, directory, quota, retry, affinity, healthcheck). A Daemon
-// is started once by Start and stopped once by Stop; what it exports may be called from
-// any goroutine.
 package proxy
 
 import (
@@ -139,9 +132,9 @@
 // Reload applies changed settings.
 func (d *Daemon) Reload(p settings.Settings) { d.leader.SetSeeds(p.Seeds) }
 
-// Stop ends in order: the leader is notified first, so that no directory names
-// this daemon any more; then each answer closes its stream; then, when the
-// clients must have learned it and nothing is at work, the end.
+// Stop shuts the node down gracefully. The leader is notified first, so that the directories of other nodes
+// stop naming this one, and from then on every response closes its connection. Once directory answers that
+// name this node have expired and no request is in flight, or at the end of the grace period, it stops.
 func (d *Daemon) Stop() {
 	d.stopping.Store(true)
 	d.frontend.StartDraining()
--- a/internal/proxy/fake_backend_test.go
+++ b/internal/proxy/fake_backend_test.go
@@ -10,12 +10,11 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/frontend"
-	"tinpin/internal/message"
-
 	"tinpin/internal/config"
 	"tinpin/internal/eventlog"
+	"tinpin/internal/frontend"
 	"tinpin/internal/idempotency"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
 )
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -9,9 +9,8 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/idempotency"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -7,10 +7,9 @@
 	"testing"
 	"time"
 
-	"tinpin/internal/message"
-
 	"tinpin/internal/apierror"
 	"tinpin/internal/config"
+	"tinpin/internal/message"
 	"tinpin/internal/rpc"
 )
 
--- a/internal/proxy/sessions_test.go
+++ b/internal/proxy/sessions_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"tinpin/internal/message"
-
 	"tinpin/internal/policy"
 	"tinpin/internal/rpc"
 )
