--- a/internal/testutil/storedstate/storedstate.go
+++ b/internal/testutil/storedstate/storedstate.go
@@ -1,6 +1,7 @@
 // Package storedstate holds a replicated state as data directories of older
 // versions have it, and the commands that led to it, for the tests of the packages
-// that read such directories. Only tests import it.
+// that read such directories. It does not read or write directories. Only tests import
+// it; its values must not be changed.
 package storedstate
 
 import (
@@ -24,14 +25,14 @@
 		policy.RetryLimit:      `{"version":1,"rules":[{"service":"*","ratio":0.2,"least_per_s":10,"window":"10s"}]}`,
 		policy.SessionAffinity: `{"version":7,"rules":[{"service":"pay","from":"cookie","name":"sid","idle":"10m0s","alone":"serve","most":1000}]}`,
 	}
-	// OvertakenPolicy is the drain policy that another version has replaced.
+	// OvertakenPolicy is the drain policy that another version has superseded.
 	OvertakenPolicy = `{"version":1,"rules":[{"service":"*","notice":"0s","finish":"5s","keyed":"finish","least_share":0}],"lost_touch":"5s","cut_off":"serve"}`
-	// OvertakenRoute is a configuration of which one route was replaced since.
+	// OvertakenRoute is a configuration of which one route was superseded since.
 	OvertakenRoute = `{"upserts":{"routes":{"column_names":["name","version","hostname","path_prefix","route_type","timeout","service_name"],"row_values":[["r1",1,"shop.example","/","idempotent","2s","pay"]]}}}`
 )
 
-// Commands are the commands from which the state of the snapshot came, from
-// the second place of the log on.
+// Commands are the commands that led to the state of the snapshot, from the log index 2
+// on.
 var Commands = []statemachine.Command{
 	{Kind: statemachine.CommandConfig, Body: []byte(`{"upserts":{"services":{"column_names":["name","version","health_check_path","max_connections","extra"],"row_values":[["pay",1,"/ready",20,{"a":[1,null,"x"]}],["book",4,null,null,null]]},` +
 		`"routes":{"column_names":["name","version","hostname","path_prefix","route_type","timeout","service_name"],"row_values":[["r1",1,"shop.example","/","idempotent","2s","pay"],["r2",1,"shop.example","/book/","keyed","1500ms","book"]]},` +
@@ -113,7 +114,7 @@
 		"services": {"name", "version", "health_check_path", "max_connections", "extra"},
 		"tenants":  {"name", "version", "hostnames", "rate", "burst"},
 	},
-	// Of each order the digest of its number and that of its content.
+	// Of each request the digest of its key and that of its content.
 	Overtaken: dedup.Snapshot{Entries: unhex("7d7ea621c9cbad54" + "32b1b4ebde6fee50" + "a95ba73dc857db61" + "5ee703e3300a81ff")},
 	Orders: dedup.Snapshot{Entries: unhex("bf00dd0c02374311" + "bc567ce12c318475" + "c08b2e886bc866f2" + "295edfc30594737b" + "a28c914c5c8acd41" + "54dee19886a4fb51" + "0897e4d4030e2e21" + "75c65435810cc35d" +
 		"65932614f61b3884" + "0000000000000000" + "57b39fd9f04b2a98" + "0000000000000000" + "322c6b086c99b91d" + "47638056d4777fc3")},
@@ -121,7 +122,7 @@
 
 // Form has the fields of a snapshot's state, by the names that are stored.
 type Form struct {
-	Canon       []config.Item
+	Canon       []config.Item //words:frozen stored in snapshots
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
 	Retired     map[rpc.EndpointID]rpc.Retirement
@@ -131,7 +132,7 @@
 	Seqs        []uint64
 	Seq, Rev    uint64
 	Columns     map[config.Set][]string
-	Overtaken   dedup.Snapshot
+	Overtaken   dedup.Snapshot //words:frozen stored in snapshots
 	Orders      dedup.Snapshot
 }
 
@@ -139,7 +140,7 @@
 type (
 	// Evacuation is that of one zone.
 	Evacuation struct {
-		Site   string
+		Site   string //words:frozen stored in snapshots
 		Active bool
 		Rev    uint64
 	}
@@ -157,10 +158,10 @@
 	}
 )
 
-// OlderForm is a snapshot's state as versions wrote it that knew neither columns
-// nor records of orders.
+// OlderForm is a snapshot's state as versions wrote it that had neither columns nor
+// tables of accepted requests.
 type OlderForm struct {
-	Canon       []config.Item
+	Canon       []config.Item //words:frozen stored in snapshots
 	Evacuations map[string]Evacuation
 	Documents   map[policy.Kind]policy.Document
 	Retired     map[rpc.EndpointID]rpc.Retirement
@@ -171,7 +172,7 @@
 	Seq, Rev    uint64
 }
 
-// WithdrawnPolicy is a document that was taken back.
+// WithdrawnPolicy is a document that was withdrawn.
 var WithdrawnPolicy = map[policy.Kind]policy.Document{"drain-policy": {Kind: "drain-policy", Version: 3, Rev: 16}}
 
 // Older is a state in the older form.
@@ -179,7 +180,7 @@
 	return OlderForm{of.Canon, of.Evacuations, WithdrawnPolicy, of.Retired, of.Move, of.Bindings, of.Claims, of.Seqs, of.Seq, of.Rev}
 }
 
-// Filled is the stored state with what no single state has at once.
+// Filled is the stored state with every field set, which no single state has.
 func Filled() (state Form) {
 	state = Value
 	state.Overtaken.Dropped, state.Orders.Dropped = 5, 6
@@ -209,7 +210,7 @@
 	return commands
 }
 
-// ApplyAll is the state after these commands, from the second place of the log on.
+// ApplyAll is the state after these commands, from the log index 2 on.
 func ApplyAll(t *testing.T, commands []statemachine.Command) (state *statemachine.State) {
 	t.Helper()
 	state = statemachine.NewState()
--- a/internal/testutil/wiretest/wiretest.go
+++ b/internal/testutil/wiretest/wiretest.go
@@ -1,6 +1,6 @@
-// Package wiretest holds checks of data that is stored or sent: it compares what
-// gob sends with golden files. The
-// shape of a type is the names of its fields and their kinds, as gob writes them;
+// Package wiretest holds checks of data that is stored or sent: it compares what gob
+// sends with golden files. Only tests import it, and call it from the goroutine of the
+// test. The shape of a type is the names of its fields and their kinds, as gob writes them;
 // the Go names of types are left out, since no decoder looks at them. A golden
 // file stays as it is when another type with the same field names takes the
 // place of the one it was made from.
@@ -57,18 +57,18 @@
 	return buffer.Bytes()
 }
 
-// MostFrequent is the encoding that comes most often of many: maps are encoded in an order
-// that changes, and a fixture is to be the same each time it is written.
+// MostFrequent is the most frequent encoding of many: the order in which maps are
+// encoded changes, and a fixture is to be the same each time it is written.
 func MostFrequent(encode func() []byte) (data []byte) {
 	times := map[string]int{}
-	most := ""
+	frequent := ""
 	for range 4000 {
 		now := string(encode())
-		if times[now]++; times[now] > times[most] {
-			most = now
+		if times[now]++; times[now] > times[frequent] {
+			frequent = now
 		}
 	}
-	return []byte(most)
+	return []byte(frequent)
 }
 
 // DecodeGob decodes into a new value of the sample's type.
@@ -120,28 +120,7 @@
 	known := map[string]bool{}
 	for _, fixture := range fixtures {
 		known[fixture.Name] = true
-		t.Run(fixture.Name, func(t *testing.T) {
-			if empty := emptyField(reflect.ValueOf(fixture.Value), fixture.Name); empty != "" {
-				t.Errorf("%s is not filled", empty)
-			}
-			if Missing(fixture.path(".gob")) {
-				WriteFile(t, fixture.path(".gob"), MostFrequent(func() []byte { return EncodeGob(t, fixture.Value) }))
-			}
-			if Missing(fixture.path(".txt")) {
-				WriteFile(t, fixture.path(".txt"), []byte(Shape(t, reflect.TypeOf(fixture.Value))))
-			}
-			if diff := cmp.Diff(fixture.Value, DecodeGob(t, ReadFile(t, fixture.path(".gob")), fixture.Value)); diff != "" {
-				t.Errorf("decoded value (-want +got):\n%s", diff)
-			}
-			if diff := cmp.Diff(string(ReadFile(t, fixture.path(".txt"))), Shape(t, reflect.TypeOf(fixture.Value))); diff != "" {
-				t.Errorf("field names on the wire (-golden +now):\n%s", diff)
-			}
-			filled, count := reflect.New(reflect.TypeOf(fixture.Value)).Elem(), 0
-			Fill(t, filled, &count)
-			if diff := cmp.Diff(filled.Interface(), DecodeGob(t, EncodeGob(t, filled.Interface()), fixture.Value)); diff != "" {
-				t.Errorf("round trip of %d filled fields (-want +got):\n%s", count, diff)
-			}
-		})
+		t.Run(fixture.Name, fixture.check)
 	}
 	files, err := filepath.Glob(filepath.Join("testdata", "wire", "*.gob"))
 	if err != nil {
@@ -157,6 +136,29 @@
 	}
 }
 
+func (f Fixture) check(t *testing.T) {
+	if empty := emptyField(reflect.ValueOf(f.Value), f.Name); empty != "" {
+		t.Errorf("%s is not filled", empty)
+	}
+	if Missing(f.path(".gob")) {
+		WriteFile(t, f.path(".gob"), MostFrequent(func() []byte { return EncodeGob(t, f.Value) }))
+	}
+	if Missing(f.path(".txt")) {
+		WriteFile(t, f.path(".txt"), []byte(Shape(t, reflect.TypeOf(f.Value))))
+	}
+	if diff := cmp.Diff(f.Value, DecodeGob(t, ReadFile(t, f.path(".gob")), f.Value)); diff != "" {
+		t.Errorf("decoded value (-want +got):\n%s", diff)
+	}
+	if diff := cmp.Diff(string(ReadFile(t, f.path(".txt"))), Shape(t, reflect.TypeOf(f.Value))); diff != "" {
+		t.Errorf("field names on the wire (-golden +now):\n%s", diff)
+	}
+	filled, count := reflect.New(reflect.TypeOf(f.Value)).Elem(), 0
+	Fill(t, filled, &count)
+	if diff := cmp.Diff(filled.Interface(), DecodeGob(t, EncodeGob(t, filled.Interface()), f.Value)); diff != "" {
+		t.Errorf("round trip of %d filled fields (-want +got):\n%s", count, diff)
+	}
+}
+
 // Shape writes the fields that gob sends of a type, one a line, those of an
 // inner struct indented below it.
 func Shape(t *testing.T, of reflect.Type) (shape string) {
@@ -274,18 +276,14 @@
 		}
 		return emptyField(value.Elem(), path)
 	case reflect.Struct:
-		for i := range value.NumField() {
-			if field := value.Type().Field(i); field.IsExported() {
-				if empty = emptyField(value.Field(i), path+"."+field.Name); empty != "" {
-					return empty
-				}
-			}
-		}
-		return ""
+		return emptyStructField(value, path)
 	case reflect.Slice:
+		if value.Type().Elem().Kind() == reflect.Uint8 && value.Len() > 0 {
+			return ""
+		}
 		empty = path
 		for i := range value.Len() {
-			if empty = emptyField(value.Index(i), path); empty == "" || value.Type().Elem().Kind() == reflect.Uint8 {
+			if empty = emptyField(value.Index(i), path); empty == "" {
 				return ""
 			}
 		}
@@ -304,3 +302,16 @@
 	}
 	return ""
 }
+
+func emptyStructField(value reflect.Value, path string) (empty string) {
+	for i := range value.NumField() {
+		field := value.Type().Field(i)
+		if !field.IsExported() {
+			continue
+		}
+		if empty = emptyField(value.Field(i), path+"."+field.Name); empty != "" {
+			return empty
+		}
+	}
+	return ""
+}
