--- a/internal/statemachine/accepted_test.go
+++ b/internal/statemachine/accepted_test.go
@@ -258,72 +258,98 @@
 // was accepted is accepted again and takes effect once.
 func TestRequestsOfTwoOperatorsAreConsistent(t *testing.T) {
 	for seed := int64(1); seed <= 40; seed++ {
+		m := &operatorsModel{t: t, seed: seed, state: NewState(), contentOf: map[dedup.Key]string{}}
+		m.commit(Command{Kind: CommandConfig, Body: []byte(services)})
 		rng := rand.New(rand.NewSource(seed))
-		state, log := NewState(), [][]byte{}
-		commit := func(command Command) (result Result) {
-			log = append(log, EncodeCommands([]Command{command}))
-			return state.Apply(uint64(len(log)), command, 0)
-		}
-		commit(Command{Kind: CommandConfig, Body: []byte(services)})
-		contentOf, requests, accepted := map[dedup.Key]string{}, []*sentRequest{}, 0
-		for step := 0; step < 400; step++ {
-			var now *sentRequest
-			if rng.Intn(3) > 0 || len(requests) == 0 {
-				now = operators{rng}.request()
-				requests = append(requests, now)
+		for m.step = 0; m.step < 400; m.step++ {
+			var next *sentRequest
+			if rng.Intn(3) > 0 || len(m.requests) == 0 {
+				next = operators{rng}.request()
+				m.requests = append(m.requests, next)
 			} else {
-				now = requests[rng.Intn(len(requests))]
+				next = m.requests[rng.Intn(len(m.requests))]
 			}
 			if rng.Intn(6) == 0 {
 				continue // lost in transit
 			}
-			before := effects(state)
-			result := commit(now.command)
-			changed := effects(state) != before
-			if changed {
-				now.effects++
-			}
-			if now.accepted && result.Err != nil {
-				t.Fatalf("seed %d step %d: accepted before, now %s", seed, step, result.Err)
-			}
-			if result.Err != nil && changed || now.effects > 1 {
-				t.Fatalf("seed %d step %d: %d effects, %q", seed, step, now.effects, result.Err)
-			}
-			if result.Err == nil {
-				now.accepted = true
-				for i, key := range now.keys {
-					if content, known := contentOf[key]; known && content != now.contents[i] {
-						t.Fatalf("seed %d step %d: %v accepted with %s and with %s", seed, step, key, content, now.contents[i])
-					}
-					contentOf[key] = now.contents[i]
-				}
-				accepted++
-			}
+			m.send(next)
 			if rng.Intn(20) == 0 {
-				state = restored(t, state)
+				m.state = restored(t, m.state)
 			}
 		}
-		if accepted < 50 {
-			t.Fatalf("seed %d: only %d requests accepted", seed, accepted)
+		if m.accepted < 50 {
+			t.Fatalf("seed %d: only %d requests accepted", seed, m.accepted)
 		}
-		// A controller that replays the log from its start comes to the same state.
-		again := NewState()
-		for i, entry := range log {
-			commands, err := DecodeCommands(entry)
-			if err != nil {
-				t.Fatal(err)
-			}
-			again.Apply(uint64(i+1), commands[0], 0)
+		m.checkReplay()
+	}
+}
+
+// operatorsModel is a state with the log that led to it, and what operators know of it.
+type operatorsModel struct {
+	t         *testing.T
+	seed      int64
+	step      int
+	state     *State
+	log       [][]byte
+	requests  []*sentRequest
+	contentOf map[dedup.Key]string
+	accepted  int
+}
+
+func (m *operatorsModel) commit(command Command) (result Result) {
+	m.log = append(m.log, EncodeCommands([]Command{command}))
+	return m.state.Apply(uint64(len(m.log)), command, 0)
+}
+
+// send commits a request and checks its result against the results before.
+func (m *operatorsModel) send(request *sentRequest) {
+	m.t.Helper()
+	before := effects(m.state)
+	result := m.commit(request.command)
+	changed := effects(m.state) != before
+	if changed {
+		request.effects++
+	}
+	if request.accepted && result.Err != nil {
+		m.t.Fatalf("seed %d step %d: accepted before, now %s", m.seed, m.step, result.Err)
+	}
+	if result.Err != nil && changed || request.effects > 1 {
+		m.t.Fatalf("seed %d step %d: %d effects, %q", m.seed, m.step, request.effects, result.Err)
+	}
+	if result.Err != nil {
+		return
+	}
+	request.accepted = true
+	for i, key := range request.keys {
+		if content, known := m.contentOf[key]; known && content != request.contents[i] {
+			m.t.Fatalf("seed %d step %d: %v accepted with %s and with %s",
+				m.seed, m.step, key, content, request.contents[i])
 		}
-		if diff := cmp.Diff(string(again.Config.EncodeUpserts()), string(state.Config.EncodeUpserts())); diff != "" {
-			t.Fatalf("seed %d: %s", seed, diff)
+		m.contentOf[key] = request.contents[i]
+	}
+	m.accepted++
+}
+
+// checkReplay checks that a controller that replays the log from its start comes to the
+// same state.
+func (m *operatorsModel) checkReplay() {
+	m.t.Helper()
+	again := NewState()
+	for i, entry := range m.log {
+		commands, err := DecodeCommands(entry)
+		if err != nil {
+			m.t.Fatal(err)
 		}
-		for _, pair := range [][2]*dedup.Table{
-			{again.Accepted, state.Accepted}, {again.Config.Superseded, state.Config.Superseded},
-		} {
-			if diff := cmp.Diff(pair[0].Snapshot(), pair[1].Snapshot()); diff != "" {
-				t.Fatalf("seed %d: %s", seed, diff)
-			}
+		again.Apply(uint64(i+1), commands[0], 0)
+	}
+	if diff := cmp.Diff(string(again.Config.EncodeUpserts()), string(m.state.Config.EncodeUpserts())); diff != "" {
+		m.t.Fatalf("seed %d: %s", m.seed, diff)
+	}
+	for _, pair := range [][2]*dedup.Table{
+		{again.Accepted, m.state.Accepted}, {again.Config.Superseded, m.state.Config.Superseded},
+	} {
+		if diff := cmp.Diff(pair[0].Snapshot(), pair[1].Snapshot()); diff != "" {
+			m.t.Fatalf("seed %d: %s", m.seed, diff)
 		}
 	}
 }
