--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -80,13 +80,16 @@
 
 // A response replaces the whole value, and a call that fails leaves the value as it
 // was.
-func TestResponseReplacesTheWholeValue(t *testing.T) {
+func TestResponseReplacesTheEntireValue(t *testing.T) {
 	client, _ := serveGated(t)
 	response := GatedResponse{Number: 7, Rows: []int{1, 2, 3}, Note: "old"}
-	if err := client.Call("Gated.Refuse", 3, &response, 5*time.Second); err == nil || response.Number != 7 || response.Note != "old" {
+	if err := client.Call("Gated.Refuse", 3, &response, 5*time.Second); err == nil || response.Number != 7 ||
+		response.Note != "old" {
 		t.Fatalf("%+v %v", response, err)
 	}
-	if err := client.Call("Gated.Ask", 0, &response, 5*time.Second); err != nil || response.Number != 0 || response.Rows != nil || response.Note != "" {
+	if err := client.Call("Gated.Ask", 0, &response, 5*time.Second); err != nil || response.Number != 0 ||
+		response.Rows != nil ||
+		response.Note != "" {
 		t.Fatalf("%+v %v", response, err)
 	}
 }
@@ -109,7 +112,8 @@
 	}
 	var response GatedResponse
 	close(gate)
-	if err := client.Call("Gated.Ask", 2, &response, 5*time.Second); err != nil || response.Number != 2 || response.Note != "" {
+	if err := client.Call("Gated.Ask", 2, &response, 5*time.Second); err != nil || response.Number != 2 ||
+		response.Note != "" {
 		t.Fatalf("%+v %v", response, err)
 	}
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -14,10 +14,16 @@
 
 // heartbeatOf and updateOf make messages with a number of rows.
 func heartbeatOf(rows int) (request *HeartbeatRequest) {
-	request = &HeartbeatRequest{Node: sentNode, KnownState: KnownState{Term: 9, Revision: 1001, LogIndex: 44, LastItem: AfterAllItems, EndpointsComplete: true}, KnownNodes: 300}
+	request = &HeartbeatRequest{
+		Node:       sentNode,
+		KnownState: KnownState{Term: 9, Revision: 1001, LogIndex: 44, LastItem: AfterAllItems, EndpointsComplete: true},
+		KnownNodes: 300,
+	}
 	for i := range rows {
 		request.Loads = append(request.Loads, Load{Service: ServiceName(fmt.Sprint("service-", i)), InFlight: i})
-		request.Outcomes = append(request.Outcomes, OutcomeCount{Endpoint: EndpointID(fmt.Sprint("pay-", i)), Service: "pay", Zone: "east-1", Succeeded: 40, Failed: 7})
+		request.Outcomes = append(request.Outcomes, OutcomeCount{
+			Endpoint: EndpointID(fmt.Sprint("pay-", i)), Service: "pay", Zone: "east-1", Succeeded: 40, Failed: 7,
+		})
 	}
 	return request
 }
@@ -25,8 +31,12 @@
 func updateOf(rows int) (update *Update) {
 	update = &Update{IsLeader: true, Term: 9, Revision: 1002, LogIndex: 45, LastItem: AfterAllItems}
 	for i := range rows {
-		update.States = append(update.States, EndpointState{Endpoint: EndpointID(fmt.Sprint("pay-", i)), Health: Healthy, EjectedFor: "east-1"})
-		update.Outcomes = append(update.Outcomes, OutcomeCount{Endpoint: EndpointID(fmt.Sprint("pay-", i)), Service: "pay", Zone: "east-1", Succeeded: 40, Failed: 7})
+		update.States = append(update.States, EndpointState{
+			Endpoint: EndpointID(fmt.Sprint("pay-", i)), Health: Healthy, EjectedFor: "east-1",
+		})
+		update.Outcomes = append(update.Outcomes, OutcomeCount{
+			Endpoint: EndpointID(fmt.Sprint("pay-", i)), Service: "pay", Zone: "east-1", Succeeded: 40, Failed: 7,
+		})
 	}
 	return update
 }
--- a/internal/rpc/compress_test.go
+++ b/internal/rpc/compress_test.go
@@ -13,7 +13,13 @@
 	var items []config.Item
 	size := 0
 	for i := range 500 {
-		item := config.Item{Set: config.Routes, Name: fmt.Sprint("r-", i), Version: config.Version(i), Rev: 7, Dropped: i%9 == 0}
+		item := config.Item{
+			Set:     config.Routes,
+			Name:    fmt.Sprint("r-", i),
+			Version: config.Version(i),
+			Rev:     7,
+			Dropped: i%9 == 0,
+		}
 		for _, field := range []string{"hostname", "path_prefix", "route_type", "timeout"} {
 			item.Fields = append(item.Fields, config.Field{Name: field, JSON: fmt.Sprintf("%q", fmt.Sprint(field, i))})
 			size += len(field) + 20
--- a/internal/rpc/replay_test.go
+++ b/internal/rpc/replay_test.go
@@ -41,7 +41,8 @@
 			names[parts[0]] = parts[1:]
 		}
 	}
-	for _, line := range strings.Split(strings.TrimSpace(string(wiretest.ReadFile(t, filepath.Join("testdata", "connection.txt")))), "\n") {
+	recorded := string(wiretest.ReadFile(t, filepath.Join("testdata", "connection.txt")))
+	for _, line := range strings.Split(strings.TrimSpace(recorded), "\n") {
 		var call recordedCall
 		var sent, received string
 		if _, err := fmt.Sscan(line, &call.method, &sent, &received); err != nil {
@@ -69,7 +70,9 @@
 	asked chan any
 }
 
-func answerRecorded[Request, Response any](s *recordedService, method string, request *Request, response *Response) (err error) {
+func answerRecorded[Request, Response any](
+	s *recordedService, method string, request *Request, response *Response,
+) (err error) {
 	s.asked <- *request
 	*response = s.calls[method].response.(Response)
 	return nil
@@ -81,6 +84,7 @@
 	recordedDiagnostic struct{ *recordedService }
 )
 
+//words:frozen the name of the method on the wire
 func (l recordedLeader) Beat(request *HeartbeatRequest, response *Update) (err error) {
 	return answerRecorded(l.recordedService, MethodHeartbeat, request, response)
 }
@@ -117,6 +121,7 @@
 	return answerRecorded(n.recordedService, MethodStoredResponse, request, response)
 }
 
+//words:frozen the name of the method on the wire
 func (d recordedDiagnostic) Tell(request *StatusRequest, response *StatusResponse) (err error) {
 	return answerRecorded(d.recordedService, MethodStatus, request, response)
 }
@@ -139,7 +144,9 @@
 		service.calls[call.method] = call
 	}
 	address := replayAddress(3)
-	server, err := Serve(address, map[string]any{"Forum": recordedLeader{service}, "Fellow": recordedNode{service}, "Status": recordedDiagnostic{service}})
+	server, err := Serve(address, map[string]any{
+		"Forum": recordedLeader{service}, "Fellow": recordedNode{service}, "Status": recordedDiagnostic{service},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,26 +162,34 @@
 		if _, err = conn.Write(call.sent); err != nil {
 			t.Fatal(err)
 		}
-		var header rpc.Response
-		if err = codec.ReadResponseHeader(&header); err != nil || header.ServiceMethod != call.method || header.Seq != uint64(sequence) {
-			t.Fatalf("%s: header %+v, %v", call.method, header, err)
-		}
-		if call.response == nil {
-			if err = codec.ReadResponseBody(nil); err != nil || header.Error == "" {
-				t.Fatalf("%s: header %+v, %v", call.method, header, err)
-			}
-			continue
-		}
-		if diff := cmp.Diff(call.request, <-service.asked); diff != "" {
-			t.Errorf("%s: request (-want +got):\n%s", call.method, diff)
-		}
-		response := reflect.New(reflect.TypeOf(call.response))
-		if err = codec.ReadResponseBody(response.Interface()); err != nil || header.Error != "" {
+		checkAnswer(t, codec, call, uint64(sequence), service.asked)
+	}
+}
+
+// checkAnswer reads the response to a recorded call, and compares it and the
+// request as the service got it with what was recorded.
+func checkAnswer(t *testing.T, codec rpc.ClientCodec, call recordedCall, sequence uint64, asked <-chan any) {
+	t.Helper()
+	var header rpc.Response
+	if err := codec.ReadResponseHeader(&header); err != nil || header.ServiceMethod != call.method ||
+		header.Seq != sequence {
+		t.Fatalf("%s: header %+v, %v", call.method, header, err)
+	}
+	if call.response == nil {
+		if err := codec.ReadResponseBody(nil); err != nil || header.Error == "" {
 			t.Fatalf("%s: header %+v, %v", call.method, header, err)
 		}
-		if diff := cmp.Diff(call.response, response.Elem().Interface()); diff != "" {
-			t.Errorf("%s: response (-want +got):\n%s", call.method, diff)
-		}
+		return
+	}
+	if diff := cmp.Diff(call.request, <-asked); diff != "" {
+		t.Errorf("%s: request (-want +got):\n%s", call.method, diff)
+	}
+	response := reflect.New(reflect.TypeOf(call.response))
+	if err := codec.ReadResponseBody(response.Interface()); err != nil || header.Error != "" {
+		t.Fatalf("%s: header %+v, %v", call.method, header, err)
+	}
+	if diff := cmp.Diff(call.response, response.Elem().Interface()); diff != "" {
+		t.Errorf("%s: response (-want +got):\n%s", call.method, diff)
 	}
 }
 
@@ -198,7 +213,9 @@
 		}
 		err = client.Call(call.method, call.request, response.Interface(), 5*time.Second)
 		if call.response == nil {
-			if err == nil || !strings.Contains(err.Error(), "can't find service") && !strings.Contains(err.Error(), "can't find method") {
+			if err == nil ||
+				!strings.Contains(err.Error(), "can't find service") &&
+					!strings.Contains(err.Error(), "can't find method") {
 				t.Fatalf("%s: %v", call.method, err)
 			}
 			continue
