--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -28,8 +28,9 @@
 // A number stays with its event: what operators search for must not move.
 func TestNumbersStay(t *testing.T) {
 	for event, number := range map[Event]int{
-		Started: 101, LeaderElected: 106, DiskWriteFailed: 110, NodeExpired: 113, ChangeObserved: 120, EjectionChanged: 122,
-		IsolationChanged: 125, PeerMessageRejected: 131, RecordCorrupt: 132, OperatorRequestRejected: 133, DiskFull: 134,
+		Started: 101, LeaderElected: 106, DiskWriteFailed: 110, NodeExpired: 113, ChangeObserved: 120,
+		EjectionChanged: 122, IsolationChanged: 125, PeerMessageRejected: 131, RecordCorrupt: 132,
+		OperatorRequestRejected: 133, DiskFull: 134,
 	} {
 		if int(event) != number {
 			t.Errorf("%q is %d, must be %d", Catalogue[event].Text, event, number)
--- a/internal/notify/notify_test.go
+++ b/internal/notify/notify_test.go
@@ -25,9 +25,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	notifier.Notify(history.Change{Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, Action: "applied", State: "7", Revision: 12})
+	notifier.Notify(history.Change{
+		Subject: history.Subject{Kind: history.Item, Name: "routes/r1"}, Action: "applied", State: "7", Revision: 12,
+	})
 	request := <-got
-	for header, want := range map[string]string{"Ce-Type": "tinpin.item.applied", "Ce-Source": "/tinpin/core-1", "Ce-Subject": "routes/r1", "Ce-Specversion": "1.0"} {
+	for header, want := range map[string]string{
+		"Ce-Type": "tinpin.item.applied", "Ce-Source": "/tinpin/core-1", "Ce-Subject": "routes/r1",
+		"Ce-Specversion": "1.0",
+	} {
 		if request.Header.Get(header) != want {
 			t.Errorf("%s is %q, want %q", header, request.Header.Get(header), want)
 		}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -91,7 +91,9 @@
 
 func TestWalkIsCompleteOrFails(t *testing.T) {
 	page := func(id, next string) string {
-		return fmt.Sprintf(`{"instances":{"column_names":["service_name","address","zone","state","cold_remaining","instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","1500ms",%q,3]]},"next_page_token":%s}`, id, next)
+		return fmt.Sprintf(`{"instances":{"column_names":["service_name","address","zone","state","cold_remaining",`+
+			`"instance_id","capacity_slots"],"row_values":[["s","1.2.3.4:5","a","ready","1500ms",%q,3]]},`+
+			`"next_page_token":%s}`, id, next)
 	}
 	broken := false
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -110,17 +112,21 @@
 	client := NewPlatformClient(strings.TrimPrefix(platform.URL, "http://"))
 	shown := 0
 	endpoints, pages, err := client.Walk(0, func(page []rpc.Endpoint) { shown += len(page) })
-	if err != nil || pages != 2 || len(endpoints) != 2 || endpoints[1].ID != "i-2" || endpoints[0].WarmupRemaining != 1500*time.Millisecond || endpoints[0].Slots != 3 {
+	if err != nil || pages != 2 || len(endpoints) != 2 || endpoints[1].ID != "i-2" ||
+		endpoints[0].WarmupRemaining != 1500*time.Millisecond || endpoints[0].Slots != 3 {
 		t.Fatal(endpoints, pages, err)
 	}
 	broken = true
-	if endpoints, _, err = client.Walk(0, func(page []rpc.Endpoint) { shown += len(page) }); err == nil || endpoints != nil {
+	endpoints, _, err = client.Walk(0, func(page []rpc.Endpoint) { shown += len(page) })
+	if err == nil || endpoints != nil {
 		t.Fatal("a walk that failed gave something")
 	}
 	if shown != 3 {
 		t.Fatalf("%d endpoints were shown by pages", shown)
 	}
-	for _, body := range []string{"", "{}", `{"instances":{"column_names":["a"],"row_values":[[1,2]]}}`, page("", "null")} {
+	for _, body := range []string{
+		"", "{}", `{"instances":{"column_names":["a"],"row_values":[[1,2]]}}`, page("", "null"),
+	} {
 		if _, _, err = ParsePage([]byte(body)); !errors.Is(err, ErrInvalidPage) {
 			t.Errorf("%q: %v", body, err)
 		}
