--- a/internal/diagnostics/trace.go
+++ b/internal/diagnostics/trace.go
@@ -9,7 +9,6 @@
 	"io"
 	"os"
 	"slices"
-	"sort"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -82,7 +81,7 @@
 			changes = append(changes, tracedChange{response.Name, entry})
 		}
 	})
-	sort.Slice(changes, func(i, j int) bool { return changes[i].entry.Age > changes[j].entry.Age })
+	slices.SortFunc(changes, func(a, b tracedChange) int { return cmp.Compare(b.entry.Age, a.entry.Age) })
 	return responses, changes
 }
 
@@ -94,7 +93,8 @@
 			revision = fmt.Sprint(change.entry.LogIndex)
 		}
 		after := (changes[0].entry.Age - change.entry.Age).Round(time.Millisecond)
-		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\n", after, change.daemon, change.entry.Event, change.entry.Summary, revision)
+		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\n",
+			after, change.daemon, change.entry.Event, change.entry.Summary, revision)
 	}
 }
 
@@ -102,7 +102,9 @@
 // Backends and their health are known to the leader and the nodes only.
 func (f *Fleet) lagging(kind, leader string, responses map[string]rpc.TraceResponse) (daemons []string) {
 	for daemon, response := range responses {
-		isController := slices.ContainsFunc(f.Controllers, func(status controller.Status) bool { return status.Name == daemon })
+		isController := slices.ContainsFunc(f.Controllers, func(status controller.Status) bool {
+			return status.Name == daemon
+		})
 		if daemon == leader || isController && (kind == history.Backend || kind == history.Health) {
 			continue
 		}
@@ -157,12 +159,13 @@
 	if len(found) == 0 {
 		return fmt.Errorf("trace: no log line tells of a %s named %q: %w", kind, name, ErrUnknown)
 	}
-	sort.SliceStable(found, func(i, j int) bool { return found[i].TS < found[j].TS })
+	slices.SortStableFunc(found, func(a, b logLine) int { return cmp.Compare(a.TS, b.TS) })
 	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(writer, "%s %s, by the daemons' times of day, which may differ\n\n", kind, name)
 	_, _ = fmt.Fprintln(writer, "AT\tDAEMON\tCHANGE\tSTATE\tREVISION")
 	for _, line := range found {
-		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\t%s\t%d\n", line.TS, line.Daemon, cmp.Or(line.Change, line.EarlierChange),
+		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\t%s\t%d\n",
+			line.TS, line.Daemon, cmp.Or(line.Change, line.EarlierChange),
 			cmp.Or(line.State, line.EarlierState), cmp.Or(line.Revision, line.EarlierRevision))
 	}
 	return writer.Flush()
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -1,10 +1,10 @@
 package drain
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"tinpin/internal/rpc"
@@ -78,7 +78,7 @@
 func (p *Planner) Plan(
 	now time.Duration, policy *Policy, retirements []rpc.Retirement, followers []Follower, countsOf func(rpc.ServiceName) EndpointCounts,
 ) (stops []rpc.EndpointID, statuses []RetirementStatus) {
-	sort.Slice(retirements, func(i, k int) bool { return retirements[i].Announced < retirements[k].Announced })
+	slices.SortFunc(retirements, func(a, b rpc.Retirement) int { return cmp.Compare(a.Announced, b.Announced) })
 	stopped := map[rpc.ServiceName]int{}
 	current := map[rpc.EndpointID]bool{}
 	for _, retirement := range retirements {
--- a/internal/healthcheck/outlier.go
+++ b/internal/healthcheck/outlier.go
@@ -1,7 +1,8 @@
 package healthcheck
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"tinpin/internal/rpc"
@@ -228,11 +229,8 @@
 		// Most of the service fails: that is no fault of single endpoints.
 		return
 	}
-	sort.Slice(outliers, func(i, j int) bool {
-		if outliers[i].failureRatio != outliers[j].failureRatio {
-			return outliers[i].failureRatio > outliers[j].failureRatio
-		}
-		return outliers[i].id < outliers[j].id
+	slices.SortFunc(outliers, func(a, b outlier) int {
+		return cmp.Or(cmp.Compare(b.failureRatio, a.failureRatio), cmp.Compare(a.id, b.id))
 	})
 	for _, worst := range outliers[:min(len(outliers), max(0, room-ejected))] {
 		endpoint := d.suspects[worst.id]
--- a/internal/healthcheck/ring.go
+++ b/internal/healthcheck/ring.go
@@ -1,7 +1,9 @@
 package healthcheck
 
 import (
+	"cmp"
 	"hash/fnv"
+	"slices"
 	"sort"
 
 	"tinpin/internal/rpc"
@@ -44,11 +46,8 @@
 			ring.points = append(ring.points, point{hashPosition(string(member), n+1), member})
 		}
 	}
-	sort.Slice(ring.points, func(i, j int) bool {
-		if ring.points[i].position != ring.points[j].position {
-			return ring.points[i].position < ring.points[j].position
-		}
-		return ring.points[i].member < ring.points[j].member
+	slices.SortFunc(ring.points, func(a, b point) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.member, b.member))
 	})
 	return ring
 }
--- a/internal/healthcheck/zonebalance.go
+++ b/internal/healthcheck/zonebalance.go
@@ -1,8 +1,8 @@
 package healthcheck
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 	"time"
 
 	"tinpin/internal/rpc"
@@ -168,6 +168,6 @@
 			overflows = append(overflows, overflow)
 		}
 	}
-	sort.Slice(overflows, func(i, k int) bool { return overflows[i].Service < overflows[k].Service })
+	slices.SortFunc(overflows, func(a, b rpc.ZoneOverflow) int { return cmp.Compare(a.Service, b.Service) })
 	return overflows
 }
