--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -16,6 +16,7 @@
 	"tinpin/internal/coordinator"
 	"tinpin/internal/eventlog"
 	"tinpin/internal/httpapi"
+	"tinpin/internal/node"
 	"tinpin/internal/policy"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
@@ -42,7 +43,7 @@
 		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000,
 		EndpointListInterval: time.Second, HealthCheckInterval: time.Second, SendInterval: time.Second,
 	}
-	node, err := raft.OpenNode(p, eventlog.Discard())
+	node, err := node.OpenNode(p, eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
