--- a/internal/proxy/fake_backend_test.go
+++ b/internal/proxy/fake_backend_test.go
@@ -144,7 +144,8 @@
 	d.frontend = frontend.New(d.Handle, func() *config.RoutingTable { return d.state.Snapshot().View }, 100, 1<<20)
 	items := config.New()
 	document := `{"upserts":{"routes":{
-		"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","version",
+		"column_names":["name","hostname","path_prefix","route_type",
+		"timeout","target_latency","max_attempts","version",
 		"service_name"],"row_values":[
 		["r1","a.example","/safe/","idempotent","900ms","600ms",3,1,"s"],
 		["r2","a.example","/once/","non_idempotent","900ms","600ms",3,1,"s"],
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -43,8 +43,8 @@
 }
 
 func (c *Criteria) wasAttempted(id rpc.EndpointID) bool {
-	for _, tried := range c.Attempted {
-		if tried == id {
+	for _, attempted := range c.Attempted {
+		if attempted == id {
 			return true
 		}
 	}
