--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -112,3 +112,31 @@
 		}
 	}
 }
+
+// Links to a heading lead to one that the page has.
+func TestPagesLinkToHeadingsThatExist(t *testing.T) {
+	texts := pages(t)
+	link := regexp.MustCompile(`\]\(([a-zA-Z./_-]*)#([a-z0-9-]+)\)`)
+	headings := regexp.MustCompile(`(?m)^#+ (.*)$`)
+	dropped := regexp.MustCompile(`[^a-z0-9 -]`)
+	found := 0
+	for from, text := range texts {
+		for _, match := range link.FindAllStringSubmatch(text, -1) {
+			target := from
+			if match[1] != "" {
+				target = filepath.ToSlash(filepath.Join(filepath.Dir(from), match[1]))
+			}
+			has := false
+			for _, heading := range headings.FindAllStringSubmatch(texts[target], -1) {
+				anchor := dropped.ReplaceAllString(strings.ToLower(heading[1]), "")
+				has = has || strings.ReplaceAll(anchor, " ", "-") == match[2]
+			}
+			if found++; !has {
+				t.Errorf("%s: %s has no heading %s", from, target, match[2])
+			}
+		}
+	}
+	if found < 10 {
+		t.Errorf("only %d links found", found)
+	}
+}
