--- a/cmd/tinpin-load/main.go
+++ b/cmd/tinpin-load/main.go
@@ -64,7 +64,7 @@
 	asJSON := set.Bool("json", false, "")
 	vary := set.String("vary", "", "")
 	path := set.Int("path", 0, "")
-	reckon := set.String("reckon", "", "")
+	sweepsFile := set.String("reckon", "", "")
 	if err := set.Parse(args); err != nil {
 		if err == flag.ErrHelp {
 			_, _ = io.WriteString(out, usage)
@@ -75,22 +75,22 @@
 	if set.NArg() > 0 {
 		return wrong(fmt.Errorf("what is %q? see 'tinpin-load -help'", set.Arg(0)))
 	}
-	if *reckon != "" {
-		sweeps, err := loadtest.Sweeps(*reckon)
+	if *sweepsFile != "" {
+		sweeps, err := loadtest.Sweeps(*sweepsFile)
 		if err != nil {
 			return wrong(err)
 		}
 		_, _ = io.WriteString(out, loadtest.Table(sweeps))
 		return 0
 	}
-	told := report{Commit: commit()}
+	measured := report{Commit: commit()}
 	if *path != 0 {
 		point, err := loadtest.MeasurePath(*path)
 		if err != nil {
 			return wrong(err)
 		}
-		told.Path = &point
-		return tell(told, *asJSON, out)
+		measured.Path = &point
+		return writeReport(measured, *asJSON, out)
 	}
 	sizes, name, err := varied(size, *vary)
 	if err != nil {
@@ -113,12 +113,12 @@
 			return 1
 		}
 		point.Variable = name
-		told.Points = append(told.Points, point)
+		measured.Points = append(measured.Points, point)
 	}
-	if name != "" && len(told.Points) > 1 {
-		told.Fits = loadtest.Fits(name, told.Points)
+	if name != "" && len(measured.Points) > 1 {
+		measured.Fits = loadtest.Fits(name, measured.Points)
 	}
-	return tell(told, *asJSON, out)
+	return writeReport(measured, *asJSON, out)
 }
 
 // varied makes the sizes of a measurement.
@@ -174,32 +174,38 @@
 	return 2 << 30
 }
 
-func tell(told report, asJSON bool, out io.Writer) (code int) {
+func writeReport(measured report, asJSON bool, out io.Writer) (code int) {
 	if asJSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", " ")
-		_ = encoder.Encode(told)
+		_ = encoder.Encode(measured)
 		return 0
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "commit "+told.Commit)
-	if told.Path != nil {
+	_, _ = fmt.Fprintln(table, "commit "+measured.Commit)
+	if measured.Path != nil {
 		for _, at := range []string{"p50", "p90", "p99"} {
-			_, _ = fmt.Fprintf(table, "%s\tdirect %.3f ms\tthrough an edge %.3f ms\tadded %.3f ms\n", at, told.Path.Direct[at], told.Path.Through[at], told.Path.Through[at]-told.Path.Direct[at])
+			_, _ = fmt.Fprintf(table, "%s\tdirect %.3f ms\tthrough an edge %.3f ms\tadded %.3f ms\n",
+				at, measured.Path.Direct[at], measured.Path.Through[at], measured.Path.Through[at]-measured.Path.Direct[at])
 		}
 	}
-	if len(told.Points) > 0 {
-		_, _ = fmt.Fprintln(table, strings.Join(loadtest.Names, "\t")+"\tleader cpu\tMB\tfollower cpu\tMB\tnode cpu\tMB\tin B/s\tout B/s\tstart B/node\tchange ms\tdone/s")
+	if len(measured.Points) > 0 {
+		_, _ = fmt.Fprintln(table, strings.Join(loadtest.Names, "\t")+
+			"\tleader cpu\tMB\tfollower cpu\tMB\tnode cpu\tMB"+
+			"\tin B/s\tout B/s\tstart B/node\tchange ms\tdone/s")
 	}
-	for _, p := range told.Points {
+	for _, p := range measured.Points {
 		for _, name := range loadtest.Names {
 			_, _ = fmt.Fprintf(table, "%d\t", *p.Size.At(name))
 		}
-		_, _ = fmt.Fprintf(table, "%.4f\t%.1f\t%.4f\t%.1f\t%.6f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n", p.LeaderCPU, p.LeaderMB, p.FollowerCPU, p.FollowerMB, p.NodeCPU, p.NodeMB, p.LeaderIn, p.LeaderOut, p.StartOut, p.ChangeMS, p.EventRate)
+		_, _ = fmt.Fprintf(table, "%.4f\t%.1f\t%.4f\t%.1f\t%.6f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n",
+			p.LeaderCPU, p.LeaderMB, p.FollowerCPU, p.FollowerMB, p.NodeCPU, p.NodeMB,
+			p.LeaderIn, p.LeaderOut, p.StartOut, p.ChangeMS, p.EventRate)
 	}
 	for _, figure := range loadtest.Figures {
-		if fit, known := told.Fits[figure.Name]; known {
-			_, _ = fmt.Fprintf(table, "%s\t%.6g\t+ %.6g each\toff by %.3g at most\n", figure.Name, fit.Base, fit.Slope, fit.Residual)
+		if fit, known := measured.Fits[figure.Name]; known {
+			_, _ = fmt.Fprintf(table, "%s\t%.6g\t+ %.6g each\toff by %.3g at most\n",
+				figure.Name, fit.Base, fit.Slope, fit.Residual)
 		}
 	}
 	_ = table.Flush()
--- a/cmd/tinpin-load/main_test.go
+++ b/cmd/tinpin-load/main_test.go
@@ -21,12 +21,14 @@
 		{[]string{"now", "please"}, "what is"},
 	} {
 		var out, bad bytes.Buffer
-		if code := run(c.args, strings.NewReader(""), &out, &bad); code != 2 || !strings.Contains(bad.String(), c.want) || out.Len() > 0 {
+		if code := run(c.args, strings.NewReader(""), &out, &bad); code != 2 ||
+			!strings.Contains(bad.String(), c.want) || out.Len() > 0 {
 			t.Errorf("%v: %d, %q, %q", c.args, code, out.String(), bad.String())
 		}
 	}
 	var out, bad bytes.Buffer
-	if code := run([]string{"-help"}, strings.NewReader(""), &out, &bad); code != 0 || !strings.Contains(out.String(), "-vary") {
+	if code := run([]string{"-help"}, strings.NewReader(""), &out, &bad); code != 0 ||
+		!strings.Contains(out.String(), "-vary") {
 		t.Errorf("help: %d %s", code, out.String())
 	}
 }
--- a/cmd/tinpin-local/main.go
+++ b/cmd/tinpin-local/main.go
@@ -46,15 +46,18 @@
 	if err = system.Ready(ctx); err != nil {
 		return err
 	}
-	status, stamp, body, err := system.Request(ctx, 0, "GET", "/hello/world", "")
+	status, signature, body, err := system.Request(ctx, 0, "GET", "/hello/world", "")
 	if err != nil {
 		return err
 	}
-	fmt.Printf("GET /hello/world -> %d, stamp %s: %s", status, stamp, body)
+	fmt.Printf("GET /hello/world -> %d, stamp %s: %s", status, signature, body)
 	if !stay {
 		return nil
 	}
-	fmt.Printf("\nfront       http://%s (Host: shop.example, a Tinpin-Request-Id each)\noperator    http://%s\ntools       target/tinpin status -at %s\n", system.ProxySettings[0].FrontendAddress, system.ControllerSettings[0].ControlAddress, strings.Join(system.InternalAddresses(), ","))
+	fmt.Printf("\nfront       http://%s (Host: shop.example, a Tinpin-Request-Id each)\noperator    http://%s\n"+
+		"tools       target/tinpin status -at %s\n",
+		system.ProxySettings[0].FrontendAddress, system.ControllerSettings[0].ControlAddress,
+		strings.Join(system.InternalAddresses(), ","))
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
 	<-interrupted
