--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -40,16 +40,16 @@
 
 // Start opens the disk and the listeners and begins to work.
 func Start(p settings.Settings, log *eventlog.Logger) (c *Controller, err error) {
-	node, err := node.OpenNode(p, log)
+	raftNode, err := node.OpenNode(p, log)
 	if err != nil {
 		return nil, err
 	}
 	c = &Controller{
-		settings: p, log: log, node: node, proposalTimeout: proposalTimeout,
-		nodeCalls: coordinator.NewHandler(node, node),
+		settings: p, log: log, node: raftNode, proposalTimeout: proposalTimeout,
+		nodeCalls: coordinator.NewHandler(raftNode, raftNode),
 	}
-	node.OnLeadership = c.roleChanged
-	node.OnChange = c.stateChanged
+	raftNode.OnLeadership = c.roleChanged
+	raftNode.OnChange = c.stateChanged
 	if p.EventsURL != "" {
 		if err = c.notifyOfChanges(); err != nil {
 			return nil, err
@@ -58,7 +58,7 @@
 	if err = c.listen(); err != nil {
 		return nil, err
 	}
-	node.Run()
+	raftNode.Run()
 	return c, nil
 }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -43,7 +43,7 @@
 		PlatformAddress: strings.TrimPrefix(platform.URL, "http://"), PlatformRate: 1000,
 		EndpointListInterval: time.Second, HealthCheckInterval: time.Second, SendInterval: time.Second,
 	}
-	node, err := node.OpenNode(p, eventlog.Discard())
+	raftNode, err := node.OpenNode(p, eventlog.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,24 +52,24 @@
 	c = &Controller{
 		settings:        p,
 		log:             eventlog.Discard(),
-		node:            node,
+		node:            raftNode,
 		proposalTimeout: time.Minute,
-		nodeCalls:       coordinator.NewHandler(node, leadership),
+		nodeCalls:       coordinator.NewHandler(raftNode, leadership),
 	}
 	led := make(chan bool, 1)
-	node.OnLeadership = func(leads bool, term raft.Term) {
+	raftNode.OnLeadership = func(leads bool, term raft.Term) {
 		if !leads {
 			return
 		}
-		c.nodeCalls.SetCoordinator(coordinator.Start(p, eventlog.Discard(), node, term))
+		c.nodeCalls.SetCoordinator(coordinator.Start(p, eventlog.Discard(), raftNode, term))
 		led <- true
 	}
-	node.Run()
+	raftNode.Run()
 	t.Cleanup(func() {
 		if old := c.nodeCalls.SetCoordinator(nil); old != nil {
 			old.Close()
 		}
-		node.Close()
+		raftNode.Close()
 	})
 	<-led
 	for !c.nodeCalls.Coordinator().EndpointsComplete() {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -59,9 +59,9 @@
 
 // Start begins a leader's term. The first term of all grants leases at once;
 // later ones wait until those of older leaders have run out.
-func Start(p settings.Settings, log *eventlog.Logger, node *node.Node, term raft.Term) (c *Coordinator) {
+func Start(p settings.Settings, log *eventlog.Logger, raftNode *node.Node, term raft.Term) (c *Coordinator) {
 	c = newCoordinator(p, log, rpc.Term(term))
-	c.node, c.history = node, node.History
+	c.node, c.history = raftNode, raftNode.History
 	go c.reconcileLoop()
 	if p.PlatformAddress != "" {
 		go c.listLoop()
--- a/internal/coordinator/handler.go
+++ b/internal/coordinator/handler.go
@@ -40,8 +40,8 @@
 }
 
 // NewHandler is a handler of a controller that does not lead yet.
-func NewHandler(node *node.Node, leadership LeadershipChecker) (h *Handler) {
-	return &Handler{node: node, leadership: leadership}
+func NewHandler(raftNode *node.Node, leadership LeadershipChecker) (h *Handler) {
+	return &Handler{node: raftNode, leadership: leadership}
 }
 
 // ConfirmLeadership tells that what a coordinator has answered up to now is the
--- a/internal/coordinator/update.go
+++ b/internal/coordinator/update.go
@@ -85,8 +85,8 @@
 }
 
 // controllersOf lists the addresses of all controllers.
-func controllersOf(node *node.Node) (controllers []rpc.Controller) {
-	_, _, _, _, members := node.Status()
+func controllersOf(raftNode *node.Node) (controllers []rpc.Controller) {
+	_, _, _, _, members := raftNode.Status()
 	for _, member := range members {
 		controllers = append(controllers, rpc.Controller{InternalAddress: member.Inner, ControlAddress: member.Control})
 	}
