--- a/cmd/tinpin-load/main.go
+++ b/cmd/tinpin-load/main.go
@@ -186,7 +186,8 @@
 	if measured.Path != nil {
 		for _, at := range []string{"p50", "p90", "p99"} {
 			_, _ = fmt.Fprintf(table, "%s\tdirect %.3f ms\tthrough an edge %.3f ms\tadded %.3f ms\n",
-				at, measured.Path.Direct[at], measured.Path.Through[at], measured.Path.Through[at]-measured.Path.Direct[at])
+				at, measured.Path.Direct[at], measured.Path.Through[at],
+				measured.Path.Through[at]-measured.Path.Direct[at])
 		}
 	}
 	if len(measured.Points) > 0 {
