--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -8,16 +8,19 @@
 	"testing"
 )
 
-// pages gives the text of README and of all pages in docs, by path. Those in
-// folders below tell of code as it was, and are left out.
+// pages gives the text of README and of all pages in docs and its folders, by path.
 func pages(t *testing.T) (texts map[string]string) {
 	t.Helper()
 	paths, err := filepath.Glob("../../docs/*.md")
 	if err != nil || len(paths) < 20 {
 		t.Fatalf("%d pages found, %v", len(paths), err)
 	}
+	below, err := filepath.Glob("../../docs/*/*.md")
+	if err != nil || len(below) < 10 {
+		t.Fatalf("%d incidents found, %v", len(below), err)
+	}
 	texts = map[string]string{}
-	for _, path := range append(paths, "../../README.md") {
+	for _, path := range append(append(paths, below...), "../../README.md") {
 		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
