--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 	"tinpin/internal/raft"
 	"tinpin/internal/settings"
 	"tinpin/internal/statemachine"
+	"tinpin/internal/storage"
 )
 
 const (
@@ -32,7 +33,7 @@
 	log          *eventlog.Logger
 	self         raft.Member
 	raft         *raft.Replica
-	store        *raft.Store
+	store        *storage.Store
 	startedAt    time.Time
 	inbox        chan []raft.Message
 	proposals    chan proposal
@@ -86,7 +87,7 @@
 	if err = os.MkdirAll(p.DataDirectory, 0o755); err != nil {
 		return nil, raft.Class.Wrap(err)
 	}
-	store, err := raft.OpenStore(p.DataDirectory, raft.RoomFor(p.DataDirectory, log))
+	store, err := storage.OpenStore(p.DataDirectory, storage.RoomFor(p.DataDirectory, log))
 	if err != nil {
 		log.Emit(eventlog.RecordCorrupt, eventlog.KeyError, err.Error())
 		return nil, err
--- a/internal/raft/log_test.go
+++ b/internal/raft/log_test.go
@@ -79,6 +79,10 @@
 	return index
 }
 
+func entry(index Index, term Term) Entry {
+	return Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
+}
+
 func run(from, to Index, term Term) (entries []Entry) {
 	for index := from; index <= to; index++ {
 		entries = append(entries, entry(index, term))
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -14,6 +14,7 @@
 	"github.com/cockroachdb/pebble/vfs"
 
 	"tinpin/internal/raft"
+	"tinpin/internal/storage"
 )
 
 const folder = "data"
@@ -21,7 +22,7 @@
 // Disk of one controller.
 type Disk struct {
 	fs          *vfs.MemFS
-	store       *raft.Store
+	store       *storage.Store
 	id          raft.ID
 	injectedBug InjectedBug
 
@@ -44,7 +45,7 @@
 	if err = root.Sync(); err != nil {
 		return nil, Class.Wrap(err)
 	}
-	if disk.store, err = raft.OpenStore(folder, disk.fs); err != nil {
+	if disk.store, err = storage.OpenStore(folder, disk.fs); err != nil {
 		return nil, Class.Wrap(err)
 	}
 	return disk, Class.Wrap(disk.store.Found(id, base))
@@ -54,7 +55,7 @@
 // what was written to it.
 func (d *Disk) Load() (hard raft.HardState, base raft.Snapshot, log []raft.Entry, err error) {
 	if d.store == nil {
-		if d.store, err = raft.OpenStore(folder, d.fs); err != nil {
+		if d.store, err = storage.OpenStore(folder, d.fs); err != nil {
 			return hard, base, nil, Class.Wrap(err)
 		}
 	}
--- a/internal/raft/seal.go
+++ b/internal/storage/checksum.go
@@ -1,9 +1,10 @@
+package storage
+
 // Each record on a core's disk is sealed: a mark that no record of an older
 // version begins with, the version of the form, and a crc32c of the key and the
 // value. A disk of an older version is sealed as a whole, in one sync, when it is
 // opened first; from then on a record without its seal is as spoiled as one
 // whose checksum is wrong.
-package raft
 
 import (
 	"encoding/binary"
@@ -13,6 +14,7 @@
 	"github.com/zeebo/errs"
 
 	"tinpin/internal/binaryformat"
+	"tinpin/internal/raft"
 )
 
 // Spoiled marks records that are not what was written.
@@ -56,19 +58,19 @@
 		return errors.Join(err, closer.Close())
 	}
 	if !errors.Is(err, pebble.ErrNotFound) {
-		return Class.Wrap(err)
+		return raft.Class.Wrap(err)
 	}
 	iter, err := s.db.NewIter(nil)
 	if err != nil {
-		return Class.Wrap(err)
+		return raft.Class.Wrap(err)
 	}
 	batch := s.db.NewBatch()
 	for valid := iter.First(); valid; valid = iter.Next() {
 		_ = batch.Set(iter.Key(), seal(iter.Key(), iter.Value()), nil)
 	}
 	if err = iter.Close(); err != nil {
-		return Class.Wrap(err)
+		return raft.Class.Wrap(err)
 	}
 	_ = batch.Set(keyForm, seal(keyForm, nil), nil)
-	return Class.Wrap(batch.Commit(pebble.Sync))
+	return raft.Class.Wrap(batch.Commit(pebble.Sync))
 }
--- a/internal/raft/seal_test.go
+++ b/internal/storage/checksum_test.go
@@ -1,4 +1,4 @@
-package raft
+package storage
 
 import (
 	"testing"
@@ -6,6 +6,8 @@
 	"github.com/cockroachdb/pebble"
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/google/go-cmp/cmp"
+
+	"tinpin/internal/raft"
 )
 
 func sealedStore(t *testing.T) (store *Store) {
@@ -15,10 +17,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = store.Close() })
-	if err = store.Found("a", Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}); err != nil {
+	if err = store.Found("a", raft.Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}); err != nil {
 		t.Fatal(err)
 	}
-	if err = store.Write([]Write{{HardState: &HardState{Term: 3, Vote: "b"}, Entries: run(2, 3, 3)}}); err != nil {
+	if err = store.Write([]raft.Write{{HardState: &raft.HardState{Term: 3, Vote: "b"}, Entries: run(2, 3, 3)}}); err != nil {
 		t.Fatal(err)
 	}
 	return store
@@ -70,11 +72,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}
+	base := raft.Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}
 	_ = store.db.Delete(keyForm, nil)
 	for key, value := range map[string][]byte{
-		string(keyID): encode(ID("a")), string(keyHard): encode(HardState{Term: 3, Vote: "b"}), string(keySnapshot): encode(base),
-		string(keyEntry(2)): writeEntry(entry(2, 3)), string(keyEntry(3)): writeEntry(Entry{Index: 3, Term: 3, Members: trio}),
+		string(keyID): encode(raft.ID("a")), string(keyHard): encode(raft.HardState{Term: 3, Vote: "b"}), string(keySnapshot): encode(base),
+		string(keyEntry(2)): writeEntry(entry(2, 3)), string(keyEntry(3)): writeEntry(raft.Entry{Index: 3, Term: 3, Members: trio}),
 	} {
 		_ = store.db.Set([]byte(key), value, nil)
 	}
@@ -84,13 +86,13 @@
 			t.Fatal(err)
 		}
 		id, hard, found, log, loadErr := store.Load()
-		if loadErr != nil || id != "a" || hard != (HardState{Term: 3, Vote: "b"}) {
+		if loadErr != nil || id != "a" || hard != (raft.HardState{Term: 3, Vote: "b"}) {
 			t.Fatal(id, hard, loadErr)
 		}
 		if diff := cmp.Diff(base, found); diff != "" {
 			t.Fatal(diff)
 		}
-		if diff := cmp.Diff([]Entry{entry(2, 3), {Index: 3, Term: 3, Members: trio, Data: log[1].Data}}, log); diff != "" {
+		if diff := cmp.Diff([]raft.Entry{entry(2, 3), {Index: 3, Term: 3, Members: trio, Data: log[1].Data}}, log); diff != "" {
 			t.Fatal(diff)
 		}
 		_ = store.Close()
@@ -99,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	_ = store.db.Set(keyHard, encode(HardState{Term: 9}), nil)
+	_ = store.db.Set(keyHard, encode(raft.HardState{Term: 9}), nil)
 	if _, _, _, _, err = store.Load(); !Spoiled.Has(err) {
 		t.Fatalf("a record without its seal on a sealed disk: %v", err)
 	}
--- a/internal/raft/room.go
+++ b/internal/storage/diskfull.go
@@ -1,9 +1,10 @@
+package storage
+
 // Room is what a store waits for on a full disk. A write that finds none is held
 // until there is some and then carried out, so that a full disk is to the
 // agreement what a stalled one is: the core hands leadership over, votes on
 // nothing and goes on following, and neither ends nor loses its place. Any other
 // failure of a write still ends the core.
-package raft
 
 import (
 	"errors"
--- a/internal/raft/room_test.go
+++ b/internal/storage/diskfull_test.go
@@ -1,4 +1,4 @@
-package raft
+package storage
 
 import (
 	"sync/atomic"
@@ -6,6 +6,8 @@
 	"testing"
 
 	"github.com/cockroachdb/pebble/vfs"
+
+	"tinpin/internal/raft"
 )
 
 // fullFS takes no bytes while it is full.
@@ -52,12 +54,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = store.Found("a", Snapshot{Index: 1, Term: 1, Members: []Member{{ID: "a", Voter: true}}}); err != nil {
+	if err = store.Found("a", raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: "a", Voter: true}}}); err != nil {
 		t.Fatal(err)
 	}
 	full.Store(true)
 	done := make(chan error, 1)
-	go func() { done <- store.Write([]Write{{HardState: &HardState{Term: 2}, Entries: []Entry{entry(2, 2)}}}) }()
+	go func() { done <- store.Write([]raft.Write{{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2)}}}) }()
 	for range 5 {
 		<-looked
 		select {
--- a/internal/raft/fixtures_test.go
+++ b/internal/storage/fixtures_test.go
@@ -1,12 +1,12 @@
-// What cores store, as it was written before the names of the types were changed:
+package storage
+
+// What controllers store, as it was written before the names of the types were changed:
 // whole write directories in three forms, and each record of them by itself. The
 // fixtures are read and compared value by value, and are never written over.
-package raft
 
 import (
 	"bytes"
 	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"maps"
 	"os"
@@ -18,23 +18,23 @@
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/google/go-cmp/cmp"
 
-	"tinpin/internal/binaryformat"
 	"tinpin/internal/dedup"
+	"tinpin/internal/raft"
 	"tinpin/internal/statemachine"
 	"tinpin/internal/testutil/storedstate"
 	"tinpin/internal/testutil/wiretest"
 )
 
 var (
-	storedMembers = []Member{
+	storedMembers = []raft.Member{
 		{ID: "founder-10.0.2.1", Inner: "10.0.2.1:7100", Control: "10.0.2.1:7200", Site: "east-1", Voter: true},
 		{ID: "founder-10.0.2.2", Inner: "10.0.2.2:7100", Control: "10.0.2.2:7200", Site: "east-2", Voter: true},
 		{ID: "founder-10.0.2.3", Inner: "10.0.2.3:7100", Control: "10.0.2.3:7200", Site: "west-1", Voter: true},
 	}
-	storedLearner  = Member{ID: "10.0.2.4-0102030405060708", Inner: "10.0.2.4:7100", Control: "10.0.2.4:7200", Site: "west-2"}
-	storedID       = ID("founder-10.0.2.1")
-	storedHard     = HardState{Term: 8, Vote: "founder-10.0.2.2"}
-	storedSnapshot = Snapshot{Index: 40, Term: 6, Members: storedMembers, Data: []byte("state\x00\xff")}
+	storedLearner  = raft.Member{ID: "10.0.2.4-0102030405060708", Inner: "10.0.2.4:7100", Control: "10.0.2.4:7200", Site: "west-2"}
+	storedID       = raft.ID("founder-10.0.2.1")
+	storedHard     = raft.HardState{Term: 8, Vote: "founder-10.0.2.2"}
+	storedSnapshot = raft.Snapshot{Index: 40, Term: 6, Members: storedMembers, Data: []byte("state\x00\xff")}
 )
 
 // wireFixtures are the records of the disk.
@@ -43,7 +43,7 @@
 		{Name: "hard_state", Value: storedHard},
 		{Name: "core_id", Value: storedID},
 		{Name: "snapshot", Value: storedSnapshot},
-		{Name: "membership", Value: append([]Member{storedLearner}, storedMembers...)},
+		{Name: "membership", Value: append([]raft.Member{storedLearner}, storedMembers...)},
 	}
 }
 
@@ -53,10 +53,10 @@
 
 // storedLog is the log behind the snapshot: a command of each kind, a change of
 // members, the barrier of a new term, and a last entry that another took the place of.
-func storedLog() (log []Entry) {
-	return []Entry{
+func storedLog() (log []raft.Entry) {
+	return []raft.Entry{
 		{Index: 30, Term: 6, Data: statemachine.EncodeCommands(storedstate.EachKind())},
-		{Index: 31, Term: 6, Members: append(append([]Member(nil), storedMembers...), storedLearner)},
+		{Index: 31, Term: 6, Members: append(append([]raft.Member(nil), storedMembers...), storedLearner)},
 		{Index: 32, Term: 7, Data: statemachine.EncodeCommands([]statemachine.Command{{Kind: statemachine.CommandBarrier}})},
 		{Index: 33, Term: 8, Data: []byte{1, byte(statemachine.CommandReleaseClaim), 0, 0, 5, 'k', 'e', 'y', '-', '1', 8, 'd', 'i', 'g', 'e', 's', 't', '-', '1', 6, 'n', 'o', 'd', 'e', '-', '1', 128, 128, 128, 128, 128, 32, 0}},
 	}
@@ -73,9 +73,9 @@
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
 	}
-	filled, count := reflect.New(reflect.TypeFor[Entry]()).Elem(), 0
+	filled, count := reflect.New(reflect.TypeFor[raft.Entry]()).Elem(), 0
 	wiretest.Fill(t, filled, &count)
-	want := filled.Interface().(Entry)
+	want := filled.Interface().(raft.Entry)
 	got, err := readEntry(want.Index, writeEntry(want))
 	if err != nil {
 		t.Fatal(err)
@@ -85,27 +85,18 @@
 	}
 }
 
-// A sum that was sent with a part of a snapshot is the one that is reckoned now,
-// and so is the seal of a record.
-func TestChecksumsHold(t *testing.T) {
-	part := SnapshotChunk{Index: 40, Term: 6, Members: storedMembers, TotalBytes: 7, Offset: 2, SnapshotChecksum: binaryformat.Checksum(storedSnapshot.Data), Data: []byte("ate\x00\xff")}
-	got := []uint32{part.SnapshotChecksum, part.sum(), sealSum(keyEntry(7), []byte("value"))}
-	if diff := cmp.Diff([]uint32{1802194548, 3866943754, 4062685565}, got); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+// The checksum of a record is computed as it was.
+func TestRecordChecksumsHold(t *testing.T) {
+	if got := sealSum(keyEntry(7), []byte("value")); got != 4062685565 {
+		t.Errorf("the checksum of a record is %d", got)
 	}
 	if got := hex.EncodeToString(seal(keyHard, []byte("value"))); got != "0001f95d0db676616c7565" {
 		t.Errorf("a sealed record is %s", got)
 	}
 }
 
-// Keys and numbers that are stored or sent are the ones that were.
-func TestStoredConstantsHold(t *testing.T) {
-	messages := []MessageKind{MsgPreVote, MsgPreVoteResponse, MsgVote, MsgVoteResponse, MsgAppend, MsgAppendResponse, MsgSnapshot, MsgTimeoutNow, MsgHeartbeatResponse, MsgSnapshotChunk, MsgSnapshotChunkResponse}
-	for i, kind := range messages {
-		if int(kind) != i+1 {
-			t.Errorf("message %d has the number %d", i+1, kind)
-		}
-	}
+// Keys that are stored are the ones that were.
+func TestStoredKeysHold(t *testing.T) {
 	keys := [][]byte{keyID, keyHard, keySnapshot, keyLogEnd, keyForm, keyEntry(258)}
 	if diff := cmp.Diff([][]byte{[]byte("i"), []byte("h"), []byte("s"), []byte("m"), []byte("f"), []byte("l\x00\x00\x00\x00\x00\x00\x01\x02")}, keys); diff != "" {
 		t.Errorf("keys of records (-want +got):\n%s", diff)
@@ -127,7 +118,7 @@
 }
 
 // compareStore loads a store twice, the second time after it was opened again.
-func compareStore(t *testing.T, name string, wantHard HardState, wantBase Snapshot, wantLog []Entry, data any) {
+func compareStore(t *testing.T, name string, wantHard raft.HardState, wantBase raft.Snapshot, wantLog []raft.Entry, data any) {
 	t.Helper()
 	store, folder := openFixture(t, name)
 	for range 2 {
@@ -190,35 +181,35 @@
 }
 
 func TestAStoredDirectoryIsReadAsItWas(t *testing.T) {
-	founding := Snapshot{Index: 1, Term: 1, Members: storedMembers}
-	last := Index(len(storedstate.Commands) + 1)
+	founding := raft.Snapshot{Index: 1, Term: 1, Members: storedMembers}
+	last := raft.Index(len(storedstate.Commands) + 1)
 	log := storedLog()
 	buildStore(t, "store",
 		func(store *Store) error {
 			if err := store.Found(storedID, founding); err != nil {
 				return err
 			}
-			var entries []Entry
+			var entries []raft.Entry
 			for i, command := range storedstate.Commands {
-				entries = append(entries, Entry{Index: Index(i + 2), Term: 6, Data: statemachine.EncodeCommands([]statemachine.Command{command})})
+				entries = append(entries, raft.Entry{Index: raft.Index(i + 2), Term: 6, Data: statemachine.EncodeCommands([]statemachine.Command{command})})
 			}
-			return store.Write([]Write{{HardState: &HardState{Term: 6}}, {Entries: entries}})
+			return store.Write([]raft.Write{{HardState: &raft.HardState{Term: 6}}, {Entries: entries}})
 		},
 		func(store *Store) error {
 			data := wiretest.MostFrequent(func() []byte { return storedstate.SnapshotOf(t, storedstate.ApplyAll(t, storedstate.Commands)) })
-			return store.Write([]Write{{Snapshot: &Snapshot{Index: last, Term: 6, Members: storedMembers, Data: data}}, {Entries: log[:2]}})
+			return store.Write([]raft.Write{{Snapshot: &raft.Snapshot{Index: last, Term: 6, Members: storedMembers, Data: data}}, {Entries: log[:2]}})
 		},
 		func(store *Store) error {
-			if err := store.Write([]Write{{HardState: &HardState{Term: 7}}, {Entries: []Entry{log[2], entry(33, 7), entry(34, 7)}}}); err != nil {
+			if err := store.Write([]raft.Write{{HardState: &raft.HardState{Term: 7}}, {Entries: []raft.Entry{log[2], entry(33, 7), entry(34, 7)}}}); err != nil {
 				return err
 			}
 			hard := storedHard
-			return store.Write([]Write{{HardState: &hard}, {TruncateFrom: 33, Entries: log[3:]}})
+			return store.Write([]raft.Write{{HardState: &hard}, {TruncateFrom: 33, Entries: log[3:]}})
 		})
-	compareStore(t, "store", storedHard, Snapshot{Index: last, Term: 6, Members: storedMembers}, log, storedstate.Value)
+	compareStore(t, "store", storedHard, raft.Snapshot{Index: last, Term: 6, Members: storedMembers}, log, storedstate.Value)
 	store, _ := openFixture(t, "store")
 	defer func() { _ = store.Close() }()
-	for _, index := range []Index{last, 34} {
+	for _, index := range []raft.Index{last, 34} {
 		if _, _, err := store.db.Get(keyEntry(index)); !errors.Is(err, pebble.ErrNotFound) {
 			t.Errorf("log entry %d, which was cut: %v", index, err)
 		}
@@ -274,7 +265,7 @@
 // A directory of a version that knew no seals is read, and sealed from then on.
 func TestAStoredDirectoryWithoutSealsIsReadAsItWas(t *testing.T) {
 	name := "store_unsealed"
-	base := Snapshot{Index: 29, Term: 6, Members: storedMembers}
+	base := raft.Snapshot{Index: 29, Term: 6, Members: storedMembers}
 	log := storedLog()[:3]
 	if wiretest.Missing(filepath.Join("testdata", name, "CURRENT")) {
 		folder := filepath.Join(t.TempDir(), "data")
@@ -327,36 +318,24 @@
 
 // Entries that an older version left behind a newer leader's are dropped.
 func TestAStoredDirectoryWithACutTailIsReadAsItWas(t *testing.T) {
-	base := Snapshot{Index: 1, Term: 1, Members: storedMembers, Data: []byte("state\x00\xff")}
+	base := raft.Snapshot{Index: 1, Term: 1, Members: storedMembers, Data: []byte("state\x00\xff")}
 	buildStore(t, "store_cut_tail",
 		func(store *Store) error {
 			if err := store.Found(storedID, base); err != nil {
 				return err
 			}
-			return store.Write([]Write{{HardState: &HardState{Term: 2}, Entries: run(2, 7, 2)}})
+			return store.Write([]raft.Write{{HardState: &raft.HardState{Term: 2}, Entries: run(2, 7, 2)}})
 		},
 		func(store *Store) error {
 			hard := storedHard
-			return store.Write([]Write{{HardState: &hard, Entries: []Entry{entry(4, 5)}}})
+			return store.Write([]raft.Write{{HardState: &hard, Entries: []raft.Entry{entry(4, 5)}}})
 		})
-	compareStore(t, "store_cut_tail", storedHard, base, []Entry{entry(2, 2), entry(3, 2), entry(4, 5)}, nil)
+	compareStore(t, "store_cut_tail", storedHard, base, []raft.Entry{entry(2, 2), entry(3, 2), entry(4, 5)}, nil)
 	store, _ := openFixture(t, "store_cut_tail")
 	defer func() { _ = store.Close() }()
-	for index := Index(5); index <= 7; index++ {
+	for index := raft.Index(5); index <= 7; index++ {
 		if left, err := unseal(keyEntry(index), store.raw(t, keyEntry(index))); err != nil || !bytes.Equal(left, writeEntry(entry(index, 2))) {
 			t.Errorf("what was left at %d: %x, %v", index, left, err)
 		}
 	}
 }
-
-// A core's status reply lists the members as JSON under the names of the fields.
-func TestAMemberIsWrittenAsJSONAsItWas(t *testing.T) {
-	got, err := json.Marshal(storedMembers[0])
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := `{"ID":"founder-10.0.2.1","Inner":"10.0.2.1:7100","Control":"10.0.2.1:7200","Site":"east-1","Voter":true}`
-	if diff := cmp.Diff(want, string(got)); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
-	}
-}
--- a/internal/raft/store.go
+++ b/internal/storage/store.go
@@ -1,10 +1,4 @@
-// Store keeps a core's part of the log on disk with pebble: the hard state,
-// the log's entries, the newest snapshot and the core's own id. Orders that
-// wait together share one sync. What a newer leader cuts off goes with the write
-// that replaces it. A disk of an older version may still hold such entries; they
-// are known by a term lower than the one before them and dropped when read. Any
-// other break in the log is an error, never a guess.
-package raft
+package storage
 
 import (
 	"bytes"
@@ -16,9 +10,10 @@
 	"github.com/cockroachdb/pebble/vfs"
 
 	"tinpin/internal/binaryformat"
+	"tinpin/internal/raft"
 )
 
-// Store is the disk of one core.
+// Store is the disk of one controller.
 type Store struct{ db *pebble.DB }
 
 var (
@@ -28,7 +23,7 @@
 	keyLogEnd   = []byte("m")
 )
 
-func keyEntry(index Index) (key []byte) {
+func keyEntry(index raft.Index) (key []byte) {
 	return binary.BigEndian.AppendUint64([]byte("l"), uint64(index))
 }
 
@@ -50,7 +45,7 @@
 	options.MaxConcurrentCompactions = func() int { return 1 }
 	db, err := pebble.Open(folder, options)
 	if err != nil {
-		return nil, Class.Wrap(err)
+		return nil, raft.Class.Wrap(err)
 	}
 	store = &Store{db: db}
 	if err = store.sealAll(); err != nil {
@@ -68,7 +63,7 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, Class.Wrap(err)
+		return false, raft.Class.Wrap(err)
 	}
 	defer func() { _ = closer.Close() }()
 	if value, err = unseal(key, value); err != nil {
@@ -88,7 +83,7 @@
 	return buffer.Bytes()
 }
 
-func writeEntry(entry Entry) (data []byte) {
+func writeEntry(entry raft.Entry) (data []byte) {
 	data = binary.AppendUvarint(nil, uint64(entry.Term))
 	var members []byte
 	if entry.Members != nil {
@@ -98,9 +93,9 @@
 	return append(data, entry.Data...)
 }
 
-func readEntry(index Index, data []byte) (entry Entry, err error) {
+func readEntry(index raft.Index, data []byte) (entry raft.Entry, err error) {
 	r := &binaryformat.Reader{Rest: data}
-	entry.Index, entry.Term = index, Term(r.Uint())
+	entry.Index, entry.Term = index, raft.Term(r.Uint())
 	members := r.Bytes()
 	if r.Malformed {
 		return entry, Spoiled.New("log entry %d cannot be read", index)
@@ -115,7 +110,7 @@
 }
 
 // Load reads what the disk holds.
-func (s *Store) Load() (id ID, hard HardState, base Snapshot, log []Entry, err error) {
+func (s *Store) Load() (id raft.ID, hard raft.HardState, base raft.Snapshot, log []raft.Entry, err error) {
 	if _, err = s.get(keyID, &id); err != nil {
 		return
 	}
@@ -127,15 +122,15 @@
 	}
 	iter, err := s.db.NewIter(&pebble.IterOptions{LowerBound: keyEntry(base.Index + 1), UpperBound: keyLogEnd})
 	if err != nil {
-		err = Class.Wrap(err)
+		err = raft.Class.Wrap(err)
 		return
 	}
 	defer func() { err = errors.Join(err, iter.Close()) }()
 	next, term := base.Index+1, base.Term
 	for valid := iter.First(); valid; valid = iter.Next() {
-		index := Index(binary.BigEndian.Uint64(iter.Key()[1:]))
+		index := raft.Index(binary.BigEndian.Uint64(iter.Key()[1:]))
 		var value []byte
-		var entry Entry
+		var entry raft.Entry
 		if value, err = unseal(iter.Key(), iter.Value()); err != nil {
 			err = Spoiled.New("log entry %d: %v", index, err)
 			return
@@ -147,13 +142,13 @@
 			break
 		}
 		if index != next {
-			err = Class.New("log entry %d is missing", next)
+			err = raft.Class.New("log entry %d is missing", next)
 			return
 		}
 		log = append(log, entry)
 		next, term = next+1, entry.Term
 	}
-	if id == "" && (hard != HardState{} || base.Index > 0 || len(log) > 0) {
+	if id == "" && (hard != raft.HardState{} || base.Index > 0 || len(log) > 0) {
 		err = Spoiled.New("the disk holds a log and no id")
 	}
 	return
@@ -162,15 +157,15 @@
 func put(batch *pebble.Batch, key, value []byte) { _ = batch.Set(key, seal(key, value), nil) }
 
 // Found writes the identity of a new disk, with the founders where it is one.
-func (s *Store) Found(id ID, base Snapshot) (err error) {
+func (s *Store) Found(id raft.ID, base raft.Snapshot) (err error) {
 	batch := s.db.NewBatch()
 	put(batch, keyID, encode(id))
 	put(batch, keySnapshot, encode(base))
-	return Class.Wrap(batch.Commit(pebble.Sync))
+	return raft.Class.Wrap(batch.Commit(pebble.Sync))
 }
 
 // Write carries out orders with one sync.
-func (s *Store) Write(writes []Write) (err error) {
+func (s *Store) Write(writes []raft.Write) (err error) {
 	batch := s.db.NewBatch()
 	for _, write := range writes {
 		if write.HardState != nil {
@@ -190,5 +185,5 @@
 	if batch.Empty() {
 		return nil
 	}
-	return Class.Wrap(batch.Commit(pebble.Sync))
+	return raft.Class.Wrap(batch.Commit(pebble.Sync))
 }
--- a/internal/raft/store_test.go
+++ b/internal/storage/store_test.go
@@ -1,4 +1,4 @@
-package raft
+package storage
 
 import (
 	"strings"
@@ -7,11 +7,9 @@
 	"github.com/cockroachdb/pebble"
 	"github.com/cockroachdb/pebble/vfs"
 	"github.com/google/go-cmp/cmp"
-)
 
-func entry(index Index, term Term) Entry {
-	return Entry{Index: index, Term: term, Data: []byte{byte(index), byte(term)}}
-}
+	"tinpin/internal/raft"
+)
 
 // strictDisk is a disk with the data folder on it that loses what is not synced.
 func strictDisk(t *testing.T) (disk *vfs.MemFS) {
@@ -34,15 +32,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := Snapshot{Index: 1, Term: 1, Members: []Member{{ID: "a", Voter: true}}}
+	base := raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: "a", Voter: true}}}
 	if err = store.Found("a", base); err != nil {
 		t.Fatal(err)
 	}
-	if err = store.Write([]Write{{HardState: &HardState{Term: 3, Vote: "b"}}, {Entries: []Entry{entry(2, 3), entry(3, 3)}}}); err != nil {
+	if err = store.Write([]raft.Write{{HardState: &raft.HardState{Term: 3, Vote: "b"}}, {Entries: []raft.Entry{entry(2, 3), entry(3, 3)}}}); err != nil {
 		t.Fatal(err)
 	}
 	disk.SetIgnoreSyncs(true)
-	if err = store.Write([]Write{{HardState: &HardState{Term: 4}, Entries: []Entry{entry(4, 4)}}}); err != nil {
+	if err = store.Write([]raft.Write{{HardState: &raft.HardState{Term: 4}, Entries: []raft.Entry{entry(4, 4)}}}); err != nil {
 		t.Fatal(err)
 	}
 	_ = store.Close()
@@ -54,13 +52,13 @@
 	}
 	defer func() { _ = store.Close() }()
 	id, hard, found, log, err := store.Load()
-	if err != nil || id != "a" || hard != (HardState{Term: 3, Vote: "b"}) {
+	if err != nil || id != "a" || hard != (raft.HardState{Term: 3, Vote: "b"}) {
 		t.Fatal(id, hard, err)
 	}
 	if diff := cmp.Diff(base, found); diff != "" {
 		t.Fatal(diff)
 	}
-	if diff := cmp.Diff([]Entry{entry(2, 3), entry(3, 3)}, log); diff != "" {
+	if diff := cmp.Diff([]raft.Entry{entry(2, 3), entry(3, 3)}, log); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -71,15 +69,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	_ = store.Found("a", Snapshot{Index: 1, Term: 1})
-	_ = store.Write([]Write{{Entries: []Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
+	_ = store.Found("a", raft.Snapshot{Index: 1, Term: 1})
+	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
 	// A newer leader's entry replaces the second; the third is left behind.
-	_ = store.Write([]Write{{Entries: []Entry{entry(3, 5)}}})
+	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(3, 5)}}})
 	if _, _, _, log, loadErr := store.Load(); loadErr != nil || len(log) != 2 || log[1].Term != 5 {
 		t.Fatal(log, loadErr)
 	}
-	_ = store.Write([]Write{{Entries: []Entry{entry(6, 6)}}})
-	_ = store.Write([]Write{{Entries: []Entry{entry(4, 5)}}})
+	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(6, 6)}}})
+	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(4, 5)}}})
 	if _, _, _, _, loadErr := store.Load(); loadErr == nil || !strings.Contains(loadErr.Error(), "5 is missing") {
 		t.Fatalf("a hole in the log gave %v", loadErr)
 	}
@@ -95,14 +93,14 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	_ = store.Found("a", Snapshot{Index: 1, Term: 1})
-	_ = store.Write([]Write{{Entries: []Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
-	_ = store.Write([]Write{{Snapshot: &Snapshot{Index: 3, Term: 2, Data: []byte("cut")}}})
+	_ = store.Found("a", raft.Snapshot{Index: 1, Term: 1})
+	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
+	_ = store.Write([]raft.Write{{Snapshot: &raft.Snapshot{Index: 3, Term: 2, Data: []byte("cut")}}})
 	if _, _, base, log, loadErr := store.Load(); loadErr != nil || base.Index != 3 || len(log) != 1 || log[0].Index != 4 {
 		t.Fatal(base, log, loadErr)
 	}
 	// One that is taken from a leader ends the whole log, also what lies above.
-	_ = store.Write([]Write{{TruncateFrom: 1, Snapshot: &Snapshot{Index: 3, Term: 9}}})
+	_ = store.Write([]raft.Write{{TruncateFrom: 1, Snapshot: &raft.Snapshot{Index: 3, Term: 9}}})
 	if _, _, base, log, loadErr := store.Load(); loadErr != nil || base.Term != 9 || len(log) != 0 {
 		t.Fatal(base, log, loadErr)
 	}
@@ -116,16 +114,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t, "b", HardState{Term: 6}, run(2, 8, 1)...)
-	_ = store.Found("b", b.raft.snapshot)
-	_ = store.Write([]Write{{Entries: run(2, 8, 1)}})
+	snapshot := raft.Snapshot{Index: 1, Term: 1, Members: trio}
+	b := newReplica("b", raft.HardState{Term: 6}, snapshot, run(2, 8, 1)...)
+	_ = store.Found("b", snapshot)
+	_ = store.Write([]raft.Write{{Entries: run(2, 8, 1)}})
 	write := func() {
 		if err = store.Write(b.queued); err != nil {
 			t.Fatal(err)
 		}
 		b.syncAll()
 	}
-	reload := func() (log []Entry) {
+	reload := func() (log []raft.Entry) {
 		t.Helper()
 		_ = store.Close()
 		disk.ResetToSyncedState()
@@ -137,19 +136,19 @@
 		}
 		return log
 	}
-	b.step(Message{Kind: MsgAppend, Term: 6, Index: 8, LogTerm: 1, Entries: run(9, 10, 6)})
+	b.step("b", raft.Message{Kind: raft.MsgAppend, Term: 6, Index: 8, LogTerm: 1, Entries: run(9, 10, 6)})
 	write()
 	if diff := cmp.Diff(append(run(2, 8, 1), run(9, 10, 6)...), reload()); diff != "" {
 		t.Fatal(diff)
 	}
-	b.step(Message{Kind: MsgAppend, Term: 7, From: "c", Index: 8, LogTerm: 1, Entries: run(9, 9, 5)})
+	b.step("b", raft.Message{Kind: raft.MsgAppend, Term: 7, From: "c", Index: 8, LogTerm: 1, Entries: run(9, 9, 5)})
 	write()
 	if diff := cmp.Diff(append(run(2, 8, 1), run(9, 9, 5)...), reload()); diff != "" {
 		t.Fatal(diff)
 	}
 	// Orders that share one sync keep their order: cut, put, cut again.
-	b.step(Message{Kind: MsgAppend, Term: 8, Index: 8, LogTerm: 1, Entries: run(9, 12, 6)})
-	b.step(Message{Kind: MsgAppend, Term: 9, From: "c", Index: 9, LogTerm: 6, Entries: run(10, 10, 7)})
+	b.step("b", raft.Message{Kind: raft.MsgAppend, Term: 8, Index: 8, LogTerm: 1, Entries: run(9, 12, 6)})
+	b.step("b", raft.Message{Kind: raft.MsgAppend, Term: 9, From: "c", Index: 9, LogTerm: 6, Entries: run(10, 10, 7)})
 	write()
 	if diff := cmp.Diff(append(run(2, 8, 1), entry(9, 6), entry(10, 7)), reload()); diff != "" {
 		t.Fatal(diff)
