--- a/internal/storage/diskfull_test.go
+++ b/internal/storage/diskfull_test.go
@@ -59,7 +59,9 @@
 	}
 	full.Store(true)
 	done := make(chan error, 1)
-	go func() { done <- store.Write([]raft.Write{{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2)}}}) }()
+	go func() {
+		done <- store.Write([]raft.Write{{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2)}}})
+	}()
 	for range 5 {
 		<-looked
 		select {
