--- a/internal/node/lease.go
+++ b/internal/node/lease.go
@@ -6,21 +6,21 @@
 	"tinpin/internal/raft"
 )
 
-// lease is the span of the steady clock for which a leadership is proven; it is
-// over once another lease, or none, has taken its place.
+// lease is the span of the monotonic clock for which leadership is proven; it ends once
+// another lease, or none, has replaced it.
 type lease struct {
 	term  raft.Term
 	until time.Duration
 	over  chan struct{}
 }
 
-// covers tells that it proves a leadership at a time.
+// covers reports whether the lease proves leadership of a term at a time.
 func (l *lease) covers(term raft.Term, now time.Duration) bool {
 	return l != nil && l.term == term && now < l.until
 }
 
-// currentLease is the lease that the agreement gives now; a leader that has not
-// committed in its own term has none.
+// currentLease is the lease that the replica confirms now; a leader that has not committed
+// an entry in its own term has none.
 func (n *Node) currentLease() (term raft.Term, until time.Duration) {
 	if !n.raft.CommittedInTerm() {
 		return 0, 0
@@ -32,8 +32,8 @@
 	return n.raft.Term(), sent + time.Duration(n.raft.Timing().LeaseTicks())*raft.TickInterval
 }
 
-// revokeLease takes back what does not hold any more; it comes before anything is
-// sent that lets another lead.
+// revokeLease withdraws a lease that no longer holds. It must run before any message is sent
+// that could let another controller lead.
 func (n *Node) revokeLease() {
 	held := n.lease.Load()
 	if held == nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// extendLease gives what was proven; it comes after all that is committed was
+// extendLease publishes the newest lease. It must run after all committed entries were
 // applied.
 func (n *Node) extendLease() {
 	term, until := n.currentLease()
@@ -61,9 +61,9 @@
 	}
 }
 
-// HoldsLease tells that this core leads in a term and was in contact with a
-// majority so lately that no other can lead now. Where a round is late it waits
-// a while for the next; to ask while the proof holds costs one atomic load.
+// HoldsLease reports whether this controller leads in a term and was in contact with a
+// majority so recently that no other can lead now. Where a heartbeat round is late it waits
+// for the next, up to a limit; while the lease holds, the call costs one atomic load.
 func (n *Node) HoldsLease(term raft.Term, patience time.Duration) (proven bool) {
 	held := n.lease.Load()
 	if held.covers(term, n.Now()) {
--- a/internal/node/lease_test.go
+++ b/internal/node/lease_test.go
@@ -128,7 +128,7 @@
 // leads those who want to come in.
 func TestWhoIsCutOffPartsWithNobody(t *testing.T) {
 	n := wishing(t, 3)
-	n.calls, n.joiners, n.rejectedJoiners = make(chan func(), 8), map[raft.ID]joiner{}, map[raft.ID]int{}
+	n.calls, n.joinCandidates, n.rejectedCandidates = make(chan func(), 8), map[raft.ID]joinCandidate{}, map[raft.ID]int{}
 	n.handleOutput(n.raft.At(n.Now() + time.Hour).ReportSynced(n.takeWrites()))
 	round := n.heartbeatRound(t, n.Now()+time.Hour)
 	n.handleOutput(n.raft.Step(raft.Message{Kind: raft.MsgAppendResponse, From: "b", To: "a", Term: n.raft.Term(), Index: n.raft.LastIndex(), Round: round}))
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -11,40 +11,40 @@
 	"tinpin/internal/rpc"
 )
 
-// LeaveStatus is what a leader says to a core that leaves.
+// LeaveStatus is the leader's answer to a controller that leaves.
 type LeaveStatus uint8
 
-// The partings: stay a member and end, wait, or gone from the members.
+// The answers: stop while still a member, wait, or removed from the members.
 const (
 	LeaveAsMember LeaveStatus = iota + 1
 	LeavePending
 	LeaveCompleted
 )
 
-// LeaveRequest asks to be taken out.
+// LeaveRequest asks to be removed from the members.
 type LeaveRequest struct{ ID raft.ID }
 
-// LeaveResponse is empty where the core asked does not lead.
+// LeaveResponse has status 0 where the controller asked does not lead.
 type LeaveResponse struct {
 	Status LeaveStatus `wire:"Parting"`
 }
 
-// Leave notes a core that is about to end.
+// Leave notes a controller that is about to stop.
 func (d *Service) Leave(ask LeaveRequest, reply *LeaveResponse) (err error) {
-	parting := make(chan LeaveStatus, 1)
+	status := make(chan LeaveStatus, 1)
 	select {
-	case d.node.calls <- func() { parting <- d.node.handleLeave(ask.ID) }:
+	case d.node.calls <- func() { status <- d.node.handleLeave(ask.ID) }:
 	default:
 		return nil
 	}
 	timer := time.NewTimer(leaveWait)
 	defer timer.Stop()
 	select {
-	case reply.Status = <-parting:
+	case reply.Status = <-status:
 	case <-timer.C:
 	case <-d.node.stop:
 	}
-	// One that is cut off may not know whom a later leader has taken in.
+	// A controller that is partitioned may not know which members a later leader has added.
 	if _, _, term, _, _ := d.node.Status(); reply.Status != 0 && !d.node.HoldsLease(term, 0) {
 		reply.Status = 0
 	}
@@ -57,12 +57,12 @@
 	resignSpan = 50 * time.Millisecond
 )
 
-// handleLeave answers for the leader; it is zero where this core does not lead.
-func (n *Node) handleLeave(id raft.ID) (parting LeaveStatus) {
+// handleLeave answers as the leader; the status is 0 where this controller does not lead.
+func (n *Node) handleLeave(id raft.ID) (status LeaveStatus) {
 	if !n.raft.CommittedInTerm() || n.departing {
 		return 0
 	}
-	delete(n.joiners, id)
+	delete(n.joinCandidates, id)
 	member, known := raft.FindMember(n.raft.Members(), id)
 	switch {
 	case !known && n.raft.MembersChanging():
@@ -87,15 +87,15 @@
 	ask, near := n.prepareLeave()
 	heard, reached := time.Now(), time.Now()
 	for ask {
-		parting, majority := n.requestLeave()
-		if parting == LeaveAsMember || parting == LeaveCompleted {
+		status, majority := n.requestLeave()
+		if status == LeaveAsMember || status == LeaveCompleted {
 			break
 		}
 		now := time.Now()
 		if majority {
 			reached = now
 		}
-		if parting != 0 {
+		if status != 0 {
 			heard, reached, near = now, now, true
 		}
 		if !near || now.Sub(heard) >= grace/3 || now.Sub(reached) >= resignWait || !now.Before(end) {
@@ -157,7 +157,7 @@
 
 // requestLeave asks all voters at once; the one that leads has an answer. With
 // none, it tells whether enough answered to elect one.
-func (n *Node) requestLeave() (parting LeaveStatus, majority bool) {
+func (n *Node) requestLeave() (status LeaveStatus, majority bool) {
 	type answer struct {
 		parting LeaveStatus
 		reached bool
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -17,7 +17,7 @@
 	"tinpin/internal/statemachine"
 )
 
-type joiner struct {
+type joinCandidate struct {
 	member   raft.Member
 	seenTick int
 }
@@ -25,13 +25,13 @@
 const (
 	reconcileTicks        = 5
 	joinRetryTicks        = 10
-	joinerExpiryTicks     = 10 * joinRetryTicks
+	joinExpiryTicks       = 10 * joinRetryTicks
 	leavingExpiryTicks    = 2 * raft.ElectionTicks
 	joinRejectionLogTicks = 400
-	maxRejectedJoiners    = 64
+	maxRejectedCandidates = 64
 )
 
-// JoinRequest asks to be taken in.
+// JoinRequest asks for membership.
 type JoinRequest struct{ Member raft.Member }
 
 // JoinResponse names the leader where it is another.
@@ -40,7 +40,7 @@
 	MemberAddresses []string `wire:"Inners"`
 }
 
-// Join notes a core that wants to be taken in.
+// Join notes a controller that asks to become a member.
 func (d *Service) Join(ask JoinRequest, reply *JoinResponse) (err error) {
 	leads, _, term, _, members := d.node.Status()
 	reply.Leader = leads && d.node.HoldsLease(term, 0)
@@ -57,52 +57,52 @@
 	return nil
 }
 
-// handleJoin keeps a newcomer for the next decision, or says why it cannot be
-// taken in.
-func (n *Node) handleJoin(newcomer raft.Member) {
-	why := n.policy.RejectReason(n.raft.Members(), newcomer)
-	if _, member := raft.FindMember(n.raft.Members(), newcomer.ID); why == "" && member {
+// handleJoin keeps a candidate for the next decision, or logs why it cannot become a
+// member.
+func (n *Node) handleJoin(candidate raft.Member) {
+	why := n.policy.RejectReason(n.raft.Members(), candidate)
+	if _, member := raft.FindMember(n.raft.Members(), candidate.ID); why == "" && member {
 		return
 	}
-	if _, waits := n.joiners[newcomer.ID]; why == "" && !waits && len(n.joiners) >= n.policy.MaxLearners {
+	if _, waits := n.joinCandidates[candidate.ID]; why == "" && !waits && len(n.joinCandidates) >= n.policy.MaxLearners {
 		why = "too many wait to be taken in"
 	}
 	if why == "" {
-		n.addJoiner(newcomer)
+		n.addJoinCandidate(candidate)
 		return
 	}
-	if said, known := n.rejectedJoiners[newcomer.ID]; known && n.ticks-said < joinRejectionLogTicks {
+	if loggedTick, known := n.rejectedCandidates[candidate.ID]; known && n.ticks-loggedTick < joinRejectionLogTicks {
 		return
 	}
-	if len(n.rejectedJoiners) >= maxRejectedJoiners {
-		n.rejectedJoiners = map[raft.ID]int{}
+	if len(n.rejectedCandidates) >= maxRejectedCandidates {
+		n.rejectedCandidates = map[raft.ID]int{}
 	}
-	n.rejectedJoiners[newcomer.ID] = n.ticks
-	n.log.Emit(eventlog.JoinRejected, eventlog.KeyMember, string(newcomer.ID), "address", newcomer.Inner, eventlog.KeyReason, why)
+	n.rejectedCandidates[candidate.ID] = n.ticks
+	n.log.Emit(eventlog.JoinRejected, eventlog.KeyMember, string(candidate.ID), "address", candidate.Inner, eventlog.KeyReason, why)
 }
 
-// addJoiner keeps the newest life at an address.
-func (n *Node) addJoiner(newcomer raft.Member) {
-	_, waits := n.joiners[newcomer.ID]
-	for id, other := range n.joiners {
-		if other.member.Inner == newcomer.Inner {
-			delete(n.joiners, id)
+// addJoinCandidate keeps the newest incarnation at an address.
+func (n *Node) addJoinCandidate(candidate raft.Member) {
+	_, waits := n.joinCandidates[candidate.ID]
+	for id, other := range n.joinCandidates {
+		if other.member.Inner == candidate.Inner {
+			delete(n.joinCandidates, id)
 		}
 	}
-	n.joiners[newcomer.ID] = joiner{newcomer, n.ticks}
+	n.joinCandidates[candidate.ID] = joinCandidate{candidate, n.ticks}
 	if !waits && n.raft.CommittedInTerm() {
 		n.changeMembers()
 	}
 }
 
-// membershipView is what this leader sees of the members.
+// membershipView is the state of the members as this leader sees it.
 func (n *Node) membershipView() (roll raft.View) {
-	for id, joiner := range n.joiners {
-		if n.ticks-joiner.seenTick > joinerExpiryTicks {
-			delete(n.joiners, id)
+	for id, waiting := range n.joinCandidates {
+		if n.ticks-waiting.seenTick > joinExpiryTicks {
+			delete(n.joinCandidates, id)
 			continue
 		}
-		roll.Joining = append(roll.Joining, joiner.member)
+		roll.Joining = append(roll.Joining, waiting.member)
 	}
 	sort.Slice(roll.Joining, func(i, j int) bool { return roll.Joining[i].ID < roll.Joining[j].ID })
 	for id, at := range n.leaving {
@@ -116,8 +116,8 @@
 	return roll
 }
 
-// reconcileMembers takes newcomers in, lets the departed go, expires old keys and,
-// where this core is no member, asks to become one.
+// reconcileMembers carries out the membership policy and expires old key claims where this
+// controller leads; where it is no member, it asks to become one.
 func (n *Node) reconcileMembers() {
 	if n.raft.Role() != raft.Leader {
 		_, member := raft.FindMember(n.raft.Members(), n.self.ID)
@@ -143,8 +143,8 @@
 	}
 }
 
-// changeMembers makes the one change of membership that is due; after one it
-// looks again at each tick, as the second of two should not be waited for.
+// changeMembers proposes the one membership change that is due. After a change it is called
+// again at each tick, so that a second one is not delayed by the reconcile interval.
 func (n *Node) changeMembers() {
 	roll := n.membershipView()
 	decision := n.policy.Decide(roll)
@@ -158,7 +158,7 @@
 	}
 	n.membersChanged = true
 	n.policy.Record(roll, decision)
-	delete(n.joiners, decision.Member.ID)
+	delete(n.joinCandidates, decision.Member.ID)
 	n.log.Emit(eventlog.MembershipChanged, eventlog.KeyChange, decision.Change.String(), eventlog.KeyMember, string(decision.Member.ID), eventlog.KeyMembers, len(decision.Next))
 	n.handleOutput(out)
 }
@@ -193,25 +193,25 @@
 	n.mu.Unlock()
 }
 
-// NewIdentity decides who a core with an empty disk is: a founder where the
-// whole system starts for the first time and it is among the seeds, else a
-// newcomer that has to be taken in.
+// NewIdentity gives a controller with an empty disk its id and first snapshot: an initial
+// voter where the whole system starts for the first time and it is among the seeds, else a
+// fresh id that has to join.
 func NewIdentity(p settings.Settings) (id raft.ID, base raft.Snapshot) {
-	var founders []raft.Member
-	founder := false
+	var initialVoters []raft.Member
+	isInitialVoter := false
 	for _, seed := range p.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			continue
 		}
 		member := raft.Member{ID: raft.ID("founder-" + host), Inner: p.SeedInternalAddress(seed), Control: seed, Voter: true}
-		founders = append(founders, member)
-		founder = founder || host == p.Address
+		initialVoters = append(initialVoters, member)
+		isInitialVoter = isInitialVoter || host == p.Address
 	}
-	if p.FirstStart && founder {
-		return raft.ID("founder-" + p.Address), raft.Snapshot{Index: 1, Term: 1, Members: founders}
+	if p.FirstStart && isInitialVoter {
+		return raft.ID("founder-" + p.Address), raft.Snapshot{Index: 1, Term: 1, Members: initialVoters}
 	}
-	var luck [8]byte
-	_, _ = crand.Read(luck[:])
-	return raft.ID(p.Address + "-" + hex.EncodeToString(luck[:])), raft.Snapshot{}
+	var random [8]byte
+	_, _ = crand.Read(random[:])
+	return raft.ID(p.Address + "-" + hex.EncodeToString(random[:])), raft.Snapshot{}
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -23,7 +23,7 @@
 	replica := raft.New(members[0].ID, raft.DefaultTiming(), rand.New(rand.NewSource(1)), raft.HardState{}, raft.Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
 		log: eventlog.Discard(), raft: replica, self: members[0], policy: raft.NewPolicy(1, 0, 0),
-		joiners: map[raft.ID]joiner{}, leaving: map[raft.ID]int{}, rejectedJoiners: map[raft.ID]int{},
+		joinCandidates: map[raft.ID]joinCandidate{}, leaving: map[raft.ID]int{}, rejectedCandidates: map[raft.ID]int{},
 	}
 }
 
@@ -32,23 +32,23 @@
 	n := housed(group(3, 1))
 	for i := range 1000 {
 		id := raft.ID(fmt.Sprint("new-", i))
-		for _, newcomer := range []raft.Member{{ID: id, Inner: string(id)}, {ID: id}, {Inner: string(id)}, {ID: "b", Inner: string(id)}, {ID: "b", Inner: "b"}} {
-			n.handleJoin(newcomer)
+		for _, candidate := range []raft.Member{{ID: id, Inner: string(id)}, {ID: id}, {Inner: string(id)}, {ID: "b", Inner: string(id)}, {ID: "b", Inner: "b"}} {
+			n.handleJoin(candidate)
 		}
 	}
-	if len(n.joiners) != n.policy.MaxLearners || len(n.rejectedJoiners) > maxRejectedJoiners {
-		t.Errorf("%d joiners and %d refusals are kept", len(n.joiners), len(n.rejectedJoiners))
+	if len(n.joinCandidates) != n.policy.MaxLearners || len(n.rejectedCandidates) > maxRejectedCandidates {
+		t.Errorf("%d joiners and %d refusals are kept", len(n.joinCandidates), len(n.rejectedCandidates))
 	}
-	for id, joiner := range n.joiners {
-		if id == "" || id == "b" || joiner.member.Inner == "" {
-			t.Errorf("%+v waits to be taken in", joiner.member)
+	for id, waiting := range n.joinCandidates {
+		if id == "" || id == "b" || waiting.member.Inner == "" {
+			t.Errorf("%+v waits to be taken in", waiting.member)
 		}
 	}
-	if _, said := n.rejectedJoiners["b"]; !said {
+	if _, loggedTick := n.rejectedCandidates["b"]; !loggedTick {
 		t.Error("an id that is a member's at another address was not refused")
 	}
-	n.ticks += joinerExpiryTicks + 1
-	if waiting := n.membershipView().Joining; len(waiting) != 0 || len(n.joiners) != 0 {
+	n.ticks += joinExpiryTicks + 1
+	if waiting := n.membershipView().Joining; len(waiting) != 0 || len(n.joinCandidates) != 0 {
 		t.Errorf("%d are still kept after they stopped asking", len(waiting))
 	}
 }
@@ -58,15 +58,15 @@
 	n := housed(group(3, 0))
 	n.handleJoin(raft.Member{ID: "first", Inner: "x"})
 	n.handleJoin(raft.Member{ID: "second", Inner: "x"})
-	if _, newest := n.joiners["second"]; !newest || len(n.joiners) != 1 {
-		t.Errorf("%v wait", n.joiners)
+	if _, newest := n.joinCandidates["second"]; !newest || len(n.joinCandidates) != 1 {
+		t.Errorf("%v wait", n.joinCandidates)
 	}
 }
 
 // A core that does not lead, or leaves itself, says nothing to a leaver.
 func TestOnlyALeaderAnswersALeaver(t *testing.T) {
-	if parting := housed(group(3, 1)).handleLeave("b"); parting != 0 {
-		t.Errorf("a follower said %d", parting)
+	if status := housed(group(3, 1)).handleLeave("b"); status != 0 {
+		t.Errorf("a follower said %d", status)
 	}
 	for _, c := range []struct {
 		name    string
@@ -81,8 +81,8 @@
 	} {
 		n := housed(c.members)
 		elect(t, n.raft)
-		if parting := n.handleLeave(c.id); parting != c.parting {
-			t.Errorf("%s: %d, want %d", c.name, parting, c.parting)
+		if status := n.handleLeave(c.id); status != c.parting {
+			t.Errorf("%s: %d, want %d", c.name, status, c.parting)
 		}
 		if _, marked := n.leaving[c.id]; marked != (c.parting == LeavePending) {
 			t.Errorf("%s: noted %v", c.name, marked)
@@ -92,8 +92,8 @@
 			t.Errorf("%s: a leaver that asks no more is still noted", c.name)
 		}
 		n.departing = true
-		if parting := n.handleLeave(c.id); parting != 0 {
-			t.Errorf("%s: a leader that leaves itself said %d", c.name, parting)
+		if status := n.handleLeave(c.id); status != 0 {
+			t.Errorf("%s: a leader that leaves itself said %d", c.name, status)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,13 +55,13 @@
 	peerAddresses   map[raft.ID]string
 	seeds           []string
 
-	senders         map[sendPath]*peerSender
-	pending         map[raft.Index]pendingEntry
-	joiners         map[raft.ID]joiner
-	leaving         map[raft.ID]int
-	rejectedJoiners map[raft.ID]int
-	departing       bool
-	membersChanged  bool
+	senders            map[sendPath]*peerSender
+	pending            map[raft.Index]pendingEntry
+	joinCandidates     map[raft.ID]joinCandidate
+	leaving            map[raft.ID]int
+	rejectedCandidates map[raft.ID]int
+	departing          bool
+	membersChanged     bool
 
 	policy *raft.Policy
 
@@ -82,12 +82,12 @@
 // OpenNode opens the disk and makes the node ready to run.
 func OpenNode(p settings.Settings, log *eventlog.Logger) (node *Node, err error) {
 	if p.DataDirectory == "" {
-		return nil, raft.Class.New("data is empty: an accord daemon needs a folder")
+		return nil, raft.Class.New("data is empty: a controller needs a folder")
 	}
 	if err = os.MkdirAll(p.DataDirectory, 0o755); err != nil {
 		return nil, raft.Class.Wrap(err)
 	}
-	store, err := storage.OpenStore(p.DataDirectory, storage.RoomFor(p.DataDirectory, log))
+	store, err := storage.OpenStore(p.DataDirectory, storage.WaitingFS(p.DataDirectory, log))
 	if err != nil {
 		log.Emit(eventlog.RecordCorrupt, eventlog.KeyError, err.Error())
 		return nil, err
@@ -101,14 +101,14 @@
 		settings: p, log: log, store: store, startedAt: time.Now(),
 		inbox: make(chan []raft.Message, 256), proposals: make(chan proposal, maxProposals), syncedWrites: make(chan int, 256),
 		writes: make(chan []raft.Write, 1024), calls: make(chan func(), 64), stop: make(chan struct{}),
-		peerAddresses: map[raft.ID]string{}, senders: map[sendPath]*peerSender{}, pending: map[raft.Index]pendingEntry{}, joiners: map[raft.ID]joiner{},
-		leaving: map[raft.ID]int{}, rejectedJoiners: map[raft.ID]int{}, policy: raft.NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
+		peerAddresses: map[raft.ID]string{}, senders: map[sendPath]*peerSender{}, pending: map[raft.Index]pendingEntry{}, joinCandidates: map[raft.ID]joinCandidate{},
+		leaving: map[raft.ID]int{}, rejectedCandidates: map[raft.ID]int{}, policy: raft.NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, History: history.New(log), OnChange: func() {}, OnLeadership: func(bool, raft.Term) {},
 	}
 	inner := p.ControllerInternalAddress()
 	if id == "" {
 		id, base = NewIdentity(p)
-		if err = store.Found(id, base); err != nil {
+		if err = store.Initialize(id, base); err != nil {
 			return nil, err
 		}
 	}
@@ -118,8 +118,8 @@
 	}
 	var seed [8]byte
 	_, _ = crand.Read(seed[:])
-	luck := rand.New(rand.NewSource(int64(seed[0]) | int64(seed[1])<<8 | int64(seed[2])<<16 | int64(seed[3])<<24))
-	node.raft = raft.New(id, raft.DefaultTiming(), luck, hard, base, entries)
+	random := rand.New(rand.NewSource(int64(seed[0]) | int64(seed[1])<<8 | int64(seed[2])<<16 | int64(seed[3])<<24))
+	node.raft = raft.New(id, raft.DefaultTiming(), random, hard, base, entries)
 	node.replayEnd = node.raft.LastIndex()
 	node.publishStatus()
 	return node, nil
@@ -135,8 +135,7 @@
 	go n.writeLoop()
 }
 
-// Close leaves the group where a successor is near, hands leadership over if
-// held, and stops.
+// Close leaves the group where a successor is ready, transfers leadership if held, and stops.
 func (n *Node) Close() {
 	n.leave()
 	close(n.stop)
@@ -160,15 +159,15 @@
 	n.mu.Unlock()
 }
 
-// ReadState gives the state to look at under its lock.
+// ReadState calls look with the state while its lock is held.
 func (n *Node) ReadState(look func(state *statemachine.State)) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	look(n.state)
 }
 
-// Status tells who leads, as far as this node knows. A leader that was not heard for
-// the longest election is not named.
+// Status reports the leader that this node knows. A leader that was not heard from for the
+// longest election timeout is not named.
 func (n *Node) Status() (leads, settled bool, term raft.Term, leader raft.Member, members []raft.Member) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -197,9 +196,9 @@
 	ticker := time.NewTicker(raft.TickInterval)
 	defer ticker.Stop()
 	for {
-		var wishes <-chan proposal
+		var proposals <-chan proposal
 		if len(n.pending) < maxInFlight && n.raft.AcceptsProposals() || n.raft.Role() != raft.Leader {
-			wishes = n.proposals
+			proposals = n.proposals
 		}
 		select {
 		case <-n.stop:
@@ -208,7 +207,7 @@
 			for _, message := range batch {
 				n.handleOutput(n.raft.At(n.Now()).Step(message))
 			}
-		case first := <-wishes:
+		case first := <-proposals:
 			n.proposeBatch(first)
 		case orders := <-n.syncedWrites:
 			n.handleOutput(n.raft.At(n.Now()).ReportSynced(orders))
@@ -283,7 +282,7 @@
 	n.OnChange()
 }
 
-// recordChanges marks the documents, retirements and moves that changed.
+// recordChanges records the changed documents, retirements and schedule steps in the history.
 func (n *Node) recordChanges(before uint64, quiet bool) {
 	for kind, document := range n.state.Documents {
 		if document.Rev > before {
@@ -357,7 +356,7 @@
 	n.log.Emit(eventlog.SnapshotWritten, eventlog.KeyIndex, uint64(n.raft.SnapshotIndex()), eventlog.KeyBytes, len(data))
 }
 
-// publishStatus makes the standing of the agreement known to other duties.
+// publishStatus copies role, term, leader and members for other goroutines to read.
 func (n *Node) publishStatus() {
 	role, leader, term, settled := n.raft.Role(), n.raft.LeaderID(), n.raft.Term(), n.raft.CommittedInTerm()
 	n.mu.Lock()
--- a/internal/node/proposals.go
+++ b/internal/node/proposals.go
@@ -10,16 +10,16 @@
 	"tinpin/internal/statemachine"
 )
 
-// What one log entry takes at most of wishes, and of their bytes.
+// One log entry carries at most so many proposals and bytes of them.
 const (
 	maxBatchCommands = 256
 	maxBatchBytes    = 1 << 20
 )
 
-// Outcome is what became of a wish.
+// Outcome is what became of a proposal.
 type Outcome struct {
 	Result statemachine.Result
-	// Known is false where nobody can tell whether the wish was carried out.
+	// Known is false where nobody can tell whether the command was carried out.
 	Known bool
 	// Rejected tells that it was not and will not be carried out.
 	Rejected bool
@@ -32,10 +32,9 @@
 	timeout   time.Duration
 }
 
-// expired tells that the one who put it before the cores has given up by now, or is
-// about to.
-func (w proposal) expired(now time.Time) bool {
-	return now.Sub(w.createdAt) >= min(w.timeout, proposalTimeout)
+// expired reports whether the caller has given up on the proposal by now, or is about to.
+func (p proposal) expired(now time.Time) bool {
+	return now.Sub(p.createdAt) >= min(p.timeout, proposalTimeout)
 }
 
 type pendingEntry struct {
@@ -43,12 +42,12 @@
 	proposals []proposal
 }
 
-// Propose puts a command before the cores and waits for its outcome.
+// Propose proposes a command to the group and waits for its outcome.
 func (n *Node) Propose(command statemachine.Command, limit time.Duration) (answer Outcome) {
 	return n.ProposeAll([]statemachine.Command{command}, limit)[0]
 }
 
-// ProposeAll puts several commands at once.
+// ProposeAll proposes several commands at once.
 func (n *Node) ProposeAll(commands []statemachine.Command, limit time.Duration) (answers []Outcome) {
 	answers = make([]Outcome, len(commands))
 	done := make([]chan Outcome, len(commands))
@@ -79,12 +78,13 @@
 	return answers
 }
 
+// proposeBatch appends the proposals that wait together as one log entry.
 func (n *Node) proposeBatch(first proposal) {
 	var batch []proposal
 	size := 0
 	now := time.Now()
 	for next, more := first, true; more; {
-		// A wish whose caller must have given up is refused, not carried out:
+		// A proposal whose caller must have given up is rejected, not appended:
 		// a backlog would otherwise be worked off for nobody.
 		if next.expired(now) {
 			next.done <- Outcome{Rejected: true}
--- a/internal/node/sender.go
+++ b/internal/node/sender.go
@@ -10,14 +10,14 @@
 	"tinpin/internal/rpc"
 )
 
-// MessageBatch is what one core sends another.
+// MessageBatch is one call from a controller to a peer.
 type MessageBatch struct {
 	From     raft.ID
 	Address  string `wire:"Inner"`
 	Messages []raft.Message
 }
 
-// sendPath names one stream to one core.
+// sendPath names one of the two send loops of a peer.
 type sendPath struct {
 	to   raft.ID
 	bulk bool
@@ -27,7 +27,7 @@
 	return sendPath{message.To, message.IsBulk()}
 }
 
-// peerSender carries messages to one core.
+// peerSender sends messages to one peer.
 type peerSender struct {
 	queue  chan raft.Message
 	caller *rpc.Client
@@ -39,7 +39,7 @@
 	minCallTimeout = 500 * time.Millisecond
 )
 
-// callTimeout is how long a call of some bytes may take.
+// callTimeout is how long a call with so many bytes may take.
 func callTimeout(bytes int) (limit time.Duration) {
 	return minCallTimeout + time.Duration(bytes)*time.Second/raft.SlowLinkBytesPerSecond
 }
@@ -67,7 +67,7 @@
 	n.mu.Unlock()
 }
 
-// nextBatch adds messages that wait, up to what one call may carry.
+// nextBatch adds queued messages, up to what one call may carry.
 func (s *peerSender) nextBatch(first raft.Message) (messages []raft.Message, next *raft.Message, size int, open bool) {
 	messages, size = []raft.Message{first}, first.Size()
 	for len(messages) < 64 {
@@ -121,7 +121,7 @@
 	}
 }
 
-// reportLost tells the agreement that entries or a part did not arrive.
+// reportLost reports to the replica that entries or a snapshot chunk did not arrive.
 func (n *Node) reportLost(message raft.Message) {
 	if !message.IsBulk() {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// Step takes messages of the agreement.
+// Step receives raft messages of a peer.
 func (d *Service) Step(batch MessageBatch, _ *Empty) (err error) {
 	d.node.mu.Lock()
 	d.node.peerAddresses[batch.From] = batch.Address
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -48,7 +48,7 @@
 	if disk.store, err = storage.OpenStore(folder, disk.fs); err != nil {
 		return nil, Class.Wrap(err)
 	}
-	return disk, Class.Wrap(disk.store.Found(id, base))
+	return disk, Class.Wrap(disk.store.Initialize(id, base))
 }
 
 // Load opens the disk and tells what it holds, and an error where that is not
--- a/internal/storage/checksum.go
+++ b/internal/storage/checksum.go
@@ -1,10 +1,9 @@
 package storage
 
-// Each record on a core's disk is sealed: a mark that no record of an older
-// version begins with, the version of the form, and a crc32c of the key and the
-// value. A disk of an older version is sealed as a whole, in one sync, when it is
-// opened first; from then on a record without its seal is as spoiled as one
-// whose checksum is wrong.
+// Each record begins with a header: a marker byte that no record of an older version begins
+// with, the version of the format, and a crc32c of key and value. A store of an older version
+// gets headers for all its records in one sync when it is first opened; from then on a record
+// without a header is as corrupt as one whose checksum is wrong.
 
 import (
 	"encoding/binary"
@@ -17,44 +16,44 @@
 	"tinpin/internal/raft"
 )
 
-// Spoiled marks records that are not what was written.
-var Spoiled = errs.Class("spoiled record")
+// ErrCorrupt is the class of errors of records that are not what was written.
+var ErrCorrupt = errs.Class("corrupt record")
 
 const (
-	sealMark    = 0
-	sealVersion = 1
-	sealSize    = 6
+	recordMarker       = 0
+	recordVersion      = 1
+	checksumHeaderSize = 6
 )
 
-var keyForm = []byte("f")
+var keyFormat = []byte("f")
 
-func sealSum(key, value []byte) uint32 {
-	return binaryformat.ExtendChecksum(binaryformat.Checksum(append(append([]byte(nil), key...), sealVersion)), value)
+func recordChecksum(key, value []byte) uint32 {
+	return binaryformat.ExtendChecksum(binaryformat.Checksum(append(append([]byte(nil), key...), recordVersion)), value)
 }
 
-func seal(key, value []byte) (data []byte) {
-	data = make([]byte, 0, sealSize+len(value))
-	data = append(data, sealMark, sealVersion)
-	data = binary.BigEndian.AppendUint32(data, sealSum(key, value))
+func addChecksum(key, value []byte) (data []byte) {
+	data = make([]byte, 0, checksumHeaderSize+len(value))
+	data = append(data, recordMarker, recordVersion)
+	data = binary.BigEndian.AppendUint32(data, recordChecksum(key, value))
 	return append(data, value...)
 }
 
-func unseal(key, data []byte) (value []byte, err error) {
-	if len(data) < sealSize || data[0] != sealMark || data[1] != sealVersion {
-		return nil, Spoiled.New("%q has no seal", key)
+func verifyChecksum(key, data []byte) (value []byte, err error) {
+	if len(data) < checksumHeaderSize || data[0] != recordMarker || data[1] != recordVersion {
+		return nil, ErrCorrupt.New("%q has no checksum", key)
 	}
-	value = data[sealSize:]
-	if binary.BigEndian.Uint32(data[2:]) != sealSum(key, value) {
-		return nil, Spoiled.New("%q has a wrong checksum", key)
+	value = data[checksumHeaderSize:]
+	if binary.BigEndian.Uint32(data[2:]) != recordChecksum(key, value) {
+		return nil, ErrCorrupt.New("%q has a wrong checksum", key)
 	}
 	return value, nil
 }
 
-// sealAll seals the records of an older version.
-func (s *Store) sealAll() (err error) {
-	value, closer, err := s.db.Get(keyForm)
+// addMissingChecksums adds the header to all records of a store of an older version.
+func (s *Store) addMissingChecksums() (err error) {
+	value, closer, err := s.db.Get(keyFormat)
 	if err == nil {
-		_, err = unseal(keyForm, value)
+		_, err = verifyChecksum(keyFormat, value)
 		return errors.Join(err, closer.Close())
 	}
 	if !errors.Is(err, pebble.ErrNotFound) {
@@ -66,11 +65,11 @@
 	}
 	batch := s.db.NewBatch()
 	for valid := iter.First(); valid; valid = iter.Next() {
-		_ = batch.Set(iter.Key(), seal(iter.Key(), iter.Value()), nil)
+		_ = batch.Set(iter.Key(), addChecksum(iter.Key(), iter.Value()), nil)
 	}
 	if err = iter.Close(); err != nil {
 		return raft.Class.Wrap(err)
 	}
-	_ = batch.Set(keyForm, seal(keyForm, nil), nil)
+	_ = batch.Set(keyFormat, addChecksum(keyFormat, nil), nil)
 	return raft.Class.Wrap(batch.Commit(pebble.Sync))
 }
--- a/internal/storage/checksum_test.go
+++ b/internal/storage/checksum_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = store.Close() })
-	if err = store.Found("a", raft.Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}); err != nil {
+	if err = store.Initialize("a", raft.Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}); err != nil {
 		t.Fatal(err)
 	}
 	if err = store.Write([]raft.Write{{HardState: &raft.HardState{Term: 3, Vote: "b"}, Entries: run(2, 3, 3)}}); err != nil {
@@ -43,7 +43,7 @@
 		whole := store.raw(t, key)
 		try := func(what string, at int, data []byte) {
 			_ = store.db.Set(key, data, pebble.NoSync)
-			if _, _, _, _, err := store.Load(); !Spoiled.Has(err) {
+			if _, _, _, _, err := store.Load(); !ErrCorrupt.Has(err) {
 				t.Errorf("%q, %s at %d: %v", key, what, at, err)
 			}
 		}
@@ -53,14 +53,14 @@
 			try("changed", at, changed)
 			try("cut", at, whole[:at])
 		}
-		try("another's", 0, store.raw(t, keyForm))
+		try("another's", 0, store.raw(t, keyFormat))
 		_ = store.db.Set(key, whole, pebble.NoSync)
 	}
 	if _, _, _, log, err := store.Load(); err != nil || len(log) != 2 {
 		t.Fatal(log, err)
 	}
 	_ = store.db.Delete(keyID, pebble.NoSync)
-	if _, _, _, _, err := store.Load(); !Spoiled.Has(err) {
+	if _, _, _, _, err := store.Load(); !ErrCorrupt.Has(err) {
 		t.Fatalf("a log without an id gave %v", err)
 	}
 }
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	base := raft.Snapshot{Index: 1, Term: 1, Members: trio, Data: []byte("state")}
-	_ = store.db.Delete(keyForm, nil)
+	_ = store.db.Delete(keyFormat, nil)
 	for key, value := range map[string][]byte{
 		string(keyID): encode(raft.ID("a")), string(keyHard): encode(raft.HardState{Term: 3, Vote: "b"}), string(keySnapshot): encode(base),
 		string(keyEntry(2)): writeEntry(entry(2, 3)), string(keyEntry(3)): writeEntry(raft.Entry{Index: 3, Term: 3, Members: trio}),
@@ -102,10 +102,10 @@
 	}
 	defer func() { _ = store.Close() }()
 	_ = store.db.Set(keyHard, encode(raft.HardState{Term: 9}), nil)
-	if _, _, _, _, err = store.Load(); !Spoiled.Has(err) {
+	if _, _, _, _, err = store.Load(); !ErrCorrupt.Has(err) {
 		t.Fatalf("a record without its seal on a sealed disk: %v", err)
 	}
-	_ = store.db.Set(keyForm, []byte{0, 2, 0, 0, 0, 0}, nil)
+	_ = store.db.Set(keyFormat, []byte{0, 2, 0, 0, 0, 0}, nil)
 	_ = store.Close()
 	if _, err = OpenStore("data", disk); err == nil {
 		t.Fatal("a disk of another form was opened")
--- a/internal/storage/diskfull_test.go
+++ b/internal/storage/diskfull_test.go
@@ -48,13 +48,13 @@
 	var full atomic.Bool
 	var said []bool
 	looked := make(chan struct{})
-	room := Room{Folder: "data", Full: func(waits bool) { said = append(said, waits) }, Pause: func() { looked <- struct{}{} }}
+	room := SpaceWaiter{Folder: "data", Full: func(waits bool) { said = append(said, waits) }, Pause: func() { looked <- struct{}{} }}
 	disk := vfs.NewMem()
-	store, err := OpenStore("data", room.On(fullFS{disk, &full}))
+	store, err := OpenStore("data", room.Wrap(fullFS{disk, &full}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = store.Found("a", raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: "a", Voter: true}}}); err != nil {
+	if err = store.Initialize("a", raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: "a", Voter: true}}}); err != nil {
 		t.Fatal(err)
 	}
 	full.Store(true)
--- a/internal/storage/fixtures_test.go
+++ b/internal/storage/fixtures_test.go
@@ -87,17 +87,17 @@
 
 // The checksum of a record is computed as it was.
 func TestRecordChecksumsHold(t *testing.T) {
-	if got := sealSum(keyEntry(7), []byte("value")); got != 4062685565 {
+	if got := recordChecksum(keyEntry(7), []byte("value")); got != 4062685565 {
 		t.Errorf("the checksum of a record is %d", got)
 	}
-	if got := hex.EncodeToString(seal(keyHard, []byte("value"))); got != "0001f95d0db676616c7565" {
+	if got := hex.EncodeToString(addChecksum(keyHard, []byte("value"))); got != "0001f95d0db676616c7565" {
 		t.Errorf("a sealed record is %s", got)
 	}
 }
 
 // Keys that are stored are the ones that were.
 func TestStoredKeysHold(t *testing.T) {
-	keys := [][]byte{keyID, keyHard, keySnapshot, keyLogEnd, keyForm, keyEntry(258)}
+	keys := [][]byte{keyID, keyHard, keySnapshot, keyLogEnd, keyFormat, keyEntry(258)}
 	if diff := cmp.Diff([][]byte{[]byte("i"), []byte("h"), []byte("s"), []byte("m"), []byte("f"), []byte("l\x00\x00\x00\x00\x00\x00\x01\x02")}, keys); diff != "" {
 		t.Errorf("keys of records (-want +got):\n%s", diff)
 	}
@@ -186,7 +186,7 @@
 	log := storedLog()
 	buildStore(t, "store",
 		func(store *Store) error {
-			if err := store.Found(storedID, founding); err != nil {
+			if err := store.Initialize(storedID, founding); err != nil {
 				return err
 			}
 			var entries []raft.Entry
@@ -269,7 +269,7 @@
 	log := storedLog()[:3]
 	if wiretest.Missing(filepath.Join("testdata", name, "CURRENT")) {
 		folder := filepath.Join(t.TempDir(), "data")
-		db, err := pebble.Open(folder, &pebble.Options{Logger: silent{}})
+		db, err := pebble.Open(folder, &pebble.Options{Logger: silentLogger{}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -309,8 +309,8 @@
 	if diff := cmp.Diff(want, wiretest.DecodeGob(t, storedstate.SnapshotOf(t, state), storedstate.Form{})); diff != "" {
 		t.Errorf("state of an older version (-want +got):\n%s", diff)
 	}
-	for _, key := range [][]byte{keyID, keyHard, keySnapshot, keyForm, keyEntry(30)} {
-		if _, err = unseal(key, store.raw(t, key)); err != nil {
+	for _, key := range [][]byte{keyID, keyHard, keySnapshot, keyFormat, keyEntry(30)} {
+		if _, err = verifyChecksum(key, store.raw(t, key)); err != nil {
 			t.Error(err)
 		}
 	}
@@ -321,7 +321,7 @@
 	base := raft.Snapshot{Index: 1, Term: 1, Members: storedMembers, Data: []byte("state\x00\xff")}
 	buildStore(t, "store_cut_tail",
 		func(store *Store) error {
-			if err := store.Found(storedID, base); err != nil {
+			if err := store.Initialize(storedID, base); err != nil {
 				return err
 			}
 			return store.Write([]raft.Write{{HardState: &raft.HardState{Term: 2}, Entries: run(2, 7, 2)}})
@@ -334,7 +334,7 @@
 	store, _ := openFixture(t, "store_cut_tail")
 	defer func() { _ = store.Close() }()
 	for index := raft.Index(5); index <= 7; index++ {
-		if left, err := unseal(keyEntry(index), store.raw(t, keyEntry(index))); err != nil || !bytes.Equal(left, writeEntry(entry(index, 2))) {
+		if left, err := verifyChecksum(keyEntry(index), store.raw(t, keyEntry(index))); err != nil || !bytes.Equal(left, writeEntry(entry(index, 2))) {
 			t.Errorf("what was left at %d: %x, %v", index, left, err)
 		}
 	}
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		read, err := readEntry(5, data)
 		if err != nil {
-			if !Spoiled.Has(err) {
+			if !ErrCorrupt.Has(err) {
 				t.Fatal(err)
 			}
 			return
@@ -32,19 +32,19 @@
 func FuzzSnapshotRecord(f *testing.F) {
 	state, _ := statemachine.NewState().Snapshot()
 	f.Add(encode(raft.Snapshot{Index: 3, Term: 2, Members: trio, Data: state}), state)
-	f.Add(seal(keySnapshot, nil), []byte{0x7f})
+	f.Add(addChecksum(keySnapshot, nil), []byte{0x7f})
 	f.Fuzz(func(t *testing.T, record, state []byte) {
 		store, err := OpenStore("data", vfs.NewMem())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = store.Close() }()
-		_ = store.db.Set(keyID, seal(keyID, encode(raft.ID("a"))), nil)
-		_ = store.db.Set(keySnapshot, seal(keySnapshot, record), nil)
-		if _, _, _, _, err = store.Load(); err != nil && !Spoiled.Has(err) {
+		_ = store.db.Set(keyID, addChecksum(keyID, encode(raft.ID("a"))), nil)
+		_ = store.db.Set(keySnapshot, addChecksum(keySnapshot, record), nil)
+		if _, _, _, _, err = store.Load(); err != nil && !ErrCorrupt.Has(err) {
 			t.Fatal(err)
 		}
-		if _, err = unseal(keySnapshot, record); err == nil && len(record) < sealSize {
+		if _, err = verifyChecksum(keySnapshot, record); err == nil && len(record) < checksumHeaderSize {
 			t.Fatal("a record without room for a seal has one")
 		}
 		if thawed, thawErr := statemachine.Restore(state, 0); thawErr == nil && thawed == nil {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -27,11 +27,11 @@
 	return binary.BigEndian.AppendUint64([]byte("l"), uint64(index))
 }
 
-type silent struct{}
+type silentLogger struct{}
 
-func (silent) Infof(string, ...interface{})              {}
-func (silent) Errorf(string, ...interface{})             {}
-func (silent) Fatalf(format string, args ...interface{}) { panic("pebble: " + format) }
+func (silentLogger) Infof(string, ...interface{})              {}
+func (silentLogger) Errorf(string, ...interface{})             {}
+func (silentLogger) Fatalf(format string, args ...interface{}) { panic("pebble: " + format) }
 
 // OpenStore opens or makes the store in a folder.
 func OpenStore(folder string, fs vfs.FS) (store *Store, err error) {
@@ -39,7 +39,7 @@
 	defer cache.Unref()
 	options := &pebble.Options{
 		FS: fs, Cache: cache, MemTableSize: 4 << 20, MemTableStopWritesThreshold: 4,
-		MaxOpenFiles: 64, Logger: silent{}, DisableAutomaticCompactions: false,
+		MaxOpenFiles: 64, Logger: silentLogger{}, DisableAutomaticCompactions: false,
 		L0CompactionThreshold: 4, L0StopWritesThreshold: 64,
 	}
 	options.MaxConcurrentCompactions = func() int { return 1 }
@@ -48,7 +48,7 @@
 		return nil, raft.Class.Wrap(err)
 	}
 	store = &Store{db: db}
-	if err = store.sealAll(); err != nil {
+	if err = store.addMissingChecksums(); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
 	return store, nil
@@ -66,11 +66,11 @@
 		return false, raft.Class.Wrap(err)
 	}
 	defer func() { _ = closer.Close() }()
-	if value, err = unseal(key, value); err != nil {
+	if value, err = verifyChecksum(key, value); err != nil {
 		return false, err
 	}
 	if err = gob.NewDecoder(bytes.NewReader(value)).Decode(into); err != nil {
-		return false, Spoiled.New("%q cannot be read: %v", key, err)
+		return false, ErrCorrupt.New("%q cannot be read: %v", key, err)
 	}
 	return true, nil
 }
@@ -98,11 +98,11 @@
 	entry.Index, entry.Term = index, raft.Term(r.Uint())
 	members := r.Bytes()
 	if r.Malformed {
-		return entry, Spoiled.New("log entry %d cannot be read", index)
+		return entry, ErrCorrupt.New("log entry %d cannot be read", index)
 	}
 	if len(members) > 0 {
 		if err = gob.NewDecoder(bytes.NewReader(members)).Decode(&entry.Members); err != nil {
-			return entry, Spoiled.New("log entry %d cannot be read: %v", index, err)
+			return entry, ErrCorrupt.New("log entry %d cannot be read: %v", index, err)
 		}
 	}
 	entry.Data = append([]byte(nil), r.Rest...)
@@ -131,8 +131,8 @@
 		index := raft.Index(binary.BigEndian.Uint64(iter.Key()[1:]))
 		var value []byte
 		var entry raft.Entry
-		if value, err = unseal(iter.Key(), iter.Value()); err != nil {
-			err = Spoiled.New("log entry %d: %v", index, err)
+		if value, err = verifyChecksum(iter.Key(), iter.Value()); err != nil {
+			err = ErrCorrupt.New("log entry %d: %v", index, err)
 			return
 		}
 		if entry, err = readEntry(index, value); err != nil {
@@ -149,22 +149,22 @@
 		next, term = next+1, entry.Term
 	}
 	if id == "" && (hard != raft.HardState{} || base.Index > 0 || len(log) > 0) {
-		err = Spoiled.New("the disk holds a log and no id")
+		err = ErrCorrupt.New("the disk holds a log and no id")
 	}
 	return
 }
 
-func put(batch *pebble.Batch, key, value []byte) { _ = batch.Set(key, seal(key, value), nil) }
+func put(batch *pebble.Batch, key, value []byte) { _ = batch.Set(key, addChecksum(key, value), nil) }
 
-// Found writes the identity of a new disk, with the founders where it is one.
-func (s *Store) Found(id raft.ID, base raft.Snapshot) (err error) {
+// Initialize writes the id of a new disk and its first snapshot.
+func (s *Store) Initialize(id raft.ID, base raft.Snapshot) (err error) {
 	batch := s.db.NewBatch()
 	put(batch, keyID, encode(id))
 	put(batch, keySnapshot, encode(base))
 	return raft.Class.Wrap(batch.Commit(pebble.Sync))
 }
 
-// Write carries out orders with one sync.
+// Write carries out writes in their order with one sync.
 func (s *Store) Write(writes []raft.Write) (err error) {
 	batch := s.db.NewBatch()
 	for _, write := range writes {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	base := raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: "a", Voter: true}}}
-	if err = store.Found("a", base); err != nil {
+	if err = store.Initialize("a", base); err != nil {
 		t.Fatal(err)
 	}
 	if err = store.Write([]raft.Write{{HardState: &raft.HardState{Term: 3, Vote: "b"}}, {Entries: []raft.Entry{entry(2, 3), entry(3, 3)}}}); err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	_ = store.Found("a", raft.Snapshot{Index: 1, Term: 1})
+	_ = store.Initialize("a", raft.Snapshot{Index: 1, Term: 1})
 	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
 	// A newer leader's entry replaces the second; the third is left behind.
 	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(3, 5)}}})
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	_ = store.Found("a", raft.Snapshot{Index: 1, Term: 1})
+	_ = store.Initialize("a", raft.Snapshot{Index: 1, Term: 1})
 	_ = store.Write([]raft.Write{{Entries: []raft.Entry{entry(2, 2), entry(3, 2), entry(4, 2)}}})
 	_ = store.Write([]raft.Write{{Snapshot: &raft.Snapshot{Index: 3, Term: 2, Data: []byte("cut")}}})
 	if _, _, base, log, loadErr := store.Load(); loadErr != nil || base.Index != 3 || len(log) != 1 || log[0].Index != 4 {
@@ -116,7 +116,7 @@
 	}
 	snapshot := raft.Snapshot{Index: 1, Term: 1, Members: trio}
 	b := newReplica("b", raft.HardState{Term: 6}, snapshot, run(2, 8, 1)...)
-	_ = store.Found("b", snapshot)
+	_ = store.Initialize("b", snapshot)
 	_ = store.Write([]raft.Write{{Entries: run(2, 8, 1)}})
 	write := func() {
 		if err = store.Write(b.queued); err != nil {
