--- a/cmd/tinpin-faulttest/main.go
+++ b/cmd/tinpin-faulttest/main.go
@@ -39,7 +39,7 @@
 	options := faulttest.DefaultOptions
 	set := flag.NewFlagSet("tinpin-faulttest", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
-	set.IntVar(&options.Rounds, "rounds", options.Rounds, "")
+	set.IntVar(&options.Operations, "rounds", options.Operations, "")
 	set.DurationVar(&options.Time, "for", options.Time, "")
 	set.IntVar(&options.Clients, "clients", options.Clients, "")
 	set.Uint64Var(&options.Seed, "seed", options.Seed, "")
--- a/internal/faulttest/backend.go
+++ b/internal/faulttest/backend.go
@@ -150,102 +150,137 @@
 	if err != nil {
 		return false
 	}
-	a := response{id: id, head: request.Method == http.MethodHead, signature: "s." + id}
+	answer := response{id: id, head: request.Method == http.MethodHead, signature: "s." + id}
 	if target := request.Header.Get("Tinpin-Target-Instance"); target != b.id {
-		return s.write(a.notRun(421))
+		return s.write(answer.notRun(421))
 	}
 	fault, span := b.draw(s.previous != "", request.ContentLength > 0)
 	b.faults[fault].Add(1)
+	if s.failWithinRequest(fault, answer) {
+		return false
+	}
+	if _, err = io.Copy(io.Discard, request.Body); err != nil {
+		return false
+	}
+	if done, open := s.failBeforeRun(fault, answer); done {
+		return open
+	}
+	b.log.Load().RecordRun(ID(number))
+	text, before := answer.text(), s.previous
+	s.previous = text
+	if s.failAfterRun(fault, text) {
+		return false
+	}
+	switch fault {
+	case Late:
+		time.Sleep(routeTimeout + span)
+	case Slow:
+		time.Sleep(span)
+	}
+	return s.write(alteredText(fault, answer, text, before))
+}
+
+// failWithinRequest carries out the faults that end a connection before the body was read.
+func (s *backendConnection) failWithinRequest(fault Fault, answer response) (done bool) {
 	switch fault {
 	case ResetBefore, ResetWithin:
 		reset(s.conn)
-		return false
 	case RefusedWithin:
-		s.write(a.notRun(503))
+		s.write(answer.notRun(503))
+	default:
 		return false
 	}
-	if _, err = io.Copy(io.Discard, request.Body); err != nil {
-		return false
-	}
-	run := func() { b.log.Load().RecordRun(ID(number)) }
+	return true
+}
+
+// failBeforeRun carries out the faults of a request that was read and isn't run; keep tells
+// whether the connection stays open after one.
+func (s *backendConnection) failBeforeRun(fault Fault, answer response) (done, keep bool) {
 	switch fault {
 	case ResetAfter:
 		reset(s.conn)
-		return false
-	case SilentNotRun:
+	case TimeoutNotRun:
 		_, _ = s.in.Peek(1)
-		return false
 	case WithoutID421:
 		s.write(responseWithoutID(421, ""))
-		return false
 	case Rejected:
-		return s.write(a.notRun(503))
+		keep = s.write(answer.notRun(503))
 	case RejectedMisdirected:
-		return s.write(a.notRun(421))
+		keep = s.write(answer.notRun(421))
 	case RejectedTwice:
-		return s.write(a.notRun(503) + a.notRun(503))
+		keep = s.write(answer.notRun(503) + answer.notRun(503))
+	default:
+		return false, false
 	}
-	run()
-	text := a.text()
-	before := s.previous
-	s.previous = text
+	return true, keep
+}
+
+// failAfterRun carries out the faults that end a connection after the run, some of them after
+// all or part of the response in text.
+func (s *backendConnection) failAfterRun(fault Fault, text string) (done bool) {
 	switch fault {
 	case ResetAfterRun:
 		reset(s.conn)
-		return false
 	case ClosedAfterRun:
-		return false
-	case SilentRun:
+	case TimeoutRun:
 		_, _ = s.in.Peek(1)
-		return false
-	case Late:
-		time.Sleep(routeTimeout + span)
-	case Slow:
-		time.Sleep(span)
 	case Garbled:
 		s.write("\x00\x01 no answer at all \r\n\r\n")
-		return false
 	case CutShort:
 		s.write(text[:len(text)-20])
-		return false
 	case ResetBehind:
 		s.write(text)
 		reset(s.conn)
+	default:
 		return false
+	}
+	return true
+}
+
+// alteredText is what a fault makes of text, the response to a request that ran. before is the
+// response that went out last on the same connection.
+func alteredText(fault Fault, answer response, text, before string) (altered string) {
+	switch fault {
 	case Duplicated:
-		text += text
+		return text + text
 	case DuplicateBefore:
-		text = before + text
+		return before + text
 	case WithoutIDBehind:
-		text += responseWithoutID(421, "")
+		return text + responseWithoutID(421, "")
+	case NoStatus:
+		return strings.Replace(text, "200", "2OO", 1)
+	case TwoIDs:
+		return answer.withHeader("Tinpin-Request-Id: ffffffffffffffff").text()
+	case TwoLengths:
+		return answer.withHeader("Content-Length: 7").text()
+	case RunNotRun:
+		return answer.withHeader("Tinpin-Not-Executed: 1").text()
+	case BackendError:
+		return answer.withStatus(500).text()
+	case BackendBusy:
+		return answer.withStatus(503).text()
+	}
+	return strayResponse(fault, answer.id) + text
+}
+
+// strayResponse is what a fault sends ahead of the response to the request with an identifier:
+// a response to no request or to another one, or nothing.
+func strayResponse(fault Fault, id string) (text string) {
+	switch fault {
 	case WithoutID421Before:
-		text = responseWithoutID(421, "") + text
+		return responseWithoutID(421, "")
 	case WithoutIDNotRunBefore:
-		text = responseWithoutID(503, "Tinpin-Not-Executed: 1\r\n") + text
+		return responseWithoutID(503, "Tinpin-Not-Executed: 1\r\n")
 	case WithoutIDSuccessBefore:
-		text = responseWithoutID(200, "Tinpin-Response-Signature: s.0\r\n") + text
+		return responseWithoutID(200, "Tinpin-Response-Signature: s.0\r\n")
 	case UnknownIDBefore:
-		text = response{id: "ffffffffffffffff", signature: "s.ffffffffffffffff"}.text() + text
+		return response{id: "ffffffffffffffff", signature: "s.ffffffffffffffff"}.text()
 	case LongerIDBefore:
-		text = response{id: id + "0", signature: "s." + id + "0"}.text() + text
-	case TwoIDs:
-		a.headers = "Tinpin-Request-Id: ffffffffffffffff\r\n"
-		text = a.text()
-	case TwoLengths:
-		a.headers = "Content-Length: 7\r\n"
-		text = a.text()
-	case NoStatus:
-		text = strings.Replace(text, "200", "2OO", 1)
+		return response{id: id + "0", signature: "s." + id + "0"}.text()
 	case Interim:
-		text = "HTTP/1.1 100 Continue\r\n\r\n" + text
-	case RunNotRun:
-		a.headers = "Tinpin-Not-Executed: 1\r\n"
-		text = a.text()
-	case BackendError, BackendBusy:
-		a.status = map[Fault]int{BackendError: 500, BackendBusy: 503}[fault]
-		text = a.text()
+		return "HTTP/1.1 100 Continue\r\n\r\n"
 	}
-	return s.write(text)
+	return ""
 }
 
 func (s *backendConnection) write(text string) (written bool) {
@@ -260,12 +295,24 @@
 	head                   bool
 }
 
+func (a response) withHeader(line string) (changed response) {
+	a.headers = line + "\r\n"
+	return a
+}
+
+func (a response) withStatus(status int) (changed response) {
+	a.status = status
+	return a
+}
+
 func (a response) text() (text string) {
-	if a.status == 0 {
-		a.status = 200
+	status := a.status
+	if status == 0 {
+		status = 200
 	}
 	body := "answer to " + a.id
-	text = fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Response-Signature: %s\r\n%sContent-Length: %d\r\n\r\n", a.status, a.id, a.signature, a.headers, len(body))
+	text = fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Response-Signature: %s\r\n"+
+		"%sContent-Length: %d\r\n\r\n", status, a.id, a.signature, a.headers, len(body))
 	if a.head {
 		return text
 	}
@@ -274,7 +321,8 @@
 
 // notRun is the response that says that the request was not run.
 func (a response) notRun(status int) (text string) {
-	return fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", status, a.id)
+	return fmt.Sprintf("HTTP/1.1 %d X\r\nTinpin-Request-Id: %s\r\nTinpin-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
+		status, a.id)
 }
 
 func responseWithoutID(status int, lines string) (text string) {
--- a/internal/faulttest/client.go
+++ b/internal/faulttest/client.go
@@ -82,9 +82,10 @@
 }
 
 func (r request) text() (text string) {
-	text = fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: %s\r\nTinpin-Request-Id: %s\r\nTinpin-Request-Deadline: 2000\r\n", r.method, r.kind, host, r.id.Text())
+	text = fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: %s\r\nTinpin-Request-Id: %s\r\nTinpin-Request-Deadline: 2000\r\n",
+		r.method, r.kind, host, r.id.Text())
 	if r.kind == Keyed {
-		text += fmt.Sprintf("Tinpin-Operation-Key: k-%d\r\n", r.id.Round())
+		text += fmt.Sprintf("Tinpin-Operation-Key: k-%d\r\n", r.id.Operation())
 	}
 	if r.method == http.MethodPost {
 		text += fmt.Sprintf("Content-Length: %d\r\n", r.body)
@@ -108,7 +109,8 @@
 		requests.id = IDOf(number, attempt)
 		line := c.connections[c.rng.IntN(len(c.connections))]
 		outcome := c.exchange(line, c.rng.IntN(100) == 0, requests)
-		again := outcome == NotRun || kind == Keyed && (outcome != Served && outcome != ClientGone || c.rng.IntN(5) == 0)
+		again := outcome == NotRun ||
+			kind == Keyed && (outcome != Served && outcome != ClientGone || c.rng.IntN(5) == 0)
 		if !again {
 			return
 		}
@@ -208,7 +210,7 @@
 		signature := response.Header.Get("Tinpin-Response-Signature")
 		number, err := strconv.ParseUint(strings.TrimPrefix(signature, "s."), 16, 64)
 		executedBy = ID(number)
-		mine := err == nil && (executedBy == r.id || r.kind == Keyed && executedBy.Round() == r.id.Round())
+		mine := err == nil && (executedBy == r.id || r.kind == Keyed && executedBy.Operation() == r.id.Operation())
 		if !mine || r.method != http.MethodHead && body != "answer to "+executedBy.Text() {
 			return WrongResponse, 0
 		}
@@ -216,7 +218,8 @@
 			return Served, executedBy
 		}
 		return BackendFailure, executedBy
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout,
+		http.StatusMisdirectedRequest:
 		return NotRun, 0
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 		return Unknown, 0
--- a/internal/faulttest/fault.go
+++ b/internal/faulttest/fault.go
@@ -16,8 +16,8 @@
 	ResetAfter
 	ResetAfterRun
 	ClosedAfterRun
-	SilentNotRun
-	SilentRun
+	TimeoutNotRun
+	TimeoutRun
 	Late
 	Slow
 	Garbled
@@ -72,8 +72,8 @@
 	ResetAfter:             {"reset after the request, not run", 8, anyConnection},
 	ResetAfterRun:          {"reset after the request, run", 16, anyConnection},
 	ClosedAfterRun:         {"closed after the request, run", 8, anyConnection},
-	SilentNotRun:           {"silent, not run", 1, anyConnection},
-	SilentRun:              {"silent, run", 1, anyConnection},
+	TimeoutNotRun:          {"silent, not run", 1, anyConnection},
+	TimeoutRun:             {"silent, run", 1, anyConnection},
 	Late:                   {"late", 1, anyConnection},
 	Slow:                   {"slow", 10, anyConnection},
 	Garbled:                {"garbled", 8, anyConnection},
@@ -103,7 +103,8 @@
 // draw picks a fault for a request; at is a random number below a thousand.
 func draw(at int, reused, body bool) (fault Fault) {
 	for fault, spec := range faultSpecs {
-		fits := spec.where == anyConnection || spec.where == onReused && reused || spec.where == onFresh && !reused || spec.where == onBody && body
+		fits := spec.where == anyConnection || spec.where == onReused && reused ||
+			spec.where == onFresh && !reused || spec.where == onBody && body
 		if !fits {
 			continue
 		}
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -19,27 +19,27 @@
 
 // The largest options that are accepted.
 const (
-	MaxRounds  = 5_000_000
-	MaxTime    = time.Hour
-	MaxClients = 256
+	MaxOperations = 5_000_000
+	MaxTime       = time.Hour
+	MaxClients    = 256
 )
 
-// Options of one play. A round is one client operation with its attempts.
+// Options of one play. Operations counts client operations, each with its attempts: the rounds of the command line.
 type Options struct {
-	Rounds  int
-	Time    time.Duration
-	Clients int
-	Seed    uint64
+	Operations int
+	Time       time.Duration
+	Clients    int
+	Seed       uint64
 }
 
 // DefaultOptions are used where nothing else is asked for.
-var DefaultOptions = Options{Rounds: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
+var DefaultOptions = Options{Operations: 20_000, Time: 5 * time.Minute, Clients: min(24, 4*runtime.NumCPU()), Seed: 1}
 
 // Check names what is out of bounds.
 func (o Options) Check() (err error) {
 	switch {
-	case o.Rounds < 1 || o.Rounds > MaxRounds:
-		return Class.New("rounds: %d is not within 1 and %d", o.Rounds, MaxRounds)
+	case o.Operations < 1 || o.Operations > MaxOperations:
+		return Class.New("rounds: %d is not within 1 and %d", o.Operations, MaxOperations)
 	case o.Time <= 0 || o.Time > MaxTime:
 		return Class.New("for: %v is not above 0 and up to %v", o.Time, MaxTime)
 	case o.Clients < 1 || o.Clients > MaxClients:
--- a/internal/faulttest/requestlog.go
+++ b/internal/faulttest/requestlog.go
@@ -52,10 +52,10 @@
 const attemptBits = 4
 
 // IDOf is the id of an attempt of an operation.
-func IDOf(round, attempt int) (id ID) { return ID(round)<<attemptBits | ID(attempt) }
+func IDOf(number, attempt int) (id ID) { return ID(number)<<attemptBits | ID(attempt) }
 
-// Round is the number of the operation.
-func (id ID) Round() (round int) { return int(id >> attemptBits) }
+// Operation is the number of the operation.
+func (id ID) Operation() (number int) { return int(id >> attemptBits) }
 
 // Text is the id on the wire.
 func (id ID) Text() (text string) { return fmt.Sprintf("%016x", uint64(id)) }
@@ -96,22 +96,22 @@
 }
 
 // lock returns the locked shard of an operation; the caller unlocks it.
-func (l *RequestLog) lock(round int) (s *shard) {
-	s = &l.shards[round%len(l.shards)]
+func (l *RequestLog) lock(number int) (s *shard) {
+	s = &l.shards[number%len(l.shards)]
 	s.mu.Lock()
 	return s
 }
 
 // RecordSend records an attempt before it is sent.
 func (l *RequestLog) RecordSend(id ID, kind Kind) {
-	s := l.lock(id.Round())
+	s := l.lock(id.Operation())
 	defer s.mu.Unlock()
 	s.attempts[id] = &Attempt{kind: kind}
 }
 
 // RecordRun records that a backend runs a request, before it responds.
 func (l *RequestLog) RecordRun(id ID) {
-	s := l.lock(id.Round())
+	s := l.lock(id.Operation())
 	defer s.mu.Unlock()
 	attempt := s.attempts[id]
 	if attempt == nil {
@@ -121,17 +121,17 @@
 	}
 	attempt.runs++
 	if attempt.kind == Keyed {
-		if s.keys[id.Round()] == nil {
-			s.keys[id.Round()] = &operation{}
+		if s.keys[id.Operation()] == nil {
+			s.keys[id.Operation()] = &operation{}
 		}
-		s.keys[id.Round()].runs++
-		s.keys[id.Round()].executedBy = id
+		s.keys[id.Operation()].runs++
+		s.keys[id.Operation()].executedBy = id
 	}
 }
 
 // RecordOutcome records the outcome of an attempt, and which run it came from.
 func (l *RequestLog) RecordOutcome(id ID, outcome Outcome, executedBy ID) {
-	s := l.lock(id.Round())
+	s := l.lock(id.Operation())
 	defer s.mu.Unlock()
 	s.attempts[id].outcome, s.attempts[id].executedBy = outcome, executedBy
 }
@@ -171,7 +171,7 @@
 		s := &l.shards[i]
 		s.mu.Lock()
 		for id, attempt := range s.attempts {
-			lines[attempt.kind].add(id, *attempt, s.keys[id.Round()], maxSends)
+			lines[attempt.kind].add(*attempt, s.keys[id.Operation()], maxSends)
 		}
 		for _, operation := range s.keys {
 			lines[Keyed].Repeats += max(0, int(operation.runs)-1)
@@ -181,7 +181,7 @@
 	return lines
 }
 
-func (l *KindSummary) add(id ID, attempt Attempt, key *operation, maxSends int) {
+func (l *KindSummary) add(attempt Attempt, key *operation, maxSends int) {
 	l.Attempts++
 	l.Runs += int(attempt.runs)
 	switch attempt.kind {
--- a/internal/faulttest/system.go
+++ b/internal/faulttest/system.go
@@ -35,14 +35,19 @@
 func configurationCall() (text string) {
 	routes := ""
 	for kind := range kindCount {
-		routes += fmt.Sprintf(`["r-%d","%s","/%s/","%s","%v","%v",%d,"%s",1],`, kind, host, kind, kind, routeTimeouts[kind], routeTimeouts[kind]/3, maxSends, services[kind%2])
+		routes += fmt.Sprintf(`["r-%d","%s","/%s/","%s","%v","%v",%d,"%s",1],`, kind, host, kind, kind,
+			routeTimeouts[kind], routeTimeouts[kind]/3, maxSends, services[kind%2])
 	}
-	return `{"upserts":{"services":{"column_names":["name","health_check_path","max_connections","version"],"row_values":[["` + services[0] + `","/health",200,1],["` + services[1] + `","/health",200,1]]},
-"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency","max_attempts","service_name","version"],"row_values":[` + routes[:len(routes)-1] + `]}}}`
+	return `{"upserts":{"services":{"column_names":["name","health_check_path","max_connections","version"],` +
+		`"row_values":[["` + services[0] + `","/health",200,1],["` + services[1] + `","/health",200,1]]},` + "\n" +
+		`"routes":{"column_names":["name","hostname","path_prefix","route_type","timeout","target_latency",` +
+		`"max_attempts","service_name","version"],"row_values":[` + routes[:len(routes)-1] + `]}}}`
 }
 
 // routeTimeouts of the routes: one with a claim waits for the controllers' disks as well.
-var routeTimeouts = [kindCount]time.Duration{Idempotent: routeTimeout, NonIdempotent: routeTimeout, Keyed: 4 * routeTimeout}
+var routeTimeouts = [kindCount]time.Duration{
+	Idempotent: routeTimeout, NonIdempotent: routeTimeout, Keyed: 4 * routeTimeout,
+}
 
 var services = [...]string{"shelf", "till"}
 
@@ -64,7 +69,9 @@
 			return system, openErr
 		}
 		system.backends = append(system.backends, b)
-		listed = append(listed, &localcluster.Backend{ID: b.id, Service: services[n%2], Address: b.listener.Addr().String(), Zone: localcluster.Zone, Server: b})
+		listed = append(listed, &localcluster.Backend{
+			ID: b.id, Service: services[n%2], Address: b.listener.Addr().String(), Zone: localcluster.Zone, Server: b,
+		})
 	}
 	if system.Cluster, err = localcluster.StartWith(system.folder, hosts, listed); err != nil {
 		return system, err
@@ -96,7 +103,7 @@
 type Report struct {
 	Seed       uint64           `json:"seed"`
 	Clients    int              `json:"clients"`
-	Rounds     int              `json:"rounds"`
+	Operations int              `json:"rounds"`
 	Asked      int              `json:"rounds_asked"`
 	Seconds    float64          `json:"seconds"`
 	Kinds      []KindSummary    `json:"lines"`
@@ -133,7 +140,7 @@
 			defer c.close()
 			for ctx.Err() == nil {
 				number := int(next.Add(1))
-				if number > options.Rounds {
+				if number > options.Operations {
 					return
 				}
 				// Keys are new in each play.
@@ -143,7 +150,10 @@
 		}()
 	}
 	clients.Wait()
-	report = Report{Seed: options.Seed, Clients: options.Clients, Rounds: int(played.Load()), Asked: options.Rounds, Seconds: time.Since(started).Seconds(), Unsettled: !s.settle(), Faults: map[string]int64{}}
+	report = Report{
+		Seed: options.Seed, Clients: options.Clients, Operations: int(played.Load()), Asked: options.Operations,
+		Seconds: time.Since(started).Seconds(), Unsettled: !s.settle(), Faults: map[string]int64{},
+	}
 	for _, line := range log.Summarize(maxSends) {
 		report.Kinds = append(report.Kinds, line)
 		report.Mismatches += line.Mismatches()
@@ -185,23 +195,31 @@
 }
 
 // Good tells that everything agrees.
-func (r Report) Good() bool { return r.Mismatches == 0 && !r.Unsettled && r.Rounds > 0 }
+func (r Report) Good() bool { return r.Mismatches == 0 && !r.Unsettled && r.Operations > 0 }
 
 // Table writes the report for reading.
 func (r Report) Table(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(table, "kind\tattempts\truns\tserved\tnot run\tunknown\tbackend failure\tin progress\tgone\trepeats\trun after not run\twrong response\twithout a run\tlost\tunexpected\t")
+	_, _ = fmt.Fprintln(table, "kind\tattempts\truns\tserved\tnot run\tunknown\tbackend failure\tin progress\tgone\t"+
+		"repeats\trun after not run\twrong response\twithout a run\tlost\tunexpected\t")
 	for _, l := range r.Kinds {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Kind, l.Attempts, l.Runs, l.Served, l.NotRun, l.Unknown, l.BackendFailure, l.InProgress, l.ClientGone, l.Repeats, l.RanAfterNotRun, l.WrongResponse, l.WithoutRun, l.Lost, l.Unexpected)
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Kind,
+			l.Attempts, l.Runs, l.Served, l.NotRun, l.Unknown, l.BackendFailure, l.InProgress, l.ClientGone,
+			l.Repeats, l.RanAfterNotRun, l.WrongResponse, l.WithoutRun, l.Lost, l.Unexpected)
 	}
 	_ = table.Flush()
 	_, _ = fmt.Fprintln(out)
 	faultTable := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for fault, spec := range faultSpecs {
-		_, _ = fmt.Fprintf(faultTable, "%s\t%d\n", map[bool]string{true: "answered as it should be", false: spec.name}[Fault(fault) == None], r.Faults[spec.name])
+		label := spec.name
+		if Fault(fault) == None {
+			label = "answered as it should be"
+		}
+		_, _ = fmt.Fprintf(faultTable, "%s\t%d\n", label, r.Faults[spec.name])
 	}
 	_ = faultTable.Flush()
-	_, _ = fmt.Fprintf(out, "\nseed %d: %d of %d rounds by %d clients in %.1f s, %d mismatches\n", r.Seed, r.Rounds, r.Asked, r.Clients, r.Seconds, r.Mismatches)
+	_, _ = fmt.Fprintf(out, "\nseed %d: %d of %d rounds by %d clients in %.1f s, %d mismatches\n",
+		r.Seed, r.Operations, r.Asked, r.Clients, r.Seconds, r.Mismatches)
 	if r.Unsettled {
 		_, _ = fmt.Fprintln(out, "something was still in flight at the end: nothing is proven")
 	}
--- a/internal/proxy/disabled_checks_test.go
+++ b/internal/proxy/disabled_checks_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(system.Close)
-	options := faulttest.Options{Rounds: 300, Time: 30 * time.Second, Clients: 32}
+	options := faulttest.Options{Operations: 300, Time: 30 * time.Second, Clients: 32}
 	return func(disabled proxy.DisabledChecks) (report faulttest.Report) {
 		for _, edge := range system.Cluster.Proxies {
 			edge.DisableChecks(disabled)
@@ -36,7 +36,7 @@
 // A short fault test of nodes with all checks finds no violation.
 func TestFaultTestFindsNothing(t *testing.T) {
 	play := startFaultTest(t, 100)
-	if report := play(0); !report.Good() || report.Rounds != 300 {
+	if report := play(0); !report.Good() || report.Operations != 300 {
 		var table strings.Builder
 		report.Table(&table)
 		t.Fatal(table.String())
