--- a/internal/loadtest/extrapolate.go
+++ b/internal/loadtest/extrapolate.go
@@ -52,8 +52,14 @@
 // services, routes and tenants twice its share, since hosts overlap; its share of
 // the changes, and no keyed claims.
 var Targets = []Target{
-	{"one group", Size{Nodes: 14_000, Backends: 110_000, Services: 2_400, Routes: 110_000, Tenants: 350_000, Changes: 1, Members: 1, Claims: 1_035_000, Reports: 3}},
-	{"one cell of 11", Size{Nodes: 1_273, Backends: 20_000, Services: 436, Routes: 20_000, Tenants: 63_636, Changes: 1, Members: 1, Claims: 0, Reports: 1}},
+	{"one group", Size{
+		Nodes: 14_000, Backends: 110_000, Services: 2_400, Routes: 110_000, Tenants: 350_000,
+		Changes: 1, Members: 1, Claims: 1_035_000, Reports: 3,
+	}},
+	{"one cell of 11", Size{
+		Nodes: 1_273, Backends: 20_000, Services: 436, Routes: 20_000, Tenants: 63_636,
+		Changes: 1, Members: 1, Claims: 0, Reports: 1,
+	}},
 }
 
 // Extrapolation is one figure of a target.
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -10,17 +10,17 @@
 )
 
 // The processes of a measurement are this test's own program.
-func TestMain(m *testing.M) {
-	if len(os.Args) == 2 {
-		if known, err := RunWorker(os.Args[1], os.Stdin, os.Stdout); known {
-			if err != nil {
-				fmt.Fprintln(os.Stderr, err)
-				os.Exit(1)
-			}
-			os.Exit(0)
+func init() {
+	if len(os.Args) != 2 {
+		return
+	}
+	if known, err := RunWorker(os.Args[1], os.Stdin, os.Stdout); known {
+		if err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
 		}
+		os.Exit(0)
 	}
-	os.Exit(m.Run())
 }
 
 func TestSmallMeasurement(t *testing.T) {
@@ -28,7 +28,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	size := Size{Nodes: 8, Backends: 120, Services: 2, Routes: 6, Tenants: 3, Changes: 5, Members: 1, Claims: 60, Reports: 20}
+	size := Size{
+		Nodes: 8, Backends: 120, Services: 2, Routes: 6, Tenants: 3,
+		Changes: 5, Members: 1, Claims: 60, Reports: 20,
+	}
 	if err = size.Check(minSpan, 1<<30); err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if point.LeaderIn <= 0 || point.LeaderOut <= 0 || point.StartOut <= 0 || point.ChangeMS <= 0 || point.LeaderMB <= 0 || point.NodeMB <= 0 || point.EventRate < 30 {
+	if point.LeaderIn <= 0 || point.LeaderOut <= 0 || point.StartOut <= 0 || point.ChangeMS <= 0 ||
+		point.LeaderMB <= 0 || point.NodeMB <= 0 || point.EventRate < 30 {
 		t.Errorf("%+v", point)
 	}
 }
@@ -64,7 +68,8 @@
 	if math.Abs(fit.Base-3) > 1e-9 || math.Abs(fit.Slope-2) > 1e-9 || fit.Residual > 1e-9 {
 		t.Errorf("%+v", fit)
 	}
-	if fit = FitOf([]float64{1, 2, 3}, []float64{0, 3, 0}); math.Abs(fit.Slope) > 1e-9 || math.Abs(fit.Residual-2) > 1e-9 {
+	fit = FitOf([]float64{1, 2, 3}, []float64{0, 3, 0})
+	if math.Abs(fit.Slope) > 1e-9 || math.Abs(fit.Residual-2) > 1e-9 {
 		t.Errorf("%+v", fit)
 	}
 }
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -23,6 +23,11 @@
 	if err != nil {
 		return point, err
 	}
+	return s.measure(ctx, span)
+}
+
+// measure starts the load of a system that is set up and measures a span of it.
+func (s *system) measure(ctx context.Context, span time.Duration) (point Point, err error) {
 	// Let the work of the start-up settle.
 	time.Sleep(time.Second)
 	if _, err = s.broadcast(ctx, "go"); err != nil {
@@ -32,46 +37,30 @@
 	changed := make(chan int, 1)
 	go func() { changed <- s.keepChanging(ctx, stop) }()
 	time.Sleep(time.Second)
-	at, before, err := s.leader()
+	leader, before, err := s.leader()
 	if err != nil {
 		return point, err
 	}
-	startOut := float64(before.BytesOut) / float64(size.Nodes)
 	doneBefore, err := s.broadcast(ctx, "done")
 	if err != nil {
 		return point, err
 	}
-	started := time.Now()
-	controllers, nodes := usageOf(s.controllers), usageOf(s.nodes)
-	time.Sleep(span)
-	point = Point{Size: size, StartOut: startOut, Seconds: time.Since(started).Seconds()}
-	controllersAfter, nodesAfter := usageOf(s.controllers), usageOf(s.nodes)
-	for i := range controllers {
-		cpu := (controllersAfter[i].seconds - controllers[i].seconds) / point.Seconds
-		if i == at {
-			point.LeaderCPU, point.LeaderMB = cpu, controllersAfter[i].mb
-		} else {
-			point.FollowerCPU, point.FollowerMB = max(point.FollowerCPU, cpu), max(point.FollowerMB, controllersAfter[i].mb)
-		}
-	}
-	for i := range nodes {
-		point.NodeCPU += (nodesAfter[i].seconds - nodes[i].seconds) / point.Seconds / float64(size.Nodes)
-		point.NodeMB += nodesAfter[i].mb / float64(size.Nodes)
-	}
+	point = s.measureUsage(span, leader)
+	point.StartOut = float64(before.BytesOut) / float64(s.size.Nodes)
 	doneAfter, err := s.broadcast(ctx, "done")
 	if err != nil {
 		return point, err
 	}
 	close(stop)
 	point.EventRate = (doneAfter - doneBefore) / point.Seconds
-	if changes := <-changed; size.Changes > 0 {
+	if changes := <-changed; s.size.Changes > 0 {
 		point.EventRate += float64(changes) / (point.Seconds + 1)
 	}
-	atNow, after, err := s.leader()
+	leaderNow, after, err := s.leader()
 	if err != nil {
 		return point, err
 	}
-	if atNow != at {
+	if leaderNow != leader {
 		return point, Class.New("the leader changed while it was measured")
 	}
 	point.LeaderIn = float64(after.BytesIn-before.BytesIn) / point.Seconds
@@ -80,6 +69,30 @@
 	return point, err
 }
 
+// measureUsage lets a span pass and gives what the processes used in it; leader is the index of
+// the leading controller.
+func (s *system) measureUsage(span time.Duration, leader int) (point Point) {
+	started := time.Now()
+	controllers, nodes := usageOf(s.controllers), usageOf(s.nodes)
+	time.Sleep(span)
+	point = Point{Size: s.size, Seconds: time.Since(started).Seconds()}
+	controllersAfter, nodesAfter := usageOf(s.controllers), usageOf(s.nodes)
+	for i, after := range controllersAfter {
+		cpu := (after.seconds - controllers[i].seconds) / point.Seconds
+		if i == leader {
+			point.LeaderCPU, point.LeaderMB = cpu, after.mb
+		} else {
+			point.FollowerCPU, point.FollowerMB = max(point.FollowerCPU, cpu), max(point.FollowerMB, after.mb)
+		}
+	}
+	nodeCount := float64(s.size.Nodes)
+	for i, after := range nodesAfter {
+		point.NodeCPU += (after.seconds - nodes[i].seconds) / point.Seconds / nodeCount
+		point.NodeMB += after.mb / nodeCount
+	}
+	return point
+}
+
 type usage struct{ seconds, mb float64 }
 
 func usageOf(workers []*worker) (uses []usage) {
--- a/internal/loadtest/path.go
+++ b/internal/loadtest/path.go
@@ -27,7 +27,8 @@
 	slices.Sort(times)
 	at = map[string]float64{}
 	for _, percentile := range percentiles {
-		at[fmt.Sprintf("p%g", percentile)] = float64(times[min(len(times)-1, int(float64(len(times))*percentile/100))]) / float64(time.Millisecond)
+		rank := min(len(times)-1, int(float64(len(times))*percentile/100))
+		at[fmt.Sprintf("p%g", percentile)] = float64(times[rank]) / float64(time.Millisecond)
 	}
 	return at
 }
@@ -49,14 +50,18 @@
 		return point, Class.Wrap(err)
 	}
 	defer system.Close()
-	if _, _, err = system.Operator(ctx, http.MethodPost, "/-/Config.Update", localcluster.InitialConfiguration); err != nil {
+	_, _, err = system.Operator(ctx, http.MethodPost, "/-/Config.Update", localcluster.InitialConfiguration)
+	if err != nil {
 		return point, Class.Wrap(err)
 	}
 	if err = system.Ready(ctx); err != nil {
 		return point, Class.Wrap(err)
 	}
 	point.Requests = requests
-	for route, address := range map[string]string{"direct": system.Backends[0].Address, "through": system.ProxySettings[0].FrontendAddress} {
+	addresses := map[string]string{
+		"direct": system.Backends[0].Address, "through": system.ProxySettings[0].FrontendAddress,
+	}
+	for route, address := range addresses {
 		var times []time.Duration
 		for n := 0; n < requests+requests/10+1; n++ {
 			started := time.Now()
--- a/internal/loadtest/point.go
+++ b/internal/loadtest/point.go
@@ -62,11 +62,16 @@
 
 // Figures lists them.
 var Figures = []Figure{
-	{"leader_cpu", func(p Point) float64 { return p.LeaderCPU }}, {"leader_mb", func(p Point) float64 { return p.LeaderMB }},
-	{"follower_cpu", func(p Point) float64 { return p.FollowerCPU }}, {"follower_mb", func(p Point) float64 { return p.FollowerMB }},
-	{"node_cpu", func(p Point) float64 { return p.NodeCPU }}, {"node_mb", func(p Point) float64 { return p.NodeMB }},
-	{"leader_in", func(p Point) float64 { return p.LeaderIn }}, {"leader_out", func(p Point) float64 { return p.LeaderOut }},
-	{"start_out", func(p Point) float64 { return p.StartOut }}, {"change_ms", func(p Point) float64 { return p.ChangeMS }},
+	{"leader_cpu", func(p Point) float64 { return p.LeaderCPU }},
+	{"leader_mb", func(p Point) float64 { return p.LeaderMB }},
+	{"follower_cpu", func(p Point) float64 { return p.FollowerCPU }},
+	{"follower_mb", func(p Point) float64 { return p.FollowerMB }},
+	{"node_cpu", func(p Point) float64 { return p.NodeCPU }},
+	{"node_mb", func(p Point) float64 { return p.NodeMB }},
+	{"leader_in", func(p Point) float64 { return p.LeaderIn }},
+	{"leader_out", func(p Point) float64 { return p.LeaderOut }},
+	{"start_out", func(p Point) float64 { return p.StartOut }},
+	{"change_ms", func(p Point) float64 { return p.ChangeMS }},
 }
 
 // Fits fits each figure over one variable.
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -61,7 +61,8 @@
 // Memory estimates what a measurement needs, generously.
 func (s Size) Memory() (bytes int64) {
 	rows := int64(s.Backends + s.Services + s.Routes + s.Tenants)
-	return int64(s.Nodes)*(nodeBytes+rows*rowBytes) + 6*rows*rowBytes + int64(s.Claims)*75*800*3 + int64(s.processes()+4)*processBytes
+	return int64(s.Nodes)*(nodeBytes+rows*rowBytes) + 6*rows*rowBytes +
+		int64(s.Claims)*75*800*3 + int64(s.processes()+4)*processBytes
 }
 
 func (s Size) processes() (count int) { return (s.Nodes + nodesPerProcess - 1) / nodesPerProcess }
@@ -87,7 +88,8 @@
 		invalid = append(invalid, fmt.Sprintf("span must be from %s to %s, not %s", minSpan, maxSpan, span))
 	}
 	if len(invalid) == 0 && s.Memory() > available {
-		invalid = append(invalid, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used", s.Memory()>>20, available>>20))
+		invalid = append(invalid, fmt.Sprintf("memory would be about %d MB, above the %d MB that may be used",
+			s.Memory()>>20, available>>20))
 	}
 	if len(invalid) > 0 {
 		return Class.New("%s", strings.Join(invalid, "; "))
--- a/internal/loadtest/system.go
+++ b/internal/loadtest/system.go
@@ -119,24 +119,33 @@
 // common are the settings of every daemon.
 func (s *system) common(name, address string, seeds []string) (config settings.Settings) {
 	config = settings.Settings{
-		Name: name, Address: address, Zone: "z0", Region: "r0", ZoneRegions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}, FirstStart: true,
-		InternalPortLow: internalPortLow, InternalPortHigh: internalPortLow + 15, Seeds: seeds, MemoryMB: 4096, MaxFileDescriptors: 8192,
-		PlatformAddress: net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)), PlatformRate: 44, SubsetSize: 3, MaxIdleNonIdempotent: 250 * time.Millisecond, CPUShare: 1,
-		SendInterval: 4 * time.Second, HealthCheckInterval: time.Second, EndpointListInterval: 700 * time.Millisecond, ToleratedMachineLosses: 1,
+		Name: name, Address: address, Zone: "z0", Region: "r0",
+		ZoneRegions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}, FirstStart: true,
+		InternalPortLow: internalPortLow, InternalPortHigh: internalPortLow + 15,
+		Seeds: seeds, MemoryMB: 4096, MaxFileDescriptors: 8192,
+		PlatformAddress: net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)), PlatformRate: 44,
+		SubsetSize: 3, MaxIdleNonIdempotent: 250 * time.Millisecond, CPUShare: 1,
+		SendInterval: 4 * time.Second, HealthCheckInterval: time.Second,
+		EndpointListInterval: 700 * time.Millisecond, ToleratedMachineLosses: 1,
+	}
+	config.Bounds = settings.Bounds{
+		GracePeriod: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second,
+		RetryBudgetRatio: 0.2, RetryBudgetSlack: 600, MaxTTL: 5 * time.Second,
 	}
-	config.Bounds = settings.Bounds{GracePeriod: time.Second, KeyWindow: time.Minute, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 600, MaxTTL: 5 * time.Second}
 	return config
 }
 
 func setUp(ctx context.Context, program, folder string, size Size) (s *system, err error) {
 	pid := os.Getpid()
-	s = &system{size: size, version: 1, hosts: func(n int) string { return fmt.Sprintf("127.%d.%d.%d", 192+pid>>8&31, pid&255, n) }}
+	hosts := func(n int) string { return fmt.Sprintf("127.%d.%d.%d", 192+pid>>8&31, pid&255, n) }
+	s = &system{size: size, version: 1, hosts: hosts}
 	listener, err := net.Listen("tcp4", net.JoinHostPort(s.hosts(200), strconv.Itoa(listPort)))
 	if err != nil {
 		return s, Class.Wrap(err)
 	}
-	s.platform = &http.Server{Handler: http.HandlerFunc(s.serveEndpointList)}
-	go func() { _ = s.platform.Serve(listener) }()
+	platform := &http.Server{Handler: http.HandlerFunc(s.serveEndpointList)}
+	s.platform = platform
+	go func() { _ = platform.Serve(listener) }()
 	var seeds []string
 	for i := 1; i <= controllerCount; i++ {
 		seeds = append(seeds, net.JoinHostPort(s.hosts(i), strconv.Itoa(controlPort)))
@@ -158,7 +167,9 @@
 		first, last := i*size.Nodes/count, (i+1)*size.Nodes/count
 		task := nodesTask{
 			Settings: s.common("node", s.hosts(100), seeds), First: first, Count: last - first, Size: size,
-			Members: float64(size.Members) / float64(count), Claims: float64(size.Claims) / float64(count), Reports: float64(size.Reports) / float64(count),
+			Members: float64(size.Members) / float64(count),
+			Claims:  float64(size.Claims) / float64(count),
+			Reports: float64(size.Reports) / float64(count),
 		}
 		nodes, startErr := startWorker(program, "nodes", task)
 		if startErr != nil {
@@ -220,23 +231,44 @@
 	from, _ := strconv.Atoi(r.URL.Query().Get("page_token"))
 	rows := [][]any{}
 	for n := from; n < min(from+rowsPerPage, s.size.Backends); n++ {
-		rows = append(rows, []any{backendName(n), serviceName(n % s.size.Services), fmt.Sprintf("10.%d.%d.%d:8080", n>>16&255, n>>8&255, n&255), fmt.Sprint("z", n%3), "ready", 4, "0ms", "v1"})
+		address := fmt.Sprintf("10.%d.%d.%d:8080", n>>16&255, n>>8&255, n&255)
+		rows = append(rows, []any{
+			backendName(n), serviceName(n % s.size.Services), address, fmt.Sprint("z", n%3), "ready", 4, "0ms", "v1",
+		})
 	}
 	var next any
 	if from+rowsPerPage < s.size.Backends {
 		next = strconv.Itoa(from + rowsPerPage)
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"instances":       map[string]any{"column_names": []string{"instance_id", "service_name", "address", "zone", "state", "capacity_slots", "cold_remaining", "version"}, "row_values": rows},
+		"instances":       tableOf(instanceColumns, rows),
 		"next_page_token": next,
 	})
 }
 
 func routeRow(n, services, version int) []any {
-	return []any{fmt.Sprint("r", n), fmt.Sprintf("h%d.example", n/10), fmt.Sprintf("/p%d/", n%10), "keyed", "2s", "500ms", 2, serviceName(n % services), version}
+	return []any{
+		fmt.Sprint("r", n), fmt.Sprintf("h%d.example", n/10), fmt.Sprintf("/p%d/", n%10), "keyed",
+		"2s", "500ms", 2, serviceName(n % services), version,
+	}
 }
 
-var routeColumns = []string{"name", "hostname", "path_prefix", "route_type", "timeout", "target_latency", "max_attempts", "service_name", "version"}
+var (
+	instanceColumns = []string{
+		"instance_id", "service_name", "address", "zone", "state", "capacity_slots", "cold_remaining", "version",
+	}
+	serviceColumns = []string{"name", "health_check_path", "max_connections", "version"}
+	tenantColumns  = []string{"name", "hostnames", "rate", "burst", "version"}
+	routeColumns   = []string{
+		"name", "hostname", "path_prefix", "route_type",
+		"timeout", "target_latency", "max_attempts", "service_name", "version",
+	}
+)
+
+// tableOf is rows in the form that the platform and the operator send them.
+func tableOf(columns []string, rows [][]any) map[string]any {
+	return map[string]any{"column_names": columns, "row_values": rows}
+}
 
 func (s *system) initialConfiguration() (body []byte) {
 	services, routes, tenants := [][]any{}, [][]any{}, [][]any{}
@@ -250,11 +282,11 @@
 		tenants = append(tenants, []any{fmt.Sprint("t", n), []string{fmt.Sprintf("t%d.example", n)}, 100, 100, 1})
 	}
 	upserts := map[string]any{
-		"services": map[string]any{"column_names": []string{"name", "health_check_path", "max_connections", "version"}, "row_values": services},
-		"routes":   map[string]any{"column_names": routeColumns, "row_values": routes},
+		"services": tableOf(serviceColumns, services),
+		"routes":   tableOf(routeColumns, routes),
 	}
 	if len(tenants) > 0 {
-		upserts["tenants"] = map[string]any{"column_names": []string{"name", "hostnames", "rate", "burst", "version"}, "row_values": tenants}
+		upserts["tenants"] = tableOf(tenantColumns, tenants)
 	}
 	body, _ = json.Marshal(map[string]any{"upserts": upserts})
 	return body
@@ -263,7 +295,9 @@
 // change sends one route under a new version.
 func (s *system) change(ctx context.Context) (err error) {
 	s.version++
-	body, _ := json.Marshal(map[string]any{"upserts": map[string]any{"routes": map[string]any{"column_names": routeColumns, "row_values": [][]any{routeRow(s.version%s.size.Routes, s.size.Services, s.version)}}}})
+	route := routeRow(s.version%s.size.Routes, s.size.Services, s.version)
+	upserts := map[string]any{"routes": tableOf(routeColumns, [][]any{route})}
+	body, _ := json.Marshal(map[string]any{"upserts": upserts})
 	return s.operator(ctx, body)
 }
 
@@ -271,7 +305,8 @@
 func (s *system) operator(ctx context.Context, body []byte) (err error) {
 	for {
 		for _, config := range s.settings {
-			request, requestErr := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+config.ControlAddress+"/-/Config.Update", bytes.NewReader(body))
+			url := "http://" + config.ControlAddress + "/-/Config.Update"
+			request, requestErr := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 			if requestErr != nil {
 				return Class.Wrap(requestErr)
 			}
--- a/internal/loadtest/worker.go
+++ b/internal/loadtest/worker.go
@@ -59,92 +59,125 @@
 }
 
 func runNodes(lines *bufio.Scanner, out io.Writer) (err error) {
-	var t nodesTask
-	if err = readTask(lines, &t); err != nil {
+	var task nodesTask
+	if err = readTask(lines, &task); err != nil {
 		return err
 	}
-	nodes := make([]atomic.Pointer[proxy.StubNode], t.Count)
-	begin := func(i int) {
-		config := t.Settings
-		config.Name = fmt.Sprintf("node-%05d", t.First+i)
-		config.Zone = fmt.Sprint("z", (t.First+i)%3)
-		config.Region = config.ZoneRegions[config.Zone]
-		nodes[i].Store(proxy.StartStubNode(config, rpc.Incarnation(rand.Uint64())))
+	p := &nodesProcess{
+		nodesTask: task,
+		nodes:     make([]atomic.Pointer[proxy.StubNode], task.Count),
+		ended:     make(chan struct{}),
 	}
-	for i := range nodes {
-		begin(i)
+	defer close(p.ended)
+	for i := range p.nodes {
+		p.startNode(i)
 		if i%20 == 19 {
 			// They do not all come in the same instant.
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	var done atomic.Int64
-	ended := make(chan struct{})
-	defer close(ended)
-	every := func(rate float64, do func(n int)) {
-		if rate <= 0 {
+	for lines.Scan() {
+		p.execute(lines.Text(), out)
+	}
+	return nil
+}
+
+// nodesProcess is a process of stub nodes. Its commands are executed one after another; the
+// load that "go" starts runs beside them until runNodes closes ended.
+type nodesProcess struct {
+	nodesTask
+	nodes []atomic.Pointer[proxy.StubNode]
+	// done counts the operations of the load that succeeded.
+	done  atomic.Int64
+	ended chan struct{}
+}
+
+// startNode starts the stub node at an index; one that was there has been stopped.
+func (p *nodesProcess) startNode(i int) {
+	config := p.Settings
+	config.Name = fmt.Sprintf("node-%05d", p.First+i)
+	config.Zone = fmt.Sprint("z", (p.First+i)%3)
+	config.Region = config.ZoneRegions[config.Zone]
+	p.nodes[i].Store(proxy.StartStubNode(config, rpc.Incarnation(rand.Uint64())))
+}
+
+// execute carries out one command and prints its figure.
+func (p *nodesProcess) execute(line string, out io.Writer) {
+	command, value, _ := strings.Cut(line, " ")
+	switch command {
+	case "listed":
+		p.awaitNodes(func(node *proxy.StubNode) bool { return node.Known().EndpointsComplete })
+		_, _ = fmt.Fprintln(out, 0)
+	case "go":
+		go p.repeat(p.Members, p.restartNode)
+		go p.repeat(p.Claims, p.claimKey)
+		go p.repeat(p.Reports, p.reportHealth)
+		_, _ = fmt.Fprintln(out, 0)
+	case "done":
+		_, _ = fmt.Fprintln(out, p.done.Load())
+	case "rev":
+		rev, _ := strconv.ParseUint(value, 10, 64)
+		started := time.Now()
+		p.awaitNodes(func(node *proxy.StubNode) bool { return node.Known().LogIndex >= rev })
+		_, _ = fmt.Fprintln(out, float64(time.Since(started))/float64(time.Millisecond))
+	}
+}
+
+// awaitNodes returns once each node was seen to fulfil a condition.
+func (p *nodesProcess) awaitNodes(fulfilled func(node *proxy.StubNode) bool) {
+	for i := range p.nodes {
+		for !fulfilled(p.nodes[i].Load()) {
+			time.Sleep(pollPause)
+		}
+	}
+}
+
+// repeat calls do with rising numbers from 0, rate times a second, until the process ends.
+func (p *nodesProcess) repeat(rate float64, do func(n int)) {
+	if rate <= 0 {
+		return
+	}
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
+	started, n := time.Now(), 0
+	for {
+		select {
+		case <-p.ended:
 			return
+		case <-ticker.C:
 		}
-		ticker := time.NewTicker(10 * time.Millisecond)
-		defer ticker.Stop()
-		started, n := time.Now(), 0
-		for {
-			select {
-			case <-ended:
-				return
-			case <-ticker.C:
-			}
-			for owed := int(rate * time.Since(started).Seconds()); n < owed; n++ {
-				do(n)
-			}
+		for owed := int(rate * time.Since(started).Seconds()); n < owed; n++ {
+			do(n)
 		}
 	}
-	for lines.Scan() {
-		command, value, _ := strings.Cut(lines.Text(), " ")
-		switch command {
-		case "listed":
-			for i := range nodes {
-				for !nodes[i].Load().Known().EndpointsComplete {
-					time.Sleep(pollPause)
-				}
-			}
-			_, _ = fmt.Fprintln(out, 0)
-		case "go":
-			go every(t.Members, func(n int) {
-				i := rand.Intn(len(nodes))
-				nodes[i].Load().Stop()
-				begin(i)
-				done.Add(1)
-			})
-			go every(t.Claims, func(n int) {
-				node := nodes[n%len(nodes)].Load()
-				go func() {
-					if node.Claim(fmt.Sprint(t.First, "-", n, "-", rand.Uint64())) {
-						done.Add(1)
-					}
-				}()
-			})
-			go every(t.Reports, func(n int) {
-				node, backend := nodes[n%len(nodes)].Load(), n%t.Size.Backends
-				go func() {
-					if node.Report(rpc.ServiceName(serviceName(backend%t.Size.Services)), rpc.EndpointID(backendName(backend)), rpc.Healthy+rpc.Health(n/t.Size.Backends%2)) {
-						done.Add(1)
-					}
-				}()
-			})
-			_, _ = fmt.Fprintln(out, 0)
-		case "done":
-			_, _ = fmt.Fprintln(out, done.Load())
-		case "rev":
-			rev, _ := strconv.ParseUint(value, 10, 64)
-			started := time.Now()
-			for i := range nodes {
-				for nodes[i].Load().Known().LogIndex < rev {
-					time.Sleep(pollPause)
-				}
-			}
-			_, _ = fmt.Fprintln(out, float64(time.Since(started))/float64(time.Millisecond))
+}
+
+// restartNode starts a random node anew.
+func (p *nodesProcess) restartNode(int) {
+	i := rand.Intn(len(p.nodes))
+	p.nodes[i].Load().Stop()
+	p.startNode(i)
+	p.done.Add(1)
+}
+
+// claimKey lets one node claim a new key and does not wait for it.
+func (p *nodesProcess) claimKey(n int) {
+	node := p.nodes[n%len(p.nodes)].Load()
+	go func() {
+		if node.Claim(fmt.Sprint(p.First, "-", n, "-", rand.Uint64())) {
+			p.done.Add(1)
 		}
-	}
-	return nil
+	}()
+}
+
+// reportHealth lets one node report that a backend changed its health and does not wait for it.
+func (p *nodesProcess) reportHealth(n int) {
+	node, backend := p.nodes[n%len(p.nodes)].Load(), n%p.Size.Backends
+	go func() {
+		service := rpc.ServiceName(serviceName(backend % p.Size.Services))
+		health := rpc.Healthy + rpc.Health(n/p.Size.Backends%2)
+		if node.Report(service, rpc.EndpointID(backendName(backend)), health) {
+			p.done.Add(1)
+		}
+	}()
 }
