--- a/cmd/tinpin-load/main.go
+++ b/cmd/tinpin-load/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -41,76 +42,112 @@
 	Path   *loadtest.PathPoint     `json:"path,omitempty"`
 }
 
+// command is what the command line asks for.
+type command struct {
+	size   loadtest.Size
+	span   time.Duration
+	asJSON bool
+	vary   string
+	// path is the number of requests that measure the request path; 0 measures the control plane.
+	path int
+	// sweeps is the folder of kept points from which slopes and totals are computed.
+	sweeps string
+}
+
 func run(args []string, in io.Reader, out, bad io.Writer) (code int) {
-	wrong := func(err error) int {
-		_, _ = fmt.Fprintln(bad, "tinpin-load:", err)
-		return 2
-	}
 	if len(args) == 1 {
 		if known, err := loadtest.RunWorker(args[0], in, out); known {
-			if err != nil {
-				return wrong(err)
-			}
-			return 0
+			return exitCode(err, 2, bad)
 		}
 	}
-	size := loadtest.DefaultSize
+	call, err := parse(args)
+	switch {
+	case errors.Is(err, flag.ErrHelp):
+		_, _ = io.WriteString(out, usage)
+		return 0
+	case err != nil:
+		return exitCode(err, 2, bad)
+	case call.sweeps != "":
+		return exitCode(call.printSweeps(out), 2, bad)
+	case call.path != 0:
+		return exitCode(call.measurePath(out), 2, bad)
+	}
+	return call.measureSizes(out, bad)
+}
+
+// exitCode prints an error, if there is one, and gives the exit code: failed or 0.
+func exitCode(err error, failed int, bad io.Writer) (code int) {
+	if err == nil {
+		return 0
+	}
+	_, _ = fmt.Fprintln(bad, "tinpin-load:", err)
+	return failed
+}
+
+// parse reads the command line.
+func parse(args []string) (call command, err error) {
+	call.size = loadtest.DefaultSize
 	set := flag.NewFlagSet("tinpin-load", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
 	for _, name := range loadtest.Names {
-		set.IntVar(size.At(name), name, *size.At(name), "")
-	}
-	span := set.Duration("span", 5*time.Second, "")
-	asJSON := set.Bool("json", false, "")
-	vary := set.String("vary", "", "")
-	path := set.Int("path", 0, "")
-	sweepsFile := set.String("reckon", "", "")
-	if err := set.Parse(args); err != nil {
-		if err == flag.ErrHelp {
-			_, _ = io.WriteString(out, usage)
-			return 0
-		}
-		return wrong(fmt.Errorf("%w; see 'tinpin-load -help'", err))
+		set.IntVar(call.size.At(name), name, *call.size.At(name), "")
+	}
+	set.DurationVar(&call.span, "span", 5*time.Second, "")
+	set.BoolVar(&call.asJSON, "json", false, "")
+	set.StringVar(&call.vary, "vary", "", "")
+	set.IntVar(&call.path, "path", 0, "")
+	set.StringVar(&call.sweeps, "reckon", "", "")
+	if err = set.Parse(args); err != nil {
+		return call, fmt.Errorf("%w; see 'tinpin-load -help'", err)
 	}
 	if set.NArg() > 0 {
-		return wrong(fmt.Errorf("what is %q? see 'tinpin-load -help'", set.Arg(0)))
+		return call, fmt.Errorf("what is %q? see 'tinpin-load -help'", set.Arg(0))
 	}
-	if *sweepsFile != "" {
-		sweeps, err := loadtest.Sweeps(*sweepsFile)
-		if err != nil {
-			return wrong(err)
-		}
-		_, _ = io.WriteString(out, loadtest.Table(sweeps))
-		return 0
+	return call, nil
+}
+
+func (c command) printSweeps(out io.Writer) (err error) {
+	sweeps, err := loadtest.Sweeps(c.sweeps)
+	if err != nil {
+		return err
 	}
+	_, _ = io.WriteString(out, loadtest.Table(sweeps))
+	return nil
+}
+
+func (c command) measurePath(out io.Writer) (err error) {
 	measured := report{Commit: commit()}
-	if *path != 0 {
-		point, err := loadtest.MeasurePath(*path)
-		if err != nil {
-			return wrong(err)
-		}
-		measured.Path = &point
-		return writeReport(measured, *asJSON, out)
+	point, err := loadtest.MeasurePath(c.path)
+	if err != nil {
+		return err
 	}
-	sizes, name, err := varied(size, *vary)
+	measured.Path = &point
+	writeReport(measured, c.asJSON, out)
+	return nil
+}
+
+// measureSizes measures the size that was asked for, or each that varies it. The exit code is 2
+// where nothing was started and 1 where a measurement failed.
+func (c command) measureSizes(out, bad io.Writer) (code int) {
+	sizes, name, err := varied(c.size, c.vary)
 	if err != nil {
-		return wrong(err)
+		return exitCode(err, 2, bad)
 	}
 	// All sizes are looked over before anything is started.
 	for _, each := range sizes {
-		if err = each.Check(*span, room()); err != nil {
-			return wrong(err)
+		if err = each.Check(c.span, room()); err != nil {
+			return exitCode(err, 2, bad)
 		}
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return wrong(err)
+		return exitCode(err, 2, bad)
 	}
+	measured := report{Commit: commit()}
 	for _, each := range sizes {
-		point, measureErr := loadtest.Measure(program, each, *span)
+		point, measureErr := loadtest.Measure(program, each, c.span)
 		if measureErr != nil {
-			_, _ = fmt.Fprintln(bad, "tinpin-load:", measureErr)
-			return 1
+			return exitCode(measureErr, 1, bad)
 		}
 		point.Variable = name
 		measured.Points = append(measured.Points, point)
@@ -118,7 +155,8 @@
 	if name != "" && len(measured.Points) > 1 {
 		measured.Fits = loadtest.Fits(name, measured.Points)
 	}
-	return writeReport(measured, *asJSON, out)
+	writeReport(measured, c.asJSON, out)
+	return 0
 }
 
 // varied makes the sizes of a measurement.
@@ -174,12 +212,12 @@
 	return 2 << 30
 }
 
-func writeReport(measured report, asJSON bool, out io.Writer) (code int) {
+func writeReport(measured report, asJSON bool, out io.Writer) {
 	if asJSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", " ")
 		_ = encoder.Encode(measured)
-		return 0
+		return
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "commit "+measured.Commit)
@@ -210,5 +248,4 @@
 		}
 	}
 	_ = table.Flush()
-	return 0
 }
