--- a/cmd/tinpin-simulate/main.go
+++ b/cmd/tinpin-simulate/main.go
@@ -59,24 +59,7 @@
 	call.options = simulation.DefaultOptions()
 	set := flag.NewFlagSet("tinpin-simulate", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
-	set.IntVar(&call.seeds.Seeds, "seeds", 100, "how many seeds are run")
-	set.Int64Var(&call.seeds.From, "from", 1, "the first seed")
-	set.IntVar(&call.seeds.Parallel, "parallel", 2, "how many run in parallel")
-	set.DurationVar(&call.seeds.Limit, "limit", 10*time.Minute, "the real time after which no further seed is started")
-	set.DurationVar(&call.options.Length, "length", call.options.Length, "the simulated time during which faults occur")
-	set.IntVar(&call.options.Controllers, "controllers", call.options.Controllers, "how many controllers there are")
-	set.IntVar(&call.options.Losses, "losses", call.options.Losses, "how many lost controllers are tolerated")
-	set.IntVar(&call.options.Operators, "operators", call.options.Operators, "how many operators there are")
-	set.IntVar(&call.options.Edges, "edges", call.options.Edges, "how many edges there are")
-	set.DurationVar(&call.options.Gap, "gap", call.options.Gap, "the mean time between faults")
-	set.DurationVar(&call.options.CatchUp, "catch-up", call.options.CatchUp, "how long a controller counts as lost once it is back")
-	set.StringVar(&call.kinds, "faults", "all", "kinds of faults, or all, or none")
-	set.StringVar(&call.inject, "inject", "", "a bug to inject, or all of them")
-	set.StringVar(&call.replay, "replay", "", "a kept case to replay")
-	set.StringVar(&call.keep, "keep", "", "a folder for cases that failed; without it none is kept")
-	set.BoolVar(&call.json, "json", false, "print JSON")
-	set.BoolVar(&call.list, "list", false, "list kinds of faults and injectable bugs")
-	set.BoolVar(&call.quiet, "quiet", false, "print no progress and no steps")
+	call.define(set)
 	var renamed error
 	for earlier, now := range renamedFlags {
 		set.BoolFunc(earlier, "renamed: use -"+now, func(string) error {
@@ -98,29 +81,58 @@
 	if set.NArg() > 0 {
 		return call, simulation.Class.New("unexpected %q", set.Arg(0))
 	}
-	var problems []string
-	for _, check := range []func() error{
-		call.options.Check,
-		call.seeds.Check,
-		func() (kindErr error) {
-			call.options.Faults, kindErr = simulation.ParseFaultKinds(call.kinds)
-			return kindErr
-		},
-		func() error {
-			if call.inject != "" && call.inject != "all" && !simulation.InjectedBug(call.inject).Known() {
-				return simulation.Class.New("unknown bug to inject: %q", call.inject)
-			}
-			return nil
-		},
-	} {
+	err = call.check()
+	return call, err
+}
+
+// define adds the flags of a command, with their defaults, to a set.
+func (c *command) define(set *flag.FlagSet) {
+	set.IntVar(&c.seeds.Seeds, "seeds", 100, "how many seeds are run")
+	set.Int64Var(&c.seeds.From, "from", 1, "the first seed")
+	set.IntVar(&c.seeds.Parallel, "parallel", 2, "how many run in parallel")
+	set.DurationVar(&c.seeds.Limit, "limit", 10*time.Minute,
+		"the real time after which no further seed is started")
+	set.DurationVar(&c.options.Length, "length", c.options.Length, "the simulated time during which faults occur")
+	set.IntVar(&c.options.Controllers, "controllers", c.options.Controllers, "how many controllers there are")
+	set.IntVar(&c.options.Losses, "losses", c.options.Losses, "how many lost controllers are tolerated")
+	set.IntVar(&c.options.Operators, "operators", c.options.Operators, "how many operators there are")
+	set.IntVar(&c.options.Edges, "edges", c.options.Edges, "how many edges there are")
+	set.DurationVar(&c.options.Gap, "gap", c.options.Gap, "the mean time between faults")
+	set.DurationVar(&c.options.CatchUp, "catch-up", c.options.CatchUp,
+		"how long a controller counts as lost once it is back")
+	set.StringVar(&c.kinds, "faults", "all", "kinds of faults, or all, or none")
+	set.StringVar(&c.inject, "inject", "", "a bug to inject, or all of them")
+	set.StringVar(&c.replay, "replay", "", "a kept case to replay")
+	set.StringVar(&c.keep, "keep", "", "a folder for cases that failed; without it none is kept")
+	set.BoolVar(&c.json, "json", false, "print JSON")
+	set.BoolVar(&c.list, "list", false, "list kinds of faults and injectable bugs")
+	set.BoolVar(&c.quiet, "quiet", false, "print no progress and no steps")
+}
+
+// check reads the kinds of faults and names every value that cannot be used in one error.
+func (c *command) check() (err error) {
+	var unusable []string
+	for _, check := range []func() error{c.options.Check, c.seeds.Check, c.checkFaults, c.checkInject} {
 		if checkErr := check(); checkErr != nil {
-			problems = append(problems, strings.TrimPrefix(checkErr.Error(), "simulation: "))
+			unusable = append(unusable, strings.TrimPrefix(checkErr.Error(), "simulation: "))
 		}
 	}
-	if len(problems) > 0 {
-		return call, simulation.Class.New("%s", strings.Join(problems, "; "))
+	if len(unusable) > 0 {
+		return simulation.Class.New("%s", strings.Join(unusable, "; "))
+	}
+	return nil
+}
+
+func (c *command) checkFaults() (err error) {
+	c.options.Faults, err = simulation.ParseFaultKinds(c.kinds)
+	return err
+}
+
+func (c *command) checkInject() (err error) {
+	if c.inject != "" && c.inject != "all" && !simulation.InjectedBug(c.inject).Known() {
+		return simulation.Class.New("unknown bug to inject: %q", c.inject)
 	}
-	return call, nil
+	return nil
 }
 
 func run(args []string, out, bad io.Writer) (code int) {
--- a/cmd/tinpin-simulate/main_test.go
+++ b/cmd/tinpin-simulate/main_test.go
@@ -48,7 +48,8 @@
 		"-cores 5": "-controllers", "--cores=5 -losses 2": "-controllers", "-seeds 3 -cores": "-controllers",
 	} {
 		var out, bad bytes.Buffer
-		if code := run(strings.Fields(args), &out, &bad); code != 2 || out.Len() > 0 || !strings.Contains(bad.String(), "use "+now) {
+		code := run(strings.Fields(args), &out, &bad)
+		if code != 2 || out.Len() > 0 || !strings.Contains(bad.String(), "use "+now) {
 			t.Errorf("%s: code %d, %q", args, code, bad.String())
 		}
 	}
@@ -56,16 +57,20 @@
 
 func TestHuntPrintsTableAndJSON(t *testing.T) {
 	var out, bad bytes.Buffer
-	if code := run(strings.Fields("-seeds 2 -length 3s -parallel 1 -quiet"), &out, &bad); code != 0 || !strings.Contains(out.String(), "2 seeds, 0 broke") {
+	code := run(strings.Fields("-seeds 2 -length 3s -parallel 1 -quiet"), &out, &bad)
+	if code != 0 || !strings.Contains(out.String(), "2 seeds, 0 broke") {
 		t.Error(code, out.String(), bad.String())
 	}
 	out.Reset()
 	var report simulation.Report
-	if code := run(strings.Fields("-seeds 2 -length 3s -parallel 2 -quiet -json"), &out, &bad); code != 0 || json.Unmarshal(out.Bytes(), &report) != nil || report.Played != 2 || report.Steps == 0 {
+	code = run(strings.Fields("-seeds 2 -length 3s -parallel 2 -quiet -json"), &out, &bad)
+	if code != 0 || json.Unmarshal(out.Bytes(), &report) != nil ||
+		report.Played != 2 || report.Steps == 0 {
 		t.Error(code, out.String(), bad.String())
 	}
 	out.Reset()
-	if code := run(strings.Fields("-inject twoRuns -seeds 3 -length 4s -quiet"), &out, &bad); code != 0 || !strings.Contains(out.String(), "yes") {
+	code = run(strings.Fields("-inject twoRuns -seeds 3 -length 4s -quiet"), &out, &bad)
+	if code != 0 || !strings.Contains(out.String(), "yes") {
 		t.Error(code, out.String())
 	}
 }
@@ -79,7 +84,9 @@
 		t.Fatal(err)
 	}
 	var out, bad bytes.Buffer
-	if code := run([]string{"-replay", path}, &out, &bad); code != 1 || !strings.Contains(out.String(), result.Failure) || !strings.Contains(out.String(), "leads in term") {
+	code := run([]string{"-replay", path}, &out, &bad)
+	if code != 1 || !strings.Contains(out.String(), result.Failure) ||
+		!strings.Contains(out.String(), "leads in term") {
 		t.Error(code, out.String(), bad.String())
 	}
 }
