--- a/cmd/tinpin-local/main.go
+++ b/cmd/tinpin-local/main.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	defer system.Close()
-	fmt.Println("3 accord and 2 passage daemons started")
+	fmt.Println("3 controllers and 2 proxies started")
 	if _, _, err = system.Operator(ctx, "POST", "/-/Config.Update", localcluster.InitialConfiguration); err != nil {
 		return err
 	}
