--- a/internal/raft/policy.go
+++ b/internal/membership/policy.go
@@ -1,12 +1,10 @@
-package raft
+package membership
 
-// The policy of membership: what the leader sees of the members goes in, at most one change
-// comes out. A voter that is lost is removed before its successor is promoted, because it
-// counts for nothing and the smaller group needs no more members than before; a voter that
-// leaves but still answers is removed after its successor was promoted, so that at each
-// instant as many losses are borne as before. Its times follow the settings.
+import (
+	"time"
 
-import "time"
+	"tinpin/internal/raft"
+)
 
 // Change tells the changes of membership apart.
 type Change uint8
@@ -26,20 +24,20 @@
 // View is what the leader sees when it decides. Silence is the number of ticks
 // since a member was last heard, CaughtUp whether it has all that is committed.
 type View struct {
-	Self       ID
+	Self       raft.ID
 	Tick       int
-	Members    []Member
-	Joining    []Member
-	Leaving    func(ID) bool
-	SinceHeard func(ID) int
-	CaughtUp   func(ID) bool
+	Members    []raft.Member
+	Joining    []raft.Member
+	Leaving    func(raft.ID) bool
+	SinceHeard func(raft.ID) int
+	CaughtUp   func(raft.ID) bool
 }
 
 // Decision is the one change that is due, if any.
 type Decision struct {
 	Change Change
-	Member Member
-	Next   []Member
+	Member raft.Member
+	Next   []raft.Member
 }
 
 // Policy decides on the members while its core leads.
@@ -55,8 +53,8 @@
 	// MaxLearners bounds how many are taken in without a vote.
 	MaxLearners int
 
-	failures   map[ID]int
-	heardSince map[ID]int
+	failures   map[raft.ID]int
+	heardSince map[raft.ID]int
 }
 
 const (
@@ -74,10 +72,10 @@
 // election could look like a loss.
 func NewPolicy(losses, zones int, catchUp time.Duration) (membership *Policy) {
 	wanted := VotersForLosses(losses)
-	silence := max(int(catchUp/4/TickInterval), 3*ElectionTicks)
+	silence := max(int(catchUp/4/raft.TickInterval), 3*raft.ElectionTicks)
 	return &Policy{
 		Voters: wanted, SpreadZones: zones > 0, VoterTimeout: silence, LearnerTimeout: 16 * silence, MaxLearners: 4 * wanted,
-		failures: map[ID]int{}, heardSince: map[ID]int{},
+		failures: map[raft.ID]int{}, heardSince: map[raft.ID]int{},
 	}
 }
 
@@ -131,9 +129,9 @@
 	}
 	for _, newcomer := range roll.Joining {
 		if m.RejectReason(roll.Members, newcomer) == "" {
-			if _, known := FindMember(roll.Members, newcomer.ID); !known {
+			if _, known := raft.FindMember(roll.Members, newcomer.ID); !known {
 				newcomer.Voter = false
-				next := append(append([]Member(nil), roll.Members...), newcomer)
+				next := append(append([]raft.Member(nil), roll.Members...), newcomer)
 				return Decision{AddLearner, newcomer, next}
 			}
 		}
@@ -142,14 +140,14 @@
 }
 
 // RejectReason says why a core cannot be taken in; it is empty if it can.
-func (m *Policy) RejectReason(members []Member, newcomer Member) (why string) {
+func (m *Policy) RejectReason(members []raft.Member, newcomer raft.Member) (why string) {
 	if newcomer.ID == "" {
 		return "it has no id"
 	}
 	if newcomer.Inner == "" {
 		return "it has no inner address"
 	}
-	if known, member := FindMember(members, newcomer.ID); member {
+	if known, member := raft.FindMember(members, newcomer.ID); member {
 		if known.Inner != newcomer.Inner {
 			return "its id is a member at another address"
 		}
@@ -169,7 +167,7 @@
 
 // HasSuccessor tells whether a voter that leaves may wait for its place to be
 // taken: someone is there or near for it, beyond those that others need.
-func (m *Policy) HasSuccessor(roll View, id ID) (near bool) {
+func (m *Policy) HasSuccessor(roll View, id raft.ID) (near bool) {
 	voters, others, learners := 0, 0, 0
 	for i, member := range roll.Members {
 		switch {
@@ -183,7 +181,7 @@
 		}
 	}
 	for _, newcomer := range roll.Joining {
-		if _, known := FindMember(roll.Members, newcomer.ID); !known && m.RejectReason(roll.Members, newcomer) == "" {
+		if _, known := raft.FindMember(roll.Members, newcomer.ID); !known && m.RejectReason(roll.Members, newcomer) == "" {
 			learners++
 		}
 	}
@@ -203,7 +201,7 @@
 		}
 	}
 	for id := range m.heardSince {
-		if _, member := FindMember(roll.Members, id); !member {
+		if _, member := raft.FindMember(roll.Members, id); !member {
 			delete(m.heardSince, id)
 		}
 	}
@@ -218,7 +216,7 @@
 		if i == at || other.Inner != member.Inner || roll.SinceHeard(other.ID) >= silence {
 			continue
 		}
-		if i > at && silence > ElectionTicks || silence > m.VoterTimeout {
+		if i > at && silence > raft.ElectionTicks || silence > m.VoterTimeout {
 			return true
 		}
 	}
@@ -245,12 +243,12 @@
 }
 
 func (m *Policy) remove(roll View, at int) (decision Decision) {
-	next := append([]Member(nil), roll.Members[:at]...)
+	next := append([]raft.Member(nil), roll.Members[:at]...)
 	return Decision{Remove, roll.Members[at], append(next, roll.Members[at+1:]...)}
 }
 
 func (m *Policy) promote(roll View, at int) (decision Decision) {
-	next := append([]Member(nil), roll.Members...)
+	next := append([]raft.Member(nil), roll.Members...)
 	next[at].Voter = true
 	return Decision{Promote, next[at], next}
 }
@@ -263,13 +261,13 @@
 		return
 	}
 	if len(m.failures) >= maxFailureRecords {
-		m.failures = map[ID]int{}
+		m.failures = map[raft.ID]int{}
 	}
 	m.failures[id] = min(m.failures[id]+1, maxFailures)
 }
 
 // denserZone prefers the one whose zone has more voters.
-func (m *Policy) denserZone(members []Member, best, at int) (better int) {
+func (m *Policy) denserZone(members []raft.Member, best, at int) (better int) {
 	if best < 0 || zoneVoters(members, members[at].Site) > zoneVoters(members, members[best].Site) {
 		return at
 	}
@@ -277,14 +275,14 @@
 }
 
 // sparserZone prefers the one whose zone has fewer voters, where zones may be lost.
-func (m *Policy) sparserZone(members []Member, best, at int) (better int) {
+func (m *Policy) sparserZone(members []raft.Member, best, at int) (better int) {
 	if best < 0 || m.SpreadZones && zoneVoters(members, members[at].Site) < zoneVoters(members, members[best].Site) {
 		return at
 	}
 	return best
 }
 
-func zoneVoters(members []Member, zone string) (count int) {
+func zoneVoters(members []raft.Member, zone string) (count int) {
 	for _, member := range members {
 		if member.Voter && member.Site == zone {
 			count++
--- a/internal/raft/policy_model_test.go
+++ b/internal/membership/policy_model_test.go
@@ -1,10 +1,12 @@
-package raft
+package membership
 
 import (
 	"fmt"
 	"math/bits"
 	"testing"
 	"time"
+
+	"tinpin/internal/raft"
 )
 
 // set is some of the cores of the model, a bit each.
@@ -14,7 +16,7 @@
 	return bits.OnesCount16(uint16(s&voters)) > bits.OnesCount16(uint16(voters))/2
 }
 
-func voterSet(members []Member) (voters set) {
+func voterSet(members []raft.Member) (voters set) {
 	for _, member := range members {
 		if member.Voter {
 			voters |= 1 << (member.ID[0] - 'a')
@@ -43,7 +45,7 @@
 }
 
 // instants gives each moment of the changes that the policy makes in turn.
-func instants(losses int, members []Member, dead, leaving string) (moments []instant, living set) {
+func instants(losses int, members []raft.Member, dead, leaving string) (moments []instant, living set) {
 	membership := NewPolicy(losses, 0, 4*time.Second)
 	for i := range members {
 		living |= 1 << i
--- a/internal/raft/policy_test.go
+++ b/internal/membership/policy_test.go
@@ -1,16 +1,18 @@
-package raft
+package membership
 
 import (
 	"testing"
 	"time"
+
+	"tinpin/internal/raft"
 )
 
 // rollOf makes a roll of members that are all heard and have all, but for
 // those named as dead, leaving or behind.
-func rollOf(members []Member, dead, leaving, behind string) (roll View) {
-	within := func(ids string, id ID) bool {
+func rollOf(members []raft.Member, dead, leaving, behind string) (roll View) {
+	within := func(ids string, id raft.ID) bool {
 		for _, each := range ids {
-			if ID(string(each)) == id {
+			if raft.ID(string(each)) == id {
 				return true
 			}
 		}
@@ -18,9 +20,9 @@
 	}
 	return View{
 		Self: members[0].ID, Members: members,
-		Leaving:  func(id ID) bool { return within(leaving, id) },
-		CaughtUp: func(id ID) bool { return !within(dead, id) && !within(behind, id) },
-		SinceHeard: func(id ID) int {
+		Leaving:  func(id raft.ID) bool { return within(leaving, id) },
+		CaughtUp: func(id raft.ID) bool { return !within(dead, id) && !within(behind, id) },
+		SinceHeard: func(id raft.ID) int {
 			if within(dead, id) {
 				return 1 << 20
 			}
@@ -30,15 +32,15 @@
 }
 
 // group gives members a, b, c and so on: first voters, then learners.
-func group(voters, learners int) (members []Member) {
+func group(voters, learners int) (members []raft.Member) {
 	for i := 0; i < voters+learners; i++ {
 		id := string(rune('a' + i))
-		members = append(members, Member{ID: ID(id), Inner: id, Voter: i < voters})
+		members = append(members, raft.Member{ID: raft.ID(id), Inner: id, Voter: i < voters})
 	}
 	return members
 }
 
-func countVoters(members []Member) (voters int) {
+func countVoters(members []raft.Member) (voters int) {
 	for _, member := range members {
 		if member.Voter {
 			voters++
@@ -73,7 +75,7 @@
 	for _, c := range []struct {
 		name                  string
 		losses                int
-		members               []Member
+		members               []raft.Member
 		dead, leaving, behind string
 		moves                 string
 	}{
@@ -117,7 +119,7 @@
 	for _, c := range []struct {
 		catchUp time.Duration
 		silence int
-	}{{4 * time.Second, 40}, {6 * time.Second, 60}, {40 * time.Second, 400}, {0, 3 * ElectionTicks}, {time.Second, 3 * ElectionTicks}} {
+	}{{4 * time.Second, 40}, {6 * time.Second, 60}, {40 * time.Second, 400}, {0, 3 * raft.ElectionTicks}, {time.Second, 3 * raft.ElectionTicks}} {
 		if silence := NewPolicy(1, 0, c.catchUp).VoterTimeout; silence != c.silence {
 			t.Errorf("catch_up %v: silence of %d ticks, want %d", c.catchUp, silence, c.silence)
 		}
@@ -129,9 +131,9 @@
 func TestNewerLifeEndsTheOlder(t *testing.T) {
 	members := group(3, 1)
 	members[3].Inner = "c"
-	silence := map[ID]int{"c": ElectionTicks}
+	silence := map[raft.ID]int{"c": raft.ElectionTicks}
 	roll := rollOf(members, "", "", "")
-	roll.SinceHeard = func(id ID) int { return silence[id] }
+	roll.SinceHeard = func(id raft.ID) int { return silence[id] }
 	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
 		t.Errorf("between two beats the older life went: %s %s", decision.Change, decision.Member.ID)
 	}
@@ -140,13 +142,13 @@
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 	silence["c"], silence["d"] = 0, 30
-	roll.CaughtUp = func(id ID) bool { return id != "d" }
+	roll.CaughtUp = func(id raft.ID) bool { return id != "d" }
 	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
 		t.Errorf("the life that is heard went: %s %s", decision.Change, decision.Member.ID)
 	}
-	members = append(group(3, 2), Member{ID: "f", Inner: "d"})
+	members = append(group(3, 2), raft.Member{ID: "f", Inner: "d"})
 	roll = rollOf(members, "", "", "ef")
-	roll.SinceHeard = func(id ID) int { return map[ID]int{"d": ElectionTicks + 1}[id] }
+	roll.SinceHeard = func(id raft.ID) int { return map[raft.ID]int{"d": raft.ElectionTicks + 1}[id] }
 	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != Remove || decision.Member.ID != "d" {
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
@@ -162,7 +164,7 @@
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 	members[1].Voter = false
-	for zones, id := range map[int]ID{0: "b", 1: "e"} {
+	for zones, id := range map[int]raft.ID{0: "b", 1: "e"} {
 		if decision := NewPolicy(1, zones, 0).Decide(rollOf(members, "", "", "")); decision.Change != Promote || decision.Member.ID != id {
 			t.Errorf("%d zones: %s %s, want %s", zones, decision.Change, decision.Member.ID, id)
 		}
@@ -174,28 +176,28 @@
 	members := group(3, 1)
 	for _, c := range []struct {
 		name     string
-		newcomer Member
-		members  []Member
+		newcomer raft.Member
+		members  []raft.Member
 		refused  bool
 	}{
-		{"fit", Member{ID: "x", Inner: "x"}, members, false},
-		{"no id", Member{Inner: "x"}, members, true},
-		{"no address", Member{ID: "x"}, members, true},
-		{"a member again", Member{ID: "b", Inner: "b"}, members, false},
-		{"a member's id elsewhere", Member{ID: "b", Inner: "x"}, members, true},
-		{"too many learners", Member{ID: "x", Inner: "x"}, group(3, membership.MaxLearners), true},
-		{"too many learners, a newer life of one", Member{ID: "x", Inner: "d"}, group(3, membership.MaxLearners), false},
+		{"fit", raft.Member{ID: "x", Inner: "x"}, members, false},
+		{"no id", raft.Member{Inner: "x"}, members, true},
+		{"no address", raft.Member{ID: "x"}, members, true},
+		{"a member again", raft.Member{ID: "b", Inner: "b"}, members, false},
+		{"a member's id elsewhere", raft.Member{ID: "b", Inner: "x"}, members, true},
+		{"too many learners", raft.Member{ID: "x", Inner: "x"}, group(3, membership.MaxLearners), true},
+		{"too many learners, a newer life of one", raft.Member{ID: "x", Inner: "d"}, group(3, membership.MaxLearners), false},
 	} {
 		if why := membership.RejectReason(c.members, c.newcomer); (why != "") != c.refused {
 			t.Errorf("%s: %q", c.name, why)
 		}
 		roll := rollOf(c.members, "", "", "")
-		roll.Joining = []Member{c.newcomer}
+		roll.Joining = []raft.Member{c.newcomer}
 		decision := membership.Decide(roll)
 		if admitted := decision.Change == AddLearner; admitted && (c.refused || c.name == "a member again") {
 			t.Errorf("%s: admitted", c.name)
 		}
-		seen := map[ID]bool{}
+		seen := map[raft.ID]bool{}
 		for _, member := range decision.Next {
 			if seen[member.ID] {
 				t.Errorf("%s: %s counts twice", c.name, member.ID)
@@ -203,9 +205,9 @@
 			seen[member.ID] = true
 		}
 	}
-	voting := Member{ID: "x", Inner: "x", Voter: true}
+	voting := raft.Member{ID: "x", Inner: "x", Voter: true}
 	roll := rollOf(members, "", "", "")
-	roll.Joining = []Member{voting}
+	roll.Joining = []raft.Member{voting}
 	if decision := membership.Decide(roll); decision.Change != AddLearner || decision.Member.Voter || countVoters(decision.Next) != 3 {
 		t.Error("a newcomer came with a vote of its own making")
 	}
@@ -215,7 +217,7 @@
 func TestSuccessor(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
-		members               []Member
+		members               []raft.Member
 		dead, leaving, behind string
 		near                  bool
 	}{
@@ -233,7 +235,7 @@
 		}
 	}
 	roll := rollOf(group(3, 0), "", "", "")
-	roll.Joining = []Member{{ID: "n", Inner: "n"}}
+	roll.Joining = []raft.Member{{ID: "n", Inner: "n"}}
 	if !NewPolicy(1, 0, 0).HasSuccessor(roll, "b") {
 		t.Error("one that waits to be taken in is coming")
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"tinpin/internal/eventlog"
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
@@ -96,7 +97,7 @@
 }
 
 // membershipView is what this leader sees of the members.
-func (n *Node) membershipView() (roll raft.View) {
+func (n *Node) membershipView() (roll membership.View) {
 	for id, joiner := range n.joiners {
 		if n.ticks-joiner.seenTick > joinerExpiryTicks {
 			delete(n.joiners, id)
@@ -148,7 +149,7 @@
 func (n *Node) changeMembers() {
 	roll := n.membershipView()
 	decision := n.policy.Decide(roll)
-	if decision.Change == raft.NoChange {
+	if decision.Change == membership.NoChange {
 		n.membersChanged = false
 		return
 	}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"tinpin/internal/eventlog"
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 )
 
@@ -22,7 +23,7 @@
 func housed(members []raft.Member) (n *Node) {
 	replica := raft.New(members[0].ID, raft.DefaultTiming(), rand.New(rand.NewSource(1)), raft.HardState{}, raft.Snapshot{Index: 1, Term: 1, Members: members}, nil)
 	return &Node{
-		log: eventlog.Discard(), raft: replica, self: members[0], policy: raft.NewPolicy(1, 0, 0),
+		log: eventlog.Discard(), raft: replica, self: members[0], policy: membership.NewPolicy(1, 0, 0),
 		joiners: map[raft.ID]joiner{}, leaving: map[raft.ID]int{}, rejectedJoiners: map[raft.ID]int{},
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 
 	"tinpin/internal/eventlog"
 	"tinpin/internal/history"
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 	"tinpin/internal/settings"
 	"tinpin/internal/statemachine"
@@ -63,7 +64,7 @@
 	departing       bool
 	membersChanged  bool
 
-	policy *raft.Policy
+	policy *membership.Policy
 
 	logSize        int
 	replayEnd      raft.Index
@@ -102,7 +103,7 @@
 		inbox: make(chan []raft.Message, 256), proposals: make(chan proposal, maxProposals), syncedWrites: make(chan int, 256),
 		writes: make(chan []raft.Write, 1024), calls: make(chan func(), 64), stop: make(chan struct{}),
 		peerAddresses: map[raft.ID]string{}, senders: map[sendPath]*peerSender{}, pending: map[raft.Index]pendingEntry{}, joiners: map[raft.ID]joiner{},
-		leaving: map[raft.ID]int{}, rejectedJoiners: map[raft.ID]int{}, policy: raft.NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
+		leaving: map[raft.ID]int{}, rejectedJoiners: map[raft.ID]int{}, policy: membership.NewPolicy(p.ToleratedMachineLosses, p.ToleratedZoneLosses, p.Bounds.CatchUp),
 		seeds: p.Seeds, History: history.New(log), OnChange: func() {}, OnLeadership: func(bool, raft.Term) {},
 	}
 	inner := p.ControllerInternalAddress()
--- a/internal/raft/catchup_test.go
+++ b/internal/raft/catchup_test.go
@@ -1,8 +1,10 @@
-package raft
+package raft_test
 
 import (
 	"fmt"
 	"testing"
+
+	"tinpin/internal/raft"
 )
 
 // thinTick is what a link of 1 Mbit/s carries in a tick.
@@ -11,11 +13,11 @@
 // thinLink carries one message a tick, the small ones before the large ones as
 // the couriers do; a large one takes a tick for each 3 KB.
 type thinLink struct {
-	small, bulk []Message
+	small, bulk []raft.Message
 	left        int
 }
 
-func (l *thinLink) put(message Message) {
+func (l *thinLink) put(message raft.Message) {
 	if message.IsBulk() {
 		if len(l.bulk) < 512 {
 			l.bulk = append(l.bulk, message)
@@ -25,7 +27,7 @@
 	}
 }
 
-func (l *thinLink) pass() (message Message, whole bool) {
+func (l *thinLink) pass() (message raft.Message, whole bool) {
 	if len(l.small) > 0 {
 		message, l.small = l.small[0], l.small[1:]
 		return message, true
@@ -45,10 +47,10 @@
 
 // behind plays 1,000 changes while one core is down, wiped or cut off, and gives
 // the ticks from its return until it has them all, votes and is known to.
-func behind(t *testing.T, seed int64, trouble string, thin bool, tail LogTail) (ticks int) {
+func behind(t *testing.T, seed int64, trouble string, thin bool, tail raft.LogTail) (ticks int) {
 	t.Helper()
 	s := newSim(seed, 3, planted{})
-	s.shape = func(r *Replica) { r.logTail, r.chunkBytes = tail, snapshotChunkBytes }
+	s.shape = func(r *raft.Replica) { r.SetLogTail(tail); r.SetChunkBytes(raft.SnapshotChunkBytes) }
 	for _, host := range s.order {
 		s.shape(s.cores[host].raft)
 	}
@@ -86,14 +88,14 @@
 	s.heal()
 	held := func() bool {
 		leader := s.settledLeader()
-		return leader != nil && core.raft.isVoter(core.disk.id) && leader.raft.CaughtUp(core.disk.id)
+		return leader != nil && core.raft.Votes(core.disk.ID) && leader.raft.CaughtUp(core.disk.ID)
 	}
 	for ; ticks < 4000 && s.broken == "" && !held(); ticks++ {
 		if ticks%3 == 0 {
 			s.claim()
 		}
 		s.step()
-		if leader := s.settledLeader(); leader != nil && leader.raft.CaughtUp(core.disk.id) && core.disk.end() < leader.raft.peers[core.disk.id].match {
+		if leader := s.settledLeader(); leader != nil && leader.raft.CaughtUp(core.disk.ID) && core.disk.end() < leader.raft.MatchIndex(core.disk.ID) {
 			t.Fatalf("%s: counts as caught up, and its disk ends at %d", trouble, core.disk.end())
 		}
 	}
@@ -111,9 +113,9 @@
 	return ticks
 }
 
-func (d *simDisk) end() (index Index) {
-	for index = d.base.Index; ; index++ {
-		if _, known := d.log[index+1]; !known {
+func (d *simDisk) end() (index raft.Index) {
+	for index = d.Snapshot.Index; ; index++ {
+		if _, known := d.Log[index+1]; !known {
 			return index
 		}
 	}
@@ -124,13 +126,13 @@
 	for _, c := range []struct {
 		trouble string
 		thin    bool
-		tail    LogTail
+		tail    raft.LogTail
 		within  int
 	}{
-		{"down", false, LogTail{20, 1 << 12}, 160}, {"cut", false, LogTail{20, 1 << 12}, 160}, {"wiped", false, LogTail{20, 1 << 12}, 160},
-		{"down", false, LogTail{4000, 4 << 20}, 160}, {"cut", false, LogTail{4000, 4 << 20}, 160},
-		{"down", true, LogTail{20, 1 << 12}, 240}, {"cut", true, LogTail{20, 1 << 12}, 240}, {"wiped", true, LogTail{20, 1 << 12}, 240},
-		{"down", true, LogTail{4000, 4 << 20}, 400}, {"cut", true, LogTail{4000, 4 << 20}, 400},
+		{"down", false, raft.LogTail{20, 1 << 12}, 160}, {"cut", false, raft.LogTail{20, 1 << 12}, 160}, {"wiped", false, raft.LogTail{20, 1 << 12}, 160},
+		{"down", false, raft.LogTail{4000, 4 << 20}, 160}, {"cut", false, raft.LogTail{4000, 4 << 20}, 160},
+		{"down", true, raft.LogTail{20, 1 << 12}, 240}, {"cut", true, raft.LogTail{20, 1 << 12}, 240}, {"wiped", true, raft.LogTail{20, 1 << 12}, 240},
+		{"down", true, raft.LogTail{4000, 4 << 20}, 400}, {"cut", true, raft.LogTail{4000, 4 << 20}, 400},
 	} {
 		t.Run(fmt.Sprintf("%s thin %v tail %d", c.trouble, c.thin, c.tail.Entries), func(t *testing.T) {
 			most := 0
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -1,6 +1,10 @@
-package raft
+package raft_test
 
-import "testing"
+import (
+	"testing"
+
+	"tinpin/internal/raft"
+)
 
 // Of two voters that ask at the same time one stands back, so that the votes are
 // not split; over many seeds a leader that is cut off is followed by the next
@@ -47,12 +51,12 @@
 		for ; s.settledLeader() == nil && took < 200; took++ {
 			s.run(1)
 		}
-		if took > 3*ElectionTicks {
+		if took > 3*raft.ElectionTicks {
 			t.Errorf("seed %d: %d ticks", seed, took)
 		}
 		total += took
 	}
-	if mean := float64(total) / 60; mean > 2*ElectionTicks {
+	if mean := float64(total) / 60; mean > 2*raft.ElectionTicks {
 		t.Errorf("%.1f ticks in the mean", mean)
 	} else {
 		t.Logf("%.1f ticks in the mean", mean)
--- a/internal/raft/flapping_test.go
+++ b/internal/raft/flapping_test.go
@@ -1,12 +1,16 @@
-package raft
+package raft_test
 
-import "testing"
+import (
+	"testing"
+
+	"tinpin/internal/raft"
+)
 
 // copyDisk keeps a disk as it is now, to be put back later.
 func (d *simDisk) copyDisk() (kept *simDisk) {
-	kept = &simDisk{id: d.id, hard: d.hard, base: d.base, log: map[Index]Entry{}}
-	for index, entry := range d.log {
-		kept.log[index] = entry
+	kept = &simDisk{MemoryDisk: raft.MemoryDisk{ID: d.ID, HardState: d.HardState, Snapshot: d.Snapshot, Log: map[raft.Index]raft.Entry{}}}
+	for index, entry := range d.Log {
+		kept.Log[index] = entry
 	}
 	return kept
 }
@@ -156,14 +160,14 @@
 		s, host := calm(t, seed, true)
 		s.crash(host, true)
 		s.run(200)
-		if s.settledLeader().raft.isVoter(s.cores[host].disk.id) {
+		if s.settledLeader().raft.Votes(s.cores[host].disk.ID) {
 			t.Fatalf("seed %d: it was not struck out", seed)
 		}
 		s.undisturbed(t, "believes that it votes", seed, 1, func() {
 			s.mute = true
 			s.start(host)
 			s.run(400)
-			if !s.cores[host].raft.isVoter(s.cores[host].disk.id) {
+			if !s.cores[host].raft.Votes(s.cores[host].disk.ID) {
 				t.Errorf("seed %d: it does not believe that it votes", seed)
 			}
 			s.mute = false
@@ -183,7 +187,7 @@
 		s.run(20)
 		s.start(host)
 		s.run(200)
-		newer := s.cores[host].disk.id
+		newer := s.cores[host].disk.ID
 		s.undisturbed(t, "old disk of a struck-out id", seed, 3, func() {
 			s.crash(host, true)
 			s.cores[host].disk = kept
@@ -192,7 +196,7 @@
 			s.run(200)
 		})
 		leader := s.settledLeader()
-		if !leader.raft.isVoter(kept.id) || leader.raft.isVoter(newer) || len(leader.raft.Members()) != 3 {
+		if !leader.raft.Votes(kept.ID) || leader.raft.Votes(newer) || len(leader.raft.Members()) != 3 {
 			t.Errorf("seed %d: members %+v", seed, leader.raft.Members())
 		}
 	}
@@ -215,8 +219,8 @@
 			leader := s.settledLeader()
 			upto := leader.raft.CommitIndex()
 			s.run(10)
-			if p := leader.raft.peers[kept.id]; p.match < upto || s.cores[host].raft.CommitIndex() < upto {
-				t.Errorf("seed %d: it has %d and committed %d of %d", seed, p.match, s.cores[host].raft.CommitIndex(), upto)
+			if match := leader.raft.MatchIndex(kept.ID); match < upto || s.cores[host].raft.CommitIndex() < upto {
+				t.Errorf("seed %d: it has %d and committed %d of %d", seed, match, s.cores[host].raft.CommitIndex(), upto)
 			}
 		})
 	}
--- a/internal/raft/log_test.go
+++ b/internal/raft/log_test.go
@@ -11,7 +11,7 @@
 type bench struct {
 	t      *testing.T
 	raft   *Replica
-	disk   *simDisk
+	disk   *MemoryDisk
 	queued []Write
 	told   []Message
 	rest   []*Snapshot
@@ -22,9 +22,9 @@
 
 func newBench(t *testing.T, id ID, hard HardState, log ...Entry) (b *bench) {
 	base := Snapshot{Index: 1, Term: 1, Members: trio}
-	b = &bench{t: t, disk: &simDisk{id: id, hard: hard, base: base, log: map[Index]Entry{}}}
+	b = &bench{t: t, disk: &MemoryDisk{ID: id, HardState: hard, Snapshot: base, Log: map[Index]Entry{}}}
 	for _, each := range log {
-		b.disk.log[each.Index] = each
+		b.disk.Log[each.Index] = each
 	}
 	b.raft = New(id, Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(1)), hard, base, log)
 	return b
@@ -57,7 +57,7 @@
 func (b *bench) sync() {
 	write := b.queued[0]
 	b.queued = b.queued[1:]
-	b.disk.carry(write, planted{})
+	b.disk.Carry(write, false)
 	b.told = append(b.told, write.AfterSync...)
 	b.take(b.raft.ReportSynced(1))
 }
@@ -92,8 +92,8 @@
 
 // held is the log as it would be loaded.
 func (b *bench) held() (entries []Entry) {
-	for index := b.disk.base.Index + 1; ; index++ {
-		each, known := b.disk.log[index]
+	for index := b.disk.Snapshot.Index + 1; ; index++ {
+		each, known := b.disk.Log[index]
 		if !known {
 			return entries
 		}
--- a/internal/raft/members_sim_test.go
+++ b/internal/raft/members_sim_test.go
@@ -1,15 +1,17 @@
-package raft
+package raft_test
 
 import (
 	"testing"
 	"time"
+
+	"tinpin/internal/raft"
 )
 
 // add starts a core that no one has heard of.
 func (s *sim) add(host string) {
 	s.order = append(s.order, host)
 	s.lives++
-	s.cores[host] = &simCore{member: Member{ID: ID(host), Inner: host}, disk: &simDisk{id: ID(host), log: map[Index]Entry{}}}
+	s.cores[host] = &simCore{member: raft.Member{ID: raft.ID(host), Inner: host}, disk: &simDisk{MemoryDisk: raft.MemoryDisk{ID: raft.ID(host), Log: map[raft.Index]raft.Entry{}}}}
 	s.start(host)
 }
 
@@ -26,9 +28,9 @@
 // ticks it has; it ends either way.
 func (s *sim) leave(host string, most int) (left bool) {
 	core := s.cores[host]
-	id := core.disk.id
+	id := core.disk.ID
 	for end := s.now + most; s.now < end; s.run(1) {
-		if core.raft.Role() == Leader {
+		if core.raft.Role() == raft.Leader {
 			s.carry(host, core.raft.TransferLeadership())
 			continue
 		}
@@ -36,7 +38,7 @@
 		if leader == nil {
 			continue
 		}
-		if _, member := FindMember(leader.raft.Members(), id); !member {
+		if _, member := raft.FindMember(leader.raft.Members(), id); !member {
 			if left = !leader.raft.MembersChanging(); left {
 				break
 			}
@@ -97,7 +99,7 @@
 	s.lose(lost)
 	s.run(40)
 	s.add("core-4")
-	s.run(int(simCatchUp/TickInterval) + distance)
+	s.run(int(simCatchUp/raft.TickInterval) + distance)
 	s.lose(last)
 	s.run(20)
 	s.start(last)
@@ -126,7 +128,7 @@
 		s.losses = 2
 		s.setCatchUp(simCatchUp)
 		s.run(200)
-		if leader := s.settledLeader(); leader == nil || leader.raft.voterCount() != 5 {
+		if leader := s.settledLeader(); leader == nil || leader.raft.CountVoters() != 5 {
 			t.Fatalf("seed %d: five do not vote to begin with", seed)
 		}
 		for n := range 2 {
@@ -135,7 +137,7 @@
 		s.run(40)
 		s.add("core-5")
 		s.add("core-6")
-		s.run(int(simCatchUp/TickInterval) + 8)
+		s.run(int(simCatchUp/raft.TickInterval) + 8)
 		for n := range 2 {
 			host := s.order[(int(seed)+2+n)%5]
 			s.lose(host)
@@ -147,8 +149,8 @@
 		if broken := s.whole(); broken != "" {
 			t.Errorf("seed %d: %s", seed, broken)
 		}
-		if leader := s.settledLeader(); leader != nil && leader.raft.voterCount() != 5 {
-			t.Errorf("seed %d: %d vote at the end", seed, leader.raft.voterCount())
+		if leader := s.settledLeader(); leader != nil && leader.raft.CountVoters() != 5 {
+			t.Errorf("seed %d: %d vote at the end", seed, leader.raft.CountVoters())
 		}
 	}
 }
@@ -175,12 +177,12 @@
 			started := s.now
 			for s.now < started+400 {
 				leader := s.settledLeader()
-				if leader != nil && leader.raft.isVoter(s.cores[host].disk.id) && leader.raft.voterCount() == 3 && !leader.raft.MembersChanging() {
+				if leader != nil && leader.raft.Votes(s.cores[host].disk.ID) && leader.raft.CountVoters() == 3 && !leader.raft.MembersChanging() {
 					break
 				}
 				s.run(1)
 			}
-			took := time.Duration(s.now-started) * TickInterval
+			took := time.Duration(s.now-started) * raft.TickInterval
 			if longest = max(longest, took); took > catchUp/2 || s.broken != "" {
 				t.Errorf("catch_up %v, seed %d: %v to vote %s", catchUp, seed, took, s.broken)
 			}
@@ -197,8 +199,8 @@
 			s.run(100)
 			s.add("core-3")
 			s.run(60)
-			id := s.cores["core-0"].disk.id
-			if s.cores["core-0"].raft.Role() == Leader {
+			id := s.cores["core-0"].disk.ID
+			if s.cores["core-0"].raft.Role() == raft.Leader {
 				s.carry("core-0", s.cores["core-0"].raft.TransferLeadership())
 				s.run(20)
 			}
@@ -222,7 +224,7 @@
 		s.run(100)
 		host := s.order[seed%3]
 		before := s.now
-		leads := s.cores[host].raft.Role() == Leader
+		leads := s.cores[host].raft.Role() == raft.Leader
 		if left := s.leave(host, 180); left || !leads && s.now-before > 1 {
 			t.Errorf("seed %d: a plain restart waited %d ticks, left %v", seed, s.now-before, left)
 		}
@@ -237,7 +239,7 @@
 		s.start(host)
 		s.run(100)
 		leader := s.settledLeader()
-		if member, known := FindMember(leader.raft.Members(), s.cores[host].disk.id); !known || member.Voter || len(leader.raft.Members()) != 4 {
+		if member, known := raft.FindMember(leader.raft.Members(), s.cores[host].disk.ID); !known || member.Voter || len(leader.raft.Members()) != 4 {
 			t.Errorf("seed %d: the core that came back is %+v of %d", seed, member, len(leader.raft.Members()))
 		}
 		if broken := s.whole(); broken != "" {
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -92,8 +92,8 @@
 		if !done || installs != c.installs || follower.raft.LastIndex() != 106 || follower.raft.syncedIndex != 106 {
 			t.Errorf("%v: %d installs, want %d; ends at %d", c, installs, c.installs, follower.raft.LastIndex())
 		}
-		if held := leader.held(); len(held) != 6 || leader.disk.base.Index != 100 || leader.raft.SnapshotIndex() != 100 {
-			t.Errorf("%v: the leader's disk holds %d entries behind %d", c, len(held), leader.disk.base.Index)
+		if held := leader.held(); len(held) != 6 || leader.disk.Snapshot.Index != 100 || leader.raft.SnapshotIndex() != 100 {
+			t.Errorf("%v: the leader's disk holds %d entries behind %d", c, len(held), leader.disk.Snapshot.Index)
 		}
 		// A second cut moves the tail on.
 		if done, _ = leader.raft.Compact(106, nil); !done || leader.raft.LastIndex() != 106 || leader.raft.termAt(106) != 3 {
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -6,7 +6,7 @@
 // committed; at the end, healed, that nothing acknowledged is lost, that each
 // key was granted once, and that the group still works. Planted faults prove
 // that the checks can fail.
-package raft
+package raft_test
 
 import (
 	"fmt"
@@ -16,6 +16,8 @@
 	"testing"
 	"time"
 
+	"tinpin/internal/membership"
+	"tinpin/internal/raft"
 	"tinpin/internal/statemachine"
 )
 
@@ -27,40 +29,37 @@
 }
 
 type simDisk struct {
-	id      ID
-	hard    HardState
-	base    Snapshot
-	log     map[Index]Entry
+	raft.MemoryDisk
 	queue   []simWrite
 	stalled int
 }
 
 type simWrite struct {
-	write Write
+	write raft.Write
 	due   int
 }
 
 type simCore struct {
-	member  Member
+	member  raft.Member
 	up      bool
-	raft    *Replica
+	raft    *raft.Replica
 	state   *statemachine.State
 	disk    *simDisk
-	pending map[Index]simPending
-	waiting map[ID]Member
+	pending map[raft.Index]simPending
+	waiting map[raft.ID]raft.Member
 	ticks   int
 	heardAt int
 
-	membership *Policy
+	membership *membership.Policy
 }
 
 type simPending struct {
-	term    Term
+	term    raft.Term
 	command statemachine.Command
 }
 
 type simMail struct {
-	message Message
+	message raft.Message
 	due     int
 	to      string
 }
@@ -73,44 +72,44 @@
 	mail    []simMail
 	now     int
 	cut     map[[2]string]bool
-	leaders map[Term]ID
-	agreed  map[Index]string
+	leaders map[raft.Term]raft.ID
+	agreed  map[raft.Index]string
 	granted map[string]string
 	acked   map[string]statemachine.Claim
 	lives   int
 	next    int
 	broken  string
-	leaving map[ID]bool
+	leaving map[raft.ID]bool
 	catchUp time.Duration
 	silence int
 	losses  int
 	changes int
 	mute    bool // nobody takes newcomers in
 	thin    map[string]*thinLink
-	shape   func(r *Replica)
+	shape   func(r *raft.Replica)
 }
 
 func newSim(seed int64, cores int, fault planted) (s *sim) {
 	s = &sim{
 		luck: rand.New(rand.NewSource(seed)), fault: fault, cores: map[string]*simCore{}, cut: map[[2]string]bool{},
-		leaders: map[Term]ID{}, agreed: map[Index]string{}, granted: map[string]string{}, acked: map[string]statemachine.Claim{},
-		leaving: map[ID]bool{}, catchUp: 4 * time.Second, losses: 1,
+		leaders: map[raft.Term]raft.ID{}, agreed: map[raft.Index]string{}, granted: map[string]string{}, acked: map[string]statemachine.Claim{},
+		leaving: map[raft.ID]bool{}, catchUp: 4 * time.Second, losses: 1,
 	}
-	var founders []Member
+	var founders []raft.Member
 	for i := 0; i < cores; i++ {
 		host := fmt.Sprintf("core-%d", i)
 		s.order = append(s.order, host)
-		member := Member{ID: ID("founder-" + host), Inner: host}
+		member := raft.Member{ID: raft.ID("founder-" + host), Inner: host}
 		if i < 3 {
 			member.Voter = true
 			founders = append(founders, member)
 		}
-		s.cores[host] = &simCore{member: member, disk: &simDisk{id: member.ID, log: map[Index]Entry{}}}
+		s.cores[host] = &simCore{member: member, disk: &simDisk{MemoryDisk: raft.MemoryDisk{ID: member.ID, Log: map[raft.Index]raft.Entry{}}}}
 	}
-	base := Snapshot{Index: 1, Term: 1, Members: founders}
+	base := raft.Snapshot{Index: 1, Term: 1, Members: founders}
 	for i, host := range s.order {
 		if i < 3 {
-			s.cores[host].disk.base = base
+			s.cores[host].disk.Snapshot = base
 		}
 		s.start(host)
 	}
@@ -127,39 +126,40 @@
 func (s *sim) setCatchUp(catchUp time.Duration) {
 	s.catchUp = catchUp
 	for _, core := range s.cores {
-		core.membership = NewPolicy(s.losses, 0, catchUp)
+		core.membership = membership.NewPolicy(s.losses, 0, catchUp)
 	}
 }
 
-func (s *sim) clock() time.Duration { return time.Duration(s.now) * TickInterval }
+func (s *sim) clock() time.Duration { return time.Duration(s.now) * raft.TickInterval }
 
 func (s *sim) start(host string) {
 	core := s.cores[host]
 	disk := core.disk
-	var log []Entry
-	term := disk.base.Term
-	for index := disk.base.Index + 1; ; index++ {
-		entry, known := disk.log[index]
+	var log []raft.Entry
+	term := disk.Snapshot.Term
+	for index := disk.Snapshot.Index + 1; ; index++ {
+		entry, known := disk.Log[index]
 		if !known || entry.Term < term {
 			break
 		}
 		log, term = append(log, entry), entry.Term
 	}
-	core.member.ID = disk.id
-	core.raft = New(disk.id, Timing{HeartbeatTicks, ElectionTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.hard, disk.base, log)
+	core.member.ID = disk.ID
+	core.raft = raft.New(disk.ID, raft.Timing{raft.HeartbeatTicks, raft.ElectionTicks}, rand.New(rand.NewSource(s.luck.Int63())), disk.HardState, disk.Snapshot, log)
 	// Short, so that snapshots are needed often.
-	core.raft.logTail, core.raft.chunkBytes = LogTail{Entries: 20, Bytes: 1 << 12}, 200
+	core.raft.SetLogTail(raft.LogTail{Entries: 20, Bytes: 1 << 12})
+	core.raft.SetChunkBytes(200)
 	if s.shape != nil {
 		s.shape(core.raft)
 	}
-	state, err := statemachine.Restore(disk.base.Data, s.clock())
+	state, err := statemachine.Restore(disk.Snapshot.Data, s.clock())
 	if err != nil {
 		s.fail("thaw: %v", err)
 		return
 	}
 	core.heardAt = core.ticks
-	core.state, core.pending, core.waiting, core.up = state, map[Index]simPending{}, map[ID]Member{}, true
-	core.membership = NewPolicy(s.losses, 0, s.catchUp)
+	core.state, core.pending, core.waiting, core.up = state, map[raft.Index]simPending{}, map[raft.ID]raft.Member{}, true
+	core.membership = membership.NewPolicy(s.losses, 0, s.catchUp)
 	disk.stalled = 0
 }
 
@@ -176,7 +176,7 @@
 	}
 	for _, queued := range core.disk.queue[:kept] {
 		if !s.fault.ackEarly {
-			core.disk.carry(queued.write, s.fault)
+			core.disk.Carry(queued.write, s.fault.loseVotes)
 		}
 	}
 	core.disk.queue = nil
@@ -185,42 +185,18 @@
 func (s *sim) wipe(host string) {
 	core := s.cores[host]
 	s.lives++
-	old := core.disk.id
-	core.disk = &simDisk{id: ID(fmt.Sprintf("%s-%d", host, s.lives)), log: map[Index]Entry{}}
+	old := core.disk.ID
+	core.disk = &simDisk{MemoryDisk: raft.MemoryDisk{ID: raft.ID(fmt.Sprintf("%s-%d", host, s.lives)), Log: map[raft.Index]raft.Entry{}}}
 	if s.fault.keepID {
-		core.disk.id = old
-		core.disk.base = Snapshot{Index: 1, Term: 1}
+		core.disk.ID = old
+		core.disk.Snapshot = raft.Snapshot{Index: 1, Term: 1}
 		for _, founder := range s.order[:3] {
-			core.disk.base.Members = append(core.disk.base.Members, Member{ID: ID("founder-" + founder), Inner: founder, Voter: true})
+			core.disk.Snapshot.Members = append(core.disk.Snapshot.Members, raft.Member{ID: raft.ID("founder-" + founder), Inner: founder, Voter: true})
 		}
 	}
 }
 
-func (d *simDisk) carry(write Write, fault planted) {
-	if write.HardState != nil && !fault.loseVotes {
-		d.hard = *write.HardState
-	}
-	if write.Snapshot != nil {
-		d.base = *write.Snapshot
-		for index := range d.log {
-			if index <= write.Snapshot.Index {
-				delete(d.log, index)
-			}
-		}
-	}
-	if write.TruncateFrom > 0 {
-		for index := range d.log {
-			if index >= write.TruncateFrom {
-				delete(d.log, index)
-			}
-		}
-	}
-	for _, entry := range write.Entries {
-		d.log[entry.Index] = entry
-	}
-}
-
-func (s *sim) carry(host string, out Output) {
+func (s *sim) carry(host string, out raft.Output) {
 	core := s.cores[host]
 	for _, refusal := range out.Rejected {
 		if refusal.Reason != "part of another snapshot" {
@@ -247,13 +223,13 @@
 	for _, entry := range out.Committed {
 		s.apply(host, entry)
 	}
-	if core.raft.Role() == Leader {
-		if other, known := s.leaders[core.raft.Term()]; known && other != core.raft.id {
-			s.fail("two leaders in term %d: %s and %s", core.raft.Term(), other, core.raft.id)
+	if core.raft.Role() == raft.Leader {
+		if other, known := s.leaders[core.raft.Term()]; known && other != core.raft.ID() {
+			s.fail("two leaders in term %d: %s and %s", core.raft.Term(), other, core.raft.ID())
 		}
-		s.leaders[core.raft.Term()] = core.raft.id
+		s.leaders[core.raft.Term()] = core.raft.ID()
 	} else {
-		core.pending = map[Index]simPending{}
+		core.pending = map[raft.Index]simPending{}
 	}
 	if core.raft.CommitIndex()-core.raft.SnapshotIndex() > 60 {
 		if data, err := core.state.Snapshot(); err == nil {
@@ -264,7 +240,7 @@
 	}
 }
 
-func (s *sim) apply(host string, entry Entry) {
+func (s *sim) apply(host string, entry raft.Entry) {
 	core := s.cores[host]
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %v %s", entry.Term, entry.Members, entry.Data)
@@ -295,7 +271,7 @@
 	s.acked[command.Key] = command.Claim
 }
 
-func (s *sim) post(from string, message Message) {
+func (s *sim) post(from string, message raft.Message) {
 	if s.luck.Intn(100) < 2 {
 		return
 	}
@@ -305,7 +281,7 @@
 	}
 	for ; copies > 0; copies-- {
 		for _, host := range s.order {
-			if s.cores[host].disk.id != message.To || s.cut[[2]string{from, host}] {
+			if s.cores[host].disk.ID != message.To || s.cut[[2]string{from, host}] {
 				continue
 			}
 			if link := s.thin[host]; link != nil {
@@ -317,7 +293,7 @@
 	}
 }
 
-func (s *sim) finish(host string, write Write) {
+func (s *sim) finish(host string, write raft.Write) {
 	core := s.cores[host]
 	for _, message := range write.AfterSync {
 		s.post(host, message)
@@ -360,7 +336,7 @@
 			for len(core.disk.queue) > 0 && core.disk.queue[0].due <= s.now {
 				write := core.disk.queue[0].write
 				core.disk.queue = core.disk.queue[1:]
-				core.disk.carry(write, s.fault)
+				core.disk.Carry(write, s.fault.loseVotes)
 				if !s.fault.ackEarly {
 					s.finish(host, write)
 				}
@@ -376,15 +352,15 @@
 
 func (s *sim) keepHouse(host string) {
 	core := s.cores[host]
-	if core.raft.Role() != Leader {
+	if core.raft.Role() != raft.Leader {
 		if core.raft.LeaderID() != "" {
 			core.heardAt = core.ticks
 		}
-		if _, member := FindMember(core.raft.Members(), core.disk.id); !s.mute && (!member || core.ticks-core.heardAt > 2*ElectionTicks) {
+		if _, member := raft.FindMember(core.raft.Members(), core.disk.ID); !s.mute && (!member || core.ticks-core.heardAt > 2*raft.ElectionTicks) {
 			for _, other := range s.order {
 				leader := s.cores[other]
-				if leader.up && leader.raft.Role() == Leader && !s.cut[[2]string{host, other}] {
-					leader.waiting[core.disk.id] = Member{ID: core.disk.id, Inner: host}
+				if leader.up && leader.raft.Role() == raft.Leader && !s.cut[[2]string{host, other}] {
+					leader.waiting[core.disk.ID] = raft.Member{ID: core.disk.ID, Inner: host}
 				}
 			}
 		}
@@ -397,9 +373,9 @@
 	if s.silence > 0 {
 		core.membership.VoterTimeout = s.silence
 	}
-	core.waiting = map[ID]Member{}
+	core.waiting = map[raft.ID]raft.Member{}
 	decision := core.membership.Decide(roll)
-	if decision.Change == NoChange {
+	if decision.Change == membership.NoChange {
 		return
 	}
 	if accepted, out := core.raft.ProposeMembers(decision.Next); accepted {
@@ -409,15 +385,15 @@
 	}
 }
 
-func (s *sim) roll(host string) (roll View) {
+func (s *sim) roll(host string) (roll membership.View) {
 	core := s.cores[host]
-	roll = View{Self: core.disk.id, Tick: core.ticks, Members: core.raft.Members(), CaughtUp: core.raft.CaughtUp}
+	roll = membership.View{Self: core.disk.ID, Tick: core.ticks, Members: core.raft.Members(), CaughtUp: core.raft.CaughtUp}
 	for _, member := range core.waiting {
 		roll.Joining = append(roll.Joining, member)
 	}
 	sort.Slice(roll.Joining, func(i, j int) bool { return roll.Joining[i].ID < roll.Joining[j].ID })
-	roll.Leaving = func(id ID) bool { return s.leaving[id] }
-	roll.SinceHeard = func(id ID) int { ticks, _ := core.raft.SinceHeard(id); return ticks }
+	roll.Leaving = func(id raft.ID) bool { return s.leaving[id] }
+	roll.SinceHeard = func(id raft.ID) int { ticks, _ := core.raft.SinceHeard(id); return ticks }
 	return roll
 }
 
@@ -427,7 +403,7 @@
 	key := fmt.Sprintf("k%d", s.next/2)
 	for _, host := range s.order {
 		core := s.cores[host]
-		if !core.up || core.raft.Role() != Leader {
+		if !core.up || core.raft.Role() != raft.Leader {
 			continue
 		}
 		command := statemachine.Command{Kind: statemachine.CommandClaim, Claim: statemachine.Claim{Key: key, Request: fmt.Sprintf("r%d-%s", s.next, host), Holder: "edge", Incarnation: 1}}
@@ -459,7 +435,7 @@
 // or not heard, which is a loss like any other: so one disk may be lost.
 func (s *sim) caughtUp() bool {
 	leader := s.settledLeader()
-	if leader == nil || leader.raft.voterCount() < 3 || leader.raft.MembersChanging() {
+	if leader == nil || leader.raft.CountVoters() < 3 || leader.raft.MembersChanging() {
 		return false
 	}
 	for _, host := range s.order {
@@ -467,13 +443,13 @@
 		if !core.up {
 			return false
 		}
-		member, known := FindMember(leader.raft.Members(), core.disk.id)
+		member, known := raft.FindMember(leader.raft.Members(), core.disk.ID)
 		if !known {
 			return false
 		}
 		here := leader.member.Inner
-		silence, _ := leader.raft.SinceHeard(core.disk.id)
-		if member.Voter && (s.cut[[2]string{here, host}] || s.cut[[2]string{host, here}] || silence >= ElectionTicks) {
+		silence, _ := leader.raft.SinceHeard(core.disk.ID)
+		if member.Voter && (s.cut[[2]string{here, host}] || s.cut[[2]string{host, here}] || silence >= raft.ElectionTicks) {
 			return false
 		}
 	}
@@ -571,8 +547,8 @@
 	if len(s.acked) == 0 {
 		return "nothing was ever acknowledged"
 	}
-	if leader.raft.voterCount() < 3 {
-		return fmt.Sprintf("only %d voters after all is healed", leader.raft.voterCount())
+	if leader.raft.CountVoters() < 3 {
+		return fmt.Sprintf("only %d voters after all is healed", leader.raft.CountVoters())
 	}
 	return ""
 }
@@ -644,7 +620,7 @@
 	s.crash("core-1", true)
 	s.wipe("core-1")
 	s.start("core-1")
-	if s.cores["core-1"].raft.isVoter(s.cores["core-1"].disk.id) {
+	if s.cores["core-1"].raft.Votes(s.cores["core-1"].disk.ID) {
 		t.Fatal("a wiped core votes before it was taken in")
 	}
 	for i := 0; i < 300; i++ {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -10,6 +10,7 @@
 	"math/rand"
 	"time"
 
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 	"tinpin/internal/statemachine"
 )
@@ -63,7 +64,7 @@
 	joining      []joiningController
 	leaving      map[raft.ID]int
 	leavingNow   bool
-	membership   *raft.Policy
+	membership   *membership.Policy
 	ticks        int
 	leaderSeenAt int
 
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 )
 
@@ -21,12 +22,12 @@
 )
 
 // newMembership is the real policy, as the settings ask for it.
-func (w *Cluster) newMembership() (membership *raft.Policy) {
-	membership = raft.NewPolicy(w.options.Losses, 0, w.options.CatchUp)
+func (w *Cluster) newMembership() (policy *membership.Policy) {
+	policy = membership.NewPolicy(w.options.Losses, 0, w.options.CatchUp)
 	if w.options.InjectedBug == SlowVoterRemoval {
-		membership.VoterTimeout = slowTicks
+		policy.VoterTimeout = slowTicks
 	}
-	return membership
+	return policy
 }
 
 func (c *Controller) isMember() (member bool) {
@@ -56,7 +57,7 @@
 }
 
 // membershipView is what this leader sees of the members.
-func (c *Controller) membershipView() (view raft.View) {
+func (c *Controller) membershipView() (view membership.View) {
 	kept := c.joining[:0]
 	for _, candidate := range c.joining {
 		if c.ticks-candidate.at <= maxJoinAge {
@@ -82,7 +83,7 @@
 	if c.cluster.options.InjectedBug == ShrinkFirst {
 		decision = c.shrink(view, decision)
 	}
-	if decision.Change == raft.NoChange {
+	if decision.Change == membership.NoChange {
 		return
 	}
 	if accepted, out := c.raft.ProposeMembers(decision.Next); accepted {
@@ -94,12 +95,12 @@
 }
 
 // shrink is the injected bug of a voter that is removed without a replacement.
-func (c *Controller) shrink(view raft.View, usual raft.Decision) (decision raft.Decision) {
+func (c *Controller) shrink(view membership.View, usual membership.Decision) (decision membership.Decision) {
 	for i, member := range view.Members {
 		if member.Voter && member.ID != view.Self && view.SinceHeard(member.ID) > 12 {
 			c.membership.Voters = 2
 			rest := append(append([]raft.Member(nil), view.Members[:i]...), view.Members[i+1:]...)
-			return raft.Decision{Change: raft.Remove, Member: member, Next: rest}
+			return membership.Decision{Change: membership.Remove, Member: member, Next: rest}
 		}
 	}
 	return usual
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -9,6 +9,7 @@
 	"math/rand"
 	"time"
 
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 )
 
@@ -102,7 +103,7 @@
 			voters++
 		}
 	}
-	if wanted := min(raft.VotersForLosses(w.options.Losses), len(controllers)); voters != wanted {
+	if wanted := min(membership.VotersForLosses(w.options.Losses), len(controllers)); voters != wanted {
 		return fmt.Sprintf("%d vote where %d should", voters, wanted)
 	}
 	for _, controller := range controllers {
