--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"tinpin/internal/eventlog"
+	"tinpin/internal/membership"
 	"tinpin/internal/raft"
 	"tinpin/internal/rpc"
 	"tinpin/internal/settings"
@@ -96,24 +97,24 @@
 }
 
 // membershipView is the state of the members as this leader sees it.
-func (n *Node) membershipView() (roll raft.View) {
+func (n *Node) membershipView() (view membership.View) {
 	for id, waiting := range n.joinCandidates {
 		if n.ticks-waiting.seenTick > joinExpiryTicks {
 			delete(n.joinCandidates, id)
 			continue
 		}
-		roll.Joining = append(roll.Joining, waiting.member)
+		view.Joining = append(view.Joining, waiting.member)
 	}
-	sort.Slice(roll.Joining, func(i, j int) bool { return roll.Joining[i].ID < roll.Joining[j].ID })
+	sort.Slice(view.Joining, func(i, j int) bool { return view.Joining[i].ID < view.Joining[j].ID })
 	for id, at := range n.leaving {
 		if n.ticks-at > leavingExpiryTicks {
 			delete(n.leaving, id)
 		}
 	}
-	roll.Self, roll.Tick, roll.Members, roll.CaughtUp = n.self.ID, n.ticks, n.raft.Members(), n.raft.CaughtUp
-	roll.Leaving = func(id raft.ID) bool { _, leaving := n.leaving[id]; return leaving }
-	roll.SinceHeard = func(id raft.ID) int { ticks, _ := n.raft.SinceHeard(id); return ticks }
-	return roll
+	view.Self, view.Tick, view.Members, view.CaughtUp = n.self.ID, n.ticks, n.raft.Members(), n.raft.CaughtUp
+	view.Leaving = func(id raft.ID) bool { _, leaving := n.leaving[id]; return leaving }
+	view.SinceHeard = func(id raft.ID) int { ticks, _ := n.raft.SinceHeard(id); return ticks }
+	return view
 }
 
 // reconcileMembers carries out the membership policy and expires old key claims where this
@@ -146,9 +147,9 @@
 // changeMembers proposes the one membership change that is due. After a change it is called
 // again at each tick, so that a second one is not delayed by the reconcile interval.
 func (n *Node) changeMembers() {
-	roll := n.membershipView()
-	decision := n.policy.Decide(roll)
-	if decision.Change == raft.NoChange {
+	view := n.membershipView()
+	decision := n.policy.Decide(view)
+	if decision.Change == membership.NoChange {
 		n.membersChanged = false
 		return
 	}
@@ -157,7 +158,7 @@
 		return
 	}
 	n.membersChanged = true
-	n.policy.Record(roll, decision)
+	n.policy.Record(view, decision)
 	delete(n.joinCandidates, decision.Member.ID)
 	n.log.Emit(eventlog.MembershipChanged, eventlog.KeyChange, decision.Change.String(), eventlog.KeyMember, string(decision.Member.ID), eventlog.KeyMembers, len(decision.Next))
 	n.handleOutput(out)
