--- a/internal/membership/policy.go
+++ b/internal/membership/policy.go
@@ -80,59 +80,59 @@
 }
 
 // Decide gives the next single change.
-func (m *Policy) Decide(roll View) (decision Decision) {
-	m.observe(roll)
+func (m *Policy) Decide(view View) (decision Decision) {
+	m.observe(view)
 	voters := 0
-	for _, member := range roll.Members {
+	for _, member := range view.Members {
 		if member.Voter {
 			voters++
 		}
 	}
 	dead, leaving, ready := -1, -1, -1
 	lost, near := 0, 0
-	for i, member := range roll.Members {
+	for i, member := range view.Members {
 		switch {
-		case member.ID == roll.Self:
-		case member.Voter && m.lost(roll, i):
-			dead = m.denserZone(roll.Members, dead, i)
+		case member.ID == view.Self:
+		case member.Voter && m.lost(view, i):
+			dead = m.denserZone(view.Members, dead, i)
 			lost++
-		case member.Voter && roll.Leaving(member.ID):
-			leaving = m.denserZone(roll.Members, leaving, i)
-		case !member.Voter && !m.lost(roll, i) && !roll.Leaving(member.ID):
+		case member.Voter && view.Leaving(member.ID):
+			leaving = m.denserZone(view.Members, leaving, i)
+		case !member.Voter && !m.lost(view, i) && !view.Leaving(member.ID):
 			near++
-			if m.ready(roll, i) {
-				ready = m.sparserZone(roll.Members, ready, i)
+			if m.ready(view, i) {
+				ready = m.sparserZone(view.Members, ready, i)
 			}
 		}
 	}
 	switch {
 	case voters > m.Voters && dead >= 0:
-		return m.remove(roll, dead)
+		return m.remove(view, dead)
 	case voters > m.Voters && leaving >= 0:
-		return m.remove(roll, leaving)
+		return m.remove(view, leaving)
 	case dead >= 0 && ready >= 0 && (voters >= m.Voters || near <= lost):
-		return m.remove(roll, dead)
+		return m.remove(view, dead)
 	case voters < m.Voters && ready >= 0:
-		return m.promote(roll, ready)
+		return m.promote(view, ready)
 	case voters == m.Voters && leaving >= 0 && ready >= 0:
-		return m.promote(roll, ready)
+		return m.promote(view, ready)
 	}
 	learners := 0
-	for i, member := range roll.Members {
-		if member.Voter || member.ID == roll.Self {
+	for i, member := range view.Members {
+		if member.Voter || member.ID == view.Self {
 			continue
 		}
-		if m.replaced(roll, i) || roll.SinceHeard(member.ID) > m.LearnerTimeout {
-			return m.remove(roll, i)
+		if m.replaced(view, i) || view.SinceHeard(member.ID) > m.LearnerTimeout {
+			return m.remove(view, i)
 		}
 		learners++
 	}
-	for _, newcomer := range roll.Joining {
-		if m.RejectReason(roll.Members, newcomer) == "" {
-			if _, known := raft.FindMember(roll.Members, newcomer.ID); !known {
-				newcomer.Voter = false
-				next := append(append([]raft.Member(nil), roll.Members...), newcomer)
-				return Decision{AddLearner, newcomer, next}
+	for _, candidate := range view.Joining {
+		if m.RejectReason(view.Members, candidate) == "" {
+			if _, known := raft.FindMember(view.Members, candidate.ID); !known {
+				candidate.Voter = false
+				next := append(append([]raft.Member(nil), view.Members...), candidate)
+				return Decision{AddLearner, candidate, next}
 			}
 		}
 	}
@@ -140,22 +140,22 @@
 }
 
 // RejectReason says why a core cannot be taken in; it is empty if it can.
-func (m *Policy) RejectReason(members []raft.Member, newcomer raft.Member) (why string) {
-	if newcomer.ID == "" {
+func (m *Policy) RejectReason(members []raft.Member, candidate raft.Member) (why string) {
+	if candidate.ID == "" {
 		return "it has no id"
 	}
-	if newcomer.Inner == "" {
+	if candidate.Inner == "" {
 		return "it has no inner address"
 	}
-	if known, member := raft.FindMember(members, newcomer.ID); member {
-		if known.Inner != newcomer.Inner {
+	if known, member := raft.FindMember(members, candidate.ID); member {
+		if known.Inner != candidate.Inner {
 			return "its id is a member at another address"
 		}
 		return ""
 	}
 	learners := 0
 	for _, member := range members {
-		if !member.Voter && member.Inner != newcomer.Inner {
+		if !member.Voter && member.Inner != candidate.Inner {
 			learners++
 		}
 	}
@@ -167,21 +167,21 @@
 
 // HasSuccessor tells whether a voter that leaves may wait for its place to be
 // taken: someone is there or near for it, beyond those that others need.
-func (m *Policy) HasSuccessor(roll View, id raft.ID) (near bool) {
+func (m *Policy) HasSuccessor(view View, id raft.ID) (near bool) {
 	voters, others, learners := 0, 0, 0
-	for i, member := range roll.Members {
+	for i, member := range view.Members {
 		switch {
 		case member.Voter:
 			voters++
-			if member.ID != id && member.ID != roll.Self && (m.lost(roll, i) || roll.Leaving(member.ID)) {
+			if member.ID != id && member.ID != view.Self && (m.lost(view, i) || view.Leaving(member.ID)) {
 				others++
 			}
-		case !roll.Leaving(member.ID) && !m.lost(roll, i):
+		case !view.Leaving(member.ID) && !m.lost(view, i):
 			learners++
 		}
 	}
-	for _, newcomer := range roll.Joining {
-		if _, known := raft.FindMember(roll.Members, newcomer.ID); !known && m.RejectReason(roll.Members, newcomer) == "" {
+	for _, candidate := range view.Joining {
+		if _, known := raft.FindMember(view.Members, candidate.ID); !known && m.RejectReason(view.Members, candidate) == "" {
 			learners++
 		}
 	}
@@ -189,19 +189,19 @@
 }
 
 // observe keeps how long each member has been heard without a gap.
-func (m *Policy) observe(roll View) {
-	for _, member := range roll.Members {
+func (m *Policy) observe(view View) {
+	for _, member := range view.Members {
 		since, heard := m.heardSince[member.ID]
-		if roll.SinceHeard(member.ID) > m.VoterTimeout/2 {
+		if view.SinceHeard(member.ID) > m.VoterTimeout/2 {
 			delete(m.heardSince, member.ID)
 		} else if !heard {
-			m.heardSince[member.ID] = roll.Tick
-		} else if m.failures[member.ID] > 0 && roll.Tick-since > forgiveAfter*m.VoterTimeout {
+			m.heardSince[member.ID] = view.Tick
+		} else if m.failures[member.ID] > 0 && view.Tick-since > forgiveAfter*m.VoterTimeout {
 			delete(m.failures, member.ID)
 		}
 	}
 	for id := range m.heardSince {
-		if _, member := raft.FindMember(roll.Members, id); !member {
+		if _, member := raft.FindMember(view.Members, id); !member {
 			delete(m.heardSince, id)
 		}
 	}
@@ -209,11 +209,11 @@
 
 // replaced tells that a newer life at the same address has been heard since,
 // while the older was silent for longer than beats may take.
-func (m *Policy) replaced(roll View, at int) (outlived bool) {
-	member := roll.Members[at]
-	silence := roll.SinceHeard(member.ID)
-	for i, other := range roll.Members {
-		if i == at || other.Inner != member.Inner || roll.SinceHeard(other.ID) >= silence {
+func (m *Policy) replaced(view View, at int) (outlived bool) {
+	member := view.Members[at]
+	silence := view.SinceHeard(member.ID)
+	for i, other := range view.Members {
+		if i == at || other.Inner != member.Inner || view.SinceHeard(other.ID) >= silence {
 			continue
 		}
 		if i > at && silence > raft.ElectionTicks || silence > m.VoterTimeout {
@@ -223,15 +223,15 @@
 	return false
 }
 
-func (m *Policy) lost(roll View, at int) (gone bool) {
-	return m.replaced(roll, at) || roll.SinceHeard(roll.Members[at].ID) > m.VoterTimeout
+func (m *Policy) lost(view View, at int) (gone bool) {
+	return m.replaced(view, at) || view.SinceHeard(view.Members[at].ID) > m.VoterTimeout
 }
 
 // ready asks more of a core that was struck out before: twice as long without
 // a gap after each time, so that one that comes and goes settles as a learner.
-func (m *Policy) ready(roll View, at int) (ready bool) {
-	id := roll.Members[at].ID
-	if !roll.CaughtUp(id) {
+func (m *Policy) ready(view View, at int) (ready bool) {
+	id := view.Members[at].ID
+	if !view.CaughtUp(id) {
 		return false
 	}
 	strikes := m.failures[id]
@@ -239,25 +239,25 @@
 		return true
 	}
 	since, heard := m.heardSince[id]
-	return heard && roll.Tick-since >= m.VoterTimeout<<(strikes-1)
+	return heard && view.Tick-since >= m.VoterTimeout<<(strikes-1)
 }
 
-func (m *Policy) remove(roll View, at int) (decision Decision) {
-	next := append([]raft.Member(nil), roll.Members[:at]...)
-	return Decision{Remove, roll.Members[at], append(next, roll.Members[at+1:]...)}
+func (m *Policy) remove(view View, at int) (decision Decision) {
+	next := append([]raft.Member(nil), view.Members[:at]...)
+	return Decision{Remove, view.Members[at], append(next, view.Members[at+1:]...)}
 }
 
-func (m *Policy) promote(roll View, at int) (decision Decision) {
-	next := append([]raft.Member(nil), roll.Members...)
+func (m *Policy) promote(view View, at int) (decision Decision) {
+	next := append([]raft.Member(nil), view.Members...)
 	next[at].Voter = true
 	return Decision{Promote, next[at], next}
 }
 
 // Record notes a decision that went into the log: a voter removed because it was
 // not heard has a strike.
-func (m *Policy) Record(roll View, decision Decision) {
+func (m *Policy) Record(view View, decision Decision) {
 	id := decision.Member.ID
-	if decision.Change != Remove || !decision.Member.Voter || roll.Leaving(id) {
+	if decision.Change != Remove || !decision.Member.Voter || view.Leaving(id) {
 		return
 	}
 	if len(m.failures) >= maxFailureRecords {
--- a/internal/membership/policy_model_test.go
+++ b/internal/membership/policy_model_test.go
@@ -56,7 +56,7 @@
 	now := voterSet(members)
 	moments = append(moments, instant{now, now})
 	for {
-		decision := membership.Decide(rollOf(members, dead, leaving, ""))
+		decision := membership.Decide(viewOf(members, dead, leaving, ""))
 		if decision.Change == NoChange {
 			return moments, living
 		}
--- a/internal/membership/policy_test.go
+++ b/internal/membership/policy_test.go
@@ -7,9 +7,9 @@
 	"tinpin/internal/raft"
 )
 
-// rollOf makes a roll of members that are all heard and have all, but for
+// viewOf makes a roll of members that are all heard and have all, but for
 // those named as dead, leaving or behind.
-func rollOf(members []raft.Member, dead, leaving, behind string) (roll View) {
+func viewOf(members []raft.Member, dead, leaving, behind string) (view View) {
 	within := func(ids string, id raft.ID) bool {
 		for _, each := range ids {
 			if raft.ID(string(each)) == id {
@@ -55,7 +55,7 @@
 	for _, c := range []struct{ losses, voters int }{{1, 3}, {2, 5}, {3, 6}} {
 		next := group(3, 3)
 		for {
-			decision := NewPolicy(c.losses, 0, 0).Decide(rollOf(next, "", "", ""))
+			decision := NewPolicy(c.losses, 0, 0).Decide(viewOf(next, "", "", ""))
 			if decision.Change == NoChange {
 				break
 			}
@@ -65,7 +65,7 @@
 			t.Errorf("%d losses: %d voters, want %d", c.losses, voters, c.voters)
 		}
 	}
-	if decision := NewPolicy(2, 0, 0).Decide(rollOf(group(3, 3), "", "", "abcdef")); decision.Change != NoChange {
+	if decision := NewPolicy(2, 0, 0).Decide(viewOf(group(3, 3), "", "", "abcdef")); decision.Change != NoChange {
 		t.Error("a core that lacks the log was made a voter")
 	}
 }
@@ -98,7 +98,7 @@
 		membership := NewPolicy(c.losses, 0, 4*time.Second)
 		members, moves := c.members, ""
 		for step := 0; step < 12; step++ {
-			decision := membership.Decide(rollOf(members, c.dead, c.leaving, c.behind))
+			decision := membership.Decide(viewOf(members, c.dead, c.leaving, c.behind))
 			if decision.Change == NoChange {
 				break
 			}
@@ -132,24 +132,24 @@
 	members := group(3, 1)
 	members[3].Inner = "c"
 	silence := map[raft.ID]int{"c": raft.ElectionTicks}
-	roll := rollOf(members, "", "", "")
-	roll.SinceHeard = func(id raft.ID) int { return silence[id] }
-	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
+	view := viewOf(members, "", "", "")
+	view.SinceHeard = func(id raft.ID) int { return silence[id] }
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(view); decision.Change != NoChange {
 		t.Errorf("between two beats the older life went: %s %s", decision.Change, decision.Member.ID)
 	}
 	silence["c"]++
-	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != Remove || decision.Member.ID != "c" {
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(view); decision.Change != Remove || decision.Member.ID != "c" {
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 	silence["c"], silence["d"] = 0, 30
-	roll.CaughtUp = func(id raft.ID) bool { return id != "d" }
-	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != NoChange {
+	view.CaughtUp = func(id raft.ID) bool { return id != "d" }
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(view); decision.Change != NoChange {
 		t.Errorf("the life that is heard went: %s %s", decision.Change, decision.Member.ID)
 	}
 	members = append(group(3, 2), raft.Member{ID: "f", Inner: "d"})
-	roll = rollOf(members, "", "", "ef")
-	roll.SinceHeard = func(id raft.ID) int { return map[raft.ID]int{"d": raft.ElectionTicks + 1}[id] }
-	if decision := NewPolicy(1, 0, 4*time.Second).Decide(roll); decision.Change != Remove || decision.Member.ID != "d" {
+	view = viewOf(members, "", "", "ef")
+	view.SinceHeard = func(id raft.ID) int { return map[raft.ID]int{"d": raft.ElectionTicks + 1}[id] }
+	if decision := NewPolicy(1, 0, 4*time.Second).Decide(view); decision.Change != Remove || decision.Member.ID != "d" {
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 }
@@ -160,12 +160,12 @@
 		members[i].Site = zone
 	}
 	// Of two dead, the one goes whose zone has the most voters.
-	if decision := NewPolicy(1, 1, 0).Decide(rollOf(members, "bc", "", "")); decision.Change != Remove || decision.Member.ID != "b" {
+	if decision := NewPolicy(1, 1, 0).Decide(viewOf(members, "bc", "", "")); decision.Change != Remove || decision.Member.ID != "b" {
 		t.Errorf("%s %s", decision.Change, decision.Member.ID)
 	}
 	members[1].Voter = false
 	for zones, id := range map[int]raft.ID{0: "b", 1: "e"} {
-		if decision := NewPolicy(1, zones, 0).Decide(rollOf(members, "", "", "")); decision.Change != Promote || decision.Member.ID != id {
+		if decision := NewPolicy(1, zones, 0).Decide(viewOf(members, "", "", "")); decision.Change != Promote || decision.Member.ID != id {
 			t.Errorf("%d zones: %s %s, want %s", zones, decision.Change, decision.Member.ID, id)
 		}
 	}
@@ -191,9 +191,9 @@
 		if why := membership.RejectReason(c.members, c.newcomer); (why != "") != c.refused {
 			t.Errorf("%s: %q", c.name, why)
 		}
-		roll := rollOf(c.members, "", "", "")
-		roll.Joining = []raft.Member{c.newcomer}
-		decision := membership.Decide(roll)
+		view := viewOf(c.members, "", "", "")
+		view.Joining = []raft.Member{c.newcomer}
+		decision := membership.Decide(view)
 		if admitted := decision.Change == AddLearner; admitted && (c.refused || c.name == "a member again") {
 			t.Errorf("%s: admitted", c.name)
 		}
@@ -206,9 +206,9 @@
 		}
 	}
 	voting := raft.Member{ID: "x", Inner: "x", Voter: true}
-	roll := rollOf(members, "", "", "")
-	roll.Joining = []raft.Member{voting}
-	if decision := membership.Decide(roll); decision.Change != AddLearner || decision.Member.Voter || countVoters(decision.Next) != 3 {
+	view := viewOf(members, "", "", "")
+	view.Joining = []raft.Member{voting}
+	if decision := membership.Decide(view); decision.Change != AddLearner || decision.Member.Voter || countVoters(decision.Next) != 3 {
 		t.Error("a newcomer came with a vote of its own making")
 	}
 }
@@ -230,13 +230,13 @@
 		{"two learners, two leavers", group(3, 2), "", "c", "", true},
 		{"already raised", group(4, 0), "", "", "", true},
 	} {
-		if near := NewPolicy(1, 0, 4*time.Second).HasSuccessor(rollOf(c.members, c.dead, c.leaving, c.behind), "b"); near != c.near {
+		if near := NewPolicy(1, 0, 4*time.Second).HasSuccessor(viewOf(c.members, c.dead, c.leaving, c.behind), "b"); near != c.near {
 			t.Errorf("%s: %v", c.name, near)
 		}
 	}
-	roll := rollOf(group(3, 0), "", "", "")
-	roll.Joining = []raft.Member{{ID: "n", Inner: "n"}}
-	if !NewPolicy(1, 0, 0).HasSuccessor(roll, "b") {
+	view := viewOf(group(3, 0), "", "", "")
+	view.Joining = []raft.Member{{ID: "n", Inner: "n"}}
+	if !NewPolicy(1, 0, 0).HasSuccessor(view, "b") {
 		t.Error("one that waits to be taken in is coming")
 	}
 }
@@ -248,7 +248,7 @@
 	last := 0
 	for strike := 0; strike < 4; strike++ {
 		if strike > 0 {
-			lost := rollOf(group(3, 0), "c", "", "")
+			lost := viewOf(group(3, 0), "c", "", "")
 			membership.Record(lost, Decision{Change: Remove, Member: lost.Members[2]})
 			membership.Decide(lost)
 		}
@@ -256,9 +256,9 @@
 		members[2].Voter = false
 		waited := 0
 		for ; waited < 1000; waited++ {
-			roll := rollOf(members, "", "", "")
-			roll.Tick = 10000*strike + waited
-			if membership.Decide(roll).Change == Promote {
+			view := viewOf(members, "", "", "")
+			view.Tick = 10000*strike + waited
+			if membership.Decide(view).Change == Promote {
 				break
 			}
 		}
@@ -270,9 +270,9 @@
 		}
 		last = waited
 	}
-	roll := rollOf(group(3, 0), "", "", "")
-	roll.Tick = 1 << 20
-	membership.Decide(roll)
+	view := viewOf(group(3, 0), "", "", "")
+	view.Tick = 1 << 20
+	membership.Decide(view)
 	if len(membership.failures) != 0 {
 		t.Error("a core that stayed was not forgiven")
 	}
