--- a/internal/quota/tenants_test.go
+++ b/internal/quota/tenants_test.go
@@ -15,7 +15,6 @@
 	random    *rand.Rand
 	now       time.Duration
 	allocator *RateAllocator
-	opened    time.Duration
 	tenants   []RateLimit
 	nodes     []*simNode
 	log       map[string][]time.Duration
--- a/internal/raft/log_test.go
+++ b/internal/raft/log_test.go
@@ -247,11 +247,3 @@
 		t.Fatalf("commit %d", b.raft.CommitIndex())
 	}
 }
-
-// round lets the leader's next beat come.
-func (b *bench) round() {
-	for i := 0; i < HeartbeatTicks; i++ {
-		b.take(b.raft.Tick())
-		b.syncAll()
-	}
-}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -165,9 +165,6 @@
 
 func (w *Cluster) count(answer observation) { w.counts[answer.outcome]++ }
 
-// drop ends a proposal whose process is gone; its caller gets no answer.
-func (w *Cluster) drop(proposal) {}
-
 func (w *Cluster) logEvent(format string, args ...any) {
 	line := fmt.Sprintf("%10s ", w.events.now.Round(time.Microsecond)) + fmt.Sprintf(format, args...)
 	if w.onEvent != nil {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -138,9 +138,7 @@
 		c.cluster.fail("%s: %v", c.host, err)
 	}
 	c.queue, c.writing = nil, nil
-	for _, pending := range c.proposals {
-		c.cluster.drop(pending)
-	}
+	// The callers of proposals whose process is gone get no answer.
 	c.proposals, c.pending = nil, map[raft.Index]pendingEntry{}
 }
 
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -46,7 +46,7 @@
 	{Clock, "the wall clock of a controller, or of all, steps; the monotonic clocks do not"},
 	{Cut, "a controller is partitioned from all other controllers, but not from callers"},
 	{OneWay, "a controller is not heard by the others, or does not hear them"},
-	{Reset, "all messages in flight to and from a controller is lost"},
+	{Reset, "all messages in flight to and from a controller are lost"},
 	{Lossy, "messages are lost, duplicated and reordered"},
 	{Answers, "answers to callers are lost"},
 	{Kill, "a controller's process ends at once and is started again from its disk"},
